--- a/src/main/java/corkproxy/adapter/Adapter.java
+++ b/src/main/java/corkproxy/adapter/Adapter.java
@@ -1,15 +1,6 @@
 package corkproxy.adapter;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
-import java.io.PrintStream;
-import java.util.ArrayList;
-import java.util.Base64;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import corkproxy.balancer.Actions;
 import corkproxy.balancer.Arrival;
 import corkproxy.balancer.Balancer;
@@ -19,6 +10,15 @@
 import corkproxy.balancer.Result;
 import corkproxy.balancer.Settings;
 import corkproxy.fleet.Suspicions;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
 /** Hosts one {@link Balancer} for each instance named on the wire and speaks the wire for them. */
 public final class Adapter {
@@ -31,10 +31,16 @@
   private final Line line = new Line();
   private final ReplyWriter reply = new ReplyWriter();
   private final Map<Long, Balancer> instances = new HashMap<>();
-  /** The share of each instance in what all know of silent hosts, where the deployment lets them talk. */
+
+  /**
+   * The share of each instance in what all know of silent hosts, where the deployment lets them
+   * talk.
+   */
   private final Map<Long, Suspicions> talking = new HashMap<>();
+
   /** What came of an event for a module that was still about it. */
   private final List<Runnable> after = new ArrayList<>();
+
   private final Map<Long, List<HostEntry>> ledgers = new HashMap<>();
   private double now;
 
@@ -153,7 +159,8 @@
     instances.put(who, b);
     talking.remove(who);
     if (SettingsReader.peers(conf)) {
-      talking.put(who, new Suspicions(settings.zone(), settings.balancers(), settings.pace(), seed, wire));
+      talking.put(
+          who, new Suspicions(settings.zone(), settings.balancers(), settings.pace(), seed, wire));
     }
     b.onStart(now);
   }
@@ -345,7 +352,10 @@
 
     @Override
     public void tell(byte[] message) {
-      start("memo_to").word(" recipient=all raw=").word(Base64.getEncoder().encodeToString(message)).end();
+      start("memo_to")
+          .word(" recipient=all raw=")
+          .word(Base64.getEncoder().encodeToString(message))
+          .end();
     }
 
     @Override
--- a/src/main/java/corkproxy/adapter/SettingsReader.java
+++ b/src/main/java/corkproxy/adapter/SettingsReader.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import corkproxy.balancer.Settings;
 import java.util.ArrayList;
 import java.util.List;
-import corkproxy.balancer.Settings;
 
 /** Reads the settings of an instance; what is not known is skipped, what is absent is harmless. */
 public final class SettingsReader {
--- a/src/main/java/corkproxy/balancer/Actions.java
+++ b/src/main/java/corkproxy/balancer/Actions.java
@@ -3,9 +3,10 @@
 /** What a {@link Balancer} asks its proxy to do. Calls are made from within the event methods. */
 public interface Actions {
   /**
-   * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls. It may have to wait for a
-   * connection: when its first byte is to go out, each other attempt that may have run, or may yet, has to have gone out
-   * less than {@code apart} ms before, or this one must not.
+   * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls. It
+   * may have to wait for a connection: when its first byte is to go out, each other attempt that
+   * may have run, or may yet, has to have gone out less than {@code apart} ms before, or this one
+   * must not.
    */
   void send(long request, long host, double apart);
 
@@ -24,7 +25,10 @@
   /** Asks discovery for changes from now on. */
   void follow();
 
-  /** An attempt that went out at {@code sentAt} got no answer, and the host has answered nothing since. */
+  /**
+   * An attempt that went out at {@code sentAt} got no answer, and the host has answered nothing
+   * since.
+   */
   default void silent(long host, double now, double sentAt) {}
 
   /** Writes a line for the people on call. */
--- a/src/main/java/corkproxy/balancer/Admission.java
+++ b/src/main/java/corkproxy/balancer/Admission.java
@@ -104,7 +104,9 @@
     double gap = now - pressureAt;
     pressure = pressure(now);
     // A proxy with few requests weighs each one more, or it would learn of a jam after its end.
-    double weight = Math.min(0.3, Math.max(Tuning.LATENCY_ALPHA, gap / (Tuning.PRESSURE_MEMORY * settings.pace())));
+    double weight =
+        Math.min(
+            0.3, Math.max(Tuning.LATENCY_ALPHA, gap / (Tuning.PRESSURE_MEMORY * settings.pace())));
     pressure += weight * (Math.min(2, elapsed / aim) - pressure);
     pressureAt = now;
   }
--- a/src/main/java/corkproxy/balancer/Attempts.java
+++ b/src/main/java/corkproxy/balancer/Attempts.java
@@ -109,7 +109,8 @@
       return false;
     }
     Settings.Limits limits = settings.now().limits();
-    if (target != null && (!target.sendable
+    if (target != null
+        && (!target.sendable
             || c.attempts.size() >= Math.min(c.maxAttempts, limits.maxAttempts())
             || (c.open > 0 && !limits.parallelTries())
             || now >= c.deadline)) {
@@ -127,7 +128,8 @@
       if (now - a.sentAt >= rules.repeatsWithin() - Tuning.WINDOW_MARGIN) {
         return false;
       }
-      boolean sameGroup = switch (rules.scope()) {
+      boolean sameGroup =
+          switch (rules.scope()) {
             case ALL -> true;
             case ZONE -> target != null && a.zone != null && a.zone.equals(target.zone);
             case CELL -> target != null && a.cell == target.cell;
--- a/src/main/java/corkproxy/balancer/Balancer.java
+++ b/src/main/java/corkproxy/balancer/Balancer.java
@@ -38,7 +38,10 @@
     onSettings(settings);
   }
 
-  /** Other settings hold from now on; open requests keep their class, and no more attempts than then. */
+  /**
+   * Other settings hold from now on; open requests keep their class, and no more attempts than
+   * then.
+   */
   public void onSettings(Settings next) {
     settings.set(next);
     admission.tenants();
@@ -63,7 +66,8 @@
       // Discovery is scarce: wait longer each time, at chance, but never past what is allowed.
       followTimer = true;
       actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
-      followBackoff = Math.min(2 * followBackoff, Math.max(1, settings.now().rules().askWithin() / 2));
+      followBackoff =
+          Math.min(2 * followBackoff, Math.max(1, settings.now().rules().askWithin() / 2));
     } else if (kind == News.DELTA || kind == News.FULL) {
       followBackoff = Tuning.FOLLOW_BACKOFF;
     }
@@ -76,9 +80,12 @@
 
   /** A client's request has come. */
   public void onRequest(double now, Arrival arrival) {
-    Attempts.ClassState type = classes.computeIfAbsent(arrival.className(),
+    Attempts.ClassState type =
+        classes.computeIfAbsent(
+            arrival.className(),
             n -> new Attempts.ClassState(Settings.RequestClass.unknown(n, arrival.budget()), null));
-    Attempts.Call c = new Attempts.Call(arrival.id(), type, now, arrival.budget(), settings.now().limits());
+    Attempts.Call c =
+        new Attempts.Call(arrival.id(), type, now, arrival.budget(), settings.now().limits());
     admission.arrived(now, type.rules, arrival.tenant());
     c.standing = admission.standing(arrival.tenant());
     attempts.earnRetry();
@@ -98,7 +105,13 @@
 
   /** An attempt has ended. {@code over} tells that the request is over with it or before. */
   public void onOutcome(
-      double now, long request, int number, Result result, double spent, boolean over, LoadReport load) {
+      double now,
+      long request,
+      int number,
+      Result result,
+      double spent,
+      boolean over,
+      LoadReport load) {
     Attempts.Call c = calls.get(request);
     if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
       return;
@@ -143,7 +156,8 @@
       }
       case ERROR -> health.failed(a.host, now, true);
       case FULL -> {
-        // Guards against a jam that spreads: a full host is busy, not broken, and the worst pressure.
+        // Guards against a jam that spreads: a full host is busy, not broken, and the worst
+        // pressure.
         if (fleet.idle(a.host, now)) {
           health.waits(a.host, now, true);
           health.closed(a.host, type, now);
@@ -184,7 +198,8 @@
       return; // another attempt may still answer
     }
     // Where answers come late, a further attempt would only feed the jam.
-    if (now < c.deadline - Tuning.LAST_SEND && admission.pressure(now) <= Tuning.REFUSE_FROM + Tuning.REFUSE_SPAN / 2
+    if (now < c.deadline - Tuning.LAST_SEND
+        && admission.pressure(now) <= Tuning.REFUSE_FROM + Tuning.REFUSE_SPAN / 2
         && attempts.takeRetry()) {
       dispatch(c, now);
     } else {
@@ -222,7 +237,10 @@
     fleet.reported(fleet.get(host), now, load);
   }
 
-  /** What peers agree on: the host is silent, and stays out for so long (ms), or, with 0, answers. A hint, no more. */
+  /**
+   * What peers agree on: the host is silent, and stays out for so long (ms), or, with 0, answers. A
+   * hint, no more.
+   */
   public void onHint(double now, long host, double length) {
     Fleet.Host h = fleet.get(host);
     if (h != null && (length > 0 ? fleet.spares(now) : h.ejected.trial)) {
@@ -250,7 +268,8 @@
   private void overdue(Attempts.Call c, double now) {
     // Guards against copies of costly requests feeding a jam: only silence earns a second copy.
     Attempts.Attempt last = c.attempts.get(c.attempts.size() - 1);
-    if (now >= c.deadline - Tuning.LAST_SEND || admission.pressure(now) > Tuning.REFUSE_FROM
+    if (now >= c.deadline - Tuning.LAST_SEND
+        || admission.pressure(now) > Tuning.REFUSE_FROM
         || !health.silent(last.host, now, 0.99 * c.type.overdueAfter())) {
       return;
     }
@@ -293,7 +312,8 @@
   private void conclude(Attempts.Call c, double now) {
     if (attempts.allowed(c, null, now)) {
       // A client that asks again at once meets the same queue; later than this its aim is gone.
-      double wait = settings.now().limits().retryAfter() ? Tuning.COME_BACK * c.type.rules.aim() : 0;
+      double wait =
+          settings.now().limits().retryAfter() ? Tuning.COME_BACK * c.type.rules.aim() : 0;
       actions.refuse(c.id, wait);
     } else {
       actions.fail(c.id);
--- a/src/main/java/corkproxy/balancer/Draw.java
+++ b/src/main/java/corkproxy/balancer/Draw.java
@@ -24,8 +24,13 @@
   private int equals;
   private boolean thrifty;
 
-  Draw(LiveSettings settings, Fleet fleet, Health health, Attempts attempts,
-      Admission admission, SplittableRandom random) {
+  Draw(
+      LiveSettings settings,
+      Fleet fleet,
+      Health health,
+      Attempts attempts,
+      Admission admission,
+      SplittableRandom random) {
     this.settings = settings;
     this.fleet = fleet;
     this.health = health;
@@ -93,7 +98,8 @@
     int seen = 0;
     for (int i = 0; i < 4 * Tuning.CHOICES && seen < Tuning.CHOICES && pool.length > 0; i++) {
       Fleet.Host h = pool[random.nextInt(pool.length)];
-      if (drawn.contains(h) || !usable(h, c, now, pool == local ? pool.length : fleet.ready().size())) {
+      if (drawn.contains(h)
+          || !usable(h, c, now, pool == local ? pool.length : fleet.ready().size())) {
         continue;
       }
       if (h.ejected.trial && c.type.repeatable()) {
@@ -108,7 +114,8 @@
   }
 
   private boolean usable(Fleet.Host h, Attempts.Call c, double now, int among) {
-    return attempts.allowed(c, h, now) && (c.attempts.isEmpty() || !c.tried(h))
+    return attempts.allowed(c, h, now)
+        && (c.attempts.isEmpty() || !c.tried(h))
         && health.available(h, now, c.type.silentAfter())
         && health.takes(h, c.type, now)
         && (fleet.warmth(h, now) >= 1 || credit(h, now, among));
@@ -137,15 +144,21 @@
   }
 
   /**
-   * Guards rule 4 without agreement: each proxy lends a cold host the part of its own mean share among so many
-   * hosts that the host's least warmth and the fall multiple allow, so the sum over all stays inside. A host of the
-   * pool is shared with few proxies only, and gets what those would have given to all others.
-   * What counts is what hosts serve, not what clients ask: their retries multiply in a jam.
+   * Guards rule 4 without agreement: each proxy lends a cold host the part of its own mean share
+   * among so many hosts that the host's least warmth and the fall multiple allow, so the sum over
+   * all stays inside. A host of the pool is shared with few proxies only, and gets what those would
+   * have given to all others. What counts is what hosts serve, not what clients ask: their retries
+   * multiply in a jam.
    */
   private boolean credit(Fleet.Host h, double now, int among) {
     Settings.Rules rules = settings.now().rules();
     double share = admission.servedRate(now) / Math.max(1, among);
-    double gain = Tuning.COLD_SHARE * rules.fallMultiple() * fleet.warmth(h, now) * share * (now - h.coldCreditAt);
+    double gain =
+        Tuning.COLD_SHARE
+            * rules.fallMultiple()
+            * fleet.warmth(h, now)
+            * share
+            * (now - h.coldCreditAt);
     h.coldCreditAt = now;
     h.coldCredit = Math.min(h.coldCredit + gain, 1 + share * rules.fall() / 2);
     return h.coldCredit >= 1;
@@ -176,7 +189,8 @@
     size = wanted;
     changes = fleet.changes;
     List<Fleet.Host> all = fleet.ready();
-    Predicate<Fleet.Host> near = h -> settings.now().zone() == null || settings.now().zone().equals(h.zone);
+    Predicate<Fleet.Host> near =
+        h -> settings.now().zone() == null || settings.now().zone().equals(h.zone);
     local = window(all.stream().filter(near).toArray(Fleet.Host[]::new), wanted);
     remote = window(all.stream().filter(near.negate()).toArray(Fleet.Host[]::new), wanted);
   }
@@ -186,7 +200,8 @@
     if (ring.length <= wanted) {
       return ring;
     }
-    int start = (int) ((double) settings.now().position() * ring.length / settings.now().balancers());
+    int start =
+        (int) ((double) settings.now().position() * ring.length / settings.now().balancers());
     Fleet.Host[] out = new Fleet.Host[wanted];
     for (int i = 0; i < wanted; i++) {
       out[i] = ring[Math.floorMod(start + i, ring.length)];
--- a/src/main/java/corkproxy/balancer/Fleet.java
+++ b/src/main/java/corkproxy/balancer/Fleet.java
@@ -51,7 +51,9 @@
     }
   }
 
-  /** Time out of the draw, longer each time that it comes again, then trials until one is answered. */
+  /**
+   * Time out of the draw, longer each time that it comes again, then trials until one is answered.
+   */
   static final class Backoff {
     private int times;
     private double last = Double.NEGATIVE_INFINITY;
@@ -83,8 +85,10 @@
   private int mark;
   private double meanOthers;
   private double meanAt = Double.NEGATIVE_INFINITY;
+
   /** Grows each time that the set of ready hosts changes. */
   int changes;
+
   double heard = Double.POSITIVE_INFINITY;
 
   Fleet(LiveSettings settings) {
@@ -143,7 +147,8 @@
   private void rebuild() {
     ready.clear();
     byId.values().stream().filter(h -> h.sendable).forEach(ready::add);
-    ready.sort((a, b) -> a.ring != b.ring ? Long.compare(a.ring, b.ring) : Long.compare(a.id, b.id));
+    ready.sort(
+        (a, b) -> a.ring != b.ring ? Long.compare(a.ring, b.ring) : Long.compare(a.id, b.id));
     changes++;
   }
 
@@ -165,7 +170,8 @@
     h.slowness = own + Math.max(Tuning.LATENCY_ALPHA, 1.0 / (++h.samples + 2)) * (capped - own);
     h.lastSample = now;
     KindSpeed k = kinds.computeIfAbsent(h.kind, x -> new KindSpeed());
-    k.slowness += Math.max(Tuning.LATENCY_ALPHA / 2, 1.0 / (++k.samples + 4)) * (capped - k.slowness);
+    k.slowness +=
+        Math.max(Tuning.LATENCY_ALPHA / 2, 1.0 / (++k.samples + 4)) * (capped - k.slowness);
   }
 
   /** Learns, where a host holds many requests, how long each of them takes it. */
@@ -176,7 +182,8 @@
       double each = spent / (held + 1);
       // The median: a few heavy requests say nothing of how long the next one will take.
       double step = Math.max(Tuning.QUEUE_STEP, 1.0 / (++k.queues + 4));
-      k.msPerHeld = k.msPerHeld == 0 ? each : k.msPerHeld * (each > k.msPerHeld ? 1 + step : 1 - step);
+      k.msPerHeld =
+          k.msPerHeld == 0 ? each : k.msPerHeld * (each > k.msPerHeld ? 1 + step : 1 - step);
     }
   }
 
@@ -184,7 +191,8 @@
   double expectedAnswer(Host h, double now) {
     KindSpeed k = kinds.get(h.kind);
     // Past its fading a report tells nothing: or a host that nobody sends to would stay crowded.
-    double held = now - h.reportAt > (Tuning.REPORT_FADE * settings.pace()) ? h.inFlight : held(h, now);
+    double held =
+        now - h.reportAt > (Tuning.REPORT_FADE * settings.pace()) ? h.inFlight : held(h, now);
     return k == null || held <= Tuning.QUEUE_SEEN ? 0 : k.msPerHeld * (held + 1);
   }
 
@@ -196,7 +204,8 @@
 
   /** Whether the host has just told that it has room at once, whatever answers took of late. */
   boolean idle(Host h, double now) {
-    return now - h.reportAt < Tuning.REPORT_FRESH * settings.pace() && held(h, now) < Tuning.QUEUE_SEEN / 2;
+    return now - h.reportAt < Tuning.REPORT_FRESH * settings.pace()
+        && held(h, now) < Tuning.QUEUE_SEEN / 2;
   }
 
   /** Whether reports tell of no queue there; where they are old, those of all hosts do. */
@@ -238,8 +247,10 @@
     }
     double most = Tuning.PLAUSIBLE * (meanOthers + Tuning.QUEUE_SEEN);
     h.others = Math.min(most, Math.max(0, report.held() - ownPeak(h, now)));
-    // A proxy with few answers weighs each one more: its mean would be older than the reports that it stands in for.
-    double weight = Math.min(0.3, Math.max(0.02, (now - meanAt) / (Tuning.MEAN_FADE * settings.pace())));
+    // A proxy with few answers weighs each one more: its mean would be older than the reports that
+    // it stands in for.
+    double weight =
+        Math.min(0.3, Math.max(0.02, (now - meanAt) / (Tuning.MEAN_FADE * settings.pace())));
     h.reportAt = meanAt = now;
     meanOthers += weight * (h.others - meanOthers);
   }
@@ -257,7 +268,8 @@
   /** Expected wait in units of the mean answer time; decides between equal counts only. */
   double expectedWait(Host h, double now, boolean thrifty) {
     double slow = slowness(h, now);
-    // A new connection costs the host work, and a place of which it has few: as a request more would.
+    // A new connection costs the host work, and a place of which it has few: as a request more
+    // would.
     int opens = thrifty && (h.inFlight > 0 || now - h.lastAnswer >= settings.keepIdle()) ? 1 : 0;
     return meanAt >= 0 ? slow * (Tuning.REPORT_BASE + held(h, now) + opens) : slow;
   }
--- a/src/main/java/corkproxy/balancer/Health.java
+++ b/src/main/java/corkproxy/balancer/Health.java
@@ -37,7 +37,8 @@
 
   /** Whether the host has answered nothing for so long since something was sent to it. */
   boolean unanswered(Fleet.Host h, double now, double overdue) {
-    return Math.min(now, fleet.heard) - h.waitsSince > Math.max(Tuning.SILENCE_FLOOR, overdue * Math.max(1, h.slowness));
+    return Math.min(now, fleet.heard) - h.waitsSince
+        > Math.max(Tuning.SILENCE_FLOOR, overdue * Math.max(1, h.slowness));
   }
 
   /** The host has got a request, or given a sign of life, with requests of ours still there. */
@@ -52,7 +53,9 @@
 
   /** The extra count that failures charge to a host: an empty failing host must not attract. */
   double charge(Fleet.Host h, double now) {
-    return h.charge < 0.05 ? 0 : h.charge * Math.exp(-(now - h.chargeAt) / (fleet.settings.pace() * Tuning.CHARGE_FADE));
+    return h.charge < 0.05
+        ? 0
+        : h.charge * Math.exp(-(now - h.chargeAt) / (fleet.settings.pace() * Tuning.CHARGE_FADE));
   }
 
   void succeeded(Fleet.Host h, double now) {
@@ -71,7 +74,9 @@
     h.failShare += Tuning.FAILURE_ALPHA * (1 - h.failShare);
     h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
     h.chargeAt = now;
-    if (now >= h.ejected.until && (h.ejected.trial || h.failShare >= Tuning.FAILURE_SHARE) && fleet.spares(now)) {
+    if (now >= h.ejected.until
+        && (h.ejected.trial || h.failShare >= Tuning.FAILURE_SHARE)
+        && fleet.spares(now)) {
       eject(h, now);
     }
   }
@@ -87,8 +92,9 @@
   }
 
   /**
-   * The host turned work of a class away, or never answered it, with room to spare. Guards against hosts that limit
-   * or lose one class: without it they lose those that they serve as well, and the others are pushed over.
+   * The host turned work of a class away, or never answered it, with room to spare. Guards against
+   * hosts that limit or lose one class: without it they lose those that they serve as well, and the
+   * others are pushed over.
    */
   void closed(Fleet.Host h, Attempts.ClassState type, double now) {
     Fleet.Backoff b = h.closed.computeIfAbsent(type.rules.name(), x -> new Fleet.Backoff());
@@ -98,7 +104,10 @@
     b.begin(now, fleet.settings.pace(), Tuning.CLOSED_MAX, random);
   }
 
-  /** Whether the host may be tried with the class: not while that is closed there, then once in an aim. */
+  /**
+   * Whether the host may be tried with the class: not while that is closed there, then once in an
+   * aim.
+   */
   boolean takes(Fleet.Host h, Attempts.ClassState type, double now) {
     return !h.closed.containsKey(type.rules.name()) || now >= h.closed.get(type.rules.name()).until;
   }
@@ -112,7 +121,10 @@
     }
   }
 
-  /** Leaves the host out for so long on the word of others, or, with 0, takes it back as if it had answered here. */
+  /**
+   * Leaves the host out for so long on the word of others, or, with 0, takes it back as if it had
+   * answered here.
+   */
   void hinted(Fleet.Host h, double now, double length) {
     h.ejected.until = length > 0 ? Math.max(h.ejected.until, now + length) : now;
     h.ejected.trial = true;
--- a/src/main/java/corkproxy/balancer/Settings.java
+++ b/src/main/java/corkproxy/balancer/Settings.java
@@ -25,24 +25,49 @@
   /** The same for the instance at this position of the tier. */
   public Settings at(int place) {
     return new Settings(
-        classes, tenants, limits, rules, mustFollow, zone, place, balancers, overShareWorth,
+        classes,
+        tenants,
+        limits,
+        rules,
+        mustFollow,
+        zone,
+        place,
+        balancers,
+        overShareWorth,
         worthByWork);
   }
 
   /** The same with these classes. */
   public Settings with(List<RequestClass> others) {
     return new Settings(
-        others, tenants, limits, rules, mustFollow, zone, position, balancers, overShareWorth,
+        others,
+        tenants,
+        limits,
+        rules,
+        mustFollow,
+        zone,
+        position,
+        balancers,
+        overShareWorth,
         worthByWork);
   }
 
-  /** How long (in aims) a connection that carries nothing is worth the place that it takes up at a host. */
+  /**
+   * How long (in aims) a connection that carries nothing is worth the place that it takes up at a
+   * host.
+   */
   private static final double KEEP_IDLE = 2;
 
-  /** And at the least (ms): where aims are shorter, peaks come and go within it, and each would cost handshakes. */
+  /**
+   * And at the least (ms): where aims are shorter, peaks come and go within it, and each would cost
+   * handshakes.
+   */
   private static final double KEEP_IDLE_LEAST = 1_000;
 
-  /** How long (ms) a connection to a host is kept that carries nothing: {@code most} where that is less. */
+  /**
+   * How long (ms) a connection to a host is kept that carries nothing: {@code most} where that is
+   * less.
+   */
   public double keepIdle(double most) {
     return Math.min(most, Math.max(KEEP_IDLE_LEAST, KEEP_IDLE * pace()));
   }
@@ -76,7 +101,10 @@
       double repeatWindow,
       double value,
       double lateWorth) {
-    /** How long (ms) after an attempt that may have run another one may go out: for ever, the window, or never. */
+    /**
+     * How long (ms) after an attempt that may have run another one may go out: for ever, the
+     * window, or never.
+     */
     public double repeatsWithin() {
       return switch (semantics) {
         case IDEMPOTENT -> Double.MAX_VALUE;
@@ -93,15 +121,13 @@
 
     /** The same with so much time (ms) for an answer to be of use, and to come at all. */
     public RequestClass within(double time) {
-      return new RequestClass(
-          name, time, time, semantics, scope, repeatWindow, value, lateWorth);
+      return new RequestClass(name, time, time, semantics, scope, repeatWindow, value, lateWorth);
     }
 
     /** A class that the settings do not name: taken for the strictest kind. */
     static RequestClass unknown(String name, double budget) {
       double wait = Math.max(1, budget);
-      return new RequestClass(
-          name, wait, wait, Semantics.AT_MOST_ONCE, Scope.ALL, 0, 1, 0);
+      return new RequestClass(name, wait, wait, Semantics.AT_MOST_ONCE, Scope.ALL, 0, 1, 0);
     }
   }
 
--- a/src/main/java/corkproxy/balancer/Tuning.java
+++ b/src/main/java/corkproxy/balancer/Tuning.java
@@ -4,13 +4,19 @@
 final class Tuning {
   private Tuning() {}
 
-  /** Candidates drawn: two for the paper, more as light proxies' counts tie; far more would herd many proxies. */
+  /**
+   * Candidates drawn: two for the paper, more as light proxies' counts tie; far more would herd
+   * many proxies.
+   */
   static final int CHOICES = 5;
 
   /** Hosts in the pool of a proxy with no load; enough to lose a fifth of them and still choose. */
   static final int BASE_POOL = 6;
 
-  /** Pool hosts for each own request in flight at its recent peak: counts stay small, connections few. */
+  /**
+   * Pool hosts for each own request in flight at its recent peak: counts stay small, connections
+   * few.
+   */
   static final double POOL_PER_IN_FLIGHT = 1.5;
 
   /** The most proxies that may share a host where pools can be kept so small. */
@@ -31,8 +37,12 @@
   /** Two expected waits closer than this part are equal, and chance decides: avoids herding. */
   static final double WAIT_TIE = 0.1;
 
-  /** Time constants (in aims) at which a load report fades towards the mean of all, and that mean to newer ones. */
+  /**
+   * Time constants (in aims) at which a load report fades towards the mean of all, and that mean to
+   * newer ones.
+   */
   static final double REPORT_FADE = 7.5;
+
   static final double MEAN_FADE = 2;
 
   /** A report younger than this (in aims) says more of a host than what answers took of late. */
--- a/src/main/java/corkproxy/cli/DaemonCommand.java
+++ b/src/main/java/corkproxy/cli/DaemonCommand.java
@@ -19,10 +19,17 @@
       "Exit status: 0 drained, 2 the file is faulty or a listener can't be had."
     })
 final class DaemonCommand implements Callable<Integer> {
-  @Option(names = "--config", required = true, paramLabel = "FILE", description = "The operator's file.")
+  @Option(
+      names = "--config",
+      required = true,
+      paramLabel = "FILE",
+      description = "The operator's file.")
   private Path file;
 
-  @Option(names = "--new-keeper", description = "The keeper that the file names never had a log: an empty folder becomes its own.")
+  @Option(
+      names = "--new-keeper",
+      description =
+          "The keeper that the file names never had a log: an empty folder becomes its own.")
   private boolean freshKeeper;
 
   private DaemonLog log;
@@ -50,7 +57,8 @@
                     Thread.currentThread().interrupt();
                   }
                   log.close();
-                  // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
+                  // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a
+                  // success.
                   Runtime.getRuntime().halt(0);
                 },
                 "drain"));
--- a/src/main/java/corkproxy/cli/DemoCommand.java
+++ b/src/main/java/corkproxy/cli/DemoCommand.java
@@ -60,7 +60,12 @@
   private static LoadGenerator.Kind kind(
       String name, double part, String method, String key, long deadline) {
     return new LoadGenerator.Kind(
-        name, part, method, "/" + name, "X-Tenant-Id: demo\r\n" + key, method.equals("GET") ? 0 : 200,
+        name,
+        part,
+        method,
+        "/" + name,
+        "X-Tenant-Id: demo\r\n" + key,
+        method.equals("GET") ? 0 : 200,
         deadline);
   }
 
@@ -109,8 +114,7 @@
 
   private HttpStandIn host(String name, double warmUpMs, long seed) {
     return new HttpStandIn(
-        new HttpStandIn.Options(
-            name, "p1", 0, 15, 3, 60, warmUpMs, 0.3, 400, true, 200, 11 + seed),
+        new HttpStandIn.Options(name, "p1", 0, 15, 3, 60, warmUpMs, 0.3, 400, true, 200, 11 + seed),
         ledger);
   }
 
@@ -146,13 +150,24 @@
         """);
     for (int i = 0; i < count; i++) {
       HttpStandIn h = hosts.get(i);
-      s.append("[[pool.roster.member]]\nid = \"").append(h.name()).append("\"\naddress = \"")
-          .append(h.place()).append("\"\npod = \"").append(h.pod()).append("\"\nstate = \"")
-          .append(draining.contains(h.name()) ? "draining" : "up").append("\"\n");
+      s.append("[[pool.roster.member]]\nid = \"")
+          .append(h.name())
+          .append("\"\naddress = \"")
+          .append(h.place())
+          .append("\"\npod = \"")
+          .append(h.pod())
+          .append("\"\nstate = \"")
+          .append(draining.contains(h.name()) ? "draining" : "up")
+          .append("\"\n");
     }
     for (LoadGenerator.Kind k : kinds) {
-      s.append("[[route]]\nname = \"").append(k.name()).append("\"\nprefix = \"").append(k.path())
-          .append("\"\nclass = \"").append(k.name()).append("\"\npool = \"roster\"\n");
+      s.append("[[route]]\nname = \"")
+          .append(k.name())
+          .append("\"\nprefix = \"")
+          .append(k.path())
+          .append("\"\nclass = \"")
+          .append(k.name())
+          .append("\"\npool = \"roster\"\n");
     }
     return s.toString();
   }
@@ -173,8 +188,7 @@
       late += d.ns() > d.kind().deadlineMs() * 1_000_000L + 50_000_000L ? 1 : 0;
     }
     long lost = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
-    long afterGrace =
-        hosts.get(0).lastArrival() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
+    long afterGrace = hosts.get(0).lastArrival() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
     long fallen = hosts.stream().filter(HttpStandIn::fallen).count();
     Map<String, Object> rules = new LinkedHashMap<>();
     rules.put("requests without their one answer", lost);
@@ -218,7 +232,8 @@
       print("host", perHost);
       System.out.println("\nrules, and how often each was broken");
       rules.forEach((k, v) -> System.out.printf(Locale.ROOT, "  %-48s %s%n", k, v));
-      System.out.printf(Locale.ROOT, "  %-48s %d%n", "answers seen past the deadline and 50 ms (told)", late);
+      System.out.printf(
+          Locale.ROOT, "  %-48s %d%n", "answers seen past the deadline and 50 ms (told)", late);
       System.out.println(held ? "the rules held" : "THE RULES DID NOT HOLD");
     }
     return held ? 0 : 1;
--- a/src/main/java/corkproxy/cli/FleetCommand.java
+++ b/src/main/java/corkproxy/cli/FleetCommand.java
@@ -28,7 +28,8 @@
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
-    description = "Takes proxies and hosts of a fleet out of service and back, and tells who is out.",
+    description =
+        "Takes proxies and hosts of a fleet out of service and back, and tells who is out.",
     subcommands = {
       FleetCommand.Drain.class,
       FleetCommand.Leave.class,
@@ -69,10 +70,17 @@
     @Option(names = "--fleet", required = true, description = "The fleet's name.")
     private String fleet;
 
-    @Option(names = "--keeper", required = true, paramLabel = "NAME=IP:PORT", description = "A keeper; may be repeated.")
+    @Option(
+        names = "--keeper",
+        required = true,
+        paramLabel = "NAME=IP:PORT",
+        description = "A keeper; may be repeated.")
     private Map<String, String> keepers = new LinkedHashMap<>();
 
-    @Option(names = "--timeout-s", defaultValue = "10", description = "How long an answer is waited for.")
+    @Option(
+        names = "--timeout-s",
+        defaultValue = "10",
+        description = "How long an answer is waited for.")
     private double timeout;
 
     @Option(names = "--json", description = "The answer as JSON on standard output.")
@@ -90,18 +98,23 @@
             InetSocketAddress a = Addresses.parse(text);
             if (a == null || a.getPort() == 0) {
               throw new CommandLine.ParameterException(
-                  spec.commandLine(), "--keeper " + name + "=" + text + " (expected: NAME=IP:PORT)");
+                  spec.commandLine(),
+                  "--keeper " + name + "=" + text + " (expected: NAME=IP:PORT)");
             }
             at.put(name, a);
           });
       if (!(timeout > 0 && timeout <= 86_400)) {
-        throw new CommandLine.ParameterException(spec.commandLine(), "--timeout-s " + timeout + " (expected: above 0, at most 86400)");
+        throw new CommandLine.ParameterException(
+            spec.commandLine(), "--timeout-s " + timeout + " (expected: above 0, at most 86400)");
       }
       until = System.nanoTime() + (long) (timeout * 1e9);
       return new KeeperClient(fleet, at, m -> {});
     }
 
-    /** Asks, prints, and gives the exit status; {@code then} prints what has been answered for people. */
+    /**
+     * Asks, prints, and gives the exit status; {@code then} prints what has been answered for
+     * people.
+     */
     int ask(ObjectNode request, java.util.function.Consumer<ObjectNode> then) {
       try (KeeperClient c = client()) {
         return told(c.call(request, until), then);
@@ -111,7 +124,8 @@
     }
 
     /** Asks again and again and prints what has changed; ends only with this process. */
-    int watch(ObjectNode request, java.util.function.Consumer<ObjectNode> then) throws InterruptedException {
+    int watch(ObjectNode request, java.util.function.Consumer<ObjectNode> then)
+        throws InterruptedException {
       String last = "";
       try (KeeperClient c = client()) {
         while (true) {
@@ -167,7 +181,10 @@
 
     private int unreached(UnreachableException e, ObjectNode request) {
       boolean decides = e.sent && request.path("op").asText().equals("submit");
-      ObjectNode o = Json.object().put("status", decides ? "undecided" : "unreachable").put("why", e.getMessage());
+      ObjectNode o =
+          Json.object()
+              .put("status", decides ? "undecided" : "unreachable")
+              .put("why", e.getMessage());
       if (decides) {
         o.put("call", request.path("entry").path("call").asText());
       }
@@ -176,7 +193,10 @@
       } else {
         System.out.println(
             decides
-                ? "undecided (" + e.getMessage() + "): ask again with --id " + o.path("call").asText()
+                ? "undecided ("
+                    + e.getMessage()
+                    + "): ask again with --id "
+                    + o.path("call").asText()
                 : "no keeper can be reached: " + e.getMessage());
       }
       return decides ? UNDECIDED : UNREACHABLE;
@@ -193,15 +213,24 @@
     @Option(names = "--who", description = "Who asks; the user of this shell where it is left out.")
     String who = System.getProperty("user.name");
 
-    @Option(names = "--id", description = "The call's id: with the one of an earlier call, its one true outcome is told.")
+    @Option(
+        names = "--id",
+        description =
+            "The call's id: with the one of an earlier call, its one true outcome is told.")
     String id = UUID.randomUUID().toString();
 
     ObjectNode entry(String op) {
-      return Json.object().put("op", op).put("call", id).put("who", who).put("why", why).put("at", Instant.now().toEpochMilli());
+      return Json.object()
+          .put("op", op)
+          .put("call", id)
+          .put("who", who)
+          .put("why", why)
+          .put("at", Instant.now().toEpochMilli());
     }
 
     int change(ObjectNode entry) {
-      return target.ask(Json.object().put("op", "submit").set("entry", entry), o -> Change.print(o));
+      return target.ask(
+          Json.object().put("op", "submit").set("entry", entry), o -> Change.print(o));
     }
 
     static void print(ObjectNode o) {
@@ -231,28 +260,45 @@
         ObjectNode now = granted;
         while (System.nanoTime() < target.until) {
           try {
-            now = c.call(Json.object().put("op", "permit").put("permit", granted.path("permit").asText()), target.until);
+            now =
+                c.call(
+                    Json.object()
+                        .put("op", "permit")
+                        .put("permit", granted.path("permit").asText()),
+                    target.until);
           } catch (UnreachableException e) {
             break;
           }
           if (now.path("carried_out").asBoolean()) {
-            return target.told(granted.put("carried_out", true), o -> System.out.println("out, permit " + o.path("permit").asText()));
+            return target.told(
+                granted.put("carried_out", true),
+                o -> System.out.println("out, permit " + o.path("permit").asText()));
           }
           c.listen(System.nanoTime() + 50_000_000L);
         }
         granted.put("carried_out", false).set("awaited", now.path("awaited"));
-        target.told(granted, o -> {
-          System.out.println("granted, permit " + o.path("permit").asText() + ", and not out everywhere yet:");
-          o.path("awaited").properties().forEach(e -> System.out.println("  " + e.getKey() + " " + e.getValue().asText()));
-        });
+        target.told(
+            granted,
+            o -> {
+              System.out.println(
+                  "granted, permit " + o.path("permit").asText() + ", and not out everywhere yet:");
+              o.path("awaited")
+                  .properties()
+                  .forEach(
+                      e -> System.out.println("  " + e.getKey() + " " + e.getValue().asText()));
+            });
         return AWAITED;
       }
     }
   }
 
-  @Command(name = "leave", mixinStandardHelpOptions = true, description = {
-      "Before a proxy is stopped for good: takes it out where budgets allow it, and waits until it is. End its process after exit status 0;",
-      "it is forgotten as soon as it has told that it ends."})
+  @Command(
+      name = "leave",
+      mixinStandardHelpOptions = true,
+      description = {
+        "Before a proxy is stopped for good: takes it out where budgets allow it, and waits until it is. End its process after exit status 0;",
+        "it is forgotten as soon as it has told that it ends."
+      })
   static final class Leave extends Outage {
     @Parameters(paramLabel = "PROXY", description = "Which.")
     private String name;
@@ -263,7 +309,10 @@
     }
   }
 
-  @Command(name = "drain", mixinStandardHelpOptions = true, description = "Takes a proxy or a host out of service, where budgets allow it.")
+  @Command(
+      name = "drain",
+      mixinStandardHelpOptions = true,
+      description = "Takes a proxy or a host out of service, where budgets allow it.")
   static final class Drain extends Outage {
     @Parameters(index = "0", paramLabel = "proxy|host", description = "What it is.")
     private String kind;
@@ -271,10 +320,15 @@
     @Parameters(index = "1", paramLabel = "NAME", description = "Which.")
     private String name;
 
-    @Option(names = "--for", paramLabel = "TIME", description = "Ends by itself after 30s, 10m or 2h; without it, with undo.")
+    @Option(
+        names = "--for",
+        paramLabel = "TIME",
+        description = "Ends by itself after 30s, 10m or 2h; without it, with undo.")
     private String time;
 
-    @Option(names = "--wait", description = "Waits until it is out everywhere, at most --timeout-s.")
+    @Option(
+        names = "--wait",
+        description = "Waits until it is out everywhere, at most --timeout-s.")
     private boolean wait;
 
     @Override
@@ -287,9 +341,11 @@
       if (time == null) {
         return 0;
       }
-      java.util.regex.Matcher m = java.util.regex.Pattern.compile("([0-9]{1,9})(ms|s|m|h)").matcher(time);
+      java.util.regex.Matcher m =
+          java.util.regex.Pattern.compile("([0-9]{1,9})(ms|s|m|h)").matcher(time);
       if (!m.matches()) {
-        throw new CommandLine.ParameterException(target.spec.commandLine(), "--for " + time + " (expected: as 500ms, 30s, 10m or 2h)");
+        throw new CommandLine.ParameterException(
+            target.spec.commandLine(), "--for " + time + " (expected: as 500ms, 30s, 10m or 2h)");
       }
       return Long.parseLong(m.group(1))
           * switch (m.group(2)) {
@@ -301,7 +357,10 @@
     }
   }
 
-  @Command(name = "undo", mixinStandardHelpOptions = true, description = "Gives back what a permit took out.")
+  @Command(
+      name = "undo",
+      mixinStandardHelpOptions = true,
+      description = "Gives back what a permit took out.")
   static final class Undo extends Change {
     @Parameters(paramLabel = "PERMIT", description = "The permit's id.")
     private String permit;
@@ -312,7 +371,10 @@
     }
   }
 
-  @Command(name = "halt", mixinStandardHelpOptions = true, description = "Nothing more is granted, anywhere, until resume.")
+  @Command(
+      name = "halt",
+      mixinStandardHelpOptions = true,
+      description = "Nothing more is granted, anywhere, until resume.")
   static final class Halt extends Change {
     @Override
     public Integer call() {
@@ -328,7 +390,10 @@
     }
   }
 
-  @Command(name = "fence", mixinStandardHelpOptions = true, description = "Your word that a lost proxy's process is dead.")
+  @Command(
+      name = "fence",
+      mixinStandardHelpOptions = true,
+      description = "Your word that a lost proxy's process is dead.")
   static final class Fence extends Change {
     @Parameters(paramLabel = "PROXY", description = "Which.")
     private String name;
@@ -339,7 +404,10 @@
     }
   }
 
-  @Command(name = "forget", mixinStandardHelpOptions = true, description = "Takes a proxy that has gone for good out of all counts.")
+  @Command(
+      name = "forget",
+      mixinStandardHelpOptions = true,
+      description = "Takes a proxy that has gone for good out of all counts.")
   static final class Forget extends Change {
     @Parameters(paramLabel = "PROXY", description = "Which.")
     private String name;
@@ -350,12 +418,18 @@
     }
   }
 
-  @Command(name = "budgets", mixinStandardHelpOptions = true, description = "Puts the budgets of a file in force, in place of all others.")
+  @Command(
+      name = "budgets",
+      mixinStandardHelpOptions = true,
+      description = "Puts the budgets of a file in force, in place of all others.")
   static final class Budgets extends Change {
     @Parameters(paramLabel = "FILE", description = "TOML with [[budget]] tables.")
     private Path file;
 
-    @Option(names = "--against", defaultValue = "0", description = "The version that they replace: 'budgets_version' of status.")
+    @Option(
+        names = "--against",
+        defaultValue = "0",
+        description = "The version that they replace: 'budgets_version' of status.")
     private long against;
 
     @Override
@@ -371,11 +445,17 @@
     }
   }
 
-  @Command(name = "status", mixinStandardHelpOptions = true, description = "Who is out and why, permits and budgets.")
+  @Command(
+      name = "status",
+      mixinStandardHelpOptions = true,
+      description = "Who is out and why, permits and budgets.")
   static final class Status implements Callable<Integer> {
     @Mixin private Target target;
 
-    @Option(names = "--watch", description = "Tells again whenever something has changed, until it is ended; unreachable keepers are told and asked again.")
+    @Option(
+        names = "--watch",
+        description =
+            "Tells again whenever something has changed, until it is ended; unreachable keepers are told and asked again.")
     private boolean watch;
 
     @Override
@@ -386,21 +466,39 @@
 
     private static void print(ObjectNode o) {
       String halted = o.path("halted").asText();
-      System.out.println("version " + o.path("version") + (halted.isEmpty() ? "" : ", HALTED: " + halted));
+      System.out.println(
+          "version " + o.path("version") + (halted.isEmpty() ? "" : ", HALTED: " + halted));
       for (String what : List.of("proxies", "hosts")) {
         List<String> out = new ArrayList<>();
-        o.path(what).forEach(n -> {
-          if (!n.path("out").isNull()) {
-            out.add(n.path("name").asText() + " (" + n.path("out").asText() + ")");
-          }
-        });
-        System.out.println(what + ": " + o.path(what).size() + ", out " + out.size() + (out.isEmpty() ? "" : ": " + String.join(", ", out)));
+        o.path(what)
+            .forEach(
+                n -> {
+                  if (!n.path("out").isNull()) {
+                    out.add(n.path("name").asText() + " (" + n.path("out").asText() + ")");
+                  }
+                });
+        System.out.println(
+            what
+                + ": "
+                + o.path(what).size()
+                + ", out "
+                + out.size()
+                + (out.isEmpty() ? "" : ": " + String.join(", ", out)));
       }
       for (JsonNode p : o.path("permits")) {
         System.out.printf(
-            Locale.ROOT, "permit %s: %s %s, %s, by %s: %s%n", p.path("id").asText(), p.path("kind").asText(), p.path("name").asText(),
-            p.path("state").asText(), p.path("who").asText(), p.path("why").asText());
-        p.path("awaited").properties().forEach(e -> System.out.println("  awaits " + e.getKey() + ": " + e.getValue().asText()));
+            Locale.ROOT,
+            "permit %s: %s %s, %s, by %s: %s%n",
+            p.path("id").asText(),
+            p.path("kind").asText(),
+            p.path("name").asText(),
+            p.path("state").asText(),
+            p.path("who").asText(),
+            p.path("why").asText());
+        p.path("awaited")
+            .properties()
+            .forEach(
+                e -> System.out.println("  awaits " + e.getKey() + ": " + e.getValue().asText()));
       }
       for (JsonNode b : o.path("budgets")) {
         System.out.println("budget " + Json.text(b));
@@ -408,7 +506,11 @@
     }
   }
 
-  @Command(name = "explain", mixinStandardHelpOptions = true, description = "What would become of a drain asked for now, and each bound that it would meet.")
+  @Command(
+      name = "explain",
+      mixinStandardHelpOptions = true,
+      description =
+          "What would become of a drain asked for now, and each bound that it would meet.")
   static final class Explain implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -420,7 +522,8 @@
 
     @Override
     public Integer call() {
-      return target.ask(Json.object().put("op", "explain").put("kind", kind).put("name", name), Explain::print);
+      return target.ask(
+          Json.object().put("op", "explain").put("kind", kind).put("name", name), Explain::print);
     }
 
     private static void print(ObjectNode o) {
@@ -430,19 +533,36 @@
       }
       String out = o.path("out").asText("");
       System.out.println(
-          "a drain of " + o.path("kind").asText() + " " + o.path("name").asText() + " would be " + o.path("would_be").asText()
-              + (o.path("out").isNull() ? "" : "; it is out: " + out) + (o.path("halted").asText().isEmpty() ? "" : "; halted: " + o.path("halted").asText()));
+          "a drain of "
+              + o.path("kind").asText()
+              + " "
+              + o.path("name").asText()
+              + " would be "
+              + o.path("would_be").asText()
+              + (o.path("out").isNull() ? "" : "; it is out: " + out)
+              + (o.path("halted").asText().isEmpty()
+                  ? ""
+                  : "; halted: " + o.path("halted").asText()));
       for (JsonNode b : o.path("bounds")) {
         List<String> others = new ArrayList<>();
         b.path("others_out").forEach(n -> others.add(n.asText()));
         System.out.printf(
-            Locale.ROOT, "  %s: %d of %d may be out, %d others are%s%s%n", b.path("bound").asText(), b.path("allowed").asInt(), b.path("of").asInt(),
-            others.size(), others.isEmpty() ? "" : ": " + String.join(", ", others), b.path("full").asBoolean() ? " (full)" : "");
+            Locale.ROOT,
+            "  %s: %d of %d may be out, %d others are%s%s%n",
+            b.path("bound").asText(),
+            b.path("allowed").asInt(),
+            b.path("of").asInt(),
+            others.size(),
+            others.isEmpty() ? "" : ": " + String.join(", ", others),
+            b.path("full").asBoolean() ? " (full)" : "");
       }
     }
   }
 
-  @Command(name = "history", mixinStandardHelpOptions = true, description = "Who asked what, why, and what became of it; the newest last.")
+  @Command(
+      name = "history",
+      mixinStandardHelpOptions = true,
+      description = "Who asked what, why, and what became of it; the newest last.")
   static final class History implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -454,7 +574,10 @@
     }
   }
 
-  @Command(name = "health", mixinStandardHelpOptions = true, description = "Each keeper's role, term and how far it is.")
+  @Command(
+      name = "health",
+      mixinStandardHelpOptions = true,
+      description = "Each keeper's role, term and how far it is.")
   static final class Health implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -468,7 +591,10 @@
         one.timeout = Math.min(2, target.timeout);
         one.json = target.json;
         one.spec = target.spec;
-        worst = Math.max(worst, one.ask(Json.object().put("op", "health"), o -> System.out.println(Json.text(o))));
+        worst =
+            Math.max(
+                worst,
+                one.ask(Json.object().put("op", "health"), o -> System.out.println(Json.text(o))));
       }
       return worst;
     }
--- a/src/main/java/corkproxy/cli/KeeperCommand.java
+++ b/src/main/java/corkproxy/cli/KeeperCommand.java
@@ -22,10 +22,16 @@
       "Exit status: 0 ended, 1 it could not go on (the log says why), 2 the file is faulty, or a folder or address can't be had."
     })
 final class KeeperCommand implements Callable<Integer> {
-  @Option(names = "--config", required = true, paramLabel = "FILE", description = "The keeper's file.")
+  @Option(
+      names = "--config",
+      required = true,
+      paramLabel = "FILE",
+      description = "The keeper's file.")
   private Path file;
 
-  @Option(names = "--new", description = "This keeper never had a log: an empty folder becomes its own.")
+  @Option(
+      names = "--new",
+      description = "This keeper never had a log: an empty folder becomes its own.")
   private boolean fresh;
 
   @Option(names = "--log", defaultValue = "text", description = "${COMPLETION-CANDIDATES}.")
@@ -55,7 +61,10 @@
               });
     } catch (NoClassDefFoundError e) {
       log.close();
-      System.err.println("keeper: " + e.getMessage() + " (expected: -cp 'target/corkproxy.jar:target/lib/*' corkproxy.Main keeper ...)");
+      System.err.println(
+          "keeper: "
+              + e.getMessage()
+              + " (expected: -cp 'target/corkproxy.jar:target/lib/*' corkproxy.Main keeper ...)");
       return 2;
     } catch (IOException | RuntimeException e) {
       log.close();
--- a/src/main/java/corkproxy/cli/LoadCommand.java
+++ b/src/main/java/corkproxy/cli/LoadCommand.java
@@ -24,7 +24,10 @@
       "Sends requests at a set rate, whatever becomes of those before, and tells what came back.",
       "A request's time counts from when it was due (corrected for coordinated omission)."
     },
-    footer = {"", "Exit status: 0 done, 1 some requests had no answer or a wrong one, 2 faulty arguments."})
+    footer = {
+      "",
+      "Exit status: 0 done, 1 some requests had no answer or a wrong one, 2 faulty arguments."
+    })
 final class LoadCommand implements Callable<Integer> {
   @Parameters(paramLabel = "IP:PORT", description = "Where to send; loopback only.")
   private String target;
@@ -35,7 +38,10 @@
   @Option(names = "--seconds", defaultValue = "10", description = "How long, at most 3600.")
   private double seconds;
 
-  @Option(names = "--warm-up", defaultValue = "0", description = "Seconds of load before any is counted.")
+  @Option(
+      names = "--warm-up",
+      defaultValue = "0",
+      description = "Seconds of load before any is counted.")
   private double warmUp;
 
   @Option(names = "--connections", defaultValue = "64", description = "Connections at most.")
@@ -56,7 +62,10 @@
   @Option(names = "--body-bytes", defaultValue = "0", description = "Length of the body.")
   private int bodyBytes;
 
-  @Option(names = "--deadline-ms", defaultValue = "5000", description = "How long an answer is waited for.")
+  @Option(
+      names = "--deadline-ms",
+      defaultValue = "5000",
+      description = "How long an answer is waited for.")
   private long deadlineMs;
 
   @Option(names = "--json", description = "The result as JSON on standard output.")
@@ -71,7 +80,14 @@
       throw new CommandLine.ParameterException(
           spec.commandLine(), "target: " + target + " (expected: IP:PORT on loopback)");
     }
-    if (!(rate > 0 && rate <= 1e6 && seconds > 0 && seconds <= 3_600 && warmUp >= 0 && warmUp <= 3_600 && connections > 0 && threads > 0
+    if (!(rate > 0
+        && rate <= 1e6
+        && seconds > 0
+        && seconds <= 3_600
+        && warmUp >= 0
+        && warmUp <= 3_600
+        && connections > 0
+        && threads > 0
         && threads <= 64)) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
@@ -80,16 +96,22 @@
     StringBuilder lines = new StringBuilder();
     headers.forEach(h -> lines.append(h).append("\r\n"));
     LoadGenerator.Kind kind =
-        new LoadGenerator.Kind(
-            "all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
+        new LoadGenerator.Kind("all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
     LoadGenerator.Plan plan =
         new LoadGenerator.Plan(
-            to, rate, warmUp, seconds, connections, threads, List.of(kind),
+            to,
+            rate,
+            warmUp,
+            seconds,
+            connections,
+            threads,
+            List.of(kind),
             "load-" + Long.toHexString(System.nanoTime()) + "-");
     try (LoadGenerator load = new LoadGenerator(plan, null)) {
       load.start();
       Progress progress = new Progress();
-      Thread shown = progress.show(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
+      Thread shown =
+          progress.show(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
       load.await();
       progress.end(shown);
       Map<String, Object> result = result(load);
@@ -98,7 +120,8 @@
       } else {
         result.forEach((k, v) -> System.out.printf(Locale.ROOT, "%-14s %s%n", k, v));
       }
-      return load.count(LoadGenerator.Outcome.UNANSWERED) + load.count(LoadGenerator.Outcome.WRONG) > 0
+      return load.count(LoadGenerator.Outcome.UNANSWERED) + load.count(LoadGenerator.Outcome.WRONG)
+              > 0
           ? 1
           : 0;
     }
--- a/src/main/java/corkproxy/cli/ReleaseCommand.java
+++ b/src/main/java/corkproxy/cli/ReleaseCommand.java
@@ -25,7 +25,8 @@
 @Command(
     name = "release",
     mixinStandardHelpOptions = true,
-    description = "Replaces hosts or restarts proxies step by step, under the fleet's budgets, with a halt and a way back.",
+    description =
+        "Replaces hosts or restarts proxies step by step, under the fleet's budgets, with a halt and a way back.",
     subcommands = {
       ReleaseCommand.PlanIt.class,
       ReleaseCommand.Start.class,
@@ -56,7 +57,10 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
   }
 
-  /** Reads a plan against the fleet as it is; null where that has been told on standard error, with the status in {@code exit}. */
+  /**
+   * Reads a plan against the fleet as it is; null where that has been told on standard error, with
+   * the status in {@code exit}.
+   */
   private static ObjectNode plan(Target target, Path file, int[] exit) {
     try (KeeperClient c = target.client()) {
       ObjectNode status = c.call(Json.object().put("op", "status"), target.until());
@@ -71,7 +75,11 @@
     return null;
   }
 
-  @Command(name = "plan", mixinStandardHelpOptions = true, description = "Judges a plan against the fleet as it is and prints its steps; changes nothing.")
+  @Command(
+      name = "plan",
+      mixinStandardHelpOptions = true,
+      description =
+          "Judges a plan against the fleet as it is and prints its steps; changes nothing.")
   static final class PlanIt implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -91,10 +99,23 @@
       try (KeeperClient c = target.client()) {
         for (JsonNode step : plan.path("steps")) {
           for (JsonNode t : step.path("targets")) {
-            ObjectNode e = c.call(Json.object().put("op", "explain").put("kind", plan.path("of").asText()).put("name", t.asText()), target.until());
+            ObjectNode e =
+                c.call(
+                    Json.object()
+                        .put("op", "explain")
+                        .put("kind", plan.path("of").asText())
+                        .put("name", t.asText()),
+                    target.until());
             for (JsonNode b : e.path("bounds")) {
               if (b.path("allowed").asInt() < 1) {
-                never.add(t.asText() + ": " + b.path("bound").asText() + " allows " + b.path("allowed").asInt() + " of " + b.path("of").asInt());
+                never.add(
+                    t.asText()
+                        + ": "
+                        + b.path("bound").asText()
+                        + " allows "
+                        + b.path("allowed").asInt()
+                        + " of "
+                        + b.path("of").asInt());
               }
             }
           }
@@ -113,14 +134,30 @@
     private static void print(ObjectNode o) {
       JsonNode plan = o.path("plan");
       System.out.println(
-          plan.path("name").asText() + ": " + plan.path("of").asText() + "s from " + plan.path("from").asText() + " to " + plan.path("version").asText());
+          plan.path("name").asText()
+              + ": "
+              + plan.path("of").asText()
+              + "s from "
+              + plan.path("from").asText()
+              + " to "
+              + plan.path("version").asText());
       int n = 0;
       for (JsonNode s : plan.path("steps")) {
         List<String> targets = new ArrayList<>();
         s.path("targets").forEach(t -> targets.add(t.asText()));
         System.out.println(
-            "  step " + n++ + " " + s.path("name").asText() + ": " + s.path("at_once").asInt() + " at once of " + targets.size() + ", bakes "
-                + s.path("bake_ms").asLong() + " ms: " + String.join(" ", targets));
+            "  step "
+                + n++
+                + " "
+                + s.path("name").asText()
+                + ": "
+                + s.path("at_once").asInt()
+                + " at once of "
+                + targets.size()
+                + ", bakes "
+                + s.path("bake_ms").asLong()
+                + " ms: "
+                + String.join(" ", targets));
       }
       if (o.has("why")) {
         System.out.println("no budget would ever allow:");
@@ -129,7 +166,10 @@
     }
   }
 
-  @Command(name = "start", mixinStandardHelpOptions = true, description = "Puts a plan into the ledger; drivers carry it out.")
+  @Command(
+      name = "start",
+      mixinStandardHelpOptions = true,
+      description = "Puts a plan into the ledger; drivers carry it out.")
   static final class Start extends Change {
     @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
     private Path file;
@@ -145,7 +185,8 @@
   @Command(
       name = "drive",
       mixinStandardHelpOptions = true,
-      description = "Carries a release out until it is over. Any number of processes may; one at a time acts, the next goes on where it was lost.")
+      description =
+          "Carries a release out until it is over. Any number of processes may; one at a time acts, the next goes on where it was lost.")
   static final class Drive implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -155,18 +196,35 @@
     @Option(names = "--as", required = true, description = "This driver's name, for the audit.")
     private String as;
 
-    @Option(names = "--lease-ms", defaultValue = "3000", description = "Silent for so long, it is taken for lost: 200 to 600000.")
+    @Option(
+        names = "--lease-ms",
+        defaultValue = "3000",
+        description = "Silent for so long, it is taken for lost: 200 to 600000.")
     private long leaseMs;
 
     @java.lang.Override
     public Integer call() {
       if (leaseMs < 200 || leaseMs > 600_000 || as.isBlank() || as.length() > 64) {
-        throw new CommandLine.ParameterException(target.commandLine(), "--lease-ms " + leaseMs + ", --as '" + as + "' (expected: 200 to 600000, 1 to 64 characters)");
+        throw new CommandLine.ParameterException(
+            target.commandLine(),
+            "--lease-ms "
+                + leaseMs
+                + ", --as '"
+                + as
+                + "' (expected: 200 to 600000, 1 to 64 characters)");
       }
       try (KeeperClient c = target.client();
-          ReleaseDriver d = new ReleaseDriver(c, as, name, leaseMs, line -> System.out.println(java.time.Instant.now() + " " + line))) {
+          ReleaseDriver d =
+              new ReleaseDriver(
+                  c,
+                  as,
+                  name,
+                  leaseMs,
+                  line -> System.out.println(java.time.Instant.now() + " " + line))) {
         JsonNode last = d.run();
-        return last != null && List.of("done", "returned").contains(last.path("state").asText()) ? 0 : FleetCommand.REFUSED;
+        return last != null && List.of("done", "returned").contains(last.path("state").asText())
+            ? 0
+            : FleetCommand.REFUSED;
       }
     }
   }
@@ -181,7 +239,10 @@
     }
   }
 
-  @Command(name = "pause", mixinStandardHelpOptions = true, description = "Nobody new goes out until resume; what is under way ends by itself.")
+  @Command(
+      name = "pause",
+      mixinStandardHelpOptions = true,
+      description = "Nobody new goes out until resume; what is under way ends by itself.")
   static final class Pause extends OfOne {
     @java.lang.Override
     public Integer call() {
@@ -189,7 +250,10 @@
     }
   }
 
-  @Command(name = "resume", mixinStandardHelpOptions = true, description = "Goes on after a pause or a halt, in the direction that it had.")
+  @Command(
+      name = "resume",
+      mixinStandardHelpOptions = true,
+      description = "Goes on after a pause or a halt, in the direction that it had.")
   static final class Resume extends OfOne {
     @java.lang.Override
     public Integer call() {
@@ -197,7 +261,10 @@
     }
   }
 
-  @Command(name = "halt", mixinStandardHelpOptions = true, description = "From the entry on that says so, nobody new goes out.")
+  @Command(
+      name = "halt",
+      mixinStandardHelpOptions = true,
+      description = "From the entry on that says so, nobody new goes out.")
   static final class Halt extends OfOne {
     @java.lang.Override
     public Integer call() {
@@ -205,9 +272,15 @@
     }
   }
 
-  @Command(name = "back", mixinStandardHelpOptions = true, description = "The way back: the newest first, under the same budgets.")
+  @Command(
+      name = "back",
+      mixinStandardHelpOptions = true,
+      description = "The way back: the newest first, under the same budgets.")
   static final class Back extends OfOne {
-    @Option(names = "--to-step", defaultValue = "0", description = "So many steps, from the first on, stay new.")
+    @Option(
+        names = "--to-step",
+        defaultValue = "0",
+        description = "So many steps, from the first on, stay new.")
     private int toStep;
 
     @java.lang.Override
@@ -216,9 +289,16 @@
     }
   }
 
-  @Command(name = "override", mixinStandardHelpOptions = true, description = "Your word against a guard, with who and why in the audit.")
+  @Command(
+      name = "override",
+      mixinStandardHelpOptions = true,
+      description = "Your word against a guard, with who and why in the audit.")
   static final class Override extends OfOne {
-    @Option(names = "--what", required = true, description = "verdict: the step that has baked is good; lost: those who are lost now are no reason.")
+    @Option(
+        names = "--what",
+        required = true,
+        description =
+            "verdict: the step that has baked is good; lost: those who are lost now are no reason.")
     private String what;
 
     @java.lang.Override
@@ -227,7 +307,10 @@
     }
   }
 
-  @Command(name = "end", mixinStandardHelpOptions = true, description = "Gives a release up as it stands; others may have its targets then.")
+  @Command(
+      name = "end",
+      mixinStandardHelpOptions = true,
+      description = "Gives a release up as it stands; others may have its targets then.")
   static final class End extends OfOne {
     @java.lang.Override
     public Integer call() {
@@ -235,14 +318,23 @@
     }
   }
 
-  @Command(name = "status", mixinStandardHelpOptions = true, description = "Where a release stands, or all of them in a line each.")
+  @Command(
+      name = "status",
+      mixinStandardHelpOptions = true,
+      description = "Where a release stands, or all of them in a line each.")
   static final class Status implements Callable<Integer> {
     @Mixin private Target target;
 
-    @Parameters(paramLabel = "RELEASE", arity = "0..1", defaultValue = "", description = "Which; all of them without.")
+    @Parameters(
+        paramLabel = "RELEASE",
+        arity = "0..1",
+        defaultValue = "",
+        description = "Which; all of them without.")
     private String name;
 
-    @Option(names = "--watch", description = "Tells again whenever something has changed, until it is ended.")
+    @Option(
+        names = "--watch",
+        description = "Tells again whenever something has changed, until it is ended.")
     private boolean watch;
 
     @java.lang.Override
@@ -258,34 +350,80 @@
       }
       for (JsonNode r : o.path("releases")) {
         System.out.println(
-            r.path("number").asLong() + " " + r.path("name").asText() + ": " + r.path("of").asText() + "s to " + r.path("version").asText() + ", " + r.path("state").asText()
-                + " " + r.path("direction").asText() + ", step " + r.path("goal").asInt() + " of " + r.path("steps").asInt() + why(r));
+            r.path("number").asLong()
+                + " "
+                + r.path("name").asText()
+                + ": "
+                + r.path("of").asText()
+                + "s to "
+                + r.path("version").asText()
+                + ", "
+                + r.path("state").asText()
+                + " "
+                + r.path("direction").asText()
+                + ", step "
+                + r.path("goal").asInt()
+                + " of "
+                + r.path("steps").asInt()
+                + why(r));
       }
       if (!o.has("state")) {
         return;
       }
       System.out.println(
-          o.path("name").asText() + " is " + o.path("state").asText() + ", " + o.path("direction").asText() + why(o)
-              + (o.path("driver").asText().isEmpty() ? "; nobody drives" : "; driven by " + o.path("driver").asText() + ", fence " + o.path("fence").asLong()));
+          o.path("name").asText()
+              + " is "
+              + o.path("state").asText()
+              + ", "
+              + o.path("direction").asText()
+              + why(o)
+              + (o.path("driver").asText().isEmpty()
+                  ? "; nobody drives"
+                  : "; driven by "
+                      + o.path("driver").asText()
+                      + ", fence "
+                      + o.path("fence").asLong()));
       Map<String, int[]> zones = new LinkedHashMap<>();
       for (JsonNode t : o.path("targets")) {
         int[] n = zones.computeIfAbsent(t.path("zone").asText(), z -> new int[3]);
         n[2]++;
-        n[t.path("at").asText().equals("new") && t.path("phase").asText().equals("in") ? 0 : 1] += t.path("at").asText().equals("new") || !t.path("phase").asText().equals("in") ? 1 : 0;
+        n[t.path("at").asText().equals("new") && t.path("phase").asText().equals("in") ? 0 : 1] +=
+            t.path("at").asText().equals("new") || !t.path("phase").asText().equals("in") ? 1 : 0;
       }
-      zones.forEach((z, n) -> System.out.printf(java.util.Locale.ROOT, "  zone %-8s [%s] %d of %d%n", z, bar(n), n[0], n[2]));
+      zones.forEach(
+          (z, n) ->
+              System.out.printf(
+                  java.util.Locale.ROOT, "  zone %-8s [%s] %d of %d%n", z, bar(n), n[0], n[2]));
       for (JsonNode t : o.path("targets")) {
-        if (!t.path("phase").asText().equals("in") || t.path("lost").asBoolean() || t.path("late").asBoolean()) {
+        if (!t.path("phase").asText().equals("in")
+            || t.path("lost").asBoolean()
+            || t.path("late").asBoolean()) {
           System.out.println(
-              "  " + t.path("name").asText() + " " + t.path("phase").asText() + ", " + t.path("at").asText() + (t.path("out").isNull() ? "" : ", " + t.path("out").asText())
-                  + (t.path("found").asText().isEmpty() ? "" : ", found " + t.path("found").asText()) + (t.path("late").asBoolean() ? ", LATE" : ""));
-          t.path("awaited").properties().forEach(e -> System.out.println("    awaits " + e.getKey() + ": " + e.getValue().asText()));
+              "  "
+                  + t.path("name").asText()
+                  + " "
+                  + t.path("phase").asText()
+                  + ", "
+                  + t.path("at").asText()
+                  + (t.path("out").isNull() ? "" : ", " + t.path("out").asText())
+                  + (t.path("found").asText().isEmpty()
+                      ? ""
+                      : ", found " + t.path("found").asText())
+                  + (t.path("late").asBoolean() ? ", LATE" : ""));
+          t.path("awaited")
+              .properties()
+              .forEach(
+                  e ->
+                      System.out.println(
+                          "    awaits " + e.getKey() + ": " + e.getValue().asText()));
         }
       }
     }
 
     private static String why(JsonNode r) {
-      return r.path("state_why").asText().isEmpty() ? "" : " (" + r.path("state_why").asText() + ")";
+      return r.path("state_why").asText().isEmpty()
+          ? ""
+          : " (" + r.path("state_why").asText() + ")";
     }
 
     /** New, under way, old. */
@@ -293,11 +431,16 @@
       int width = Math.min(40, n[2]);
       int fresh = width * n[0] / n[2];
       int open = n[1] == 0 ? 0 : Math.max(1, width * n[1] / n[2]);
-      return "#".repeat(fresh) + "~".repeat(Math.min(open, width - fresh)) + ".".repeat(Math.max(0, width - fresh - open));
+      return "#".repeat(fresh)
+          + "~".repeat(Math.min(open, width - fresh))
+          + ".".repeat(Math.max(0, width - fresh - open));
     }
   }
 
-  @Command(name = "history", mixinStandardHelpOptions = true, description = "What was done and decided, and by whom; the newest last.")
+  @Command(
+      name = "history",
+      mixinStandardHelpOptions = true,
+      description = "What was done and decided, and by whom; the newest last.")
   static final class History implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -308,15 +451,22 @@
     public Integer call() {
       return target.ask(
           Json.object().put("op", "status").put("history", true),
-          o -> o.path("history").forEach(h -> {
-            if (h.path("release").asText().equals(name) || h.path("why").asText().contains("release " + name)) {
-              System.out.println(Json.text(h));
-            }
-          }));
+          o ->
+              o.path("history")
+                  .forEach(
+                      h -> {
+                        if (h.path("release").asText().equals(name)
+                            || h.path("why").asText().contains("release " + name)) {
+                          System.out.println(Json.text(h));
+                        }
+                      }));
     }
   }
 
-  @Command(name = "next", mixinStandardHelpOptions = true, description = "For an agent: what is to be done to this target now.")
+  @Command(
+      name = "next",
+      mixinStandardHelpOptions = true,
+      description = "For an agent: what is to be done to this target now.")
   static final class Next implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -337,10 +487,17 @@
       }
       ObjectNode todo = Json.object().put("status", "done");
       for (JsonNode t : o.path("targets")) {
-        boolean acts = t.path("phase").asText().equals("acting") && t.path("found").asText().isEmpty() && t.path("reported").asText().isEmpty();
+        boolean acts =
+            t.path("phase").asText().equals("acting")
+                && t.path("found").asText().isEmpty()
+                && t.path("reported").asText().isEmpty();
         if (t.path("name").asText().equals(as) && acts) {
-          todo.put("action", t.path("action").asLong()).put("try", t.path("tries").asInt()).put("fence", t.path("fence").asLong());
-          todo.put("version", o.path(t.path("wanted").asText().equals("new") ? "version" : "from").asText());
+          todo.put("action", t.path("action").asLong())
+              .put("try", t.path("tries").asInt())
+              .put("fence", t.path("fence").asLong());
+          todo.put(
+              "version",
+              o.path(t.path("wanted").asText().equals("new") ? "version" : "from").asText());
         }
       }
       boolean some = todo.has("action");
@@ -351,11 +508,22 @@
     }
 
     private static void print(ObjectNode t) {
-      System.out.println("action=" + t.path("action") + " try=" + t.path("try") + " fence=" + t.path("fence") + " version=" + t.path("version").asText());
+      System.out.println(
+          "action="
+              + t.path("action")
+              + " try="
+              + t.path("try")
+              + " fence="
+              + t.path("fence")
+              + " version="
+              + t.path("version").asText());
     }
   }
 
-  @Command(name = "report", mixinStandardHelpOptions = true, description = "For an agent: what its target is now, after an action that it was given.")
+  @Command(
+      name = "report",
+      mixinStandardHelpOptions = true,
+      description = "For an agent: what its target is now, after an action that it was given.")
   static final class Report implements Callable<Integer> {
     @Mixin private Target target;
 
@@ -376,7 +544,14 @@
 
     @java.lang.Override
     public Integer call() {
-      ObjectNode entry = Json.object().put("op", "release_reported").put("release", name).put("target", as).put("action", action).put("tries", tries).put("found", found);
+      ObjectNode entry =
+          Json.object()
+              .put("op", "release_reported")
+              .put("release", name)
+              .put("target", as)
+              .put("action", action)
+              .put("tries", tries)
+              .put("found", found);
       return target.ask(Json.object().put("op", "submit").set("entry", entry), Change::print);
     }
   }
--- a/src/main/java/corkproxy/cli/ReleaseDriver.java
+++ b/src/main/java/corkproxy/cli/ReleaseDriver.java
@@ -13,7 +13,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.ExecutorService;
@@ -22,11 +21,13 @@
 import java.util.function.Consumer;
 
 /**
- * Drives one release: asks the keepers how it stands, does what {@link Conductor} says, runs the operator's commands. Any number
- * of processes may drive; one holds the lease at a time, the others wait for it. One thread for the keepers, others for commands.
+ * Drives one release: asks the keepers how it stands, does what {@link Conductor} says, runs the
+ * operator's commands. Any number of processes may drive; one holds the lease at a time, the others
+ * wait for it. One thread for the keepers, others for commands.
  *
- * <p>A command is a program with its arguments and no shell. It gets PATH and what LEADFERRY_ variables tell; its output is kept up to a
- * bound and read to its end; past its time it is killed. It has to turn away a lower LEADFERRY_FENCE than it has seen for its target.
+ * <p>A command is a program with its arguments and no shell. It gets PATH and what LEADFERRY_
+ * variables tell; its output is kept up to a bound and read to its end; past its time it is killed.
+ * It has to turn away a lower LEADFERRY_FENCE than it has seen for its target.
  */
 final class ReleaseDriver implements AutoCloseable {
   private static final long LOOK_MS = 100;
@@ -57,7 +58,8 @@
   private String said = "";
 
   /** A driver that tells {@code log} what it does. */
-  ReleaseDriver(KeeperClient keepers, String name, String release, long leaseMs, Consumer<String> log) {
+  ReleaseDriver(
+      KeeperClient keepers, String name, String release, long leaseMs, Consumer<String> log) {
     this.keepers = keepers;
     this.release = release;
     this.leaseMs = leaseMs;
@@ -66,7 +68,10 @@
     this.lease = new Lease(leaseMs);
   }
 
-  /** Drives until the release is over or this is closed; the release as it was last seen, or null where there is none. */
+  /**
+   * Drives until the release is over or this is closed; the release as it was last seen, or null
+   * where there is none.
+   */
   JsonNode run() {
     JsonNode seen = null;
     while (!closed) {
@@ -74,7 +79,10 @@
         end.run();
       }
       long now = System.nanoTime();
-      JsonNode r = ask(Json.object().put("op", "release").put("release", release), now + leaseMs * 1_000_000L);
+      JsonNode r =
+          ask(
+              Json.object().put("op", "release").put("release", release),
+              now + leaseMs * 1_000_000L);
       if (r != null) {
         seen = r;
         if (r.path("status").asText().equals("unknown")) {
@@ -87,7 +95,9 @@
         renew(r);
         tell(r);
         JsonNode reports =
-            conductor.drives(r) && r.path("baking").asLong() > 0 ? ask(Json.object().put("op", "reports"), System.nanoTime() + leaseMs * 500_000L) : null;
+            conductor.drives(r) && r.path("baking").asLong() > 0
+                ? ask(Json.object().put("op", "reports"), System.nanoTime() + leaseMs * 500_000L)
+                : null;
         now = System.nanoTime();
         for (Conductor.Next next : conductor.next(r, reports, lease.holds(now), now)) {
           carryOut(r, next);
@@ -99,9 +109,17 @@
   }
 
   private void tell(JsonNode r) {
-    StringBuilder s = new StringBuilder(r.path("state").asText()).append(", ").append(r.path("direction").asText());
+    StringBuilder s =
+        new StringBuilder(r.path("state").asText())
+            .append(", ")
+            .append(r.path("direction").asText());
     s.append(r.path("state_why").asText().isEmpty() ? "" : ": " + r.path("state_why").asText());
-    s.append(conductor.drives(r) ? ", driven here" : r.path("driver").asText().isEmpty() ? ", nobody drives" : ", driven by " + r.path("driver").asText());
+    s.append(
+        conductor.drives(r)
+            ? ", driven here"
+            : r.path("driver").asText().isEmpty()
+                ? ", nobody drives"
+                : ", driven by " + r.path("driver").asText());
     if (!s.toString().equals(said)) {
       said = s.toString();
       log.accept(release + " is " + said);
@@ -118,7 +136,12 @@
       return;
     }
     JsonNode o =
-        ask(Json.object().put("op", "renew").put("release", release).put("fence", r.path("fence").asLong()), now + leaseMs * 1_000_000L / RENEWALS);
+        ask(
+            Json.object()
+                .put("op", "renew")
+                .put("release", release)
+                .put("fence", r.path("fence").asLong()),
+            now + leaseMs * 1_000_000L / RENEWALS);
     if (o != null) {
       if (o.path("status").asText().equals("done")) {
         lease.confirmed(now);
@@ -144,37 +167,60 @@
       }
       ObjectNode entry = Json.object().put("op", s.op()).put("release", release);
       s.with().forEach((k, v) -> entry.putPOJO(k, v));
-      JsonNode o = ask(Json.object().put("op", "submit").set("entry", Json.read(Json.bytes(entry))), System.nanoTime() + leaseMs * 1_000_000L);
+      JsonNode o =
+          ask(
+              Json.object().put("op", "submit").set("entry", Json.read(Json.bytes(entry))),
+              System.nanoTime() + leaseMs * 1_000_000L);
       String status = o == null ? "unreachable" : o.path("status").asText();
       if (s.op().equals("release_intend") && !status.equals("granted")) {
         notBefore = System.nanoTime() + REFUSED_MS * 1_000_000L;
       } else if (!s.op().equals("release_drive") || status.equals("done")) {
-        log.accept(s.op().substring("release_".length()) + " " + s.with().getOrDefault("target", "") + ": " + status + (o != null && o.has("why") ? " " + o.path("why") : ""));
+        log.accept(
+            s.op().substring("release_".length())
+                + " "
+                + s.with().getOrDefault("target", "")
+                + ": "
+                + status
+                + (o != null && o.has("why") ? " " + o.path("why") : ""));
       }
     } else if (next instanceof Conductor.Run run) {
       if (r.path("carry").path("by").asText().equals("agent")) {
         conductor.ended(run, new Conductor.Ended(true, ""));
         return;
       }
-      commands.execute(() -> {
-        Result x = command(r, "command", run.target(), run.action(), run.fence(), run.version());
-        ends.add(() -> conductor.ended(run, new Conductor.Ended(x.status() == 0, x.text())));
-      });
+      commands.execute(
+          () -> {
+            Result x =
+                command(r, "command", run.target(), run.action(), run.fence(), run.version());
+            ends.add(() -> conductor.ended(run, new Conductor.Ended(x.status() == 0, x.text())));
+          });
     } else if (next instanceof Conductor.Look look) {
-      commands.execute(() -> {
-        Result x = command(r, "check", look.target(), look.action(), look.fence(), "");
-        ends.add(() -> conductor.seen(look, x.status() == 0 ? new Conductor.Seen(x.output().lines().findFirst().orElse("").strip()) : new Conductor.Seen("")));
-      });
+      commands.execute(
+          () -> {
+            Result x = command(r, "check", look.target(), look.action(), look.fence(), "");
+            ends.add(
+                () ->
+                    conductor.seen(
+                        look,
+                        x.status() == 0
+                            ? new Conductor.Seen(x.output().lines().findFirst().orElse("").strip())
+                            : new Conductor.Seen("")));
+          });
     }
   }
 
   private record Result(int status, String output, String text) {}
 
-  private Result command(JsonNode r, String which, String target, long action, long fence, String version) {
+  private Result command(
+      JsonNode r, String which, String target, long action, long fence, String version) {
     List<String> words = new ArrayList<>();
-    r.path("carry").path(which).forEach(w -> words.add(w.asText().replace("{target}", target).replace("{version}", version)));
+    r.path("carry")
+        .path(which)
+        .forEach(
+            w -> words.add(w.asText().replace("{target}", target).replace("{version}", version)));
     long timeout = r.path("carry").path("timeout_ms").asLong(60_000);
-    // The last look before it begins: guards against a process that stood still between the ledger's word and here.
+    // The last look before it begins: guards against a process that stood still between the
+    // ledger's word and here.
     if (!lease.holds(System.nanoTime())) {
       return new Result(-1, "", "the driver's lease was over");
     }
@@ -187,7 +233,8 @@
     b.environment().put("LEADFERRY_VERSION", version);
     b.environment().put("LEADFERRY_FENCE", Long.toString(fence));
     b.environment().put("LEADFERRY_ACTION", Long.toString(action));
-    log.accept(which + " " + target + (version.isEmpty() ? "" : " to " + version) + ", fence " + fence);
+    log.accept(
+        which + " " + target + (version.isEmpty() ? "" : " to " + version) + ", fence " + fence);
     try {
       Process p = b.start();
       p.getOutputStream().close();
@@ -207,7 +254,10 @@
         said = output.toString();
       }
       int status = ended ? p.exitValue() : -1;
-      String text = which + (ended ? " ended with " + status : " was killed after " + timeout + " ms") + (said.isBlank() ? "" : ": " + cut(said.strip()));
+      String text =
+          which
+              + (ended ? " ended with " + status : " was killed after " + timeout + " ms")
+              + (said.isBlank() ? "" : ": " + cut(said.strip()));
       if (status != 0) {
         log.accept(target + ": " + text);
       }
@@ -225,7 +275,10 @@
     return s.length() > 200 ? s.substring(0, 200) + "..." : s;
   }
 
-  /** Keeps the begin and reads on to the end, so that what writes without end is not held up, nor holds us. */
+  /**
+   * Keeps the begin and reads on to the end, so that what writes without end is not held up, nor
+   * holds us.
+   */
   private static void read(InputStream in, StringBuilder into) {
     byte[] chunk = new byte[1_024];
     int n;
--- a/src/main/java/corkproxy/cli/StandInCommand.java
+++ b/src/main/java/corkproxy/cli/StandInCommand.java
@@ -21,7 +21,10 @@
   @Option(names = "--name", defaultValue = "standin", description = "The host's name.")
   private String name;
 
-  @Option(names = "--service-ms", defaultValue = "5", description = "Mean time of a request (ms); 0 answers at once.")
+  @Option(
+      names = "--service-ms",
+      defaultValue = "5",
+      description = "Mean time of a request (ms); 0 answers at once.")
   private double serviceMs;
 
   @Option(names = "--cores", defaultValue = "3", description = "Requests that run at once.")
@@ -33,10 +36,16 @@
   @Option(names = "--warm-up-ms", defaultValue = "0", description = "Time to full speed (ms).")
   private double warmUpMs;
 
-  @Option(names = "--start-capacity", defaultValue = "0.3", description = "Part of its speed at the start.")
+  @Option(
+      names = "--start-capacity",
+      defaultValue = "0.3",
+      description = "Part of its speed at the start.")
   private double startCapacity;
 
-  @Option(names = "--max-connections", defaultValue = "10000", description = "Connections it holds.")
+  @Option(
+      names = "--max-connections",
+      defaultValue = "10000",
+      description = "Connections it holds.")
   private int maxConnections;
 
   @Option(names = "--reports", description = "Tell its load in X-Server-Load.")
@@ -48,10 +57,16 @@
   @Option(names = "--fault", defaultValue = "none", description = "${COMPLETION-CANDIDATES}.")
   private HttpStandIn.Fault fault;
 
-  @Option(names = "--fault-share", defaultValue = "1", description = "Part of requests that meet the fault.")
+  @Option(
+      names = "--fault-share",
+      defaultValue = "1",
+      description = "Part of requests that meet the fault.")
   private double share;
 
-  @Option(names = "--seconds", defaultValue = "0", description = "Ends after so long; 0 with SIGTERM.")
+  @Option(
+      names = "--seconds",
+      defaultValue = "0",
+      description = "Ends after so long; 0 with SIGTERM.")
   private double seconds;
 
   @Override
@@ -68,14 +83,29 @@
     Ledger ledger = new Ledger(LEDGER);
     HttpStandIn.Options o =
         new HttpStandIn.Options(
-            name, "p1", port, serviceMs, cores, queue, warmUpMs, startCapacity, maxConnections,
-            reports, bodyBytes, 1);
+            name,
+            "p1",
+            port,
+            serviceMs,
+            cores,
+            queue,
+            warmUpMs,
+            startCapacity,
+            maxConnections,
+            reports,
+            bodyBytes,
+            1);
     try (HttpStandIn host = new HttpStandIn(o, ledger)) {
       host.misbehave(fault, share);
       System.out.println(host.name() + " at " + host.place());
       Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
       System.out.println(
-          host.name() + ": " + ledger.executions() + " ran, " + ledger.repeated().size() + " more than once");
+          host.name()
+              + ": "
+              + ledger.executions()
+              + " ran, "
+              + ledger.repeated().size()
+              + " more than once");
     }
     return 0;
   }
--- a/src/main/java/corkproxy/cli/StormCommand.java
+++ b/src/main/java/corkproxy/cli/StormCommand.java
@@ -58,28 +58,46 @@
   @Option(names = "--proxy", defaultValue = "DAEMON", description = "${COMPLETION-CANDIDATES}.")
   private Target target;
 
-  @Option(names = "--share", defaultValue = "0.5", description = "Part of a core that the proxy gets.")
+  @Option(
+      names = "--share",
+      defaultValue = "0.5",
+      description = "Part of a core that the proxy gets.")
   private double share;
 
   @Option(names = "--jvm", description = "An option of the proxy's JVM; may be repeated.")
   private List<String> jvm = new ArrayList<>();
 
-  @Option(names = "--jvm-file", paramLabel = "FILE", description = "Options of the proxy's JVM, as in deploy/proxy.jvm.")
+  @Option(
+      names = "--jvm-file",
+      paramLabel = "FILE",
+      description = "Options of the proxy's JVM, as in deploy/proxy.jvm.")
   private Path jvmFile;
 
   @Option(names = "--clients", defaultValue = "60", description = "Usual clients.")
   private int clients;
 
-  @Option(names = "--think-ms", defaultValue = "200", description = "What a usual client waits between requests, in the mean.")
+  @Option(
+      names = "--think-ms",
+      defaultValue = "200",
+      description = "What a usual client waits between requests, in the mean.")
   private double thinkMs;
 
-  @Option(names = "--timeout-ms", defaultValue = "800", description = "How long a client waits for an answer.")
+  @Option(
+      names = "--timeout-ms",
+      defaultValue = "800",
+      description = "How long a client waits for an answer.")
   private long timeoutMs;
 
-  @Option(names = "--crowd", defaultValue = "600", description = "Clients or connections that come besides.")
+  @Option(
+      names = "--crowd",
+      defaultValue = "600",
+      description = "Clients or connections that come besides.")
   private int crowd;
 
-  @Option(names = "--descriptors", defaultValue = "384", description = "Sockets that the proxy may hold.")
+  @Option(
+      names = "--descriptors",
+      defaultValue = "384",
+      description = "Sockets that the proxy may hold.")
   private int descriptors;
 
   @Option(names = "--calm", defaultValue = "6", description = "Seconds before the storm.")
@@ -101,16 +119,27 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    if (!(share > 0 && share <= 1 && clients > 0 && clients <= 20_000 && crowd >= 0 && crowd <= 20_000
-        && calm >= 1 && trigger > 0 && after >= 3 && calm + trigger + after <= 600 && timeoutMs > 0)) {
+    if (!(share > 0
+        && share <= 1
+        && clients > 0
+        && clients <= 20_000
+        && crowd >= 0
+        && crowd <= 20_000
+        && calm >= 1
+        && trigger > 0
+        && after >= 3
+        && calm + trigger + after <= 600
+        && timeoutMs > 0)) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
           "expected: a share above 0 and at most 1, clients and crowd at most 20000, calm from 1, after from 3,"
               + " 600 seconds at most");
     }
     Path folder = Files.createTempDirectory("leadferry-storm");
-    try (HttpStandIn a = new HttpStandIn(HttpStandIn.Options.quick("a").takes(5, 8), new Ledger(1_000_000));
-        HttpStandIn b = new HttpStandIn(HttpStandIn.Options.quick("b").takes(5, 8), new Ledger(1_000_000));
+    try (HttpStandIn a =
+            new HttpStandIn(HttpStandIn.Options.quick("a").takes(5, 8), new Ledger(1_000_000));
+        HttpStandIn b =
+            new HttpStandIn(HttpStandIn.Options.quick("b").takes(5, 8), new Ledger(1_000_000));
         ChildProxy proxy = proxy(folder, List.of(a, b))) {
       long from = System.nanoTime();
       proxy.start();
@@ -141,8 +170,18 @@
     String path = target == Target.PLATFORM ? "/read/x" : "/";
     Storm.Plan plan =
         new Storm.Plan(
-            List.of(proxy.address()), clients, thinkMs, timeoutMs, does, size, kind == Kind.RECONNECT,
-            calm, trigger, after, path, seed);
+            List.of(proxy.address()),
+            clients,
+            thinkMs,
+            timeoutMs,
+            does,
+            size,
+            kind == Kind.RECONNECT,
+            calm,
+            trigger,
+            after,
+            path,
+            seed);
     double[] restart = {Double.NaN};
     Runnable begin =
         () -> {
@@ -165,7 +204,8 @@
       looks.setDaemon(true);
       looks.start();
       Progress progress = new Progress();
-      Thread shown = progress.show(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
+      Thread shown =
+          progress.show(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
       storm.run();
       looks.interrupt();
       looks.join();
@@ -219,11 +259,22 @@
         n[2] += all[i].refused();
         n[3] += all[i].gaveUp();
       }
-      ChildProxy.Sample at = s < samples.size() ? samples.get(s) : new ChildProxy.Sample(0, 0, 0, 0);
-      double cpu = at.cpuSeconds() - (s > 0 && s <= samples.size() ? samples.get(s - 1).cpuSeconds() : 0);
+      ChildProxy.Sample at =
+          s < samples.size() ? samples.get(s) : new ChildProxy.Sample(0, 0, 0, 0);
+      double cpu =
+          at.cpuSeconds() - (s > 0 && s <= samples.size() ? samples.get(s - 1).cpuSeconds() : 0);
       System.out.printf(
-          Locale.ROOT, "%4d %6d  %6d  %6d  %6d  %4.2f   %6d %5d  %6d%n",
-          s, n[0], n[1], n[2], n[3], Math.max(0, cpu), at.waiting(), at.established(), at.closeWait());
+          Locale.ROOT,
+          "%4d %6d  %6d  %6d  %6d  %4.2f   %6d %5d  %6d%n",
+          s,
+          n[0],
+          n[1],
+          n[2],
+          n[3],
+          Math.max(0, cpu),
+          at.waiting(),
+          at.established(),
+          at.closeWait());
     }
   }
 
@@ -253,7 +304,10 @@
       command.addAll(List.of("daemon", "--config", config.toString()));
     }
     return new ChildProxy(
-        command, environment, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), share,
+        command,
+        environment,
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+        share,
         folder.resolve("log"));
   }
 
@@ -266,22 +320,46 @@
   private String platformConfig(int port, List<HttpStandIn> hosts) {
     StringBuilder servers = new StringBuilder();
     for (HttpStandIn h : hosts) {
-      servers.append(servers.isEmpty() ? "" : ",").append("{\"id\":\"").append(h.name()).append("\",\"addr\":\"")
-          .append(h.place()).append("\",\"zone\":\"\",\"kind\":\"\",\"cell\":1,\"state\":\"up\",")
+      servers
+          .append(servers.isEmpty() ? "" : ",")
+          .append("{\"id\":\"")
+          .append(h.name())
+          .append("\",\"addr\":\"")
+          .append(h.place())
+          .append("\",\"zone\":\"\",\"kind\":\"\",\"cell\":1,\"state\":\"up\",")
           .append("\"weight\":1.0,\"started_ms\":0}");
     }
-    return "{\"name\":\"storm\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\","
-        + "\"limits\":{\"memory_mb\":144,\"sockets\":" + descriptors + "},"
-        + "\"known\":{\"version\":1,\"full\":true,\"servers\":[" + servers + "]},\"settings\":{\"classes\":["
-        + "{\"name\":\"read\",\"aim\":400,\"deadline\":" + timeoutMs + ",\"semantics\":\"idempotent\"}]}}";
+    return "{\"name\":\"storm\",\"listen\":\"127.0.0.1:"
+        + port
+        + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\","
+        + "\"limits\":{\"memory_mb\":144,\"sockets\":"
+        + descriptors
+        + "},"
+        + "\"known\":{\"version\":1,\"full\":true,\"servers\":["
+        + servers
+        + "]},\"settings\":{\"classes\":["
+        + "{\"name\":\"read\",\"aim\":400,\"deadline\":"
+        + timeoutMs
+        + ",\"semantics\":\"idempotent\"}]}}";
   }
 
   private String operatorsFile(int port, List<HttpStandIn> hosts) {
-    StringBuilder s = new StringBuilder("[daemon]\ndescriptors = " + descriptors + "\n[listener.main]\naddress = \"127.0.0.1:"
-        + port + "\"\n[class.read]\nrepeat = \"safe\"\naim_ms = " + Math.min(400, timeoutMs) + "\ndeadline_ms = "
-        + timeoutMs + "\n[pool.a]\n");
+    StringBuilder s =
+        new StringBuilder(
+            "[daemon]\ndescriptors = "
+                + descriptors
+                + "\n[listener.main]\naddress = \"127.0.0.1:"
+                + port
+                + "\"\n[class.read]\nrepeat = \"safe\"\naim_ms = "
+                + Math.min(400, timeoutMs)
+                + "\ndeadline_ms = "
+                + timeoutMs
+                + "\n[pool.a]\n");
     for (HttpStandIn h : hosts) {
-      s.append("[[pool.a.member]]\nid = \"").append(h.name()).append("\"\naddress = \"").append(h.place())
+      s.append("[[pool.a.member]]\nid = \"")
+          .append(h.name())
+          .append("\"\naddress = \"")
+          .append(h.place())
           .append("\"\n");
     }
     return s + "[[route]]\nname = \"all\"\nprefix = \"/\"\nclass = \"read\"\npool = \"a\"\n";
--- a/src/main/java/corkproxy/daemon/Daemon.java
+++ b/src/main/java/corkproxy/daemon/Daemon.java
@@ -12,8 +12,8 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.ServerChannel;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import io.netty.util.concurrent.Future;
@@ -80,12 +80,17 @@
     this(file, false, logs);
   }
 
-  /** As {@link #Daemon(Path, Function)}; {@code freshKeeper}: the keeper that its file names never had a log. */
-  public Daemon(Path file, boolean freshKeeper, Function<LogForm, Log> logs) throws FaultyFileException {
+  /**
+   * As {@link #Daemon(Path, Function)}; {@code freshKeeper}: the keeper that its file names never
+   * had a log.
+   */
+  public Daemon(Path file, boolean freshKeeper, Function<LogForm, Log> logs)
+      throws FaultyFileException {
     this(file, OperatorFile.read(file), freshKeeper, logs, System.nanoTime());
   }
 
-  private Daemon(Path file, DaemonConfig config, boolean freshKeeper, Function<LogForm, Log> logs, long seed)
+  private Daemon(
+      Path file, DaemonConfig config, boolean freshKeeper, Function<LogForm, Log> logs, long seed)
       throws FaultyFileException {
     this.file = file;
     this.log = logs.apply(config.process().log());
@@ -100,9 +105,13 @@
             transport.loops());
     for (int i = 0; i < config.process().workers(); i++) {
       EventLoop loop = (EventLoop) group.next();
-      workers.put(loop, new Worker(loop, transport, i, config.process(), seed + 1_000_003L * i, log));
+      workers.put(
+          loop, new Worker(loop, transport, i, config.process(), seed + 1_000_003L * i, log));
     }
-    this.keeper = config.fleet() == null || config.fleet().keeper() == null ? null : keeper(config, freshKeeper);
+    this.keeper =
+        config.fleet() == null || config.fleet().keeper() == null
+            ? null
+            : keeper(config, freshKeeper);
     this.member = config.fleet() == null ? null : new FleetMember(config.fleet(), this, log);
     if (member != null) {
       member.begin(config); // what the fleet has taken out is known before the first request
@@ -123,17 +132,24 @@
     String no;
     try {
       return new corkproxy.quorum.Keeper(
-          config.fleet().keeper(), fresh, log::line, t -> log.failure("the keeper in this process can't go on", t));
+          config.fleet().keeper(),
+          fresh,
+          log::line,
+          t -> log.failure("the keeper in this process can't go on", t));
     } catch (NoClassDefFoundError e) {
       no = "the log's library is missing: " + e.getMessage();
     } catch (java.io.IOException | RuntimeException e) {
       no = e.getMessage();
     }
     close();
-    throw new FaultyFileException(List.of(new Fault(file.toString(), 0, "fleet.keeper_file", no, "a keeper that can start")));
+    throw new FaultyFileException(
+        List.of(new Fault(file.toString(), 0, "fleet.keeper_file", no, "a keeper that can start")));
   }
 
-  /** Puts in force what the fleet has agreed: hosts that get nothing, and whether this process sends its clients away. */
+  /**
+   * Puts in force what the fleet has agreed: hosts that get nothing, and whether this process sends
+   * its clients away.
+   */
   synchronized void agreed(Set<String> hosts, boolean sendAway) {
     boolean others = !hosts.equals(hostsOut);
     hostsOut = hosts;
@@ -160,7 +176,9 @@
     return out;
   }
 
-  /** What became of requests since this process began, for the fleet; waits for the workers' loops. */
+  /**
+   * What became of requests since this process began, for the fleet; waits for the workers' loops.
+   */
   com.fasterxml.jackson.databind.node.ObjectNode report() {
     com.fasterxml.jackson.databind.node.ObjectNode out = corkproxy.quorum.Json.object();
     for (Worker w : workers.values()) {
@@ -169,7 +187,9 @@
     return out;
   }
 
-  /** The sockets that were asked for; where Linux does not give them, those of the JDK and a line. */
+  /**
+   * The sockets that were asked for; where Linux does not give them, those of the JDK and a line.
+   */
   private static Transport transport(DaemonConfig.Sockets asked, Log log) {
     if (asked == DaemonConfig.Sockets.NIO) {
       return new NioTransport();
@@ -208,7 +228,8 @@
           || is.transport() != was.transport()
           || is.log() != was.log()
           || !java.util.Objects.equals(next.fleet(), version.config.fleet())) {
-        log.line("workers, descriptors, body_memory_mb, transport, log and [fleet] change with a restart only");
+        log.line(
+            "workers, descriptors, body_memory_mb, transport, log and [fleet] change with a restart only");
       }
       apply(next);
       if (member != null) {
@@ -219,8 +240,17 @@
     } catch (FaultyFileException e) {
       for (Fault f : e.faults()) {
         log.event(
-            "not taken: " + f, "file", f.file(), "line", f.line(), "key", f.key(), "found", f.found(),
-            "expected", f.expected());
+            "not taken: " + f,
+            "file",
+            f.file(),
+            "line",
+            f.line(),
+            "key",
+            f.key(),
+            "found",
+            f.found(),
+            "expected",
+            f.expected());
       }
       return false;
     }
@@ -238,7 +268,8 @@
     }
     version = next;
     // Only now does the first connection of a new listener find a front on every worker.
-    bound.entrySet()
+    bound
+        .entrySet()
         .removeIf(
             e -> {
               DaemonConfig.Listener l = config.listeners().get(e.getKey());
@@ -296,7 +327,9 @@
             new ChannelInitializer<ServerChannel>() {
               @Override
               protected void initChannel(ServerChannel listener) {
-                listener.pipeline().addLast(new AcceptBackoff(log.with("listener", l.name())::line));
+                listener
+                    .pipeline()
+                    .addLast(new AcceptBackoff(log.with("listener", l.name())::line));
               }
             })
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -341,7 +374,9 @@
     bound.values().forEach(b -> closeLater(b.channel()));
     workers.values().forEach(w -> w.loop().execute(w::drain));
     long until = System.nanoTime() + version.config.process().drainMs() * 1_000_000L;
-    acceptor.next().schedule(() -> pollDrain(until), LAST_ACCEPT_MS + POLL_MS, TimeUnit.MILLISECONDS);
+    acceptor
+        .next()
+        .schedule(() -> pollDrain(until), LAST_ACCEPT_MS + POLL_MS, TimeUnit.MILLISECONDS);
   }
 
   private void pollDrain(long until) {
--- a/src/main/java/corkproxy/daemon/DaemonGate.java
+++ b/src/main/java/corkproxy/daemon/DaemonGate.java
@@ -128,8 +128,9 @@
   }
 
   /**
-   * Makes an absolute-form target one of origin form (RFC 9112, 3.2.2): its authority takes the place of
-   * {@code Host}, before anything judges by either. False where it is none that can be served here.
+   * Makes an absolute-form target one of origin form (RFC 9112, 3.2.2): its authority takes the
+   * place of {@code Host}, before anything judges by either. False where it is none that can be
+   * served here.
    */
   private static boolean originForm(HttpRequest head) {
     String uri = head.uri();
@@ -142,7 +143,8 @@
     }
     String authority = uri.substring(SCHEME.length(), end);
     boolean old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
-    if (authority.isEmpty() || !old && Framing.single(head.headers(), HttpHeaderNames.HOST) == null) {
+    if (authority.isEmpty()
+        || !old && Framing.single(head.headers(), HttpHeaderNames.HOST) == null) {
       return false; // HTTP/1.1 has a Host all the same
     }
     head.headers().set(HttpHeaderNames.HOST, authority);
@@ -194,7 +196,8 @@
     }
     String pool = rule.target().split().pick(splitKey(route, h, tenant, address));
     boolean safe = type.semantics() == Settings.Semantics.IDEMPOTENT;
-    Arrival arrival = new Arrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
+    Arrival arrival =
+        new Arrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
     Dispatcher target = take(pool);
     if (target == null) {
       grant.release();
@@ -267,8 +270,10 @@
     if (!route.rewritePrefix().isEmpty()) {
       String rest = path.match().substring(rule.path().length());
       String to = PathForm.ofPattern(route.rewritePrefix());
-      to = to.endsWith("/") && (rest.startsWith("/") || rest.isEmpty() && to.length() > 1)
-          ? to.substring(0, to.length() - 1) : to;
+      to =
+          to.endsWith("/") && (rest.startsWith("/") || rest.isEmpty() && to.length() > 1)
+              ? to.substring(0, to.length() - 1)
+              : to;
       forward = PathForm.encode(to + rest);
     }
     head.setUri(forward + query);
@@ -306,7 +311,11 @@
         end = i;
       } else if (c >= 'A' && c <= 'Z') {
         upper = true;
-      } else if (!(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '.' || c == '-' || c == '_'
+      } else if (!(c >= 'a' && c <= 'z'
+          || c >= '0' && c <= '9'
+          || c == '.'
+          || c == '-'
+          || c == '_'
           || bracket && (c == '[' || c == ']' || c == ':'))) {
         return null;
       }
--- a/src/main/java/corkproxy/daemon/DaemonLog.java
+++ b/src/main/java/corkproxy/daemon/DaemonLog.java
@@ -25,9 +25,9 @@
  *                 +--> counted <-----------+
  * </pre>
  *
- * <p>Requests have a budget of their own, so that a storm of refusals hides no change of state. What
- * libraries tell goes by the budget of changes of state. Guards workers against whoever reads the
- * stream and stops: they drop and count, the thread waits.
+ * <p>Requests have a budget of their own, so that a storm of refusals hides no change of state.
+ * What libraries tell goes by the budget of changes of state. Guards workers against whoever reads
+ * the stream and stops: they drop and count, the thread waits.
  */
 public final class DaemonLog implements Log, AutoCloseable {
   static final String LOGGER = "leadferry";
@@ -93,7 +93,9 @@
   private final class OfLibraries extends Filter<ILoggingEvent> {
     @Override
     public FilterReply decide(ILoggingEvent e) {
-      return e.getLoggerName().equals(LOGGER) || admits(events) ? FilterReply.NEUTRAL : FilterReply.DENY;
+      return e.getLoggerName().equals(LOGGER) || admits(events)
+          ? FilterReply.NEUTRAL
+          : FilterReply.DENY;
     }
   }
 
--- a/src/main/java/corkproxy/daemon/FleetMember.java
+++ b/src/main/java/corkproxy/daemon/FleetMember.java
@@ -24,8 +24,9 @@
 import java.util.UUID;
 
 /**
- * This daemon as a member of its fleet: one thread that keeps a session, goes by what the keepers tell, and tells what it
- * does. No request waits for it: without keepers the daemon goes on by what it knows.
+ * This daemon as a member of its fleet: one thread that keeps a session, goes by what the keepers
+ * tell, and tells what it does. No request waits for it: without keepers the daemon goes on by what
+ * it knows.
  *
  * <pre>
  *   begin: join, or the state file ... serving: renew, take news, tell ... leaving ... gone
@@ -73,7 +74,10 @@
     thread.setDaemon(true);
   }
 
-  /** Learns what is in force before the first request: from the keepers, or as {@code on_unreachable} says. */
+  /**
+   * Learns what is in force before the first request: from the keepers, or as {@code
+   * on_unreachable} says.
+   */
   void begin(DaemonConfig first) {
     lists = first;
     long until = System.nanoTime() + config.startWaitMs() * 1_000_000L;
@@ -109,7 +113,8 @@
           daemon.agreed(view.hostsOut(), view.away());
           view.forget();
         } else {
-          log.line(config.state() + ": not of fleet " + config.fleet() + ": nothing is taken from it");
+          log.line(
+              config.state() + ": not of fleet " + config.fleet() + ": nothing is taken from it");
         }
       }
     } catch (IOException e) {
@@ -132,7 +137,9 @@
     leaving = true;
   }
 
-  /** The drain is over; {@code then} runs once the keepers know, or can't be told within a second. */
+  /**
+   * The drain is over; {@code then} runs once the keepers know, or can't be told within a second.
+   */
   void gone(boolean nothingInFlight, Runnable then) {
     carriesNothing = nothingInFlight;
     gone = then;
@@ -174,8 +181,12 @@
 
   /** Asks for a session; false if nobody answered. */
   private boolean join(long until) {
-    ObjectNode entry = Json.object().put("op", "join").put("name", config.name()).put("incarnation", incarnation);
-    entry.put("lease_ms", config.leaseMs()).put("zone", config.zone()).put("runs", config.version());
+    ObjectNode entry =
+        Json.object().put("op", "join").put("name", config.name()).put("incarnation", incarnation);
+    entry
+        .put("lease_ms", config.leaseMs())
+        .put("zone", config.zone())
+        .put("runs", config.version());
     entry.setAll(catalogue());
     long asked = System.nanoTime();
     ObjectNode o = submit(entry, until);
@@ -187,11 +198,13 @@
       Pause.of(config.leaseMs() / RENEWALS);
       return true;
     }
-    // It may be the session of before: the numbers of its words go on, or the ledger would pass them over as old.
+    // It may be the session of before: the numbers of its words go on, or the ledger would pass
+    // them over as old.
     session = o.path("session").asLong();
     told = "";
     toldDigest = entry.path("digest").asText();
-    // The answer may be that of an earlier attempt: the lease counts from a renewal only, which asks the leader anew.
+    // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
+    // asks the leader anew.
     view.forget();
     renew(asked, until);
     if (session != 0) {
@@ -203,7 +216,8 @@
 
   private void renew(long asked, long until) {
     try {
-      ObjectNode asks = Json.object().put("op", "renew").put("name", config.name()).put("session", session);
+      ObjectNode asks =
+          Json.object().put("op", "renew").put("name", config.name()).put("session", session);
       if (reportsWanted) {
         asks.set("report", daemon.report());
       }
@@ -225,7 +239,10 @@
   private void reachable(boolean now) {
     if (now != reachable) {
       reachable = now;
-      log.line(now ? "keepers can be reached again" : "no keeper can be reached: going on by what is known");
+      log.line(
+          now
+              ? "keepers can be reached again"
+              : "no keeper can be reached: going on by what is known");
     }
   }
 
@@ -255,7 +272,9 @@
     for (DaemonConfig.Pool p : now.pools().values()) {
       for (Hosts.Member m : p.members()) {
         all.putIfAbsent(
-            m.name(), new Subject(Kind.HOST, m.name(), m.zone(), Long.toHexString(m.cell()), p.name(), m.kind()));
+            m.name(),
+            new Subject(
+                Kind.HOST, m.name(), m.zone(), Long.toHexString(m.cell()), p.name(), m.kind()));
       }
     }
     ArrayNode list = Json.object().putArray("hosts");
@@ -291,7 +310,10 @@
 
   /** Tells what has changed of what it does. */
   private void tell(long until) {
-    ObjectNode now = Json.object().put("seen", view.version()).put("serving", serving && !leaving && !view.away());
+    ObjectNode now =
+        Json.object()
+            .put("seen", view.version())
+            .put("serving", serving && !leaving && !view.away());
     Set<String> busy = new TreeSet<>();
     if (!view.hostsOut().isEmpty()) {
       busy.addAll(daemon.hosts(Worker::busyHosts));
@@ -305,7 +327,10 @@
     if (text.equals(told) && !newLists) {
       return;
     }
-    now.put("op", "tell").put("name", config.name()).put("session", session).put("number", ++number);
+    now.put("op", "tell")
+        .put("name", config.name())
+        .put("session", session)
+        .put("number", ++number);
     if (newLists) {
       now.setAll(hosts);
     }
@@ -319,7 +344,9 @@
   private void leave() {
     long until = System.nanoTime() + LEAVE_MS * 1_000_000L;
     if (session != 0 && carriesNothing) {
-      submit(Json.object().put("op", "leave").put("name", config.name()).put("session", session), until);
+      submit(
+          Json.object().put("op", "leave").put("name", config.name()).put("session", session),
+          until);
     }
     keepers.close();
     gone.run();
--- a/src/main/java/corkproxy/daemon/KeeperFile.java
+++ b/src/main/java/corkproxy/daemon/KeeperFile.java
@@ -40,7 +40,8 @@
     Section f = root.table("fleet");
     Disruption.Times times =
         new Disruption.Times(
-            f.integer("settle_ms", 5_000, 0, 3_600_000), f.integer("warm_ms", 10_000, 0, 3_600_000),
+            f.integer("settle_ms", 5_000, 0, 3_600_000),
+            f.integer("warm_ms", 10_000, 0, 3_600_000),
             f.integer("fence_ms", 1_000, 0, 3_600_000));
     f.end();
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
@@ -50,14 +51,21 @@
       e.getValue().end();
     }
     if (!peers.containsKey(name)) {
-      root.fault("peer", "none named '" + name + "'", "a [peer.NAME] for each keeper, this one among them");
+      root.fault(
+          "peer",
+          "none named '" + name + "'",
+          "a [peer.NAME] for each keeper, this one among them");
     }
     if (peers.size() % 2 == 0) {
-      root.fault("peer", peers.size() + " keepers", "an odd number: an even one bears no more failures than one less");
+      root.fault(
+          "peer",
+          peers.size() + " keepers",
+          "an odd number: an even one bears no more failures than one less");
     }
     root.end();
     end(source);
-    return new KeeperConfig(fleet, name, log, api, Path.of(folder), peers, election, snapshot, times);
+    return new KeeperConfig(
+        fleet, name, log, api, Path.of(folder), peers, election, snapshot, times);
   }
 
   /**
@@ -72,9 +80,11 @@
     for (Section s : root.list("budget")) {
       ObjectNode n = out.addObject();
       n.put("name", s.text("name", null, "the budget's name"));
-      n.put("of", s.text("of", null, "proxy or host")).put("by", s.text("by", Budget.ALL, "all, zone, pod, pool or kind"));
+      n.put("of", s.text("of", null, "proxy or host"))
+          .put("by", s.text("by", Budget.ALL, "all, zone, pod, pool or kind"));
       n.put("max_out", s.integer("max_out", -1, 0, 1_000_000));
-      n.put("max_share", s.number("max_share", 2, 0, 1)).put("min_in", s.integer("min_in", 0, 0, 1_000_000));
+      n.put("max_share", s.number("max_share", 2, 0, 1))
+          .put("min_in", s.integer("min_in", 0, 0, 1_000_000));
       ObjectNode w = n.putObject("where");
       s.map("where").forEach(w::put);
       s.end();
@@ -96,9 +106,11 @@
 
   private static Section.Source source(Path file) throws FaultyFileException {
     try {
-      return new Section.Source(file.toString(), TomlTree.of(file.toString(), Files.readString(file)));
+      return new Section.Source(
+          file.toString(), TomlTree.of(file.toString(), Files.readString(file)));
     } catch (IOException e) {
-      throw new FaultyFileException(List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
+      throw new FaultyFileException(
+          List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
     }
   }
 }
--- a/src/main/java/corkproxy/daemon/Names.java
+++ b/src/main/java/corkproxy/daemon/Names.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * What an operator's file names so far, for the checks of one part against another: a part is read after
- * those that it may name.
+ * What an operator's file names so far, for the checks of one part against another: a part is read
+ * after those that it may name.
  */
 final class Names {
   private static final String NAME = "[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}";
--- a/src/main/java/corkproxy/daemon/OperatorFile.java
+++ b/src/main/java/corkproxy/daemon/OperatorFile.java
@@ -62,7 +62,8 @@
     try {
       tree = TomlTree.of(name, text);
     } catch (RuntimeException | StackOverflowError e) {
-      // Guards against a parser that answers odd texts, thousands of brackets say, with errors of its own.
+      // Guards against a parser that answers odd texts, thousands of brackets say, with errors of
+      // its own.
       throw new FaultyFileException(List.of(new Fault(name, 0, "", e.toString(), "TOML 1.0")));
     }
     Section.Source source = new Section.Source(name, tree);
@@ -125,15 +126,21 @@
     if (keepers.isEmpty()) {
       f.fault("keepers", "none", "keepers by name, as in [fleet.keepers] k1 = \"IP:port\"");
     }
-    String state = f.text("state_file", "-", "a file, for what is in force when no keeper can be reached at a start");
-    DaemonConfig.Unreachable un = f.word("on_unreachable", DaemonConfig.Unreachable.WAIT, DaemonConfig.Unreachable.class);
+    String state =
+        f.text(
+            "state_file",
+            "-",
+            "a file, for what is in force when no keeper can be reached at a start");
+    DaemonConfig.Unreachable un =
+        f.word("on_unreachable", DaemonConfig.Unreachable.WAIT, DaemonConfig.Unreachable.class);
     if (un == DaemonConfig.Unreachable.LAST && state.equals("-")) {
       f.fault("state_file", "missing", "a file, where on_unreachable is 'last'");
     }
     String fleet = f.text("fleet", null, "the fleet's name");
     String version = f.text("version", "-", "what runs here, as releases call it");
     if (!version.matches(corkproxy.disruption.Disruption.NAME) && !version.equals("-")) {
-      f.fault("version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
+      f.fault(
+          "version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
     }
     DaemonConfig.Fleet out =
         new DaemonConfig.Fleet(
@@ -151,9 +158,13 @@
     return out;
   }
 
-  /** The keeper that this daemon runs as well, by a file of its own; null where none is named, or where it is faulty. */
+  /**
+   * The keeper that this daemon runs as well, by a file of its own; null where none is named, or
+   * where it is faulty.
+   */
   private static corkproxy.quorum.KeeperConfig keeper(Section f, String fleet) {
-    String file = f.text("keeper_file", "-", "the file of the keeper that runs in this process as well");
+    String file =
+        f.text("keeper_file", "-", "the file of the keeper that runs in this process as well");
     if (file.equals("-")) {
       return null;
     }
@@ -213,7 +224,10 @@
     List<String> texts = s.texts("trusted");
     for (int i = 0; i < texts.size(); i++) {
       if (Networks.fault(texts.get(i))) {
-        s.fault("trusted[" + i + "]", "'" + texts.get(i) + "'", "a network as 10.0.0.0/8 or fd00::/8, or an address");
+        s.fault(
+            "trusted[" + i + "]",
+            "'" + texts.get(i) + "'",
+            "a network as 10.0.0.0/8 or fd00::/8, or an address");
       }
     }
     return new Networks(texts.stream().filter(t -> !Networks.fault(t)).toList());
@@ -282,8 +296,14 @@
       names.classes.add(DaemonConfig.DEFAULT_CLASS);
       out.add(
           new Settings.RequestClass(
-              DaemonConfig.DEFAULT_CLASS, 1_000, 5_000, Settings.Semantics.AT_MOST_ONCE,
-              Settings.Scope.CELL, 0, 1, 0));
+              DaemonConfig.DEFAULT_CLASS,
+              1_000,
+              5_000,
+              Settings.Semantics.AT_MOST_ONCE,
+              Settings.Scope.CELL,
+              0,
+              1,
+              0));
     }
     return out;
   }
--- a/src/main/java/corkproxy/daemon/QuietLogging.java
+++ b/src/main/java/corkproxy/daemon/QuietLogging.java
@@ -8,8 +8,9 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * What Logback begins with, found as a service: warnings of libraries on standard error. Guards commands
- * against its own default, every debug line on standard output, and the start against a search for XML.
+ * What Logback begins with, found as a service: warnings of libraries on standard error. Guards
+ * commands against its own default, every debug line on standard output, and the start against a
+ * search for XML.
  */
 public final class QuietLogging extends ContextAwareBase implements Configurator {
   @Override
--- a/src/main/java/corkproxy/daemon/RecordBudget.java
+++ b/src/main/java/corkproxy/daemon/RecordBudget.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * So many records a second; what is past that is counted. One word holds the second and what was used of
- * it, so that workers neither wait for each other nor lose a count.
+ * So many records a second; what is past that is counted. One word holds the second and what was
+ * used of it, so that workers neither wait for each other nor lose a count.
  */
 final class RecordBudget {
   private static final int USED_BITS = 20;
--- a/src/main/java/corkproxy/daemon/RecordEncoder.java
+++ b/src/main/java/corkproxy/daemon/RecordEncoder.java
@@ -84,8 +84,10 @@
     for (KeyValuePair f : fields(e)) {
       String v = plain(String.valueOf(f.value));
       s.append(' ').append(f.key).append('=');
-      s.append(v.isEmpty() || v.indexOf(' ') >= 0 || v.indexOf('"') >= 0
-          ? '"' + v.replace("\"", "'") + '"' : v);
+      s.append(
+          v.isEmpty() || v.indexOf(' ') >= 0 || v.indexOf('"') >= 0
+              ? '"' + v.replace("\"", "'") + '"'
+              : v);
     }
     s.append('\n');
     if (e.getThrowableProxy() != null) {
@@ -98,7 +100,9 @@
     String c = cut(s, MOST);
     StringBuilder out = null;
     for (int i = 0; i < c.length(); i++) {
-      if (Character.isISOControl(c.charAt(i)) || c.charAt(i) == '\u2028' || c.charAt(i) == '\u2029') {
+      if (Character.isISOControl(c.charAt(i))
+          || c.charAt(i) == '\u2028'
+          || c.charAt(i) == '\u2029') {
         out = out == null ? new StringBuilder(c) : out;
         out.setCharAt(i, ' ');
       }
--- a/src/main/java/corkproxy/daemon/ReleaseFile.java
+++ b/src/main/java/corkproxy/daemon/ReleaseFile.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what the fleet is now. */
+/**
+ * Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what
+ * the fleet is now.
+ */
 public final class ReleaseFile {
   private enum By {
     COMMAND,
@@ -37,7 +40,8 @@
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw new FaultyFileException(List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
+      throw new FaultyFileException(
+          List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
     }
     Section.Source source = new Section.Source(file.toString(), TomlTree.of(file.toString(), text));
     Section root = new Section(source, "", source.lines.root);
@@ -60,8 +64,12 @@
       }
     }
     Section g = r.table("guard");
-    plan.putObject("guard").put("least_requests", g.integer("least_requests", 0, 0, 1_000_000_000)).put("max_worse", g.number("max_worse", 0.02, 0, 1))
-        .put("max_bad", g.number("max_bad", 0.05, 0, 1)).put("sigmas", g.number("sigmas", 3, 0.5, 10)).put("wait_ms", g.integer("wait_ms", 60_000, 0, Integer.MAX_VALUE));
+    plan.putObject("guard")
+        .put("least_requests", g.integer("least_requests", 0, 0, 1_000_000_000))
+        .put("max_worse", g.number("max_worse", 0.02, 0, 1))
+        .put("max_bad", g.number("max_bad", 0.05, 0, 1))
+        .put("sigmas", g.number("sigmas", 3, 0.5, 10))
+        .put("wait_ms", g.integer("wait_ms", 60_000, 0, Integer.MAX_VALUE));
     g.end();
     carry(r.table("carry"), plan.putObject("carry"));
     steps(r, of, status, plan.putArray("steps"));
@@ -87,34 +95,53 @@
       if (!words.isEmpty()) {
         words.forEach(to.putArray(key)::add);
       } else if (key.equals("command") && by == By.COMMAND) {
-        c.fault("command", "missing", "the program that changes a target, with its arguments; {target} and {version} stand for these");
+        c.fault(
+            "command",
+            "missing",
+            "the program that changes a target, with its arguments; {target} and {version} stand for these");
       }
     }
     to.put("timeout_ms", c.integer("timeout_ms", 60_000, 100, 3_600_000));
     c.end();
   }
 
-  /** Each step takes of what is left those that it names, or that carry its labels, or a share of these. */
+  /**
+   * Each step takes of what is left those that it names, or that carry its labels, or a share of
+   * these.
+   */
   private static void steps(Section r, String of, JsonNode status, ArrayNode to) {
     Map<String, JsonNode> all = new LinkedHashMap<>();
-    status.path(of.equals("proxy") ? "proxies" : "hosts").forEach(n -> all.put(n.path("name").asText(), n));
+    status
+        .path(of.equals("proxy") ? "proxies" : "hosts")
+        .forEach(n -> all.put(n.path("name").asText(), n));
     Map<String, String> overall = labels(r);
     Set<String> taken = new LinkedHashSet<>();
     for (Section s : r.list("step")) {
       ObjectNode step = to.addObject().put("name", s.text("name", null, "the step's name"));
-      step.put("at_once", s.integer("at_once", 1, 1, 100_000)).put("bake_ms", s.integer("bake_ms", 0, 0, Integer.MAX_VALUE));
+      step.put("at_once", s.integer("at_once", 1, 1, 100_000))
+          .put("bake_ms", s.integer("bake_ms", 0, 0, Integer.MAX_VALUE));
       Map<String, String> where = labels(s);
       double share = s.number("share", 1, 0, 1);
       List<String> targets = new ArrayList<>(s.texts("targets"));
       for (int i = 0; i < targets.size(); i++) {
         s.known("targets[" + i + "]", targets.get(i), all.keySet(), of);
         if (!taken.add(targets.get(i))) {
-          s.fault("targets[" + i + "]", "'" + targets.get(i) + "', in a step before", "a target that no step before has");
+          s.fault(
+              "targets[" + i + "]",
+              "'" + targets.get(i) + "', in a step before",
+              "a target that no step before has");
         }
       }
       if (targets.isEmpty()) {
         List<String> left =
-            all.entrySet().stream().filter(e -> !taken.contains(e.getKey()) && fits(e.getValue(), overall) && fits(e.getValue(), where)).map(Map.Entry::getKey).toList();
+            all.entrySet().stream()
+                .filter(
+                    e ->
+                        !taken.contains(e.getKey())
+                            && fits(e.getValue(), overall)
+                            && fits(e.getValue(), where))
+                .map(Map.Entry::getKey)
+                .toList();
         targets.addAll(left.subList(0, (int) Math.ceil(share * left.size())));
         taken.addAll(targets);
         if (targets.isEmpty()) {
@@ -127,7 +154,8 @@
   }
 
   private static boolean fits(JsonNode subject, Map<String, String> labels) {
-    return labels.entrySet().stream().allMatch(l -> subject.path(l.getKey()).asText("-").equals(l.getValue()));
+    return labels.entrySet().stream()
+        .allMatch(l -> subject.path(l.getKey()).asText("-").equals(l.getValue()));
   }
 
   private static Map<String, String> labels(Section s) {
--- a/src/main/java/corkproxy/daemon/RouteReader.java
+++ b/src/main/java/corkproxy/daemon/RouteReader.java
@@ -15,7 +15,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads and judges {@code [[route]]}: each by itself, against what the file names, and against the others. */
+/**
+ * Reads and judges {@code [[route]]}: each by itself, against what the file names, and against the
+ * others.
+ */
 final class RouteReader {
   private final Section root;
   private final Names names;
@@ -46,8 +49,11 @@
             .get(r.target())
             .fault(
                 "",
-                "can't be reached at listener '" + listener + "': route '"
-                    + rules.get(shadowed.by()).name() + "' always wins",
+                "can't be reached at listener '"
+                    + listener
+                    + "': route '"
+                    + rules.get(shadowed.by()).name()
+                    + "' always wins",
                 "a route that some request can take");
       }
     }
@@ -80,7 +86,8 @@
     Rule<Integer> match = match(s, name, index);
     String rewrite = s.text("rewrite_prefix", "", "a path that begins with /");
     if (!rewrite.isEmpty()) {
-      PathForm form = PathForm.of(PathForm.encode(PathForm.ofPattern(rewrite)), PathForm.Mode.STRICT);
+      PathForm form =
+          PathForm.of(PathForm.encode(PathForm.ofPattern(rewrite)), PathForm.Mode.STRICT);
       if (form == null) {
         s.fault("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
       } else if (match.kind() != Rule.Kind.PREFIX) {
@@ -100,9 +107,18 @@
       header(s, "remove_headers[" + i + "]", remove.get(i));
     }
     return new DaemonConfig.Route(
-        name, List.copyOf(at), match, className, split, splitBy, splitHeader, fallback,
-        s.flag("stream", false), rewrite,
-        Map.copyOf(set), List.copyOf(remove));
+        name,
+        List.copyOf(at),
+        match,
+        className,
+        split,
+        splitBy,
+        splitHeader,
+        fallback,
+        s.flag("stream", false),
+        rewrite,
+        Map.copyOf(set),
+        List.copyOf(remove));
   }
 
   private static void header(Section s, String key, String name) {
@@ -146,7 +162,10 @@
     List<String> hosts = s.texts("hosts");
     for (int i = 0; i < hosts.size(); i++) {
       String h = hosts.get(i).toLowerCase(Locale.ROOT);
-      String plain = h.startsWith("*.") ? h.substring(2) : h.endsWith(".*") ? h.substring(0, h.length() - 2) : h;
+      String plain =
+          h.startsWith("*.")
+              ? h.substring(2)
+              : h.endsWith(".*") ? h.substring(0, h.length() - 2) : h;
       if (!h.equals("*") && !plain.matches("[a-z0-9_-]+(\\.[a-z0-9_-]+)*|\\[[0-9a-f:.]+\\]")) {
         s.fault("hosts[" + i + "]", "'" + hosts.get(i) + "'", "a name, *.name, name.* or *");
       }
@@ -178,13 +197,16 @@
       }
     }
     if (given != 1) {
-      s.fault("", given == 0 ? "no path" : "more than one of path, prefix, regex",
+      s.fault(
+          "",
+          given == 0 ? "no path" : "more than one of path, prefix, regex",
           "one of path, prefix, regex");
     }
     List<String> methods = s.texts("methods");
     for (int i = 0; i < methods.size(); i++) {
       if (!methods.get(i).matches("[A-Z][A-Z-]*") || methods.get(i).equals("CONNECT")) {
-        s.fault("methods[" + i + "]", "'" + methods.get(i) + "'", "a method in capitals, not CONNECT");
+        s.fault(
+            "methods[" + i + "]", "'" + methods.get(i) + "'", "a method in capitals, not CONNECT");
       }
     }
     Map<String, String> headers = new LinkedHashMap<>();
--- a/src/main/java/corkproxy/daemon/Section.java
+++ b/src/main/java/corkproxy/daemon/Section.java
@@ -165,7 +165,9 @@
     source.fault(
         path(key),
         show(n),
-        Arrays.stream(type.getEnumConstants()).map(Section::word).collect(Collectors.joining(", ")));
+        Arrays.stream(type.getEnumConstants())
+            .map(Section::word)
+            .collect(Collectors.joining(", ")));
     return otherwise;
   }
 
--- a/src/main/java/corkproxy/daemon/TomlTree.java
+++ b/src/main/java/corkproxy/daemon/TomlTree.java
@@ -43,7 +43,9 @@
     return new TomlTree(parsed);
   }
 
-  /** The line of a key's path, as in {@code route[2].pool}, or of the nearest one above it, or 0. */
+  /**
+   * The line of a key's path, as in {@code route[2].pool}, or of the nearest one above it, or 0.
+   */
   int line(String path) {
     String p = path;
     while (!p.isEmpty()) {
--- a/src/main/java/corkproxy/daemon/Version.java
+++ b/src/main/java/corkproxy/daemon/Version.java
@@ -52,8 +52,10 @@
   final RetryBudget retries;
   final Map<String, Pool> pools = new HashMap<>();
   final Map<String, RouteTable<Target>> routes = new HashMap<>();
+
   /** By listener, in lower case: the headers that the file has requests judged by, or sets. */
   final Map<String, Set<String>> judged = new HashMap<>();
+
   final Map<String, Settings.RequestClass> classes = new HashMap<>();
 
   /** Hosts that are out of service by what the fleet has agreed. */
@@ -79,7 +81,11 @@
     for (DaemonConfig.Pool pool : config.pools().values()) {
       pools.put(
           pool.name(),
-          pool(pool, before == null ? null : before.pools.get(pool.name()), before == null ? Set.of() : before.hostsOut, unixMs));
+          pool(
+              pool,
+              before == null ? null : before.pools.get(pool.name()),
+              before == null ? Set.of() : before.hostsOut,
+              unixMs));
     }
     List<Target> targets = new ArrayList<>();
     for (DaemonConfig.Route r : config.routes()) {
@@ -108,7 +114,14 @@
           Rule<Integer> m = r.match();
           rules.add(
               new Rule<>(
-                  m.name(), m.hosts(), m.kind(), m.path(), m.methods(), m.headers(), m.classes(), t));
+                  m.name(),
+                  m.hosts(),
+                  m.kind(),
+                  m.path(),
+                  m.methods(),
+                  m.headers(),
+                  m.classes(),
+                  t));
         }
       }
       routes.put(listener, new RouteTable<>(rules));
@@ -129,8 +142,8 @@
   /**
    * The pool's hosts with the times at which they started. Guards rule 4: a server that a new file
    * names for the first time may be cold, so it is taken to have started now; one that stays keeps
-   * its time, and those of the first file have run for long. One that comes back into service may have been started
-   * anew meanwhile. What the fleet has agreed only takes hosts out, never in.
+   * its time, and those of the first file have run for long. One that comes back into service may
+   * have been started anew meanwhile. What the fleet has agreed only takes hosts out, never in.
    */
   private Pool pool(DaemonConfig.Pool pool, Pool before, Set<String> outBefore, double unixMs) {
     Map<String, Hosts.Member> known = new HashMap<>();
@@ -148,8 +161,14 @@
               : number == 1 ? 0 : unixMs;
       members.add(
           new Hosts.Member(
-              m.name(), m.address(), m.zone(), m.kind(), m.cell(),
-              out ? HostEntry.Condition.TERMINATING : m.condition(), m.weight(), started));
+              m.name(),
+              m.address(),
+              m.zone(),
+              m.kind(),
+              m.cell(),
+              out ? HostEntry.Condition.TERMINATING : m.condition(),
+              m.weight(),
+              started));
     }
     boolean sameBudget =
         before != null
--- a/src/main/java/corkproxy/daemon/Worker.java
+++ b/src/main/java/corkproxy/daemon/Worker.java
@@ -41,7 +41,10 @@
     }
   }
 
-  /** A listener that has gone from the file, and until when (ns) its backlog may still tell of clients. */
+  /**
+   * A listener that has gone from the file, and until when (ns) its backlog may still tell of
+   * clients.
+   */
   private record Closing(String name, Front front, long until) {}
 
   private final EventLoop loop;
@@ -101,7 +104,8 @@
         }
         kept.version = p;
         kept.upstreams.bounds(p.bounds());
-        kept.dispatcher.sweep(); // what a lower bound leaves no room for, and carries nothing, goes now
+        kept.dispatcher
+            .sweep(); // what a lower bound leaves no room for, and carries nothing, goes now
       }
       WorkerPool pool = pools.get(p.config().name());
       pool.dispatcher.bound(() -> retryAllowed(v, p));
@@ -114,14 +118,18 @@
         e.getValue().drain();
         closing.add(
             new Closing(
-                e.getKey(), e.getValue(), System.nanoTime() + 2 * Daemon.LAST_ACCEPT_MS * 1_000_000L));
+                e.getKey(),
+                e.getValue(),
+                System.nanoTime() + 2 * Daemon.LAST_ACCEPT_MS * 1_000_000L));
       }
     }
     for (DaemonConfig.Listener l : v.config.listeners().values()) {
       DaemonGate gate = new DaemonGate(this, v, l);
       Front front = fronts.get(l.name());
       if (front == null) {
-        Front fresh = new Front(settings(l), gate, transport, sockets, budget, log.with("listener", l.name()));
+        Front fresh =
+            new Front(
+                settings(l), gate, transport, sockets, budget, log.with("listener", l.name()));
         fresh.sendAway(away);
         fronts.put(l.name(), fresh);
       } else {
@@ -143,7 +151,16 @@
 
   private static FrontSettings settings(DaemonConfig.Listener l) {
     return new FrontSettings(
-        l.maxBody(), Long.MAX_VALUE, l.slowMs(), 0, Math.min(2_000, l.idleMs()), l.idleMs(), l.maxOpen(), l.pipeline(), false, true);
+        l.maxBody(),
+        Long.MAX_VALUE,
+        l.slowMs(),
+        0,
+        Math.min(2_000, l.idleMs()),
+        l.idleMs(),
+        l.maxOpen(),
+        l.pipeline(),
+        false,
+        true);
   }
 
   private WorkerPool start(Version.Pool p) {
@@ -151,10 +168,21 @@
     Log named = log.with("pool", c.name());
     Upstreams upstreams =
         new Upstreams(
-            loop, transport, new HttpProtocol(c.maxAnswer(), Long.MAX_VALUE, false, true, c.passErrors()), p.bounds(), sockets, named);
+            loop,
+            transport,
+            new HttpProtocol(c.maxAnswer(), Long.MAX_VALUE, false, true, c.passErrors()),
+            p.bounds(),
+            sockets,
+            named);
     Dispatcher d =
         new Dispatcher(
-            c.name(), loop, c.settings().at(c.settings().position() + number), seeds++, upstreams, budget, named);
+            c.name(),
+            loop,
+            c.settings().at(c.settings().position() + number),
+            seeds++,
+            upstreams,
+            budget,
+            named);
     d.tally(counts);
     d.start(p.members(), () -> {});
     return new WorkerPool(d, upstreams, p);
@@ -204,7 +232,10 @@
     return out;
   }
 
-  /** What has become of attempts and requests here since this process began, by class; on the worker's loop only. */
+  /**
+   * What has become of attempts and requests here since this process began, by class; on the
+   * worker's loop only.
+   */
   private static final class Counts implements corkproxy.engine.Tally {
     final Map<String, Map<String, long[]>> hosts = new HashMap<>();
     final Map<String, long[]> own = new HashMap<>();
@@ -226,7 +257,10 @@
     }
   }
 
-  /** Adds what was counted here to a member's report; hosts that are in no list any more are forgotten. */
+  /**
+   * Adds what was counted here to a member's report; hosts that are in no list any more are
+   * forgotten.
+   */
   void report(com.fasterxml.jackson.databind.node.ObjectNode to) {
     Set<String> known = new HashSet<>();
     pools.values().forEach(p -> p.version.members().members().forEach(m -> known.add(m.name())));
@@ -235,11 +269,13 @@
     add(counts.own, to.withObject("/own"));
   }
 
-  private static void add(Map<String, long[]> counts, com.fasterxml.jackson.databind.node.ObjectNode to) {
-    counts.forEach((className, n) -> {
-      com.fasterxml.jackson.databind.JsonNode had = to.path(className);
-      to.putArray(className).add(had.path(0).asLong() + n[0]).add(had.path(1).asLong() + n[1]);
-    });
+  private static void add(
+      Map<String, long[]> counts, com.fasterxml.jackson.databind.node.ObjectNode to) {
+    counts.forEach(
+        (className, n) -> {
+          com.fasterxml.jackson.databind.JsonNode had = to.path(className);
+          to.putArray(className).add(had.path(0).asLong() + n[0]).add(had.path(1).asLong() + n[1]);
+        });
   }
 
   /** Hosts that a pool's module has ejected. */
--- a/src/main/java/corkproxy/disruption/Budget.java
+++ b/src/main/java/corkproxy/disruption/Budget.java
@@ -20,7 +20,13 @@
  * @param minIn at least so many stay
  */
 public record Budget(
-    String name, Kind of, Map<String, String> where, String by, int maxOut, double maxShare, int minIn) {
+    String name,
+    Kind of,
+    Map<String, String> where,
+    String by,
+    int maxOut,
+    double maxShare,
+    int minIn) {
   /** The labels that {@code where} and {@code by} may name. */
   public static final Set<String> LABELS = Set.of("zone", "pod", "pool", "kind");
 
@@ -31,7 +37,8 @@
   }
 
   boolean covers(Subject s) {
-    return s.kind() == of && where.entrySet().stream().allMatch(e -> s.label(e.getKey()).equals(e.getValue()));
+    return s.kind() == of
+        && where.entrySet().stream().allMatch(e -> s.label(e.getKey()).equals(e.getValue()));
   }
 
   /** Whether both are counted together. */
@@ -50,7 +57,12 @@
 
   /** The budget as the log holds it. */
   public void write(ObjectNode to) {
-    to.put("name", name).put("of", of.word()).put("by", by).put("max_out", maxOut).put("max_share", maxShare).put("min_in", minIn);
+    to.put("name", name)
+        .put("of", of.word())
+        .put("by", by)
+        .put("max_out", maxOut)
+        .put("max_share", maxShare)
+        .put("min_in", minIn);
     ObjectNode w = to.putObject("where");
     new TreeMap<>(where).forEach(w::put);
   }
@@ -68,16 +80,19 @@
     }
     Kind of = Kind.of(n.path("of").asText(""));
     if (of == null) {
-      faults.add("budget " + name + ", of: '" + n.path("of").asText("") + "' (expected: proxy or host)");
+      faults.add(
+          "budget " + name + ", of: '" + n.path("of").asText("") + "' (expected: proxy or host)");
     }
     String by = n.path("by").asText(ALL);
     if (!by.equals(ALL) && !LABELS.contains(by)) {
       faults.add("budget " + name + ", by: '" + by + "' (expected: all, zone, pod, pool or kind)");
     }
     Map<String, String> where = new TreeMap<>();
-    for (String label : new ArrayList<>(n.path("where").properties().stream().map(Map.Entry::getKey).toList())) {
+    for (String label :
+        new ArrayList<>(n.path("where").properties().stream().map(Map.Entry::getKey).toList())) {
       if (!LABELS.contains(label)) {
-        faults.add("budget " + name + ", where: '" + label + "' (expected: zone, pod, pool or kind)");
+        faults.add(
+            "budget " + name + ", where: '" + label + "' (expected: zone, pod, pool or kind)");
       }
       where.put(label, n.path("where").path(label).asText());
     }
--- a/src/main/java/corkproxy/disruption/Disruption.java
+++ b/src/main/java/corkproxy/disruption/Disruption.java
@@ -14,10 +14,11 @@
 import java.util.TreeSet;
 
 /**
- * Who is out, and who may go out. A proxy or host is <em>out</em> if it holds a permit, also one that is ending; or
- * is lost without one (a proxy whose session ended, a host that several proxies have ejected); or has come back and
- * is not yet what it was (a proxy that settles, a host that warms up). A permit is granted only where with it no
- * budget has more out than it allows, so losses use budgets up.
+ * Who is out, and who may go out. A proxy or host is <em>out</em> if it holds a permit, also one
+ * that is ending; or is lost without one (a proxy whose session ended, a host that several proxies
+ * have ejected); or has come back and is not yet what it was (a proxy that settles, a host that
+ * warms up). A permit is granted only where with it no budget has more out than it allows, so
+ * losses use budgets up.
  *
  * <pre>
  *   proxy:  unknown --joined--> in --granted--> out --undone--> ending --"I serve"--> settling --time--> in
@@ -25,7 +26,8 @@
  *   host:   in --granted--> out --undone--> ending --all proxies have heard--> warming --time--> in
  * </pre>
  *
- * <p>What takes time is named by {@link #timers}; the leader of the keepers counts it and writes its end into the log.
+ * <p>What takes time is named by {@link #timers}; the leader of the keepers counts it and writes
+ * its end into the log.
  */
 public final class Disruption {
   /** Names of proxies, hosts and budgets. */
@@ -38,7 +40,10 @@
   private static final int MOST_MEMBERS = 100_000;
   private static final long LONGEST_MS = 30L * 24 * 3_600_000;
 
-  /** So many proxies that eject a host make it count as lost (or all that live, where they are fewer). */
+  /**
+   * So many proxies that eject a host make it count as lost (or all that live, where they are
+   * fewer).
+   */
   private static final int SUSPECTERS = 2;
 
   /** Holds for each kind for which no budget was agreed: one at a time. */
@@ -48,6 +53,7 @@
   public record Times(long settleMs, long warmMs, long fenceMs) {}
 
   private Times times;
+
   /** Grows with all that members go by. */
   private long version;
 
@@ -86,7 +92,10 @@
     return halted;
   }
 
-  /** What runs at a proxy that has a session, has spoken in it, and began it after that change; "" otherwise. */
+  /**
+   * What runs at a proxy that has a session, has spoken in it, and began it after that change; ""
+   * otherwise.
+   */
   public String version(String proxy, long after) {
     Member m = members.get(proxy);
     return m != null && m.alive && m.said > 0 && m.joined > after ? m.version : "";
@@ -128,17 +137,25 @@
     m.said = 0;
     m.busy.clear();
     m.suspects.clear();
-    // One that was never here before takes nothing away while it comes; one that was has been missed.
+    // One that was never here before takes nothing away while it comes; one that was has been
+    // missed.
     m.settling = known == null ? 0 : change;
     catalogue(m, digest, hosts);
   }
 
   /**
-   * What a proxy tells of itself, by its own number; an earlier word that comes late changes nothing.
+   * What a proxy tells of itself, by its own number; an earlier word that comes late changes
+   * nothing.
    *
    * @param seen the version of the ledger that it goes by
    */
-  public void told(String name, long number, long seen, boolean serving, Set<String> busy, Set<String> suspects) {
+  public void told(
+      String name,
+      long number,
+      long seen,
+      boolean serving,
+      Set<String> busy,
+      Set<String> suspects) {
     Member m = members.get(name);
     if (m == null || !m.alive || number <= m.said) {
       return;
@@ -183,7 +200,10 @@
     catalogues.keySet().retainAll(used);
   }
 
-  /** A proxy's session ended: with its own word, once it carried nothing, or because nothing was heard of it. */
+  /**
+   * A proxy's session ended: with its own word, once it carried nothing, or because nothing was
+   * heard of it.
+   */
   public void ended(String name, boolean byItself) {
     Member m = members.get(name);
     if (m == null || !m.alive) {
@@ -211,15 +231,19 @@
    * Asks for a proxy or host to be taken out.
    *
    * @param forMs how long, 0 until it is given back
-   * @param leaving a proxy that is to end for good: once its session ends by its own word it is forgotten, and takes
-   *     nothing from any budget
+   * @param leaving a proxy that is to end for good: once its session ends by its own word it is
+   *     forgotten, and takes nothing from any budget
    */
-  public Outcome drain(Kind kind, String name, long forMs, boolean leaving, String who, String why) {
+  public Outcome drain(
+      Kind kind, String name, long forMs, boolean leaving, String who, String why) {
     if (leaving && (kind != Kind.PROXY || forMs != 0)) {
-      return Outcome.of(Status.MALFORMED, "leave: of a " + kind.word() + " for " + forMs + " ms (expected: a proxy, for good)");
+      return Outcome.of(
+          Status.MALFORMED,
+          "leave: of a " + kind.word() + " for " + forMs + " ms (expected: a proxy, for good)");
     }
     if (forMs < 0 || forMs > LONGEST_MS) {
-      return Outcome.of(Status.MALFORMED, "for_ms: " + forMs + " (expected: 0 to " + LONGEST_MS + ")");
+      return Outcome.of(
+          Status.MALFORMED, "for_ms: " + forMs + " (expected: 0 to " + LONGEST_MS + ")");
     }
     Subject s = subject(kind, name);
     if (s == null) {
@@ -228,7 +252,13 @@
     Permit p = held(kind, name);
     if (p != null) {
       return new Outcome(
-          Status.REFUSED, p.id, List.of(name + " is out already, by permit " + p.id + (p.ending() ? ", which is ending" : "")));
+          Status.REFUSED,
+          p.id,
+          List.of(
+              name
+                  + " is out already, by permit "
+                  + p.id
+                  + (p.ending() ? ", which is ending" : "")));
     }
     if (!halted.isEmpty()) {
       return Outcome.of(Status.HALTED, halted);
@@ -250,7 +280,8 @@
   }
 
   /**
-   * Keeps a proxy out that has come back and still counts as out, so that no budget is asked for more.
+   * Keeps a proxy out that has come back and still counts as out, so that no budget is asked for
+   * more.
    *
    * @return the permit, or "" where it is in service, or holds a permit
    */
@@ -301,15 +332,21 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Puts these budgets in force, all of them or none; {@code against} is the version that they replace. */
+  /**
+   * Puts these budgets in force, all of them or none; {@code against} is the version that they
+   * replace.
+   */
   public Outcome budgets(List<Budget> next, long against) {
     if (against != budgetsVersion) {
-      return Outcome.of(Status.CONFLICT, "budgets are at version " + budgetsVersion + ", not " + against);
+      return Outcome.of(
+          Status.CONFLICT, "budgets are at version " + budgetsVersion + ", not " + against);
     }
     Set<String> names = new TreeSet<>();
     for (Budget b : next) {
       if (!names.add(b.name())) {
-        return Outcome.of(Status.MALFORMED, "budget " + b.name() + ": a second time (expected: a name of its own)");
+        return Outcome.of(
+            Status.MALFORMED,
+            "budget " + b.name() + ": a second time (expected: a name of its own)");
       }
     }
     change++;
@@ -342,7 +379,8 @@
     }
     if (m.alive || !m.left && !m.fenced) {
       return Outcome.of(
-          Status.REFUSED, name + (m.alive ? " has a session that lives" : " was lost and may run: fence it first"));
+          Status.REFUSED,
+          name + (m.alive ? " has a session that lives" : " was lost and may run: fence it first"));
     }
     change++;
     members.remove(name);
@@ -356,7 +394,9 @@
 
   // --- time, as the leader has counted it
 
-  /** What runs out, and how long (ms) after it was first named; a name never comes a second time. */
+  /**
+   * What runs out, and how long (ms) after it was first named; a name never comes a second time.
+   */
   public Map<String, Long> timers() {
     Map<String, Long> out = new LinkedHashMap<>();
     for (Permit p : permits.values()) {
@@ -397,13 +437,17 @@
       return (p.ending() ? "permit " + p.id + ", ending" : "permit " + p.id);
     }
     if (kind == Kind.HOST) {
-      return suspectedBy(name) >= SUSPECTERS ? "ejected by " + suspectedBy(name) : warming.containsKey(name) ? "warming up" : null;
+      return suspectedBy(name) >= SUSPECTERS
+          ? "ejected by " + suspectedBy(name)
+          : warming.containsKey(name) ? "warming up" : null;
     }
     Member m = members.get(name);
     if (m == null) {
       return null;
     }
-    return !m.alive ? (m.left ? "left" : m.fenced ? "lost, fenced" : "lost") : !m.serving ? "does not serve" : m.settling > 0 ? "settling" : null;
+    return !m.alive
+        ? (m.left ? "left" : m.fenced ? "lost, fenced" : "lost")
+        : !m.serving ? "does not serve" : m.settling > 0 ? "settling" : null;
   }
 
   private int suspectedBy(String host) {
@@ -434,10 +478,18 @@
   public Map<String, Subject> byName(Kind kind) {
     Map<String, Subject> out = new TreeMap<>();
     if (kind == Kind.PROXY) {
-      members.values().forEach(m -> out.put(m.name, new Subject(kind, m.name, m.zone, Subject.NONE, Subject.NONE, Subject.NONE)));
+      members
+          .values()
+          .forEach(
+              m ->
+                  out.put(
+                      m.name,
+                      new Subject(kind, m.name, m.zone, Subject.NONE, Subject.NONE, Subject.NONE)));
     } else {
       catalogues.values().forEach(c -> c.forEach(s -> out.putIfAbsent(s.name(), s)));
-      permits.values().stream().filter(p -> p.of.kind() == kind).forEach(p -> out.putIfAbsent(p.of.name(), p.of));
+      permits.values().stream()
+          .filter(p -> p.of.kind() == kind)
+          .forEach(p -> out.putIfAbsent(p.of.name(), p.of));
     }
     return out;
   }
@@ -453,7 +505,13 @@
     }
 
     String text() {
-      return name + ": " + others.size() + " out, " + allowed + " allowed" + (others.isEmpty() ? "" : ": " + String.join(", ", others));
+      return name
+          + ": "
+          + others.size()
+          + " out, "
+          + allowed
+          + " allowed"
+          + (others.isEmpty() ? "" : ": " + String.join(", ", others));
     }
   }
 
@@ -464,12 +522,14 @@
     for (Budget b : budgets) {
       any |= b.of() == asked.kind();
       if (b.covers(asked)) {
-        List<Subject> group = all.stream().filter(s -> b.covers(s) && b.together(s, asked)).toList();
+        List<Subject> group =
+            all.stream().filter(s -> b.covers(s) && b.together(s, asked)).toList();
         bounds.add(bound("budget " + b.name(), group, b.allowed(group.size()), asked));
       }
     }
     if (!any) {
-      bounds.add(bound("no budget of " + asked.kind().word() + ": one at a time", all, UNBUDGETED, asked));
+      bounds.add(
+          bound("no budget of " + asked.kind().word() + ": one at a time", all, UNBUDGETED, asked));
     }
     if (asked.kind() == Kind.PROXY) {
       bounds.add(bound("the last proxy", all, all.size() - 1, asked));
@@ -499,25 +559,42 @@
   public void explain(Kind kind, String name, ObjectNode to) {
     Subject s = kind == null ? null : subject(kind, name);
     if (s == null) {
-      to.put("status", Status.UNKNOWN.word()).putArray("why").add("no " + (kind == null ? "kind" : kind.word()) + " '" + name + "'");
+      to.put("status", Status.UNKNOWN.word())
+          .putArray("why")
+          .add("no " + (kind == null ? "kind" : kind.word()) + " '" + name + "'");
       return;
     }
     Permit p = held(kind, name);
     List<Bound> bounds = bounds(s);
     boolean no = p != null || bounds.stream().anyMatch(Bound::full);
-    to.put("status", Status.DONE.word()).put("kind", kind.word()).put("name", name).put("out", out(kind, name)).put("halted", halted);
-    to.put("would_be", (p == null && !halted.isEmpty() ? Status.HALTED : no ? Status.REFUSED : Status.GRANTED).word());
+    to.put("status", Status.DONE.word())
+        .put("kind", kind.word())
+        .put("name", name)
+        .put("out", out(kind, name))
+        .put("halted", halted);
+    to.put(
+        "would_be",
+        (p == null && !halted.isEmpty() ? Status.HALTED : no ? Status.REFUSED : Status.GRANTED)
+            .word());
     if (p != null) {
       to.put("permit", p.id);
     }
     ArrayNode bs = to.putArray("bounds");
     for (Bound b : bounds) {
-      ObjectNode n = bs.addObject().put("bound", b.name()).put("of", b.size()).put("allowed", b.allowed()).put("full", b.full());
+      ObjectNode n =
+          bs.addObject()
+              .put("bound", b.name())
+              .put("of", b.size())
+              .put("allowed", b.allowed())
+              .put("full", b.full());
       b.others().forEach(n.putArray("others_out")::add);
     }
   }
 
-  /** A host's permit that ends is gone, and the host warms up, once nobody that lives goes by it any more. */
+  /**
+   * A host's permit that ends is gone, and the host warms up, once nobody that lives goes by it any
+   * more.
+   */
   private void settleHosts() {
     for (Permit p : List.copyOf(permits.values())) {
       if (p.of.kind() == Kind.HOST
@@ -530,7 +607,10 @@
     }
   }
 
-  /** Those that have not told that they go by a host's permit and have nothing in flight there; by name, with the reason. */
+  /**
+   * Those that have not told that they go by a host's permit and have nothing in flight there; by
+   * name, with the reason.
+   */
   public Map<String, String> awaited(String permit) {
     Map<String, String> out = new TreeMap<>();
     Permit p = permits.get(permit);
@@ -549,7 +629,10 @@
     return out;
   }
 
-  /** Whether what a permit takes out is out: the proxy serves no more, or all have acknowledged the host's. */
+  /**
+   * Whether what a permit takes out is out: the proxy serves no more, or all have acknowledged the
+   * host's.
+   */
   public boolean carriedOut(String permit) {
     Permit p = permits.get(permit);
     if (p == null || p.ending()) {
@@ -562,7 +645,9 @@
     return m == null || m.alive && !m.serving && m.seen >= p.since || m.left || m.fenced;
   }
 
-  /** What every member must know: the version, who is out by decision, and whether all is halted. */
+  /**
+   * What every member must know: the version, who is out by decision, and whether all is halted.
+   */
   public void view(ObjectNode to) {
     to.put("version", version).put("halted", !halted.isEmpty());
     ArrayNode hosts = to.putArray("hosts_out");
@@ -589,8 +674,14 @@
     ArrayNode ps = to.putArray("permits");
     for (Permit p : permits.values()) {
       ObjectNode n = ps.addObject();
-      n.put("id", p.id).put("kind", p.of.kind().word()).put("name", p.of.name()).put("who", p.who).put("why", p.why);
-      n.put("for_ms", p.forMs).put("since", p.since).put("state", p.ending() ? "ending" : carriedOut(p.id) ? "out" : "granted");
+      n.put("id", p.id)
+          .put("kind", p.of.kind().word())
+          .put("name", p.of.name())
+          .put("who", p.who)
+          .put("why", p.why);
+      n.put("for_ms", p.forMs)
+          .put("since", p.since)
+          .put("state", p.ending() ? "ending" : carriedOut(p.id) ? "out" : "granted");
       if (p.ending()) {
         n.put("end_why", p.endWhy);
       }
@@ -600,44 +691,78 @@
     ArrayNode ms = to.putArray("proxies");
     for (Member m : members.values()) {
       ObjectNode n = ms.addObject();
-      n.put("name", m.name).put("zone", m.zone).put("version", m.version).put("session", m.alive).put("serving", m.serving).put("seen", m.seen);
+      n.put("name", m.name)
+          .put("zone", m.zone)
+          .put("version", m.version)
+          .put("session", m.alive)
+          .put("serving", m.serving)
+          .put("seen", m.seen);
       n.put("out", out(Kind.PROXY, m.name));
     }
     ArrayNode hs = to.putArray("hosts");
     for (Subject s : all(Kind.HOST)) {
-      hs.addObject().put("name", s.name()).put("zone", s.zone()).put("pod", s.pod()).put("pool", s.pool()).put("kind", s.type())
+      hs.addObject()
+          .put("name", s.name())
+          .put("zone", s.zone())
+          .put("pod", s.pod())
+          .put("pool", s.pool())
+          .put("kind", s.type())
           .put("out", out(Kind.HOST, s.name()));
     }
   }
 
   // --- snapshots
 
-  /** The whole state; {@link #restore} of it gives the same state, and so the same outcomes from there on. */
+  /**
+   * The whole state; {@link #restore} of it gives the same state, and so the same outcomes from
+   * there on.
+   */
   public void snapshot(ObjectNode to) {
-    to.put("version", version).put("change", change).put("next_permit", nextPermit).put("budgets_version", budgetsVersion).put("halted", halted);
-    to.put("settle_ms", times.settleMs()).put("warm_ms", times.warmMs()).put("fence_ms", times.fenceMs());
+    to.put("version", version)
+        .put("change", change)
+        .put("next_permit", nextPermit)
+        .put("budgets_version", budgetsVersion)
+        .put("halted", halted);
+    to.put("settle_ms", times.settleMs())
+        .put("warm_ms", times.warmMs())
+        .put("fence_ms", times.fenceMs());
     ArrayNode bs = to.putArray("budgets");
     budgets.forEach(b -> b.write(bs.addObject()));
     ArrayNode ps = to.putArray("permits");
     for (Permit p : permits.values()) {
       ObjectNode n = ps.addObject();
       write(p.of, n.putObject("of"));
-      n.put("id", p.id).put("who", p.who).put("why", p.why).put("for_ms", p.forMs).put("since", p.since);
+      n.put("id", p.id)
+          .put("who", p.who)
+          .put("why", p.why)
+          .put("for_ms", p.forMs)
+          .put("since", p.since);
       n.put("end_since", p.endSince).put("end_why", p.endWhy).put("leaving", p.leaving);
     }
     ArrayNode ms = to.putArray("members");
     for (Member m : members.values()) {
       ObjectNode n = ms.addObject();
-      n.put("name", m.name).put("zone", m.zone).put("version", m.version).put("joined", m.joined).put("alive", m.alive).put("left", m.left).put("fenced", m.fenced);
-      n.put("serving", m.serving).put("seen", m.seen).put("said", m.said).put("settling", m.settling).put("catalogue", m.catalogue);
+      n.put("name", m.name)
+          .put("zone", m.zone)
+          .put("version", m.version)
+          .put("joined", m.joined)
+          .put("alive", m.alive)
+          .put("left", m.left)
+          .put("fenced", m.fenced);
+      n.put("serving", m.serving)
+          .put("seen", m.seen)
+          .put("said", m.said)
+          .put("settling", m.settling)
+          .put("catalogue", m.catalogue);
       m.busy.forEach(n.putArray("busy")::add);
       m.suspects.forEach(n.putArray("suspects")::add);
     }
     ObjectNode cs = to.putObject("catalogues");
-    catalogues.forEach((digest, hosts) -> {
-      ArrayNode a = cs.putArray(digest);
-      hosts.forEach(s -> write(s, a.addObject()));
-    });
+    catalogues.forEach(
+        (digest, hosts) -> {
+          ArrayNode a = cs.putArray(digest);
+          hosts.forEach(s -> write(s, a.addObject()));
+        });
     ObjectNode ws = to.putObject("warming");
     warming.forEach(ws::put);
   }
@@ -649,15 +774,21 @@
     nextPermit = n.path("next_permit").asLong(1);
     budgetsVersion = n.path("budgets_version").asLong();
     halted = n.path("halted").asText("");
-    times = new Times(n.path("settle_ms").asLong(), n.path("warm_ms").asLong(), n.path("fence_ms").asLong());
+    times =
+        new Times(
+            n.path("settle_ms").asLong(), n.path("warm_ms").asLong(), n.path("fence_ms").asLong());
     budgets.clear();
     n.path("budgets").forEach(b -> budgets.add(Budget.read(b, new ArrayList<>())));
     permits.clear();
     for (JsonNode p : n.path("permits")) {
       Permit x =
           new Permit(
-              p.path("id").asText(), subject(p.path("of")), p.path("who").asText(), p.path("why").asText(),
-              p.path("for_ms").asLong(), p.path("since").asLong());
+              p.path("id").asText(),
+              subject(p.path("of")),
+              p.path("who").asText(),
+              p.path("why").asText(),
+              p.path("for_ms").asLong(),
+              p.path("since").asLong());
       x.endSince = p.path("end_since").asLong();
       x.endWhy = p.path("end_why").asText();
       x.leaving = p.path("leaving").asBoolean();
@@ -682,7 +813,9 @@
       members.put(m.name, m);
     }
     catalogues.clear();
-    n.path("catalogues").properties().forEach(e -> catalogues.put(e.getKey(), subjects(e.getValue())));
+    n.path("catalogues")
+        .properties()
+        .forEach(e -> catalogues.put(e.getKey(), subjects(e.getValue())));
     warming.clear();
     n.path("warming").properties().forEach(e -> warming.put(e.getKey(), e.getValue().asLong()));
   }
@@ -697,12 +830,21 @@
   private static Subject subject(JsonNode n) {
     Kind kind = Kind.of(n.path("what").asText("host"));
     return new Subject(
-        kind == null ? Kind.HOST : kind, n.path("name").asText(), n.path("zone").asText(Subject.NONE), n.path("pod").asText(Subject.NONE),
-        n.path("pool").asText(Subject.NONE), n.path("kind").asText(Subject.NONE));
+        kind == null ? Kind.HOST : kind,
+        n.path("name").asText(),
+        n.path("zone").asText(Subject.NONE),
+        n.path("pod").asText(Subject.NONE),
+        n.path("pool").asText(Subject.NONE),
+        n.path("kind").asText(Subject.NONE));
   }
 
   /** A subject as lists of the log hold it. */
   public static void write(Subject s, ObjectNode to) {
-    to.put("what", s.kind().word()).put("name", s.name()).put("zone", s.zone()).put("pod", s.pod()).put("pool", s.pool()).put("kind", s.type());
+    to.put("what", s.kind().word())
+        .put("name", s.name())
+        .put("zone", s.zone())
+        .put("pod", s.pod())
+        .put("pool", s.pool())
+        .put("kind", s.type());
   }
 }
--- a/src/main/java/corkproxy/disruption/MemberView.java
+++ b/src/main/java/corkproxy/disruption/MemberView.java
@@ -6,13 +6,13 @@
 import java.util.TreeSet;
 
 /**
- * What one client proxy goes by: the newest view of the ledger that it has, and what follows for itself. Times are
- * passed in (ns, monotonic).
+ * What one client proxy goes by: the newest view of the ledger that it has, and what follows for
+ * itself. Times are passed in (ns, monotonic).
  *
- * <p>News narrow at once and whoever brings them; one thing needs a lease that holds at that moment: to go out of
- * service itself. Guards against a process that was stopped, wakes up with an old grant in its socket, and goes out
- * when its place has long been given to somebody else. Coming back needs nobody's leave: while it was away, it counted
- * as out.
+ * <p>News narrow at once and whoever brings them; one thing needs a lease that holds at that
+ * moment: to go out of service itself. Guards against a process that was stopped, wakes up with an
+ * old grant in its socket, and goes out when its place has long been given to somebody else. Coming
+ * back needs nobody's leave: while it was away, it counted as out.
  */
 public final class MemberView {
   private final String name;
@@ -28,7 +28,10 @@
     this.name = name;
   }
 
-  /** Takes news; older ones than those that it has change nothing. True if anything is different now. */
+  /**
+   * Takes news; older ones than those that it has change nothing. True if anything is different
+   * now.
+   */
   public boolean take(JsonNode view, boolean leaseHolds, long now) {
     long v = view.path("version").asLong(-1);
     if (v < version) {
@@ -59,7 +62,10 @@
     return changed;
   }
 
-  /** Takes what waited for a lease that holds; comes back where the time of its permit is over by its own clock. */
+  /**
+   * Takes what waited for a lease that holds; comes back where the time of its permit is over by
+   * its own clock.
+   */
   public boolean look(boolean leaseHolds, long now) {
     if (held != null && leaseHolds) {
       return take(held, true, now);
--- a/src/main/java/corkproxy/disruption/Permit.java
+++ b/src/main/java/corkproxy/disruption/Permit.java
@@ -7,8 +7,8 @@
  *   granted --(undo, its time)--> ending --(holder: "I serve again"; host: all have heard)--> gone
  * </pre>
  *
- * <p>A permit that is ending still counts: guards against a holder that hears of the grant only after somebody
- * else has been given the place.
+ * <p>A permit that is ending still counts: guards against a holder that hears of the grant only
+ * after somebody else has been given the place.
  */
 final class Permit {
   final String id;
@@ -19,7 +19,10 @@
   /** How long it holds (ms), 0 for until it is given back. */
   final long forMs;
 
-  /** The version of the ledger in which it was granted, and in which it began to end, 0 while it has not. */
+  /**
+   * The version of the ledger in which it was granted, and in which it began to end, 0 while it has
+   * not.
+   */
   final long since;
 
   long endSince;
--- a/src/main/java/corkproxy/engine/AcceptBackoff.java
+++ b/src/main/java/corkproxy/engine/AcceptBackoff.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a listener accepting while accept(2) fails. It stands ahead of netty's own acceptor, which stops for a whole second at
- * each failure: longer than many requests have.
+ * Keeps a listener accepting while accept(2) fails. It stands ahead of netty's own acceptor, which
+ * stops for a whole second at each failure: longer than many requests have.
  *
  * <pre>
  *   accepts | fails | 5 ms | fails | 10 ms | ... 100 ms at most | accepts, and the next wait is 5 ms again
@@ -25,7 +25,10 @@
   private long nextWaitMs = FIRST_WAIT_MS;
   private long failures;
 
-  /** {@code log} gets a line now and then; {@code resumed} runs on the listener's loop each time that it accepts again. */
+  /**
+   * {@code log} gets a line now and then; {@code resumed} runs on the listener's loop each time
+   * that it accepts again.
+   */
   public AcceptBackoff(Consumer<String> log, Runnable resumed) {
     this.log = log;
     this.resumed = resumed;
--- a/src/main/java/corkproxy/engine/Addresses.java
+++ b/src/main/java/corkproxy/engine/Addresses.java
@@ -12,7 +12,8 @@
   /** An {@code IP:port}, or null if it is none; names are not looked up. */
   public static InetSocketAddress parse(String s) {
     int colon = s.lastIndexOf(':');
-    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
+    byte[] ip =
+        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
     if (ip == null) {
       return null;
     }
--- a/src/main/java/corkproxy/engine/Attempt.java
+++ b/src/main/java/corkproxy/engine/Attempt.java
@@ -11,8 +11,9 @@
  */
 public abstract class Attempt {
   /**
-   * An answer that has begun to go to its client, is not known to be a long one and of which nothing has come for so long (ms)
-   * does not go on past the request's time: that has to end within 0.5 s after it.
+   * An answer that has begun to go to its client, is not known to be a long one and of which
+   * nothing has come for so long (ms) does not go on past the request's time: that has to end
+   * within 0.5 s after it.
    */
   protected static final long STILL_MS = 400;
 
@@ -40,8 +41,8 @@
   }
 
   /**
-   * Starts it. When its first byte is to go out, no other of its request that may have run may have gone out {@code
-   * withinMs} ago or earlier.
+   * Starts it. When its first byte is to go out, no other of its request that may have run may have
+   * gone out {@code withinMs} ago or earlier.
    */
   final void start(double withinMs) {
     host.calls++;
@@ -58,7 +59,10 @@
     return wroteAt;
   }
 
-  /** Whether it may have run, or may yet: what has begun to go out may still go on, until it is over. */
+  /**
+   * Whether it may have run, or may yet: what has begun to go out may still go on, until it is
+   * over.
+   */
   final boolean mayRun() {
     return over ? ran : connection != null;
   }
@@ -136,7 +140,10 @@
     exchange.begun();
   }
 
-  /** Whether it has begun to go out, and its last byte has not: that may come much later, as its host takes it. */
+  /**
+   * Whether it has begun to go out, and its last byte has not: that may come much later, as its
+   * host takes it.
+   */
   final boolean unfinished() {
     return !over && connection != null && !connection.written();
   }
@@ -165,7 +172,10 @@
     return answering;
   }
 
-  /** The last byte of a request that came slowly has gone out: its time with the host counts from here. */
+  /**
+   * The last byte of a request that came slowly has gone out: its time with the host counts from
+   * here.
+   */
   protected final void sent() {
     sentAt = dispatcher.now();
   }
@@ -193,7 +203,10 @@
     finish(Result.CONNECT_FAILED);
   }
 
-  /** Whether it is still wanted, and may go to its host: asked when its connection is ready, the last moment. */
+  /**
+   * Whether it is still wanted, and may go to its host: asked when its connection is ready, the
+   * last moment.
+   */
   final boolean maySend() {
     return exchange.maySend(this);
   }
@@ -205,8 +218,7 @@
 
   /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
   final void timeUp() {
-    finish(
-        !mayHaveRun() ? Result.MOOT : waitsForClient() ? Result.CANCELLED : Result.TIMEOUT);
+    finish(!mayHaveRun() ? Result.MOOT : waitsForClient() ? Result.CANCELLED : Result.TIMEOUT);
   }
 
   final void cancel() {
--- a/src/main/java/corkproxy/engine/BackgroundWriter.java
+++ b/src/main/java/corkproxy/engine/BackgroundWriter.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes text to a stream on a thread of its own, so that a reader of the stream who stops holds up nobody else. A bounded
- * queue stands between: what finds it full is dropped, and counted in the text that follows.
+ * Writes text to a stream on a thread of its own, so that a reader of the stream who stops holds up
+ * nobody else. A bounded queue stands between: what finds it full is dropped, and counted in the
+ * text that follows.
  */
 public final class BackgroundWriter {
   private static final int QUEUED_TEXTS = 256;
@@ -54,7 +55,13 @@
       while (true) {
         String text = queue.take();
         long lost = dropped.getAndSet(0);
-        out.print(lost == 0 ? text : text + "corkproxy: " + lost + " texts of the log were dropped: nobody reads it\n");
+        out.print(
+            lost == 0
+                ? text
+                : text
+                    + "corkproxy: "
+                    + lost
+                    + " texts of the log were dropped: nobody reads it\n");
         out.flush();
         written++;
       }
--- a/src/main/java/corkproxy/engine/Body.java
+++ b/src/main/java/corkproxy/engine/Body.java
@@ -20,7 +20,9 @@
   private long size;
   private boolean partial;
 
-  /** {@code expected} is the length that was announced, or -1; {@code partial} marks a request's. */
+  /**
+   * {@code expected} is the length that was announced, or -1; {@code partial} marks a request's.
+   */
   Body(BodyBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
     this.budget = budget;
     this.allocator = allocator;
--- a/src/main/java/corkproxy/engine/BodyBudget.java
+++ b/src/main/java/corkproxy/engine/BodyBudget.java
@@ -64,7 +64,10 @@
     return used >= limitFor(size);
   }
 
-  /** Whether there is so much room that a body may grow to this size and be held, though it could stream. */
+  /**
+   * Whether there is so much room that a body may grow to this size and be held, though it could
+   * stream.
+   */
   public boolean ample(long size) {
     return size <= AMPLE && used < AMPLE_PART * limit;
   }
--- a/src/main/java/corkproxy/engine/Call.java
+++ b/src/main/java/corkproxy/engine/Call.java
@@ -15,9 +15,9 @@
   }
 
   /**
-   * Whether every byte of the request that has come is still held, so that another attempt can be sent.
-   * A request that streams loses that with the first byte past its replay bound; the engine then gives
-   * what the module still asks for back as known not to have run.
+   * Whether every byte of the request that has come is still held, so that another attempt can be
+   * sent. A request that streams loses that with the first byte past its replay bound; the engine
+   * then gives what the module still asks for back as known not to have run.
    */
   default boolean replayable() {
     return true;
@@ -29,16 +29,17 @@
   }
 
   /**
-   * Whether its client has left, though that has not been read yet: asks the socket itself. Asked ahead of a send that was
-   * waited for, and costs as much as a read; where the socket can't tell without harm it is false.
+   * Whether its client has left, though that has not been read yet: asks the socket itself. Asked
+   * ahead of a send that was waited for, and costs as much as a read; where the socket can't tell
+   * without harm it is false.
    */
   default boolean abandoned() {
     return false;
   }
 
   /**
-   * Whether an answer that has begun to go to the client is in time, however long the rest of it takes;
-   * otherwise all of it has to come within the request's time.
+   * Whether an answer that has begun to go to the client is in time, however long the rest of it
+   * takes; otherwise all of it has to come within the request's time.
    */
   default boolean timedToFirstByte() {
     return false;
--- a/src/main/java/corkproxy/engine/ConnectFailure.java
+++ b/src/main/java/corkproxy/engine/ConnectFailure.java
@@ -13,9 +13,10 @@
   private ConnectFailure() {}
 
   /**
-   * Whether it was for want of something of this machine's (ports, buffers, a network): EADDRNOTAVAIL is a {@link BindException}
-   * to the JDK, ENETUNREACH and ENOBUFS are plain. Guards against a server that pays for it; one that refuses, resets or can't be
-   * reached had its part in it.
+   * Whether it was for want of something of this machine's (ports, buffers, a network):
+   * EADDRNOTAVAIL is a {@link BindException} to the JDK, ENETUNREACH and ENOBUFS are plain. Guards
+   * against a server that pays for it; one that refuses, resets or can't be reached had its part in
+   * it.
    */
   static boolean isLocal(Throwable cause) {
     boolean aboutServer =
--- a/src/main/java/corkproxy/engine/ConnectionLimits.java
+++ b/src/main/java/corkproxy/engine/ConnectionLimits.java
@@ -14,10 +14,11 @@
  * hosts, which accept so many from all of their clients, against a process that opens one for
  * whatever is in flight.
  *
- * <p>A count is taken before a connection is begun and given back when it has been closed, so the bound
- * holds at each moment. Where it is reached, an attempt waits in its worker ({@link Upstreams}); a
- * connection that another worker keeps idle is asked for, and one that ends passes its place on to the
- * workers in the order in which they asked. No lock; safe for use by many threads.
+ * <p>A count is taken before a connection is begun and given back when it has been closed, so the
+ * bound holds at each moment. Where it is reached, an attempt waits in its worker ({@link
+ * Upstreams}); a connection that another worker keeps idle is asked for, and one that ends passes
+ * its place on to the workers in the order in which they asked. No lock; safe for use by many
+ * threads.
  *
  * <pre>
  *   worker A   take ... carry ... idle ---- yields: close, give back -+
@@ -125,7 +126,10 @@
     return byHost.computeIfAbsent(host, h -> new Places());
   }
 
-  /** Forgets hosts that are no longer listed and have no connection; guards against a list that churns. */
+  /**
+   * Forgets hosts that are no longer listed and have no connection; guards against a list that
+   * churns.
+   */
   public void keep(Collection<InetSocketAddress> listed) {
     byHost
         .entrySet()
--- a/src/main/java/corkproxy/engine/Dispatcher.java
+++ b/src/main/java/corkproxy/engine/Dispatcher.java
@@ -24,9 +24,9 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the module on the event loop: hands it one event at a time, in the order in which they
- * came, and carries out what it asks for. What an action brings about at once waits in a queue
- * until the module has returned.
+ * Runs the module on the event loop: hands it one event at a time, in the order in which they came,
+ * and carries out what it asks for. What an action brings about at once waits in a queue until the
+ * module has returned.
  */
 public final class Dispatcher implements Actions {
   /** The module's clock begins here, so that a host that started before this process has a time. */
@@ -59,7 +59,9 @@
   /** Null where nobody counts, and so in the platform's process. */
   private Tally tally;
 
-  /** A pool of hosts on this loop, with a module of its own that is seeded so; it may have no name. */
+  /**
+   * A pool of hosts on this loop, with a module of its own that is seeded so; it may have no name.
+   */
   public Dispatcher(
       String name,
       EventLoop loop,
@@ -101,8 +103,8 @@
   }
 
   /**
-   * Lets this pool share with the other proxies of its tier which hosts are silent; what it has for all of them goes to
-   * {@code tell}. To be called before {@link #start}.
+   * Lets this pool share with the other proxies of its tier which hosts are silent; what it has for
+   * all of them goes to {@code tell}. To be called before {@link #start}.
    */
   public void join(long seed, Consumer<byte[]> tell) {
     suspicions =
@@ -133,7 +135,8 @@
 
               @Override
               public void later(double delay) {
-                loop.schedule(() -> suspicions.due(now()), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                    () -> suspicions.due(now()), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
               }
             });
   }
@@ -214,7 +217,6 @@
     return exchanges.size();
   }
 
-
   // --- events
 
   /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
@@ -233,8 +235,10 @@
       change.cut().forEach(h -> suspicions.forget(h.id));
       suspicions.members(kind, entries);
     }
-    // Guards against a send to a host that drains or has moved while its connection comes up. All are taken back before the
-    // first goes on: it may go to a host that is new in this list, and is not to be taken back from there.
+    // Guards against a send to a host that drains or has moved while its connection comes up. All
+    // are taken back before the
+    // first goes on: it may go to a host that is new in this list, and is not to be taken back from
+    // there.
     List<Attempt> unsent = new ArrayList<>();
     for (Host h : change.cut()) {
       ejected.remove(h.name);
@@ -269,7 +273,8 @@
    */
   public void take(Call call, Arrival arrival, Fallback fallback) {
     long id = nextId++;
-    Exchange e = new Exchange(id, this, call, arrival.className(), now() + arrival.budget(), fallback);
+    Exchange e =
+        new Exchange(id, this, call, arrival.className(), now() + arrival.budget(), fallback);
     exchanges.put(id, e);
     Arrival numbered =
         new Arrival(
@@ -294,11 +299,16 @@
     if (FAILURES.contains(result) && log.details()) {
       log.detail(
           "attempt",
-          "outcome", word(result),
-          "server", a.host.name,
-          "attempt", number + 1,
-          "ms", Math.round(spent),
-          "id", e.requestId());
+          "outcome",
+          word(result),
+          "server",
+          a.host.name,
+          "attempt",
+          number + 1,
+          "ms",
+          Math.round(spent),
+          "id",
+          e.requestId());
     }
     deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
   }
--- a/src/main/java/corkproxy/engine/Exchange.java
+++ b/src/main/java/corkproxy/engine/Exchange.java
@@ -33,7 +33,13 @@
   private boolean tallied;
 
   /** {@code deadlineAt} is on the dispatcher's clock. */
-  Exchange(long id, Dispatcher dispatcher, Call call, String className, double deadlineAt, Fallback fallback) {
+  Exchange(
+      long id,
+      Dispatcher dispatcher,
+      Call call,
+      String className,
+      double deadlineAt,
+      Fallback fallback) {
     this.id = id;
     this.className = className;
     this.dispatcher = dispatcher;
@@ -49,7 +55,9 @@
     return dispatcher;
   }
 
-  /** The request has come whole, and its time counts from now on; it must have had more until then. */
+  /**
+   * The request has come whole, and its time counts from now on; it must have had more until then.
+   */
   public void timed(double budget) {
     deadlineAt = dispatcher.now() + budget;
     later(budget, this::timeUp);
@@ -108,7 +116,8 @@
 
   void cancel(int number) {
     if (!answered && call.comes()) {
-      // Guards against a host that is called silent while it waits for the rest of the request itself.
+      // Guards against a host that is called silent while it waits for the rest of the request
+      // itself.
       return;
     }
     attempts.get(number).cancel();
@@ -118,7 +127,9 @@
     open--;
     mayHaveRun |= !result.neverRan();
     if (answered && !result.neverRan() && result != Result.CANCELLED) {
-      tally(result == Result.OK); // its answer is the one that the client has had, or has had a part of
+      tally(
+          result
+              == Result.OK); // its answer is the one that the client has had, or has had a part of
     }
     dispatcher.outcome(this, a, result, spent, answered && !answering(), report);
     forgetIfDone();
@@ -206,8 +217,10 @@
     answered = true;
     tallied |= !began;
     dispatcher.clientGone(this);
-    // What is out without an answer is the module's to call off, where the deployment lets it. One whose
-    // answer streams, or whose request has failed on its client's side, has nobody to go to; one whose request
+    // What is out without an answer is the module's to call off, where the deployment lets it. One
+    // whose
+    // answer streams, or whose request has failed on its client's side, has nobody to go to; one
+    // whose request
     // never comes whole would wait at its host for the rest.
     for (int i = 0; (began || call.comes()) && i < attempts.size(); i++) {
       if (attempts.get(i).open()) {
@@ -217,7 +230,10 @@
     forgetIfDone();
   }
 
-  /** The client's side of the request broke: fails it, unless it is answered, and ends what is out for it. */
+  /**
+   * The client's side of the request broke: fails it, unless it is answered, and ends what is out
+   * for it.
+   */
   public void abandon() {
     fail();
     clientGone();
@@ -229,7 +245,8 @@
       if (a.open() && !(a.answering() && call.timedToFirstByte() && a.goesOn())) {
         a.timeUp();
       } else if (a.open()) {
-        // Not one of the timers that are kept: a long answer would add one to them each time. Harmless once it is over.
+        // Not one of the timers that are kept: a long answer would add one to them each time.
+        // Harmless once it is over.
         dispatcher.loop().schedule(this::timeUp, Attempt.STILL_MS, TimeUnit.MILLISECONDS);
       }
     }
@@ -239,13 +256,17 @@
     }
   }
 
-  /** Whether bytes of the attempt may go out now. What was true at the decision may not be when its connection is up. */
+  /**
+   * Whether bytes of the attempt may go out now. What was true at the decision may not be when its
+   * connection is up.
+   */
   boolean maySend(Attempt a) {
     double now = dispatcher.now();
     if (answered || !a.host.sendable || now >= deadlineAt) {
       return false;
     }
-    // Guards rule 2: the window was judged when the wait began, and what was sent meanwhile was not judged at all.
+    // Guards rule 2: the window was judged when the wait began, and what was sent meanwhile was not
+    // judged at all.
     for (int i = 0; i < attempts.size(); i++) {
       Attempt other = attempts.get(i);
       if (other != a && other.mayRun() && now - other.wroteAt() >= a.apart()) {
@@ -261,8 +282,9 @@
   }
 
   /**
-   * One more attempt has begun to go out. Guards rule 2: a host counts an attempt from its last byte, and that one, too, has to
-   * be out while the class may be repeated after each other attempt that may run.
+   * One more attempt has begun to go out. Guards rule 2: a host counts an attempt from its last
+   * byte, and that one, too, has to be out while the class may be repeated after each other attempt
+   * that may run.
    */
   void begun() {
     for (int i = 0; attempts.size() > 1 && i < attempts.size(); i++) {
@@ -273,7 +295,10 @@
       double left = deadlineAt - dispatcher.now();
       for (int k = 0; k < attempts.size(); k++) {
         Attempt other = attempts.get(k);
-        left = k != i && other.mayRun() ? Math.min(left, other.wroteAt() + a.apart() - dispatcher.now()) : left;
+        left =
+            k != i && other.mayRun()
+                ? Math.min(left, other.wroteAt() + a.apart() - dispatcher.now())
+                : left;
       }
       later(
           left,
@@ -286,8 +311,9 @@
   }
 
   /**
-   * Ends what is out for nobody and of which the last byte is not: it never ran. Guards rule 1 where the module may not
-   * cancel, and so does not: a connection that comes up late would carry it on after its end.
+   * Ends what is out for nobody and of which the last byte is not: it never ran. Guards rule 1
+   * where the module may not cancel, and so does not: a connection that comes up late would carry
+   * it on after its end.
    */
   private void withdrawUnsent() {
     for (int i = 0; i < attempts.size(); i++) {
--- a/src/main/java/corkproxy/engine/Hearing.java
+++ b/src/main/java/corkproxy/engine/Hearing.java
@@ -9,8 +9,8 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Until when a loop has read all that came to its sockets. What a loop reads late, since it was busy, cold or
- * stopped, is no time of a server's or a client's; this tells the two apart.
+ * Until when a loop has read all that came to its sockets. What a loop reads late, since it was
+ * busy, cold or stopped, is no time of a server's or a client's; this tells the two apart.
  *
  * <pre>
  *   turn k-1   poll |--- reads ---|--- tasks ---|
@@ -18,16 +18,18 @@
  *   until                           (poll k-1)  . . . . (poll k-1)  (poll k)
  * </pre>
  *
- * While turn k reads, what it reads came after the poll of turn k-1 at the earliest, so that is what can be
- * sworn to; once it has read all, the poll of turn k is. A poll that waited was ended by what it found, which
- * has come just then, unless it returned later than it was asked to: then the process had no core, and the
- * time asked for is what counts. Error: where a poll is stopped in the middle and ends before that time, the
- * stop is taken for the peers'. Cost: two readings of the clock a turn.
+ * While turn k reads, what it reads came after the poll of turn k-1 at the earliest, so that is
+ * what can be sworn to; once it has read all, the poll of turn k is. A poll that waited was ended
+ * by what it found, which has come just then, unless it returned later than it was asked to: then
+ * the process had no core, and the time asked for is what counts. Error: where a poll is stopped in
+ * the middle and ends before that time, the stop is taken for the peers'. Cost: two readings of the
+ * clock a turn.
  */
 public final class Hearing implements IoHandler, IoHandlerContext {
   /**
-   * A poll that returned as fast as this (ns), or in less than half of the time of the work before it, is taken
-   * to have found what came meanwhile: cold code and a lost core make it look as if it had waited.
+   * A poll that returned as fast as this (ns), or in less than half of the time of the work before
+   * it, is taken to have found what came meanwhile: cold code and a lost core make it look as if it
+   * had waited.
    */
   private static final long AT_ONCE_NANOS = 1_000_000;
 
--- a/src/main/java/corkproxy/engine/Host.java
+++ b/src/main/java/corkproxy/engine/Host.java
@@ -21,7 +21,10 @@
   boolean sendable;
   boolean listed;
 
-  /** Where it stands: what was judged by a group of hosts may not go to it once it belongs to another. */
+  /**
+   * Where it stands: what was judged by a group of hosts may not go to it once it belongs to
+   * another.
+   */
   String zone = "";
 
   long cell;
@@ -29,7 +32,10 @@
   /** When its process started, as discovery tells: connections to an earlier one are dead. */
   double started;
 
-  /** The same in Unix time (ms) by the discovery's clock: what tells one start of its process from another. */
+  /**
+   * The same in Unix time (ms) by the discovery's clock: what tells one start of its process from
+   * another.
+   */
   double startedUnixMs;
 
   /** Connections that carry nothing and may carry again, the longest idle first. */
--- a/src/main/java/corkproxy/engine/Hosts.java
+++ b/src/main/java/corkproxy/engine/Hosts.java
@@ -13,8 +13,10 @@
 
 /** The hosts that discovery has named, and the numbers by which the module knows them. */
 public final class Hosts {
-  /** A host as a list names it; {@code startedUnixMs} 0 is long ago, {@code address} may be null
-   * where it gets no work. */
+  /**
+   * A host as a list names it; {@code startedUnixMs} 0 is long ago, {@code address} may be null
+   * where it gets no work.
+   */
   public record Member(
       String name,
       InetSocketAddress address,
@@ -28,7 +30,9 @@
   /** One list, or changes to it, checked whole before anything of it is applied. */
   public record News(long version, boolean full, List<Member> members) {}
 
-  /** What a list changed: the entries for the module, the hosts that may get nothing as they were. */
+  /**
+   * What a list changed: the entries for the module, the hosts that may get nothing as they were.
+   */
   record Change(List<HostEntry> entries, Set<Host> cut) {}
 
   private final Map<String, Host> byName = new HashMap<>();
@@ -99,7 +103,9 @@
     return new Change(entries, cut);
   }
 
-  /** The instant of a start never moves once it has been told, whatever becomes of the wall clock. */
+  /**
+   * The instant of a start never moves once it has been told, whatever becomes of the wall clock.
+   */
   private double started(Host host, double startedUnixMs, double now) {
     if (startedUnixMs <= 0) {
       return 0;
@@ -112,7 +118,9 @@
     clock.upToDate(now);
   }
 
-  /** Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed. */
+  /**
+   * Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed.
+   */
   void forgetGone() {
     byId.values().removeIf(h -> !h.listed && h.calls == 0 && byName.remove(h.name) != null);
   }
--- a/src/main/java/corkproxy/engine/LineLog.java
+++ b/src/main/java/corkproxy/engine/LineLog.java
@@ -15,7 +15,10 @@
   private int written;
   private long dropped;
 
-  /** Whoever logs waits for the stream. {@code details} tells whether requests and attempts have lines. */
+  /**
+   * Whoever logs waits for the stream. {@code details} tells whether requests and attempts have
+   * lines.
+   */
   public LineLog(PrintStream out, boolean details) {
     this(out::print, details);
   }
--- a/src/main/java/corkproxy/engine/Log.java
+++ b/src/main/java/corkproxy/engine/Log.java
@@ -2,7 +2,8 @@
 
 /**
  * What the people on call are told. Every kind is bounded a second, and what is past the bound is
- * counted. Safe for use by many threads. Whether it waits for whoever reads it, each kind of log tells.
+ * counted. Safe for use by many threads. Whether it waits for whoever reads it, each kind of log
+ * tells.
  *
  * <p>Fields come as names and values in turn; one whose value is null is left out.
  */
--- a/src/main/java/corkproxy/engine/NativeTransport.java
+++ b/src/main/java/corkproxy/engine/NativeTransport.java
@@ -35,8 +35,8 @@
     }
   },
   /**
-   * A read is always out on each socket, so {@link #quiet} sees that a connection has ended, not the
-   * bytes that the kernel has already taken for that read.
+   * A read is always out on each socket, so {@link #quiet} sees that a connection has ended, not
+   * the bytes that the kernel has already taken for that read.
    */
   IO_URING {
     @Override
@@ -55,7 +55,10 @@
     }
   };
 
-  /** The states of a connection whose other side has reset it, and has ended it (linux/tcp.h, tcp_info). */
+  /**
+   * The states of a connection whose other side has reset it, and has ended it (linux/tcp.h,
+   * tcp_info).
+   */
   private static final int CLOSED = 7;
 
   private static final int CLOSE_WAIT = 8;
