--- a/src/main/java/corkproxy/engine/NioTransport.java
+++ b/src/main/java/corkproxy/engine/NioTransport.java
@@ -14,7 +14,10 @@
   public static final class Connection extends RetryingSocketChannel {
     private static final int BEHIND_CHUNK = 16 * 1024;
 
-    /** What is looked through at most for the end of who sends without end: a look must not cost the loop its time. */
+    /**
+     * What is looked through at most for the end of who sends without end: a look must not cost the
+     * loop its time.
+     */
     private static final int BEHIND_BYTES = 2 * BEHIND_CHUNK;
 
     private final ByteBuffer one = ByteBuffer.allocate(1);
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Guards against a write to a pooled connection that the host has closed, whose end waits in the
-     * kernel for the loop's next turn: the request would count as one that may have run.
+     * Guards against a write to a pooled connection that the host has closed, whose end waits in
+     * the kernel for the loop's next turn: the request would count as one that may have run.
      */
     boolean quiet() {
       try {
--- a/src/main/java/corkproxy/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/corkproxy/engine/RetryingServerSocketChannel.java
@@ -8,9 +8,10 @@
 import java.util.List;
 
 /**
- * A listening socket of the JDK's on which a failed accept(2) costs one connection at most. Linux reports there what befell
- * the connection that was next (ECONNABORTED, EPROTO, ENETDOWN ...), and shortages of its own (EMFILE, ENFILE, ENOBUFS,
- * ENOMEM); neither says anything of those that stand behind it. A failure that lasts is thrown, for {@link AcceptBackoff}.
+ * A listening socket of the JDK's on which a failed accept(2) costs one connection at most. Linux
+ * reports there what befell the connection that was next (ECONNABORTED, EPROTO, ENETDOWN ...), and
+ * shortages of its own (EMFILE, ENFILE, ENOBUFS, ENOMEM); neither says anything of those that stand
+ * behind it. A failure that lasts is thrown, for {@link AcceptBackoff}.
  */
 public class RetryingServerSocketChannel extends NioServerSocketChannel {
   private static final int TRIES = 4;
--- a/src/main/java/corkproxy/engine/RetryingSocketChannel.java
+++ b/src/main/java/corkproxy/engine/RetryingSocketChannel.java
@@ -13,13 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection of the JDK's that outlives system calls which fail for the moment. read(2) and write(2) may be interrupted
- * (EINTR) or find the kernel short of memory or buffers (ENOMEM, ENOBUFS) while the connection itself is sound; netty closes
- * it for any of these, since the JDK tells an interrupted read by a negative count that is taken for the end of the stream.
+ * A connection of the JDK's that outlives system calls which fail for the moment. read(2) and
+ * write(2) may be interrupted (EINTR) or find the kernel short of memory or buffers (ENOMEM,
+ * ENOBUFS) while the connection itself is sound; netty closes it for any of these, since the JDK
+ * tells an interrupted read by a negative count that is taken for the end of the stream.
  *
- * <p>A failed call is made again. Linux hands an error of the connection itself out once (socket(7), SO_ERROR), and whoever
- * asks again learns that the connection has ended; then the first error stands. So a dead connection is not kept, and no end
- * that an error made is taken for an orderly one. A reset is known at once.
+ * <p>A failed call is made again. Linux hands an error of the connection itself out once
+ * (socket(7), SO_ERROR), and whoever asks again learns that the connection has ended; then the
+ * first error stands. So a dead connection is not kept, and no end that an error made is taken for
+ * an orderly one. A reset is known at once.
  */
 public class RetryingSocketChannel extends NioSocketChannel {
   /** What the JDK's channels return for an interrupted call, below -1 for the end of the stream. */
@@ -83,7 +85,10 @@
     return 0; // the socket is still readable, so the next poll tells of it
   }
 
-  /** Reads what can be read now, as {@link SocketChannel#read}; interrupted and failed calls are made again. */
+  /**
+   * Reads what can be read now, as {@link SocketChannel#read}; interrupted and failed calls are
+   * made again.
+   */
   protected final int readNow(ByteBuffer into) throws IOException {
     return retried(() -> javaChannel().read(into));
   }
@@ -102,7 +107,10 @@
         });
   }
 
-  /** poll(2), by which the JDK asks whether a connection is up, may be interrupted as well: netty takes that for a failure. */
+  /**
+   * poll(2), by which the JDK asks whether a connection is up, may be interrupted as well: netty
+   * takes that for a failure.
+   */
   @Override
   protected void doFinishConnect() throws Exception {
     for (int i = 0; i < CONNECT_TRIES; i++) {
@@ -147,7 +155,10 @@
     }
   }
 
-  /** EPIPE and ECONNRESET, for which the JDK has no type of their own in a write; in another language it takes longer. */
+  /**
+   * EPIPE and ECONNRESET, for which the JDK has no type of their own in a write; in another
+   * language it takes longer.
+   */
   private static boolean peerGone(IOException e) {
     String message = String.valueOf(e.getMessage());
     return message.startsWith("Broken pipe") || message.startsWith("Connection reset");
--- a/src/main/java/corkproxy/engine/ServerStartClock.java
+++ b/src/main/java/corkproxy/engine/ServerStartClock.java
@@ -3,12 +3,13 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Turns the Unix time at which a server started into an instant of the monotonic clock, once for each start, so that slow
- * start goes by it however the wall clock is stepped later.
+ * Turns the Unix time at which a server started into an instant of the monotonic clock, once for
+ * each start, so that slow start goes by it however the wall clock is stepped later.
  *
- * <p>The two clocks are {@code offset = Unix time - monotonic time} apart. Each start that is notified bounds the offset of the
- * discovery's clock: the server had started when it was notified, and not longer before than since the discovery had last
- * nothing newer to say, plus what a notice may be late.
+ * <p>The two clocks are {@code offset = Unix time - monotonic time} apart. Each start that is
+ * notified bounds the offset of the discovery's clock: the server had started when it was notified,
+ * and not longer before than since the discovery had last nothing newer to say, plus what a notice
+ * may be late.
  *
  * <pre>
  *   discovery says nothing newer      server starts      first notified at t
@@ -16,11 +17,15 @@
  *        started - t  &lt;=  offset  &lt;=  started - t + gap + LATEST_NOTICE_MS
  * </pre>
  *
- * Of the offsets that this machine's clock has shown, the least counts: it makes servers younger, so an error in it costs a
- * little service and never overloads a server that is warming up. In order, with a clock that is right, the bounds change nothing.
+ * Of the offsets that this machine's clock has shown, the least counts: it makes servers younger,
+ * so an error in it costs a little service and never overloads a server that is warming up. In
+ * order, with a clock that is right, the bounds change nothing.
  */
 final class ServerStartClock {
-  /** What discovery has to tell counts as told so long (ms) later at the latest, by the protocol page. */
+  /**
+   * What discovery has to tell counts as told so long (ms) later at the latest, by the protocol
+   * page.
+   */
   static final double LATEST_NOTICE_MS = 6_000;
 
   private final DoubleSupplier unixMs;
@@ -29,7 +34,9 @@
   private double upperBound = Double.POSITIVE_INFINITY;
   private double upToDateAt = Double.NEGATIVE_INFINITY;
 
-  /** {@code unixMs} is this machine's wall clock, {@code now} (ms) the monotonic one at the moment. */
+  /**
+   * {@code unixMs} is this machine's wall clock, {@code now} (ms) the monotonic one at the moment.
+   */
   ServerStartClock(DoubleSupplier unixMs, double now) {
     this.unixMs = unixMs;
     look(now);
@@ -44,7 +51,9 @@
     upToDateAt = now;
   }
 
-  /** When (ms, monotonic, at least 0) a server started of which this is first notified {@code now}. */
+  /**
+   * When (ms, monotonic, at least 0) a server started of which this is first notified {@code now}.
+   */
   double started(double startedUnixMs, double now) {
     look(now);
     double least = startedUnixMs - now;
--- a/src/main/java/corkproxy/engine/Signals.java
+++ b/src/main/java/corkproxy/engine/Signals.java
@@ -13,9 +13,9 @@
 
   /**
    * Runs {@code what}, on a thread of the JVM's, whenever SIGHUP comes. Guards against the default,
-   * by which the JVM ends. False where the platform has no such signal, or where whoever started this process had it
-   * ignored, as {@code nohup} does: the JVM then keeps it ignored, takes the handler without a word, and tells so only
-   * by what it says was in force before.
+   * by which the JVM ends. False where the platform has no such signal, or where whoever started
+   * this process had it ignored, as {@code nohup} does: the JVM then keeps it ignored, takes the
+   * handler without a word, and tells so only by what it says was in force before.
    */
   public static boolean onHangup(Runnable what) {
     try {
--- a/src/main/java/corkproxy/engine/SocketSlack.java
+++ b/src/main/java/corkproxy/engine/SocketSlack.java
@@ -1,8 +1,8 @@
 package corkproxy.engine;
 
 /**
- * By how much each time limit is longer on sockets than in the settings, by the protocol page: what crosses on its way may be
- * so late.
+ * By how much each time limit is longer on sockets than in the settings, by the protocol page: what
+ * crosses on its way may be so late.
  */
 public final class SocketSlack {
   /** In milliseconds. */
--- a/src/main/java/corkproxy/engine/Sockets.java
+++ b/src/main/java/corkproxy/engine/Sockets.java
@@ -5,9 +5,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The bound over all descriptors. Half of them are hosts' whenever they need them; clients have the other half,
- * and what hosts leave of their own, which they give back when a host's connection is to be opened: idle ones to hosts go
- * first, oldest first, then whichever client makes room most readily.
+ * The bound over all descriptors. Half of them are hosts' whenever they need them; clients have the
+ * other half, and what hosts leave of their own, which they give back when a host's connection is
+ * to be opened: idle ones to hosts go first, oldest first, then whichever client makes room most
+ * readily.
  *
  * <pre>
  *   |&lt;------- clients, at least -------&gt;|&lt;- lent -&gt;|&lt;- margin -&gt;|&lt;- open to hosts -&gt;|
@@ -20,7 +21,9 @@
     void closeIdle();
   }
 
-  /** Descriptors of the JVM itself, the listeners, discovery, operators and what is being closed. */
+  /**
+   * Descriptors of the JVM itself, the listeners, discovery, operators and what is being closed.
+   */
   private static final int RESERVED = 40;
 
   /** A process that goes short because of another keeps so many for each side all the same. */
@@ -54,7 +57,9 @@
     otherUpstreams = upstreamsThere;
   }
 
-  /** Who closes the client that makes room most readily, where there is one; false if there is none. */
+  /**
+   * Who closes the client that makes room most readily, where there is one; false if there is none.
+   */
   public void onWanted(BooleanSupplier closesClient) {
     yields = closesClient;
   }
--- a/src/main/java/corkproxy/engine/Tally.java
+++ b/src/main/java/corkproxy/engine/Tally.java
@@ -1,8 +1,9 @@
 package corkproxy.engine;
 
 /**
- * Counts what became of attempts and requests, by class; called on the pool's loop. Bad is what failed, was refused, or came later
- * than its class's aim. What a client gave up on, or what was called off, is neither.
+ * Counts what became of attempts and requests, by class; called on the pool's loop. Bad is what
+ * failed, was refused, or came later than its class's aim. What a client gave up on, or what was
+ * called off, is neither.
  */
 public interface Tally {
   /** An attempt has ended at that server. */
--- a/src/main/java/corkproxy/engine/Transport.java
+++ b/src/main/java/corkproxy/engine/Transport.java
@@ -16,13 +16,17 @@
   Class<? extends Channel> connection();
 
   /**
-   * Whether a client has ended its side of a connection, though that has not been read yet; asks the
-   * socket itself, on its loop. Only after a request has come whole: where the socket can't tell
-   * otherwise, a byte that came behind the request is lost, and the answer is {@link End#LOST_BYTE}.
+   * Whether a client has ended its side of a connection, though that has not been read yet; asks
+   * the socket itself, on its loop. Only after a request has come whole: where the socket can't
+   * tell otherwise, a byte that came behind the request is lost, and the answer is {@link
+   * End#LOST_BYTE}.
    */
   End end(Channel client);
 
-  /** The same where what still comes is of no account: it is thrown away, in bounds, to see whether its end stands behind it. */
+  /**
+   * The same where what still comes is of no account: it is thrown away, in bounds, to see whether
+   * its end stands behind it.
+   */
   default End endBehind(Channel client) {
     return end(client);
   }
@@ -43,9 +47,9 @@
   }
 
   /**
-   * Whether nothing has come and nothing has ended on a connection to a host; asks the socket itself
-   * and may be asked on the channel's loop only. What it reads to find out is lost, so false means that
-   * the connection is of no further use.
+   * Whether nothing has come and nothing has ended on a connection to a host; asks the socket
+   * itself and may be asked on the channel's loop only. What it reads to find out is lost, so false
+   * means that the connection is of no further use.
    */
   boolean quiet(Channel connection);
 }
--- a/src/main/java/corkproxy/engine/UpstreamConnection.java
+++ b/src/main/java/corkproxy/engine/UpstreamConnection.java
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Bytes came that belong to no answer. Only what comes while nothing is carried tells how late such bytes are: what stands
-   * behind a fault, in the same read, or is made up when the connection ends in an answer, tells nothing.
+   * Bytes came that belong to no answer. Only what comes while nothing is carried tells how late
+   * such bytes are: what stands behind a fault, in the same read, or is made up when the connection
+   * ends in an answer, tells nothing.
    */
   protected final void surplus() {
     if (!channel.isOpen()) {
--- a/src/main/java/corkproxy/engine/Upstreams.java
+++ b/src/main/java/corkproxy/engine/Upstreams.java
@@ -1,12 +1,12 @@
 package corkproxy.engine;
 
 import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.WriteBufferWaterMark;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -28,7 +28,8 @@
   private static final long DISCARD_NANOS = 500_000_000L;
 
   /** Small reads and marks bound what one connection holds in memory. */
-  public static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
+  public static final AdaptiveRecvByteBufAllocator READS =
+      new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
   public static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
 
@@ -51,7 +52,9 @@
   private PoolBounds bounds;
   private long refused;
 
-  /** The latest (ns) after an answer that surplus was seen, and when (ns); any host may send some. */
+  /**
+   * The latest (ns) after an answer that surplus was seen, and when (ns); any host may send some.
+   */
   private long surplusAfter;
 
   private long surplusAt;
@@ -250,14 +253,17 @@
   }
 
   /**
-   * How long (ns) a connection may stand idle and be used: by the settings, and by what was seen. Upkeep ends it then, but a
-   * request may come first, and the host's own end of it would be a reset under a request that may have run.
+   * How long (ns) a connection may stand idle and be used: by the settings, and by what was seen.
+   * Upkeep ends it then, but a request may come first, and the host's own end of it would be a
+   * reset under a request that may have run.
    */
   private long keepNanos(Host host, long now) {
     return Math.min((long) (IDLE_PART * bounds.idleMs() * 1e6), host.keepNanos(now));
   }
 
-  /** In one step a connection, where a look at each that rests would cost a busy host one a request. */
+  /**
+   * In one step a connection, where a look at each that rests would cost a busy host one a request.
+   */
   private void endRests(Host host, long now) {
     long rest = restNanos(host, now);
     UpstreamConnection c;
@@ -274,9 +280,10 @@
   }
 
   /**
-   * Bytes that belong to no answer came so long (ns) after one. Guards against a second answer that is later than the rest: on a
-   * connection in use again it would be taken for the next one's, and nothing in it says whose it is. Where it was late once,
-   * all connections rest for twice as long, SocketSlack at most.
+   * Bytes that belong to no answer came so long (ns) after one. Guards against a second answer that
+   * is later than the rest: on a connection in use again it would be taken for the next one's, and
+   * nothing in it says whose it is. Where it was late once, all connections rest for twice as long,
+   * SocketSlack at most.
    */
   void surplus(long after) {
     long now = System.nanoTime();
@@ -290,7 +297,8 @@
     ConnectionLimits.Places places = bounds.limits() == null ? null : places(host);
     ChannelFuture f = sockets.roomForUpstream() ? bootstrap.connect(host.address) : null;
     if (f == null || !f.channel().isRegistered()) {
-      // The bound is reached, or the system's. Guards against a host that pays for what is ours: it had no part in it.
+      // The bound is reached, or the system's. Guards against a host that pays for what is ours: it
+      // had no part in it.
       if (refused++ % REFUSALS_LOGGED == 0) {
         log.line("out of sockets: " + refused + " attempts had none");
       }
@@ -330,13 +338,19 @@
 
   private void connectFailed(Throwable cause) {
     if (refused++ % REFUSALS_LOGGED == 0) {
-      log.line("no connection to be had here: " + cause.getMessage() + ", " + refused + " attempts had none");
+      log.line(
+          "no connection to be had here: "
+              + cause.getMessage()
+              + ", "
+              + refused
+              + " attempts had none");
     }
   }
 
   /**
-   * Whether a call may go out now; if not, it ends here, known not to have run. Asked when it comes and when its wait is
-   * over. Guards against what has become of its request, its time, its host and its other attempts meanwhile.
+   * Whether a call may go out now; if not, it ends here, known not to have run. Asked when it comes
+   * and when its wait is over. Guards against what has become of its request, its time, its host
+   * and its other attempts meanwhile.
    */
   private static boolean due(Attempt call) {
     boolean due = call.maySend();
@@ -360,7 +374,8 @@
     discarding.remove(c);
     if (bounds.limits() != null) {
       ConnectionLimits.Places places = places(host);
-      // Guards against a worker that keeps every place of a host for itself, however long others wait.
+      // Guards against a worker that keeps every place of a host for itself, however long others
+      // wait.
       boolean turn = host.pending.isEmpty() || c.carried() % TURN == 0;
       if (places.over() || turn && places.wanted()) {
         c.channel().close();
--- a/src/main/java/corkproxy/fleet/Suspicion.java
+++ b/src/main/java/corkproxy/fleet/Suspicion.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * One message between proxies: a host has said nothing to the sender for so long, or has answered so long ago.
- * Fixed size, as a receiver pays for each byte.
+ * One message between proxies: a host has said nothing to the sender for so long, or has answered
+ * so long ago. Fixed size, as a receiver pays for each byte.
  *
  * <pre>
  *   0      1      2              10         12
@@ -13,7 +13,8 @@
  *
  * @param zone a byte that the senders of one zone share; 0 where there are no zones
  * @param host the number by which all proxies of the tier know the host
- * @param age how long ago (ms, at most {@link #MOST_AGE}) the unanswered request went out, or the answer came
+ * @param age how long ago (ms, at most {@link #MOST_AGE}) the unanswered request went out, or the
+ *     answer came
  * @param answers whether the host answers
  */
 public record Suspicion(byte zone, long host, int age, boolean answers) {
@@ -34,7 +35,12 @@
   /** The message as it travels. */
   public byte[] bytes() {
     int told = Math.max(0, Math.min(MOST_AGE, age)) | (answers ? ANSWERS : 0);
-    return ByteBuffer.allocate(BYTES).put(FORM).put(zone).putLong(host).putShort((short) told).array();
+    return ByteBuffer.allocate(BYTES)
+        .put(FORM)
+        .put(zone)
+        .putLong(host)
+        .putShort((short) told)
+        .array();
   }
 
   /** The message that these bytes are, or null where they are none. */
--- a/src/main/java/corkproxy/fleet/Suspicions.java
+++ b/src/main/java/corkproxy/fleet/Suspicions.java
@@ -10,11 +10,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Silent hosts, found by all proxies together: suspicion and refutation, as in SWIM (Das, Gupta, Motivala, 2002),
- * over the requests that are sent anyway in place of probes.
+ * Silent hosts, found by all proxies together: suspicion and refutation, as in SWIM (Das, Gupta,
+ * Motivala, 2002), over the requests that are sent anyway in place of probes.
  *
- * <p>Why: a proxy of many sends a host a request in six seconds, so each has to lose some before it leaves a silent
- * one out, and a hundred proxies lose a hundred times as much. Two that lost one each know enough for all.
+ * <p>Why: a proxy of many sends a host a request in six seconds, so each has to lose some before it
+ * leaves a silent one out, and a hundred proxies lose a hundred times as much. Two that lost one
+ * each know enough for all.
  *
  * <pre>
  *   A: request ---- no answer ---> tells "silent since t"
@@ -25,13 +26,14 @@
  *   the first whose trial is lost says so: the others wait on; the first that is answered says so: all come back
  * </pre>
  *
- * <p>What an answer refutes is a silence that began before it. So a lost answer, of a host that serves others, is
- * refuted within a quarter of an aim; a host that hangs is not. Who refutes waits for a chance part of that time and
- * stays still where another was faster. What a zone can reach is known to that zone alone: messages of others are
- * passed over.
+ * <p>What an answer refutes is a silence that began before it. So a lost answer, of a host that
+ * serves others, is refuted within a quarter of an aim; a host that hangs is not. Who refutes waits
+ * for a chance part of that time and stays still where another was faster. What a zone can reach is
+ * known to that zone alone: messages of others are passed over.
  *
- * <p>Bounds: a record for each host that is in the list; at most {@link #MOST_WITNESSES} witnesses in it; as many messages as
- * attempts, saved up to {@link #MOST_SAVED}. Not safe for use from several threads at once. Times are ms.
+ * <p>Bounds: a record for each host that is in the list; at most {@link #MOST_WITNESSES} witnesses
+ * in it; as many messages as attempts, saved up to {@link #MOST_SAVED}. Not safe for use from
+ * several threads at once. Times are ms.
  */
 public final class Suspicions {
   /** What it asks of its proxy; called from within the event methods. */
@@ -39,7 +41,10 @@
     /** Sends a message to every proxy of the tier. */
     void tell(byte[] message);
 
-    /** The host should get nothing for so long (ms), then a trial; {@code again} where it was left out before. */
+    /**
+     * The host should get nothing for so long (ms), then a trial; {@code again} where it was left
+     * out before.
+     */
     void leaveOut(long host, double length, boolean again);
 
     /** The host answers others: it may get requests again. */
@@ -61,12 +66,16 @@
   /** The time (in aims) over which those spread that could refute. */
   private static final double REFUTE_WITHIN = 0.25;
 
-  /** The most (in aims) that a host is left out on the word of others; the module's own longest time. */
+  /**
+   * The most (in aims) that a host is left out on the word of others; the module's own longest
+   * time.
+   */
   private static final double MOST_SPREAD = 20;
 
   /**
-   * How many proxies send to a host is known to none, so the time is found: lost trials that come within two aims of each
-   * other were too many, and everybody, having heard the same, waits longer; after four, less long.
+   * How many proxies send to a host is known to none, so the time is found: lost trials that come
+   * within two aims of each other were too many, and everybody, having heard the same, waits
+   * longer; after four, less long.
    */
   private static final double TRIALS_CLOSE = 2;
 
@@ -74,14 +83,19 @@
 
   /** It begins with one trial in two aims where one proxy in so many sends to a host. */
   private static final double FIRST_SPREAD = 10;
+
   private static final double SPREAD_STEP = 1.5;
 
-  /** The time (in aims) that two witnesses have to stand: refutations come within the above, and travel. */
+  /**
+   * The time (in aims) that two witnesses have to stand: refutations come within the above, and
+   * travel.
+   */
   private static final double DECIDE_AFTER = 0.35;
 
   /**
-   * Where answers get lost at chance, most of what a proxy says is refuted and paid for all the same: it says ever less
-   * of it, down to this part. Of a host that hangs, so many proxies lose requests that a part of them is enough.
+   * Where answers get lost at chance, most of what a proxy says is refuted and paid for all the
+   * same: it says ever less of it, down to this part. Of a host that hangs, so many proxies lose
+   * requests that a part of them is enough.
    */
   private static final double LEAST_SAID = 0.2;
 
@@ -139,7 +153,10 @@
     pace = aim;
   }
 
-  /** A list of hosts, or changes to one, as the module gets it. What is known of a host ends with its process. */
+  /**
+   * A list of hosts, or changes to one, as the module gets it. What is known of a host ends with
+   * its process.
+   */
   public void members(News kind, List<HostEntry> entries) {
     if (kind == News.FAILED) {
       return;
@@ -149,7 +166,9 @@
       if (e.condition() == HostEntry.Condition.READY) {
         ready.add(e.id());
         standings.compute(
-            e.id(), (id, s) -> s != null && s.onlineSince == e.onlineSince() ? s : new Standing(e.onlineSince()));
+            e.id(),
+            (id, s) ->
+                s != null && s.onlineSince == e.onlineSince() ? s : new Standing(e.onlineSince()));
       } else {
         standings.remove(e.id());
       }
@@ -159,7 +178,9 @@
     }
   }
 
-  /** The host is another than it was, for a reason that no list tells: what was known of it is void. */
+  /**
+   * The host is another than it was, for a reason that no list tells: what was known of it is void.
+   */
   public void forget(long host) {
     standings.remove(host);
   }
@@ -181,7 +202,10 @@
     alive(s, now);
   }
 
-  /** An own request to the host, sent at that time, got no answer, and nothing else came from there since. */
+  /**
+   * An own request to the host, sent at that time, got no answer, and nothing else came from there
+   * since.
+   */
   public void silent(double now, long host, double sentAt) {
     Standing s = standings.get(host);
     if (s == null || s.answeredAt >= sentAt || s.leftOut() && sentAt <= s.leftOutAt) {
@@ -262,7 +286,9 @@
     }
     if (s.leftOut() && since > s.leftOutAt) {
       leaveOut(s, host, now); // a trial was lost
-    } else if (!s.leftOut() && s.witnesses.size() >= ENOUGH && s.decideAt == Double.POSITIVE_INFINITY) {
+    } else if (!s.leftOut()
+        && s.witnesses.size() >= ENOUGH
+        && s.decideAt == Double.POSITIVE_INFINITY) {
       s.decideAt = now + DECIDE_AFTER * pace;
       actions.later(DECIDE_AFTER * pace);
     }
@@ -288,7 +314,9 @@
   private void tell(long host, double age, boolean answers) {
     if (saved >= 1) {
       saved--;
-      actions.tell(new Suspicion(zone, host, (int) Math.round(Math.min(Suspicion.MOST_AGE, age)), answers).bytes());
+      actions.tell(
+          new Suspicion(zone, host, (int) Math.round(Math.min(Suspicion.MOST_AGE, age)), answers)
+              .bytes());
     }
   }
 }
--- a/src/main/java/corkproxy/http/AnswerWriter.java
+++ b/src/main/java/corkproxy/http/AnswerWriter.java
@@ -116,7 +116,8 @@
 
   /** Whether an answer of this length, -1 for not told, can go on while it comes. */
   boolean canStream(long length) {
-    return length >= 0 || !client.oldVersion(); // to HTTP/1.0 the end of such a one can't be told from a cut
+    return length >= 0
+        || !client.oldVersion(); // to HTTP/1.0 the end of such a one can't be told from a cut
   }
 
   /** The head of an answer whose body goes on while it comes. */
@@ -144,7 +145,10 @@
     answered(channel.writeAndFlush(HttpCall.last(trailers)));
   }
 
-  /** It can't be finished: the connection ends without the mark of its end, so that the client can tell. */
+  /**
+   * It can't be finished: the connection ends without the mark of its end, so that the client can
+   * tell.
+   */
   void cut() {
     client.tell("cut", null);
     client.ended();
--- a/src/main/java/corkproxy/http/ClientConnection.java
+++ b/src/main/java/corkproxy/http/ClientConnection.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection of the application's, from its opening to its end: which request it is at, what was sent
- * ahead of an answer, when it has to go. {@link RequestIntake} reads requests, {@link AnswerWriter} writes
- * answers.
+ * A connection of the application's, from its opening to its end: which request it is at, what was
+ * sent ahead of an answer, when it has to go. {@link RequestIntake} reads requests, {@link
+ * AnswerWriter} writes answers.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
   /** Part of a request that came while another was open, and when (ns). */
@@ -61,7 +61,10 @@
   private boolean told;
   private long idleSince;
 
-  /** {@code letInAt} (ns) is the earliest at which it can have been let in: its client may have written since then. */
+  /**
+   * {@code letInAt} (ns) is the earliest at which it can have been let in: its client may have
+   * written since then.
+   */
   ClientConnection(Front front, SocketChannel channel, RequestDecoder decoder, long letInAt) {
     this.front = front;
     this.letInAt = letInAt;
@@ -109,13 +112,14 @@
   // --- reading
 
   /**
-   * When (ns) what is read now can have come at the earliest, less what every time limit is longer by. Guards against a late
-   * loop: a request's time counts from its last byte, and one that stood in the kernel for longer than its client waits is not
-   * sent on, nor answered when all of its time has gone by once more. It does harm where a stop was shorter than it looks,
-   * by a refusal.
+   * When (ns) what is read now can have come at the earliest, less what every time limit is longer
+   * by. Guards against a late loop: a request's time counts from its last byte, and one that stood
+   * in the kernel for longer than its client waits is not sent on, nor answered when all of its
+   * time has gone by once more. It does harm where a stop was shorter than it looks, by a refusal.
    */
   private long cameAt() {
-    long earliest = decoder.firstLook() ? Math.min(Front.heard(), letInAt) : Math.max(Front.heard(), idleSince);
+    long earliest =
+        decoder.firstLook() ? Math.min(Front.heard(), letInAt) : Math.max(Front.heard(), idleSince);
     return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
   }
 
@@ -142,9 +146,9 @@
   }
 
   /**
-   * Keeps part of a request that was sent ahead of an answer. Requests of one connection are taken one
-   * after the other, so their answers go out in order by themselves; what is held is bounded by number,
-   * and in bytes by one read, since none follows until it is worked off.
+   * Keeps part of a request that was sent ahead of an answer. Requests of one connection are taken
+   * one after the other, so their answers go out in order by themselves; what is held is bounded by
+   * number, and in bytes by one read, since none follows until it is worked off.
    */
   private void hold(HttpObject part) {
     channel.config().setAutoRead(false);
@@ -209,7 +213,10 @@
     closing = last;
   }
 
-  /** The client has sent a request, or as much of one as it takes to believe it; whether it is the first. */
+  /**
+   * The client has sent a request, or as much of one as it takes to believe it; whether it is the
+   * first.
+   */
   boolean spoke() {
     boolean first = !spoken;
     spoken = true;
@@ -217,9 +224,10 @@
   }
 
   /**
-   * More has come than the present request. Guards against floods of requests sent at once: clients send one
-   * at a time, so what comes ahead of an answer is thrown away, and the connection ends with that answer. It is read all
-   * the same, at a bounded rate: where nobody reads, nobody sees that the client has gone, and its request would be sent on.
+   * More has come than the present request. Guards against floods of requests sent at once: clients
+   * send one at a time, so what comes ahead of an answer is thrown away, and the connection ends
+   * with that answer. It is read all the same, at a bounded rate: where nobody reads, nobody sees
+   * that the client has gone, and its request would be sent on.
    */
   void sentAhead() {
     closing = true;
@@ -236,12 +244,14 @@
   }
 
   /**
-   * Whether the client has gone already, of whom a whole request has come; then its connection ends here. Guards against a
-   * queue of requests that nobody waits for any more: after a pause, or in a crowd, those that were given up stand ahead of
-   * those that can still be answered, and what is done for them makes the others late. It costs a look at the socket.
+   * Whether the client has gone already, of whom a whole request has come; then its connection ends
+   * here. Guards against a queue of requests that nobody waits for any more: after a pause, or in a
+   * crowd, those that were given up stand ahead of those that can still be answered, and what is
+   * done for them makes the others late. It costs a look at the socket.
    */
   boolean endsUnread() {
-    Transport.End end = ahead ? front.transport().endBehind(channel) : front.transport().end(channel);
+    Transport.End end =
+        ahead ? front.transport().endBehind(channel) : front.transport().end(channel);
     if (end == Transport.End.LOST_BYTE) {
       sentAhead();
       end = front.transport().endBehind(channel); // it may have sent much at once and gone
@@ -254,7 +264,10 @@
     return true;
   }
 
-  /** The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of the next. */
+  /**
+   * The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of
+   * the next.
+   */
   boolean abandoned() {
     return (!front.settings().daemon() || front.transport().looksOnly()) && endsUnread();
   }
@@ -283,7 +296,8 @@
 
   /** Decides whether the answer that is about to go out is the connection's last. */
   boolean endsWithThisAnswer() {
-    // What a client has sent ahead is answered before it is asked to leave; what has not come whole by
+    // What a client has sent ahead is answered before it is asked to leave; what has not come whole
+    // by
     // the time of an answer can't be told from the next request.
     closing |=
         (front.draining() || front.crowded()) && heldRequests == 0
@@ -291,7 +305,10 @@
     return closing;
   }
 
-  /** The answer is on its way; true if the connection stays, and nothing of the request comes any more. */
+  /**
+   * The answer is on its way; true if the connection stays, and nothing of the request comes any
+   * more.
+   */
   boolean answered(ChannelFuture written) {
     letGo();
     intake.answered();
@@ -380,7 +397,10 @@
 
   // --- the log
 
-  /** An answer of our own is about to go out: tells why, unless it is the answer to a question of health. */
+  /**
+   * An answer of our own is about to go out: tells why, unless it is the answer to a question of
+   * health.
+   */
   void tell(int status) {
     Verdict v = intake.verdict();
     boolean health = v != null && v.status() == status && v.origin() == null && !v.closes();
@@ -389,7 +409,9 @@
     }
   }
 
-  /** Tells what became of the present request, where it was not served; {@code status} may be null. */
+  /**
+   * Tells what became of the present request, where it was not served; {@code status} may be null.
+   */
   void tell(String outcome, Integer status) {
     Verdict v = intake.verdict();
     log.request(outcome, status, call, v, v == null ? decoder.since() : intake.since());
@@ -407,7 +429,10 @@
     return !spoken && System.nanoTime() - openedAt < slowNanos;
   }
 
-  /** Whether it can be closed where no more is expected: it carries nothing, and who is new had time to speak. */
+  /**
+   * Whether it can be closed where no more is expected: it carries nothing, and who is new had time
+   * to speak.
+   */
   boolean clearable(long now) {
     return !busy() && (spoken || now - openedAt > SILENT_NANOS);
   }
@@ -449,8 +474,8 @@
   }
 
   /**
-   * Whether its client is sent away and has had time to use it once more. The daemon closes none for that: its next answer
-   * asks to leave, and a request that crosses a close would be lost.
+   * Whether its client is sent away and has had time to use it once more. The daemon closes none
+   * for that: its next answer asks to leave, and a request that crosses a close would be lost.
    */
   private boolean away(long now) {
     long since = front.settings().daemon() ? 0 : front.awaySince();
--- a/src/main/java/corkproxy/http/Forwarding.java
+++ b/src/main/java/corkproxy/http/Forwarding.java
@@ -10,12 +10,12 @@
 import java.util.Locale;
 
 /**
- * Who called, and what hosts are told of it: {@code Forwarded} (RFC 7239), the {@code X-Forwarded-*}
- * headers, {@code X-Real-IP} and {@code Via} (RFC 9110, 7.6.3).
+ * Who called, and what hosts are told of it: {@code Forwarded} (RFC 7239), the {@code
+ * X-Forwarded-*} headers, {@code X-Real-IP} and {@code Via} (RFC 9110, 7.6.3).
  *
- * <p>Guards limits and hosts against a caller that makes up an address: what a caller says of others is
- * believed only where it comes from a trusted network. The caller is the last address of the chain that
- * is not in one, read from the right, as each hop appends there.
+ * <p>Guards limits and hosts against a caller that makes up an address: what a caller says of
+ * others is believed only where it comes from a trusted network. The caller is the last address of
+ * the chain that is not in one, read from the right, as each hop appends there.
  *
  * <pre>
  *   Forwarded: for=made-up, for=203.0.113.7, for=10.0.0.5     from 10.0.0.9, trusted 10.0.0.0/8
@@ -94,8 +94,10 @@
     String host = h.get(HttpHeaderNames.HOST, "");
     String address = told.getHostAddress();
     String element =
-        "for=" + (told instanceof Inet6Address ? "\"[" + address + "]\"" : address)
-            + (host.isEmpty() ? "" : ";host=\"" + host + "\"") + ";proto=http";
+        "for="
+            + (told instanceof Inet6Address ? "\"[" + address + "]\"" : address)
+            + (host.isEmpty() ? "" : ";host=\"" + host + "\"")
+            + ";proto=http";
     append(h, FORWARDED, element);
     append(h, FORWARDED_FOR, address);
     if (!host.isEmpty() && !h.contains(FORWARDED_HOST)) {
@@ -154,7 +156,9 @@
     return out;
   }
 
-  /** An address with a port or none, IPv6 in brackets or plain; null for any other name of a node. */
+  /**
+   * An address with a port or none, IPv6 in brackets or plain; null for any other name of a node.
+   */
   private static InetAddress node(String text) {
     String s = text;
     if (s.startsWith("[")) {
--- a/src/main/java/corkproxy/http/Front.java
+++ b/src/main/java/corkproxy/http/Front.java
@@ -73,29 +73,30 @@
   /** Listens, beside other processes that do; throws what the bind throws. */
   public void listen(EventLoopGroup loop, InetSocketAddress address) throws Exception {
     listener =
-        (Listener) new ServerBootstrap()
-            .group(loop)
-            .channel(Listener.class)
-            .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-            .option(ChannelOption.SO_BACKLOG, Listener.BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
-            .handler(new AcceptBackoff(log::line, this::acceptsAgain))
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Upstreams.READS)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstreams.MARKS)
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    accepted(ch);
-                  }
-                })
-            .bind(address)
-            .sync()
-            .channel();
+        (Listener)
+            new ServerBootstrap()
+                .group(loop)
+                .channel(Listener.class)
+                .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
+                .option(ChannelOption.SO_BACKLOG, Listener.BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(
+                    ChannelOption.RECVBUF_ALLOCATOR,
+                    new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
+                .handler(new AcceptBackoff(log::line, this::acceptsAgain))
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Upstreams.READS)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstreams.MARKS)
+                .childHandler(
+                    new ChannelInitializer<SocketChannel>() {
+                      @Override
+                      protected void initChannel(SocketChannel ch) {
+                        accepted(ch);
+                      }
+                    })
+                .bind(address)
+                .sync()
+                .channel();
   }
 
   public Channel listener() {
@@ -108,15 +109,18 @@
   }
 
   /**
-   * Sends clients away, or no longer: every answer asks to leave, and a connection goes once nothing has
-   * come on it for a while.
+   * Sends clients away, or no longer: every answer asks to leave, and a connection goes once
+   * nothing has come on it for a while.
    */
   public void sendAway(boolean away) {
     draining = away;
     awaySince = away ? System.nanoTime() : 0;
   }
 
-  /** Guards against clients that ask once and stay, where each of their requests comes on a new connection. */
+  /**
+   * Guards against clients that ask once and stay, where each of their requests comes on a new
+   * connection.
+   */
   boolean crowded() {
     return sockets.crowded();
   }
@@ -133,7 +137,8 @@
     // Not with the handlers: they never hear of a connection that was reset before its turn.
     ch.closeFuture().addListener(f -> sockets.clientClosed());
     ch.pipeline()
-        .addLast(decoder, new HttpResponseEncoder(), new ClientConnection(this, ch, decoder, letInAt()));
+        .addLast(
+            decoder, new HttpResponseEncoder(), new ClientConnection(this, ch, decoder, letInAt()));
     if (listener != null) {
       makeRoom();
     } else if (!sockets.roomForClient()) {
@@ -147,7 +152,10 @@
     }
   }
 
-  /** The earliest (ns) at which the connection that is accepted now can have been let in, where this front listens itself. */
+  /**
+   * The earliest (ns) at which the connection that is accepted now can have been let in, where this
+   * front listens itself.
+   */
   private long letInAt() {
     return listener == null ? heard() : listener.since();
   }
@@ -181,7 +189,10 @@
     return c != null;
   }
 
-  /** The listener had to wait for the system; the first connections may come before it is known here. */
+  /**
+   * The listener had to wait for the system; the first connections may come before it is known
+   * here.
+   */
   private void acceptsAgain() {
     if (listener != null) {
       makeRoom();
@@ -215,8 +226,9 @@
   }
 
   /**
-   * Until when (ns) all that clients have sent has been read. Guards against the end of one whose request stands in the
-   * kernel while the loop is behind: it looks silent for as long as nobody reads.
+   * Until when (ns) all that clients have sent has been read. Guards against the end of one whose
+   * request stands in the kernel while the loop is behind: it looks silent for as long as nobody
+   * reads.
    */
   static long heard() {
     return System.nanoTime() - Hearing.behind();
@@ -265,8 +277,8 @@
   }
 
   /**
-   * Nobody new is expected, and nobody may stay: closes what carries nothing and had time to speak. A request that crosses
-   * that close comes again, on a new connection. True if any was closed.
+   * Nobody new is expected, and nobody may stay: closes what carries nothing and had time to speak.
+   * A request that crosses that close comes again, on a new connection. True if any was closed.
    */
   public boolean clear() {
     boolean any = false;
@@ -279,7 +291,10 @@
     return any;
   }
 
-  /** No more time: each request that is open is answered as failed, and what has not come whole is turned away. */
+  /**
+   * No more time: each request that is open is answered as failed, and what has not come whole is
+   * turned away.
+   */
   public void giveUp() {
     for (ClientConnection c : new ArrayList<>(connections)) {
       c.giveUp();
--- a/src/main/java/corkproxy/http/FrontSettings.java
+++ b/src/main/java/corkproxy/http/FrontSettings.java
@@ -12,8 +12,8 @@
  * @param idleLeastMs how long a connection on which nothing is open is kept at least
  * @param idleMostMs and at most
  * @param maxOpen requests that may be open in a pool at once
- * @param pipeline requests of a connection that are held at once, the one at hand among them; with 1 a
- *     client that sends ahead of an answer is turned away
+ * @param pipeline requests of a connection that are held at once, the one at hand among them; with
+ *     1 a client that sends ahead of an answer is turned away
  * @param uniqueIds whether an {@code X-Request-ID} may be open only once
  * @param daemon whether it is the daemon's: {@code Retry-After} is told in whole seconds (RFC 9110,
  *     10.2.3), HTTP/1.0 is spoken, and what is turned away has a line in the log
--- a/src/main/java/corkproxy/http/HeadScanner.java
+++ b/src/main/java/corkproxy/http/HeadScanner.java
@@ -4,10 +4,10 @@
 
 /**
  * Reads the bytes of a request's head beside netty's decoder and stops at the first that RFC 9112
- * does not allow: sections 3 (one space between the three parts of the request line, the exact name of
- * the protocol), 5.1 (a name is a token, the colon right behind it), 5.2 (no line continued) and 2.2
- * (lines end with CR LF; one empty line may stand ahead), 6.3 (one {@code Content-Length}, of digits:
- * of several, netty takes the first that an HTTP/1.0 client sends).
+ * does not allow: sections 3 (one space between the three parts of the request line, the exact name
+ * of the protocol), 5.1 (a name is a token, the colon right behind it), 5.2 (no line continued) and
+ * 2.2 (lines end with CR LF; one empty line may stand ahead), 6.3 (one {@code Content-Length}, of
+ * digits: of several, netty takes the first that an HTTP/1.0 client sends).
  *
  * <p>Guards hosts against a head that they and this program would read in two ways: netty's decoder
  * takes tabs, several spaces and other spellings of the protocol for the one it knows. It does harm
@@ -103,9 +103,12 @@
             yield b == '\r' ? State.HEAD_END : name(b);
           }
           case NAME -> b == ':' ? value() : name(b);
-          case VALUE -> b == '\r'
-              ? State.LINE_END
-              : inLength && b != ' ' && b != '\t' && (b < '0' || b > '9') ? State.FAULTY : b >= ' ' && b != 0x7f || b == '\t' || b < 0 ? State.VALUE : State.FAULTY;
+          case VALUE ->
+              b == '\r'
+                  ? State.LINE_END
+                  : inLength && b != ' ' && b != '\t' && (b < '0' || b > '9')
+                      ? State.FAULTY
+                      : b >= ' ' && b != 0x7f || b == '\t' || b < 0 ? State.VALUE : State.FAULTY;
           case HEAD_END -> b == '\n' ? State.DONE : State.FAULTY;
           case DONE, FAULTY -> state;
         };
--- a/src/main/java/corkproxy/http/Headers.java
+++ b/src/main/java/corkproxy/http/Headers.java
@@ -12,27 +12,55 @@
  * What each header is to this program: the one table of those that it reads, sets or judges by, and
  * of those that belong to one connection only.
  *
- * <p>Guards rule 2 against a caller that names a header in {@code Connection} (RFC 9110, 7.6.1): what
- * is named there must not be passed on, so a request that was judged with its key would go out without
- * it, and no host could tell its repeats apart.
+ * <p>Guards rule 2 against a caller that names a header in {@code Connection} (RFC 9110, 7.6.1):
+ * what is named there must not be passed on, so a request that was judged with its key would go out
+ * without it, and no host could tell its repeats apart.
  */
 public final class Headers {
   static final HttpHeaders NONE = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
-  /** Those that frame a message, name it or bound it: no route may set or remove one. Lower case. */
+  /**
+   * Those that frame a message, name it or bound it: no route may set or remove one. Lower case.
+   */
   public static final Set<String> FRAMING =
       Set.of(
-          "host", "content-length", "transfer-encoding", "connection", "x-timeout-ms", "te",
-          "upgrade", "trailer", "expect", "idempotency-key", "x-request-id", "keep-alive",
+          "host",
+          "content-length",
+          "transfer-encoding",
+          "connection",
+          "x-timeout-ms",
+          "te",
+          "upgrade",
+          "trailer",
+          "expect",
+          "idempotency-key",
+          "x-request-id",
+          "keep-alive",
           "proxy-connection");
 
   /** Those that anything here goes by; a gate may have more. Lower case. */
   private static final Set<String> JUDGED =
       Set.of(
-          "host", "content-length", "transfer-encoding", "expect", "x-timeout-ms",
-          "idempotency-key", "x-request-id", "x-priority-class", "x-tenant-id", "x-route-key",
-          "x-retried", "x-cost", "x-attrs", "x-server-load", "x-not-processed", "forwarded",
-          "x-forwarded-for", "x-forwarded-host", "x-forwarded-proto", "via");
+          "host",
+          "content-length",
+          "transfer-encoding",
+          "expect",
+          "x-timeout-ms",
+          "idempotency-key",
+          "x-request-id",
+          "x-priority-class",
+          "x-tenant-id",
+          "x-route-key",
+          "x-retried",
+          "x-cost",
+          "x-attrs",
+          "x-server-load",
+          "x-not-processed",
+          "forwarded",
+          "x-forwarded-for",
+          "x-forwarded-host",
+          "x-forwarded-proto",
+          "via");
 
   private static final CharSequence[] HOP_BY_HOP = {
     HttpHeaderNames.CONNECTION,
@@ -68,7 +96,9 @@
     return true;
   }
 
-  /** Whether no trailer of a request is one that this program, or what frames a message, goes by. */
+  /**
+   * Whether no trailer of a request is one that this program, or what frames a message, goes by.
+   */
   static boolean soundTrailers(HttpHeaders trailers, Set<String> byGate) {
     for (String name : trailers.names()) {
       String lower = name.toLowerCase(Locale.ROOT);
--- a/src/main/java/corkproxy/http/HttpAttempt.java
+++ b/src/main/java/corkproxy/http/HttpAttempt.java
@@ -19,8 +19,8 @@
 /** One send of an HTTP request to a host, and how its answer is read. */
 final class HttpAttempt extends Attempt {
   /**
-   * An answer of no told length may be a long one, whose first bytes are awaited: it streams, where it may,
-   * once it has been coming for so long (ms).
+   * An answer of no told length may be a long one, whose first bytes are awaited: it streams, where
+   * it may, once it has been coming for so long (ms).
    */
   private static final double EARLY_MS = 50;
 
@@ -166,7 +166,10 @@
     }
   }
 
-  /** The answer goes on while it comes, beginning with what is held of it; false if there is another. */
+  /**
+   * The answer goes on while it comes, beginning with what is held of it; false if there is
+   * another.
+   */
   private boolean stream() {
     if (!claimAnswer()) {
       finish(Result.CANCELLED);
@@ -285,8 +288,9 @@
   }
 
   /**
-   * A long answer is timed to its first byte alone. Guards against one of no told length that never ends: it is none of the
-   * long ones yet, its client waits, and to pass it on was the only answer that the request gets.
+   * A long answer is timed to its first byte alone. Guards against one of no told length that never
+   * ends: it is none of the long ones yet, its client waits, and to pass it on was the only answer
+   * that the request gets.
    */
   @Override
   protected boolean goesOn() {
--- a/src/main/java/corkproxy/http/HttpCall.java
+++ b/src/main/java/corkproxy/http/HttpCall.java
@@ -44,8 +44,9 @@
   private HttpHeaders errorTrailers;
 
   /**
-   * A request whose body has come whole, or comes as {@code upload}; {@code streaming} tells whether its
-   * answer may go on while it comes, {@code budget} (ms) what hosts are told of its time, 0 for what is left.
+   * A request whose body has come whole, or comes as {@code upload}; {@code streaming} tells
+   * whether its answer may go on while it comes, {@code budget} (ms) what hosts are told of its
+   * time, 0 for what is left.
    */
   HttpCall(
       AnswerWriter client,
@@ -138,7 +139,9 @@
 
   ChannelFuture writeTo(Channel channel, long remainingMs) {
     HttpHeaders h = head.headers();
-    h.set(TIMEOUT, budget > 0 && comes() ? (long) budget : remainingMs); // a host counts from the last byte
+    h.set(
+        TIMEOUT,
+        budget > 0 && comes() ? (long) budget : remainingMs); // a host counts from the last byte
     if (upload != null) {
       return channel.writeAndFlush(
           new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
@@ -180,8 +183,8 @@
   // --- an answer that streams
 
   /**
-   * Whether an answer goes on while it comes whose length is this (-1 for not told), and of which more
-   * than {@code held} bytes can't be held.
+   * Whether an answer goes on while it comes whose length is this (-1 for not told), and of which
+   * more than {@code held} bytes can't be held.
    */
   boolean streams(long length, int held) {
     return client.canStream(length)
--- a/src/main/java/corkproxy/http/HttpUpstreamConnection.java
+++ b/src/main/java/corkproxy/http/HttpUpstreamConnection.java
@@ -57,7 +57,9 @@
     NONE,
     INTERIM,
     BODY,
-    /** The attempt is over, the rest of its answer is thrown away so that the connection can stay. */
+    /**
+     * The attempt is over, the rest of its answer is thrown away so that the connection can stay.
+     */
     UNWANTED
   }
 
--- a/src/main/java/corkproxy/http/Listener.java
+++ b/src/main/java/corkproxy/http/Listener.java
@@ -11,14 +11,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket of the JDK's whose connections can be asked whether their client has gone, and that can be
- * closed with as little as possible left in its backlog.
+ * A listening socket of the JDK's whose connections can be asked whether their client has gone, and
+ * that can be closed with as little as possible left in its backlog.
  */
 public final class Listener extends RetryingServerSocketChannel {
   /** Clients that may stand in the kernel's queue at once. */
   static final int BACKLOG = 1_024;
 
-  /** Where accept fails while the socket is to be closed, it is tried again so often, so far (ms) apart. */
+  /**
+   * Where accept fails while the socket is to be closed, it is tried again so often, so far (ms)
+   * apart.
+   */
   private static final int LAST_TRIES = 40;
 
   private static final long LAST_TRIES_MS = 5;
@@ -31,9 +34,10 @@
   private boolean closing;
 
   /**
-   * The earliest (ns) at which the kernel can have let in what is accepted now, where the loop came late to it: when its queue
-   * was last known to be empty, or had been taken once over since. A rest that this side chose, for want of room, is not counted:
-   * how long the queue was then is not known, and a crowd would look ever older.
+   * The earliest (ns) at which the kernel can have let in what is accepted now, where the loop came
+   * late to it: when its queue was last known to be empty, or had been taken once over since. A
+   * rest that this side chose, for want of room, is not counted: how long the queue was then is not
+   * known, and a crowd would look ever older.
    *
    * <pre>
    *   poll: nobody   poll: clients   poll: clients   poll: clients
@@ -81,9 +85,10 @@
   }
 
   /**
-   * Takes what stands in the backlog and closes the socket; on its loop. Guards against clients that
-   * the kernel has let in and that nobody has accepted: a close resets them. What is let in between the
-   * last look and the close is lost still. A failed accept says nothing of those who wait, so it is tried again, for 0.2 s.
+   * Takes what stands in the backlog and closes the socket; on its loop. Guards against clients
+   * that the kernel has let in and that nobody has accepted: a close resets them. What is let in
+   * between the last look and the close is lost still. A failed accept says nothing of those who
+   * wait, so it is tried again, for 0.2 s.
    */
   void takeRestAndClose() {
     if (!closing) {
--- a/src/main/java/corkproxy/http/Networks.java
+++ b/src/main/java/corkproxy/http/Networks.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A set of networks: {@code 10.0.0.0/8}, {@code fd00::/8}, or an address by itself (RFC 4632, RFC 4291). */
+/**
+ * A set of networks: {@code 10.0.0.0/8}, {@code fd00::/8}, or an address by itself (RFC 4632, RFC
+ * 4291).
+ */
 public final class Networks {
   private record Network(byte[] address, int bits) {
     boolean holds(byte[] other) {
--- a/src/main/java/corkproxy/http/RequestDecoder.java
+++ b/src/main/java/corkproxy/http/RequestDecoder.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Reads requests: tells since when part of one has come, reads heads by the letter, and stops reading
- * ahead where told.
+ * Reads requests: tells since when part of one has come, reads heads by the letter, and stops
+ * reading ahead where told.
  */
 final class RequestDecoder extends HttpRequestDecoder {
   private final HeadScanner scanner = new HeadScanner();
@@ -23,7 +23,9 @@
   private boolean removed;
   private boolean held;
 
-  /** The turn of the loop in which its connection was accepted; 0 where loops don't count theirs. */
+  /**
+   * The turn of the loop in which its connection was accepted; 0 where loops don't count theirs.
+   */
   private final long acceptedIn = Hearing.turns();
 
   RequestDecoder() {
@@ -96,7 +98,10 @@
     }
   }
 
-  /** Whether what comes now was found at the first look at this connection: no poll before has known of it. */
+  /**
+   * Whether what comes now was found at the first look at this connection: no poll before has known
+   * of it.
+   */
   boolean firstLook() {
     return acceptedIn != 0 && Hearing.turns() <= acceptedIn + 1;
   }
--- a/src/main/java/corkproxy/http/RequestIntake.java
+++ b/src/main/java/corkproxy/http/RequestIntake.java
@@ -19,8 +19,9 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
 /**
- * The way into a client's connection: from the decoded parts of one request to its verdict, its body and
- * the call that the engine takes. The bounds of what is held, and of what is read for nothing, are here.
+ * The way into a client's connection: from the decoded parts of one request to its verdict, its
+ * body and the call that the engine takes. The bounds of what is held, and of what is read for
+ * nothing, are here.
  *
  * <pre>
  *   head --> verdict --+--> body held whole ----------------> call
@@ -32,7 +33,10 @@
   /** How long (ms) the longest body may take that streams ahead of its request's own time. */
   private static final double UPLOAD_MS = 3_600_000;
 
-  /** How much (bytes) of a message that is answered already is read, so that its client sees its answer. */
+  /**
+   * How much (bytes) of a message that is answered already is read, so that its client sees its
+   * answer.
+   */
   private static final int LINGER_BYTES = 1 << 20;
 
   private final ClientConnection client;
@@ -102,7 +106,10 @@
     return body == null ? 0 : body.size();
   }
 
-  /** Whether the rest of a request that comes still is read for nothing, so that its connection can stay. */
+  /**
+   * Whether the rest of a request that comes still is read for nothing, so that its connection can
+   * stay.
+   */
   boolean skips() {
     return upload != null && verdict.streaming() == Streaming.LARGE;
   }
@@ -150,7 +157,8 @@
       begin(request, at);
     }
     if (upload != null && part instanceof LastHttpContent && client.abandoned()) {
-      return; // the last byte is not sent on: its client left while a connection was waited for, and its end was not read
+      return; // the last byte is not sent on: its client left while a connection was waited for,
+      // and its end was not read
     }
     if (part instanceof HttpContent content && client.takes()) {
       ByteBuf bytes = content.content();
@@ -170,9 +178,7 @@
     oldVersion = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
     int fault = Framing.fault(request, front.gate().judgesBy(), front.settings().daemon());
     verdict =
-        fault != 0
-            ? Verdict.reject(fault)
-            : front.gate().judge(request, channel.remoteAddress());
+        fault != 0 ? Verdict.reject(fault) : front.gate().judge(request, channel.remoteAddress());
     long length = HttpUtil.getContentLength(request, 0L);
     if (fault == 0 && length > mostBody()) {
       client.reject(413);
@@ -214,13 +220,16 @@
     upload = new Upload(this, d, body, front.budget());
     body = null;
     HttpCall call =
-        new HttpCall(answers, head, null, upload, Headers.NONE, verdict.streaming(), large ? a.budget() : 0);
+        new HttpCall(
+            answers, head, null, upload, Headers.NONE, verdict.streaming(), large ? a.budget() : 0);
     head = null;
     client.carries(call);
     d.take(call, large ? a.within(a.budget() + UPLOAD_MS) : a, verdict.fallback());
   }
 
-  /** Takes the request's id where it must be the only one that is open; else turns the request away. */
+  /**
+   * Takes the request's id where it must be the only one that is open; else turns the request away.
+   */
   private boolean takeId(HttpRequest request) {
     if (!front.settings().uniqueIds()) {
       return true;
@@ -234,7 +243,9 @@
     return true;
   }
 
-  /** Whether the pool has as many requests open as it may, or the process has; one more is refused. */
+  /**
+   * Whether the pool has as many requests open as it may, or the process has; one more is refused.
+   */
   private boolean full(Dispatcher pool) {
     if (pool.open() < front.settings().maxOpen() && front.roomForRequest()) {
       return false;
@@ -312,7 +323,10 @@
     if (upload != null) {
       Upload whole = upload;
       upload = null;
-      channel.config().setAutoRead(true); // it may have waited for room; from here on its client's end is to be seen
+      channel
+          .config()
+          .setAutoRead(
+              true); // it may have waited for room; from here on its client's end is to be seen
       if (client.call() != null) {
         client.call().whole();
       }
--- a/src/main/java/corkproxy/http/RequestLog.java
+++ b/src/main/java/corkproxy/http/RequestLog.java
@@ -4,7 +4,10 @@
 import corkproxy.engine.Log;
 import io.netty.channel.Channel;
 
-/** The log's lines about one client connection and its requests; none where the log has no use for details. */
+/**
+ * The log's lines about one client connection and its requests; none where the log has no use for
+ * details.
+ */
 final class RequestLog {
   private final Log log;
   private final Channel channel;
@@ -41,23 +44,41 @@
     Exchange exchange = call == null ? null : call.exchange();
     log.detail(
         "request",
-        "outcome", outcome,
-        "status", status,
-        "route", origin == null ? null : origin.route(),
-        "class", origin == null ? null : origin.className(),
-        "limit", origin == null ? null : origin.limit(),
-        "pool", exchange == null ? null : exchange.pool(),
-        "server", exchange == null ? null : exchange.server(),
-        "attempt", exchange == null ? null : exchange.attempts(),
-        "ms", since == 0 ? null : (System.nanoTime() - since) / 1_000_000,
-        "client", channel.remoteAddress(),
-        "id", id(call));
+        "outcome",
+        outcome,
+        "status",
+        status,
+        "route",
+        origin == null ? null : origin.route(),
+        "class",
+        origin == null ? null : origin.className(),
+        "limit",
+        origin == null ? null : origin.limit(),
+        "pool",
+        exchange == null ? null : exchange.pool(),
+        "server",
+        exchange == null ? null : exchange.server(),
+        "attempt",
+        exchange == null ? null : exchange.attempts(),
+        "ms",
+        since == 0 ? null : (System.nanoTime() - since) / 1_000_000,
+        "client",
+        channel.remoteAddress(),
+        "id",
+        id(call));
   }
 
   /** This side closes the connection. */
   void closed(CloseReason reason, HttpCall call) {
     if (log.details()) {
-      log.detail("client connection closed", "reason", reason, "id", id(call), "client", channel.remoteAddress());
+      log.detail(
+          "client connection closed",
+          "reason",
+          reason,
+          "id",
+          id(call),
+          "client",
+          channel.remoteAddress());
     }
   }
 
--- a/src/main/java/corkproxy/http/Streaming.java
+++ b/src/main/java/corkproxy/http/Streaming.java
@@ -6,8 +6,8 @@
   NEVER,
 
   /**
-   * Those that are longer than what is held whole. Such a request's time counts from its last byte; such an
-   * answer is in time with its first.
+   * Those that are longer than what is held whole. Such a request's time counts from its last byte;
+   * such an answer is in time with its first.
    */
   LARGE,
 
--- a/src/main/java/corkproxy/http/Upload.java
+++ b/src/main/java/corkproxy/http/Upload.java
@@ -10,9 +10,10 @@
  * The body of a request that goes on to a host while it comes from its client.
  *
  * <p>What has come is kept while all of it fits the replay bound, so that a further attempt can be
- * sent the whole of it. With the first byte past that, once an attempt takes the body, it is let go:
- * from then on no other attempt can be sent. Memory is bounded by the replay bound, one read, and
- * the marks of the host's socket: the client is read from only while somebody takes what it sends.
+ * sent the whole of it. With the first byte past that, once an attempt takes the body, it is let
+ * go: from then on no other attempt can be sent. Memory is bounded by the replay bound, one read,
+ * and the marks of the host's socket: the client is read from only while somebody takes what it
+ * sends.
  *
  * <pre>
  *   client  --bytes--> [ kept, at most REPLAY ] --> attempt 1 ... ends
--- a/src/main/java/corkproxy/http/Verdict.java
+++ b/src/main/java/corkproxy/http/Verdict.java
@@ -27,7 +27,10 @@
     Streaming streaming,
     Origin origin,
     Runnable done) {
-  /** What a request is known by: its route, its class and the limit that refused it; each may be null. */
+  /**
+   * What a request is known by: its route, its class and the limit that refused it; each may be
+   * null.
+   */
   public record Origin(String route, String className, String limit) {}
 
   private static final Runnable NOTHING = () -> {};
@@ -44,7 +47,8 @@
 
   /** The same, told in the log as of this origin. */
   public static Verdict answer(int status, double retryAfterMs, Origin origin) {
-    return new Verdict(status, false, retryAfterMs, null, null, null, Streaming.NEVER, origin, NOTHING);
+    return new Verdict(
+        status, false, retryAfterMs, null, null, null, Streaming.NEVER, origin, NOTHING);
   }
 
   /** A request for this pool. */
@@ -55,6 +59,7 @@
       Streaming streaming,
       Origin origin,
       Runnable done) {
-    return new Verdict(0, false, 0, target, arrival, fallback, streaming, origin, done == null ? NOTHING : done);
+    return new Verdict(
+        0, false, 0, target, arrival, fallback, streaming, origin, done == null ? NOTHING : done);
   }
 }
--- a/src/main/java/corkproxy/limits/Bucket.java
+++ b/src/main/java/corkproxy/limits/Bucket.java
@@ -20,8 +20,12 @@
   private static final long WINDOW_NANOS = 1_000_000_000L;
 
   final long key;
-  /** The outer limit's bucket; it can't change while a place here is taken, which holds one there. */
+
+  /**
+   * The outer limit's bucket; it can't change while a place here is taken, which holds one there.
+   */
   private volatile Bucket parent;
+
   private final AtomicInteger inUse = new AtomicInteger();
   private final AtomicLong tat = new AtomicLong(Long.MIN_VALUE);
   private final AtomicLong fairTat = new AtomicLong(Long.MIN_VALUE);
--- a/src/main/java/corkproxy/limits/Limiter.java
+++ b/src/main/java/corkproxy/limits/Limiter.java
@@ -8,11 +8,11 @@
  * The bounds over requests, shared by all workers. A request passes every limit that holds for it,
  * in the order of the file, or is refused by the first that is full.
  *
- * <p>Limits may be nested: a tenant's within a route's. While the outer one has more than a fifth of
- * its room left, callers take what they like. Past that each may hold no more than an equal part of
- * it, counted over the callers that are active and one more who may come. So a hot tenant can fill
- * four fifths by itself, the last fifth is there for quiet ones at once, and as they come the hot
- * one's requests that end are not replaced until all have equal parts.
+ * <p>Limits may be nested: a tenant's within a route's. While the outer one has more than a fifth
+ * of its room left, callers take what they like. Past that each may hold no more than an equal part
+ * of it, counted over the callers that are active and one more who may come. So a hot tenant can
+ * fill four fifths by itself, the last fifth is there for quiet ones at once, and as they come the
+ * hot one's requests that end are not replaced until all have equal parts.
  *
  * <pre>
  *   0                                  4/5        1     of the outer limit
@@ -134,8 +134,7 @@
       parent.seen(b, now);
       int sharing = parent.sharing() + 1;
       boolean crowded = parent.filled(now, outer.perSecond(), outer.burst()) > SHARED_FROM;
-      long wait =
-          b.passFair(now, outer.perSecond() / sharing, outer.burst() / sharing, !crowded);
+      long wait = b.passFair(now, outer.perSecond() / sharing, outer.burst() / sharing, !crowded);
       return wait > 0 ? Math.max(1, wait / 1e6) : 0;
     }
     return 0;
--- a/src/main/java/corkproxy/proxy/Config.java
+++ b/src/main/java/corkproxy/proxy/Config.java
@@ -43,8 +43,18 @@
       JsonNode settings = JSON.readTree(kinds);
       InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
       return new Config(
-          "example", any, any, null, 1, 128, 256, JSON.createObjectNode(),
-          SettingsReader.read(settings), 15_000, 250, Integer.MAX_VALUE);
+          "example",
+          any,
+          any,
+          null,
+          1,
+          128,
+          256,
+          JSON.createObjectNode(),
+          SettingsReader.read(settings),
+          15_000,
+          250,
+          Integer.MAX_VALUE);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
@@ -90,7 +100,10 @@
         allowed.path("maxOpen").asInt(Integer.MAX_VALUE));
   }
 
-  /** Where the other client proxies of the tier are, or null where they may not talk or the addresses are not told. */
+  /**
+   * Where the other client proxies of the tier are, or null where they may not talk or the
+   * addresses are not told.
+   */
   PeerAddresses peers() {
     JsonNode named = root.path("peers");
     InetSocketAddress listen = Addresses.parse(root.path("peer_listen").asText(""));
@@ -135,8 +148,18 @@
   /** This one with what of another may change while it runs. */
   Config with(Config next) {
     return new Config(
-        name, listen, next.discovery, management, seed, memoryMb, sockets, next.root, next.settings,
-        next.connIdle, next.connectTimeout, maxOpen);
+        name,
+        listen,
+        next.discovery,
+        management,
+        seed,
+        memoryMb,
+        sockets,
+        next.root,
+        next.settings,
+        next.connIdle,
+        next.connectTimeout,
+        maxOpen);
   }
 
   /** What holds for connections to hosts. */
--- a/src/main/java/corkproxy/proxy/ConfigCheck.java
+++ b/src/main/java/corkproxy/proxy/ConfigCheck.java
@@ -10,21 +10,25 @@
 
 /**
  * Judges a configuration that comes while another is in force. What starts a process may leave out
- * what has a harmless default; what replaces a configuration comes from the same hand as the one before
- * it, so a key that has gone is a file that is broken, and a default in its place would be a rule that nobody
- * chose.
+ * what has a harmless default; what replaces a configuration comes from the same hand as the one
+ * before it, so a key that has gone is a file that is broken, and a default in its place would be a
+ * rule that nobody chose.
  */
 final class ConfigCheck {
   private static final Set<String> SEMANTICS = Set.of("idempotent", "deduplicated", "at_most_once");
 
   /** Keys that the wire's page lets be absent. */
-  private static final Set<String> OPTIONAL = Set.of("aimStretch", "passesDeadline", "warmKeys", "fleet");
+  private static final Set<String> OPTIONAL =
+      Set.of("aimStretch", "passesDeadline", "warmKeys", "fleet");
 
   private final List<String> faults = new ArrayList<>();
 
   private ConfigCheck() {}
 
-  /** Every fault of {@code next}, as {@code key: what was expected}; none if it may replace the other. */
+  /**
+   * Every fault of {@code next}, as {@code key: what was expected}; none if it may replace the
+   * other.
+   */
   static List<String> faults(JsonNode inForce, JsonNode next) {
     ConfigCheck check = new ConfigCheck();
     check.keys("", inForce, next);
@@ -34,7 +38,9 @@
     return check.faults;
   }
 
-  /** What is there must be there again, of the same kind; which hosts are known is another matter. */
+  /**
+   * What is there must be there again, of the same kind; which hosts are known is another matter.
+   */
   private void keys(String at, JsonNode had, JsonNode has) {
     for (Iterator<Map.Entry<String, JsonNode>> i = had.fields(); i.hasNext(); ) {
       Map.Entry<String, JsonNode> e = i.next();
@@ -42,7 +48,9 @@
       JsonNode is = has.path(e.getKey());
       if (is.isMissingNode() && !OPTIONAL.contains(e.getKey())) {
         faults.add(key + ": missing");
-      } else if (!is.isMissingNode() && !e.getValue().isNull() && is.getNodeType() != e.getValue().getNodeType()) {
+      } else if (!is.isMissingNode()
+          && !e.getValue().isNull()
+          && is.getNodeType() != e.getValue().getNodeType()) {
         faults.add(key + ": expected " + e.getValue().getNodeType());
       } else if (is.isObject() && !key.equals("known")) {
         keys(key + ".", e.getValue(), is);
--- a/src/main/java/corkproxy/proxy/Discovery.java
+++ b/src/main/java/corkproxy/proxy/Discovery.java
@@ -59,8 +59,9 @@
   private static final long SILENCE_NANOS = 3_000_000_000L;
 
   /**
-   * An agent on the same machine answers at once what it is asked; one that has said nothing at all for so long (ns) is asked
-   * anew, once. Guards against a replacement that is silent as well: with the watch's own silence twice, 6 s would be over.
+   * An agent on the same machine answers at once what it is asked; one that has said nothing at all
+   * for so long (ns) is asked anew, once. Guards against a replacement that is silent as well: with
+   * the watch's own silence twice, 6 s would be over.
    */
   private static final long OPENING_NANOS = 1_000_000_000L;
 
@@ -73,8 +74,9 @@
   private static final long BACKOFF_MAX_MS = 500;
 
   /**
-   * What an agent gets while no watch is open counts as told all the same, so the wait for a new one has to be well within
-   * the drain's grace: this part of it, with half as much again at chance, and the rest for the list to come.
+   * What an agent gets while no watch is open counts as told all the same, so the wait for a new
+   * one has to be well within the drain's grace: this part of it, with half as much again at
+   * chance, and the rest for the list to come.
    */
   private static final double GRACE_PART = 0.25;
 
@@ -95,12 +97,17 @@
   private final long lastBackoff;
   private long backoff;
 
-  /** Why the last watch broke, until one is good again: many tries at one broken discovery make one line. */
+  /**
+   * Why the last watch broke, until one is good again: many tries at one broken discovery make one
+   * line.
+   */
   private String fault;
 
   private Watch watch;
 
-  /** Whether the next opening is worth a hurry: the last one was not given up for its own silence. */
+  /**
+   * Whether the next opening is worth a hurry: the last one was not given up for its own silence.
+   */
   private boolean hurried = true;
 
   Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
@@ -108,12 +115,18 @@
   }
 
   /** {@code sockets} is what it connects with. */
-  Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log, Class<? extends Channel> sockets) {
+  Discovery(
+      EventLoopGroup loop,
+      Config config,
+      Dispatcher dispatcher,
+      Log log,
+      Class<? extends Channel> sockets) {
     this.dispatcher = dispatcher;
     this.log = log;
     this.address = config.discovery();
     this.asked = config.settings().mustFollow();
-    this.lastBackoff = Math.max(1, (long) Math.min(BACKOFF_MAX_MS, GRACE_PART * config.drainGrace()));
+    this.lastBackoff =
+        Math.max(1, (long) Math.min(BACKOFF_MAX_MS, GRACE_PART * config.drainGrace()));
     this.firstBackoff = Math.min(BACKOFF_MS, lastBackoff);
     this.backoff = firstBackoff;
     this.bootstrap =
@@ -171,7 +184,8 @@
     }
     ChannelFuture f = bootstrap.connect(address);
     if (!f.channel().isRegistered()) {
-      // Guards against a watch that never ends: what was never opened can't be closed, nor goes silent in its turn.
+      // Guards against a watch that never ends: what was never opened can't be closed, nor goes
+      // silent in its turn.
       lost("out of sockets");
       return;
     }
@@ -226,7 +240,8 @@
         throw new IllegalArgumentException("an entry without id or address");
       }
       if (!names.add(name)) {
-        throw new IllegalArgumentException("an id twice in one list"); // which of both holds can't be told
+        throw new IllegalArgumentException(
+            "an id twice in one list"); // which of both holds can't be told
       }
       members.add(
           new Hosts.Member(
@@ -267,8 +282,10 @@
     private byte[] text = new byte[4_096];
     private int size;
 
-    /** Where the present line begins in what is held: past 0, lines of an indented list stand before it, of which so many
-     * brackets are open, since then (ns). */
+    /**
+     * Where the present line begins in what is held: past 0, lines of an indented list stand before
+     * it, of which so many brackets are open, since then (ns).
+     */
     private int lineFrom;
 
     private int brackets;
@@ -300,8 +317,7 @@
               HttpMethod.GET,
               "/catalog/members" + (following ? "?follow=1&since=" + version : ""),
               Unpooled.EMPTY_BUFFER);
-      r.headers()
-          .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+      r.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
       channel.writeAndFlush(r);
     }
 
@@ -373,12 +389,17 @@
       }
     }
 
-    /** A list is one line, or is indented over several. A line that is cut is told at once where it can be. */
+    /**
+     * A list is one line, or is indented over several. A line that is cut is told at once where it
+     * can be.
+     */
     private void lineEnds() {
       boolean indented = lineFrom > 0;
       if (blank()) {
         if (indented) {
-          broken("can't be understood: a list that is cut"); // discovery has nothing more to tell of it
+          broken(
+              "can't be understood: a list that is cut"); // discovery has nothing more to tell of
+          // it
         } else {
           size = 0;
           unchanged();
@@ -400,7 +421,10 @@
       return true;
     }
 
-    /** Whether the list goes on behind the present line: brackets are open, and it was not cut in the middle of a value. */
+    /**
+     * Whether the list goes on behind the present line: brackets are open, and it was not cut in
+     * the middle of a value.
+     */
     private boolean goesOn() {
       boolean quoted = false;
       byte last = 0;
@@ -437,7 +461,11 @@
         news = read(JSON.readTree(text, 0, length));
       } catch (IOException | IllegalArgumentException e) {
         // The last good list stays; what this one was to tell comes again from its version on.
-        broken("can't be understood: " + (e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage()));
+        broken(
+            "can't be understood: "
+                + (e instanceof JsonProcessingException j
+                    ? j.getOriginalMessage()
+                    : e.getMessage()));
         return;
       }
       apply(news);
@@ -445,8 +473,9 @@
     }
 
     /**
-     * Nothing has changed. Guards, where discovery is asked, against waits that have grown while it failed and that the
-     * module would keep for the next break: from a silence on there are 6 s, and they could be longer.
+     * Nothing has changed. Guards, where discovery is asked, against waits that have grown while it
+     * failed and that the module would keep for the next break: from a silence on there are 6 s,
+     * and they could be longer.
      */
     private void unchanged() {
       dispatcher.upToDate();
--- a/src/main/java/corkproxy/proxy/Generations.java
+++ b/src/main/java/corkproxy/proxy/Generations.java
@@ -13,9 +13,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The processes that serve one clients' address at a time: during an upgrade two. Each keeps a file in
- * a folder that they share, locked for as long as it lives, since the kernel drops a lock with its process
- * however that ends. The file tells whether its process listens and what it holds.
+ * The processes that serve one clients' address at a time: during an upgrade two. Each keeps a file
+ * in a folder that they share, locked for as long as it lives, since the kernel drops a lock with
+ * its process however that ends. The file tells whether its process listens and what it holds.
  *
  * <pre>
  *   old:  file, locked ------------------------------- SIGTERM: another listens? closes its socket at once
@@ -42,7 +42,10 @@
       return s == null
           ? this
           : new Standing(
-              listens || s.listens, clients + s.clients, upstreams + s.upstreams, bodies + s.bodies);
+              listens || s.listens,
+              clients + s.clients,
+              upstreams + s.upstreams,
+              bodies + s.bodies);
     }
   }
 
--- a/src/main/java/corkproxy/proxy/Management.java
+++ b/src/main/java/corkproxy/proxy/Management.java
@@ -11,8 +11,8 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.ServerChannel;
+import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -36,20 +36,28 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Where operators call: one call a connection, answered with 200 or an error. It has a thread of its
- * own. Guards operators against a client proxy that does not hear them when it is busiest; what it
- * reads and sets of the rest must be safe for use by another thread.
+ * Where operators call: one call a connection, answered with 200 or an error. It has a thread of
+ * its own. Guards operators against a client proxy that does not hear them when it is busiest; what
+ * it reads and sets of the rest must be safe for use by another thread.
  */
 final class Management implements AutoCloseable {
-  /** Connections kept at once; the oldest makes room. Guards descriptors against callers that say nothing. */
+  /**
+   * Connections kept at once; the oldest makes room. Guards descriptors against callers that say
+   * nothing.
+   */
   static final int MOST = 12;
 
-  /** How long (ms) a call may take to come; callers may be slow, but not as slow as those that stay. */
+  /**
+   * How long (ms) a call may take to come; callers may be slow, but not as slow as those that stay.
+   */
   private static final long SLOW_MS = 5_000;
 
   private static final int BACKLOG = 128;
   private static final HttpDecoderConfig DECODER =
-      new HttpDecoderConfig().setMaxInitialLineLength(1_024).setMaxHeaderSize(4_096).setInitialBufferSize(256);
+      new HttpDecoderConfig()
+          .setMaxInitialLineLength(1_024)
+          .setMaxHeaderSize(4_096)
+          .setInitialBufferSize(256);
 
   /** What one path does. */
   private record Operation(HttpMethod method, BooleanSupplier what) {}
@@ -62,7 +70,10 @@
   private final ArrayDeque<Channel> open = new ArrayDeque<>();
   private Channel listener;
 
-  /** {@code ready} tells whether this process can serve; the others carry out what they are named for. */
+  /**
+   * {@code ready} tells whether this process can serve; the others carry out what they are named
+   * for.
+   */
   Management(BooleanSupplier ready, Runnable drain, Runnable activate, Log log) {
     this.log = log;
     this.operations =
--- a/src/main/java/corkproxy/proxy/Operators.java
+++ b/src/main/java/corkproxy/proxy/Operators.java
@@ -1,6 +1,9 @@
 package corkproxy.proxy;
 
-/** What operators have asked of this process, and what it tells them; safe for use by several threads. */
+/**
+ * What operators have asked of this process, and what it tells them; safe for use by several
+ * threads.
+ */
 final class Operators {
   private volatile boolean serves;
   private volatile boolean sentAway;
--- a/src/main/java/corkproxy/proxy/PeerAddresses.java
+++ b/src/main/java/corkproxy/proxy/PeerAddresses.java
@@ -10,4 +10,5 @@
  * @param all reaches every client proxy of the tier
  * @param numbers the numbers of the others, by the address from which they send
  */
-record PeerAddresses(InetSocketAddress listen, InetSocketAddress all, Map<InetSocketAddress, Integer> numbers) {}
+record PeerAddresses(
+    InetSocketAddress listen, InetSocketAddress all, Map<InetSocketAddress, Integer> numbers) {}
--- a/src/main/java/corkproxy/proxy/Peers.java
+++ b/src/main/java/corkproxy/proxy/Peers.java
@@ -16,8 +16,9 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * The datagrams between client proxies: bytes out, bytes and their sender's number in. A message is a hint, so one that
- * can't be sent is dropped, and one from an address that is no peer's is passed over. On one loop, its proxy's.
+ * The datagrams between client proxies: bytes out, bytes and their sender's number in. A message is
+ * a hint, so one that can't be sent is dropped, and one from an address that is no peer's is passed
+ * over. On one loop, its proxy's.
  */
 final class Peers extends SimpleChannelInboundHandler<DatagramPacket> {
   /** The platform's bound on a datagram (bytes). */
@@ -38,19 +39,28 @@
     this.log = log;
   }
 
-  /** Listens. A port that can't be had is one line in the log, and tried again: the proxy works without its peers. */
+  /**
+   * Listens. A port that can't be had is one line in the log, and tried again: the proxy works
+   * without its peers.
+   */
   void start(EventLoop loop) {
     new Bootstrap()
         .group(loop)
         .channel(NioDatagramChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true) // a second process takes over from the first at the same address
+        .option(
+            ChannelOption.SO_REUSEADDR,
+            true) // a second process takes over from the first at the same address
         .handler(this)
         .bind(addresses.listen())
         .addListener(
             f -> {
               if (!f.isSuccess()) {
                 if (!failed) {
-                  log.line("peers can't be heard at " + addresses.listen() + ": " + f.cause().getMessage());
+                  log.line(
+                      "peers can't be heard at "
+                          + addresses.listen()
+                          + ": "
+                          + f.cause().getMessage());
                 }
                 failed = true;
                 startLater(loop);
@@ -77,7 +87,10 @@
     failed = false;
   }
 
-  /** A socket that a read error has closed is opened anew: netty closes it for any that it does not know. */
+  /**
+   * A socket that a read error has closed is opened anew: netty closes it for any that it does not
+   * know.
+   */
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     channel = null;
@@ -100,6 +113,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // Guards against what a cut link or an unreachable peer brings back on a socket that goes on: a hint is lost.
+    // Guards against what a cut link or an unreachable peer brings back on a socket that goes on: a
+    // hint is lost.
   }
 }
--- a/src/main/java/corkproxy/proxy/Proxy.java
+++ b/src/main/java/corkproxy/proxy/Proxy.java
@@ -43,10 +43,16 @@
   /** After SIGTERM new connections come for 0.4 s at most; they are accepted for longer (ms). */
   private static final long ACCEPT_MS = 800;
 
-  /** SIGKILL comes no sooner than the longest deadline, of which no more than this (ms) counts, and 0.7 s. */
+  /**
+   * SIGKILL comes no sooner than the longest deadline, of which no more than this (ms) counts, and
+   * 0.7 s.
+   */
   private static final double LONGEST_MS = 3_000;
 
-  /** What is open so long (ms) past the longest deadline is given up, so that its answer is out before SIGKILL. */
+  /**
+   * What is open so long (ms) past the longest deadline is given up, so that its answer is out
+   * before SIGKILL.
+   */
   private static final long GIVE_UP_MS = 500;
 
   /** And what is not written then, a little later, has nobody who reads it (ms). */
@@ -70,13 +76,19 @@
 
   private static final long RELOAD_RETRY_MS = 150;
 
-  /** A line for each request and attempt that failed and each connection closed, where this variable is 1; for incidents. */
+  /**
+   * A line for each request and attempt that failed and each connection closed, where this variable
+   * is 1; for incidents.
+   */
   private static final String LOG_DETAILS = "BALANCER_LOG_DETAILS";
 
   /** How long (ms) a process that takes over from another waits for discovery before it listens. */
   private static final long TOLD_MS = 1_500;
 
-  /** And any other, as a part of the drain's grace: an agent on the same machine answers at once, or is silent. */
+  /**
+   * And any other, as a part of the drain's grace: an agent on the same machine answers at once, or
+   * is silent.
+   */
   private static final double TOLD_PART = 0.5;
 
   private final Operators operators;
@@ -123,13 +135,7 @@
     this.budget = new BodyBudget(0);
     share(generations.others());
     this.upstreams =
-        new Upstreams(
-            loop,
-            TRANSPORT,
-            HttpProtocol.PLATFORM,
-            config.bounds(),
-            sockets,
-            log);
+        new Upstreams(loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), sockets, log);
     this.dispatcher =
         new Dispatcher(null, loop, config.settings(), config.seed(), upstreams, budget, log);
     this.gate = new PlatformGate(dispatcher, config.settings(), operators);
@@ -176,29 +182,36 @@
    * @throws ConfigException if there is no configuration to run with
    */
   public static void run(Map<String, String> env) throws ConfigException {
-    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // or netty loads the daemon's log
+    InternalLoggerFactory.setDefaultFactory(
+        JdkLoggerFactory.INSTANCE); // or netty loads the daemon's log
     BackgroundWriter writer = new BackgroundWriter(System.err);
     Log log = new LineLog(writer::write, "1".equals(env.get(LOG_DETAILS)));
     Config config = Config.load(env);
     Generations generations = Generations.join(env.get("TMPDIR"));
     Operators operators = new Operators();
     if (config.management() != null) {
-      listen(new Management(operators::serves, operators::sendAway, operators::takeBack, log), config);
+      listen(
+          new Management(operators::serves, operators::sendAway, operators::takeBack, log), config);
     }
     Rehearsal.run(config, generations.others() != null, log);
     Proxy p = new Proxy(config, operators, generations, log);
     String file = env.get("BALANCER_CONFIG");
     if (!Signals.onHangup(() -> p.reload(file))) {
-      log.line("SIGHUP is ignored in this process: the configuration's time and size are looked at in its place");
+      log.line(
+          "SIGHUP is ignored in this process: the configuration's time and size are looked at in its place");
       p.watch(file);
     }
-    // Ahead of the listener. Guards what is taken in the first moment: a SIGTERM with no hook ends the process at once.
+    // Ahead of the listener. Guards what is taken in the first moment: a SIGTERM with no hook ends
+    // the process at once.
     Runtime.getRuntime().addShutdownHook(new Thread(() -> p.end(writer), "drain"));
     p.start();
     p.awaitEnd();
   }
 
-  /** Carries out SIGTERM. An exit by it is status 143 to the JVM, and a drain that is done is a success. */
+  /**
+   * Carries out SIGTERM. An exit by it is status 143 to the JVM, and a drain that is done is a
+   * success.
+   */
   private void end(BackgroundWriter writer) {
     try {
       started.await();
@@ -260,8 +273,9 @@
   }
 
   /**
-   * Listens, and tries again for a while where the system has no socket or buffer at the moment, or the address is not free
-   * yet. Guards a start against a shortage that passes: a process that ends there is a crash.
+   * Listens, and tries again for a while where the system has no socket or buffer at the moment, or
+   * the address is not free yet. Guards a start against a shortage that passes: a process that ends
+   * there is a crash.
    */
   private void listen() throws Exception {
     long until = System.nanoTime() + LISTEN_TRIES_MS * 1_000_000;
@@ -280,9 +294,9 @@
   }
 
   /**
-   * Waits for discovery's list. Guards against a new process that goes by the old list of its configuration: what discovery
-   * has counts as told from its first moment, so a host that drains already has no grace left. Where discovery is down it
-   * makes the start longer by as much.
+   * Waits for discovery's list. Guards against a new process that goes by the old list of its
+   * configuration: what discovery has counts as told from its first moment, so a host that drains
+   * already has no grace left. Where discovery is down it makes the start longer by as much.
    */
   private void awaitList() throws Exception {
     double most = shared ? TOLD_MS : Math.min(TOLD_MS, TOLD_PART * config.drainGrace());
@@ -327,9 +341,9 @@
   }
 
   /**
-   * Takes up a new configuration: its settings, and the discovery it names; all else takes a restart.
-   * Guards against a file that is bad or still being written: it is read again for a while, and
-   * what runs goes on as it was, whole, if it never becomes good.
+   * Takes up a new configuration: its settings, and the discovery it names; all else takes a
+   * restart. Guards against a file that is bad or still being written: it is read again for a
+   * while, and what runs goes on as it was, whole, if it never becomes good.
    */
   void reload(String file) {
     loop.execute(
@@ -356,8 +370,7 @@
     } catch (ConfigException | RuntimeException e) {
       if (tries > 1) {
         reload =
-            loop.schedule(
-                () -> tryReload(file, tries - 1), RELOAD_RETRY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> tryReload(file, tries - 1), RELOAD_RETRY_MS, TimeUnit.MILLISECONDS);
       } else {
         log.line("configuration kept as it was: " + e.getMessage());
       }
@@ -383,7 +396,8 @@
    *   0                                 0.8 s   once all are gone, ends      + 0.5 s   + 0.6 s    + 0.7 s
    * </pre>
    *
-   * It ends with no connection open. Guards against a request that is written to one between the last look and the end.
+   * It ends with no connection open. Guards against a request that is written to one between the
+   * last look and the end.
    */
   void drain() {
     loop.execute(
@@ -441,10 +455,12 @@
   private void stepOfDrain() {
     long now = System.nanoTime();
     if (now >= giveUpAt) {
-      front.giveUp(); // of a class with a longer time than SIGKILL leaves, or one that a reload has dropped
+      front.giveUp(); // of a class with a longer time than SIGKILL leaves, or one that a reload has
+      // dropped
     }
     if (!takenOver && now >= acceptUntil) {
-      // Guards a request that crossed such a close: its client sends it once more, on a new connection.
+      // Guards a request that crossed such a close: its client sends it once more, on a new
+      // connection.
       acceptUntil = front.clear() ? Math.min(giveUpAt, now + SocketSlack.NANOS) : acceptUntil;
       if (listening() && (front.empty() && now >= acceptUntil || now >= giveUpAt)) {
         front.leaveListening(); // whom it lets in is waited for, too
--- a/src/main/java/corkproxy/proxy/Rehearsal.java
+++ b/src/main/java/corkproxy/proxy/Rehearsal.java
@@ -20,9 +20,10 @@
 /**
  * Requests that a client proxy of its own carries on loopback before the real one listens. Guards
  * the first seconds: with part of a core, loading and compiling the code while clients wait costs
- * most of what they ask for then. It makes a start longer by as much, which clients wait for after a
- * restart: so it is no longer than it takes. {@code deploy/proxy.jvm} has methods compiled after a
- * fifth of the usual calls, so that a fifth of the requests warms as much. One that fails is left out.
+ * most of what they ask for then. It makes a start longer by as much, which clients wait for after
+ * a restart: so it is no longer than it takes. {@code deploy/proxy.jvm} has methods compiled after
+ * a fifth of the usual calls, so that a fifth of the requests warms as much. One that fails is left
+ * out.
  */
 final class Rehearsal {
   static final int REQUESTS = 300;
@@ -38,13 +39,17 @@
   private static final String BODY = "x".repeat(1_000);
 
   /** A question to discovery begins so; a reader tells of it by {@link #TO_DISCOVERY}. */
-  private static final byte[] DISCOVERY = "GET /catalog/members".getBytes(StandardCharsets.ISO_8859_1);
+  private static final byte[] DISCOVERY =
+      "GET /catalog/members".getBytes(StandardCharsets.ISO_8859_1);
 
   private static final int TO_DISCOVERY = 0;
 
   private static final byte[] ANSWER =
-      ("HTTP/1.1 200 OK\r\nX-Server-Load: inflight=1,eps=0\r\nContent-Length: " + BODY.length()
-          + "\r\n\r\n" + BODY).getBytes(StandardCharsets.ISO_8859_1);
+      ("HTTP/1.1 200 OK\r\nX-Server-Load: inflight=1,eps=0\r\nContent-Length: "
+              + BODY.length()
+              + "\r\n\r\n"
+              + BODY)
+          .getBytes(StandardCharsets.ISO_8859_1);
 
   private final Config config;
   private final ServerSocket host;
@@ -57,8 +62,8 @@
   }
 
   /**
-   * Carries some requests of each class, for three seconds at most; {@code paced} leaves most of the core to
-   * a process that serves meanwhile, and takes 2.5 s.
+   * Carries some requests of each class, for three seconds at most; {@code paced} leaves most of
+   * the core to a process that serves meanwhile, and takes 2.5 s.
    *
    * @return how many were answered
    */
@@ -98,7 +103,8 @@
             new Operators(),
             Generations.alone(),
             new LineLog(
-                new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8), false));
+                new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8),
+                false));
     try {
       proxy.start();
       return ask(proxy.address());
@@ -108,8 +114,8 @@
   }
 
   /**
-   * Guards against a rehearsal that ends with its first request: cold code is so slow that the module would
-   * refuse, for its own process can't be in time.
+   * Guards against a rehearsal that ends with its first request: cold code is so slow that the
+   * module would refuse, for its own process can't be in time.
    */
   private static Settings unhurried(Settings s) {
     return s.with(s.classes().stream().map(c -> c.within(UNHURRIED_MS)).toList());
@@ -151,9 +157,18 @@
   private static String request(Settings.RequestClass c, int i) {
     boolean safe = c.semantics() == Settings.Semantics.IDEMPOTENT;
     boolean keyed = c.semantics() == Settings.Semantics.DEDUPLICATED;
-    return (safe ? "GET /" : "POST /") + c.name() + "/" + i + " HTTP/1.1\r\n"
-        + "Host: api.internal\r\nX-Request-ID: rehearsal-" + i + "\r\nX-Priority-Class: "
-        + c.name() + "\r\nX-Timeout-Ms: " + PATIENCE_MS + "\r\n"
+    return (safe ? "GET /" : "POST /")
+        + c.name()
+        + "/"
+        + i
+        + " HTTP/1.1\r\n"
+        + "Host: api.internal\r\nX-Request-ID: rehearsal-"
+        + i
+        + "\r\nX-Priority-Class: "
+        + c.name()
+        + "\r\nX-Timeout-Ms: "
+        + PATIENCE_MS
+        + "\r\n"
         + (keyed ? "Idempotency-Key: rehearsal-" + i + "\r\n" : "")
         + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY);
   }
@@ -162,7 +177,8 @@
 
   private static String list(int port) {
     return "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"rehearsal\",\"addr\":\"127.0.0.1:"
-        + port + "\",\"zone\":\"\",\"kind\":\"\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
+        + port
+        + "\",\"zone\":\"\",\"kind\":\"\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
         + "\"started_ms\":0}]}";
   }
 
@@ -190,7 +206,10 @@
           write(
               s,
               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                  + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                  + Integer.toHexString(line.length())
+                  + "\r\n"
+                  + line
+                  + "\r\n");
         } else {
           s.getOutputStream().write(ANSWER);
         }
@@ -205,8 +224,8 @@
   }
 
   /**
-   * Messages of one connection, read as cheaply as can be: what is spent here is taken from the code that is
-   * rehearsed, and this is never needed again. Bodies are of one length or none.
+   * Messages of one connection, read as cheaply as can be: what is spent here is taken from the
+   * code that is rehearsed, and this is never needed again. Bodies are of one length or none.
    */
   private static final class Reader {
     private final InputStream in;
@@ -217,7 +236,10 @@
       this.in = in;
     }
 
-    /** Reads the next message to its end; its first byte, {@link #TO_DISCOVERY}, or -1. A GET has no body. */
+    /**
+     * Reads the next message to its end; its first byte, {@link #TO_DISCOVERY}, or -1. A GET has no
+     * body.
+     */
     int next(boolean ofHost) throws IOException {
       int from = 0;
       int ends = -1;
@@ -237,7 +259,8 @@
         }
       }
       int first = bytes[0];
-      boolean toDiscovery = Arrays.mismatch(bytes, 0, DISCOVERY.length, DISCOVERY, 0, DISCOVERY.length) < 0;
+      boolean toDiscovery =
+          Arrays.mismatch(bytes, 0, DISCOVERY.length, DISCOVERY, 0, DISCOVERY.length) < 0;
       int left = ends + (ofHost || first != 'G' ? BODY.length() : 0) - held;
       if (left > 0) {
         in.skipNBytes(left);
--- a/src/main/java/corkproxy/proxy/Retuning.java
+++ b/src/main/java/corkproxy/proxy/Retuning.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The classes by which requests are judged, and for a while after a change of the settings those that
- * changed their semantics or went, as they were.
+ * The classes by which requests are judged, and for a while after a change of the settings those
+ * that changed their semantics or went, as they were.
  *
  * <pre>
  *   SIGHUP, read      clients name the new classes           what was is forgotten
@@ -18,8 +18,8 @@
  * </pre>
  *
  * <p>Method and key tell the form: it is safe ({@code GET}), keyed or neither. A request in the new
- * form falls under the new rules; one in the old form under the old ones, by a name of its own in the
- * module, so that nothing of the old rules reaches a request of the new form.
+ * form falls under the new rules; one in the old form under the old ones, by a name of its own in
+ * the module, so that nothing of the old rules reaches a request of the new form.
  */
 final class Retuning {
   /** How long (ms) requests of the old form are taken. */
@@ -56,7 +56,10 @@
     return next.with(all);
   }
 
-  /** Forgets what was; returns the settings for the module from now on, or null if they are the same. */
+  /**
+   * Forgets what was; returns the settings for the module from now on, or null if they are the
+   * same.
+   */
   Settings settled() {
     if (former.isEmpty()) {
       return null;
@@ -65,18 +68,23 @@
     return settings;
   }
 
-  /** The class that a request of this name, method and key falls under; null where there is none. */
+  /**
+   * The class that a request of this name, method and key falls under; null where there is none.
+   */
   Settings.RequestClass of(String name, HttpMethod method, boolean keyed) {
     Settings.RequestClass now = types.get(name);
     Settings.RequestClass was = former.get(name);
-    return was == null || now != null && fits(now, method, keyed) || now != null && !fits(was, method, keyed)
+    return was == null
+            || now != null && fits(now, method, keyed)
+            || now != null && !fits(was, method, keyed)
         ? now
         : was;
   }
 
   /** Whether a request of a class comes by this method, with its key where it needs one. */
   static boolean fits(Settings.RequestClass c, HttpMethod method, boolean keyed) {
-    return method.equals(c.semantics() == Settings.Semantics.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST)
+    return method.equals(
+            c.semantics() == Settings.Semantics.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST)
         && (keyed || c.semantics() != Settings.Semantics.DEDUPLICATED);
   }
 
--- a/src/main/java/corkproxy/proxy/WatchedFile.java
+++ b/src/main/java/corkproxy/proxy/WatchedFile.java
@@ -6,8 +6,9 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * A file whose time and size are looked at now and then, for a process that no signal reaches. One look is one call to
- * the system. A file that is being written shows as several changes; whoever reads it must bear half a file.
+ * A file whose time and size are looked at now and then, for a process that no signal reaches. One
+ * look is one call to the system. A file that is being written shows as several changes; whoever
+ * reads it must bear half a file.
  */
 final class WatchedFile {
   private final Path file;
--- a/src/main/java/corkproxy/quorum/Json.java
+++ b/src/main/java/corkproxy/quorum/Json.java
@@ -13,7 +13,10 @@
 /** Trees and bytes. */
 public final class Json {
   private static final ObjectMapper MAPPER =
-      JsonMapper.builder().enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS).enable(MapperFeature.SORT_PROPERTIES_ALPHABETICALLY).build();
+      JsonMapper.builder()
+          .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
+          .enable(MapperFeature.SORT_PROPERTIES_ALPHABETICALLY)
+          .build();
 
   private Json() {}
 
--- a/src/main/java/corkproxy/quorum/Keeper.java
+++ b/src/main/java/corkproxy/quorum/Keeper.java
@@ -41,10 +41,12 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * One keeper: its copy of the log, the ledger that it comes to, and, while it leads, the time of sessions.
+ * One keeper: its copy of the log, the ledger that it comes to, and, while it leads, the time of
+ * sessions.
  *
- * <p>An entry is answered once a majority has it on disk and it has been applied here. Whoever renews a lease, or reads,
- * is answered only after a majority has confirmed that this keeper still leads: one word from each for all who wait.
+ * <p>An entry is answered once a majority has it on disk and it has been applied here. Whoever
+ * renews a lease, or reads, is answered only after a majority has confirmed that this keeper still
+ * leads: one word from each for all who wait.
  */
 public final class Keeper implements AutoCloseable {
   private static final int TICK_MS = 50;
@@ -67,7 +69,10 @@
           });
   private final KeeperApi api;
 
-  /** Those who wait for a word that this keeper leads, and those whom the one that is under way is for. */
+  /**
+   * Those who wait for a word that this keeper leads, and those whom the one that is under way is
+   * for.
+   */
   private List<Consumer<String>> waiting = new ArrayList<>();
 
   private boolean asking;
@@ -76,17 +81,23 @@
   /**
    * Starts a keeper.
    *
-   * @param fresh whether an empty folder may be taken for a new keeper's. One that had a folder and lost it must not
-   *     vote as if it had promised nothing
+   * @param fresh whether an empty folder may be taken for a new keeper's. One that had a folder and
+   *     lost it must not vote as if it had promised nothing
    * @throws IOException if its folder or an address can't be had, with what was expected
    */
-  public Keeper(KeeperConfig config, boolean fresh, Consumer<String> log, Consumer<Throwable> fatal) throws IOException {
+  public Keeper(KeeperConfig config, boolean fresh, Consumer<String> log, Consumer<Throwable> fatal)
+      throws IOException {
     this.config = config;
     this.ledger = new Ledger(config.times());
-    this.group = RaftGroupId.valueOf(UUID.nameUUIDFromBytes(("leadferry " + config.fleet()).getBytes(StandardCharsets.UTF_8)));
+    this.group =
+        RaftGroupId.valueOf(
+            UUID.nameUUIDFromBytes(
+                ("leadferry " + config.fleet()).getBytes(StandardCharsets.UTF_8)));
     boolean known = folder(fresh);
     List<RaftPeer> peers = new ArrayList<>();
-    config.peers().forEach((n, a) -> peers.add(RaftPeer.newBuilder().setId(n).setAddress(a).build()));
+    config
+        .peers()
+        .forEach((n, a) -> peers.add(RaftPeer.newBuilder().setId(n).setAddress(a).build()));
     this.api = new KeeperApi(config, this, log);
     RaftServer s;
     try {
@@ -96,7 +107,8 @@
               .setGroup(RaftGroup.valueOf(group, peers))
               .setStateMachine(new LogMachine(ledger, api::changed, fatal))
               .setProperties(properties())
-              .setOption(known ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
+              .setOption(
+                  known ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
               .build();
       s.start();
     } catch (IOException | RuntimeException e) {
@@ -117,20 +129,30 @@
     if (known) {
       String found = Files.readString(mark);
       if (!found.equals(mine)) {
-        throw new IOException(config.folder() + ": of keeper " + found.strip() + " (expected: of " + mine.strip() + ")");
+        throw new IOException(
+            config.folder()
+                + ": of keeper "
+                + found.strip()
+                + " (expected: of "
+                + mine.strip()
+                + ")");
       }
     } else if (!fresh) {
       throw new IOException(
-          config.folder() + ": no keeper's log (expected: the one that this keeper had; --new where it never had one)");
+          config.folder()
+              + ": no keeper's log (expected: the one that this keeper had; --new where it never had one)");
     } else {
       try (var files = Files.list(config.folder())) {
         if (files.findAny().isPresent()) {
-          throw new IOException(config.folder() + ": not empty, and no keeper's (expected: an empty folder)");
+          throw new IOException(
+              config.folder() + ": not empty, and no keeper's (expected: an empty folder)");
         }
       }
       Files.writeString(mark, mine);
     }
-    return known && Files.isDirectory(config.folder().resolve("log").resolve(group.getUuid().toString()).resolve("current"));
+    return known
+        && Files.isDirectory(
+            config.folder().resolve("log").resolve(group.getUuid().toString()).resolve("current"));
   }
 
   private RaftProperties properties() {
@@ -153,7 +175,8 @@
     RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, config.snapshotEntries());
     RaftServerConfigKeys.Snapshot.setCreationGap(p, Math.max(1, config.snapshotEntries() / 4));
     RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, 2);
-    // What a keeper that is down still lacks stays in the log: a snapshot is sent only to one that lost its folder.
+    // What a keeper that is down still lacks stays in the log: a snapshot is sent only to one that
+    // lost its folder.
     RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(p, false);
     RaftServerConfigKeys.Log.setSegmentSizeMax(p, SizeInBytes.valueOf("4MB"));
     RaftServerConfigKeys.Log.setPreallocatedSize(p, SizeInBytes.valueOf("256KB"));
@@ -169,8 +192,8 @@
   // --- what is asked of it
 
   /**
-   * Puts an entry into the log; {@code done} gets the outcome, or an object with {@code redirect} where it surely was
-   * not put there, or with {@code undecided} where that is not known.
+   * Puts an entry into the log; {@code done} gets the outcome, or an object with {@code redirect}
+   * where it surely was not put there, or with {@code undecided} where that is not known.
    */
   void submit(ObjectNode entry, Consumer<ObjectNode> done) {
     if (!leads()) {
@@ -206,7 +229,10 @@
     }
   }
 
-  /** Runs {@code then} with null once a majority has confirmed that this keeper leads, or with why it has not. */
+  /**
+   * Runs {@code then} with null once a majority has confirmed that this keeper leads, or with why
+   * it has not.
+   */
   void confirmed(Consumer<String> then) {
     synchronized (this) {
       waiting.add(then);
@@ -224,8 +250,10 @@
       now = waiting;
       waiting = new ArrayList<>();
     }
-    // Guards against a follower that confirms: the library lets it read, by a word of the leader's, but what is renewed
-    // here would be counted by nobody, and the leader would take for dead whoever was told that its lease goes on.
+    // Guards against a follower that confirms: the library lets it read, by a word of the leader's,
+    // but what is renewed
+    // here would be counted by nobody, and the leader would take for dead whoever was told that its
+    // lease goes on.
     long led = leadsIn();
     CompletableFuture<RaftClientReply> word =
         led < 0
@@ -246,7 +274,10 @@
         });
   }
 
-  /** Why that reply does not confirm that this keeper led throughout, in that term; null where it does. */
+  /**
+   * Why that reply does not confirm that this keeper led throughout, in that term; null where it
+   * does.
+   */
   private String unconfirmed(long led, RaftClientReply reply, Throwable failure) {
     if (failure != null) {
       return failure.toString();
@@ -260,18 +291,23 @@
   /** Renews a session; to be called once {@link #confirmed}. False where it is over. */
   boolean renew(String name, long session) {
     synchronized (ledger) {
-      return ledger.lives(name, session) && timers.renew(Ledger.timer(name, session), System.nanoTime());
+      return ledger.lives(name, session)
+          && timers.renew(Ledger.timer(name, session), System.nanoTime());
     }
   }
 
-  /** Goes on with a driver's lease; to be called once {@link #confirmed}. False where it is over. */
+  /**
+   * Goes on with a driver's lease; to be called once {@link #confirmed}. False where it is over.
+   */
   boolean renewDriver(String release, long fence) {
     synchronized (ledger) {
-      return ledger.drives(release, fence) && timers.renew(Releases.timer(release, fence), System.nanoTime());
+      return ledger.drives(release, fence)
+          && timers.renew(Releases.timer(release, fence), System.nanoTime());
     }
   }
 
-  // What members tell of what they serve: not agreed, not kept, and gone with this keeper's lead. A driver that finds
+  // What members tell of what they serve: not agreed, not kept, and gone with this keeper's lead. A
+  // driver that finds
   // none waits for the next.
 
   private record Report(long session, long at, JsonNode what) {}
@@ -285,7 +321,10 @@
     }
   }
 
-  /** The newest report of each member whose session lives, with its age; and the names of those that have none. */
+  /**
+   * The newest report of each member whose session lives, with its age; and the names of those that
+   * have none.
+   */
   ObjectNode reports() {
     Map<String, Long> living;
     synchronized (ledger) {
@@ -294,12 +333,16 @@
     reports.keySet().retainAll(living.keySet());
     ObjectNode o = Json.object();
     ObjectNode by = o.putObject("reports");
-    living.forEach((name, session) -> {
-      Report r = reports.get(name);
-      if (r != null && r.session() == session) {
-        by.putObject(name).put("session", session).put("age_ms", (System.nanoTime() - r.at()) / 1_000_000).set("told", r.what());
-      }
-    });
+    living.forEach(
+        (name, session) -> {
+          Report r = reports.get(name);
+          if (r != null && r.session() == session) {
+            by.putObject(name)
+                .put("session", session)
+                .put("age_ms", (System.nanoTime() - r.at()) / 1_000_000)
+                .set("told", r.what());
+          }
+        });
     living.keySet().stream().filter(n -> !by.has(n)).forEach(o.putArray("missing")::add);
     return o;
   }
@@ -344,8 +387,10 @@
     ObjectNode o = Json.object().put("keeper", config.name());
     try {
       DivisionInfo i = info();
-      o.put("role", i.getCurrentRole().name().toLowerCase(java.util.Locale.ROOT)).put("term", i.getCurrentTerm());
-      o.put("applied", i.getLastAppliedIndex()).put("leader", i.getLeaderId() == null ? "" : i.getLeaderId().toString());
+      o.put("role", i.getCurrentRole().name().toLowerCase(java.util.Locale.ROOT))
+          .put("term", i.getCurrentTerm());
+      o.put("applied", i.getLastAppliedIndex())
+          .put("leader", i.getLeaderId() == null ? "" : i.getLeaderId().toString());
       long[] match = i.isLeader() ? i.getFollowerMatchIndices() : new long[0];
       Arrays.stream(match).forEach(o.putArray("followers")::add);
     } catch (IOException | RuntimeException e) {
@@ -384,7 +429,8 @@
             });
       }
     } catch (IOException | RuntimeException e) {
-      // Guards against a periodic task that ends for ever with its first exception; the next look is soon.
+      // Guards against a periodic task that ends for ever with its first exception; the next look
+      // is soon.
       api.log("the keeper's clock: " + e);
     }
   }
--- a/src/main/java/corkproxy/quorum/KeeperApi.java
+++ b/src/main/java/corkproxy/quorum/KeeperApi.java
@@ -32,7 +32,10 @@
   /** What others than keepers may put into the log. */
   private static final Set<String> OPS =
       Stream.of(
-              Set.of("join", "tell", "leave", "drain", "undo", "halt", "resume", "fence", "forget", "budgets"), Releases.DRIVERS,
+              Set.of(
+                  "join", "tell", "leave", "drain", "undo", "halt", "resume", "fence", "forget",
+                  "budgets"),
+              Releases.DRIVERS,
               Releases.OPERATORS)
           .flatMap(Set::stream)
           .collect(Collectors.toUnmodifiableSet());
@@ -46,7 +49,8 @@
   private final Keeper keeper;
   private final Consumer<String> log;
   private final MultiThreadIoEventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("keeper-api", true), NioIoHandler.newFactory());
+      new MultiThreadIoEventLoopGroup(
+          2, new DefaultThreadFactory("keeper-api", true), NioIoHandler.newFactory());
   private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
   private final AtomicBoolean pushing = new AtomicBoolean();
   private Channel listener;
@@ -80,7 +84,8 @@
                     }
                     ch.pipeline()
                         .addLast(
-                            new io.netty.handler.timeout.ReadTimeoutHandler(IDLE_S, TimeUnit.SECONDS),
+                            new io.netty.handler.timeout.ReadTimeoutHandler(
+                                IDLE_S, TimeUnit.SECONDS),
                             new LineBasedFrameDecoder(Wire.MOST_BYTES, true, true),
                             new Session(ch));
                   }
@@ -88,7 +93,8 @@
             .bind(config.api())
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
-      throw new IOException("api: " + config.api() + " can't be listened on: " + bound.cause().getMessage());
+      throw new IOException(
+          "api: " + config.api() + " can't be listened on: " + bound.cause().getMessage());
     }
     listener = bound.channel();
   }
@@ -190,14 +196,26 @@
         case "status" -> read(id, () -> keeper.ledger().status(q.path("history").asBoolean()));
         case "release" -> read(id, () -> keeper.ledger().release(q.path("release").asText("")));
         case "reports" -> read(id, keeper::reports);
-        case "explain" -> read(id, () -> keeper.ledger().explain(q.path("kind").asText(), q.path("name").asText()));
+        case "explain" ->
+            read(
+                id,
+                () -> keeper.ledger().explain(q.path("kind").asText(), q.path("name").asText()));
         case "permit" -> read(id, () -> keeper.ledger().permit(q.path("permit").asText()));
-        default -> answer(id, Json.object().put("error", "op: '" + op + "' (expected: submit, renew, status, release, reports, explain, permit, health)"));
+        default ->
+            answer(
+                id,
+                Json.object()
+                    .put(
+                        "error",
+                        "op: '"
+                            + op
+                            + "' (expected: submit, renew, status, release, reports, explain, permit, health)"));
       }
     }
 
     private void submit(long id, ObjectNode q) {
-      if (!(q.path("entry") instanceof ObjectNode entry) || !OPS.contains(entry.path("op").asText())) {
+      if (!(q.path("entry") instanceof ObjectNode entry)
+          || !OPS.contains(entry.path("op").asText())) {
         answer(id, Json.object().put("error", "entry: one that can't be put into the log"));
         return;
       }
@@ -213,7 +231,8 @@
               return;
             }
             if (q.has("release")) {
-              boolean drives = keeper.renewDriver(q.path("release").asText(), q.path("fence").asLong());
+              boolean drives =
+                  keeper.renewDriver(q.path("release").asText(), q.path("fence").asLong());
               answer(id, Json.object().put("status", drives ? "done" : "unknown"));
               return;
             }
@@ -227,7 +246,8 @@
             synchronized (keeper.ledger()) {
               wanted = keeper.ledger().reportsWanted();
             }
-            answer(id, Json.object().put("status", lives ? "done" : "unknown").put("reports", wanted));
+            answer(
+                id, Json.object().put("status", lives ? "done" : "unknown").put("reports", wanted));
           });
     }
 
--- a/src/main/java/corkproxy/quorum/KeeperClient.java
+++ b/src/main/java/corkproxy/quorum/KeeperClient.java
@@ -10,12 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Calls keepers: goes to the one that leads, as they tell, and from one that does not answer to the next. For one
- * thread. All that is sent may be sent again: entries carry a call's id, an incarnation or a session with a number,
- * by which the log takes them once.
+ * Calls keepers: goes to the one that leads, as they tell, and from one that does not answer to the
+ * next. For one thread. All that is sent may be sent again: entries carry a call's id, an
+ * incarnation or a session with a number, by which the log takes them once.
  */
 public final class KeeperClient implements AutoCloseable {
-  /** One keeper has so long (ms) for a connection, and for an answer, before the next one is asked. */
+  /**
+   * One keeper has so long (ms) for a connection, and for an answer, before the next one is asked.
+   */
   private static final int CONNECT_MS = 500;
 
   private static final int ANSWER_MS = 1_500;
@@ -44,7 +46,8 @@
   private long ids;
 
   /** Keepers by name; views that they push go to {@code pushed}. */
-  public KeeperClient(String fleet, Map<String, InetSocketAddress> keepers, Consumer<ObjectNode> pushed) {
+  public KeeperClient(
+      String fleet, Map<String, InetSocketAddress> keepers, Consumer<ObjectNode> pushed) {
     this.fleet = fleet;
     this.keepers = new LinkedHashMap<>(keepers);
     this.names = new ArrayList<>(keepers.keySet());
--- a/src/main/java/corkproxy/quorum/KeeperConfig.java
+++ b/src/main/java/corkproxy/quorum/KeeperConfig.java
@@ -14,8 +14,10 @@
  * @param api where members and operators reach it
  * @param folder where its log and snapshots are
  * @param peers all keepers, this one among them, by name: where their logs are reached
- * @param electionMs how long a follower goes without a leader's word before it asks for votes, at least
- * @param snapshotEntries entries after which the ledger is written out and the log before it may be dropped
+ * @param electionMs how long a follower goes without a leader's word before it asks for votes, at
+ *     least
+ * @param snapshotEntries entries after which the ledger is written out and the log before it may be
+ *     dropped
  * @param times the fleet's times, which count for the first keeper that ever leads
  */
 public record KeeperConfig(
--- a/src/main/java/corkproxy/quorum/Lease.java
+++ b/src/main/java/corkproxy/quorum/Lease.java
@@ -1,16 +1,16 @@
 package corkproxy.quorum;
 
 /**
- * A member's side of its lease. Without I/O; times are passed in (ns, of a monotonic clock that goes on while the
- * process is stopped).
+ * A member's side of its lease. Without I/O; times are passed in (ns, of a monotonic clock that
+ * goes on while the process is stopped).
  *
  * <pre>
  *   member:  asked ------------------------ 0.9 of a lease ----------| over
  *   keeper:          heard -------------------------- a lease ---------------| may say so
  * </pre>
  *
- * <p>The member counts from before it asked and the keeper from after it heard, so the member knows first that its
- * lease is over, as long as the two clocks differ by less than a tenth in speed.
+ * <p>The member counts from before it asked and the keeper from after it heard, so the member knows
+ * first that its lease is over, as long as the two clocks differ by less than a tenth in speed.
  */
 public final class Lease {
   private static final double PART = 0.9;
--- a/src/main/java/corkproxy/quorum/Ledger.java
+++ b/src/main/java/corkproxy/quorum/Ledger.java
@@ -23,18 +23,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * The agreed state: what the log's entries, applied in their order, come to. Deterministic and without I/O or time;
- * the same entries give the same bytes of {@link #snapshot} and the same outcomes on every keeper.
+ * The agreed state: what the log's entries, applied in their order, come to. Deterministic and
+ * without I/O or time; the same entries give the same bytes of {@link #snapshot} and the same
+ * outcomes on every keeper.
  *
- * <p>An entry is an object with {@code schema}, {@code op}, and, of operators, {@code call} (an id by which the same
- * question may be asked again and gets the one true outcome), {@code who}, {@code why} and {@code at} (the asker's wall
- * clock, which nothing goes by). An entry of a later schema is never guessed at: {@link LaterSchemaException}.
+ * <p>An entry is an object with {@code schema}, {@code op}, and, of operators, {@code call} (an id
+ * by which the same question may be asked again and gets the one true outcome), {@code who}, {@code
+ * why} and {@code at} (the asker's wall clock, which nothing goes by). An entry of a later schema
+ * is never guessed at: {@link LaterSchemaException}.
  */
 public final class Ledger {
   /** The form of entries and snapshots that this build reads and writes. */
   public static final int SCHEMA = 1;
 
-  /** So many calls are remembered, the newest; a call asked again later than that is taken for a new one. */
+  /**
+   * So many calls are remembered, the newest; a call asked again later than that is taken for a new
+   * one.
+   */
   static final int CALLS = 4_096;
 
   /** So many records of the audit are kept, the newest. */
@@ -101,7 +106,9 @@
     if (known != null) {
       return known.digest().equals(digest)
           ? known.outcome().deepCopy().put("again", true)
-          : outcome(new Outcome(Status.CONFLICT, "", List.of("id '" + call + "' was used for something else")));
+          : outcome(
+              new Outcome(
+                  Status.CONFLICT, "", List.of("id '" + call + "' was used for something else")));
     }
     ObjectNode o = perform(e);
     calls.put(call, new Call(digest, o));
@@ -147,14 +154,17 @@
         if (text(e, "timer").startsWith("release-")) {
           if (timers().containsKey(text(e, "timer"))) {
             releases.timeout(text(e, "timer"));
-            note(e.deepCopy().put("who", "keepers").put("why", text(e, "timer") + " ran out"), new Outcome(Status.DONE, "", List.of()));
+            note(
+                e.deepCopy().put("who", "keepers").put("why", text(e, "timer") + " ran out"),
+                new Outcome(Status.DONE, "", List.of()));
           }
         } else {
           disruption.timeout(text(e, "timer"));
         }
         return outcome(new Outcome(Status.DONE, "", List.of()));
       default:
-        Outcome o = Releases.OPERATORS.contains(op) ? releases.apply(op, e, disruption) : operator(op, e);
+        Outcome o =
+            Releases.OPERATORS.contains(op) ? releases.apply(op, e, disruption) : operator(op, e);
         note(e, o);
         return outcome(o);
     }
@@ -166,21 +176,37 @@
       case "drain" -> {
         Kind kind = Kind.of(text(e, "kind"));
         yield kind == null
-            ? new Outcome(Status.MALFORMED, "", List.of("kind: '" + text(e, "kind") + "' (expected: proxy or host)"))
-            : disruption.drain(kind, name, e.path("for_ms").asLong(), e.path("leave").asBoolean(), text(e, "who"), text(e, "why"));
+            ? new Outcome(
+                Status.MALFORMED,
+                "",
+                List.of("kind: '" + text(e, "kind") + "' (expected: proxy or host)"))
+            : disruption.drain(
+                kind,
+                name,
+                e.path("for_ms").asLong(),
+                e.path("leave").asBoolean(),
+                text(e, "who"),
+                text(e, "why"));
       }
       case "undo" -> {
         String holder = releases.holder(text(e, "permit"));
         yield holder == null
             ? disruption.undo(text(e, "permit"), text(e, "why"))
-            : new Outcome(Status.REFUSED, text(e, "permit"), List.of("held by release " + holder + ": halt it, or take it back"));
+            : new Outcome(
+                Status.REFUSED,
+                text(e, "permit"),
+                List.of("held by release " + holder + ": halt it, or take it back"));
       }
       case "halt" -> disruption.halt(text(e, "why"));
       case "resume" -> disruption.resume();
       case "fence" -> disruption.fence(name);
       case "forget" -> disruption.forget(name);
       case "budgets" -> budgets(e);
-      default -> new Outcome(Status.MALFORMED, "", List.of("op: '" + op + "' (expected: one that this build knows)"));
+      default ->
+          new Outcome(
+              Status.MALFORMED,
+              "",
+              List.of("op: '" + op + "' (expected: one that this build knows)"));
     };
   }
 
@@ -199,17 +225,33 @@
     String name = text(e, "name");
     String incarnation = text(e, "incarnation");
     long lease = e.path("lease_ms").asLong();
-    if (!name.matches(Disruption.NAME) || incarnation.isEmpty() || lease < LEAST_LEASE_MS || lease > LONGEST_LEASE_MS) {
-      return outcome(new Outcome(Status.MALFORMED, "", List.of("join: a name, an incarnation or a lease_ms that can't be")));
+    if (!name.matches(Disruption.NAME)
+        || incarnation.isEmpty()
+        || lease < LEAST_LEASE_MS
+        || lease > LONGEST_LEASE_MS) {
+      return outcome(
+          new Outcome(
+              Status.MALFORMED,
+              "",
+              List.of("join: a name, an incarnation or a lease_ms that can't be")));
     }
     Session s = sessions.get(name);
     if (s != null && !s.incarnation().equals(incarnation)) {
-      return outcome(new Outcome(Status.CONFLICT, "", List.of("the name " + name + " is in use by a process whose lease is not over")));
+      return outcome(
+          new Outcome(
+              Status.CONFLICT,
+              "",
+              List.of("the name " + name + " is in use by a process whose lease is not over")));
     }
     if (s == null) {
       s = new Session(name, incarnation, entries, lease);
       sessions.put(name, s);
-      disruption.joined(name, label(e, "zone"), label(e, "runs"), text(e, "digest"), Disruption.subjects(e.path("hosts")));
+      disruption.joined(
+          name,
+          label(e, "zone"),
+          label(e, "runs"),
+          text(e, "digest"),
+          Disruption.subjects(e.path("hosts")));
     }
     ObjectNode o = outcome(new Outcome(Status.DONE, "", List.of())).put("session", s.id());
     disruption.view(o.putObject("view"));
@@ -230,7 +272,11 @@
       disruption.catalogued(s.name(), text(e, "digest"), Disruption.subjects(e.path("hosts")));
     }
     disruption.told(
-        s.name(), e.path("number").asLong(), e.path("seen").asLong(), e.path("serving").asBoolean(), names(e.path("busy")),
+        s.name(),
+        e.path("number").asLong(),
+        e.path("seen").asLong(),
+        e.path("serving").asBoolean(),
+        names(e.path("busy")),
         names(e.path("suspects")));
     return outcome(new Outcome(Status.DONE, "", List.of()));
   }
@@ -343,8 +389,12 @@
   }
 
   private void note(ObjectNode e, Outcome o) {
-    ObjectNode n = Json.object().put("n", entries).put("version", version()).put("status", o.status().word());
-    for (String key : List.of("op", "kind", "name", "permit", "who", "why", "call", "release", "target", "action", "fence", "found", "driver", "step", "go", "text", "what")) {
+    ObjectNode n =
+        Json.object().put("n", entries).put("version", version()).put("status", o.status().word());
+    for (String key :
+        List.of(
+            "op", "kind", "name", "permit", "who", "why", "call", "release", "target", "action",
+            "fence", "found", "driver", "step", "go", "text", "what")) {
       if (e.has(key)) {
         n.put(key, text(e, key));
       }
@@ -402,10 +452,16 @@
     ObjectNode o = Json.object().put("schema", SCHEMA).put("entries", entries);
     ArrayNode ss = o.putArray("sessions");
     for (Session s : sessions.values()) {
-      ss.addObject().put("name", s.name()).put("incarnation", s.incarnation()).put("id", s.id()).put("lease_ms", s.leaseMs());
+      ss.addObject()
+          .put("name", s.name())
+          .put("incarnation", s.incarnation())
+          .put("id", s.id())
+          .put("lease_ms", s.leaseMs());
     }
     ArrayNode cs = o.putArray("calls");
-    calls.forEach((id, c) -> cs.addObject().put("call", id).put("digest", c.digest()).set("outcome", c.outcome()));
+    calls.forEach(
+        (id, c) ->
+            cs.addObject().put("call", id).put("digest", c.digest()).set("outcome", c.outcome()));
     audit.forEach(o.putArray("audit")::add);
     disruption.snapshot(o.putObject("disruption"));
     releases.snapshot(o.putObject("release"));
@@ -416,7 +472,8 @@
   public void restore(byte[] bytes) {
     ObjectNode o = Json.read(bytes);
     if (o == null) {
-      throw new IllegalArgumentException("snapshot: not an object (expected: one that snapshot() gave)");
+      throw new IllegalArgumentException(
+          "snapshot: not an object (expected: one that snapshot() gave)");
     }
     if (o.path("schema").asInt() > SCHEMA) {
       throw new LaterSchemaException(o.path("schema").asInt());
@@ -424,12 +481,19 @@
     entries = o.path("entries").asLong();
     sessions.clear();
     for (JsonNode s : o.path("sessions")) {
-      Session x = new Session(s.path("name").asText(), s.path("incarnation").asText(), s.path("id").asLong(), s.path("lease_ms").asLong());
+      Session x =
+          new Session(
+              s.path("name").asText(),
+              s.path("incarnation").asText(),
+              s.path("id").asLong(),
+              s.path("lease_ms").asLong());
       sessions.put(x.name(), x);
     }
     calls.clear();
     for (JsonNode c : o.path("calls")) {
-      calls.put(c.path("call").asText(), new Call(c.path("digest").asText(), (ObjectNode) c.path("outcome")));
+      calls.put(
+          c.path("call").asText(),
+          new Call(c.path("digest").asText(), (ObjectNode) c.path("outcome")));
     }
     audit.clear();
     o.path("audit").forEach(a -> audit.add((ObjectNode) a));
--- a/src/main/java/corkproxy/quorum/LogMachine.java
+++ b/src/main/java/corkproxy/quorum/LogMachine.java
@@ -32,7 +32,10 @@
   private final java.util.function.Consumer<Throwable> fatal;
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
-  /** {@code changed} runs after each entry; {@code fatal} is told what this keeper can't go on after. */
+  /**
+   * {@code changed} runs after each entry; {@code fatal} is told what this keeper can't go on
+   * after.
+   */
   LogMachine(Ledger ledger, Runnable changed, java.util.function.Consumer<Throwable> fatal) {
     this.ledger = ledger;
     this.changed = changed;
@@ -40,13 +43,17 @@
   }
 
   @Override
-  public void initialize(RaftServer server, RaftGroupId group, RaftStorage raft) throws IOException {
+  public void initialize(RaftServer server, RaftGroupId group, RaftStorage raft)
+      throws IOException {
     super.initialize(server, group, raft);
     storage.init(raft);
     getLifeCycle().startAndTransition(this::load, IOException.class);
   }
 
-  /** Before a snapshot of another keeper takes the place of what is here; without it the library gives this keeper up. */
+  /**
+   * Before a snapshot of another keeper takes the place of what is here; without it the library
+   * gives this keeper up.
+   */
   @Override
   public void pause() {
     getLifeCycle().transition(LifeCycle.State.PAUSING);
@@ -94,17 +101,20 @@
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       }
     } catch (RuntimeException e) {
-      // An entry that can't be applied here was, or will be, applied by others: to pass it over would be to differ.
+      // An entry that can't be applied here was, or will be, applied by others: to pass it over
+      // would be to differ.
       fatal.accept(e);
       return CompletableFuture.failedFuture(e);
     }
     changed.run();
-    return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(Json.bytes(outcome))));
+    return CompletableFuture.completedFuture(
+        Message.valueOf(ByteString.copyFrom(Json.bytes(outcome))));
   }
 
   @Override
   public CompletableFuture<Message> query(Message request) {
-    return CompletableFuture.completedFuture(Message.EMPTY); // reached only where this keeper has been found to lead
+    return CompletableFuture.completedFuture(
+        Message.EMPTY); // reached only where this keeper has been found to lead
   }
 
   @Override
@@ -123,7 +133,8 @@
     }
     Files.move(part, file.toPath(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
-    storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), at));
+    storage.updateLatestSnapshot(
+        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), at));
     return at.getIndex();
   }
 }
--- a/src/main/java/corkproxy/quorum/Timers.java
+++ b/src/main/java/corkproxy/quorum/Timers.java
@@ -8,17 +8,18 @@
 import java.util.Set;
 
 /**
- * The leader's clock over leases, permits and the times in which somebody settles. Without I/O; times are passed in
- * (ns, of a monotonic clock).
+ * The leader's clock over leases, permits and the times in which somebody settles. Without I/O;
+ * times are passed in (ns, of a monotonic clock).
  *
  * <pre>
  *   leadership begins      renewed        renewed                     due: told to the log once
  *   |---- a whole lease ----|---- a whole lease ----|---- a whole lease ----|
  * </pre>
  *
- * <p>Nothing that an earlier leader counted is believed, and nothing that this one counted before it stood still
- * itself: every time begins anew. So what runs out, runs out late, never early. Guards against a keeper that was
- * stopped, wakes up, and takes everybody for dead whom it could not hear.
+ * <p>Nothing that an earlier leader counted is believed, and nothing that this one counted before
+ * it stood still itself: every time begins anew. So what runs out, runs out late, never early.
+ * Guards against a keeper that was stopped, wakes up, and takes everybody for dead whom it could
+ * not hear.
  */
 public final class Timers {
   /** A gap between two looks (ns) that tells that this process stood still. */
@@ -36,7 +37,8 @@
   }
 
   /**
-   * What has run out and was not returned before; {@code wanted} holds all that runs, and how long (ms).
+   * What has run out and was not returned before; {@code wanted} holds all that runs, and how long
+   * (ms).
    */
   public List<String> due(Map<String, Long> wanted, long now) {
     if (looked != Long.MIN_VALUE && now - looked > STALL_NANOS) {
@@ -56,8 +58,8 @@
   }
 
   /**
-   * A sign of life for a timer. False where its end has been told to the log: whoever it is about must not hear that
-   * it goes on.
+   * A sign of life for a timer. False where its end has been told to the log: whoever it is about
+   * must not hear that it goes on.
    */
   public boolean renew(String timer, long now) {
     if (told.contains(timer)) {
--- a/src/main/java/corkproxy/release/Conductor.java
+++ b/src/main/java/corkproxy/release/Conductor.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What the driver of one release does next, by what the ledger says now; it remembers only what it has begun itself. Without
- * I/O; whoever runs it carries out what {@link #next} returns and tells what came of commands.
+ * What the driver of one release does next, by what the ledger says now; it remembers only what it
+ * has begun itself. Without I/O; whoever runs it carries out what {@link #next} returns and tells
+ * what came of commands.
  *
  * <pre>
  *   target IN       --Submit intended-->              (granted by budgets, or asked again)
@@ -19,9 +20,10 @@
  *   step baked      --Submit verdict-->
  * </pre>
  *
- * <p>A command is run only while the log says ACTING under this driver's own fence with nothing found since, and once for each
- * such entry: nobody else can have written it. So two drivers never both believe that they may run it; one whose lease is over
- * and who does not know it yet is turned away by whoever carries the action out, by the number that goes with it.
+ * <p>A command is run only while the log says ACTING under this driver's own fence with nothing
+ * found since, and once for each such entry: nobody else can have written it. So two drivers never
+ * both believe that they may run it; one whose lease is over and who does not know it yet is turned
+ * away by whoever carries the action out, by the number that goes with it.
  */
 public final class Conductor {
   /** What is to be done. */
@@ -31,7 +33,8 @@
   public record Submit(String op, Map<String, Object> with) implements Next {}
 
   /** The command that changes a target; {@code version} is what it is to be. */
-  public record Run(String target, long action, int tries, long fence, String version) implements Next {}
+  public record Run(String target, long action, int tries, long fence, String version)
+      implements Next {}
 
   /** A look at what a target is; {@code tries} tells looks of one action apart. */
   public record Look(String target, long action, int tries, long fence) implements Next {}
@@ -52,14 +55,19 @@
   private static final Ended UNDER_WAY = new Ended(false, "under way");
   private static final Seen LOOKING = new Seen("looking");
 
-  /** A look that saw nothing is repeated after so long (ns) while the target may still be starting. */
+  /**
+   * A look that saw nothing is repeated after so long (ns) while the target may still be starting.
+   */
   private static final long LOOK_AGAIN_NANOS = 300_000_000L;
 
   private long baking;
   private long bakedAt = Long.MIN_VALUE;
   private Map<String, Map<String, Guard.Count>> baseline = Map.of();
 
-  /** A driver of that name, its own among all processes that ever drive, with a lease of that length. */
+  /**
+   * A driver of that name, its own among all processes that ever drive, with a lease of that
+   * length.
+   */
   public Conductor(String driver, long leaseMs) {
     this.driver = driver;
     this.leaseMs = leaseMs;
@@ -102,7 +110,9 @@
       return List.of();
     }
     if (!drives(release)) {
-      return release.path("driver").asText().isEmpty() ? List.of(new Submit("release_drive", Map.of("driver", driver, "lease_ms", leaseMs))) : List.of();
+      return release.path("driver").asText().isEmpty()
+          ? List.of(new Submit("release_drive", Map.of("driver", driver, "lease_ms", leaseMs)))
+          : List.of();
     }
     List<Next> out = new ArrayList<>();
     long fence = release.path("fence").asLong();
@@ -151,22 +161,37 @@
 
   /** The version that a word of the ledger stands for. */
   private static String version(JsonNode release, String at) {
-    return at.equals("new") ? release.path("version").asText() : at.equals("old") ? release.path("from").asText() : "";
+    return at.equals("new")
+        ? release.path("version").asText()
+        : at.equals("old") ? release.path("from").asText() : "";
   }
 
-  private static void leaving(JsonNode release, JsonNode t, boolean running, long fence, List<Next> out) {
+  private static void leaving(
+      JsonNode release, JsonNode t, boolean running, long fence, List<Next> out) {
     boolean change = !t.path("at").asText().equals(t.path("wanted").asText());
     if (!running && t.path("held").asBoolean()) {
       return;
     }
     if (!running || !change) {
-      out.add(submit("release_observed", t, fence, Map.of("found", version(release, t.path("at").asText()), "text", "not touched")));
+      out.add(
+          submit(
+              "release_observed",
+              t,
+              fence,
+              Map.of("found", version(release, t.path("at").asText()), "text", "not touched")));
     } else if (t.path("carried_out").asBoolean()) {
       out.add(submit("release_acting", t, fence, Map.of()));
     }
   }
 
-  private void acting(JsonNode release, JsonNode t, boolean running, long fence, boolean leaseHolds, long now, List<Next> out) {
+  private void acting(
+      JsonNode release,
+      JsonNode t,
+      boolean running,
+      long fence,
+      boolean leaseHolds,
+      long now,
+      List<Next> out) {
     String name = t.path("name").asText();
     Try at = new Try(t.path("action").asLong(), t.path("tries").asInt());
     boolean mine = t.path("fence").asLong() == fence;
@@ -175,17 +200,29 @@
     if (mine && found.isEmpty() && run == null) {
       if (leaseHolds) {
         runs.put(at, UNDER_WAY);
-        out.add(new Run(name, at.action(), at.tries(), fence, version(release, t.path("wanted").asText())));
+        out.add(
+            new Run(
+                name, at.action(), at.tries(), fence, version(release, t.path("wanted").asText())));
       }
       return;
     }
     if (run == UNDER_WAY) {
       return;
     }
-    // What was found halts the release unless it is as before; that it runs again is an operator's word to try anew.
-    boolean again = !found.isEmpty() && running && !t.path("at").asText().equals(t.path("wanted").asText()) && List.of("", found).contains(t.path("told").asText());
+    // What was found halts the release unless it is as before; that it runs again is an operator's
+    // word to try anew.
+    boolean again =
+        !found.isEmpty()
+            && running
+            && !t.path("at").asText().equals(t.path("wanted").asText())
+            && List.of("", found).contains(t.path("told").asText());
     if (again && mine) {
-      out.add(submit("release_acting", t, fence, Map.of())); // seen to be as before: the action did not take place, or in vain
+      out.add(
+          submit(
+              "release_acting",
+              t,
+              fence,
+              Map.of())); // seen to be as before: the action did not take place, or in vain
       return;
     }
     if (mine && !found.isEmpty() && !running && !t.path("at").asText().equals("unknown")) {
@@ -201,7 +238,15 @@
   }
 
   /** Looks at a target and tells what was seen, unless that is {@code known} already. */
-  private void look(JsonNode release, JsonNode t, Try at, long fence, String known, boolean leaseHolds, long now, List<Next> out) {
+  private void look(
+      JsonNode release,
+      JsonNode t,
+      Try at,
+      long fence,
+      String known,
+      boolean leaseHolds,
+      long now,
+      List<Next> out) {
     Ended run = runs.get(at);
     String text = run == null ? "begun by a driver that was lost" : run.well() ? "" : run.text();
     boolean told = !release.path("carry").path("check").isArray();
@@ -210,17 +255,23 @@
     if (!version.isEmpty()) {
       seen = new Seen(version); // its own word since the action began is newer than any look
     } else if (told) {
-      // A proxy tells of itself once it is back; what tells nothing is waited for, up to the action's time.
+      // A proxy tells of itself once it is back; what tells nothing is waited for, up to the
+      // action's time.
       seen = run != null && !run.well() ? new Seen("") : null;
       if (seen == null) {
-        // Begun by a driver that was lost, and nothing is to be seen for a lease: begun anew, under a higher fence.
-        boolean lost = t.path("fence").asLong() != fence && release.path("state").asText().equals("running");
+        // Begun by a driver that was lost, and nothing is to be seen for a lease: begun anew, under
+        // a higher fence.
+        boolean lost =
+            t.path("fence").asLong() != fence && release.path("state").asText().equals("running");
         if (lost && now - lookedAt.computeIfAbsent(at, k -> now) >= leaseMs * 1_000_000L) {
           out.add(submit("release_acting", t, fence, Map.of()));
         }
         return;
       }
-    } else if (seen == null || seen != LOOKING && known != null && now - lookedAt.getOrDefault(at, now) >= LOOK_AGAIN_NANOS) {
+    } else if (seen == null
+        || seen != LOOKING
+            && known != null
+            && now - lookedAt.getOrDefault(at, now) >= LOOK_AGAIN_NANOS) {
       if (leaseHolds) {
         looks.put(at, LOOKING);
         lookedAt.put(at, now);
@@ -236,7 +287,10 @@
     }
   }
 
-  /** Who is next: forward in the plan's order, back with the one that came last; null where as many as may are under way. */
+  /**
+   * Who is next: forward in the plan's order, back with the one that came last; null where as many
+   * as may are under way.
+   */
   private static JsonNode candidate(JsonNode release) {
     int open = 0;
     List<JsonNode> next = new ArrayList<>();
@@ -245,14 +299,25 @@
       boolean in = t.path("phase").asText().equals("in");
       open += in ? 0 : 1;
       boolean may = t.path("out").isNull() || !forward && missing(t);
-      if (in && !t.path("gone").asBoolean() && may && !t.path("at").asText().equals(t.path("wanted").asText())) {
+      if (in
+          && !t.path("gone").asBoolean()
+          && may
+          && !t.path("at").asText().equals(t.path("wanted").asText())) {
         next.add(t);
       }
     }
     if (!forward) {
       next.sort(Comparator.comparingLong((JsonNode t) -> t.path("order").asLong()).reversed());
     }
-    return next.isEmpty() || open >= release.path("steps").path(next.get(0).path("step").asInt()).path("at_once").asInt() ? null : next.get(0);
+    return next.isEmpty()
+            || open
+                >= release
+                    .path("steps")
+                    .path(next.get(0).path("step").asInt())
+                    .path("at_once")
+                    .asInt()
+        ? null
+        : next.get(0);
   }
 
   // --- judging a step
@@ -286,39 +351,59 @@
     }
     List<String> missing = new ArrayList<>();
     reports.path("missing").forEach(m -> missing.add(m.asText()));
-    reports.path("reports").properties().forEach(r -> {
-      if (r.getValue().path("age_ms").asLong() > leaseMs) {
-        missing.add(r.getKey());
-      }
-    });
+    reports
+        .path("reports")
+        .properties()
+        .forEach(
+            r -> {
+              if (r.getValue().path("age_ms").asLong() > leaseMs) {
+                missing.add(r.getKey());
+              }
+            });
     Guard.Verdict v = new Guard(bounds).judge(fresh, old, missing);
     boolean baked = release.path("baked").asBoolean();
     if (baked && bakedAt == Long.MIN_VALUE) {
       bakedAt = now;
     }
-    boolean waitedInVain = baked && v.word() == Guard.Word.WAIT && now - bakedAt > bounds.waitMs() * 1_000_000L;
+    boolean waitedInVain =
+        baked && v.word() == Guard.Word.WAIT && now - bakedAt > bounds.waitMs() * 1_000_000L;
     if (v.word() == Guard.Word.HALT || waitedInVain || baked && v.word() == Guard.Word.GO) {
       boolean go = v.word() == Guard.Word.GO;
       out.add(
           submit(
-              "release_verdict", null, fence,
-              Map.of("step", release.path("goal").asInt() - 1, "go", go, "text", waitedInVain ? "waited in vain: " + v.why() : v.why())));
+              "release_verdict",
+              null,
+              fence,
+              Map.of(
+                  "step",
+                  release.path("goal").asInt() - 1,
+                  "go",
+                  go,
+                  "text",
+                  waitedInVain ? "waited in vain: " + v.why() : v.why())));
     }
   }
 
   /** What was counted since the baseline by all whose key begins so. */
-  private void difference(Map<String, Map<String, Guard.Count>> counts, String of, Map<String, Guard.Count> to) {
-    counts.forEach((key, byClass) -> {
-      if (key.startsWith(of)) {
-        Map<String, Guard.Count> before = baseline.getOrDefault(key, baseline.isEmpty() ? Map.of() : byClass);
-        byClass.forEach((c, n) -> to.merge(c, n.since(before.getOrDefault(c, Guard.Count.NONE)), Guard.Count::plus));
-      }
-    });
+  private void difference(
+      Map<String, Map<String, Guard.Count>> counts, String of, Map<String, Guard.Count> to) {
+    counts.forEach(
+        (key, byClass) -> {
+          if (key.startsWith(of)) {
+            Map<String, Guard.Count> before =
+                baseline.getOrDefault(key, baseline.isEmpty() ? Map.of() : byClass);
+            byClass.forEach(
+                (c, n) ->
+                    to.merge(
+                        c, n.since(before.getOrDefault(c, Guard.Count.NONE)), Guard.Count::plus));
+          }
+        });
   }
 
   /**
-   * What members have counted since they began: by "new now", "new before" or "old", the member's session and, of hosts, the host; by class. What is out,
-   * cold or settling is in neither; the old only count in zones in which there is something new, like held against like.
+   * What members have counted since they began: by "new now", "new before" or "old", the member's
+   * session and, of hosts, the host; by class. What is out, cold or settling is in neither; the old
+   * only count in zones in which there is something new, like held against like.
    */
   private static Map<String, Map<String, Guard.Count>> counts(JsonNode release, JsonNode reports) {
     Map<String, JsonNode> targets = new HashMap<>();
@@ -336,7 +421,17 @@
       JsonNode told = r.getValue().path("told");
       String of = r.getKey() + " " + r.getValue().path("session").asText();
       if (hosts) {
-        told.path("hosts").properties().forEach(h -> put(out, targets.get(h.getKey()), zones, step, of + " " + h.getKey(), h.getValue()));
+        told.path("hosts")
+            .properties()
+            .forEach(
+                h ->
+                    put(
+                        out,
+                        targets.get(h.getKey()),
+                        zones,
+                        step,
+                        of + " " + h.getKey(),
+                        h.getValue()));
       } else {
         put(out, targets.get(r.getKey()), zones, step, of, told.path("own"));
       }
@@ -349,13 +444,30 @@
   }
 
   private static void put(
-      Map<String, Map<String, Guard.Count>> out, JsonNode target, Map<String, Boolean> zones, int step, String of, JsonNode byClass) {
-    if (target == null || !settled(target) || target.path("at").asText().equals("unknown") || !zones.containsKey(target.path("zone").asText())) {
+      Map<String, Map<String, Guard.Count>> out,
+      JsonNode target,
+      Map<String, Boolean> zones,
+      int step,
+      String of,
+      JsonNode byClass) {
+    if (target == null
+        || !settled(target)
+        || target.path("at").asText().equals("unknown")
+        || !zones.containsKey(target.path("zone").asText())) {
       return;
     }
     String at = target.path("at").asText();
-    String key = at.equals("new") ? at + (target.path("step").asInt() == step ? " now " : " before ") + of : at + " " + of;
+    String key =
+        at.equals("new")
+            ? at + (target.path("step").asInt() == step ? " now " : " before ") + of
+            : at + " " + of;
     Map<String, Guard.Count> counts = out.computeIfAbsent(key, k -> new TreeMap<>());
-    byClass.properties().forEach(c -> counts.put(c.getKey(), new Guard.Count(c.getValue().path(0).asLong(), c.getValue().path(1).asLong())));
+    byClass
+        .properties()
+        .forEach(
+            c ->
+                counts.put(
+                    c.getKey(),
+                    new Guard.Count(c.getValue().path(0).asLong(), c.getValue().path(1).asLong())));
   }
 }
--- a/src/main/java/corkproxy/release/Item.java
+++ b/src/main/java/corkproxy/release/Item.java
@@ -61,7 +61,10 @@
   /** The fleet does not know it any more. */
   boolean gone;
 
-  /** When it last came back into service, in the release's own count; the way back begins with the highest. */
+  /**
+   * When it last came back into service, in the release's own count; the way back begins with the
+   * highest.
+   */
   long order;
 
   Item(String name, int step) {
--- a/src/main/java/corkproxy/release/Plan.java
+++ b/src/main/java/corkproxy/release/Plan.java
@@ -14,23 +14,28 @@
 import java.util.Set;
 
 /**
- * What a release changes, in which order, and what must hold meanwhile; as the log holds it, with its targets by name.
- * Times are ms.
+ * What a release changes, in which order, and what must hold meanwhile; as the log holds it, with
+ * its targets by name. Times are ms.
  *
  * @param name the release's own in the fleet
  * @param of proxies or hosts
  * @param version what its targets are once it is done
  * @param from what they were, and are again by the way back
  * @param steps in their order; a target stands in one of them
- * @param actionMs one target has so long from its grant until it is back in service; longer halts the release
+ * @param actionMs one target has so long from its grant until it is back in service; longer halts
+ *     the release
  * @param longestMs the release has so long until it halts
  * @param haltLost so many lost that the release did not take out itself halt it, 0 for none
- * @param haltOnTakeover whether a driver that was lost halts it, in place of the next driver going on
- * @param skipMissing whether steps go on without targets that are lost; it is done only once they are, too
- * @param hold what comes back with another version than it was given: held out of service, or back into the queue
+ * @param haltOnTakeover whether a driver that was lost halts it, in place of the next driver going
+ *     on
+ * @param skipMissing whether steps go on without targets that are lost; it is done only once they
+ *     are, too
+ * @param hold what comes back with another version than it was given: held out of service, or back
+ *     into the queue
  * @param backOnVerdict whether a verdict against the new begins the way back, in place of a halt
  * @param guard bounds of the verdict
- * @param carry how targets are changed: {@code by} "command" with argument lists, or "agent"; the ledger only keeps it
+ * @param carry how targets are changed: {@code by} "command" with argument lists, or "agent"; the
+ *     ledger only keeps it
  */
 public record Plan(
     String name,
@@ -47,7 +52,10 @@
     boolean backOnVerdict,
     Guard.Bounds guard,
     JsonNode carry) {
-  /** Names of releases and steps: those of members but for the colon, which parts the names of timers. */
+  /**
+   * Names of releases and steps: those of members but for the colon, which parts the names of
+   * timers.
+   */
   public static final String NAME = "[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}";
 
   /** A plan with more targets is refused. */
@@ -75,13 +83,18 @@
   public void write(ObjectNode to) {
     to.put("name", name).put("of", of.word()).put("version", version).put("from", from);
     to.put("action_ms", actionMs).put("longest_ms", longestMs).put("halt_lost", haltLost);
-    to.put("on_takeover", haltOnTakeover ? "halt" : "go").put("on_missing", skipMissing ? "skip" : "wait");
+    to.put("on_takeover", haltOnTakeover ? "halt" : "go")
+        .put("on_missing", skipMissing ? "skip" : "wait");
     to.put("on_wrong", hold ? "hold" : "queue").put("on_verdict", backOnVerdict ? "back" : "halt");
     guard.write(to.putObject("guard"));
     to.set("carry", carry);
     ArrayNode ss = to.putArray("steps");
     for (Step s : steps) {
-      ObjectNode n = ss.addObject().put("name", s.name()).put("at_once", s.atOnce()).put("bake_ms", s.bakeMs());
+      ObjectNode n =
+          ss.addObject()
+              .put("name", s.name())
+              .put("at_once", s.atOnce())
+              .put("bake_ms", s.bakeMs());
       s.targets().forEach(n.putArray("targets")::add);
     }
   }
@@ -115,7 +128,14 @@
       for (JsonNode t : s.path("targets")) {
         String other = taken.putIfAbsent(t.asText(), step);
         if (other != null) {
-          faults.add("step " + step + ", targets: " + t.asText() + " stands in step " + other + " already (expected: once)");
+          faults.add(
+              "step "
+                  + step
+                  + ", targets: "
+                  + t.asText()
+                  + " stands in step "
+                  + other
+                  + " already (expected: once)");
         }
         targets.add(t.asText());
       }
@@ -123,18 +143,39 @@
         faults.add("step " + step + ": no targets (expected: one or more)");
       }
       steps.add(
-          new Step(step, targets, (int) number(s, "at_once", 1, 1, 100_000, faults), number(s, "bake_ms", 0, 0, LONGEST_MS, faults)));
+          new Step(
+              step,
+              targets,
+              (int) number(s, "at_once", 1, 1, 100_000, faults),
+              number(s, "bake_ms", 0, 0, LONGEST_MS, faults)));
     }
     if (steps.isEmpty() || taken.size() > MOST_TARGETS) {
-      faults.add("steps: " + steps.size() + " with " + taken.size() + " targets (expected: one or more, and at most " + MOST_TARGETS + " targets)");
+      faults.add(
+          "steps: "
+              + steps.size()
+              + " with "
+              + taken.size()
+              + " targets (expected: one or more, and at most "
+              + MOST_TARGETS
+              + " targets)");
     }
     Guard.Bounds guard = Guard.Bounds.read(n.path("guard"), faults);
     Plan plan =
         new Plan(
-            name, of, version, from, steps, number(n, "action_ms", 300_000, 100, LONGEST_MS, faults),
-            number(n, "longest_ms", 24 * 3_600_000L, 100, LONGEST_MS, faults), (int) number(n, "halt_lost", 2, 0, 100_000, faults),
-            word(n, "on_takeover", "go", "halt", faults), word(n, "on_missing", "wait", "skip", faults),
-            word(n, "on_wrong", "queue", "hold", faults), word(n, "on_verdict", "halt", "back", faults), guard, n.path("carry").deepCopy());
+            name,
+            of,
+            version,
+            from,
+            steps,
+            number(n, "action_ms", 300_000, 100, LONGEST_MS, faults),
+            number(n, "longest_ms", 24 * 3_600_000L, 100, LONGEST_MS, faults),
+            (int) number(n, "halt_lost", 2, 0, 100_000, faults),
+            word(n, "on_takeover", "go", "halt", faults),
+            word(n, "on_missing", "wait", "skip", faults),
+            word(n, "on_wrong", "queue", "hold", faults),
+            word(n, "on_verdict", "halt", "back", faults),
+            guard,
+            n.path("carry").deepCopy());
     return faults.size() > before ? null : plan;
   }
 
@@ -146,7 +187,8 @@
     return t;
   }
 
-  private static long number(JsonNode n, String key, long otherwise, long least, long most, List<String> faults) {
+  private static long number(
+      JsonNode n, String key, long otherwise, long least, long most, List<String> faults) {
     JsonNode v = n.path(key);
     if (v.isMissingNode()) {
       return otherwise;
@@ -159,7 +201,8 @@
   }
 
   /** Whether a choice of two is the second one; the first where nothing is said. */
-  private static boolean word(JsonNode n, String key, String first, String second, List<String> faults) {
+  private static boolean word(
+      JsonNode n, String key, String first, String second, List<String> faults) {
     String t = n.path(key).asText(first).toLowerCase(Locale.ROOT);
     if (!t.equals(first) && !t.equals(second)) {
       faults.add(key + ": '" + t + "' (expected: " + first + " or " + second + ")");
--- a/src/main/java/corkproxy/release/Release.java
+++ b/src/main/java/corkproxy/release/Release.java
@@ -30,11 +30,12 @@
  *               PAUSED, HALTED ----------------------------------------+---- HALTED, PAUSED
  * </pre>
  *
- * <p>Who may be out is not decided here: each target goes out by a permit of {@link Disruption}, under all budgets, so a
- * release never takes out more than drains might, and forward and back alike. What is decided here is who is next, by
- * whose hand (the driver's fence), and whether it goes on at all. What is done to a target is told to the log before it is done
- * ({@code intended}, {@code acting}) and after it was seen ({@code observed}); an action whose driver was lost is looked at by
- * the next one, never assumed.
+ * <p>Who may be out is not decided here: each target goes out by a permit of {@link Disruption},
+ * under all budgets, so a release never takes out more than drains might, and forward and back
+ * alike. What is decided here is who is next, by whose hand (the driver's fence), and whether it
+ * goes on at all. What is done to a target is told to the log before it is done ({@code intended},
+ * {@code acting}) and after it was seen ({@code observed}); an action whose driver was lost is
+ * looked at by the next one, never assumed.
  */
 final class Release {
   /** Where it stands. */
@@ -76,7 +77,10 @@
   long driverLeaseMs;
   long fence;
 
-  /** Since which change all targets of the goal's steps are what they are to be and in service, 0 while they are not. */
+  /**
+   * Since which change all targets of the goal's steps are what they are to be and in service, 0
+   * while they are not.
+   */
   long baking;
 
   /** That has lasted for the step's baking time. */
@@ -133,7 +137,13 @@
 
   private Outcome notMine(long of) {
     return driver.isEmpty() || of != fence
-        ? Outcome.of(Status.CONFLICT, "fence " + of + " (expected: " + (driver.isEmpty() ? "a driver's that holds its lease" : fence + ", of " + driver) + ")")
+        ? Outcome.of(
+            Status.CONFLICT,
+            "fence "
+                + of
+                + " (expected: "
+                + (driver.isEmpty() ? "a driver's that holds its lease" : fence + ", of " + driver)
+                + ")")
         : null;
   }
 
@@ -153,7 +163,9 @@
       return new Outcome(Status.GRANTED, i.permit, List.of(), i.action); // asked again
     }
     if (state != State.RUNNING) {
-      return Outcome.of(state == State.HALTED ? Status.HALTED : Status.REFUSED, "release " + plan.name() + " is " + state.word() + why(stateWhy));
+      return Outcome.of(
+          state == State.HALTED ? Status.HALTED : Status.REFUSED,
+          "release " + plan.name() + " is " + state.word() + why(stateWhy));
     }
     boolean stuck = i.phase == Phase.COMING && !forward;
     if (i.phase != Phase.IN && !stuck || i.at == wanted(i) || i.gone) {
@@ -166,15 +178,24 @@
     }
     String out = disruption.out(plan.of(), name);
     if (out != null) {
-      // On the way back one that is lost, by the new version perhaps, is not waited for: it counts as out already.
-      String permit = forward ? "" : disruption.hold(plan.of(), name, "release " + plan.name(), "the way back");
+      // On the way back one that is lost, by the new version perhaps, is not waited for: it counts
+      // as out already.
+      String permit =
+          forward ? "" : disruption.hold(plan.of(), name, "release " + plan.name(), "the way back");
       if (permit.isEmpty()) {
         return Outcome.of(Status.REFUSED, name + " is out: " + out);
       }
       begin(i, permit, action, of);
       return new Outcome(Status.GRANTED, permit, List.of(), action);
     }
-    Outcome o = disruption.drain(plan.of(), name, 0, false, "release " + plan.name(), plan.version() + ", step " + plan.steps().get(i.step).name());
+    Outcome o =
+        disruption.drain(
+            plan.of(),
+            name,
+            0,
+            false,
+            "release " + plan.name(),
+            plan.version() + ", step " + plan.steps().get(i.step).name());
     if (o.status() != Status.GRANTED) {
       return o;
     }
@@ -203,7 +224,9 @@
       return Outcome.of(Status.CONFLICT, name + ": not action " + action);
     }
     if (state != State.RUNNING) {
-      return Outcome.of(state == State.HALTED ? Status.HALTED : Status.REFUSED, "release " + plan.name() + " is " + state.word());
+      return Outcome.of(
+          state == State.HALTED ? Status.HALTED : Status.REFUSED,
+          "release " + plan.name() + " is " + state.word());
     }
     if (!disruption.carriedOut(i.permit)) {
       return Outcome.of(Status.REFUSED, name + " is not out everywhere yet");
@@ -211,7 +234,8 @@
     if (i.at == wanted(i)) {
       return Outcome.of(Status.REFUSED, name + " is what it is to be");
     }
-    // One whose driver was lost is begun anew by the next: that is on record, and raises the number that old commands are turned away by.
+    // One whose driver was lost is begun anew by the next: that is on record, and raises the number
+    // that old commands are turned away by.
     if (i.phase == Phase.ACTING && i.found.isEmpty() && i.fence == of) {
       return Outcome.of(Status.REFUSED, name + " was acted on and not looked at since");
     }
@@ -229,8 +253,12 @@
     return Outcome.numbered(Status.DONE, action);
   }
 
-  /** What the target was seen to be after its action, or before any; "" where nothing that could be named was there. */
-  Outcome observed(long of, String name, long action, String version, String text, Disruption disruption) {
+  /**
+   * What the target was seen to be after its action, or before any; "" where nothing that could be
+   * named was there.
+   */
+  Outcome observed(
+      long of, String name, long action, String version, String text, Disruption disruption) {
     Outcome no = notMine(of);
     if (no != null) {
       return no;
@@ -244,16 +272,25 @@
     }
     i.fence = of;
     i.found = version.isEmpty() ? "nothing that tells its version" : version;
-    i.at = version.equals(plan.version()) ? At.NEW : version.equals(plan.from()) ? At.OLD : At.UNKNOWN;
+    i.at =
+        version.equals(plan.version()) ? At.NEW : version.equals(plan.from()) ? At.OLD : At.UNKNOWN;
     boolean untouched = i.phase == Phase.LEAVING;
     if (i.at == wanted(i) || i.at != At.UNKNOWN && state != State.RUNNING && !i.held) {
-      disruption.undo(i.permit, "release " + plan.name() + ": " + (untouched ? "given back untouched" : i.found));
+      disruption.undo(
+          i.permit,
+          "release " + plan.name() + ": " + (untouched ? "given back untouched" : i.found));
       i.phase = Phase.COMING;
       i.held = false;
       return Outcome.numbered(Status.DONE, action);
     }
     if (state == State.RUNNING && (i.at == At.UNKNOWN || i.tries >= MOST_TRIES)) {
-      halt(name + " after " + i.tries + " tries: found " + i.found + (text.isEmpty() ? "" : "; " + text));
+      halt(
+          name
+              + " after "
+              + i.tries
+              + " tries: found "
+              + i.found
+              + (text.isEmpty() ? "" : "; " + text));
     }
     return Outcome.numbered(Status.DONE, action);
   }
@@ -262,7 +299,15 @@
   Outcome reported(String name, long action, int tries, String version) {
     Item i = items.get(name);
     if (i == null || i.phase != Phase.ACTING || i.action != action || i.tries != tries) {
-      return Outcome.of(Status.CONFLICT, name + ": action " + action + ", try " + tries + " is not under way" + (i == null ? "" : " (expected: " + i.action + ", " + i.tries + ")"));
+      return Outcome.of(
+          Status.CONFLICT,
+          name
+              + ": action "
+              + action
+              + ", try "
+              + tries
+              + " is not under way"
+              + (i == null ? "" : " (expected: " + i.action + ", " + i.tries + ")"));
     }
     i.reported = version;
     return Outcome.of(Status.DONE);
@@ -331,7 +376,9 @@
   /** The way back, until only the first {@code toStep} steps are new. */
   Outcome back(int toStep, String text) {
     if (toStep < 0 || toStep >= plan.steps().size()) {
-      return Outcome.of(Status.MALFORMED, "to_step: " + toStep + " (expected: 0 to " + (plan.steps().size() - 1) + ")");
+      return Outcome.of(
+          Status.MALFORMED,
+          "to_step: " + toStep + " (expected: 0 to " + (plan.steps().size() - 1) + ")");
     }
     if (state == State.RETURNED || state == State.ENDED) {
       return notNow("under way or done");
@@ -344,7 +391,9 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Operators want it tried again: each action has its time anew, and one more try at the least. */
+  /**
+   * Operators want it tried again: each action has its time anew, and one more try at the least.
+   */
   private void tryAnew() {
     for (Item i : items.values()) {
       i.late = false;
@@ -352,7 +401,9 @@
     }
   }
 
-  /** An operator's word against a guard: the step that has baked is good, or the lost are no reason. */
+  /**
+   * An operator's word against a guard: the step that has baked is good, or the lost are no reason.
+   */
   Outcome override(String what, String text, Disruption disruption) {
     switch (what) {
       case "verdict" -> {
@@ -373,14 +424,17 @@
   /** Gives it up as it stands, so that another release may have its targets. */
   Outcome end(String text) {
     if (items.values().stream().anyMatch(i -> i.phase != Phase.IN)) {
-      return Outcome.of(Status.REFUSED, "targets are under way: halt it, and wait until they are back");
+      return Outcome.of(
+          Status.REFUSED, "targets are under way: halt it, and wait until they are back");
     }
     become(State.ENDED, text);
     return Outcome.of(Status.DONE);
   }
 
   private Outcome notNow(String expected) {
-    return Outcome.of(Status.REFUSED, "release " + plan.name() + " is " + state.word() + " (expected: " + expected + ")");
+    return Outcome.of(
+        Status.REFUSED,
+        "release " + plan.name() + " is " + state.word() + " (expected: " + expected + ")");
   }
 
   private static String why(String text) {
@@ -435,7 +489,13 @@
         for (Item i : items.values()) {
           if (i.action == n && i.phase != Phase.IN) {
             i.late = true;
-            halt(i.name + " is not back in service after " + plan.actionMs() + " ms: " + word(i) + (i.found.isEmpty() ? "" : ", found " + i.found));
+            halt(
+                i.name
+                    + " is not back in service after "
+                    + plan.actionMs()
+                    + " ms: "
+                    + word(i)
+                    + (i.found.isEmpty() ? "" : ", found " + i.found));
           }
         }
       }
@@ -460,7 +520,8 @@
    * Takes note of what the entry before has changed in the fleet.
    *
    * @param action gives numbers of actions
-   * @param newest whether no later release has any of its targets: only then what it has done still counts
+   * @param newest whether no later release has any of its targets: only then what it has done still
+   *     counts
    */
   void look(Disruption disruption, java.util.function.LongSupplier action, boolean newest) {
     if (state == State.ENDED || state == State.RETURNED || state == State.DONE && !newest) {
@@ -478,7 +539,10 @@
       wrong(i, disruption, action);
     }
     if (state == State.DONE) {
-      items.values().stream().filter(i -> !i.gone && i.at != At.NEW).findFirst().ifPresent(i -> become(State.RUNNING, i.name + " came back with " + i.found));
+      items.values().stream()
+          .filter(i -> !i.gone && i.at != At.NEW)
+          .findFirst()
+          .ifPresent(i -> become(State.RUNNING, i.name + " came back with " + i.found));
     }
     if (state == State.RUNNING && !disruption.halted().isEmpty()) {
       halt("the fleet is halted: " + disruption.halted());
@@ -491,8 +555,10 @@
     }
     if (state == State.RUNNING && forward && !plan.skipMissing()) {
       // What is lost after it was changed speaks against the change, whatever else may be lost.
-      items.values().stream().filter(i -> i.phase == Phase.IN && i.at == At.NEW && lost.contains(i.name)).findFirst().ifPresent(
-          i -> halt(i.name + " is new, and lost"));
+      items.values().stream()
+          .filter(i -> i.phase == Phase.IN && i.at == At.NEW && lost.contains(i.name))
+          .findFirst()
+          .ifPresent(i -> halt(i.name + " is new, and lost"));
     }
     boolean all = whole(disruption, allLost);
     if (state == State.RUNNING && forward) {
@@ -501,22 +567,33 @@
       } else if (baking == 0) {
         baking = disruption.changes() + 1;
       }
-    } else if (state == State.RUNNING && all && items.values().stream().allMatch(i -> i.gone || i.at == wanted(i))) {
-      become(goal == 0 ? State.RETURNED : State.HALTED, goal == 0 ? stateWhy : "back to step " + goal + ", as asked");
+    } else if (state == State.RUNNING
+        && all
+        && items.values().stream().allMatch(i -> i.gone || i.at == wanted(i))) {
+      become(
+          goal == 0 ? State.RETURNED : State.HALTED,
+          goal == 0 ? stateWhy : "back to step " + goal + ", as asked");
       forward |= state == State.HALTED;
     }
   }
 
-  /** Who comes back with another version than it was given was down while it was changed, or was changed by somebody else. */
+  /**
+   * Who comes back with another version than it was given was down while it was changed, or was
+   * changed by somebody else.
+   */
   private void wrong(Item i, Disruption disruption, java.util.function.LongSupplier action) {
-    String told = plan.of() == Kind.PROXY && i.phase == Phase.IN ? disruption.version(i.name, -1) : "";
+    String told =
+        plan.of() == Kind.PROXY && i.phase == Phase.IN ? disruption.version(i.name, -1) : "";
     At at = told.equals(plan.version()) ? At.NEW : told.equals(plan.from()) ? At.OLD : At.UNKNOWN;
     if (told.isEmpty() || told.equals(Disruption.NO_VERSION) || at == i.at) {
       return;
     }
     i.at = at;
     i.found = told;
-    String permit = plan.hold() && at != wanted(i) ? disruption.hold(plan.of(), i.name, "release " + plan.name(), "came back with " + told) : "";
+    String permit =
+        plan.hold() && at != wanted(i)
+            ? disruption.hold(plan.of(), i.name, "release " + plan.name(), "came back with " + told)
+            : "";
     if (!permit.isEmpty()) {
       begin(i, permit, action.getAsLong(), 0);
       i.found = told;
@@ -524,7 +601,10 @@
     }
   }
 
-  /** Whether every target of the goal's steps, and on the way back every target, is what it is to be, and in service. */
+  /**
+   * Whether every target of the goal's steps, and on the way back every target, is what it is to
+   * be, and in service.
+   */
   private boolean whole(Disruption disruption, Set<String> lost) {
     for (Item i : items.values()) {
       if (i.gone || forward && i.step >= goal) {
@@ -542,7 +622,8 @@
   }
 
   boolean holds(String permit) {
-    return !permit.isEmpty() && items.values().stream().anyMatch(i -> i.permit.equals(permit) && i.phase != Phase.IN);
+    return !permit.isEmpty()
+        && items.values().stream().anyMatch(i -> i.permit.equals(permit) && i.phase != Phase.IN);
   }
 
   boolean shares(Plan other) {
@@ -560,20 +641,45 @@
   /** All that staff and drivers go by. */
   void status(ObjectNode to, Disruption disruption) {
     plan.write(to);
-    to.put("number", number).put("who", who).put("why", why).put("state", state.word()).put("state_why", stateWhy);
-    to.put("direction", forward ? "forward" : "back").put("goal", goal).put("driver", driver).put("fence", fence);
+    to.put("number", number)
+        .put("who", who)
+        .put("why", why)
+        .put("state", state.word())
+        .put("state_why", stateWhy);
+    to.put("direction", forward ? "forward" : "back")
+        .put("goal", goal)
+        .put("driver", driver)
+        .put("fence", fence);
     to.put("baking", baking).put("baked", baked);
     Set<String> lost = disruption.lost();
     Map<String, Subject> subjects = disruption.byName(plan.of());
     ArrayNode is = to.putArray("targets");
     for (Item i : items.values()) {
-      ObjectNode n = is.addObject().put("name", i.name).put("step", i.step).put("phase", word(i.phase)).put("at", word(i.at));
-      n.put("wanted", word(wanted(i))).put("permit", i.permit).put("action", i.action).put("fence", i.fence).put("tries", i.tries);
-      n.put("found", i.found).put("late", i.late).put("held", i.held).put("gone", i.gone).put("order", i.order);
-      n.put("lost", lost.contains(i.name)).put("out", disruption.out(plan.of(), i.name)).put("zone", subjects.containsKey(i.name) ? subjects.get(i.name).zone() : Subject.NONE);
+      ObjectNode n =
+          is.addObject()
+              .put("name", i.name)
+              .put("step", i.step)
+              .put("phase", word(i.phase))
+              .put("at", word(i.at));
+      n.put("wanted", word(wanted(i)))
+          .put("permit", i.permit)
+          .put("action", i.action)
+          .put("fence", i.fence)
+          .put("tries", i.tries);
+      n.put("found", i.found)
+          .put("late", i.late)
+          .put("held", i.held)
+          .put("gone", i.gone)
+          .put("order", i.order);
+      n.put("lost", lost.contains(i.name))
+          .put("out", disruption.out(plan.of(), i.name))
+          .put("zone", subjects.containsKey(i.name) ? subjects.get(i.name).zone() : Subject.NONE);
       n.put("carried_out", i.phase == Phase.LEAVING && disruption.carriedOut(i.permit));
       // What a proxy tells of itself since its action began is the sight of it.
-      String told = plan.of() == Kind.PROXY && i.phase == Phase.ACTING ? disruption.version(i.name, i.actedAt) : "";
+      String told =
+          plan.of() == Kind.PROXY && i.phase == Phase.ACTING
+              ? disruption.version(i.name, i.actedAt)
+              : "";
       n.put("told", told.isEmpty() ? i.reported : told);
       if (i.phase == Phase.LEAVING && plan.of() == Kind.HOST) {
         ObjectNode w = n.putObject("awaited");
@@ -586,20 +692,47 @@
 
   void snapshot(ObjectNode to) {
     plan.write(to.putObject("plan"));
-    to.put("number", number).put("who", who).put("why", why).put("state", state.name()).put("state_why", stateWhy);
-    to.put("forward", forward).put("goal", goal).put("driver", driver).put("driver_lease_ms", driverLeaseMs).put("fence", fence);
-    to.put("baking", baking).put("baked", baked).put("longest_over", longestOver).put("lost_driver", lostDriver).put("orders", orders);
+    to.put("number", number)
+        .put("who", who)
+        .put("why", why)
+        .put("state", state.name())
+        .put("state_why", stateWhy);
+    to.put("forward", forward)
+        .put("goal", goal)
+        .put("driver", driver)
+        .put("driver_lease_ms", driverLeaseMs)
+        .put("fence", fence);
+    to.put("baking", baking)
+        .put("baked", baked)
+        .put("longest_over", longestOver)
+        .put("lost_driver", lostDriver)
+        .put("orders", orders);
     forgiven.forEach(to.putArray("forgiven")::add);
     ArrayNode is = to.putArray("items");
     for (Item i : items.values()) {
-      ObjectNode n = is.addObject().put("name", i.name).put("phase", i.phase.name()).put("at", i.at.name()).put("permit", i.permit);
-      n.put("action", i.action).put("fence", i.fence).put("acted_at", i.actedAt).put("tries", i.tries).put("found", i.found).put("reported", i.reported);
+      ObjectNode n =
+          is.addObject()
+              .put("name", i.name)
+              .put("phase", i.phase.name())
+              .put("at", i.at.name())
+              .put("permit", i.permit);
+      n.put("action", i.action)
+          .put("fence", i.fence)
+          .put("acted_at", i.actedAt)
+          .put("tries", i.tries)
+          .put("found", i.found)
+          .put("reported", i.reported);
       n.put("late", i.late).put("held", i.held).put("gone", i.gone).put("order", i.order);
     }
   }
 
   static Release restore(JsonNode n) {
-    Release r = new Release(Plan.read(n.path("plan"), new ArrayList<>()), n.path("number").asLong(), n.path("who").asText(), n.path("why").asText());
+    Release r =
+        new Release(
+            Plan.read(n.path("plan"), new ArrayList<>()),
+            n.path("number").asLong(),
+            n.path("who").asText(),
+            n.path("why").asText());
     r.state = State.valueOf(n.path("state").asText());
     r.stateWhy = n.path("state_why").asText();
     r.forward = n.path("forward").asBoolean();
--- a/src/main/java/corkproxy/release/Releases.java
+++ b/src/main/java/corkproxy/release/Releases.java
@@ -13,8 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * All releases of a fleet, as the log's entries have brought them about; those that are over are kept for a while. Two that want
- * one target are never under way at once: the one that comes later in the log is refused.
+ * All releases of a fleet, as the log's entries have brought them about; those that are over are
+ * kept for a while. Two that want one target are never under way at once: the one that comes later
+ * in the log is refused.
  */
 public final class Releases {
   /** So many are under way at most, and so many that are over are remembered. */
@@ -27,12 +28,29 @@
 
   private static final long LONGEST_LEASE_MS = 600_000;
 
-  /** The entries that are a driver's, which come often and are not all worth a line of the audit. */
-  public static final Set<String> DRIVERS = Set.of("release_drive", "release_yield", "release_intend", "release_acting", "release_observed", "release_reported", "release_verdict");
+  /**
+   * The entries that are a driver's, which come often and are not all worth a line of the audit.
+   */
+  public static final Set<String> DRIVERS =
+      Set.of(
+          "release_drive",
+          "release_yield",
+          "release_intend",
+          "release_acting",
+          "release_observed",
+          "release_reported",
+          "release_verdict");
 
   /** The entries that are an operator's. */
   public static final Set<String> OPERATORS =
-      Set.of("release_start", "release_pause", "release_resume", "release_halt", "release_back", "release_override", "release_end");
+      Set.of(
+          "release_start",
+          "release_pause",
+          "release_resume",
+          "release_halt",
+          "release_back",
+          "release_override",
+          "release_end");
 
   private final Map<String, Release> releases = new TreeMap<>();
   private long numbers;
@@ -64,9 +82,20 @@
         yield o;
       }
       case "release_acting" -> r.acting(fence, target, e.path("action").asLong(), disruption);
-      case "release_observed" -> r.observed(fence, target, e.path("action").asLong(), e.path("found").asText(), e.path("text").asText(), disruption);
-      case "release_reported" -> r.reported(target, e.path("action").asLong(), e.path("tries").asInt(), e.path("found").asText());
-      case "release_verdict" -> r.verdict(fence, e.path("step").asInt(-1), e.path("go").asBoolean(), e.path("text").asText());
+      case "release_observed" ->
+          r.observed(
+              fence,
+              target,
+              e.path("action").asLong(),
+              e.path("found").asText(),
+              e.path("text").asText(),
+              disruption);
+      case "release_reported" ->
+          r.reported(
+              target, e.path("action").asLong(), e.path("tries").asInt(), e.path("found").asText());
+      case "release_verdict" ->
+          r.verdict(
+              fence, e.path("step").asInt(-1), e.path("go").asBoolean(), e.path("text").asText());
       case "release_pause" -> r.pause(why);
       case "release_resume" -> r.resume(why);
       case "release_halt" -> r.halted(why);
@@ -94,7 +123,12 @@
     }
     for (Release r : releases.values()) {
       if (!r.state.over() && r.shares(plan)) {
-        faults.add("release " + r.plan.name() + " is " + r.state.word() + " and has some of these targets");
+        faults.add(
+            "release "
+                + r.plan.name()
+                + " is "
+                + r.state.word()
+                + " and has some of these targets");
       }
     }
     if (active() >= MOST_ACTIVE) {
@@ -103,10 +137,13 @@
     if (!faults.isEmpty()) {
       return new Outcome(Status.REFUSED, "", faults);
     }
-    releases.put(plan.name(), new Release(plan, ++numbers, e.path("who").asText(), e.path("why").asText()));
+    releases.put(
+        plan.name(), new Release(plan, ++numbers, e.path("who").asText(), e.path("why").asText()));
     while (releases.size() - active() > REMEMBERED) {
-      releases.values().stream().filter(r -> r.state.over()).min(java.util.Comparator.comparingLong(r -> r.number)).ifPresent(
-          r -> releases.remove(r.plan.name()));
+      releases.values().stream()
+          .filter(r -> r.state.over())
+          .min(java.util.Comparator.comparingLong(r -> r.number))
+          .ifPresent(r -> releases.remove(r.plan.name()));
     }
     return Outcome.of(Status.DONE);
   }
@@ -123,7 +160,10 @@
   private Outcome drive(Release r, JsonNode e) {
     String driver = e.path("driver").asText();
     long lease = e.path("lease_ms").asLong();
-    if (driver.isEmpty() || driver.length() > 128 || lease < LEAST_LEASE_MS || lease > LONGEST_LEASE_MS) {
+    if (driver.isEmpty()
+        || driver.length() > 128
+        || lease < LEAST_LEASE_MS
+        || lease > LONGEST_LEASE_MS) {
       return Outcome.of(Status.MALFORMED, "driver: a name or a lease_ms that can't be");
     }
     Outcome o = r.drive(driver, lease, fences + 1);
@@ -135,7 +175,13 @@
   private Outcome back(Release r, JsonNode e) {
     for (Release other : releases.values()) {
       if (r.state.over() && other != r && !other.state.over() && other.shares(r.plan)) {
-        return Outcome.of(Status.REFUSED, "release " + other.plan.name() + " is " + other.state.word() + " and has some of its targets");
+        return Outcome.of(
+            Status.REFUSED,
+            "release "
+                + other.plan.name()
+                + " is "
+                + other.state.word()
+                + " and has some of its targets");
       }
     }
     return r.back(e.path("to_step").asInt(0), e.path("why").asText());
@@ -144,14 +190,20 @@
   /** Takes note of what the last entry has changed in the fleet; to be called after each. */
   public void look(Disruption disruption) {
     for (Release r : releases.values()) {
-      boolean newest = r.state != Release.State.DONE || releases.values().stream().noneMatch(x -> x.number > r.number && x.shares(r.plan));
+      boolean newest =
+          r.state != Release.State.DONE
+              || releases.values().stream().noneMatch(x -> x.number > r.number && x.shares(r.plan));
       r.look(disruption, () -> ++actions, newest);
     }
   }
 
   /** Which release's permit this is, or null: nobody else gives it back. */
   public String holder(String permit) {
-    return releases.values().stream().filter(r -> r.holds(permit)).map(r -> r.plan.name()).findFirst().orElse(null);
+    return releases.values().stream()
+        .filter(r -> r.holds(permit))
+        .map(r -> r.plan.name())
+        .findFirst()
+        .orElse(null);
   }
 
   /** Whether a driver's lease goes on under this fence. */
@@ -183,10 +235,21 @@
   public void status(String name, ObjectNode to, Disruption disruption) {
     if (name.isEmpty()) {
       ArrayNode all = to.putArray("releases");
-      releases.values().stream().sorted(java.util.Comparator.comparingLong(r -> r.number)).forEach(
-          r -> all.addObject().put("name", r.plan.name()).put("number", r.number).put("of", r.plan.of().word()).put("version", r.plan.version())
-              .put("state", r.state.word()).put("state_why", r.stateWhy).put("direction", r.forward ? "forward" : "back").put("driver", r.driver)
-              .put("goal", r.goal).put("steps", r.plan.steps().size()));
+      releases.values().stream()
+          .sorted(java.util.Comparator.comparingLong(r -> r.number))
+          .forEach(
+              r ->
+                  all.addObject()
+                      .put("name", r.plan.name())
+                      .put("number", r.number)
+                      .put("of", r.plan.of().word())
+                      .put("version", r.plan.version())
+                      .put("state", r.state.word())
+                      .put("state_why", r.stateWhy)
+                      .put("direction", r.forward ? "forward" : "back")
+                      .put("driver", r.driver)
+                      .put("goal", r.goal)
+                      .put("steps", r.plan.steps().size()));
       return;
     }
     Release r = releases.get(name);
@@ -210,9 +273,11 @@
     fences = n.path("fences").asLong();
     actions = n.path("actions").asLong();
     releases.clear();
-    n.path("releases").forEach(x -> {
-      Release r = Release.restore(x);
-      releases.put(r.plan.name(), r);
-    });
+    n.path("releases")
+        .forEach(
+            x -> {
+              Release r = Release.restore(x);
+              releases.put(r.plan.name(), r);
+            });
   }
 }
