--- a/src/test/java/corkproxy/daemon/TransparencyTest.java
+++ b/src/test/java/corkproxy/daemon/TransparencyTest.java
@@ -59,28 +59,40 @@
     RawHost h = host(ERROR);
     it.start(LISTENER, CLASSES, RawHost.pool("a", "", h, host(ERROR)), CLAIMS);
     assertThat(it.ask(request("POST", "/claim", "r")))
-        .startsWith("HTTP/1.1 500 ").contains("X-Trace: t7").endsWith("{\"error\":\"full\"}");
+        .startsWith("HTTP/1.1 500 ")
+        .contains("X-Trace: t7")
+        .endsWith("{\"error\":\"full\"}");
     assertThat(it.rawHeads()).isEqualTo(1);
   }
 
   @Test
   void theLastErrorOfASafeRequestIsPassedOnWhenItsAttemptsAreUsedUp() throws Exception {
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)), LISTS);
-    assertThat(it.ask(request("GET", "/x", "r"))).startsWith("HTTP/1.1 500 ").endsWith("{\"error\":\"full\"}");
+    it.start(
+        LISTENER, CLASSES, RawHost.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)), LISTS);
+    assertThat(it.ask(request("GET", "/x", "r")))
+        .startsWith("HTTP/1.1 500 ")
+        .endsWith("{\"error\":\"full\"}");
     assertThat(it.rawHeads()).isEqualTo(2);
   }
 
   @Test
   void aServersOwn503ToWhatMayHaveRunDoesNotInviteAnotherTry() throws Exception {
-    it.start(LISTENER, CLASSES,
-        RawHost.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r"))).startsWith("HTTP/1.1 502 ").contains("{\"error\"");
+    it.start(
+        LISTENER,
+        CLASSES,
+        RawHost.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))),
+        CLAIMS);
+    assertThat(it.ask(request("POST", "/claim", "r")))
+        .startsWith("HTTP/1.1 502 ")
+        .contains("{\"error\"");
   }
 
   @Test
   void whereAnOperatorDoesNotWantThemErrorsStayInside() throws Exception {
     it.start(LISTENER, CLASSES, RawHost.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r"))).startsWith("HTTP/1.1 502 ").doesNotContain("error");
+    assertThat(it.ask(request("POST", "/claim", "r")))
+        .startsWith("HTTP/1.1 502 ")
+        .doesNotContain("error");
   }
 
   @Test
@@ -92,7 +104,9 @@
               RawHost.write(out, ERROR.substring(0, ERROR.length() - 3));
             });
     it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r"))).startsWith("HTTP/1.1 502 ").doesNotContain("X-Trace");
+    assertThat(it.ask(request("POST", "/claim", "r")))
+        .startsWith("HTTP/1.1 502 ")
+        .doesNotContain("X-Trace");
   }
 
   // --- pipelines
@@ -105,12 +119,16 @@
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 400; i++) {
       String body = i % 3 == 0 ? "x".repeat(i) : "";
-      all.append(request("POST", "/claim", "p" + i).replace("Length: 0", "Length: " + body.length())).append(body);
+      all.append(
+              request("POST", "/claim", "p" + i).replace("Length: 0", "Length: " + body.length()))
+          .append(body);
     }
     try (Socket s = it.client()) {
       RawHost.thread(() -> World.write(s, all.toString()));
       for (int i = 0; i < 400; i++) {
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("\r\n\r\np" + i + " ");
+        assertThat(World.read(s.getInputStream()))
+            .startsWith("HTTP/1.1 200")
+            .contains("\r\n\r\np" + i + " ");
       }
     }
     assertThat(it.ledger.repeated()).isEmpty();
@@ -121,8 +139,12 @@
     HttpStandIn a = it.host(HttpStandIn.Options.quick("a").takes(20, 1));
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1")
-          + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n" + request("POST", "/claim", "p3"));
+      World.write(
+          s,
+          request("POST", "/claim", "p0")
+              + request("POST", "/claim", "p1")
+              + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n"
+              + request("POST", "/claim", "p3"));
       assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("\r\n\r\np0 ");
       assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("\r\n\r\np1 ");
       assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 400");
@@ -136,7 +158,11 @@
     HttpStandIn a = it.host(HttpStandIn.Options.quick("a").takes(50, 1));
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "q0") + request("POST", "/claim", "q1") + request("POST", "/claim", "q2"));
+      World.write(
+          s,
+          request("POST", "/claim", "q0")
+              + request("POST", "/claim", "q1")
+              + request("POST", "/claim", "q2"));
       World.await(() -> it.ledger.of("q0").size() == 1);
     }
     World.await(() -> a.connections() == 0);
@@ -164,17 +190,22 @@
     try (Socket s = it.client()) {
       for (int i = 0; i < 3; i++) {
         World.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200")
-            .containsIgnoringCase("connection: keep-alive").endsWith("ok");
+        assertThat(World.read(s.getInputStream()))
+            .startsWith("HTTP/1.1 200")
+            .containsIgnoringCase("connection: keep-alive")
+            .endsWith("ok");
       }
       World.write(s, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
       assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
       assertThat(World.ends(s)).isTrue();
     }
-    assertThat(h.heads.get(0)).startsWith("GET /x HTTP/1.1\r\n").containsIgnoringCase("\r\nhost: \r\n")
+    assertThat(h.heads.get(0))
+        .startsWith("GET /x HTTP/1.1\r\n")
+        .containsIgnoringCase("\r\nhost: \r\n")
         .doesNotContainIgnoringCase("keep-alive");
     assertThat(h.heads.get(3)).containsIgnoringCase("\r\nhost: api.test\r\n");
-    assertThat(it.status("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")).isEqualTo(400);
+    assertThat(it.status("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
+        .isEqualTo(400);
   }
 
   @ParameterizedTest
@@ -189,15 +220,21 @@
     "https://b.test/x, api.test, , , 400",
     "http://c.test/x, b.test, , , 404",
   })
-  void theHostOfAnAbsoluteTargetWins(String target, String host, String path, String told, int status)
-      throws Exception {
+  void theHostOfAnAbsoluteTargetWins(
+      String target, String host, String path, String told, int status) throws Exception {
     RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h),
+    it.start(
+        LISTENER,
+        CLASSES,
+        RawHost.pool("a", "", h),
         "[[route]]\nname = \"b\"\nhosts = [\"b.test\"]\nprefix = \"/\"\npool = \"a\"");
-    assertThat(it.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")).isEqualTo(status);
+    assertThat(it.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"))
+        .isEqualTo(status);
     assertThat(h.heads).hasSize(status == 200 ? 1 : 0);
     if (status == 200) {
-      assertThat(h.heads.get(0)).startsWith("GET " + path + " HTTP/1.1").containsIgnoringCase("\r\nhost: " + told + "\r\n");
+      assertThat(h.heads.get(0))
+          .startsWith("GET " + path + " HTTP/1.1")
+          .containsIgnoringCase("\r\nhost: " + told + "\r\n");
     }
   }
 
@@ -211,16 +248,22 @@
             (host, in, out, s) -> {
               while (host.head(in) != null) {
                 trailers.add(RawHost.chunks(in, new long[1]));
-                RawHost.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 7\r\nContent-Length: 9\r\n\r\n");
+                RawHost.write(
+                    out,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 7\r\nContent-Length: 9\r\n\r\n");
               }
             });
     it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
-    String head = request("POST", "/x", "r", "TE: trailers", "Connection: TE").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    String head =
+        request("POST", "/x", "r", "TE: trailers", "Connection: TE")
+            .replace("Content-Length: 0", "Transfer-Encoding: chunked");
     try (Socket s = it.client()) {
       for (int i = 0; i < 2; i++) {
         World.write(s, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
         InputStream in = s.getInputStream();
-        assertThat(RawHost.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200").containsIgnoringCase("transfer-encoding: chunked");
+        assertThat(RawHost.until(in, "\r\n\r\n"))
+            .startsWith("HTTP/1.1 200")
+            .containsIgnoringCase("transfer-encoding: chunked");
         assertThat(RawHost.until(in, "\r\n\r\n")).isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
       World.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
@@ -229,42 +272,56 @@
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
     try (Socket s = it.client()) {
-      World.write(s, "GET /x HTTP/1.0\r\n\r\n"); // answered by a host that waits for a body: not at all
+      World.write(
+          s, "GET /x HTTP/1.0\r\n\r\n"); // answered by a host that waits for a body: not at all
       World.await(() -> h.heads.size() == 3);
     }
   }
 
   // --- who called
 
-  private static final String MADE_UP = "X-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\nX-Real-IP: 6.6.6.6";
+  private static final String MADE_UP =
+      "X-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\nX-Real-IP: 6.6.6.6";
 
   @Test
   void aCallerThatIsNotTrustedCannotMakeUpAnAddress() throws Exception {
     RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS,
+    it.start(
+        LISTENER,
+        CLASSES,
+        RawHost.pool("a", "", h),
+        CLAIMS,
         "[[limit]]\nname = \"each\"\nby = \"address\"\nper_second = 0.001\nburst = 2");
     assertThat(it.status(request("GET", "/x", "r", MADE_UP))).isEqualTo(200);
-    assertThat(h.heads.get(0)).doesNotContain("6.6.6.6").containsIgnoringCase("x-forwarded-for: 127.0.0.1\r\n")
+    assertThat(h.heads.get(0))
+        .doesNotContain("6.6.6.6")
+        .containsIgnoringCase("x-forwarded-for: 127.0.0.1\r\n")
         .containsIgnoringCase("forwarded: for=127.0.0.1;host=\"api.test\";proto=http\r\n")
-        .containsIgnoringCase("x-forwarded-host: api.test").containsIgnoringCase("via: 1.1 leadferry");
+        .containsIgnoringCase("x-forwarded-host: api.test")
+        .containsIgnoringCase("via: 1.1 leadferry");
     assertThat(it.status(request("GET", "/x", "s", "X-Forwarded-For: 7.7.7.7"))).isEqualTo(200);
     assertThat(it.status(request("GET", "/x", "t", "X-Forwarded-For: 8.8.8.8"))).isEqualTo(429);
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-    "X-Forwarded-For: 6.6.6.6, 9.9.9.9, 10.1.1.1 | 9.9.9.9",
-    "Forwarded: for=6.6.6.6, For=\"[2001:db8::1]:4711\";proto=https, for=10.1.1.1 | 2001:db8:0:0:0:0:0:1",
-    "Forwarded: for=6.6.6.6, for=unknown | 127.0.0.1",
-    "Forwarded: for=\"6.6.6.6, for=7.7.7.7 | 127.0.0.1",
-    "X-Forwarded-For: 10.1.1.1, 10.2.2.2 | 10.1.1.1",
-    "X-Forwarded-For: 9.9.9.9:80 | 9.9.9.9",
-    "X-Nothing: 1 | 127.0.0.1",
-  })
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "X-Forwarded-For: 6.6.6.6, 9.9.9.9, 10.1.1.1 | 9.9.9.9",
+        "Forwarded: for=6.6.6.6, For=\"[2001:db8::1]:4711\";proto=https, for=10.1.1.1 | 2001:db8:0:0:0:0:0:1",
+        "Forwarded: for=6.6.6.6, for=unknown | 127.0.0.1",
+        "Forwarded: for=\"6.6.6.6, for=7.7.7.7 | 127.0.0.1",
+        "X-Forwarded-For: 10.1.1.1, 10.2.2.2 | 10.1.1.1",
+        "X-Forwarded-For: 9.9.9.9:80 | 9.9.9.9",
+        "X-Nothing: 1 | 127.0.0.1",
+      })
   void ofAChainTheLastThatIsNotTrustedIsTheCaller(String line, String caller) throws Exception {
     RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER + "trusted = [\"127.0.0.0/8\", \"10.0.0.0/8\"]\nforwarded = \"replace\"", CLASSES,
-        RawHost.pool("a", "", h), CLAIMS);
+    it.start(
+        LISTENER + "trusted = [\"127.0.0.0/8\", \"10.0.0.0/8\"]\nforwarded = \"replace\"",
+        CLASSES,
+        RawHost.pool("a", "", h),
+        CLAIMS);
     assertThat(it.status(request("GET", "/x", "r", line))).isEqualTo(200);
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nx-forwarded-for: " + caller + "\r\n");
   }
@@ -273,8 +330,19 @@
   void aTrustedHopIsAddedTo() throws Exception {
     RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     it.start(LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawHost.pool("a", "", h), CLAIMS);
-    assertThat(it.status(request("GET", "/x", "r", "X-Forwarded-For: 9.9.9.9", "X-Forwarded-Proto: https", "Via: 1.0 edge"))).isEqualTo(200);
-    assertThat(h.heads.get(0)).containsIgnoringCase("x-forwarded-for: 9.9.9.9, 127.0.0.1\r\n")
-        .containsIgnoringCase("x-forwarded-proto: https\r\n").containsIgnoringCase("via: 1.0 edge, 1.1 leadferry\r\n");
+    assertThat(
+            it.status(
+                request(
+                    "GET",
+                    "/x",
+                    "r",
+                    "X-Forwarded-For: 9.9.9.9",
+                    "X-Forwarded-Proto: https",
+                    "Via: 1.0 edge")))
+        .isEqualTo(200);
+    assertThat(h.heads.get(0))
+        .containsIgnoringCase("x-forwarded-for: 9.9.9.9, 127.0.0.1\r\n")
+        .containsIgnoringCase("x-forwarded-proto: https\r\n")
+        .containsIgnoringCase("via: 1.0 edge, 1.1 leadferry\r\n");
   }
 }
--- a/src/test/java/corkproxy/disruption/MemberViewTest.java
+++ b/src/test/java/corkproxy/disruption/MemberViewTest.java
@@ -54,7 +54,9 @@
     assertThat(view.look(false, 10_999_999)).isFalse();
     assertThat(view.look(false, 11_000_000)).isTrue();
     assertThat(view.away()).isFalse();
-    assertThat(view.take(news(1, 10, "a"), true, 12_000_000)).as("the same grant takes it out no second time").isFalse();
+    assertThat(view.take(news(1, 10, "a"), true, 12_000_000))
+        .as("the same grant takes it out no second time")
+        .isFalse();
     assertThat(view.away()).isFalse();
   }
 }
--- a/src/test/java/corkproxy/engine/BackgroundWriterTest.java
+++ b/src/test/java/corkproxy/engine/BackgroundWriterTest.java
@@ -44,7 +44,8 @@
     }
     read.countDown();
     writer.flush(10_000);
-    assertThat(arrived.toString()).containsPattern("corkproxy: [0-9]+ texts of the log were dropped");
+    assertThat(arrived.toString())
+        .containsPattern("corkproxy: [0-9]+ texts of the log were dropped");
     assertThat(arrived.toString().lines().count()).isLessThan(TEXTS / 2);
   }
 
--- a/src/test/java/corkproxy/engine/ConnectFailureTest.java
+++ b/src/test/java/corkproxy/engine/ConnectFailureTest.java
@@ -13,7 +13,8 @@
 class ConnectFailureTest {
   @Test
   void whatThisMachineLacksIsNoFaultOfTheServer() {
-    assertThat(ConnectFailure.isLocal(new BindException("Cannot assign requested address"))).isTrue();
+    assertThat(ConnectFailure.isLocal(new BindException("Cannot assign requested address")))
+        .isTrue();
     assertThat(ConnectFailure.isLocal(new SocketException("Network is unreachable"))).isTrue();
     assertThat(ConnectFailure.isLocal(new SocketException("No buffer space available"))).isTrue();
   }
@@ -21,9 +22,12 @@
   @Test
   void aServerThatRefusesResetsOrCannotBeReachedHasItsPart() {
     assertThat(ConnectFailure.isLocal(new ConnectException("Connection refused"))).isFalse();
-    assertThat(ConnectFailure.isLocal(new ConnectTimeoutException("connection timed out"))).isFalse();
+    assertThat(ConnectFailure.isLocal(new ConnectTimeoutException("connection timed out")))
+        .isFalse();
     assertThat(ConnectFailure.isLocal(new NoRouteToHostException("No route to host"))).isFalse();
-    assertThat(ConnectFailure.isLocal(new SocketException("Connection reset by peer: /127.0.0.1:1"))).isFalse();
+    assertThat(
+            ConnectFailure.isLocal(new SocketException("Connection reset by peer: /127.0.0.1:1")))
+        .isFalse();
     assertThat(ConnectFailure.isLocal(new ClosedChannelException())).isFalse();
   }
 }
--- a/src/test/java/corkproxy/engine/DescriptorsTest.java
+++ b/src/test/java/corkproxy/engine/DescriptorsTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Descriptors run out when a connection to a host is to be opened: by our own bound, or by the system's. */
+/**
+ * Descriptors run out when a connection to a host is to be opened: by our own bound, or by the
+ * system's.
+ */
 class DescriptorsTest {
   private static volatile boolean systemIsFull;
 
@@ -61,8 +64,10 @@
     systemIsFull = false;
     pool =
         new Pool(
-            new ScarceTransport(), 4,
-            new Settings.RequestClass("c", 400, 60_000, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
+            new ScarceTransport(),
+            4,
+            new Settings.RequestClass(
+                "c", 400, 60_000, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
   }
 
   @AfterEach
--- a/src/test/java/corkproxy/engine/HearingTest.java
+++ b/src/test/java/corkproxy/engine/HearingTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A loop that was busy knows how old what it reads may be; one that waited knows that it is new. */
+/**
+ * A loop that was busy knows how old what it reads may be; one that waited knows that it is new.
+ */
 class HearingTest {
   private static final long BUSY_MS = 60;
   private final BlockingQueue<Long> behind = new LinkedBlockingQueue<>();
--- a/src/test/java/corkproxy/engine/Pool.java
+++ b/src/test/java/corkproxy/engine/Pool.java
@@ -29,7 +29,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 
-/** The engine before hosts on loopback sockets, with a protocol in which one byte is a request, and its answer. */
+/**
+ * The engine before hosts on loopback sockets, with a protocol in which one byte is a request, and
+ * its answer.
+ */
 final class Pool {
   /** Far within a request's time, in which it would fail of itself. */
   private static final long PATIENCE_S = 20;
@@ -68,14 +71,25 @@
     }
     Settings settings =
         new Settings(
-            List.of(type), List.of(), new Settings.Limits(true, true, true, 3, 1_000, 1),
-            new Settings.Rules(1_000, 1, 1_000, 3, 6_000), false, "z", 0, 1, 1, false);
+            List.of(type),
+            List.of(),
+            new Settings.Limits(true, true, true, 3, 1_000, 1),
+            new Settings.Rules(1_000, 1, 1_000, 3, 6_000),
+            false,
+            "z",
+            0,
+            1,
+            1,
+            false);
     Log log = new LineLog(new PrintStream(OutputStream.nullOutputStream()), false);
-    Upstreams upstreams = new Upstreams(loop, transport, this::connection, PoolBounds.unbounded(10_000, 5_000), sockets, log);
+    Upstreams upstreams =
+        new Upstreams(
+            loop, transport, this::connection, PoolBounds.unbounded(10_000, 5_000), sockets, log);
     dispatcher =
         onLoop(
             () -> {
-              Dispatcher d = new Dispatcher(null, loop, settings, 7, upstreams, new BodyBudget(1 << 20), log);
+              Dispatcher d =
+                  new Dispatcher(null, loop, settings, 7, upstreams, new BodyBudget(1 << 20), log);
               d.start(new Hosts.News(1, true, members), () -> {});
               return d;
             });
@@ -102,11 +116,14 @@
     return loop.submit(what).get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
-  /** Gives it a request that has all the time of a test; its final answer comes to {@link #answers}. */
+  /**
+   * Gives it a request that has all the time of a test; its final answer comes to {@link #answers}.
+   */
   void take() throws Exception {
     onLoop(
         () -> {
-          dispatcher.take(new OneByte(), new Arrival(0, "c", null, 60_000, Double.NaN, false), null);
+          dispatcher.take(
+              new OneByte(), new Arrival(0, "c", null, 60_000, Double.NaN, false), null);
           return null;
         });
   }
@@ -123,7 +140,11 @@
 
   /** Whether nothing is open, no host has anything in flight, and none is left out. */
   boolean atRest() throws Exception {
-    return onLoop(() -> dispatcher.open() == 0 && dispatcher.busyHosts().isEmpty() && dispatcher.ejectedHosts().isEmpty());
+    return onLoop(
+        () ->
+            dispatcher.open() == 0
+                && dispatcher.busyHosts().isEmpty()
+                && dispatcher.ejectedHosts().isEmpty());
   }
 
   void close() throws Exception {
--- a/src/test/java/corkproxy/engine/ServerStartClockTest.java
+++ b/src/test/java/corkproxy/engine/ServerStartClockTest.java
@@ -26,7 +26,10 @@
     return fresh;
   }
 
-  /** A server starts now by the discovery's clock, which is right, and is notified a moment later; the age that it is given then. */
+  /**
+   * A server starts now by the discovery's clock, which is right, and is notified a moment later;
+   * the age that it is given then.
+   */
   private double ageOfOneStartedNow() {
     double startedUnixMs = UNIX_AT_ZERO + now;
     now += NOTICE_MS;
@@ -42,7 +45,10 @@
 
   @Test
   void aServerThatStartedLongBeforeTheFirstListIsOld() {
-    assertThat(now - new ServerStartClock(() -> UNIX_AT_ZERO + now, now).started(UNIX_AT_ZERO + now - 600_000, now))
+    assertThat(
+            now
+                - new ServerStartClock(() -> UNIX_AT_ZERO + now, now)
+                    .started(UNIX_AT_ZERO + now - 600_000, now))
         .isEqualTo(600_000, within(0.01));
   }
 
--- a/src/test/java/corkproxy/engine/SocketsTest.java
+++ b/src/test/java/corkproxy/engine/SocketsTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** 140 descriptors, of which 40 are kept back: 50 for either side, and what hosts leave is lent to clients. */
+/**
+ * 140 descriptors, of which 40 are kept back: 50 for either side, and what hosts leave is lent to
+ * clients.
+ */
 class SocketsTest {
   private final Sockets sockets = new Sockets(140);
   private int asked;
--- a/src/test/java/corkproxy/engine/UnfinishedWritesTest.java
+++ b/src/test/java/corkproxy/engine/UnfinishedWritesTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A host that takes only part of a request: its last byte may go out much later, and a host counts from that one. No body that
- * is held is longer than what the kernel takes on loopback, so the write that waits is the protocol's here.
+ * A host that takes only part of a request: its last byte may go out much later, and a host counts
+ * from that one. No body that is held is longer than what the kernel takes on loopback, so the
+ * write that waits is the protocol's here.
  */
 class UnfinishedWritesTest {
   private static final int WINDOW = 600;
@@ -27,12 +28,23 @@
   void whatIsStuckInItsWriteIsWithdrawnWhenTheWindowOfTheOtherEnds(int stuck) throws Exception {
     pool =
         new Pool(
-            new NioTransport(), 2,
-            new Settings.RequestClass("c", 100, 60_000, Settings.Semantics.DEDUPLICATED, Settings.Scope.ALL, WINDOW, 1, 0));
+            new NioTransport(),
+            2,
+            new Settings.RequestClass(
+                "c",
+                100,
+                60_000,
+                Settings.Semantics.DEDUPLICATED,
+                Settings.Scope.ALL,
+                WINDOW,
+                1,
+                0));
     pool.answer = false;
     pool.write =
         (number, channel) ->
-            number == stuck ? channel.newPromise() : channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
+            number == stuck
+                ? channel.newPromise()
+                : channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
     long begun = System.nanoTime();
     pool.take();
     long until = System.nanoTime() + 20_000_000_000L;
@@ -41,7 +53,8 @@
     }
     assertThat(pool.accepted).hasSize(2);
     assertThat(pool.ended).hasSize(1);
-    assertThat(System.nanoTime() - begun).isGreaterThan((WINDOW - 100) * 1_000_000L); // not before it has to be
+    assertThat(System.nanoTime() - begun)
+        .isGreaterThan((WINDOW - 100) * 1_000_000L); // not before it has to be
     assertThat(pool.open()).isEqualTo(1); // the other one may answer still
     assertThat(pool.answers).isEmpty();
   }
--- a/src/test/java/corkproxy/fleet/SuspicionsTest.java
+++ b/src/test/java/corkproxy/fleet/SuspicionsTest.java
@@ -75,7 +75,8 @@
       assertThat(Suspicion.read(s.bytes())).isEqualTo(s);
       assertThat(s.bytes()).hasSize(Suspicion.BYTES);
     }
-    assertThat(Suspicion.read(new Suspicion((byte) 1, 2, 99_999, false).bytes()).age()).isEqualTo(Suspicion.MOST_AGE);
+    assertThat(Suspicion.read(new Suspicion((byte) 1, 2, 99_999, false).bytes()).age())
+        .isEqualTo(Suspicion.MOST_AGE);
   }
 
   @ParameterizedTest
@@ -154,7 +155,9 @@
     assertThat(ear.did).isEmpty();
   }
 
-  /** What an overload looks like: two lost a request each, and the host serves others all the while. */
+  /**
+   * What an overload looks like: two lost a request each, and the host serves others all the while.
+   */
   @Test
   void twoWitnessesThatAreRefutedAMomentLaterMoveNothing() {
     one.heard(1_000, 3, silence("a", 450));
--- a/src/test/java/corkproxy/fuzz/FrontFuzz.java
+++ b/src/test/java/corkproxy/fuzz/FrontFuzz.java
@@ -9,14 +9,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends bytes to a daemon and compares what its host was sent with what {@link StrictReader} makes of the
- * bytes. As a program it makes bytes of a grammar for some seconds; {@code fuzzerTestOneInput} is where a
- * coverage-guided fuzzer comes in ({@code bench/fuzz}).
+ * Sends bytes to a daemon and compares what its host was sent with what {@link StrictReader} makes
+ * of the bytes. As a program it makes bytes of a grammar for some seconds; {@code
+ * fuzzerTestOneInput} is where a coverage-guided fuzzer comes in ({@code bench/fuzz}).
  */
 public final class FrontFuzz {
   /** Headers whose values must arrive as they were read. */
   private static final List<String> JUDGED =
-      List.of("host", "idempotency-key", "x-request-id", "x-priority-class", "x-tenant-id", "x-route-key");
+      List.of(
+          "host",
+          "idempotency-key",
+          "x-request-id",
+          "x-priority-class",
+          "x-tenant-id",
+          "x-route-key");
 
   private static FuzzedDaemon daemon;
 
@@ -101,7 +107,10 @@
         end++;
       }
       hosts = List.of(target.substring(7, end));
-      target = target.substring(end).startsWith("/") ? target.substring(end) : "/" + target.substring(end);
+      target =
+          target.substring(end).startsWith("/")
+              ? target.substring(end)
+              : "/" + target.substring(end);
     }
     if (hosts.isEmpty() && client.version().equals("HTTP/1.0")) {
       hosts = List.of("");
@@ -123,24 +132,64 @@
   // --- a grammar of its own
 
   private static final String[] LINES = {
-    "GET /a HTTP/1.1", "POST /a?q=1 HTTP/1.1", "POST http://b.test/a HTTP/1.1", "GET /a HTTP/1.0",
-    "PUT /log/1 HTTP/1.1", "HEAD /a HTTP/1.1", "GET  /a HTTP/1.1", "GET /a HTTP/1.2", "M-X /%61 HTTP/1.1"
+    "GET /a HTTP/1.1",
+    "POST /a?q=1 HTTP/1.1",
+    "POST http://b.test/a HTTP/1.1",
+    "GET /a HTTP/1.0",
+    "PUT /log/1 HTTP/1.1",
+    "HEAD /a HTTP/1.1",
+    "GET  /a HTTP/1.1",
+    "GET /a HTTP/1.2",
+    "M-X /%61 HTTP/1.1"
   };
   private static final String[] FIELDS = {
-    "Host: a.test", "Host: a.test", "Host: a.test", "host:b.test", "X-Request-ID: r1", "Idempotency-Key: k",
-    "X-Priority-Class: log", "X-Tenant-Id: t", "X-Route-Key: \t v ", "Content-Length: 5",
-    "Content-Length: 5", "Content-Length: 05", "Content-Length: 5,5", "Transfer-Encoding: chunked",
-    "Transfer-Encoding: chunked", "transfer-encoding : chunked", "Transfer-Encoding: chunked, chunked",
-    "Transfer-Encoding: \u000bchunked", "Connection: close", "Connection: keep-alive, X-A", "X-A: 1",
-    "Connection: idempotency-key", "Expect: 100-continue", "X-Timeout-Ms: 500", "TE: trailers", "Bad\u0000: x",
-    "X-B: a\r\n b", "X-C: \u00e9"
+    "Host: a.test",
+    "Host: a.test",
+    "Host: a.test",
+    "host:b.test",
+    "X-Request-ID: r1",
+    "Idempotency-Key: k",
+    "X-Priority-Class: log",
+    "X-Tenant-Id: t",
+    "X-Route-Key: \t v ",
+    "Content-Length: 5",
+    "Content-Length: 5",
+    "Content-Length: 05",
+    "Content-Length: 5,5",
+    "Transfer-Encoding: chunked",
+    "Transfer-Encoding: chunked",
+    "transfer-encoding : chunked",
+    "Transfer-Encoding: chunked, chunked",
+    "Transfer-Encoding: \u000bchunked",
+    "Connection: close",
+    "Connection: keep-alive, X-A",
+    "X-A: 1",
+    "Connection: idempotency-key",
+    "Expect: 100-continue",
+    "X-Timeout-Ms: 500",
+    "TE: trailers",
+    "Bad\u0000: x",
+    "X-B: a\r\n b",
+    "X-C: \u00e9"
   };
   private static final String[] BODIES = {
-    "hello", "5\r\nhello\r\n0\r\n\r\n", "5;x=\"y\"\r\nhello\r\n0\r\nX-T: 1\r\n\r\n", "0\r\n\r\n", "",
-    "5\r\nhello0\r\n\r\n", "0x5\r\nhello\r\n0\r\n\r\n", "5 \r\nhello\r\n0\r\n\r\n",
-    "+5\r\nhello\r\n0\r\n\r\n", "5\nhello\n0\n\n", "00000000005\r\nhello\r\n0\r\n\r\n",
-    "5\r\nhello\r\n0\r\nIdempotency-Key: other\r\n\r\n", "-1\r\n\r\n", "5;\r\nhello\r\n0\r\n\r\n",
-    "\r\n5\r\nhello\r\n0\r\n\r\n", "5\r\nhello\r\n0;a\r\n\r\n", "5\r\nhelloXX0\r\n\r\n"
+    "hello",
+    "5\r\nhello\r\n0\r\n\r\n",
+    "5;x=\"y\"\r\nhello\r\n0\r\nX-T: 1\r\n\r\n",
+    "0\r\n\r\n",
+    "",
+    "5\r\nhello0\r\n\r\n",
+    "0x5\r\nhello\r\n0\r\n\r\n",
+    "5 \r\nhello\r\n0\r\n\r\n",
+    "+5\r\nhello\r\n0\r\n\r\n",
+    "5\nhello\n0\n\n",
+    "00000000005\r\nhello\r\n0\r\n\r\n",
+    "5\r\nhello\r\n0\r\nIdempotency-Key: other\r\n\r\n",
+    "-1\r\n\r\n",
+    "5;\r\nhello\r\n0\r\n\r\n",
+    "\r\n5\r\nhello\r\n0\r\n\r\n",
+    "5\r\nhello\r\n0;a\r\n\r\n",
+    "5\r\nhelloXX0\r\n\r\n"
   };
 
   /** Requests of the grammar with a few bytes changed. */
@@ -154,7 +203,8 @@
       switch (random.nextInt(4)) {
         case 0 -> s.append("\r\n").append(pick(BODIES, random));
         case 1 -> s.append("Host: c.test\r\nContent-Length: 5\r\n\r\nhello");
-        case 2 -> s.append("Transfer-Encoding: chunked\r\n\r\n").append(BODIES[1 + random.nextInt(3)]);
+        case 2 ->
+            s.append("Transfer-Encoding: chunked\r\n\r\n").append(BODIES[1 + random.nextInt(3)]);
         default -> s.append("\r\n");
       }
     }
@@ -173,7 +223,10 @@
     return of[random.nextInt(of.length)];
   }
 
-  /** Writes so many inputs of the grammar, in {@link #fuzzerTestOneInput}'s form, for a fuzzer to begin with. */
+  /**
+   * Writes so many inputs of the grammar, in {@link #fuzzerTestOneInput}'s form, for a fuzzer to
+   * begin with.
+   */
   private static void corpus(Path folder, int inputs) throws IOException {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < inputs; i++) {
@@ -186,8 +239,8 @@
   }
 
   /**
-   * Makes inputs for so many seconds, from a seed on: {@code FrontFuzz SECONDS [SEED]}. {@code FrontFuzz
-   * corpus FOLDER N} writes N of them instead.
+   * Makes inputs for so many seconds, from a seed on: {@code FrontFuzz SECONDS [SEED]}. {@code
+   * FrontFuzz corpus FOLDER N} writes N of them instead.
    */
   public static void main(String[] args) throws Exception {
     if (args[0].equals("corpus")) {
@@ -202,7 +255,8 @@
       reached += run(seed, 500);
       inputs += 500;
     }
-    System.out.println(inputs + " inputs, " + reached + " requests reached the host, none of them wrong");
+    System.out.println(
+        inputs + " inputs, " + reached + " requests reached the host, none of them wrong");
     System.exit(0);
   }
 
@@ -217,7 +271,17 @@
         reached += check(bytes, part);
       } catch (AssertionError e) {
         throw new AssertionError(
-            "seed " + seed + ", input " + i + " in parts of " + part + ": " + text(bytes).replace("\r", "\\r") + "\n" + e.getMessage(), e);
+            "seed "
+                + seed
+                + ", input "
+                + i
+                + " in parts of "
+                + part
+                + ": "
+                + text(bytes).replace("\r", "\\r")
+                + "\n"
+                + e.getMessage(),
+            e);
       }
     }
     return reached;
--- a/src/test/java/corkproxy/fuzz/StrictReader.java
+++ b/src/test/java/corkproxy/fuzz/StrictReader.java
@@ -7,12 +7,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads requests from bytes by the grammar of RFC 9112 and nothing else: the first thing that is not of it
- * ends the reading. Written apart from the front, by the ABNF, as the other opinion.
+ * Reads requests from bytes by the grammar of RFC 9112 and nothing else: the first thing that is
+ * not of it ends the reading. Written apart from the front, by the ABNF, as the other opinion.
  */
 final class StrictReader {
   /** A request: names of headers in lower case, in order. */
-  record Request(String method, String target, String version, List<String[]> headers, String body) {
+  record Request(
+      String method, String target, String version, List<String[]> headers, String body) {
     List<String> all(String name) {
       return headers.stream().filter(h -> h[0].equals(name)).map(h -> h[1]).toList();
     }
@@ -23,7 +24,10 @@
       Pattern.compile("(" + TCHAR + "+) ([\\x21-\\x7e]+) (HTTP/[0-9]\\.[0-9])");
   private static final Pattern FIELD =
       Pattern.compile("(" + TCHAR + "+):[ \\t]*([\\x20-\\x7e\\x80-\\xff\\t]*?)[ \\t]*");
-  /** Extensions are passed over without being read (7.1.1), so only their octets have to be sound. */
+
+  /**
+   * Extensions are passed over without being read (7.1.1), so only their octets have to be sound.
+   */
   private static final Pattern CHUNK =
       Pattern.compile("0*([0-9A-Fa-f]{1,8})(?:[ \\t]*;[\\x20-\\x7e\\x80-\\xff\\t]*)?");
 
@@ -92,7 +96,9 @@
     List<String> codings = head.all("transfer-encoding");
     String body;
     if (!codings.isEmpty()) {
-      if (!lengths.isEmpty() || codings.size() != 1 || !codings.get(0).equalsIgnoreCase("chunked")) {
+      if (!lengths.isEmpty()
+          || codings.size() != 1
+          || !codings.get(0).equalsIgnoreCase("chunked")) {
         return null;
       }
       body = chunks();
--- a/src/test/java/corkproxy/limits/LimiterTest.java
+++ b/src/test/java/corkproxy/limits/LimiterTest.java
@@ -16,7 +16,8 @@
   private static final long MS = 1_000_000L;
   private long now = 5_000 * MS;
 
-  private static Limit limit(String name, Limit.By by, String within, double rate, double burst, int open) {
+  private static Limit limit(
+      String name, Limit.By by, String within, double rate, double burst, int open) {
     return new Limit(name, by, within, Set.of(), Set.of(), Set.of(), rate, burst, open);
   }
 
@@ -77,7 +78,10 @@
   void aRefusalByOneLimitTakesNothingFromTheOthers() {
     Limiter l =
         new Limiter(
-            List.of(limit("rate", Limit.By.ALL, null, 1, 3, 0), limit("c", Limit.By.TENANT, null, 0, 1, 1)), 64);
+            List.of(
+                limit("rate", Limit.By.ALL, null, 1, 3, 0),
+                limit("c", Limit.By.TENANT, null, 0, 1, 1)),
+            64);
     Grant a = l.acquire(tenant("a"), now);
     for (int i = 0; i < 10; i++) {
       assertThat(l.acquire(tenant("a"), now).refusedBy()).isEqualTo("c");
@@ -95,7 +99,8 @@
     Limiter limiter = new Limiter(List.of(l), 64);
     assertThat(passes(limiter, "a")).isTrue();
     assertThat(passes(limiter, "b")).isFalse();
-    assertThat(limiter.acquire(new Caller("main", "other", "a", "c", ""), now).refusedBy()).isNull();
+    assertThat(limiter.acquire(new Caller("main", "other", "a", "c", ""), now).refusedBy())
+        .isNull();
     assertThat(limiter.acquire(new Caller("side", "r", "a", "c", ""), now).refusedBy()).isNull();
     assertThat(limiter.acquire(new Caller("main", "r", "a", "d", ""), now).refusedBy()).isNull();
   }
@@ -215,7 +220,10 @@
   void manyThreadsNeverHoldMoreThanTheLimitAndGiveAllBack() throws Exception {
     Limiter l =
         new Limiter(
-            List.of(limit("all", Limit.By.ALL, null, 0, 1, 8), limit("t", Limit.By.TENANT, "all", 0, 1, 4)), 64);
+            List.of(
+                limit("all", Limit.By.ALL, null, 0, 1, 8),
+                limit("t", Limit.By.TENANT, "all", 0, 1, 4)),
+            64);
     AtomicInteger open = new AtomicInteger();
     AtomicInteger most = new AtomicInteger();
     int threads = 8;
--- a/src/test/java/corkproxy/proxy/DiscoveryTest.java
+++ b/src/test/java/corkproxy/proxy/DiscoveryTest.java
@@ -7,6 +7,8 @@
 
 import corkproxy.engine.BodyBudget;
 import corkproxy.engine.Dispatcher;
+import corkproxy.engine.LineLog;
+import corkproxy.engine.Log;
 import corkproxy.engine.NioTransport;
 import corkproxy.engine.Sockets;
 import corkproxy.engine.Upstreams;
@@ -35,8 +37,6 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import corkproxy.engine.LineLog;
-import corkproxy.engine.Log;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -64,7 +64,9 @@
     world.close();
   }
 
-  /** Answers the first questions with these bytes and an end, and later ones as a discovery does. */
+  /**
+   * Answers the first questions with these bytes and an end, and later ones as a discovery does.
+   */
   private final class Broken extends World.Server {
     final List<Long> asked = new CopyOnWriteArrayList<>();
     private final String bad;
@@ -94,15 +96,27 @@
   }
 
   private static String chunk(String text) {
-    return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + Integer.toHexString(text.length())
+        + "\r\n"
+        + text
+        + "\r\n";
   }
 
   private static String list(long version, String... entries) {
-    return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + String.join(",", entries) + "]}";
+    return "{\"version\":"
+        + version
+        + ",\"full\":true,\"servers\":["
+        + String.join(",", entries)
+        + "]}";
   }
 
   private static String entry(String id, String address) {
-    return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":1,\"state\":\"up\","
+    return "{\"id\":\""
+        + id
+        + "\",\"addr\":\""
+        + address
+        + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":1,\"state\":\"up\","
         + "\"weight\":1.0,\"started_ms\":0}";
   }
 
@@ -110,7 +124,10 @@
     String whole = list(50, entry("x", "127.0.0.1:1"));
     return Stream.of(
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(whole.length() + 1) + "\r\n" + whole.substring(0, 40),
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + Integer.toHexString(whole.length() + 1)
+            + "\r\n"
+            + whole.substring(0, 40),
         chunk(whole.substring(0, whole.length() - 5) + "\n"),
         chunk("no list at all\n"),
         chunk("[1,2]\n"),
@@ -185,7 +202,10 @@
     }
   }
 
-  /** Sends the empty lines of a watch on which nothing changes, until it ends: one that is silent would be asked again. */
+  /**
+   * Sends the empty lines of a watch on which nothing changes, until it ends: one that is silent
+   * would be asked again.
+   */
   private static void stayOpen(Socket s) throws IOException {
     while (true) {
       write(s, "1\r\n\n\r\n");
@@ -193,9 +213,13 @@
     }
   }
 
-  /** Guards against watchers that come again together: those turned away at once would all be turned away again. */
+  /**
+   * Guards against watchers that come again together: those turned away at once would all be turned
+   * away again.
+   */
   @Test
-  void thirtyThatStartAtOnceBeforeAnOverbookedDiscoveryAreAllToldAndDoNotStormIt() throws Exception {
+  void thirtyThatStartAtOnceBeforeAnOverbookedDiscoveryAreAllToldAndDoNotStormIt()
+      throws Exception {
     Overbooked discovery = new Overbooked(3, list(51, entry("h", "127.0.0.1:1")));
     List<World> worlds = new ArrayList<>();
     try {
@@ -236,10 +260,19 @@
   static Stream<String> indents() {
     String whole = list(51, entry("next", "ADDRESS"));
     String printed = whole.replaceAll("([{\\[,])", "$1\n  ").replaceAll("([}\\]])", "\n $1");
-    return Stream.of(whole, "   " + whole, whole.replace("[{", "[\n  {"), printed, printed.replace("\n", "\r\n"), printed.replace("  ", "\t"));
+    return Stream.of(
+        whole,
+        "   " + whole,
+        whole.replace("[{", "[\n  {"),
+        printed,
+        printed.replace("\n", "\r\n"),
+        printed.replace("  ", "\t"));
   }
 
-  /** Tells this list, whole where it is asked for, and on a watch in pieces cut anywhere, with more behind it. */
+  /**
+   * Tells this list, whole where it is asked for, and on a watch in pieces cut anywhere, with more
+   * behind it.
+   */
   private World.Server telling(String list, List<String> paths) throws IOException {
     return world.new Server() {
       @Override
@@ -267,7 +300,9 @@
     World.Host old = world.new Host(h -> ok("old"));
     World.Host next = world.new Host(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
-    start(telling(indented.replace("ADDRESS", next.address()), paths), list(40, entry("old", old.address())));
+    start(
+        telling(indented.replace("ADDRESS", next.address()), paths),
+        list(40, entry("old", old.address())));
     World.await(() -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
     assertThat(paths).containsExactly("/catalog/members?follow=1&since=40");
   }
@@ -277,13 +312,18 @@
   void aWholeListThatComesIndentedIsTaken(String indented) throws Exception {
     World.Host next = world.new Host(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
-    start(telling(indented.replace("ADDRESS", next.address()), paths), "{}"); // no version to go on from
+    start(
+        telling(indented.replace("ADDRESS", next.address()), paths),
+        "{}"); // no version to go on from
     World.await(() -> paths.contains("/catalog/members?follow=1&since=51"));
     assertThat(paths).containsExactly("/catalog/members", "/catalog/members?follow=1&since=51");
     assertThat(world.<Boolean>onLoop(() -> world.proxy.sends("next"))).isTrue();
   }
 
-  /** Its first lines look like any other list's; the empty line that follows when nothing changes shows that it is none. */
+  /**
+   * Its first lines look like any other list's; the empty line that follows when nothing changes
+   * shows that it is none.
+   */
   @Test
   void anIndentedListThatIsCutIsAskedForAnew() throws Exception {
     World.Host next = world.new Host(h -> ok("next"));
@@ -294,7 +334,8 @@
           void serve(Socket s) throws IOException {
             World.read(s.getInputStream());
             String list = list(51, entry("next", next.address()));
-            write(s, chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
+            write(
+                s, chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
             stayOpen(s);
           }
         };
@@ -304,10 +345,17 @@
   }
 
   private static String drains(long version, String id, String address) {
-    return "{\"version\":" + version + ",\"full\":false,\"servers\":[" + entry(id, address).replace("\"up\"", "\"draining\"") + "]}";
+    return "{\"version\":"
+        + version
+        + ",\"full\":false,\"servers\":["
+        + entry(id, address).replace("\"up\"", "\"draining\"")
+        + "]}";
   }
 
-  /** What a watch misses counts as told 6 s after it fell silent, so a replacement that is silent, too, must not cost them. */
+  /**
+   * What a watch misses counts as told 6 s after it fell silent, so a replacement that is silent,
+   * too, must not cost them.
+   */
   @Test
   void aListIsHeardInTimeThoughTheReplacementOfASilentWatchIsSilentToo() throws Exception {
     World.Host old = world.new Host(h -> ok("old"));
@@ -322,7 +370,11 @@
             World.read(s.getInputStream());
             switch (watches.incrementAndGet()) {
               case 1 -> {
-                write(s, chunk(list(40, entry("old", old.address()), entry("next", next.address())) + "\n"));
+                write(
+                    s,
+                    chunk(
+                        list(40, entry("old", old.address()), entry("next", next.address()))
+                            + "\n"));
                 silentFrom.set(System.nanoTime());
               }
               case 2 -> {}
@@ -340,7 +392,10 @@
     World.await(() -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
   }
 
-  /** The waits grew while discovery failed; a watch on which nothing has changed is as good as any, and they begin anew. */
+  /**
+   * The waits grew while discovery failed; a watch on which nothing has changed is as good as any,
+   * and they begin anew.
+   */
   @Test
   void whereDiscoveryIsAskedAQuietWatchEndsTheWaitsThatGrewBeforeIt() throws Exception {
     world.asked = true;
@@ -397,11 +452,21 @@
     EventLoop loop = (EventLoop) group.next();
     try {
       scarce = 2;
-      Upstreams upstreams = new Upstreams(loop, transport, HttpProtocol.PLATFORM, config.bounds(), new Sockets(128), quiet);
+      Upstreams upstreams =
+          new Upstreams(
+              loop, transport, HttpProtocol.PLATFORM, config.bounds(), new Sockets(128), quiet);
       Discovery watch =
           loop.submit(
                   () -> {
-                    Dispatcher d = new Dispatcher(null, loop, config.settings(), 7, upstreams, new BodyBudget(1 << 20), quiet);
+                    Dispatcher d =
+                        new Dispatcher(
+                            null,
+                            loop,
+                            config.settings(),
+                            7,
+                            upstreams,
+                            new BodyBudget(1 << 20),
+                            quiet);
                     Discovery w = new Discovery(group, config, d, quiet, Scarce.class);
                     w.start(config.known());
                     return w;
@@ -417,7 +482,8 @@
   /** What the agent gets while no watch is open counts as told at once. */
   @ParameterizedTest
   @ValueSource(ints = {250, 500})
-  void aWatchThatIsResetAgainAndAgainIsNeverClosedForLongerThanTheGrace(int grace) throws Exception {
+  void aWatchThatIsResetAgainAndAgainIsNeverClosedForLongerThanTheGrace(int grace)
+      throws Exception {
     world.grace = grace;
     List<Long> tries = new CopyOnWriteArrayList<>();
     World.Server discovery =
@@ -438,7 +504,10 @@
     assertThat(longest).isLessThan(grace * 1_000_000L);
   }
 
-  /** What discovery has counts as told from the first moment of a new process, and the list of its configuration may be old. */
+  /**
+   * What discovery has counts as told from the first moment of a new process, and the list of its
+   * configuration may be old.
+   */
   @Test
   void theFirstRequestOfANewProcessGoesByWhatDiscoveryHas() throws Exception {
     World.Host drained = world.new Host(h -> ok("drained"));
@@ -452,7 +521,12 @@
             World.read(s.getInputStream());
             asked.countDown();
             answers.await();
-            write(s, chunk(drains(41, "drained", drained.address()).replace("}]", "}," + entry("up", up.address()) + "]") + "\n"));
+            write(
+                s,
+                chunk(
+                    drains(41, "drained", drained.address())
+                            .replace("}]", "}," + entry("up", up.address()) + "]")
+                        + "\n"));
             World.read(s.getInputStream()); // until the watch ends
           }
         };
@@ -472,7 +546,8 @@
     asked.await();
     World.await(
         new BooleanSupplier() {
-          private final long until = System.nanoTime() + 5 * TENTH; // what goes by the old list has been sent by then
+          private final long until =
+              System.nanoTime() + 5 * TENTH; // what goes by the old list has been sent by then
 
           @Override
           public boolean getAsBoolean() {
@@ -506,6 +581,7 @@
     Broken discovery = new Broken(chunk("no list\n"), list(51, entry("old", host.address())));
     start(discovery, list(40, entry("old", host.address())));
     World.await(() -> discovery.asked.size() > BAD_ANSWERS);
-    assertThat(log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("watch:"))).hasSize(1);
+    assertThat(log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("watch:")))
+        .hasSize(1);
   }
 }
--- a/src/test/java/corkproxy/proxy/EndingsTest.java
+++ b/src/test/java/corkproxy/proxy/EndingsTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endings while something is still owed, each order of events forced by the peers: docs/design/endings.md. */
+/**
+ * Endings while something is still owed, each order of events forced by the peers:
+ * docs/design/endings.md.
+ */
 class EndingsTest {
   @TempDir Path folder;
   private World world;
@@ -45,7 +48,8 @@
 
   @ParameterizedTest
   @CsvSource({"true,false", "false,false", "true,true", "false,true"})
-  void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent(boolean cancel, boolean reset) throws Exception {
+  void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent(boolean cancel, boolean reset)
+      throws Exception {
     world.cancel = cancel;
     World.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
@@ -81,10 +85,20 @@
     assertThat(host.heads).hasSize(1);
   }
 
-  /** The connection has come up first, and both stand unread: what is read first must not decide. */
+  /**
+   * The connection has come up first, and both stand unread: what is read first must not decide.
+   */
   @ParameterizedTest
-  @CsvSource({"true,false,0", "false,false,0", "true,true,0", "false,true,0", "true,false,300", "false,false,300"})
-  void aClientThatLeftBehindTheConnectIsSeenBeforeTheWrite(boolean cancel, boolean reset, int requestsAhead) throws Exception {
+  @CsvSource({
+    "true,false,0",
+    "false,false,0",
+    "true,true,0",
+    "false,true,0",
+    "true,false,300",
+    "false,false,300"
+  })
+  void aClientThatLeftBehindTheConnectIsSeenBeforeTheWrite(
+      boolean cancel, boolean reset, int requestsAhead) throws Exception {
     world.cancel = cancel;
     World.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
@@ -106,7 +120,10 @@
     assertThat(host.heads).hasSize(1).first().asString().contains("next");
   }
 
-  /** All of it stands in the kernel when the loop comes to it: a request, more than is read at once, and the end. */
+  /**
+   * All of it stands in the kernel when the loop comes to it: a request, more than is read at once,
+   * and the end.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 300})
   void aClientThatHasLeftBeforeItIsReadIsNotSentOn(int requestsAhead) throws Exception {
@@ -124,7 +141,10 @@
     assertThat(host.heads).hasSize(2).last().asString().contains("next");
   }
 
-  /** What the users count: of clients that leave while their requests wait, whose is sent on 0.3 s later. */
+  /**
+   * What the users count: of clients that leave while their requests wait, whose is sent on 0.3 s
+   * later.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void ofAThousandLeaversNoneIsSentOn(boolean cancel) throws Exception {
@@ -162,7 +182,8 @@
     host.comesUp();
     assertThat(world.ask(claim("next"))).endsWith("late");
     long sent = host.heads.stream().filter(h -> h.contains("leaver")).count();
-    System.out.println("leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
+    System.out.println(
+        "leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
     assertThat(sent).isZero();
     assertThat(world.upstreams()).isEqualTo(1); // that of the one that has stayed
     World.await(() -> world.clients() == 0);
@@ -170,11 +191,13 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aCopyThatWaitsForItsConnectionIsNotSentOnceTheOtherHasAnswered(boolean cancel) throws Exception {
+  void aCopyThatWaitsForItsConnectionIsNotSentOnceTheOtherHasAnswered(boolean cancel)
+      throws Exception {
     world.cancel = cancel;
     CountDownLatch both = new CountDownLatch(1);
     World.Host quick =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               try {
                 both.await();
@@ -198,7 +221,10 @@
     }
   }
 
-  /** More than is held, so that the rest stands in the kernel, unread, with its client's end behind it. */
+  /**
+   * More than is held, so that the rest stands in the kernel, unread, with its client's end behind
+   * it.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aLongBodyWhoseClientLeftWhileItWaitedIsNotSentOnWhole(boolean cancel) throws Exception {
@@ -216,7 +242,10 @@
     assertThat(whole(host, size)).isZero();
   }
 
-  /** All of it has come, so its client's time runs, and what its host is told must not be more than is left. */
+  /**
+   * All of it has come, so its client's time runs, and what its host is told must not be more than
+   * is left.
+   */
   @Test
   void aLongBodyThatWaitsTellsItsHostNoMoreTimeThanItsClientHas() throws Exception {
     world.generations = Generations.join(folder.toString());
@@ -234,7 +263,8 @@
       long waited = (System.nanoTime() - whole) / 1_000_000;
       host.comesUp();
       assertThat(World.read(s.getInputStream())).endsWith("late");
-      assertThat(Long.parseLong(World.header(host.heads.get(0), "X-Timeout-Ms"))).isBetween(1L, world.deadline - waited);
+      assertThat(Long.parseLong(World.header(host.heads.get(0), "X-Timeout-Ms")))
+          .isBetween(1L, world.deadline - waited);
     }
   }
 
@@ -243,7 +273,10 @@
     return host.heads.stream().filter(h -> h.length() - h.indexOf("\r\n\r\n") - 4 == size).count();
   }
 
-  /** Its host waits for a rest that never comes: nobody else ends that where the deployment allows no cancel. */
+  /**
+   * Its host waits for a rest that never comes: nobody else ends that where the deployment allows
+   * no cancel.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aLongBodyThatBreaksOffLeavesNothingOut(boolean cancel) throws Exception {
@@ -261,7 +294,8 @@
   /** Either may be the first: what counts is when the other's first byte went out. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aKeyedRequestIsNotSentAgainOnAConnectionThatComesUpPastItsWindow(boolean cancel) throws Exception {
+  void aKeyedRequestIsNotSentAgainOnAConnectionThatComesUpPastItsWindow(boolean cancel)
+      throws Exception {
     world.cancel = cancel;
     world.aim = 100;
     world.window = 1_000;
@@ -306,31 +340,52 @@
     }
   }
 
-  private static String news(boolean full, int version, String address, String state, long started) {
+  private static String news(
+      boolean full, int version, String address, String state, long started) {
     return list(full, version, entry("h", address, 1, state, started));
   }
 
   private static String list(boolean full, int version, String... entries) {
-    return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
+    return "{\"version\":"
+        + version
+        + ",\"full\":"
+        + full
+        + ",\"servers\":["
+        + String.join(",", entries)
+        + "]}";
   }
 
   private static String entry(String id, String address, int cell, String state, long started) {
-    return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":" + cell
-        + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + started + "}";
+    return "{\"id\":\""
+        + id
+        + "\",\"addr\":\""
+        + address
+        + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":"
+        + cell
+        + ",\"state\":\""
+        + state
+        + "\",\"weight\":1.0,\"started_ms\":"
+        + started
+        + "}";
   }
 
   private static String entry(String id, String address, int cell) {
     return entry(id, address, cell, "up", 0);
   }
 
-  /** What waits for the host as it was has not gone out, so it must not go out to what it has become, or after its grace. */
+  /**
+   * What waits for the host as it was has not gone out, so it must not go out to what it has
+   * become, or after its grace.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"draining", "removed", "left out", "moved", "started anew"})
   void aRequestThatWaitsForAHostIsNotSentToWhatTheHostHasBecome(String change) throws Exception {
     World.LateHost host = world.new LateHost(h -> ok("late"));
     World.Host other = world.new Host(h -> ok("other"));
     Teller discovery = new Teller(news(true, 41, host.address(), "up", 0));
-    world.run(world.configure(discovery.address(), news(true, 40, host.address(), "up", 0)), World.quietLog());
+    world.run(
+        world.configure(discovery.address(), news(true, 40, host.address(), "up", 0)),
+        World.quietLog());
     try (Socket s = world.client()) {
       write(s, claim("waits"));
       World.await(() -> world.upstreams() == 1);
@@ -338,12 +393,17 @@
           switch (change) {
             case "left out" -> list(true, 42);
             case "moved" -> news(false, 42, other.address(), "up", 0);
-            case "started anew" -> news(false, 42, host.address(), "up", System.currentTimeMillis());
+            case "started anew" ->
+                news(false, 42, host.address(), "up", System.currentTimeMillis());
             default -> news(false, 42, host.address(), change, 0);
           });
       if (change.equals("started anew")) {
         discovery.news.add(list(false, 43, entry("behind", other.address(), 1)));
-        World.await(() -> world.onLoop(() -> world.proxy.sends("behind"))); // and so the change before it has been taken
+        World.await(
+            () ->
+                world.onLoop(
+                    () ->
+                        world.proxy.sends("behind"))); // and so the change before it has been taken
         host.comesUp(); // for a connection of its own: the one before was withdrawn
         assertThat(World.read(s.getInputStream())).endsWith("late");
         assertThat(host.heads).hasSize(1);
@@ -383,14 +443,19 @@
     }
     World.await(() -> world.clients() == holders.size() + leavers.size());
     for (Socket s : leavers) {
-      write(s, "x".repeat(100)); // those that had room have been taken, the others stand in the kernel
+      write(
+          s,
+          "x".repeat(100)); // those that had room have been taken, the others stand in the kernel
     }
     int taken = 0;
-    for (long since = System.nanoTime(); System.nanoTime() - since < 300_000_000L; Thread.sleep(1)) {
+    for (long since = System.nanoTime();
+        System.nanoTime() - since < 300_000_000L;
+        Thread.sleep(1)) {
       since = taken == hangs.heads.size() ? since : System.nanoTime();
       taken = hangs.heads.size(); // until no more come
     }
-    // Those that wait leave first: whoever was taken gives back its memory as it leaves, and one that waits still would be taken.
+    // Those that wait leave first: whoever was taken gives back its memory as it leaves, and one
+    // that waits still would be taken.
     for (int i = leavers.size() - 1; i >= 0; i--) {
       leavers.get(i).close();
     }
@@ -404,13 +469,17 @@
     assertThat(hangs.heads).hasSize(taken);
   }
 
-  /** A copy was judged by the cell in which both hosts stood; another cell knows nothing of what the first one has run. */
+  /**
+   * A copy was judged by the cell in which both hosts stood; another cell knows nothing of what the
+   * first one has run.
+   */
   @Test
   void aCopyThatWaitsIsNotSentToAHostThatHasComeToAnotherCell() throws Exception {
     world.aim = 100;
     World.Host hangs = world.new Host(h -> null);
     World.LateHost late = world.new LateHost(h -> ok("late"));
-    String list = list(true, 41, entry("hangs", hangs.address(), 1), entry("late", late.address(), 1));
+    String list =
+        list(true, 41, entry("hangs", hangs.address(), 1), entry("late", late.address(), 1));
     Teller discovery = new Teller(list);
     world.run(world.configure(discovery.address(), list), World.quietLog());
     try (Socket s = world.client()) {
@@ -424,24 +493,36 @@
     }
   }
 
-  /** It goes on to the new one, and is not withdrawn from there because that has changed as well. */
+  /**
+   * It goes on to the new one, and is not withdrawn from there because that has changed as well.
+   */
   @Test
   void aRequestThatWaitsForAHostThatGoesIsServedByOneThatComesInTheSameList() throws Exception {
     World.LateHost goes = world.new LateHost(h -> ok("goes"));
     World.Host comes = world.new Host(h -> ok("comes"));
     Teller discovery = new Teller(news(true, 41, goes.address(), "up", 0));
-    world.run(world.configure(discovery.address(), news(true, 40, goes.address(), "up", 0)), World.quietLog());
+    world.run(
+        world.configure(discovery.address(), news(true, 40, goes.address(), "up", 0)),
+        World.quietLog());
     try (Socket s = world.client()) {
       write(s, claim("waits"));
       World.await(() -> world.upstreams() == 1);
-      discovery.news.add(list(false, 42, entry("h", goes.address(), 1, "removed", 0), entry("new", comes.address(), 1)));
+      discovery.news.add(
+          list(
+              false,
+              42,
+              entry("h", goes.address(), 1, "removed", 0),
+              entry("new", comes.address(), 1)));
       assertThat(World.read(s.getInputStream())).endsWith("comes");
     }
   }
 
   // --- a host's connection at the wrong instant
 
-  /** The request is read first, and the host's end of the pooled connection stands in the kernel behind it. */
+  /**
+   * The request is read first, and the host's end of the pooled connection stands in the kernel
+   * behind it.
+   */
   @Test
   void anEndOfAPooledConnectionThatNobodyHasReadIsSeenBeforeTheWrite() throws Exception {
     World.Host host = world.new Host(h -> ok("done"));
@@ -459,7 +540,10 @@
     }
   }
 
-  /** Later than a connection rests at first; seen once on one that carried nothing, it is not taken for another's answer. */
+  /**
+   * Later than a connection rests at first; seen once on one that carried nothing, it is not taken
+   * for another's answer.
+   */
   @Test
   void aSecondAnswerThatCameLateOnceIsNotTakenForTheNextOnes() throws Exception {
     World.Host host =
@@ -483,13 +567,17 @@
       World.await(() -> world.clients() == 1);
       write(s, claim("second"));
       assertThat(World.read(s.getInputStream())).endsWith("second");
-      Thread.sleep(10); // longer than a connection rests at first, and not yet as late as what is late
+      Thread.sleep(
+          10); // longer than a connection rests at first, and not yet as late as what is late
       write(s, claim("third"));
       assertThat(World.read(s.getInputStream())).endsWith("third");
     }
   }
 
-  /** What stands behind a fault, or is made up when a connection ends in an answer, came with no rest and tells of none. */
+  /**
+   * What stands behind a fault, or is made up when a connection ends in an answer, came with no
+   * rest and tells of none.
+   */
   @ParameterizedTest
   @CsvSource({"reset", "unframed", "interim"})
   void aFaultOnAConnectionInUseMakesNoneRestLonger(String fault) throws Exception {
@@ -520,14 +608,17 @@
     try (Socket s = world.client()) {
       for (String id : List.of("first", fault)) {
         write(s, claim(id));
-        assertThat(World.read(s.getInputStream())).startsWith(id.equals(fault) ? "HTTP/1.1 502" : "HTTP/1.1 200");
-        Thread.sleep(20); // the next one is on the same connection, which has stood idle for as long
+        assertThat(World.read(s.getInputStream()))
+            .startsWith(id.equals(fault) ? "HTTP/1.1 502" : "HTTP/1.1 200");
+        Thread.sleep(
+            20); // the next one is on the same connection, which has stood idle for as long
       }
       assertThat(host.connections()).isEqualTo(1);
       for (int i = 0; i < 10; i++) {
         write(s, claim("after" + i));
         assertThat(World.read(s.getInputStream())).endsWith("after" + i);
-        Thread.sleep(20); // longer than a connection rests, and shorter than it would after a late answer
+        Thread.sleep(
+            20); // longer than a connection rests, and shorter than it would after a late answer
       }
     }
     assertThat(host.connections()).isEqualTo(2);
@@ -540,7 +631,8 @@
     CountDownLatch answers = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(1);
     World.Host host =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               if (h.contains("both")) {
                 try {
@@ -573,7 +665,10 @@
     }
   }
 
-  /** It has begun to go to its client, since it may be a long one, and then nothing comes: the client is owed an end. */
+  /**
+   * It has begun to go to its client, since it may be a long one, and then nothing comes: the
+   * client is owed an end.
+   */
   @Test
   void anAnswerOfNoLengthThatNeverEndsIsSeenToBeCutOnceItsTimeIsOver() throws Exception {
     world.deadline = 600;
@@ -608,7 +703,9 @@
       write(s, claim("slow", "Content-Length: 4") + "ab");
       World.await(() -> world.clients() == 1);
       ended = world.drain();
-      long until = System.nanoTime() + 1_000_000_000L; // past the time at which nobody may stay who carries nothing
+      long until =
+          System.nanoTime()
+              + 1_000_000_000L; // past the time at which nobody may stay who carries nothing
       World.await(() -> System.nanoTime() > until);
       write(s, "cd");
       assertThat(World.read(s.getInputStream())).endsWith("done");
@@ -616,7 +713,10 @@
     ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** SIGKILL comes 3.7 s after SIGTERM at the latest that is promised, however long a class may take. */
+  /**
+   * SIGKILL comes 3.7 s after SIGTERM at the latest that is promised, however long a class may
+   * take.
+   */
   @Test
   void aRequestWhoseClassMayTakeLongerThanSigkillLeavesIsAnsweredBeforeTheEnd() throws Exception {
     World.Host hangs = world.new Host(h -> null);
@@ -646,7 +746,10 @@
     }
   }
 
-  /** It may have written a request that nobody has read: the protocol has it sent once more, on a new connection. */
+  /**
+   * It may have written a request that nobody has read: the protocol has it sent once more, on a
+   * new connection.
+   */
   @Test
   void aClientWhoseConnectionIsEndedLastMayComeOnceMore() throws Exception {
     String answer = null;
@@ -668,7 +771,8 @@
       }
       ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
       assertThat(world.clients()).isZero();
-    } while (answer.equals("refused") && stood > 20); // this process stood still, and the client was late by as much
+    } while (answer.equals("refused")
+        && stood > 20); // this process stood still, and the client was late by as much
     assertThat(answer).endsWith("done");
   }
 
@@ -703,7 +807,10 @@
     }
   }
 
-  /** More of them than are accepted in one turn; a new process comes late to what waits in the kernel, or one without a core. */
+  /**
+   * More of them than are accepted in one turn; a new process comes late to what waits in the
+   * kernel, or one without a core.
+   */
   @Test
   void whatStandsInTheBacklogWhenTheEndIsDueIsServed() throws Exception {
     world.start(world.new Host(h -> ok("done")));
@@ -728,7 +835,10 @@
 
   // --- a new configuration
 
-  /** Hosts end idle connections sooner from then on, and a request that is written to one may have run. */
+  /**
+   * Hosts end idle connections sooner from then on, and a request that is written to one may have
+   * run.
+   */
   @Test
   void theIdleTimeOfANewConfigurationHolds() throws Exception {
     world.aim = 2_000; // two aims of idle time
@@ -749,7 +859,8 @@
     World.Host old = world.new Host(h -> ok("old"));
     World.Host next = world.new Host(h -> ok("next"));
     World.LateHost hangs = world.new LateHost(h -> null);
-    world.run(world.configure(hangs.address(), world.new Discovery(40, old).list()), World.quietLog());
+    world.run(
+        world.configure(hangs.address(), world.new Discovery(40, old).list()), World.quietLog());
     World.Discovery other = world.new Discovery(3, next);
     world.configure(other.address(), "{}");
     world.reload();
@@ -778,7 +889,8 @@
     Socket speaks = world.client();
     World.await(() -> world.clients() == fill.size() + 1);
     AutoCloseable held = world.heldLoop();
-    long until = System.nanoTime() + 100_000_000L; // twice what a client may be silent for in a crowd
+    long until =
+        System.nanoTime() + 100_000_000L; // twice what a client may be silent for in a crowd
     World.await(() -> System.nanoTime() > until);
     fill.add(world.client()); // ready ahead of it, and one too many
     write(speaks, claim("speaks"));
@@ -790,7 +902,9 @@
     }
   }
 
-  /** The host may end it at any instant from then on, and what is written to it then may have run. */
+  /**
+   * The host may end it at any instant from then on, and what is written to it then may have run.
+   */
   @Test
   void aConnectionThatHasStoodIdleTooLongIsNotUsedThoughUpkeepHasNotEndedItYet() throws Exception {
     world.connIdle = 1_000;
@@ -820,7 +934,8 @@
       World.await(() -> world.upstreams() == 1);
       AutoCloseable held = world.heldLoop();
       host.comesUp();
-      World.await(() -> host.late() == 1); // later than its time: the kernel tries again after a second
+      World.await(
+          () -> host.late() == 1); // later than its time: the kernel tries again after a second
       held.close();
       assertThat(World.read(s.getInputStream())).contains(" 503 ");
     }
@@ -828,7 +943,10 @@
     assertThat(host.heads).isEmpty();
   }
 
-  /** It stood in the kernel for longer than its client waits: on a connection that rested, and on new ones in the backlog. */
+  /**
+   * It stood in the kernel for longer than its client waits: on a connection that rested, and on
+   * new ones in the backlog.
+   */
   @Test
   void aRequestWhoseTimeWentByUnreadIsAnsweredAtOnceAndNotSent() throws Exception {
     world.deadline = 400;
@@ -852,10 +970,14 @@
       s.close();
     }
     assertThat(host.heads).hasSize(1);
-    assertThat(world.ask(claim("next"))).endsWith("done"); // no more is held against what comes later
+    assertThat(world.ask(claim("next")))
+        .endsWith("done"); // no more is held against what comes later
   }
 
-  /** Of its time a second and a half went by unread; all of it once more would end half a second too late and more. */
+  /**
+   * Of its time a second and a half went by unread; all of it once more would end half a second too
+   * late and more.
+   */
   @Test
   void aRequestThatWasReadLateIsAnsweredInItsOwnTime() throws Exception {
     world.deadline = 3_000;
@@ -888,7 +1010,10 @@
     }
   }
 
-  /** What comes slowly has its time from its last byte on: only what the loop left unread is taken off. */
+  /**
+   * What comes slowly has its time from its last byte on: only what the loop left unread is taken
+   * off.
+   */
   @Test
   void aRequestThatComesSlowlyHasItsTimeFromItsLastByteOn() throws Exception {
     world.deadline = 400;
--- a/src/test/java/corkproxy/proxy/LargeBodiesTest.java
+++ b/src/test/java/corkproxy/proxy/LargeBodiesTest.java
@@ -19,7 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies of the platform's that are longer than what is held, and clients and hosts that are slow. */
+/**
+ * Bodies of the platform's that are longer than what is held, and clients and hosts that are slow.
+ */
 class LargeBodiesTest {
   /** More than is held of a request, and far more than is held of an answer. */
   private static final int LONG = 3 << 20;
@@ -90,14 +92,16 @@
       write(s, claim("b"));
       assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
-    assertThat(host.heads.get(0)).contains("X-Timeout-Ms: 500"); // a host counts from the last byte too
+    assertThat(host.heads.get(0))
+        .contains("X-Timeout-Ms: 500"); // a host counts from the last byte too
   }
 
   @Test
   void aHostThatIsSilentOnALongBodyCostsNoMoreThanItsTime() throws Exception {
     world.deadline = 300;
     world.start(world.new Host(h -> null));
-    assertThat(world.ask(claim("a", "Content-Length: " + LONG) + pattern(LONG))).startsWith("HTTP/1.1 504");
+    assertThat(world.ask(claim("a", "Content-Length: " + LONG) + pattern(LONG)))
+        .startsWith("HTTP/1.1 504");
   }
 
   @ParameterizedTest
@@ -106,7 +110,11 @@
     CountDownLatch go = new CountDownLatch(0);
     String body = pattern(size);
     world.start(
-        halting("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body.substring(0, size / 2), body.substring(size / 2), go, false));
+        halting(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body.substring(0, size / 2),
+            body.substring(size / 2),
+            go,
+            false));
     assertThat(unchunked(world, LAST)).isEqualTo(body);
   }
 
@@ -202,7 +210,9 @@
         write(s, body.substring(0, LONG / 2));
         Thread.sleep(50);
         write(s, body.substring(LONG / 2));
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 503").doesNotContain("close");
+        assertThat(World.read(s.getInputStream()))
+            .startsWith("HTTP/1.1 503")
+            .doesNotContain("close");
       }
     }
   }
--- a/src/test/java/corkproxy/proxy/OperationsTest.java
+++ b/src/test/java/corkproxy/proxy/OperationsTest.java
@@ -73,7 +73,9 @@
             o::serves,
             o::sendAway,
             o::takeBack,
-            new LineLog(new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8), false));
+            new LineLog(
+                new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8),
+                false));
     management.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
@@ -137,7 +139,9 @@
         Socket used = world.client()) {
       for (Socket s : List.of(idle, used)) {
         write(s, HEALTH);
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").doesNotContain("close");
+        assertThat(World.read(s.getInputStream()))
+            .startsWith("HTTP/1.1 200")
+            .doesNotContain("close");
       }
       world.operators.sendAway();
       assertThat(world.ask(HEALTH)).startsWith("HTTP/1.1 503");
@@ -165,9 +169,16 @@
       "{\"name\":\"visit\",\"aim\":400,\"deadline\":3000,\"semantics\":\"idempotent\"}";
 
   private static String request(String method, String name, String id, String... lines) {
-    return method + " /" + name + "/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id
-        + "\r\nX-Priority-Class: " + name + "\r\n"
-        + (lines.length == 0 ? "" : String.join("\r\n", lines) + "\r\n") + "\r\n";
+    return method
+        + " /"
+        + name
+        + "/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: "
+        + id
+        + "\r\nX-Priority-Class: "
+        + name
+        + "\r\n"
+        + (lines.length == 0 ? "" : String.join("\r\n", lines) + "\r\n")
+        + "\r\n";
   }
 
   private Path rewritten(String from, String to) throws IOException {
@@ -215,7 +226,8 @@
     String keyed = request("POST", "log", "a", "Idempotency-Key: k", "Content-Length: 0");
     world.ask(keyed);
     assertThat(run).hasSizeGreaterThan(1); // a keyed one is tried again within its group
-    rewritten("\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"deduplicated\"",
+    rewritten(
+        "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"deduplicated\"",
         "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"at_most_once\"");
     world.reload();
     // Without a key it is a fault of the client's, until the new rules hold.
@@ -260,12 +272,12 @@
   void nothingOfABrokenFileIsTaken(String change) throws Exception {
     world.start(world.new Host(h -> ok("served")));
     World.Discovery other = world.new Discovery(3, world.new Host(h -> ok("other")));
-    Config inForce = Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
+    Config inForce =
+        Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
     String[] c = change.split(" -> ", 2);
     rewritten(c[0], c[1]);
     Path file = rewritten(inForce.discovery().toString().substring(1), other.address());
-    assertThatThrownBy(() -> inForce.next(file))
-        .isInstanceOf(ConfigException.class);
+    assertThatThrownBy(() -> inForce.next(file)).isInstanceOf(ConfigException.class);
     world.reload();
     Thread.sleep(50);
     assertThat(world.ask(claim("a"))).endsWith("served");
@@ -275,7 +287,8 @@
   @Test
   void everyFaultOfAFileIsToldInOneRun() throws Exception {
     world.start(world.new Host(h -> ok("served")));
-    Config inForce = Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
+    Config inForce =
+        Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
     rewritten("\"maxAttempts\":3", "\"maxAttempts\":0");
     Path file = rewritten("\"balancers\":1", "\"others\":1");
     assertThatThrownBy(() -> inForce.next(file))
--- a/src/test/java/corkproxy/proxy/PeersTest.java
+++ b/src/test/java/corkproxy/proxy/PeersTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a proxy says to the others of its tier and makes of what it hears, over loopback datagrams. */
+/**
+ * What a proxy says to the others of its tier and makes of what it hears, over loopback datagrams.
+ */
 class PeersTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
@@ -44,7 +46,16 @@
     w.deadline = 500;
     String own = "\"127.0.0.1:" + proxy.getPort() + "\"";
     String other = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
-    w.peers = "\"peer_listen\":" + own + ",\"peers\":[" + own + "," + other + "],\"peers_all\":" + other + ",";
+    w.peers =
+        "\"peer_listen\":"
+            + own
+            + ",\"peers\":["
+            + own
+            + ","
+            + other
+            + "],\"peers_all\":"
+            + other
+            + ",";
     return w;
   }
 
@@ -61,8 +72,11 @@
 
   /** Asks until the silent host has lost a request, and returns what the proxy says of it. */
   private Suspicion loseOne(World w, World.Host silent) throws Exception {
-    // Of its own requests: a proxy of another run on this machine may look for its discovery at a port that is this host's now.
-    for (int i = 0; silent.heads.stream().noneMatch(head -> head.contains("X-Request-ID: lost")); i++) {
+    // Of its own requests: a proxy of another run on this machine may look for its discovery at a
+    // port that is this host's now.
+    for (int i = 0;
+        silent.heads.stream().noneMatch(head -> head.contains("X-Request-ID: lost"));
+        i++) {
       w.ask(World.claim("lost" + i));
     }
     Suspicion said = hear();
@@ -92,7 +106,8 @@
       Suspicion said = loseOne(w, silent);
       assertThat(log.toString()).doesNotContain("silent to several");
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
-      World.await(() -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
+      World.await(
+          () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
       say(peer, new Suspicion(said.zone(), said.host(), 0, true).bytes());
       World.await(() -> log.toString().contains("h" + silent.port() + " answers another proxy"));
     }
@@ -141,7 +156,8 @@
       World.await(this::taken);
       Suspicion said = loseOne(w, silent);
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
-      World.await(() -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
+      World.await(
+          () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
     }
   }
 }
--- a/src/test/java/corkproxy/proxy/ProxyTest.java
+++ b/src/test/java/corkproxy/proxy/ProxyTest.java
@@ -6,9 +6,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import corkproxy.engine.Signals;
-import java.nio.charset.StandardCharsets;
-import java.net.Socket;
 import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -73,7 +73,10 @@
 
   // --- connections to hosts
 
-  /** Hosts take few connections, and many proxies hold one to each: what is not used goes back after two aims. */
+  /**
+   * Hosts take few connections, and many proxies hold one to each: what is not used goes back after
+   * two aims.
+   */
   @Test
   void aConnectionThatIsNotUsedIsGivenBackLongBeforeTheHostWouldEndIt() throws Exception {
     AtomicInteger ended = new AtomicInteger();
@@ -96,10 +99,12 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate(boolean onAnOldConnection) throws Exception {
+  void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate(boolean onAnOldConnection)
+      throws Exception {
     World.Host host = world.new Host(h -> ok("done"));
     world.start(host);
-    assertThat(world.ask(claim("warm"))).endsWith("done"); // its connection to the host stands ready
+    assertThat(world.ask(claim("warm")))
+        .endsWith("done"); // its connection to the host stands ready
     Socket gone = world.client();
     try (Socket stays = world.client()) {
       if (onAnOldConnection) {
@@ -110,11 +115,14 @@
       Thread.sleep(50); // the rest of a connection to a host is over
       CountDownLatch held = new CountDownLatch(1);
       CountDownLatch release = new CountDownLatch(1);
-      world.proxy.loop().submit(
-          () -> {
-            held.countDown();
-            return release.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
-          });
+      world
+          .proxy
+          .loop()
+          .submit(
+              () -> {
+                held.countDown();
+                return release.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+              });
       assertThat(held.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
       write(gone, claim("gone"));
       gone.close();
@@ -141,7 +149,11 @@
   void anIgnoredHangupIsToldApart(String before) throws Exception {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     Process p =
-        new ProcessBuilder("/bin/sh", "-c", before + "exec \"$0\" -cp \"$1\" corkproxy.proxy.HangupProbe", java,
+        new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                before + "exec \"$0\" -cp \"$1\" corkproxy.proxy.HangupProbe",
+                java,
                 System.getProperty("java.class.path"))
             .redirectErrorStream(true)
             .start();
@@ -176,7 +188,8 @@
     int burst = 20;
     CountDownLatch go = new CountDownLatch(1);
     World.Host host =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               await(go);
               return World.ok("served", "X-Server-Load: inflight=" + burst / 2);
@@ -199,12 +212,15 @@
     }
   }
 
-  /** Clients give up before any time-out: a host that says nothing must be found out all the same. */
+  /**
+   * Clients give up before any time-out: a host that says nothing must be found out all the same.
+   */
   @Test
   void aSilentHostShowsWhereClientsGiveUpFirst() throws Exception {
     World.Host silent = world.new Host(h -> null);
     World.Host slow =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               sleep(150);
               return ok("served");
@@ -240,7 +256,9 @@
     assertThat(lost).isBetween(1, 3);
   }
 
-  /** Without a host nothing can be sent: the client is refused at once and told when to come back. */
+  /**
+   * Without a host nothing can be sent: the client is refused at once and told when to come back.
+   */
   @Test
   void refusalsTellWhenToComeBack() throws Exception {
     world.start();
@@ -255,13 +273,15 @@
     world.aim = 40;
     AtomicInteger failed = new AtomicInteger();
     World.Host sound =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               sleep(12);
               return ok("served");
             });
     World.Host once =
-        world.new Host(
+        world
+        .new Host(
             h ->
                 failed.getAndIncrement() == 0
                     ? "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
@@ -285,7 +305,8 @@
     for (int k = 0; k < 2; k++) {
       int self = k;
       hosts[k] =
-          world.new Host(
+          world
+          .new Host(
               h -> {
                 if (h.contains("learn")) {
                   awaitHeads(hosts[self], 8);
@@ -395,7 +416,8 @@
   void anIdThatIsOpenIsNotTakenAgain() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     World.Host host =
-        world.new Host(
+        world
+        .new Host(
             h -> {
               try {
                 go.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -459,7 +481,10 @@
     assertThat(world.ask(claim("b"))).endsWith("served");
   }
 
-  /** Whoever takes long over a head looks like those that never end it: room decides, so hosts lend theirs. */
+  /**
+   * Whoever takes long over a head looks like those that never end it: room decides, so hosts lend
+   * theirs.
+   */
   @Test
   void slowHeadsSurviveACrowdThatNeverEndsItsOwn() throws Exception {
     World.Host host = world.new Host(h -> ok("served"));
@@ -537,7 +562,8 @@
   @Test
   void interimAnswersAndReportsThatCannotBeReadDoNoHarm() throws Exception {
     World.Host host =
-        world.new Host(
+        world
+        .new Host(
             h ->
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                     + "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=1e300,eps=none\r\n"
--- a/src/test/java/corkproxy/proxy/RehearsalTest.java
+++ b/src/test/java/corkproxy/proxy/RehearsalTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RehearsalTest {
-  /** Aims far shorter than cold code takes, as a process on part of a core has them, refuse none of it. */
+  /**
+   * Aims far shorter than cold code takes, as a process on part of a core has them, refuse none of
+   * it.
+   */
   @ParameterizedTest
   @ValueSource(ints = {400, 1})
   void aRehearsalCarriesItsRequestsAndSaysNothing(int aim, @TempDir Path folder) throws Exception {
--- a/src/test/java/corkproxy/proxy/RestartsTest.java
+++ b/src/test/java/corkproxy/proxy/RestartsTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One client proxy after another at the same address, each ended as at SIGTERM, with requests in flight throughout. */
+/**
+ * One client proxy after another at the same address, each ended as at SIGTERM, with requests in
+ * flight throughout.
+ */
 class RestartsTest {
   private static final int RESTARTS = 20;
   private static final int REQUESTS = 10_000;
@@ -56,7 +59,10 @@
     world.close();
   }
 
-  /** A client as the protocol has it: one request at a time, kept connections, once more on a new one where a close crossed it. */
+  /**
+   * A client as the protocol has it: one request at a time, kept connections, once more on a new
+   * one where a close crossed it.
+   */
   private final class Client extends Thread {
     private final int number;
     private Socket kept;
@@ -94,7 +100,8 @@
         }
         write(kept, request);
         String answer = World.read(kept.getInputStream());
-        if (answer == null || answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
+        if (answer == null
+            || answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
           kept.close();
           kept = null;
         }
@@ -129,7 +136,8 @@
 
   private World.Host host(int hangsOneIn) throws IOException {
     AtomicInteger seen = new AtomicInteger();
-    return world.new Host(
+    return world
+    .new Host(
         h -> {
           arrived.add(World.header(h, "X-Request-ID"));
           return seen.incrementAndGet() % hangsOneIn == 0 ? null : ok("done");
@@ -139,14 +147,17 @@
   @Test
   void tenThousandRequestsThroughTwentyRestartsAreNeitherLostNorRunTwice() throws Exception {
     world.listen = World.freePort();
-    World.Host[] hosts = {host(1), host(20), host(50), host(1_000_000), host(1_000_000)}; // the first one answers nobody
+    World.Host[] hosts = {
+      host(1), host(20), host(50), host(1_000_000), host(1_000_000)
+    }; // the first one answers nobody
     World.Discovery d = world.new Discovery(40, hosts);
     for (int i = 0; i < CLIENTS; i++) {
       new Client(i).start();
     }
     for (int i = 0; i <= RESTARTS; i++) {
       world.run(
-          world.configure(d.address(), d.list()), new LineLog(new PrintStream(OutputStream.nullOutputStream()), false));
+          world.configure(d.address(), d.list()),
+          new LineLog(new PrintStream(OutputStream.nullOutputStream()), false));
       ends = false;
       int enoughOfThis = (i + 1) * REQUESTS / (RESTARTS + 1);
       World.await(() -> answered.get() + lost.get() >= enoughOfThis);
@@ -163,8 +174,18 @@
     arrived.forEach(id -> times.merge(id, 1, Integer::sum));
     long twice = times.values().stream().filter(n -> n > 1).count();
     System.out.println(
-        "restarts: " + RESTARTS + ", answered: " + answered + ", served: " + served + ", sent again by clients: " + again + ", lost: " + lost
-            + ", twice: " + twice);
+        "restarts: "
+            + RESTARTS
+            + ", answered: "
+            + answered
+            + ", served: "
+            + served
+            + ", sent again by clients: "
+            + again
+            + ", lost: "
+            + lost
+            + ", twice: "
+            + twice);
     assertThat(twice).isZero();
     assertThat(lost).hasValue(0);
     assertThat(served.get()).isGreaterThan(REQUESTS / 2);
--- a/src/test/java/corkproxy/proxy/SignalsTest.java
+++ b/src/test/java/corkproxy/proxy/SignalsTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's process itself, with the signals that it gets at the wrong instant; it is ended by id, whatever comes. */
+/**
+ * The platform's process itself, with the signals that it gets at the wrong instant; it is ended by
+ * id, whatever comes.
+ */
 class SignalsTest {
   @TempDir Path folder;
   private World world;
@@ -40,7 +43,8 @@
 
   /** A host that answers once it is let. */
   private World.Host host(String answer) throws IOException {
-    return world.new Host(
+    return world
+    .new Host(
         h -> {
           try {
             answers.await();
@@ -56,8 +60,13 @@
     Path file = world.configure(d.address(), d.list());
     ProcessBuilder b =
         new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m", "-XX:TieredStopAtLevel=1", "-cp",
-                System.getProperty("java.class.path"), "corkproxy.Main", "proxy")
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx64m",
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "corkproxy.Main",
+                "proxy")
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("log").toFile());
     b.environment().put("BALANCER_CONFIG", file.toString());
@@ -84,7 +93,9 @@
   }
 
   private void signal(String name) throws Exception {
-    assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor()).isZero();
+    assertThat(
+            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor())
+        .isZero();
   }
 
   private void endsWell() throws Exception {
@@ -117,7 +128,10 @@
     assertThat(process.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
-  /** The old configuration or the new one: the request in flight keeps its host, and gets its answer. */
+  /**
+   * The old configuration or the new one: the request in flight keeps its host, and gets its
+   * answer.
+   */
   @Test
   void aNewConfigurationAndTheEndInOneMomentLoseNothing() throws Exception {
     World.Host host = host(ok("done"));
@@ -136,7 +150,10 @@
     endsWell();
   }
 
-  /** More than the kernel takes for a client that reads slowly: the process goes on until it is out, and then ends. */
+  /**
+   * More than the kernel takes for a client that reads slowly: the process goes on until it is out,
+   * and then ends.
+   */
   @Test
   void anAnswerThatItsClientReadsSlowlyIsWholeThoughTheProcessEnds() throws Exception {
     world.deadline = 2_000; // 2.7 s from SIGTERM to SIGKILL
--- a/src/test/java/corkproxy/proxy/StartTest.java
+++ b/src/test/java/corkproxy/proxy/StartTest.java
@@ -38,7 +38,8 @@
     ServerSocket holder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     world.listen = holder.getLocalPort();
     CompletableFuture<Void> released =
-        CompletableFuture.runAsync(() -> close(holder), CompletableFuture.delayedExecutor(HELD_MS, TimeUnit.MILLISECONDS));
+        CompletableFuture.runAsync(
+            () -> close(holder), CompletableFuture.delayedExecutor(HELD_MS, TimeUnit.MILLISECONDS));
     world.start(world.new Host(head -> ok("served")));
     released.join();
     assertThat(world.ask(claim("first"))).endsWith("served");
--- a/src/test/java/corkproxy/proxy/World.java
+++ b/src/test/java/corkproxy/proxy/World.java
@@ -77,7 +77,10 @@
       this(200, new CountDownLatch(0));
     }
 
-    /** Accepts nobody until told; past {@code backlog} and one more, connections don't come up meanwhile. */
+    /**
+     * Accepts nobody until told; past {@code backlog} and one more, connections don't come up
+     * meanwhile.
+     */
     Server(int backlog, CountDownLatch accepts) throws IOException {
       listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
       servers.add(this);
@@ -148,7 +151,10 @@
     }
   }
 
-  /** A host to which no connection comes up until it is told to accept; the kernel tries again each second or so. */
+  /**
+   * A host to which no connection comes up until it is told to accept; the kernel tries again each
+   * second or so.
+   */
   final class LateHost extends Host {
     private final CountDownLatch accepts;
     private final List<Socket> crowd = new ArrayList<>();
@@ -220,12 +226,20 @@
       List<String> entries = new ArrayList<>();
       for (Host h : hosts) {
         entries.add(
-            "{\"id\":\"h" + h.listener.getLocalPort() + "\",\"addr\":\"" + h.address()
-                + "\",\"zone\":\"z\",\"kind\":\"" + h.kind + "\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
+            "{\"id\":\"h"
+                + h.listener.getLocalPort()
+                + "\",\"addr\":\""
+                + h.address()
+                + "\",\"zone\":\"z\",\"kind\":\""
+                + h.kind
+                + "\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
                 + "\"started_ms\":0}");
       }
       list =
-          "{\"version\":" + version + ",\"full\":true,\"servers\":[" + String.join(",", entries)
+          "{\"version\":"
+              + version
+              + ",\"full\":true,\"servers\":["
+              + String.join(",", entries)
               + "]}";
     }
 
@@ -254,7 +268,9 @@
     void run() throws IOException, InterruptedException;
   }
 
-  /** Runs it on a thread of its own, until it is over or the other side, or the test, has ended it. */
+  /**
+   * Runs it on a thread of its own, until it is over or the other side, or the test, has ended it.
+   */
   public static void spawn(Task what) {
     Thread t =
         new Thread(
@@ -273,15 +289,49 @@
   Path configure(String discovery, String known) throws IOException {
     return Files.writeString(
         file,
-        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + listen + "\",\"discovery\":\"" + discovery
-            + "\",\"seed\":\"" + seed + "\",\"limits\":{\"memory_mb\":" + memory + ",\"sockets\":" + sockets
-            + "}," + peers + "\"known\":" + known + ",\"settings\":{\"classes\":["
-            + "{\"name\":\"claim\",\"aim\":" + aim + ",\"deadline\":" + deadline + ",\"semantics\":\"at_most_once\"},"
-            + "{\"name\":\"log\",\"aim\":" + aim + ",\"deadline\":" + deadline + ",\"semantics\":\"deduplicated\","
-            + "\"keyScope\":\"cell\",\"repeatWindow\":" + window + "}],"
-            + "\"limits\":{\"cancel\":" + cancel + ",\"retryAfter\":true,\"parallelTries\":" + parallel + ",\"maxAttempts\":3,"
-            + "\"peers\":" + !peers.isEmpty() + ",\"connIdle\":" + connIdle + ",\"connectTimeout\":" + connectTimeout + "},"
-            + "\"rules\":{\"cold\":1000,\"startCapacity\":1,\"fall\":1000,\"fallMultiple\":3,\"askWithin\":6000,\"drainGrace\":" + grace + "},"
+        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
+            + listen
+            + "\",\"discovery\":\""
+            + discovery
+            + "\",\"seed\":\""
+            + seed
+            + "\",\"limits\":{\"memory_mb\":"
+            + memory
+            + ",\"sockets\":"
+            + sockets
+            + "},"
+            + peers
+            + "\"known\":"
+            + known
+            + ",\"settings\":{\"classes\":["
+            + "{\"name\":\"claim\",\"aim\":"
+            + aim
+            + ",\"deadline\":"
+            + deadline
+            + ",\"semantics\":\"at_most_once\"},"
+            + "{\"name\":\"log\",\"aim\":"
+            + aim
+            + ",\"deadline\":"
+            + deadline
+            + ",\"semantics\":\"deduplicated\","
+            + "\"keyScope\":\"cell\",\"repeatWindow\":"
+            + window
+            + "}],"
+            + "\"limits\":{\"cancel\":"
+            + cancel
+            + ",\"retryAfter\":true,\"parallelTries\":"
+            + parallel
+            + ",\"maxAttempts\":3,"
+            + "\"peers\":"
+            + !peers.isEmpty()
+            + ",\"connIdle\":"
+            + connIdle
+            + ",\"connectTimeout\":"
+            + connectTimeout
+            + "},"
+            + "\"rules\":{\"cold\":1000,\"startCapacity\":1,\"fall\":1000,\"fallMultiple\":3,\"askWithin\":6000,\"drainGrace\":"
+            + grace
+            + "},"
             + (asked ? "\"membershipMode\":\"subscribe\"," : "")
             + ""
             + "\"report\":{\"how\":\"answers\"},\"balancers\":1}}");
@@ -301,7 +351,12 @@
 
   /** Starts one as this file says, with this log. */
   void run(Path configuration, Log log) throws Exception {
-    proxy = new Proxy(Config.load(Map.of("BALANCER_CONFIG", configuration.toString())), operators, generations, log);
+    proxy =
+        new Proxy(
+            Config.load(Map.of("BALANCER_CONFIG", configuration.toString())),
+            operators,
+            generations,
+            log);
     proxy.start();
   }
 
@@ -360,19 +415,24 @@
     return onLoop(() -> proxy.sockets().clients());
   }
 
-  /** Stops the proxy's loop until what is returned is closed: what comes meanwhile comes to it in one turn. */
+  /**
+   * Stops the proxy's loop until what is returned is closed: what comes meanwhile comes to it in
+   * one turn.
+   */
   AutoCloseable heldLoop() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
-    proxy.loop().execute(
-        () -> {
-          held.countDown();
-          try {
-            release.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
-          } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-          }
-        });
+    proxy
+        .loop()
+        .execute(
+            () -> {
+              held.countDown();
+              try {
+                release.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+            });
     held.await();
     return release::countDown;
   }
@@ -388,13 +448,17 @@
 
   /** A request with a key. */
   static String log(String id) {
-    return "POST /log/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + id
-        + "\r\nX-Priority-Class: log\r\nIdempotency-Key: " + id + "\r\nContent-Length: 0\r\n\r\n";
+    return "POST /log/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
+        + id
+        + "\r\nX-Priority-Class: log\r\nIdempotency-Key: "
+        + id
+        + "\r\nContent-Length: 0\r\n\r\n";
   }
 
   /** A request that may not be repeated, with these further header lines. */
   static String claim(String id, String... lines) {
-    return "POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + id
+    return "POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
+        + id
         + "\r\nX-Priority-Class: claim\r\n"
         + (lines.length == 0 ? "Content-Length: 0\r\n" : String.join("\r\n", lines) + "\r\n")
         + "\r\n";
--- a/src/test/java/corkproxy/quorum/DrainWalkTest.java
+++ b/src/test/java/corkproxy/quorum/DrainWalkTest.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import corkproxy.disruption.Disruption;
 import corkproxy.disruption.MemberView;
+import corkproxy.quorum.Walk.Step;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -19,19 +20,22 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import corkproxy.quorum.Walk.Step;
 import org.junit.jupiter.api.Test;
 
 /**
- * All interleavings of three proxies, two operators, late news, late words, lost sessions and restarts, to a stated
- * depth, in one thread: who really serves is kept beside the ledger and compared with what it allows.
+ * All interleavings of three proxies, two operators, late news, late words, lost sessions and
+ * restarts, to a stated depth, in one thread: who really serves is kept beside the ledger and
+ * compared with what it allows.
  */
 class DrainWalkTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
   private static final int ALLOWED = 1;
   private static final int DEPTH = Integer.getInteger("walk.depth", 6);
 
-  /** A proxy's process: what it goes by, what it really does, and what it has said that is still on its way. */
+  /**
+   * A proxy's process: what it goes by, what it really does, and what it has said that is still on
+   * its way.
+   */
   private static final class Process {
     boolean runs = true;
     long session;
@@ -73,11 +77,12 @@
       JsonNode view = ledger.view();
       if (view.path("version").asLong() > sent) {
         sent = view.path("version").asLong();
-        processes.forEach((n, p) -> {
-          if (p.runs && p.session > 0 && ledger.lives(n, p.session)) {
-            p.news.add(view);
-          }
-        });
+        processes.forEach(
+            (n, p) -> {
+              if (p.runs && p.session > 0 && ledger.lives(n, p.session)) {
+                p.news.add(view);
+              }
+            });
       }
       return o;
     }
@@ -85,7 +90,12 @@
     void join(String name) {
       Process p = processes.get(name);
       ObjectNode o =
-          apply(Json.object().put("op", "join").put("name", name).put("incarnation", name + crashes).put("lease_ms", 1_000));
+          apply(
+              Json.object()
+                  .put("op", "join")
+                  .put("name", name)
+                  .put("incarnation", name + crashes)
+                  .put("lease_ms", 1_000));
       if (o.path("status").asText().equals("done")) {
         p.session = o.path("session").asLong();
         p.number = 0;
@@ -109,8 +119,13 @@
       Process p = processes.get(name);
       p.words.add(
           Json.bytes(
-              Json.object().put("op", "tell").put("name", name).put("session", p.session).put("number", ++p.number)
-                  .put("seen", p.view.version()).put("serving", p.serves)));
+              Json.object()
+                  .put("op", "tell")
+                  .put("name", name)
+                  .put("session", p.session)
+                  .put("number", ++p.number)
+                  .put("seen", p.view.version())
+                  .put("serving", p.serves)));
     }
 
     /** What can happen next. */
@@ -127,39 +142,62 @@
           out.add(new Step("word " + n, () -> apply(Json.read(p.words.remove()))));
         }
         if (p.runs && crashes < 1) {
-          out.add(new Step("crash " + n, () -> {
-            crashes++;
-            p.runs = false;
-            p.serves = false;
-            p.news.clear();
-            p.words.clear();
-          }));
-          out.add(new Step("cut off " + n, () -> {
-            crashes++; // stopped, say: what was on its way to it stays there
-            apply(Ledger.ranOut(Ledger.timer(n, p.session))); // its lease is over before this is said: see LeaseTest
-          }));
+          out.add(
+              new Step(
+                  "crash " + n,
+                  () -> {
+                    crashes++;
+                    p.runs = false;
+                    p.serves = false;
+                    p.news.clear();
+                    p.words.clear();
+                  }));
+          out.add(
+              new Step(
+                  "cut off " + n,
+                  () -> {
+                    crashes++; // stopped, say: what was on its way to it stays there
+                    apply(
+                        Ledger.ranOut(
+                            Ledger.timer(
+                                n, p.session))); // its lease is over before this is said: see
+                    // LeaseTest
+                  }));
         }
         if (!p.runs && lives) {
           out.add(new Step("expire " + n, () -> apply(Ledger.ranOut(Ledger.timer(n, p.session)))));
         }
         if (!lives) {
-          out.add(new Step("join " + n, () -> {
-            p.serves &= p.runs || !p.view.away();
-            p.runs = true;
-            join(n);
-          }));
+          out.add(
+              new Step(
+                  "join " + n,
+                  () -> {
+                    p.serves &= p.runs || !p.view.away();
+                    p.runs = true;
+                    join(n);
+                  }));
         }
       }
       for (String n : List.of("a", "b")) {
-        out.add(new Step("drain " + n, () -> {
-          ObjectNode o = apply(Json.object().put("op", "drain").put("kind", "proxy").put("name", n).put("for_ms", 50));
-          if (o.has("permit")) {
-            permits.add(o.path("permit").asText());
-          }
-        }));
+        out.add(
+            new Step(
+                "drain " + n,
+                () -> {
+                  ObjectNode o =
+                      apply(
+                          Json.object()
+                              .put("op", "drain")
+                              .put("kind", "proxy")
+                              .put("name", n)
+                              .put("for_ms", 50));
+                  if (o.has("permit")) {
+                    permits.add(o.path("permit").asText());
+                  }
+                }));
       }
       for (String id : permits) {
-        out.add(new Step("undo " + id, () -> apply(Json.object().put("op", "undo").put("permit", id))));
+        out.add(
+            new Step("undo " + id, () -> apply(Json.object().put("op", "undo").put("permit", id))));
       }
       for (String t : ledger.timers().keySet()) {
         if (!t.startsWith("session:")) {
@@ -172,11 +210,12 @@
     /** Those that are out by decision, not by the walk's own crash. */
     Set<String> out() {
       Set<String> out = new TreeSet<>();
-      processes.forEach((n, p) -> {
-        if (p.runs && !p.serves) {
-          out.add(n);
-        }
-      });
+      processes.forEach(
+          (n, p) -> {
+            if (p.runs && !p.serves) {
+              out.add(n);
+            }
+          });
       return out;
     }
 
@@ -191,24 +230,39 @@
       ObjectNode o = Json.read(ledger.snapshot());
       o.remove(List.of("audit", "entries", "calls"));
       StringBuilder s = new StringBuilder(Json.text(o));
-      processes.forEach((n, p) -> {
-        s.append(n).append(p.runs).append(p.serves).append("\"seen\":").append(p.view.version()).append("\"id\":").append(p.session);
-        p.news.forEach(v -> s.append(Json.text(v)));
-        p.words.forEach(w -> s.append(new String(w, StandardCharsets.UTF_8)));
-      });
+      processes.forEach(
+          (n, p) -> {
+            s.append(n)
+                .append(p.runs)
+                .append(p.serves)
+                .append("\"seen\":")
+                .append(p.view.version())
+                .append("\"id\":")
+                .append(p.session);
+            p.news.forEach(v -> s.append(Json.text(v)));
+            p.words.forEach(w -> s.append(new String(w, StandardCharsets.UTF_8)));
+          });
       return HexFormat.of().formatHex(digest(ranked(s.append(crashes).toString())));
     }
   }
 
   static String ranked(String text) {
     String out = text;
-    for (String names : List.of("version|since|end_since|seen", "change|settling|joined|acted_at|baking", "said|number", "id|session")) {
+    for (String names :
+        List.of(
+            "version|since|end_since|seen",
+            "change|settling|joined|acted_at|baking",
+            "said|number",
+            "id|session")) {
       Pattern counted = Pattern.compile("\"(" + names + ")\":(\\d+)");
       TreeSet<Long> values = new TreeSet<>();
       counted.matcher(out).results().forEach(r -> values.add(Long.parseLong(r.group(2))));
       Map<Long, Integer> ranks = new HashMap<>();
       values.forEach(v -> ranks.put(v, v == 0 ? 0 : ranks.size() + 1));
-      out = counted.matcher(out).replaceAll(r -> "\"" + r.group(1) + "\":" + ranks.get(Long.parseLong(r.group(2))));
+      out =
+          counted
+              .matcher(out)
+              .replaceAll(r -> "\"" + r.group(1) + "\":" + ranks.get(Long.parseLong(r.group(2))));
     }
     return out;
   }
@@ -239,6 +293,8 @@
 
   @Test
   void whatARandomWalkFindsIsCutDownToWhatMatters() {
-    assertThat(new Walk(() -> new World(w -> !w.out().contains("a"))).random(1, 60)).hasSize(3).contains("drain a", "news a", "=> out: [a]");
+    assertThat(new Walk(() -> new World(w -> !w.out().contains("a"))).random(1, 60))
+        .hasSize(3)
+        .contains("drain a", "news a", "=> out: [a]");
   }
 }
--- a/src/test/java/corkproxy/quorum/LedgerTest.java
+++ b/src/test/java/corkproxy/quorum/LedgerTest.java
@@ -27,16 +27,31 @@
   }
 
   private long join(String name, String zone) {
-    ObjectNode e = op("join").put("name", name).put("incarnation", name + "1").put("lease_ms", 1_000).put("zone", zone).put("digest", "d");
+    ObjectNode e =
+        op("join")
+            .put("name", name)
+            .put("incarnation", name + "1")
+            .put("lease_ms", 1_000)
+            .put("zone", zone)
+            .put("digest", "d");
     ArrayNode hosts = e.putArray("hosts");
     for (int i = 1; i <= 6; i++) {
-      Disruption.write(new Subject(Kind.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"), hosts.addObject());
+      Disruption.write(
+          new Subject(
+              Kind.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
+          hosts.addObject());
     }
     return apply(e).path("session").asLong();
   }
 
   private JsonNode tell(String name, long session, boolean serving, String busy, String suspects) {
-    ObjectNode e = op("tell").put("name", name).put("session", session).put("number", ++number).put("seen", ledger.version()).put("serving", serving);
+    ObjectNode e =
+        op("tell")
+            .put("name", name)
+            .put("session", session)
+            .put("number", ++number)
+            .put("seen", ledger.version())
+            .put("serving", serving);
     e.putArray("busy").add(busy);
     e.putArray("suspects").add(suspects);
     return apply(e);
@@ -47,8 +62,15 @@
   }
 
   private void budget(String name, String of, String by, int most, double share) {
-    ObjectNode e = op("budgets").put("against", ledger.status(false).path("budgets_version").asLong());
-    e.putArray("budgets").addObject().put("name", name).put("of", of).put("by", by).put("max_out", most).put("max_share", share);
+    ObjectNode e =
+        op("budgets").put("against", ledger.status(false).path("budgets_version").asLong());
+    e.putArray("budgets")
+        .addObject()
+        .put("name", name)
+        .put("of", of)
+        .put("by", by)
+        .put("max_out", most)
+        .put("max_share", share);
     assertThat(apply(e).path("status").asText()).isEqualTo("done");
   }
 
@@ -67,7 +89,8 @@
   @Test
   void aCallAskedAgainGetsItsOneOutcomeAndAnIdUsedForSomethingElseIsToldSo() {
     tell("a", join("a", "z"), true, "", "");
-    ObjectNode first = op("drain").put("kind", "host").put("name", "h1").put("call", "1").put("at", 5);
+    ObjectNode first =
+        op("drain").put("kind", "host").put("name", "h1").put("call", "1").put("at", 5);
     assertThat(word(apply(first))).isEqualTo("granted");
     JsonNode again = apply(first.deepCopy().put("at", 9));
     assertThat(word(again)).isEqualTo("granted");
@@ -85,7 +108,9 @@
     assertThat(word(drain("host", "h3"))).as("the same zone").isEqualTo("refused");
     assertThat(word(drain("host", "h2"))).as("the other zone").isEqualTo("granted");
     budget("share", "host", "all", -1, 0.34);
-    assertThat(drain("host", "h6").path("why").toString()).contains("share: 2 out, 2 allowed").contains("h1 (permit 1)");
+    assertThat(drain("host", "h6").path("why").toString())
+        .contains("share: 2 out, 2 allowed")
+        .contains("h1 (permit 1)");
   }
 
   @Test
@@ -125,7 +150,9 @@
     assertThat(ledger.permit("1").path("awaited")).hasSize(2);
     tell("a", a, true, "h1", "");
     tell("b", b, true, "", "");
-    assertThat(ledger.permit("1").path("awaited").toString()).contains("in flight").doesNotContain("\"b\"");
+    assertThat(ledger.permit("1").path("awaited").toString())
+        .contains("in flight")
+        .doesNotContain("\"b\"");
     tell("a", a, true, "", "");
     assertThat(ledger.permit("1").path("carried_out").asBoolean()).isTrue();
     apply(op("expire").put("name", "b").put("session", b));
@@ -155,9 +182,16 @@
   void anOldWordThatComesLateChangesNothing() {
     long a = join("a", "z");
     tell("a", a, true, "", "");
-    apply(op("tell").put("name", "a").put("session", a).put("number", number - 1).put("seen", 0).put("serving", false));
+    apply(
+        op("tell")
+            .put("name", "a")
+            .put("session", a)
+            .put("number", number - 1)
+            .put("seen", 0)
+            .put("serving", false));
     assertThat(ledger.status(false).path("proxies").path(0).path("serving").asBoolean()).isTrue();
-    assertThat(word(apply(op("tell").put("name", "a").put("session", a + 1).put("number", 99)))).isEqualTo("unknown");
+    assertThat(word(apply(op("tell").put("name", "a").put("session", a + 1).put("number", 99))))
+        .isEqualTo("unknown");
   }
 
   @Test
@@ -181,12 +215,16 @@
 
   @Test
   void aLaterSchemaIsNeverGuessedAt() {
-    assertThatThrownBy(() -> apply(op("halt").put("schema", 2))).isInstanceOf(Ledger.LaterSchemaException.class);
+    assertThatThrownBy(() -> apply(op("halt").put("schema", 2)))
+        .isInstanceOf(Ledger.LaterSchemaException.class);
     ObjectNode later = Json.read(ledger.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> ledger.restore(Json.bytes(later))).hasMessageContaining("later build");
   }
 
-  /** Any entries in any order: whoever restored a snapshot half way comes to the same, byte for byte. */
+  /**
+   * Any entries in any order: whoever restored a snapshot half way comes to the same, byte for
+   * byte.
+   */
   @Test
   void aSnapshotRestoredAnywhereLeadsToTheSameState() {
     for (int seed = 0; seed < 40; seed++) {
@@ -203,7 +241,9 @@
       entries.subList(0, cut).forEach(before::apply);
       two.restore(before.snapshot());
       entries.subList(cut, entries.size()).forEach(two::apply);
-      assertThat(new String(two.snapshot())).as("seed %d", seed).isEqualTo(new String(one.snapshot()));
+      assertThat(new String(two.snapshot()))
+          .as("seed %d", seed)
+          .isEqualTo(new String(one.snapshot()));
     }
   }
 
@@ -212,13 +252,28 @@
     List<String> timers = List.copyOf(now.timers().keySet());
     ObjectNode e =
         switch (r.nextInt(7)) {
-          case 0 -> op("join").put("name", name).put("incarnation", name + r.nextInt(2)).put("lease_ms", 1_000).put("digest", "d" + r.nextInt(2));
+          case 0 ->
+              op("join")
+                  .put("name", name)
+                  .put("incarnation", name + r.nextInt(2))
+                  .put("lease_ms", 1_000)
+                  .put("digest", "d" + r.nextInt(2));
           case 1, 2 ->
-              op("tell").put("name", name).put("session", 1 + r.nextInt(30)).put("number", r.nextInt(100)).put("seen", r.nextInt(20))
+              op("tell")
+                  .put("name", name)
+                  .put("session", 1 + r.nextInt(30))
+                  .put("number", r.nextInt(100))
+                  .put("seen", r.nextInt(20))
                   .put("serving", r.nextBoolean());
-          case 3 -> op("drain").put("kind", "proxy").put("name", name).put("for_ms", r.nextInt(2)).put("call", "c" + r.nextInt(50));
+          case 3 ->
+              op("drain")
+                  .put("kind", "proxy")
+                  .put("name", name)
+                  .put("for_ms", r.nextInt(2))
+                  .put("call", "c" + r.nextInt(50));
           case 4 -> op("undo").put("permit", "" + r.nextInt(5));
-          case 5 -> timers.isEmpty() ? op("resume") : Ledger.ranOut(timers.get(r.nextInt(timers.size())));
+          case 5 ->
+              timers.isEmpty() ? op("resume") : Ledger.ranOut(timers.get(r.nextInt(timers.size())));
           default -> op(r.nextInt(4) == 0 ? "halt" : "resume");
         };
     return Json.bytes(e);
--- a/src/test/java/corkproxy/quorum/ReleaseWalkTest.java
+++ b/src/test/java/corkproxy/quorum/ReleaseWalkTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A release of two proxies of three, one allowed out: two drivers of which one crashes and one stands still, commands that come
- * late, a member lost, a halt, a way back. The real ledger, members and conductors; who serves, and what was run, is kept beside them.
+ * A release of two proxies of three, one allowed out: two drivers of which one crashes and one
+ * stands still, commands that come late, a member lost, a halt, a way back. The real ledger,
+ * members and conductors; who serves, and what was run, is kept beside them.
  */
 class ReleaseWalkTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
@@ -74,14 +75,29 @@
         join(p);
       }
       timers().forEach(t -> apply(Ledger.ranOut(t)));
-      ObjectNode plan = Json.object().put("name", RELEASE).put("of", "proxy").put("version", "v2").put("from", "v1").put("halt_lost", 0);
-      plan.putArray("steps").addObject().put("name", "all").put("at_once", 2).putArray("targets").add("a").add("b");
+      ObjectNode plan =
+          Json.object()
+              .put("name", RELEASE)
+              .put("of", "proxy")
+              .put("version", "v2")
+              .put("from", "v1")
+              .put("halt_lost", 0);
+      plan.putArray("steps")
+          .addObject()
+          .put("name", "all")
+          .put("at_once", 2)
+          .putArray("targets")
+          .add("a")
+          .add("b");
       ObjectNode carry = plan.putObject("carry").put("by", "command");
       carry.putArray("command").add("restart");
       if (checks) {
         carry.putArray("check").add("check");
       }
-      if (!apply(Json.object().put("op", "release_start").<ObjectNode>set("plan", plan)).path("status").asText().equals("done")) {
+      if (!apply(Json.object().put("op", "release_start").<ObjectNode>set("plan", plan))
+          .path("status")
+          .asText()
+          .equals("done")) {
         throw new IllegalStateException();
       }
       for (String d : List.of("X", "Y")) {
@@ -104,23 +120,29 @@
     }
 
     private List<String> timers() {
-      return ledger.timers().keySet().stream().filter(t -> !t.startsWith("session:") && !t.startsWith("release-")).toList();
+      return ledger.timers().keySet().stream()
+          .filter(t -> !t.startsWith("session:") && !t.startsWith("release-"))
+          .toList();
     }
 
     ObjectNode apply(ObjectNode e) {
       boolean halted = state().equals("halted") || state().equals("paused");
       ObjectNode o = ledger.apply(Json.bytes(e));
       seen = null;
-      if (halted && e.path("op").asText().equals("release_intend") && o.path("status").asText().equals("granted") && leaving() > leavingBefore) {
+      if (halted
+          && e.path("op").asText().equals("release_intend")
+          && o.path("status").asText().equals("granted")
+          && leaving() > leavingBefore) {
         broken = "granted after the halt: " + e;
       }
       leavingBefore = leaving();
       Set<String> out = new TreeSet<>();
-      processes.forEach((n, p) -> {
-        if (!p.serves() && !lost.contains(n)) {
-          out.add(n);
-        }
-      });
+      processes.forEach(
+          (n, p) -> {
+            if (!p.serves() && !lost.contains(n)) {
+              out.add(n);
+            }
+          });
       if (out.size() > 1) {
         broken = "out at once: " + out;
       }
@@ -169,7 +191,13 @@
       p.runs = true;
       p.view = new MemberView(name);
       p.number = 0;
-      ObjectNode e = Json.object().put("op", "join").put("name", name).put("incarnation", name + ++p.incarnation).put("lease_ms", 1_000).put("runs", p.version);
+      ObjectNode e =
+          Json.object()
+              .put("op", "join")
+              .put("name", name)
+              .put("incarnation", name + ++p.incarnation)
+              .put("lease_ms", 1_000)
+              .put("runs", p.version);
       ObjectNode o = ledger.apply(Json.bytes(e));
       seen = null;
       p.session = o.path("session").asLong();
@@ -180,7 +208,12 @@
     void tell(String name) {
       Process p = processes.get(name);
       apply(
-          Json.object().put("op", "tell").put("name", name).put("session", p.session).put("number", ++p.number).put("seen", p.view.version())
+          Json.object()
+              .put("op", "tell")
+              .put("name", name)
+              .put("session", p.session)
+              .put("number", ++p.number)
+              .put("seen", p.view.version())
               .put("serving", p.serves()));
     }
 
@@ -242,36 +275,46 @@
     @Override
     public List<Step> steps() {
       List<Step> out = new ArrayList<>();
-      drivers.forEach((n, d) -> {
-        boolean holds = d.conductor.drives(release());
-        if (!d.todo.isEmpty()) {
-          out.add(new Step(n + " does", () -> does(d)));
-        } else {
-          out.add(new Step(n + " looks", () -> looks(d)));
-        }
-        if (crashes < 2) {
-          out.add(new Step(n + " crashes", () -> {
-            crashes++;
-            born(n);
-          }));
-        }
-        if (!d.stalled && stalls < 2) {
-          out.add(new Step(n + " stands still", () -> {
-            stalls++;
-            d.stalled = true;
-          }));
-        }
-        if (d.stalled && !holds) {
-          out.add(new Step(n + " wakes", () -> d.stalled = false));
-        }
-      });
+      drivers.forEach(
+          (n, d) -> {
+            boolean holds = d.conductor.drives(release());
+            if (!d.todo.isEmpty()) {
+              out.add(new Step(n + " does", () -> does(d)));
+            } else {
+              out.add(new Step(n + " looks", () -> looks(d)));
+            }
+            if (crashes < 2) {
+              out.add(
+                  new Step(
+                      n + " crashes",
+                      () -> {
+                        crashes++;
+                        born(n);
+                      }));
+            }
+            if (!d.stalled && stalls < 2) {
+              out.add(
+                  new Step(
+                      n + " stands still",
+                      () -> {
+                        stalls++;
+                        d.stalled = true;
+                      }));
+            }
+            if (d.stalled && !holds) {
+              out.add(new Step(n + " wakes", () -> d.stalled = false));
+            }
+          });
       for (int i = 0; i < flights.size(); i++) {
         Flight f = flights.get(i);
         out.add(new Step("lands " + i, () -> land(f)));
       }
       for (String t : ledger.timers().keySet()) {
         boolean driver = t.startsWith("release-driver:");
-        boolean may = !driver || drivers.values().stream().noneMatch(d -> d.conductor.drives(release()) && !d.stalled);
+        boolean may =
+            !driver
+                || drivers.values().stream()
+                    .noneMatch(d -> d.conductor.drives(release()) && !d.stalled);
         if (!t.startsWith("session:") && !t.startsWith("release-longest") && may) {
           out.add(new Step("time " + t.replaceAll("[0-9]+$", ""), () -> apply(Ledger.ranOut(t))));
         }
@@ -280,29 +323,36 @@
         out.add(new Step("keepers restart", this::restart));
       }
       if (orders < 4) {
-        for (String op : List.of("release_halt", "release_resume", "release_back", "release_pause")) {
+        for (String op :
+            List.of("release_halt", "release_resume", "release_back", "release_pause")) {
           out.add(new Step(op, () -> operator(op)));
         }
       }
       for (String n : PROXIES) {
         Process p = processes.get(n);
         if (losses < 1 && p.runs && !lost.contains(n)) {
-          out.add(new Step("lost " + n, () -> {
-            losses++;
-            lost.add(n);
-            apply(Ledger.ranOut(Ledger.timer(n, p.session)));
-          }));
+          out.add(
+              new Step(
+                  "lost " + n,
+                  () -> {
+                    losses++;
+                    lost.add(n);
+                    apply(Ledger.ranOut(Ledger.timer(n, p.session)));
+                  }));
         }
         if (behind(n)) {
           out.add(new Step("news " + n, () -> news(n)));
         }
         if (lost.contains(n)) {
-          out.add(new Step("found " + n, () -> {
-            lost.remove(n);
-            if (!ledger.lives(n, p.session)) {
-              join(n);
-            }
-          }));
+          out.add(
+              new Step(
+                  "found " + n,
+                  () -> {
+                    lost.remove(n);
+                    if (!ledger.lives(n, p.session)) {
+                      join(n);
+                    }
+                  }));
         }
       }
       return out;
@@ -318,8 +368,13 @@
       }
       processes.keySet().forEach(this::news);
       timers().forEach(t -> apply(Ledger.ranOut(t)));
-      String timer = ledger.timers().keySet().stream().filter(t -> t.startsWith("release-driver:")).findFirst().orElse("");
-      if (!timer.isEmpty() && drivers.values().stream().noneMatch(d -> d.conductor.drives(release()))) {
+      String timer =
+          ledger.timers().keySet().stream()
+              .filter(t -> t.startsWith("release-driver:"))
+              .findFirst()
+              .orElse("");
+      if (!timer.isEmpty()
+          && drivers.values().stream().noneMatch(d -> d.conductor.drives(release()))) {
         apply(Ledger.ranOut(timer));
       }
     }
@@ -340,38 +395,50 @@
 
     /** Everything works from here on: the release is taken back, and all serve the old version. */
     void end() {
-      new ArrayList<>(lost).forEach(n -> {
-        lost.remove(n);
-        if (!ledger.lives(n, processes.get(n).session)) {
-          join(n);
-        }
-      });
+      new ArrayList<>(lost)
+          .forEach(
+              n -> {
+                lost.remove(n);
+                if (!ledger.lives(n, processes.get(n).session)) {
+                  join(n);
+                }
+              });
       drivers.values().forEach(d -> d.stalled = false);
       if (state().equals("halted")) {
         for (int i = 0; i < 40 && broken.isEmpty(); i++) {
           round();
         }
         for (JsonNode t : release().path("targets")) {
-          if (broken.isEmpty() && state().equals("halted") && !t.path("phase").asText().equals("in") && !t.path("at").asText().equals("unknown")) {
+          if (broken.isEmpty()
+              && state().equals("halted")
+              && !t.path("phase").asText().equals("in")
+              && !t.path("at").asText().equals("unknown")) {
             broken = "halted, and not given back: " + t;
           }
         }
       }
       String state = state();
       if (!state.equals("returned")) {
-        apply(Json.object().put("op", "release_back").put("release", RELEASE).put("why", "the end"));
+        apply(
+            Json.object().put("op", "release_back").put("release", RELEASE).put("why", "the end"));
       }
       for (int i = 0; i < 300 && broken.isEmpty() && !state().equals("returned"); i++) {
         if (state().equals("halted")) {
-          apply(Json.object().put("op", "release_resume").put("release", RELEASE).put("why", "the end"));
+          apply(
+              Json.object()
+                  .put("op", "release_resume")
+                  .put("release", RELEASE)
+                  .put("why", "the end"));
         }
         round();
       }
-      processes.forEach((n, p) -> {
-        if (broken.isEmpty() && (!state().equals("returned") || !p.version.equals("v1") || !p.serves())) {
-          broken = "not taken back: " + release();
-        }
-      });
+      processes.forEach(
+          (n, p) -> {
+            if (broken.isEmpty()
+                && (!state().equals("returned") || !p.version.equals("v1") || !p.serves())) {
+              broken = "not taken back: " + release();
+            }
+          });
     }
 
     @Override
@@ -379,7 +446,9 @@
       ObjectNode o = Json.read(ledger.snapshot());
       o.remove(List.of("audit", "calls", "entries"));
       StringBuilder s = new StringBuilder(DrainWalkTest.ranked(Json.text(o)));
-      processes.forEach((n, p) -> s.append(n).append(p.version).append(p.runs).append(p.view.away()).append(p.fence));
+      processes.forEach(
+          (n, p) ->
+              s.append(n).append(p.version).append(p.runs).append(p.view.away()).append(p.fence));
       drivers.forEach((n, d) -> s.append(n).append(d.stalled).append(d.todo));
       flights.forEach(f -> s.append(f.what()));
       return s.append(crashes).append(stalls).append(losses).append(orders).append(lost).toString();
@@ -387,7 +456,11 @@
 
     @Override
     public boolean likely(String step) {
-      return step.contains("does") || step.contains("looks") || step.contains("lands") || step.startsWith("time settle") || step.startsWith("news");
+      return step.contains("does")
+          || step.contains("looks")
+          || step.contains("lands")
+          || step.startsWith("time settle")
+          || step.startsWith("news");
     }
 
     @Override
@@ -402,7 +475,13 @@
     int depth = Integer.getInteger("release.depth", 3);
     Walk walk = new Walk(() -> new World(checks, begun));
     assertThat(walk.all(depth)).isEmpty();
-    System.out.println("releases walked: " + walk.states() + " states to a depth of " + depth + " from step " + begun);
+    System.out.println(
+        "releases walked: "
+            + walk.states()
+            + " states to a depth of "
+            + depth
+            + " from step "
+            + begun);
     assertThat(walk.states()).isGreaterThan(100);
   }
 
@@ -412,10 +491,16 @@
     Walk walk = new Walk(() -> new World(checks, 0));
     int[] ran = new int[1];
     for (long seed = 1; seed <= Integer.getInteger("release.seeds", 100); seed++) {
-      assertThat(walk.random(seed, 80, w -> {
-        ran[0] += ((World) w).ran.size();
-        ((World) w).end();
-      })).as("seed " + seed).isEmpty();
+      assertThat(
+              walk.random(
+                  seed,
+                  80,
+                  w -> {
+                    ran[0] += ((World) w).ran.size();
+                    ((World) w).end();
+                  }))
+          .as("seed " + seed)
+          .isEmpty();
     }
     System.out.println("releases walked at random: " + ran[0] + " commands ran before the end");
     assertThat(ran[0]).isPositive();
--- a/src/test/java/corkproxy/quorum/Walk.java
+++ b/src/test/java/corkproxy/quorum/Walk.java
@@ -7,7 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 
-/** Walks all interleavings of what can happen next to a stated depth, or far beyond it at random; cuts down what it finds. */
+/**
+ * Walks all interleavings of what can happen next to a stated depth, or far beyond it at random;
+ * cuts down what it finds.
+ */
 final class Walk {
   /** Something that can happen; its name is its own in its state. */
   record Step(String name, Runnable what) {}
@@ -78,12 +81,18 @@
     return out;
   }
 
-  /** A walk at random of so many steps: those that it needs to break a promise, and which; empty where none breaks. */
+  /**
+   * A walk at random of so many steps: those that it needs to break a promise, and which; empty
+   * where none breaks.
+   */
   List<String> random(long seed, int length) {
     return random(seed, length, w -> {});
   }
 
-  /** The same; {@code end} brings the state that the walk came to to its end, and may break a promise on the way. */
+  /**
+   * The same; {@code end} brings the state that the walk came to to its end, and may break a
+   * promise on the way.
+   */
   List<String> random(long seed, int length, java.util.function.Consumer<World> end) {
     SplittableRandom random = new SplittableRandom(seed);
     World w = start.get();
@@ -94,7 +103,10 @@
         break;
       }
       World now = w;
-      List<Step> likely = random.nextInt(4) == 0 ? List.of() : steps.stream().filter(x -> now.likely(x.name())).toList();
+      List<Step> likely =
+          random.nextInt(4) == 0
+              ? List.of()
+              : steps.stream().filter(x -> now.likely(x.name())).toList();
       List<Step> from = likely.isEmpty() ? steps : likely;
       Step s = from.get(random.nextInt(from.size()));
       taken.add(s.name());
@@ -126,7 +138,10 @@
   private World again(List<String> steps, java.util.function.Consumer<World> end) {
     World w = start.get();
     for (String name : steps) {
-      w.steps().stream().filter(s -> s.name().equals(name)).findFirst().ifPresent(s -> s.what().run());
+      w.steps().stream()
+          .filter(s -> s.name().equals(name))
+          .findFirst()
+          .ifPresent(s -> s.what().run());
       if (!w.broken().isEmpty()) {
         return w;
       }
--- a/src/test/java/corkproxy/release/GuardTest.java
+++ b/src/test/java/corkproxy/release/GuardTest.java
@@ -11,7 +11,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** How often the guard halts what is sound, and what it lets through; and that it says nothing from too little. */
+/**
+ * How often the guard halts what is sound, and what it lets through; and that it says nothing from
+ * too little.
+ */
 class GuardTest {
   private static final Bounds BOUNDS = new Bounds(400, 0.02, 0.05, 3, 60_000);
 
@@ -21,14 +24,17 @@
   private static final int LOOKS = 10;
   private static final int PER_LOOK = 6_000;
 
-  /** The part of the fleet that had the new version when it was halted, or 2 where it went through. */
+  /**
+   * The part of the fleet that had the new version when it was halted, or 2 where it went through.
+   */
   private static double release(long seed, double worse) {
     SplittableRandom random = new SplittableRandom(seed);
     double base = random.nextDouble() * 0.05;
     Guard guard = new Guard(BOUNDS);
     double before = 0;
     for (double share : STEPS) {
-      // With nothing old left, as the conductor does: the step's own against those that were judged before, new as well.
+      // With nothing old left, as the conductor does: the step's own against those that were judged
+      // before, new as well.
       double freshPart = share < 1 ? share : 1 - before;
       double oldPart = share < 1 ? 1 - share : before;
       double oldWorse = share < 1 ? 0 : worse;
@@ -90,26 +96,33 @@
   void oneBadClassIsFoundAmongSoundOnes() {
     Map<String, Count> fresh = Map.of("claim", new Count(60, 20), "list", new Count(5_000, 10));
     Map<String, Count> old = Map.of("claim", new Count(600, 6), "list", new Count(50_000, 100));
-    assertThat(new Guard(BOUNDS).judge(fresh, old, List.of())).satisfies(v -> {
-      assertThat(v.word()).isEqualTo(Word.HALT);
-      assertThat(v.why()).contains("class claim").contains("20 of 60");
-    });
+    assertThat(new Guard(BOUNDS).judge(fresh, old, List.of()))
+        .satisfies(
+            v -> {
+              assertThat(v.word()).isEqualTo(Word.HALT);
+              assertThat(v.why()).contains("class claim").contains("20 of 60");
+            });
   }
 
   @Test
   void itWaitsForReportsThatAreMissingAndForRequests() {
     Guard g = new Guard(BOUNDS);
     Map<String, Count> well = Map.of("list", new Count(5_000, 10));
-    assertThat(g.judge(well, well, List.of("p3"))).isEqualTo(new Guard.Verdict(Word.WAIT, "no fresh report of p3"));
-    assertThat(g.judge(Map.of("list", new Count(399, 0)), well, List.of()).word()).isEqualTo(Word.WAIT);
-    assertThat(g.judge(well, Map.of("list", new Count(10, 0)), List.of()).word()).isEqualTo(Word.WAIT);
+    assertThat(g.judge(well, well, List.of("p3")))
+        .isEqualTo(new Guard.Verdict(Word.WAIT, "no fresh report of p3"));
+    assertThat(g.judge(Map.of("list", new Count(399, 0)), well, List.of()).word())
+        .isEqualTo(Word.WAIT);
+    assertThat(g.judge(well, Map.of("list", new Count(10, 0)), List.of()).word())
+        .isEqualTo(Word.WAIT);
     assertThat(g.judge(well, well, List.of()).word()).isEqualTo(Word.GO);
   }
 
   @Test
   void whereNothingOldIsLeftTheNewIsHeldAgainstABound() {
     Guard g = new Guard(BOUNDS);
-    assertThat(g.judge(Map.of("list", new Count(1_000, 20)), Map.of(), List.of()).word()).isEqualTo(Word.GO);
-    assertThat(g.judge(Map.of("list", new Count(1_000, 120)), Map.of(), List.of()).word()).isEqualTo(Word.HALT);
+    assertThat(g.judge(Map.of("list", new Count(1_000, 20)), Map.of(), List.of()).word())
+        .isEqualTo(Word.GO);
+    assertThat(g.judge(Map.of("list", new Count(1_000, 120)), Map.of(), List.of()).word())
+        .isEqualTo(Word.HALT);
   }
 }
--- a/src/test/java/corkproxy/release/ReleaseTest.java
+++ b/src/test/java/corkproxy/release/ReleaseTest.java
@@ -34,9 +34,17 @@
       join(p, "v1");
     }
     List<String> faults = new ArrayList<>();
-    JsonNode budget = MAPPER.createObjectNode().put("name", "proxies").put("of", "proxy").put("max_out", 2);
+    JsonNode budget =
+        MAPPER.createObjectNode().put("name", "proxies").put("of", "proxy").put("max_out", 2);
     disruption.budgets(List.of(Budget.read(budget, faults)), 0);
-    plan = MAPPER.createObjectNode().put("name", "r").put("of", "proxy").put("version", "v2").put("from", "v1").put("halt_lost", 2);
+    plan =
+        MAPPER
+            .createObjectNode()
+            .put("name", "r")
+            .put("of", "proxy")
+            .put("version", "v2")
+            .put("from", "v1")
+            .put("halt_lost", 2);
     step("first", 1, "a");
     step("rest", 2, "b", "c");
   }
@@ -53,7 +61,8 @@
   }
 
   private void says(String name, boolean serving) {
-    disruption.told(name, words.merge(name, 1L, Long::sum), disruption.version(), serving, Set.of(), Set.of());
+    disruption.told(
+        name, words.merge(name, 1L, Long::sum), disruption.version(), serving, Set.of(), Set.of());
     releases.look(disruption);
     settle();
     releases.look(disruption);
@@ -64,7 +73,8 @@
   }
 
   private Outcome apply(String op, Object... with) {
-    ObjectNode e = MAPPER.createObjectNode().put("release", "r").put("why", "test").put("fence", fence);
+    ObjectNode e =
+        MAPPER.createObjectNode().put("release", "r").put("why", "test").put("fence", fence);
     for (int i = 0; i < with.length; i += 2) {
       e.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
     }
@@ -117,20 +127,26 @@
     assertThat(apply("acting", "target", name, "action", action).status()).isEqualTo(Status.DONE);
     disruption.ended(name, true);
     join(name, version);
-    assertThat(apply("observed", "target", name, "action", action, "found", version).status()).isEqualTo(Status.DONE);
+    assertThat(apply("observed", "target", name, "action", action, "found", version).status())
+        .isEqualTo(Status.DONE);
     says(name, true);
   }
 
   /** The step's baking time is over, and the verdict is for it. */
   private void judged(int step) {
     time("release-bake");
-    assertThat(apply("verdict", "step", step, "go", true, "text", "well").status()).isEqualTo(Status.DONE);
+    assertThat(apply("verdict", "step", step, "go", true, "text", "well").status())
+        .isEqualTo(Status.DONE);
   }
 
   private void time(String kind) {
     Map<String, Long> timers = new TreeMap<>();
     releases.timers(timers);
-    String timer = timers.keySet().stream().filter(t -> t.startsWith(kind)).findFirst().orElseThrow(() -> new AssertionError(kind + " of " + timers));
+    String timer =
+        timers.keySet().stream()
+            .filter(t -> t.startsWith(kind))
+            .findFirst()
+            .orElseThrow(() -> new AssertionError(kind + " of " + timers));
     releases.timeout(timer);
     releases.look(disruption);
   }
@@ -138,9 +154,13 @@
   @Test
   void stepByStepToTheEnd() {
     begin();
-    assertThat(apply("intend", "target", "b").status()).as("the first step first").isEqualTo(Status.REFUSED);
+    assertThat(apply("intend", "target", "b").status())
+        .as("the first step first")
+        .isEqualTo(Status.REFUSED);
     change("a", "v2");
-    assertThat(apply("verdict", "step", 0, "go", true).status()).as("not before it has baked").isEqualTo(Status.REFUSED);
+    assertThat(apply("verdict", "step", 0, "go", true).status())
+        .as("not before it has baked")
+        .isEqualTo(Status.REFUSED);
     judged(0);
     change("b", "v2");
     change("c", "v2");
@@ -153,12 +173,15 @@
     begin();
     change("a", "v2");
     judged(0);
-    assertThat(disruption.drain(Kind.PROXY, "d", 0, false, "op", "x").status()).isEqualTo(Status.GRANTED);
+    assertThat(disruption.drain(Kind.PROXY, "d", 0, false, "op", "x").status())
+        .isEqualTo(Status.GRANTED);
     out("b");
-    assertThat(apply("intend", "target", "c")).satisfies(o -> {
-      assertThat(o.status()).isEqualTo(Status.REFUSED);
-      assertThat(o.why().toString()).contains("budget proxies", "d (permit");
-    });
+    assertThat(apply("intend", "target", "c"))
+        .satisfies(
+            o -> {
+              assertThat(o.status()).isEqualTo(Status.REFUSED);
+              assertThat(o.why().toString()).contains("budget proxies", "d (permit");
+            });
   }
 
   @Test
@@ -166,12 +189,16 @@
     begin();
     long old = fence;
     long action = out("a");
-    assertThat(apply("drive", "driver", "y", "lease_ms", 1_000).status()).as("while x holds its lease").isEqualTo(Status.REFUSED);
+    assertThat(apply("drive", "driver", "y", "lease_ms", 1_000).status())
+        .as("while x holds its lease")
+        .isEqualTo(Status.REFUSED);
     time("release-driver");
     drive("y");
     assertThat(fence).isGreaterThan(old);
     for (String op : List.of("intend", "acting", "observed")) {
-      assertThat(apply(op, "fence", old, "target", "a", "action", action, "found", "v1").status()).as(op).isEqualTo(Status.CONFLICT);
+      assertThat(apply(op, "fence", old, "target", "a", "action", action, "found", "v1").status())
+          .as(op)
+          .isEqualTo(Status.CONFLICT);
     }
     assertThat(apply("acting", "target", "a", "action", action).status()).isEqualTo(Status.DONE);
   }
@@ -233,7 +260,10 @@
     judged(1);
     apply("back", "to_step", 1);
     Conductor x = new Conductor("x", 1_000);
-    assertThat(x.next(status(), null, true, 0)).containsExactly(new Conductor.Submit("release_intend", new TreeMap<>(Map.of("fence", fence, "target", "c"))));
+    assertThat(x.next(status(), null, true, 0))
+        .containsExactly(
+            new Conductor.Submit(
+                "release_intend", new TreeMap<>(Map.of("fence", fence, "target", "c"))));
     change("c", "v1");
     change("b", "v1");
     assertThat(status().path("state_why").asText()).isEqualTo("back to step 1, as asked");
@@ -251,7 +281,9 @@
         apply("end");
         plan.put("name", "r2");
       }
-      Outcome o = releases.apply("release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan), disruption);
+      Outcome o =
+          releases.apply(
+              "release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan), disruption);
       assertThat(o.status()).as(o.toString()).isEqualTo(Status.DONE);
       if (rule.equals("queue")) {
         drive("x");
@@ -301,8 +333,12 @@
     begin();
     long action = out("a");
     apply("acting", "target", "a", "action", action);
-    assertThat(apply("reported", "target", "a", "action", action, "tries", 2, "found", "v2").status()).isEqualTo(Status.CONFLICT);
-    assertThat(apply("reported", "target", "a", "action", action, "tries", 1, "found", "v2").status()).isEqualTo(Status.DONE);
+    assertThat(
+            apply("reported", "target", "a", "action", action, "tries", 2, "found", "v2").status())
+        .isEqualTo(Status.CONFLICT);
+    assertThat(
+            apply("reported", "target", "a", "action", action, "tries", 1, "found", "v2").status())
+        .isEqualTo(Status.DONE);
     assertThat(target("a").path("told").asText()).isEqualTo("v2");
   }
 
@@ -312,7 +348,14 @@
     step("first", 0, "a");
     List<String> faults = new ArrayList<>();
     assertThat(Plan.read(plan, faults)).isNull();
-    assertThat(String.join("\n", faults)).contains("from:", "on_wrong:", "action_ms:", "step first: a second time", "a stands in step first", "at_once:");
+    assertThat(String.join("\n", faults))
+        .contains(
+            "from:",
+            "on_wrong:",
+            "action_ms:",
+            "step first: a second time",
+            "a stands in step first",
+            "at_once:");
     plan.remove("steps");
     assertThat(apply("start", "plan", plan).status()).isEqualTo(Status.MALFORMED);
   }
@@ -321,6 +364,7 @@
   void targetsThatAreNotKnownAndNamesThatWereUsedAreRefused() {
     begin();
     plan.withArray("steps").addObject().put("name", "more").putArray("targets").add("nobody");
-    assertThat(apply("start", "plan", plan).why().toString()).contains("no proxy 'nobody'", "was used before", "has some of these targets");
+    assertThat(apply("start", "plan", plan).why().toString())
+        .contains("no proxy 'nobody'", "was used before", "has some of these targets");
   }
 }
--- a/src/test/java/corkproxy/routing/PathFormTest.java
+++ b/src/test/java/corkproxy/routing/PathFormTest.java
@@ -20,7 +20,8 @@
     "/a%3fb, /a?b, /a%3fb",
     "/a.b/..c/...d, /a.b/..c/...d, /a.b/..c/...d",
   })
-  void aPathOfOneReadingIsMatchedDecodedAndSentOnAsItCame(String raw, String match, String forward) {
+  void aPathOfOneReadingIsMatchedDecodedAndSentOnAsItCame(
+      String raw, String match, String forward) {
     PathForm f = PathForm.of(raw, PathForm.Mode.STRICT);
     assertThat(f.match()).isEqualTo(match);
     assertThat(f.forward()).isEqualTo(forward);
@@ -48,8 +49,26 @@
   @ParameterizedTest
   @ValueSource(
       strings = {
-        "", "a", "/%2f", "/%2F..", "/%5c", "/%00", "/%0a", "/%7f", "/%", "/%4", "/%gg", "/\\", "/a b",
-        "/\u00e9", "/#", "/%252e", "/%2500", "/a/..;/b", "/.;x/b", "/%2e%2e;/b"
+        "",
+        "a",
+        "/%2f",
+        "/%2F..",
+        "/%5c",
+        "/%00",
+        "/%0a",
+        "/%7f",
+        "/%",
+        "/%4",
+        "/%gg",
+        "/\\",
+        "/a b",
+        "/\u00e9",
+        "/#",
+        "/%252e",
+        "/%2500",
+        "/a/..;/b",
+        "/.;x/b",
+        "/%2e%2e;/b"
       })
   void whatHasNoSingleReadingIsNoPathInAnyMode(String raw) {
     for (PathForm.Mode m : PathForm.Mode.values()) {
@@ -61,7 +80,9 @@
   @Test
   void whatIsTakenReadsTheSameAtTheHost() {
     SplittableRandom random = new SplittableRandom(20261201);
-    String[] pieces = {"/", ".", "..", "%2e", "%2f", "%25", "a", "%61", ";", "%3b", "\\", "%00", "2e", "%41"};
+    String[] pieces = {
+      "/", ".", "..", "%2e", "%2f", "%25", "a", "%61", ";", "%3b", "\\", "%00", "2e", "%41"
+    };
     int taken = 0;
     for (int i = 0; i < 200_000; i++) {
       StringBuilder raw = new StringBuilder("/");
--- a/src/test/java/corkproxy/routing/RouteTableTest.java
+++ b/src/test/java/corkproxy/routing/RouteTableTest.java
@@ -30,7 +30,14 @@
 
   private static Rule<Integer> rule(String name, Rule.Kind kind, String path, String... hosts) {
     return new Rule<>(
-        name, hosts.length == 0 ? List.of("*") : List.of(hosts), kind, path, Set.of(), Map.of(), Set.of(), 0);
+        name,
+        hosts.length == 0 ? List.of("*") : List.of(hosts),
+        kind,
+        path,
+        Set.of(),
+        Map.of(),
+        Set.of(),
+        0);
   }
 
   private static Rule<Integer> with(
@@ -78,7 +85,8 @@
   void thereIsNoWayBackToALessParticularHost() {
     RouteTable<Integer> t =
         new RouteTable<>(
-            List.of(rule("any", Rule.Kind.PREFIX, "/"), rule("one", Rule.Kind.EXACT, "/x", "a.test")));
+            List.of(
+                rule("any", Rule.Kind.PREFIX, "/"), rule("one", Rule.Kind.EXACT, "/x", "a.test")));
     assertThat(t.find(get("a.test", "/y"))).isNull();
   }
 
@@ -90,13 +98,19 @@
             List.of(
                 base,
                 with(rule("post", Rule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of(), Set.of()),
-                with(rule("both", Rule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of("x", "1"), Set.of()),
+                with(
+                    rule("both", Rule.Kind.PREFIX, "/a"),
+                    Set.of("POST"),
+                    Map.of("x", "1"),
+                    Set.of()),
                 with(rule("class", Rule.Kind.PREFIX, "/a/b"), Set.of(), Map.of(), Set.of("log"))));
     assertThat(t.find(get("h", "/a/b")).name()).isEqualTo("plain"); // on to the shorter prefix
     assertThat(t.find(new Request("h", "/a/b", "GET", "log", Map.of())).name()).isEqualTo("class");
     assertThat(t.find(new Request("h", "/a", "POST", null, Map.of())).name()).isEqualTo("post");
-    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "1"))).name()).isEqualTo("both");
-    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "2"))).name()).isEqualTo("post");
+    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "1"))).name())
+        .isEqualTo("both");
+    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "2"))).name())
+        .isEqualTo("post");
   }
 
   /** The order of precedence written down once more, as slowly as can be. */
@@ -105,19 +119,35 @@
         rules.stream()
             .flatMap(x -> x.hosts().stream())
             .filter(h -> hostMatches(h, r.host()))
-            .max(Comparator.comparingInt(h -> h.equals("*") ? 0 : h.endsWith(".*") ? 1_000 + h.length()
-                : h.startsWith("*.") ? 2_000 + h.length() : 3_000))
+            .max(
+                Comparator.comparingInt(
+                    h ->
+                        h.equals("*")
+                            ? 0
+                            : h.endsWith(".*")
+                                ? 1_000 + h.length()
+                                : h.startsWith("*.") ? 2_000 + h.length() : 3_000))
             .orElse("*");
     Comparator<Integer> order =
         Comparator.<Integer>comparingInt(
-                i -> switch (rules.get(i).kind()) { case EXACT -> 0; case REGEX -> 1; case PREFIX -> 2; })
-            .thenComparingInt(i -> rules.get(i).kind() == Rule.Kind.PREFIX ? -rules.get(i).path().length() : 0)
-            .thenComparingInt(i -> rules.get(i).kind() == Rule.Kind.REGEX ? 0 : -rules.get(i).conditions())
+                i ->
+                    switch (rules.get(i).kind()) {
+                      case EXACT -> 0;
+                      case REGEX -> 1;
+                      case PREFIX -> 2;
+                    })
+            .thenComparingInt(
+                i -> rules.get(i).kind() == Rule.Kind.PREFIX ? -rules.get(i).path().length() : 0)
+            .thenComparingInt(
+                i -> rules.get(i).kind() == Rule.Kind.REGEX ? 0 : -rules.get(i).conditions())
             .thenComparingInt(i -> i);
     return IntStream.range(0, rules.size())
         .boxed()
-        .filter(i -> rules.get(i).hosts().contains(host) && pathMatches(rules.get(i), r.path())
-            && rules.get(i).holds(r))
+        .filter(
+            i ->
+                rules.get(i).hosts().contains(host)
+                    && pathMatches(rules.get(i), r.path())
+                    && rules.get(i).holds(r))
         .min(order)
         .map(rules::get)
         .orElse(null);
@@ -126,8 +156,11 @@
   private static boolean hostMatches(String pattern, String host) {
     return pattern.equals("*")
         || pattern.equals(host)
-        || pattern.startsWith("*.") && host.length() > pattern.length() - 1 && host.endsWith(pattern.substring(1))
-        || pattern.endsWith(".*") && host.length() > pattern.length() - 1
+        || pattern.startsWith("*.")
+            && host.length() > pattern.length() - 1
+            && host.endsWith(pattern.substring(1))
+        || pattern.endsWith(".*")
+            && host.length() > pattern.length() - 1
             && host.startsWith(pattern.substring(0, pattern.length() - 1));
   }
 
@@ -148,7 +181,10 @@
     int n = 1 + random.nextInt(12);
     for (int i = 0; i < n; i++) {
       Rule.Kind kind = Rule.Kind.values()[random.nextInt(3)];
-      String path = kind == Rule.Kind.REGEX ? REGEXES[random.nextInt(REGEXES.length)] : PATHS[random.nextInt(PATHS.length)];
+      String path =
+          kind == Rule.Kind.REGEX
+              ? REGEXES[random.nextInt(REGEXES.length)]
+              : PATHS[random.nextInt(PATHS.length)];
       rules.add(
           with(
               rule("r" + i, kind, path, HOSTS[random.nextInt(HOSTS.length)]),
@@ -163,8 +199,10 @@
     String[] hosts = {"", "c", "a.b", "x.b", "x.a.b", "a.x", "d"};
     String[] paths = {"/", "/a", "/a/", "/a/b", "/a/b/c", "/a/b/cd", "/b/x", "/ab", "/abba", "/c"};
     return new Request(
-        hosts[random.nextInt(hosts.length)], paths[random.nextInt(paths.length)],
-        random.nextBoolean() ? "GET" : "POST", random.nextBoolean() ? "log" : null,
+        hosts[random.nextInt(hosts.length)],
+        paths[random.nextInt(paths.length)],
+        random.nextBoolean() ? "GET" : "POST",
+        random.nextBoolean() ? "log" : null,
         random.nextBoolean() ? Map.of("x", random.nextBoolean() ? "1" : "2") : Map.of());
   }
 
@@ -195,7 +233,9 @@
       for (RouteCheck.Shadowed s : RouteCheck.shadowed(rules)) {
         shadowed++;
         for (int j = 0; j < 50; j++) {
-          assertThat(t.find(randomRequest(random))).as("%s", rules).isNotSameAs(rules.get(s.route()));
+          assertThat(t.find(randomRequest(random)))
+              .as("%s", rules)
+              .isNotSameAs(rules.get(s.route()));
         }
       }
     }
--- a/src/test/java/corkproxy/routing/SplitTest.java
+++ b/src/test/java/corkproxy/routing/SplitTest.java
@@ -12,7 +12,9 @@
   private static Split<String> of(double a, double b, double c) {
     return new Split<>(
         List.of(
-            new Split.Part<>("a", a, "a"), new Split.Part<>("b", b, "b"), new Split.Part<>("c", c, "c")));
+            new Split.Part<>("a", a, "a"),
+            new Split.Part<>("b", b, "b"),
+            new Split.Part<>("c", c, "c")));
   }
 
   @Test
--- a/src/test/java/corkproxy/soak/AttemptRecord.java
+++ b/src/test/java/corkproxy/soak/AttemptRecord.java
@@ -10,4 +10,5 @@
  * @param toldMs how long the proxy said that it waits
  * @param ran whether the server may have carried out the request: not where it turned it away
  */
-record AttemptRecord(String id, String server, long begunAt, long completeAt, long toldMs, boolean ran) {}
+record AttemptRecord(
+    String id, String server, long begunAt, long completeAt, long toldMs, boolean ran) {}
--- a/src/test/java/corkproxy/soak/DaemonAcceptTest.java
+++ b/src/test/java/corkproxy/soak/DaemonAcceptTest.java
@@ -16,11 +16,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A daemon, on each kind of sockets, one in ten of whose accepts fail as Linux documents: every request is answered in time. */
+/**
+ * A daemon, on each kind of sockets, one in ten of whose accepts fail as Linux documents: every
+ * request is answered in time.
+ */
 class DaemonAcceptTest {
   private static final long LENGTH_MS = 4_000;
+
   /** The page's slack, and what the threads of this process may be late on a busy machine. */
   private static final long SLACK_MS = 250;
+
   private static final int CLIENTS = 12;
   private static final int DEADLINE_MS = 1_000;
   private static final int ONE_IN = 10;
@@ -40,13 +45,19 @@
   }
 
   private static String operatorFile(int port, String transport, List<FakeUpstream> upstreams) {
-    StringBuilder text = new StringBuilder("[daemon]\nworkers = 2\ntransport = \"" + transport + "\"\n");
+    StringBuilder text =
+        new StringBuilder("[daemon]\nworkers = 2\ntransport = \"" + transport + "\"\n");
     text.append("[listener.main]\naddress = \"127.0.0.1:").append(port).append("\"\n");
-    text.append("[class.claim]\naim_ms = 400\ndeadline_ms = ").append(DEADLINE_MS).append("\nrepeat = \"unsafe\"\n");
+    text.append("[class.claim]\naim_ms = 400\ndeadline_ms = ")
+        .append(DEADLINE_MS)
+        .append("\nrepeat = \"unsafe\"\n");
     text.append("[class.log]\naim_ms = 400\ndeadline_ms = ").append(DEADLINE_MS);
     text.append("\nrepeat = \"keyed\"\nscope = \"pod\"\nwindow_ms = 500\n[pool.all]\n");
     for (FakeUpstream each : upstreams) {
-      text.append("[[pool.all.member]]\nid = \"").append(each.name()).append("\"\naddress = \"").append(each.address());
+      text.append("[[pool.all.member]]\nid = \"")
+          .append(each.name())
+          .append("\"\naddress = \"")
+          .append(each.address());
       text.append("\"\npod = \"p\"\n");
     }
     for (String route : List.of("claim", "log")) {
@@ -98,20 +109,31 @@
     }
     upstreams.forEach(FakeUpstream::close);
     List<SoakJudge.Violation> violations = new SoakJudge(history, 0, SLACK_MS).violations();
-    System.out.println("daemon, " + transport + ": requests " + history.requests().size() + ", faults injected "
-        + daemon.injected() + ", broken " + violations.size());
+    System.out.println(
+        "daemon, "
+            + transport
+            + ": requests "
+            + history.requests().size()
+            + ", faults injected "
+            + daemon.injected()
+            + ", broken "
+            + violations.size());
     assertThat(violations).isEmpty();
     assertThat(daemon.injected()).isGreaterThan(LEAST_REQUESTS / (2L * ONE_IN));
     assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
   }
 
-  private void start(String transport, List<FakeUpstream> upstreams, Path library) throws IOException, InterruptedException {
+  private void start(String transport, List<FakeUpstream> upstreams, Path library)
+      throws IOException, InterruptedException {
     int port = SoakRun.freePort();
-    Path file = Files.writeString(folder.resolve("daemon.toml"), operatorFile(port, transport, upstreams));
+    Path file =
+        Files.writeString(folder.resolve("daemon.toml"), operatorFile(port, transport, upstreams));
     daemon = ProxyProcess.daemon(file, folder, port);
     List<SystemCallFault> faults = new ArrayList<>();
     for (String fault : SoakPlan.ACCEPT_FAULTS) {
-      faults.add(SystemCallFault.always("accept", "listener", fault, ONE_IN * SoakPlan.ACCEPT_FAULTS.size()));
+      faults.add(
+          SystemCallFault.always(
+              "accept", "listener", fault, ONE_IN * SoakPlan.ACCEPT_FAULTS.size()));
     }
     daemon.start(new ProxyProcess.Faults(library, faults, 7, null, 0));
   }
--- a/src/test/java/corkproxy/soak/FakeDiscovery.java
+++ b/src/test/java/corkproxy/soak/FakeDiscovery.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 
-/** The agent of one proxy: tells the list and its changes by watches, and can be silent, closed or down for a while. */
+/**
+ * The agent of one proxy: tells the list and its changes by watches, and can be silent, closed or
+ * down for a while.
+ */
 final class FakeDiscovery implements AutoCloseable {
   private static final long BLANK_MS = 2_000;
   private static final long POLL_MS = 5;
@@ -78,7 +81,11 @@
   }
 
   synchronized String list() {
-    return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + String.join(",", entries.values()) + "]}";
+    return "{\"version\":"
+        + version
+        + ",\"full\":true,\"servers\":["
+        + String.join(",", entries.values())
+        + "]}";
   }
 
   private void accept() {
@@ -126,8 +133,12 @@
       String line = null;
       synchronized (this) {
         if (!silent && told < version) {
-          line = "{\"version\":" + version + ",\"full\":false,\"servers\":["
-              + String.join(",", changes.tailMap(told, false).values()) + "]}\n";
+          line =
+              "{\"version\":"
+                  + version
+                  + ",\"full\":false,\"servers\":["
+                  + String.join(",", changes.tailMap(told, false).values())
+                  + "]}\n";
           told = version;
         }
       }
--- a/src/test/java/corkproxy/soak/FakeUpstream.java
+++ b/src/test/java/corkproxy/soak/FakeUpstream.java
@@ -27,7 +27,10 @@
     CLOSE_AFTER,
     /** Sends half of an answer and closes. */
     CUT,
-    /** Runs the request and says that it did not: never drawn, it shows that the judge finds duplicates. */
+    /**
+     * Runs the request and says that it did not: never drawn, it shows that the judge finds
+     * duplicates.
+     */
     DENY
   }
 
@@ -41,7 +44,13 @@
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile Behaviour behaviour = Behaviour.HEALTHY;
 
-  FakeUpstream(String name, long startedUnixMs, double serviceMs, SoakHistory history, ExecutorService threads, long seed)
+  FakeUpstream(
+      String name,
+      long startedUnixMs,
+      double serviceMs,
+      SoakHistory history,
+      ExecutorService threads,
+      long seed)
       throws IOException {
     this.name = name;
     this.startedUnixMs = startedUnixMs;
@@ -67,8 +76,15 @@
 
   /** Its entry in a list of the discovery's, in this state. */
   String entry(String state) {
-    return "{\"id\":\"" + name + "\",\"addr\":\"" + address()
-        + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedUnixMs + "}";
+    return "{\"id\":\""
+        + name
+        + "\",\"addr\":\""
+        + address()
+        + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":1,\"state\":\""
+        + state
+        + "\",\"weight\":1.0,\"started_ms\":"
+        + startedUnixMs
+        + "}";
   }
 
   private void accept() {
@@ -88,7 +104,8 @@
       socket.setTcpNoDelay(true);
       while (true) {
         long[] begun = new long[1];
-        HttpMessage request = HttpMessage.read(socket.getInputStream(), () -> begun[0] = System.nanoTime());
+        HttpMessage request =
+            HttpMessage.read(socket.getInputStream(), () -> begun[0] = System.nanoTime());
         if (request == null || !answer(socket, request, begun[0])) {
           return;
         }
@@ -103,7 +120,8 @@
   }
 
   /** Whether the connection goes on. */
-  private boolean answer(Socket socket, HttpMessage request, long begunAt) throws IOException, InterruptedException {
+  private boolean answer(Socket socket, HttpMessage request, long begunAt)
+      throws IOException, InterruptedException {
     String id = request.header("x-request-id");
     Behaviour now = behaviour;
     if (id == null) {
@@ -112,7 +130,9 @@
     }
     String told = request.header("x-timeout-ms");
     long toldMs = told == null ? 0 : Long.parseLong(told);
-    history.add(new AttemptRecord(id, name, begunAt, System.nanoTime(), toldMs, now != Behaviour.TURN_AWAY));
+    history.add(
+        new AttemptRecord(
+            id, name, begunAt, System.nanoTime(), toldMs, now != Behaviour.TURN_AWAY));
     if (now == Behaviour.HANG) {
       return true;
     }
--- a/src/test/java/corkproxy/soak/FaultMatrix.java
+++ b/src/test/java/corkproxy/soak/FaultMatrix.java
@@ -5,14 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** By hand: one run for each documented failure of each call, and one with none; {@code FaultMatrix ONE_IN SECONDS}. */
+/**
+ * By hand: one run for each documented failure of each call, and one with none; {@code FaultMatrix
+ * ONE_IN SECONDS}.
+ */
 public final class FaultMatrix {
   private static final long SLACK_MS = 100;
   private static final long SEED = 21;
 
   private FaultMatrix() {}
 
-  private static void add(List<SystemCallFault> cases, String call, String role, List<String> faults, int oneIn) {
+  private static void add(
+      List<SystemCallFault> cases, String call, String role, List<String> faults, int oneIn) {
     faults.forEach(fault -> cases.add(SystemCallFault.always(call, role, fault, oneIn)));
   }
 
@@ -36,7 +40,11 @@
     Path library = PreloadLibrary.build(folder).orElseThrow();
     play("none", SoakPlan.steady(SEED, lengthMs, List.of()), folder, library);
     for (SystemCallFault each : cases) {
-      play(each.call() + " " + each.role() + " " + each.fault(), SoakPlan.steady(SEED, lengthMs, List.of(each)), folder, library);
+      play(
+          each.call() + " " + each.role() + " " + each.fault(),
+          SoakPlan.steady(SEED, lengthMs, List.of(each)),
+          folder,
+          library);
     }
   }
 
@@ -44,12 +52,23 @@
     Path own = Files.createDirectories(folder.resolve(name.replace(' ', '-')));
     try (SoakRun run = new SoakRun(plan, own, library)) {
       SoakHistory history = run.play();
-      List<SoakJudge.Violation> violations = new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
-      long served = history.requests().stream().filter(r -> r.outcome() == RequestRecord.Outcome.SERVED).count();
-      System.out.printf("%-32s requests %5d served %5d injected %5d broken %4d %s%n", name, history.requests().size(), served,
-          run.injected(), violations.size(), violations.isEmpty() ? "" : violations.get(0).rule() + ": " + violations.get(0).what());
+      List<SoakJudge.Violation> violations =
+          new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+      long served =
+          history.requests().stream()
+              .filter(r -> r.outcome() == RequestRecord.Outcome.SERVED)
+              .count();
+      System.out.printf(
+          "%-32s requests %5d served %5d injected %5d broken %4d %s%n",
+          name,
+          history.requests().size(),
+          served,
+          run.injected(),
+          violations.size(),
+          violations.isEmpty() ? "" : violations.get(0).rule() + ": " + violations.get(0).what());
     } catch (java.io.IOException e) {
-      System.out.printf("%-32s not started: %s%n", name, e.getMessage().lines().findFirst().orElse(""));
+      System.out.printf(
+          "%-32s not started: %s%n", name, e.getMessage().lines().findFirst().orElse(""));
     }
   }
 }
--- a/src/test/java/corkproxy/soak/PreloadLibrary.java
+++ b/src/test/java/corkproxy/soak/PreloadLibrary.java
@@ -11,17 +11,31 @@
 
   private PreloadLibrary() {}
 
-  /** The built library in the folder, or empty where the machine has no C compiler; the reason is printed then. */
+  /**
+   * The built library in the folder, or empty where the machine has no C compiler; the reason is
+   * printed then.
+   */
   static Optional<Path> build(Path folder) throws IOException, InterruptedException {
     Path library = folder.resolve("libsyscall_faults.so");
     Process compiler;
     try {
       compiler =
-          new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o", library.toString(), SOURCE.toString(), "-ldl")
+          new ProcessBuilder(
+                  "cc",
+                  "-shared",
+                  "-fPIC",
+                  "-O2",
+                  "-Wall",
+                  "-Werror",
+                  "-o",
+                  library.toString(),
+                  SOURCE.toString(),
+                  "-ldl")
               .inheritIO()
               .start();
     } catch (IOException e) {
-      System.out.println("no faults of system calls: this machine has no C compiler (" + e.getMessage() + ")");
+      System.out.println(
+          "no faults of system calls: this machine has no C compiler (" + e.getMessage() + ")");
       return Optional.empty();
     }
     if (compiler.waitFor() != 0 || !Files.exists(library)) {
--- a/src/test/java/corkproxy/soak/ProxyProcess.java
+++ b/src/test/java/corkproxy/soak/ProxyProcess.java
@@ -12,15 +12,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** The platform's process as the deploy file runs it, or a daemon, from the classes under test; ended by its id. */
+/**
+ * The platform's process as the deploy file runs it, or a daemon, from the classes under test;
+ * ended by its id.
+ */
 final class ProxyProcess {
   private static final long START_MS = 30_000;
   private static final int CONNECT_MS = 500;
 
-  /** What faults a process is started with; {@code library} is null for none, {@code descriptors} 0 for no limit. */
-  record Faults(Path library, List<SystemCallFault> rules, long seed, String clock, int descriptors) {}
-
-  /** How a kind of process is started, and which answer to {@code GET /_health} tells that it can serve. */
+  /**
+   * What faults a process is started with; {@code library} is null for none, {@code descriptors} 0
+   * for no limit.
+   */
+  record Faults(
+      Path library, List<SystemCallFault> rules, long seed, String clock, int descriptors) {}
+
+  /**
+   * How a kind of process is started, and which answer to {@code GET /_health} tells that it can
+   * serve.
+   */
   private record Kind(List<String> options, List<String> arguments, String healthy) {}
 
   private final Kind kind;
@@ -38,17 +48,29 @@
     this.discoveryPort = discoveryPort;
   }
 
-  /** The platform's process, with the options of the deploy folder: the limits of memory are the platform's. */
-  static ProxyProcess platform(Path configuration, Path folder, int port, int discoveryPort) throws IOException {
+  /**
+   * The platform's process, with the options of the deploy folder: the limits of memory are the
+   * platform's.
+   */
+  static ProxyProcess platform(Path configuration, Path folder, int port, int discoveryPort)
+      throws IOException {
     List<String> options =
-        Files.readAllLines(Path.of("deploy/proxy.jvm")).stream().filter(line -> line.startsWith("-")).toList();
-    return new ProxyProcess(new Kind(options, List.of("proxy"), "HTTP/1.1 200"), configuration, folder, port, discoveryPort);
+        Files.readAllLines(Path.of("deploy/proxy.jvm")).stream()
+            .filter(line -> line.startsWith("-"))
+            .toList();
+    return new ProxyProcess(
+        new Kind(options, List.of("proxy"), "HTTP/1.1 200"),
+        configuration,
+        folder,
+        port,
+        discoveryPort);
   }
 
   /** A daemon with this operator's file, which answers whatever it has no route for. */
   static ProxyProcess daemon(Path operatorFile, Path folder, int port) {
     List<String> arguments = List.of("daemon", "--config", operatorFile.toString());
-    return new ProxyProcess(new Kind(List.of("-Xmx128m"), arguments, "HTTP/1.1 "), operatorFile, folder, port, 0);
+    return new ProxyProcess(
+        new Kind(List.of("-Xmx128m"), arguments, "HTTP/1.1 "), operatorFile, folder, port, 0);
   }
 
   int port() {
@@ -71,11 +93,16 @@
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "corkproxy.Main"));
     command.addAll(kind.arguments());
     ProcessBuilder builder = new ProcessBuilder(command);
-    builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+    builder
+        .redirectErrorStream(true)
+        .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
     Path own = Files.createDirectories(folder.resolve("tmp"));
-    builder.environment().putAll(Map.of("BALANCER_CONFIG", configuration.toString(), "TMPDIR", own.toString()));
+    builder
+        .environment()
+        .putAll(Map.of("BALANCER_CONFIG", configuration.toString(), "TMPDIR", own.toString()));
     if (faults.library() != null) {
-      String rules = faults.rules().stream().map(SystemCallFault::rule).collect(Collectors.joining(";"));
+      String rules =
+          faults.rules().stream().map(SystemCallFault::rule).collect(Collectors.joining(";"));
       builder.environment().put("LD_PRELOAD", faults.library().toString());
       builder.environment().put("SYSCALL_FAULTS", rules);
       builder.environment().put("SYSCALL_FAULTS_SEED", Long.toString(faults.seed()));
@@ -86,18 +113,23 @@
       }
     }
     process = builder.start();
-    // Guards other tests on the machine: a proxy that outlives its run goes on asking for its discovery at a port that is theirs by then.
+    // Guards other tests on the machine: a proxy that outlives its run goes on asking for its
+    // discovery at a port that is theirs by then.
     Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
     awaitReady();
   }
 
-  /** What goes ahead of a command that may hold so many descriptors; each entry of the class path takes one more here. */
+  /**
+   * What goes ahead of a command that may hold so many descriptors; each entry of the class path
+   * takes one more here.
+   */
   private static List<String> limited(int descriptors) {
     if (descriptors == 0) {
       return List.of();
     }
     int entries = System.getProperty("java.class.path").split(java.io.File.pathSeparator).length;
-    return List.of("sh", "-c", "ulimit -n $0 && exec \"$@\"", Integer.toString(descriptors + entries));
+    return List.of(
+        "sh", "-c", "ulimit -n $0 && exec \"$@\"", Integer.toString(descriptors + entries));
   }
 
   private void awaitReady() throws InterruptedException, IOException {
@@ -114,7 +146,9 @@
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
       socket.setSoTimeout(CONNECT_MS);
-      socket.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n".getBytes());
+      socket
+          .getOutputStream()
+          .write("GET /_health HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n".getBytes());
       return new String(socket.getInputStream().readNBytes(12)).startsWith(kind.healthy());
     } catch (IOException e) {
       return false;
--- a/src/test/java/corkproxy/soak/RequestRecord.java
+++ b/src/test/java/corkproxy/soak/RequestRecord.java
@@ -1,7 +1,8 @@
 package corkproxy.soak;
 
 /**
- * What one client saw of one request. Times are nanoseconds of {@link System#nanoTime}, 0 where it did not happen.
+ * What one client saw of one request. Times are nanoseconds of {@link System#nanoTime}, 0 where it
+ * did not happen.
  *
  * @param id of the request, unique in a run
  * @param proxy index of the proxy that it was sent to
--- a/src/test/java/corkproxy/soak/SoakClient.java
+++ b/src/test/java/corkproxy/soak/SoakClient.java
@@ -10,8 +10,8 @@
 import java.util.Random;
 
 /**
- * A client of the protocol page: one request at a time, connections kept while they stay open, a request that crosses the
- * close of an idle connection sent once more on a new one.
+ * A client of the protocol page: one request at a time, connections kept while they stay open, a
+ * request that crosses the close of an idle connection sent once more on a new one.
  */
 final class SoakClient implements Runnable {
   private static final int CONNECT_MS = 3_000;
@@ -19,9 +19,16 @@
   private static final double LEAVES_SHARE = 0.5;
 
   /** How clients act. */
-  record Habits(double thinkMs, double newConnectionShare, double leaveShare, int unsafeDeadlineMs, int keyedDeadlineMs) {}
-
-  /** What a client must know of the proxy's process: the platform starts and stops the two together. */
+  record Habits(
+      double thinkMs,
+      double newConnectionShare,
+      double leaveShare,
+      int unsafeDeadlineMs,
+      int keyedDeadlineMs) {}
+
+  /**
+   * What a client must know of the proxy's process: the platform starts and stops the two together.
+   */
   interface Target {
     /** Whether a client may open a connection now. */
     boolean acceptsConnections();
@@ -76,7 +83,10 @@
     long leaveAfterMs = (long) (random.nextDouble() * LEAVES_SHARE * deadlineMs);
     boolean kept = socket != null;
     RequestRecord seen = attempt(id, unsafe, deadlineMs, leaves ? leaveAfterMs : -1, 0);
-    if (kept && seen != null && seen.outcome() == Outcome.UNANSWERED && seen.detail().startsWith("closed")) {
+    if (kept
+        && seen != null
+        && seen.outcome() == Outcome.UNANSWERED
+        && seen.detail().startsWith("closed")) {
       long resentAt = System.nanoTime();
       seen = attempt(id, unsafe, deadlineMs, -1, resentAt);
     }
@@ -86,7 +96,8 @@
   }
 
   /** One exchange; null if no connection came up, so that nothing was taken. */
-  private RequestRecord attempt(String id, boolean unsafe, int deadlineMs, long leaveAfterMs, long resentAt)
+  private RequestRecord attempt(
+      String id, boolean unsafe, int deadlineMs, long leaveAfterMs, long resentAt)
       throws InterruptedException {
     try {
       if (socket == null) {
@@ -98,13 +109,16 @@
     }
     long sentAt = 0;
     try {
-      socket.getOutputStream().write(request(id, unsafe, deadlineMs).getBytes(StandardCharsets.ISO_8859_1));
+      socket
+          .getOutputStream()
+          .write(request(id, unsafe, deadlineMs).getBytes(StandardCharsets.ISO_8859_1));
       sentAt = System.nanoTime();
       if (leaveAfterMs >= 0) {
         Thread.sleep(leaveAfterMs);
         long leftAt = System.nanoTime();
         hangUp();
-        return new RequestRecord(id, proxy, unsafe, deadlineMs, sentAt, 0, leftAt, Outcome.LEFT, resentAt, "left");
+        return new RequestRecord(
+            id, proxy, unsafe, deadlineMs, sentAt, 0, leftAt, Outcome.LEFT, resentAt, "left");
       }
       socket.setSoTimeout(deadlineMs + PAST_DEADLINE_MS);
       HttpMessage response = HttpMessage.read(socket.getInputStream(), () -> {});
@@ -119,14 +133,28 @@
     } catch (HttpMessage.CutException e) {
       return ended(id, unsafe, deadlineMs, sentAt, Outcome.CUT, resentAt, "cut: " + e.getMessage());
     } catch (SocketTimeoutException e) {
-      return ended(id, unsafe, deadlineMs, sentAt, Outcome.UNANSWERED, resentAt, "silent past its time");
+      return ended(
+          id, unsafe, deadlineMs, sentAt, Outcome.UNANSWERED, resentAt, "silent past its time");
     } catch (IOException e) {
-      return ended(id, unsafe, deadlineMs, sentAt, Outcome.UNANSWERED, resentAt, "closed: " + e.getMessage());
+      return ended(
+          id,
+          unsafe,
+          deadlineMs,
+          sentAt,
+          Outcome.UNANSWERED,
+          resentAt,
+          "closed: " + e.getMessage());
     }
   }
 
   private RequestRecord judged(
-      String id, boolean unsafe, int deadlineMs, long sentAt, long endedAt, HttpMessage response, long resentAt) {
+      String id,
+      boolean unsafe,
+      int deadlineMs,
+      long sentAt,
+      long endedAt,
+      HttpMessage response,
+      long resentAt) {
     Outcome outcome =
         switch (response.status()) {
           case 200 -> Outcome.SERVED;
@@ -134,28 +162,47 @@
           default -> Outcome.FAILED;
         };
     boolean foreign = outcome == Outcome.SERVED && !response.body().equals(id);
-    String detail = foreign ? "foreign answer: " + response.body() : Integer.toString(response.status());
-    return new RequestRecord(id, proxy, unsafe, deadlineMs, sentAt, endedAt, 0, outcome, resentAt, detail);
+    String detail =
+        foreign ? "foreign answer: " + response.body() : Integer.toString(response.status());
+    return new RequestRecord(
+        id, proxy, unsafe, deadlineMs, sentAt, endedAt, 0, outcome, resentAt, detail);
   }
 
   private RequestRecord ended(
-      String id, boolean unsafe, int deadlineMs, long sentAt, Outcome outcome, long resentAt, String detail) {
+      String id,
+      boolean unsafe,
+      int deadlineMs,
+      long sentAt,
+      Outcome outcome,
+      long resentAt,
+      String detail) {
     long now = System.nanoTime();
     hangUp();
-    return new RequestRecord(id, proxy, unsafe, deadlineMs, sentAt, now, 0, outcome, resentAt, detail);
+    return new RequestRecord(
+        id, proxy, unsafe, deadlineMs, sentAt, now, 0, outcome, resentAt, detail);
   }
 
   private static String request(String id, boolean unsafe, int deadlineMs) {
     String requestClass = unsafe ? "claim" : "log";
-    return "POST /" + requestClass + "/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + requestClass
-        + "\r\nX-Timeout-Ms: " + deadlineMs + "\r\n" + (unsafe ? "" : "Idempotency-Key: " + id + "\r\n") + "Content-Length: 0\r\n\r\n";
+    return "POST /"
+        + requestClass
+        + "/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
+        + id
+        + "\r\nX-Priority-Class: "
+        + requestClass
+        + "\r\nX-Timeout-Ms: "
+        + deadlineMs
+        + "\r\n"
+        + (unsafe ? "" : "Idempotency-Key: " + id + "\r\n")
+        + "Content-Length: 0\r\n\r\n";
   }
 
   private Socket connect() throws IOException {
     Socket fresh = new Socket();
     fresh.setTcpNoDelay(true);
     try {
-      fresh.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
+      fresh.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
     } catch (IOException e) {
       fresh.close();
       throw e;
--- a/src/test/java/corkproxy/soak/SoakJudge.java
+++ b/src/test/java/corkproxy/soak/SoakJudge.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Judges a run by the rules of the protocol page, from records that clients, servers and discovery made. It knows nothing of
- * the program.
+ * Judges a run by the rules of the protocol page, from records that clients, servers and discovery
+ * made. It knows nothing of the program.
  */
 final class SoakJudge {
   /** The rules by which a run is judged. */
@@ -40,7 +40,8 @@
 
   /**
    * @param graceMs what the settings allow after a notice of a drain
-   * @param slackMs by which each limit is longer: the protocol's 50 ms and what the recording threads may be late
+   * @param slackMs by which each limit is longer: the protocol's 50 ms and what the recording
+   *     threads may be late
    */
   SoakJudge(SoakHistory history, long graceMs, long slackMs) {
     this.history = history;
@@ -67,17 +68,23 @@
   private void judgeResponse(RequestRecord request, List<Violation> found) {
     long tookMs = (request.endedAt() - request.sentAt()) / 1_000_000;
     switch (request.outcome()) {
-      case UNANSWERED -> found.add(new Violation(Rule.LOST, request.id(), "no answer: " + request.detail()));
+      case UNANSWERED ->
+          found.add(new Violation(Rule.LOST, request.id(), "no answer: " + request.detail()));
       case SERVED, REFUSED, FAILED -> {
         if (tookMs > request.deadlineMs() + LATE_MS + slackMs) {
-          found.add(new Violation(Rule.LOST, request.id(), "answered after " + tookMs + " of " + request.deadlineMs() + " ms"));
+          found.add(
+              new Violation(
+                  Rule.LOST,
+                  request.id(),
+                  "answered after " + tookMs + " of " + request.deadlineMs() + " ms"));
         }
       }
       case CUT, LEFT -> {
         // cut short through a server's fault, as the client can tell; or nobody waits
       }
     }
-    if (request.outcome() == Outcome.SERVED && attemptsOf(request).stream().noneMatch(AttemptRecord::ran)) {
+    if (request.outcome() == Outcome.SERVED
+        && attemptsOf(request).stream().noneMatch(AttemptRecord::ran)) {
       found.add(new Violation(Rule.LOST, request.id(), "served, and no server ran it"));
     }
     if (request.detail().startsWith("foreign")) {
@@ -92,12 +99,23 @@
       judgeBegin(request, attempt, found);
       long leftMs = request.deadlineMs() - (attempt.begunAt() - request.sentAt()) / 1_000_000;
       if (request.resentAt() == 0 && attempt.toldMs() > Math.max(0, leftMs) + TOLD_MS + slackMs) {
-        found.add(new Violation(Rule.DEADLINE, request.id(), "told " + attempt.toldMs() + " ms, and " + leftMs + " were left"));
+        found.add(
+            new Violation(
+                Rule.DEADLINE,
+                request.id(),
+                "told " + attempt.toldMs() + " ms, and " + leftMs + " were left"));
       }
       long drain = history.drainNotice(request.proxy(), attempt.server());
       if (attempt.begunAt() - drain > (graceMs + slackMs) * 1_000_000) {
-        found.add(new Violation(Rule.DRAIN, request.id(), "sent to " + attempt.server() + " "
-            + (attempt.begunAt() - drain) / 1_000_000 + " ms after the notice"));
+        found.add(
+            new Violation(
+                Rule.DRAIN,
+                request.id(),
+                "sent to "
+                    + attempt.server()
+                    + " "
+                    + (attempt.begunAt() - drain) / 1_000_000
+                    + " ms after the notice"));
       }
     }
     if (request.unsafe() && ran > 1) {
@@ -112,16 +130,24 @@
     if (request.leftAt() != 0) {
       long after = (attempt.begunAt() - request.leftAt()) / 1_000_000;
       if (after > LEAVER_MS + slackMs) {
-        found.add(new Violation(Rule.LOST, request.id(), "attempt begun " + after + " ms after its client had left"));
+        found.add(
+            new Violation(
+                Rule.LOST,
+                request.id(),
+                "attempt begun " + after + " ms after its client had left"));
       }
     } else if (request.endedAt() != 0 && request.outcome() != Outcome.UNANSWERED) {
       long after = (attempt.begunAt() - request.endedAt()) / 1_000_000;
       if (after > slackMs) {
-        found.add(new Violation(Rule.LOST, request.id(), "attempt begun " + after + " ms after its answer"));
+        found.add(
+            new Violation(
+                Rule.LOST, request.id(), "attempt begun " + after + " ms after its answer"));
       }
     }
     if (request.resentAt() != 0 && attempt.begunAt() < request.resentAt()) {
-      found.add(new Violation(Rule.LOST, request.id(), "forwarded, and its connection closed without an answer"));
+      found.add(
+          new Violation(
+              Rule.LOST, request.id(), "forwarded, and its connection closed without an answer"));
     }
   }
 }
--- a/src/test/java/corkproxy/soak/SoakJudgeTest.java
+++ b/src/test/java/corkproxy/soak/SoakJudgeTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The judge finds each broken rule: in records that are made up, and in runs where something is wrong on purpose. */
+/**
+ * The judge finds each broken rule: in records that are made up, and in runs where something is
+ * wrong on purpose.
+ */
 class SoakJudgeTest {
   private static final long SECOND = 1_000_000_000L;
   private static final int DEADLINE_MS = 800;
@@ -28,14 +31,24 @@
   private final SoakHistory history = new SoakHistory();
 
   private List<Rule> broken() {
-    return new SoakJudge(history, GRACE_MS, SLACK_MS).violations().stream().map(Violation::rule).distinct().toList();
+    return new SoakJudge(history, GRACE_MS, SLACK_MS)
+        .violations().stream().map(Violation::rule).distinct().toList();
   }
 
-  private void request(Outcome outcome, double endedAfter, double leftAfter, double resentAfter, String detail) {
+  private void request(
+      Outcome outcome, double endedAfter, double leftAfter, double resentAfter, String detail) {
     history.add(
         new RequestRecord(
-            "r", 0, true, DEADLINE_MS, SECOND, SECOND + nanos(endedAfter), leftAfter == 0 ? 0 : SECOND + nanos(leftAfter), outcome,
-            resentAfter == 0 ? 0 : SECOND + nanos(resentAfter), detail));
+            "r",
+            0,
+            true,
+            DEADLINE_MS,
+            SECOND,
+            SECOND + nanos(endedAfter),
+            leftAfter == 0 ? 0 : SECOND + nanos(leftAfter),
+            outcome,
+            resentAfter == 0 ? 0 : SECOND + nanos(resentAfter),
+            detail));
   }
 
   private static long nanos(double seconds) {
@@ -47,7 +60,9 @@
   }
 
   private void attempt(double begunAfter, long toldMs, boolean ran) {
-    history.add(new AttemptRecord("r", "s0", SECOND + nanos(begunAfter), SECOND + nanos(begunAfter), toldMs, ran));
+    history.add(
+        new AttemptRecord(
+            "r", "s0", SECOND + nanos(begunAfter), SECOND + nanos(begunAfter), toldMs, ran));
   }
 
   @Test
@@ -142,7 +157,8 @@
       library = built.get();
     }
     try (SoakRun run = new SoakRun(plan, folder, library)) {
-      return new SoakJudge(run.play(), plan.graceMs(), BUSY_SLACK_MS).violations().stream().map(Violation::rule).distinct().toList();
+      return new SoakJudge(run.play(), plan.graceMs(), BUSY_SLACK_MS)
+          .violations().stream().map(Violation::rule).distinct().toList();
     }
   }
 
@@ -154,22 +170,27 @@
 
   @Test
   void aRequestThatAServerRanAndDeniedIsFoundToHaveRunTwice() throws Exception {
-    SoakPlan.Event deny = new SoakPlan.Event(100, SoakPlan.Kind.BEHAVE, 0, FakeUpstream.Behaviour.DENY.ordinal());
-    SoakPlan plan = SoakPlan.steady(32, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, deny);
+    SoakPlan.Event deny =
+        new SoakPlan.Event(100, SoakPlan.Kind.BEHAVE, 0, FakeUpstream.Behaviour.DENY.ordinal());
+    SoakPlan plan =
+        SoakPlan.steady(32, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, deny);
     assertThat(played(plan, false)).containsExactly(Rule.DUPLICATE);
   }
 
   @Test
   void aProcessThatIsNotToldOfADrainBreaksIt() throws Exception {
     SoakPlan.Event drain = new SoakPlan.Event(100, SoakPlan.Kind.DRAIN, 0, 0);
-    SoakPlan plan = SoakPlan.steady(33, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.DRAINS_NOT_TOLD, drain);
+    SoakPlan plan =
+        SoakPlan.steady(33, LENGTH_MS, List.of())
+            .sabotaged(SoakPlan.Sabotage.DRAINS_NOT_TOLD, drain);
     assertThat(played(plan, false)).containsExactly(Rule.DRAIN);
   }
 
   @Test
   void aProcessThatDiesHasCrashed() throws Exception {
     SoakPlan.Event crash = new SoakPlan.Event(LENGTH_MS / 2, SoakPlan.Kind.CRASH, 0, 0);
-    SoakPlan plan = SoakPlan.steady(34, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, crash);
+    SoakPlan plan =
+        SoakPlan.steady(34, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, crash);
     assertThat(played(plan, false)).contains(Rule.CRASH);
   }
 }
--- a/src/test/java/corkproxy/soak/SoakMain.java
+++ b/src/test/java/corkproxy/soak/SoakMain.java
@@ -4,7 +4,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Long soaks by hand: {@code SoakMain FIRST_SEED SEEDS SECONDS PROXIES}; ends with 1 if a rule was broken. */
+/**
+ * Long soaks by hand: {@code SoakMain FIRST_SEED SEEDS SECONDS PROXIES}; ends with 1 if a rule was
+ * broken.
+ */
 public final class SoakMain {
   private static final long SLACK_MS = 100;
 
@@ -25,15 +28,32 @@
       Path own = Files.createDirectories(folder.resolve("seed" + seed));
       try (SoakRun run = new SoakRun(plan, own, library)) {
         SoakHistory history = run.play();
-        List<SoakJudge.Violation> violations = new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+        List<SoakJudge.Violation> violations =
+            new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
         requests += history.requests().size();
         broken += violations.isEmpty() ? 0 : 1;
-        System.out.println("seed " + seed + ": requests " + history.requests().size() + ", faults injected " + run.injected()
-            + ", broken " + violations.size() + (violations.isEmpty() ? "" : " " + plan));
+        System.out.println(
+            "seed "
+                + seed
+                + ": requests "
+                + history.requests().size()
+                + ", faults injected "
+                + run.injected()
+                + ", broken "
+                + violations.size()
+                + (violations.isEmpty() ? "" : " " + plan));
         violations.stream().limit(5).forEach(violation -> System.out.println("    " + violation));
       }
     }
-    System.out.println("soak: seeds " + seeds + ", requests " + requests + ", seeds with a broken rule " + broken + ", in " + folder);
+    System.out.println(
+        "soak: seeds "
+            + seeds
+            + ", requests "
+            + requests
+            + ", seeds with a broken rule "
+            + broken
+            + ", in "
+            + folder);
     System.exit(broken == 0 ? 0 : 1);
   }
 }
