--- a/src/test/java/corkproxy/soak/SoakPlan.java
+++ b/src/test/java/corkproxy/soak/SoakPlan.java
@@ -6,7 +6,8 @@
 import java.util.Random;
 
 /**
- * What a run consists of: sizes, settings, faults and events, all of it drawn from a seed or stated by a test.
+ * What a run consists of: sizes, settings, faults and events, all of it drawn from a seed or stated
+ * by a test.
  *
  * @param systemCallFaults of each proxy's process
  * @param clockStep "from_ms step_ms" of the wall clock, or null
@@ -38,7 +39,10 @@
 
   /** What happens during a run. */
   enum Kind {
-    /** SIGTERM, a further signal behind it by {@code value}, SIGKILL at the earliest, and a new process. */
+    /**
+     * SIGTERM, a further signal behind it by {@code value}, SIGKILL at the earliest, and a new
+     * process.
+     */
     RESTART,
     /** SIGHUP. */
     RELOAD,
@@ -59,15 +63,28 @@
   /** Something that happens at a time (ms) to a proxy or a server. */
   record Event(long atMs, Kind kind, int target, long value) {}
 
-  /** Failures of accept(2) by its manual page: those of the connection that is passed over, and shortages. */
+  /**
+   * Failures of accept(2) by its manual page: those of the connection that is passed over, and
+   * shortages.
+   */
   static final List<String> ACCEPT_FAULTS =
       List.of(
-          "EINTR", "ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM", "ENETDOWN", "EHOSTUNREACH",
+          "EINTR",
+          "ECONNABORTED",
+          "EMFILE",
+          "ENFILE",
+          "ENOBUFS",
+          "ENOMEM",
+          "EPROTO",
+          "EPERM",
+          "ENETDOWN",
+          "EHOSTUNREACH",
           "ENETUNREACH");
 
   /** Failures of connect(2) that are no death of a server. */
   static final List<String> CONNECT_FAULTS =
-      List.of("EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ENOBUFS", "ECONNREFUSED");
+      List.of(
+          "EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ENOBUFS", "ECONNREFUSED");
 
   /** Failures of read(2) and recv(2) after which the connection is as it was. */
   static final List<String> TRANSIENT_READ_FAULTS = List.of("SHORT", "EINTR", "ENOMEM", "ENOBUFS");
@@ -76,24 +93,57 @@
   static final List<String> TRANSIENT_WRITE_FAULTS = List.of("SHORT", "EINTR", "ENOBUFS", "ENOMEM");
 
   /** Failures that end a connection to a server. */
-  static final List<String> FATAL_FAULTS = List.of("ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "EPIPE");
+  static final List<String> FATAL_FAULTS =
+      List.of("ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "EPIPE");
 
   private static final int MAX_FAULTS = 4;
   private static final int MAX_EVENTS = 8;
   private static final long QUIET_START_MS = 500;
 
-  /** A calm run of one proxy with these faults of system calls; half of all requests come on new connections. */
+  /**
+   * A calm run of one proxy with these faults of system calls; half of all requests come on new
+   * connections.
+   */
   static SoakPlan steady(long seed, long lengthMs, List<SystemCallFault> faults) {
     SoakClient.Habits habits = new SoakClient.Habits(60, 0.5, 0, 800, 1_200);
     return new SoakPlan(
-        seed, lengthMs, 1, 4, 12, 0, 512, 10, 500, 3, true, habits, faults, null, List.of(), Sabotage.NONE);
+        seed,
+        lengthMs,
+        1,
+        4,
+        12,
+        0,
+        512,
+        10,
+        500,
+        3,
+        true,
+        habits,
+        faults,
+        null,
+        List.of(),
+        Sabotage.NONE);
   }
 
   /** The same run with these events and something wrong on purpose. */
   SoakPlan sabotaged(Sabotage wrong, Event... more) {
     return new SoakPlan(
-        seed, lengthMs, proxies, upstreams, clients, stalledClients, descriptors, serviceMs, graceMs, attempts, cancel, habits,
-        systemCallFaults, clockStep, List.of(more), wrong);
+        seed,
+        lengthMs,
+        proxies,
+        upstreams,
+        clients,
+        stalledClients,
+        descriptors,
+        serviceMs,
+        graceMs,
+        attempts,
+        cancel,
+        habits,
+        systemCallFaults,
+        clockStep,
+        List.of(more),
+        wrong);
   }
 
   /** A run drawn from the seed. */
@@ -113,15 +163,30 @@
     for (int i = random.nextInt(MAX_FAULTS + 1); i > 0; i--) {
       faults.add(fault(random));
     }
-    String clock = random.nextInt(4) == 0 ? random.nextInt((int) lengthMs) + " " + clockStepMs(random) : null;
+    String clock =
+        random.nextInt(4) == 0 ? random.nextInt((int) lengthMs) + " " + clockStepMs(random) : null;
     List<Event> events = new ArrayList<>();
     for (int i = random.nextInt(MAX_EVENTS + 1); i > 0; i--) {
       events(random, lengthMs, events);
     }
     events.sort(Comparator.comparingLong(Event::atMs));
     return new SoakPlan(
-        seed, lengthMs, proxies, 4 + random.nextInt(5), clients, crowd ? 40 + random.nextInt(120) : random.nextInt(4), crowd ? 160 : 512, 5 + random.nextInt(60), 300 + random.nextInt(500),
-        1 + random.nextInt(4), random.nextBoolean(), habits, faults, clock, events, Sabotage.NONE);
+        seed,
+        lengthMs,
+        proxies,
+        4 + random.nextInt(5),
+        clients,
+        crowd ? 40 + random.nextInt(120) : random.nextInt(4),
+        crowd ? 160 : 512,
+        5 + random.nextInt(60),
+        300 + random.nextInt(500),
+        1 + random.nextInt(4),
+        random.nextBoolean(),
+        habits,
+        faults,
+        clock,
+        events,
+        Sabotage.NONE);
   }
 
   private static long clockStepMs(Random random) {
@@ -137,13 +202,20 @@
     int oneIn = 3 + random.nextInt(60);
     return switch (random.nextInt(10)) {
       case 8 -> SystemCallFault.always("poll", "upstream", "EINTR", oneIn);
-      case 9 -> SystemCallFault.always("read", "discovery", any(random, both(TRANSIENT_READ_FAULTS)), oneIn);
+      case 9 ->
+          SystemCallFault.always(
+              "read", "discovery", any(random, both(TRANSIENT_READ_FAULTS)), oneIn);
       case 0, 1 -> SystemCallFault.always("accept", "listener", any(random, ACCEPT_FAULTS), oneIn);
       case 2 -> SystemCallFault.always("connect", "upstream", any(random, CONNECT_FAULTS), oneIn);
       case 3 -> SystemCallFault.always("read", "client", any(random, TRANSIENT_READ_FAULTS), oneIn);
-      case 4 -> SystemCallFault.always("write", "client", any(random, TRANSIENT_WRITE_FAULTS), oneIn);
-      case 5 -> SystemCallFault.always("read", "upstream", any(random, both(TRANSIENT_READ_FAULTS)), 10 * oneIn);
-      case 6 -> SystemCallFault.always("write", "upstream", any(random, both(TRANSIENT_WRITE_FAULTS)), 10 * oneIn);
+      case 4 ->
+          SystemCallFault.always("write", "client", any(random, TRANSIENT_WRITE_FAULTS), oneIn);
+      case 5 ->
+          SystemCallFault.always(
+              "read", "upstream", any(random, both(TRANSIENT_READ_FAULTS)), 10 * oneIn);
+      case 6 ->
+          SystemCallFault.always(
+              "write", "upstream", any(random, both(TRANSIENT_WRITE_FAULTS)), 10 * oneIn);
       default -> SystemCallFault.always("epoll_wait", "any", "EINTR", oneIn);
     };
   }
@@ -158,7 +230,9 @@
     long at = QUIET_START_MS + random.nextInt((int) (lengthMs - QUIET_START_MS));
     int target = random.nextInt(100);
     switch (random.nextInt(8)) {
-      case 0, 1 -> events.add(new Event(Math.min(at, lengthMs / 3), Kind.RESTART, target, random.nextInt(4)));
+      case 0, 1 ->
+          events.add(
+              new Event(Math.min(at, lengthMs / 3), Kind.RESTART, target, random.nextInt(4)));
       case 2 -> events.add(new Event(at, Kind.RELOAD, target, 0));
       case 3 -> events.add(new Event(at, Kind.STOP, target, 10 + random.nextInt(140)));
       case 4, 5 -> {
--- a/src/test/java/corkproxy/soak/SoakRun.java
+++ b/src/test/java/corkproxy/soak/SoakRun.java
@@ -15,7 +15,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * One run: proxies as processes, servers and discovery, clients, and what goes wrong by a {@link SoakPlan}.
+ * One run: proxies as processes, servers and discovery, clients, and what goes wrong by a {@link
+ * SoakPlan}.
  *
  * <pre>
  *   start | faults, disruptions and signals by their times -----------------------| clients stop | judge
@@ -26,7 +27,10 @@
   /** New connections go on coming for so long (ms) after SIGTERM, by the protocol page. */
   private static final long NEW_CONNECTIONS_MS = 400;
 
-  /** SIGKILL comes so long (ms) after the longest deadline, of which no more than {@link #LONGEST_MS} counts. */
+  /**
+   * SIGKILL comes so long (ms) after the longest deadline, of which no more than {@link
+   * #LONGEST_MS} counts.
+   */
   private static final long KILL_MARGIN_MS = 700;
 
   private static final long LONGEST_MS = 3_000;
@@ -73,13 +77,16 @@
       upstreams.forEach(upstream -> discovery.set(upstream, "up"));
       Path own = Files.createDirectories(folder.resolve("proxy" + index));
       int port = freePort();
-      Path configuration = Files.writeString(own.resolve("config.json"), configuration(port, discovery));
+      Path configuration =
+          Files.writeString(own.resolve("config.json"), configuration(port, discovery));
       this.process = ProxyProcess.platform(configuration, own, port, discovery.port());
     }
 
     void start() throws IOException, InterruptedException {
       long seed = plan.seed() * 31 + index;
-      process.start(new ProxyProcess.Faults(library, plan.systemCallFaults(), seed, plan.clockStep(), plan.descriptors()));
+      process.start(
+          new ProxyProcess.Faults(
+              library, plan.systemCallFaults(), seed, plan.clockStep(), plan.descriptors()));
       accepts = true;
       ready = true;
     }
@@ -106,7 +113,8 @@
     this.folder = folder;
     this.library = library;
     for (int i = 0; i < plan.upstreams(); i++) {
-      upstreams.add(new FakeUpstream("s" + i, 0, plan.serviceMs(), history, threads, plan.seed() + i));
+      upstreams.add(
+          new FakeUpstream("s" + i, 0, plan.serviceMs(), history, threads, plan.seed() + i));
     }
     for (int i = 0; i < plan.proxies(); i++) {
       nodes.add(new Node(i));
@@ -114,8 +122,9 @@
   }
 
   /**
-   * A port for a process that listens later. It lies below those that the kernel gives out by itself: one of these could be
-   * another socket's by then, and with SO_REUSEPORT both would get connections.
+   * A port for a process that listens later. It lies below those that the kernel gives out by
+   * itself: one of these could be another socket's by then, and with SO_REUSEPORT both would get
+   * connections.
    */
   static int freePort() throws IOException {
     for (int i = 0; i < PORT_TRIES; i++) {
@@ -131,16 +140,34 @@
 
   private String configuration(int port, FakeDiscovery discovery) {
     SoakClient.Habits habits = plan.habits();
-    return "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + discovery.port()
-        + "\",\"seed\":\"" + Long.toHexString(plan.seed()) + "\",\"limits\":{\"memory_mb\":128,\"sockets\":" + plan.descriptors()
-        + "},\"known\":" + discovery.list() + ",\"settings\":{\"classes\":["
-        + "{\"name\":\"claim\",\"aim\":200,\"deadline\":" + habits.unsafeDeadlineMs() + ",\"semantics\":\"at_most_once\"},"
-        + "{\"name\":\"log\",\"aim\":200,\"deadline\":" + habits.keyedDeadlineMs() + ",\"semantics\":\"deduplicated\","
+    return "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
+        + port
+        + "\",\"discovery\":\"127.0.0.1:"
+        + discovery.port()
+        + "\",\"seed\":\""
+        + Long.toHexString(plan.seed())
+        + "\",\"limits\":{\"memory_mb\":128,\"sockets\":"
+        + plan.descriptors()
+        + "},\"known\":"
+        + discovery.list()
+        + ",\"settings\":{\"classes\":["
+        + "{\"name\":\"claim\",\"aim\":200,\"deadline\":"
+        + habits.unsafeDeadlineMs()
+        + ",\"semantics\":\"at_most_once\"},"
+        + "{\"name\":\"log\",\"aim\":200,\"deadline\":"
+        + habits.keyedDeadlineMs()
+        + ",\"semantics\":\"deduplicated\","
         + "\"keyScope\":\"cell\",\"repeatWindow\":500}],"
-        + "\"limits\":{\"cancel\":" + plan.cancel() + ",\"retryAfter\":true,\"parallelTries\":true,\"maxAttempts\":" + plan.attempts()
+        + "\"limits\":{\"cancel\":"
+        + plan.cancel()
+        + ",\"retryAfter\":true,\"parallelTries\":true,\"maxAttempts\":"
+        + plan.attempts()
         + ",\"peers\":false,\"connIdle\":5000,\"connectTimeout\":200},"
         + "\"rules\":{\"cold\":1000,\"startCapacity\":0.5,\"fall\":1000,\"fallMultiple\":3,\"askWithin\":6000,\"drainGrace\":"
-        + plan.graceMs() + "},\"report\":{\"how\":\"answers\"},\"balancers\":" + plan.proxies() + "}}";
+        + plan.graceMs()
+        + "},\"report\":{\"how\":\"answers\"},\"balancers\":"
+        + plan.proxies()
+        + "}}";
   }
 
   /** Plays the plan to its end; what was recorded. */
@@ -163,7 +190,8 @@
       node.restarts.lock(); // one that has begun goes on to its end
       node.restarts.unlock();
       if (!node.process.alive()) {
-        history.crashed("proxy " + node.index + " ended by itself: " + Files.readString(node.process.log()));
+        history.crashed(
+            "proxy " + node.index + " ended by itself: " + Files.readString(node.process.log()));
       }
     }
     return history;
@@ -183,8 +211,16 @@
     for (Node node : nodes) {
       for (int i = 0; i < plan.clients(); i++) {
         String name = "p" + node.index + "c" + i;
-        Thread client = new Thread(
-            new SoakClient(name, node.index, plan.habits(), node, history, plan.seed() * 1_000 + node.index * 100L + i), name);
+        Thread client =
+            new Thread(
+                new SoakClient(
+                    name,
+                    node.index,
+                    plan.habits(),
+                    node,
+                    history,
+                    plan.seed() * 1_000 + node.index * 100L + i),
+                name);
         client.setDaemon(true);
         client.start();
         clients.add(client);
@@ -213,9 +249,10 @@
         }
       }
       case STOP -> pause(node, event.value());
-      case BEHAVE -> upstreams
-          .get(event.target() % upstreams.size())
-          .behave(FakeUpstream.Behaviour.values()[(int) event.value()]);
+      case BEHAVE ->
+          upstreams
+              .get(event.target() % upstreams.size())
+              .behave(FakeUpstream.Behaviour.values()[(int) event.value()]);
       case DRAIN -> {
         FakeUpstream leaving = upstreams.get(event.target() % upstreams.size());
         nodes.forEach(each -> drain(each, leaving));
@@ -241,8 +278,9 @@
   }
 
   /**
-   * SIGTERM, SIGKILL at the earliest that the page allows, and the next process at the same address. One restart of a proxy
-   * follows the other. {@code further} is a signal behind the first: 1 SIGTERM again, 2 SIGHUP, 3 a stop of 0.1 s.
+   * SIGTERM, SIGKILL at the earliest that the page allows, and the next process at the same
+   * address. One restart of a proxy follows the other. {@code further} is a signal behind the
+   * first: 1 SIGTERM again, 2 SIGHUP, 3 a stop of 0.1 s.
    */
   private void restart(Node node, long further) {
     node.restarts.lock();
@@ -251,7 +289,8 @@
         return;
       }
       SoakClient.Habits habits = plan.habits();
-      long longest = Math.min(LONGEST_MS, Math.max(habits.unsafeDeadlineMs(), habits.keyedDeadlineMs()));
+      long longest =
+          Math.min(LONGEST_MS, Math.max(habits.unsafeDeadlineMs(), habits.keyedDeadlineMs()));
       long killAt = System.nanoTime() + (longest + KILL_MARGIN_MS) * 1_000_000;
       long newUntil = System.nanoTime() + NEW_CONNECTIONS_MS * 1_000_000;
       node.process.signal("TERM");
--- a/src/test/java/corkproxy/soak/StalledClient.java
+++ b/src/test/java/corkproxy/soak/StalledClient.java
@@ -7,7 +7,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 
-/** A client that connects, sends nothing or half of a request, and stays until it is ended; one connection after the other. */
+/**
+ * A client that connects, sends nothing or half of a request, and stays until it is ended; one
+ * connection after the other.
+ */
 final class StalledClient implements Runnable {
   private static final int CONNECT_MS = 1_000;
   private static final int STAYS_MS = 4_000;
@@ -37,10 +40,15 @@
 
   private void stall() {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
+      socket.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
       socket.setSoTimeout(STAYS_MS);
       if (random.nextBoolean()) {
-        socket.getOutputStream().write("POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Re".getBytes(StandardCharsets.ISO_8859_1));
+        socket
+            .getOutputStream()
+            .write(
+                "POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Re"
+                    .getBytes(StandardCharsets.ISO_8859_1));
       }
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
--- a/src/test/java/corkproxy/soak/SystemCallFault.java
+++ b/src/test/java/corkproxy/soak/SystemCallFault.java
@@ -1,7 +1,8 @@
 package corkproxy.soak;
 
 /**
- * One rule of the preload library: calls of a kind on sockets of a role fail in one way, one in so many.
+ * One rule of the preload library: calls of a kind on sockets of a role fail in one way, one in so
+ * many.
  *
  * @param call of the kernel: accept, socket, connect, read, write, poll, epoll_wait
  * @param role of the socket: listener, client, upstream, discovery, any
--- a/src/test/java/corkproxy/soak/SystemCallFaultsTest.java
+++ b/src/test/java/corkproxy/soak/SystemCallFaultsTest.java
@@ -14,22 +14,41 @@
 /** The platform's process under system calls that fail as Linux documents, one kind at a time. */
 class SystemCallFaultsTest {
   private static final long LENGTH_MS = 4_000;
+
   /** The page's slack, and what the threads of this process may be late on a busy machine. */
   private static final long SLACK_MS = 250;
+
   private static final int LEAST_REQUESTS = 200;
 
   @TempDir Path folder;
 
-  private void everyRequestIsAnswered(String call, String role, List<String> faults, int oneIn) throws Exception {
+  private void everyRequestIsAnswered(String call, String role, List<String> faults, int oneIn)
+      throws Exception {
     Optional<Path> library = PreloadLibrary.build(folder);
     Assumptions.assumeTrue(library.isPresent(), "a C compiler");
-    List<SystemCallFault> rules = faults.stream().map(fault -> SystemCallFault.always(call, role, fault, oneIn * faults.size())).toList();
+    List<SystemCallFault> rules =
+        faults.stream()
+            .map(fault -> SystemCallFault.always(call, role, fault, oneIn * faults.size()))
+            .toList();
     SoakPlan plan = SoakPlan.steady(11, LENGTH_MS, rules);
     try (SoakRun run = new SoakRun(plan, folder, library.get())) {
       SoakHistory history = run.play();
-      List<SoakJudge.Violation> violations = new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
-      System.out.println(call + " " + role + " " + faults + " one in " + oneIn + ": requests " + history.requests().size()
-          + ", faults injected " + run.injected() + ", broken " + violations.size());
+      List<SoakJudge.Violation> violations =
+          new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+      System.out.println(
+          call
+              + " "
+              + role
+              + " "
+              + faults
+              + " one in "
+              + oneIn
+              + ": requests "
+              + history.requests().size()
+              + ", faults injected "
+              + run.injected()
+              + ", broken "
+              + violations.size());
       assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
       assertThat(reached(run)).containsAll(faults);
       assertThat(violations).isEmpty();
--- a/src/test/java/corkproxy/soak/package-info.java
+++ b/src/test/java/corkproxy/soak/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Real proxy processes over loopback under faults of the operating system, of servers, of discovery and of signals.
+ * Real proxy processes over loopback under faults of the operating system, of servers, of discovery
+ * and of signals.
  *
- * <p>Start reading at {@link corkproxy.soak.SoakRun}. {@link corkproxy.soak.SoakJudge} decides from what clients, servers
- * and discovery recorded; nothing here reads state of the program under test.
+ * <p>Start reading at {@link corkproxy.soak.SoakRun}. {@link corkproxy.soak.SoakJudge} decides from
+ * what clients, servers and discovery recorded; nothing here reads state of the program under test.
  */
 package corkproxy.soak;
--- a/src/test/java/corkproxy/standin/FleetProcessesTest.java
+++ b/src/test/java/corkproxy/standin/FleetProcessesTest.java
@@ -24,13 +24,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three keepers and four daemons as processes, one of each kind allowed out, and faults between them. */
+/**
+ * Three keepers and four daemons as processes, one of each kind allowed out, and faults between
+ * them.
+ */
 class FleetProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long PATIENCE_MS = 20_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
-  @TempDir(factory = MemoryFolder.class) private static Path folder;
+  @TempDir(factory = MemoryFolder.class)
+  private static Path folder;
+
   private static FaultRun rig;
 
   @BeforeAll
@@ -44,7 +49,9 @@
     rig.close();
   }
 
-  /** Links first: a test that failed while one was cut must not leave the next one without keepers. */
+  /**
+   * Links first: a test that failed while one was cut must not leave the next one without keepers.
+   */
   @AfterEach
   void giveBack() throws Exception {
     rig.mend();
@@ -70,7 +77,10 @@
     return rig.operator().change(drainOf(kind, name), id(), 0, PATIENCE_MS);
   }
 
-  /** Asks until it is granted: after a change of leaders a proxy may be lost for a moment, and a refusal is right. */
+  /**
+   * Asks until it is granted: after a change of leaders a proxy may be lost for a moment, and a
+   * refusal is right.
+   */
   private static JsonNode granted(String kind, String name) throws InterruptedException {
     JsonNode[] o = new JsonNode[1];
     await(() -> word(o[0] = drain(kind, name)).equals("granted"), () -> "last answer " + o[0]);
@@ -78,7 +88,8 @@
   }
 
   private static JsonNode undo(String permit) {
-    return rig.operator().change(Operator.entry("undo").put("permit", permit), id(), 0, PATIENCE_MS);
+    return rig.operator()
+        .change(Operator.entry("undo").put("permit", permit), id(), 0, PATIENCE_MS);
   }
 
   private static String word(JsonNode o) {
@@ -92,7 +103,9 @@
   private static void await(BooleanSupplier c, Supplier<String> seen) throws InterruptedException {
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
     while (!c.getAsBoolean()) {
-      assertThat(System.nanoTime()).as(() -> "within " + PATIENCE_MS + " ms " + seen.get()).isLessThan(until);
+      assertThat(System.nanoTime())
+          .as(() -> "within " + PATIENCE_MS + " ms " + seen.get())
+          .isLessThan(until);
       Thread.sleep(20);
     }
   }
@@ -112,8 +125,13 @@
       s.connect(rig.front(proxy), 2_000);
       s.setSoTimeout(5_000);
       s.getOutputStream()
-          .write(("GET /list HTTP/1.1\r\nHost: t\r\nX-Request-ID: " + id + "\r\nConnection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      return Integer.parseInt(new String(s.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).substring(9));
+          .write(
+              ("GET /list HTTP/1.1\r\nHost: t\r\nX-Request-ID: "
+                      + id
+                      + "\r\nConnection: close\r\n\r\n")
+                  .getBytes(StandardCharsets.US_ASCII));
+      return Integer.parseInt(
+          new String(s.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).substring(9));
     } catch (IOException e) {
       return 0;
     }
@@ -156,7 +174,8 @@
     String leader = rig.leader();
     String id = id();
     CompletableFuture<JsonNode> first =
-        CompletableFuture.supplyAsync(() -> rig.operatorAt(leader).change(drainOf("host", "h1"), id, 0, 1_000));
+        CompletableFuture.supplyAsync(
+            () -> rig.operatorAt(leader).change(drainOf("host", "h1"), id, 0, 1_000));
     rig.keeper(leader).kill();
     first.get();
     JsonNode again = rig.operator().change(drainOf("host", "h1"), id, 0, PATIENCE_MS);
@@ -176,12 +195,16 @@
     granted("proxy", "p4");
     rig.mend();
     await(() -> rig.saysNo("p4"));
-    // What the cut-off leader had in its log and nobody confirmed is not there afterwards, or was refused.
+    // What the cut-off leader had in its log and nobody confirmed is not there afterwards, or was
+    // refused.
     assertThat(rig.serves("p3")).isTrue();
     assertThat(status().path("permits")).hasSize(1);
   }
 
-  /** Asked before they notice that their leader is cut off: what they ask it for then must not hold up the one that leads next. */
+  /**
+   * Asked before they notice that their leader is cut off: what they ask it for then must not hold
+   * up the one that leads next.
+   */
   @Test
   void whoWasAskedAsAFollowerOfACutOffLeaderAnswersOnceItLeads() throws Exception {
     String cut = rig.leader();
@@ -190,20 +213,28 @@
     List<CompletableFuture<JsonNode>> asked = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       for (String k : others) {
-        asked.add(CompletableFuture.supplyAsync(() -> rig.operatorAt(k).ask(MAPPER.createObjectNode().put("op", "status"), 0, 100), CROWD));
+        asked.add(
+            CompletableFuture.supplyAsync(
+                () -> rig.operatorAt(k).ask(MAPPER.createObjectNode().put("op", "status"), 0, 100),
+                CROWD));
       }
       Thread.sleep(20);
     }
     asked.forEach(CompletableFuture::join);
     String[] leads = new String[1];
-    await(() -> {
-      for (String k : others) {
-        JsonNode h = health(k);
-        leads[0] = h != null && h.path("role").asText().equals("leader") ? k : leads[0];
-      }
-      return leads[0] != null;
-    });
-    assertThat(rig.operatorAt(leads[0]).ask(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS)).as("%s leads, %s is cut off", leads[0], cut).isNotNull();
+    await(
+        () -> {
+          for (String k : others) {
+            JsonNode h = health(k);
+            leads[0] = h != null && h.path("role").asText().equals("leader") ? k : leads[0];
+          }
+          return leads[0] != null;
+        });
+    assertThat(
+            rig.operatorAt(leads[0])
+                .ask(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS))
+        .as("%s leads, %s is cut off", leads[0], cut)
+        .isNotNull();
     granted("proxy", "p4");
   }
 
@@ -211,7 +242,8 @@
   @Test
   void onlyTheKeeperThatLeadsConfirmsAnything() throws Exception {
     String leader = rig.leader();
-    ObjectNode renew = MAPPER.createObjectNode().put("op", "renew").put("name", "p1").put("session", 1);
+    ObjectNode renew =
+        MAPPER.createObjectNode().put("op", "renew").put("name", "p1").put("session", 1);
     for (String k : List.of("k1", "k2", "k3")) {
       for (ObjectNode q : List.of(MAPPER.createObjectNode().put("op", "status"), renew)) {
         JsonNode o = Operator.once(rig.keeperApi(k), q.put("id", 1).put("fleet", rig.fleet()));
@@ -228,7 +260,9 @@
     assertThat(word(granted)).isEqualTo("granted");
     undo(granted.path("permit").asText());
     await(() -> out("proxies", "p1").startsWith("lost"));
-    assertThat(word(drain("proxy", "p2"))).as("who is lost uses the budget up").isEqualTo("refused");
+    assertThat(word(drain("proxy", "p2")))
+        .as("who is lost uses the budget up")
+        .isEqualTo("refused");
     Set<Boolean> seen = new TreeSet<>();
     rig.proxy("p1").resume();
     long until = System.nanoTime() + 3_000_000_000L;
@@ -286,8 +320,13 @@
     String permit = granted.path("permit").asText();
     await(
         () ->
-            rig.operator().ask(MAPPER.createObjectNode().put("op", "permit").put("permit", permit), 0, PATIENCE_MS)
-                .path("carried_out").asBoolean());
+            rig.operator()
+                .ask(
+                    MAPPER.createObjectNode().put("op", "permit").put("permit", permit),
+                    0,
+                    PATIENCE_MS)
+                .path("carried_out")
+                .asBoolean());
     rig.proxy("p3").kill();
     rig.proxy("p3").start();
     await(() -> !rig.serves("p3"));
@@ -297,11 +336,13 @@
       assertThat(request("p" + (1 + i % 2), "beside-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger().visit((id, runs) -> {
-      if (id.startsWith("after-") || id.startsWith("beside-")) {
-        runs.forEach(r -> at.add(r.host()));
-      }
-    });
+    rig.ledger()
+        .visit(
+            (id, runs) -> {
+              if (id.startsWith("after-") || id.startsWith("beside-")) {
+                runs.forEach(r -> at.add(r.host()));
+              }
+            });
     assertThat(at).doesNotContain("h1").hasSize(3);
   }
 
@@ -312,7 +353,10 @@
       int n = i;
       asked.add(
           CompletableFuture.supplyAsync(
-              () -> word(rig.operator().change(drainOf("host", "h" + (1 + n % 4)), id(), n, PATIENCE_MS))));
+              () ->
+                  word(
+                      rig.operator()
+                          .change(drainOf("host", "h" + (1 + n % 4)), id(), n, PATIENCE_MS))));
     }
     int granted = 0;
     for (CompletableFuture<String> f : asked) {
@@ -331,7 +375,10 @@
     }
     for (String k : List.of("k1", "k2", "k3")) {
       try (var all = Files.walk(folder.resolve(k))) {
-        assertThat(all.anyMatch(f -> f.getFileName().toString().matches("snapshot\\.[0-9]+_[0-9]+"))).as(k).isTrue();
+        assertThat(
+                all.anyMatch(f -> f.getFileName().toString().matches("snapshot\\.[0-9]+_[0-9]+")))
+            .as(k)
+            .isTrue();
       }
       rig.keeper(k).kill();
     }
@@ -344,15 +391,20 @@
 
   @Test
   void aHaltStopsGrantsUntilResumed() {
-    assertThat(word(rig.operator().change(Operator.entry("halt"), id(), 1, PATIENCE_MS))).isEqualTo("done");
+    assertThat(word(rig.operator().change(Operator.entry("halt"), id(), 1, PATIENCE_MS)))
+        .isEqualTo("done");
     assertThat(word(drain("host", "h3"))).isEqualTo("halted");
-    assertThat(word(rig.operator().change(Operator.entry("resume"), id(), 2, PATIENCE_MS))).isEqualTo("done");
+    assertThat(word(rig.operator().change(Operator.entry("resume"), id(), 2, PATIENCE_MS)))
+        .isEqualTo("done");
     assertThat(word(drain("host", "h3"))).isEqualTo("granted");
   }
 
   private static long expired() {
     long n = 0;
-    for (JsonNode h : rig.operator().ask(MAPPER.createObjectNode().put("op", "status").put("history", true), 0, PATIENCE_MS).path("history")) {
+    for (JsonNode h :
+        rig.operator()
+            .ask(MAPPER.createObjectNode().put("op", "status").put("history", true), 0, PATIENCE_MS)
+            .path("history")) {
       n += h.path("op").asText().equals("expire") ? 1 : 0;
     }
     return n;
@@ -391,7 +443,8 @@
 
   @Test
   void aPermitRunsOutWhileItsHolderIsCutOffAndNobodyElseGoesOutMeanwhile() throws Exception {
-    JsonNode granted = rig.operator().change(drainOf("proxy", "p1").put("for_ms", 2_000), id(), 0, PATIENCE_MS);
+    JsonNode granted =
+        rig.operator().change(drainOf("proxy", "p1").put("for_ms", 2_000), id(), 0, PATIENCE_MS);
     assertThat(word(granted)).as("%s", granted).isEqualTo("granted");
     await(() -> rig.saysNo("p1"));
     for (String k : List.of("k1", "k2", "k3")) {
@@ -409,7 +462,12 @@
   @Test
   void aSecondProcessOfANameDoesNotServeWhileTheFirstLives() throws Exception {
     String file = Files.readString(folder.resolve("p1.toml"));
-    Path second = Files.writeString(folder.resolve("p1-second.toml"), file.replaceFirst("(?s)\\[listener.main]\naddress = \"[^\"]*\"", "[listener.main]\naddress = \"127.0.0.1:0\""));
+    Path second =
+        Files.writeString(
+            folder.resolve("p1-second.toml"),
+            file.replaceFirst(
+                "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
+                "[listener.main]\naddress = \"127.0.0.1:0\""));
     Path log = folder.resolve("p1-second.log");
     List<String> command = Child.program(64, "daemon", "--config", second.toString());
     try (Child c = new Child("p1-second", command, command, log)) {
@@ -430,7 +488,10 @@
     rig.keeper(torn).kill();
     Path log;
     try (var all = Files.walk(folder.resolve(torn))) {
-      log = all.filter(f -> f.getFileName().toString().startsWith("log_inprogress")).findFirst().orElseThrow();
+      log =
+          all.filter(f -> f.getFileName().toString().startsWith("log_inprogress"))
+              .findFirst()
+              .orElseThrow();
     }
     byte[] bytes = Files.readAllBytes(log);
     int end = bytes.length;
@@ -439,16 +500,22 @@
     }
     Files.write(log, java.util.Arrays.copyOf(bytes, end - 3));
     rig.keeper(torn).start();
-    await(() -> {
-      JsonNode h = rig.operatorAt(torn).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
-      JsonNode l = rig.operator().ask(MAPPER.createObjectNode().put("op", "status"), 0, 500);
-      return h != null && l != null && h.path("applied").asLong() > 0 && !h.path("leader").asText().isEmpty();
-    });
+    await(
+        () -> {
+          JsonNode h =
+              rig.operatorAt(torn).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
+          JsonNode l = rig.operator().ask(MAPPER.createObjectNode().put("op", "status"), 0, 500);
+          return h != null
+              && l != null
+              && h.path("applied").asLong() > 0
+              && !h.path("leader").asText().isEmpty();
+        });
     assertThat(status().path("permits")).hasSize(1);
   }
 
   private static JsonNode permit(String id) {
-    return rig.operator().ask(MAPPER.createObjectNode().put("op", "permit").put("permit", id), 0, PATIENCE_MS);
+    return rig.operator()
+        .ask(MAPPER.createObjectNode().put("op", "permit").put("permit", id), 0, PATIENCE_MS);
   }
 
   @Test
@@ -465,11 +532,13 @@
       assertThat(request("p2", "woken-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger().visit((request, runs) -> {
-      if (request.startsWith("woken-")) {
-        runs.forEach(r -> at.add(r.host()));
-      }
-    });
+    rig.ledger()
+        .visit(
+            (request, runs) -> {
+              if (request.startsWith("woken-")) {
+                runs.forEach(r -> at.add(r.host()));
+              }
+            });
     assertThat(at).doesNotContain("h3").hasSize(3);
   }
 
@@ -478,37 +547,46 @@
     List<String> half = List.of("p1", "p2");
     half.forEach(p -> rig.link(p, "h4").refuse(true));
     AtomicInteger n = new AtomicInteger();
-    await(() -> {
-      crowd(half, "half-" + n.incrementAndGet());
-      return out("hosts", "h4").startsWith("ejected by 2");
-    });
+    await(
+        () -> {
+          crowd(half, "half-" + n.incrementAndGet());
+          return out("hosts", "h4").startsWith("ejected by 2");
+        });
     JsonNode no = drain("host", "h1");
     assertThat(word(no)).isEqualTo("refused");
     assertThat(no.path("why").toString()).contains("h4 (ejected by 2)");
     rig.mend();
-    await(() -> {
-      crowd(half, "whole-" + n.incrementAndGet());
-      return out("hosts", "h4").equals("null") || out("hosts", "h4").isEmpty();
-    });
+    await(
+        () -> {
+          crowd(half, "whole-" + n.incrementAndGet());
+          return out("hosts", "h4").equals("null") || out("hosts", "h4").isEmpty();
+        });
     assertThat(word(drain("host", "h1"))).isEqualTo("granted");
   }
 
-  /** Eight requests at once at each: while others have some in flight, a host without any is chosen. */
+  /**
+   * Eight requests at once at each: while others have some in flight, a host without any is chosen.
+   */
   private static void crowd(List<String> proxies, String id) {
     List<CompletableFuture<Integer>> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       int n = i;
-      proxies.forEach(p -> all.add(CompletableFuture.supplyAsync(() -> request(p, id + "-" + p + "-" + n), CROWD)));
+      proxies.forEach(
+          p ->
+              all.add(
+                  CompletableFuture.supplyAsync(() -> request(p, id + "-" + p + "-" + n), CROWD)));
     }
     all.forEach(CompletableFuture::join);
   }
 
   private static final java.util.concurrent.ExecutorService CROWD =
-      java.util.concurrent.Executors.newFixedThreadPool(16, r -> {
-        Thread t = new Thread(r, "crowd");
-        t.setDaemon(true);
-        return t;
-      });
+      java.util.concurrent.Executors.newFixedThreadPool(
+          16,
+          r -> {
+            Thread t = new Thread(r, "crowd");
+            t.setDaemon(true);
+            return t;
+          });
 
   private static JsonNode health(String keeper) {
     return rig.operatorAt(keeper).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
@@ -522,11 +600,15 @@
     await(() -> health(full) != null && health(full).path("applied").asLong() > 0);
     String much = "x".repeat(60_000);
     for (int i = 0; i < 12; i++) {
-      JsonNode o = rig.operator().change(drainOf("host", "none-" + i).put("pad", much), id(), i, PATIENCE_MS);
+      JsonNode o =
+          rig.operator()
+              .change(drainOf("host", "none-" + i).put("pad", much), id(), i, PATIENCE_MS);
       assertThat(word(o)).isEqualTo("unknown");
     }
     granted("host", "h1");
-    assertThat(read(folder.resolve(full + ".log"))).as("its log tells of it").contains("File too large");
+    assertThat(read(folder.resolve(full + ".log")))
+        .as("its log tells of it")
+        .contains("File too large");
     rig.keeper(full).kill();
     rig.keeper(full).start();
     long applied = health(rig.leader()).path("applied").asLong();
@@ -545,11 +627,13 @@
       assertThat(request("p2", "middle-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger().visit((request, runs) -> {
-      if (request.startsWith("middle-")) {
-        runs.forEach(r -> at.add(r.host()));
-      }
-    });
+    rig.ledger()
+        .visit(
+            (request, runs) -> {
+              if (request.startsWith("middle-")) {
+                runs.forEach(r -> at.add(r.host()));
+              }
+            });
     assertThat(at).doesNotContain("h1").isNotEmpty();
   }
 
@@ -563,7 +647,14 @@
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i), 120, 0, 3, 16, 1, List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)), "cold" + i + "-"),
+                  rig.front("p" + i),
+                  120,
+                  0,
+                  3,
+                  16,
+                  1,
+                  List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)),
+                  "cold" + i + "-"),
               d -> {}));
     }
     loads.forEach(LoadGenerator::start);
--- a/src/test/java/corkproxy/standin/ReleaseProcessesTest.java
+++ b/src/test/java/corkproxy/standin/ReleaseProcessesTest.java
@@ -24,15 +24,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Releases over three keepers and four daemons as processes, one of each kind allowed out, driven by processes, with faults between
- * them. What was done is told by the supervisor that did it, who was out by probes.
+ * Releases over three keepers and four daemons as processes, one of each kind allowed out, driven
+ * by processes, with faults between them. What was done is told by the supervisor that did it, who
+ * was out by probes.
  */
 class ReleaseProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long PATIENCE_MS = 40_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
-  @TempDir(factory = MemoryFolder.class) private static Path folder;
+  @TempDir(factory = MemoryFolder.class)
+  private static Path folder;
+
   private static FaultRun rig;
   private final List<Child> drivers = new ArrayList<>();
 
@@ -82,7 +85,9 @@
   private static void await(String what, BooleanSupplier c) throws InterruptedException {
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
     while (!c.getAsBoolean()) {
-      assertThat(System.nanoTime()).as("within " + PATIENCE_MS + " ms: " + what + "; " + said()).isLessThan(until);
+      assertThat(System.nanoTime())
+          .as("within " + PATIENCE_MS + " ms: " + what + "; " + said())
+          .isLessThan(until);
       Thread.sleep(20);
     }
   }
@@ -90,9 +95,13 @@
   private static String said() {
     try (var logs = Files.list(folder)) {
       StringBuilder s = new StringBuilder();
-      for (Path log : logs.filter(f -> f.getFileName().toString().matches("d[0-9]+\\.log")).sorted().toList()) {
+      for (Path log :
+          logs.filter(f -> f.getFileName().toString().matches("d[0-9]+\\.log")).sorted().toList()) {
         List<String> lines = Files.readAllLines(log);
-        s.append('\n').append(log.getFileName()).append(": ").append(lines.subList(Math.max(0, lines.size() - 8), lines.size()));
+        s.append('\n')
+            .append(log.getFileName())
+            .append(": ")
+            .append(lines.subList(Math.max(0, lines.size() - 8), lines.size()));
       }
       return s.toString();
     } catch (IOException e) {
@@ -101,7 +110,12 @@
   }
 
   private static JsonNode change(String op, String release) {
-    return rig.operator().change(Operator.entry(op).put("release", release), "r-call-" + IDS.incrementAndGet(), 0, 20_000);
+    return rig.operator()
+        .change(
+            Operator.entry(op).put("release", release),
+            "r-call-" + IDS.incrementAndGet(),
+            0,
+            20_000);
   }
 
   private static String word(JsonNode o) {
@@ -115,13 +129,25 @@
   /** A release of these, which all must be of one version, to the next; its name. */
   private static String begin(String of, String... targets) {
     String name = "r" + IDS.incrementAndGet();
-    ObjectNode plan = rig.plan(name, of, rig.version(targets[0]), "v" + IDS.incrementAndGet(), List.of(List.of(targets)));
+    ObjectNode plan =
+        rig.plan(
+            name,
+            of,
+            rig.version(targets[0]),
+            "v" + IDS.incrementAndGet(),
+            List.of(List.of(targets)));
     begin(plan);
     return name;
   }
 
   private static void begin(ObjectNode plan) {
-    JsonNode o = rig.operator().change(Operator.entry("release_start").set("plan", plan), "r-call-" + IDS.incrementAndGet(), 0, 20_000);
+    JsonNode o =
+        rig.operator()
+            .change(
+                Operator.entry("release_start").set("plan", plan),
+                "r-call-" + IDS.incrementAndGet(),
+                0,
+                20_000);
     assertThat(word(o)).as(String.valueOf(o)).isEqualTo("done");
   }
 
@@ -139,7 +165,9 @@
     for (Supervisor.Deed d : deeds.subList(from, deeds.size())) {
       if (d.verb().equals("command") && !d.refused() && List.of(targets).contains(d.target())) {
         n++;
-        assertThat(seen.add(d.action() + "/" + d.version())).as("action " + d + " a second time, of " + deeds).isTrue();
+        assertThat(seen.add(d.action() + "/" + d.version()))
+            .as("action " + d + " a second time, of " + deeds)
+            .isTrue();
       }
     }
     return n;
@@ -175,20 +203,26 @@
     String r = begin("host", "h1", "h2");
     AtomicInteger killed = new AtomicInteger();
     Child[] now = {drive(r)};
-    rig.supervisor().hook((before, deed) -> {
-      // Before the first command is carried out, and right after the second one, with no answer given.
-      if (deed.verb().equals("command") && (before && killed.get() == 0 || !before && killed.get() == 1 && deed.target().equals("h2"))) {
-        killed.incrementAndGet();
-        now[0].kill();
-        CompletableFuture.runAsync(() -> {
-          try {
-            now[0] = drive(r);
-          } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
-          }
-        });
-      }
-    });
+    rig.supervisor()
+        .hook(
+            (before, deed) -> {
+              // Before the first command is carried out, and right after the second one, with no
+              // answer given.
+              if (deed.verb().equals("command")
+                  && (before && killed.get() == 0
+                      || !before && killed.get() == 1 && deed.target().equals("h2"))) {
+                killed.incrementAndGet();
+                now[0].kill();
+                CompletableFuture.runAsync(
+                    () -> {
+                      try {
+                        now[0] = drive(r);
+                      } catch (IOException e) {
+                        throw new java.io.UncheckedIOException(e);
+                      }
+                    });
+              }
+            });
     await("done", () -> state(r).equals("done"));
     assertThat(killed.get()).isEqualTo(2);
     assertThat(onceEach(from, "h1", "h2")).isBetween(2, 3);
@@ -196,18 +230,22 @@
   }
 
   @Test
-  void aDriverStoppedInTheMiddleOfAnActionForLongerThanItsLeaseIsTurnedAwayByItsFence() throws Exception {
+  void aDriverStoppedInTheMiddleOfAnActionForLongerThanItsLeaseIsTurnedAwayByItsFence()
+      throws Exception {
     String r = begin("host", "h3", "h4");
     Child slow = drive(r);
     CompletableFuture<Supervisor.Deed> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
-    rig.supervisor().hook((before, deed) -> {
-      // Its command is on its way and is held up, and the driver stands still, until another one has the lead.
-      if (before && deed.verb().equals("command") && held.complete(deed)) {
-        slow.stop();
-        go.join();
-      }
-    });
+    rig.supervisor()
+        .hook(
+            (before, deed) -> {
+              // Its command is on its way and is held up, and the driver stands still, until
+              // another one has the lead.
+              if (before && deed.verb().equals("command") && held.complete(deed)) {
+                slow.stop();
+                go.join();
+              }
+            });
     long fence = held.get().fence();
     drive(r);
     await("another drives", () -> rig.release(r).path("fence").asLong() > fence);
@@ -215,7 +253,13 @@
     go.complete(null);
     slow.resume();
     await("done", () -> state(r).equals("done"));
-    assertThat(rig.supervisor().deeds().stream().filter(d -> d.fence() == fence && d.target().equals(held.join().target()) && d.verb().equals("command")))
+    assertThat(
+            rig.supervisor().deeds().stream()
+                .filter(
+                    d ->
+                        d.fence() == fence
+                            && d.target().equals(held.join().target())
+                            && d.verb().equals("command")))
         .isNotEmpty()
         .allMatch(Supervisor.Deed::refused);
   }
@@ -225,25 +269,33 @@
     String before = rig.version("p1");
     String r = begin("proxy", "p1", "p2", "p3");
     CompletableFuture<Void> second = new CompletableFuture<>();
-    rig.supervisor().hook((b, deed) -> {
-      if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
-        second.complete(null);
-      }
-    });
+    rig.supervisor()
+        .hook(
+            (b, deed) -> {
+              if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
+                second.complete(null);
+              }
+            });
     drive(r);
     second.join();
     assertThat(word(change("release_halt", r))).isEqualTo("done");
     int then = deeds();
-    await("what was under way has ended", () -> {
-      for (JsonNode t : rig.release(r).path("targets")) {
-        if (!t.path("phase").asText().equals("in")) {
-          return false;
-        }
-      }
-      return true;
-    });
+    await(
+        "what was under way has ended",
+        () -> {
+          for (JsonNode t : rig.release(r).path("targets")) {
+            if (!t.path("phase").asText().equals("in")) {
+              return false;
+            }
+          }
+          return true;
+        });
     Thread.sleep(1_000);
-    assertThat(rig.supervisor().deeds().subList(then, deeds()).stream().filter(d -> d.verb().equals("command")).map(Supervisor.Deed::target)).doesNotContain("p3");
+    assertThat(
+            rig.supervisor().deeds().subList(then, deeds()).stream()
+                .filter(d -> d.verb().equals("command"))
+                .map(Supervisor.Deed::target))
+        .doesNotContain("p3");
     assertThat(state(r)).isEqualTo("halted");
     assertThat(word(change("release_back", r))).isEqualTo("done");
     await("returned", () -> state(r).equals("returned"));
@@ -254,7 +306,9 @@
   void aVersionThatDoesNotComeUpHaltsTheReleaseAtTheFirstAndTheWayBackMendsIt() throws Exception {
     String before = rig.version("p1");
     String r = "r" + IDS.incrementAndGet();
-    begin(rig.plan(r, "proxy", before, FaultRun.BROKEN_VERSION, List.of(List.of("p1", "p2"))).put("action_ms", 9_000));
+    begin(
+        rig.plan(r, "proxy", before, FaultRun.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+            .put("action_ms", 9_000));
     drive(r);
     await("halted", () -> state(r).equals("halted"));
     assertThat(rig.release(r).path("state_why").asText()).contains("p1");
@@ -266,15 +320,18 @@
   }
 
   @Test
-  void theLeadersChangeInEveryStepAndAMajorityLostInTheMiddleLoseAndRepeatNothing() throws Exception {
+  void theLeadersChangeInEveryStepAndAMajorityLostInTheMiddleLoseAndRepeatNothing()
+      throws Exception {
     int from = deeds();
     String r = begin("proxy", "p1", "p2", "p3", "p4");
     AtomicInteger commands = new AtomicInteger();
-    rig.supervisor().hook((before, deed) -> {
-      if (before && deed.verb().equals("command")) {
-        CompletableFuture.runAsync(() -> disturb(commands.incrementAndGet()));
-      }
-    });
+    rig.supervisor()
+        .hook(
+            (before, deed) -> {
+              if (before && deed.verb().equals("command")) {
+                CompletableFuture.runAsync(() -> disturb(commands.incrementAndGet()));
+              }
+            });
     drive(r);
     await("done", () -> state(r).equals("done"));
     assertThat(commands.get()).isGreaterThanOrEqualTo(4);
@@ -307,9 +364,17 @@
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i), 30, 0, 15, 8, 1, List.of(new LoadGenerator.Kind("all", 1, "POST", "/claim", "", 0, 3_000)), "rel" + i + "-"),
+                  rig.front("p" + i),
+                  30,
+                  0,
+                  15,
+                  8,
+                  1,
+                  List.of(new LoadGenerator.Kind("all", 1, "POST", "/claim", "", 0, 3_000)),
+                  "rel" + i + "-"),
               d -> {
-                if (d.outcome() != LoadGenerator.Outcome.SERVED && d.outcome() != LoadGenerator.Outcome.REFUSED) {
+                if (d.outcome() != LoadGenerator.Outcome.SERVED
+                    && d.outcome() != LoadGenerator.Outcome.REFUSED) {
                   bad.add(d.id() + " " + d.outcome());
                 }
               }));
@@ -334,13 +399,27 @@
   void ofTwoReleasesThatWantOneTargetOneBegins() throws Exception {
     List<CompletableFuture<String>> asked = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      ObjectNode plan = rig.plan("twin" + IDS.incrementAndGet(), "host", rig.version("h1"), "v" + IDS.incrementAndGet(), List.of(List.of("h1", "h" + (2 + i))));
+      ObjectNode plan =
+          rig.plan(
+              "twin" + IDS.incrementAndGet(),
+              "host",
+              rig.version("h1"),
+              "v" + IDS.incrementAndGet(),
+              List.of(List.of("h1", "h" + (2 + i))));
       int n = i;
       asked.add(
           CompletableFuture.supplyAsync(
-              () -> word(rig.operator().change(Operator.entry("release_start").set("plan", plan), "r-call-" + IDS.incrementAndGet(), n, 20_000))));
+              () ->
+                  word(
+                      rig.operator()
+                          .change(
+                              Operator.entry("release_start").set("plan", plan),
+                              "r-call-" + IDS.incrementAndGet(),
+                              n,
+                              20_000))));
     }
-    assertThat(List.of(asked.get(0).get(), asked.get(1).get())).containsExactlyInAnyOrder("done", "refused");
+    assertThat(List.of(asked.get(0).get(), asked.get(1).get()))
+        .containsExactlyInAnyOrder("done", "refused");
   }
 
   @Test
@@ -348,8 +427,25 @@
     String r = "r" + IDS.incrementAndGet();
     String version = "v" + IDS.incrementAndGet();
     rig.proxy("p4").kill();
-    await("p4 is lost", () -> rig.operator().ask(MAPPER.createObjectNode().put("op", "explain").put("kind", "proxy").put("name", "p4"), 0, 5_000).path("out").asText().equals("lost"));
-    begin(rig.plan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4"))).put("halt_lost", 0).put("on_missing", "skip"));
+    await(
+        "p4 is lost",
+        () ->
+            rig.operator()
+                .ask(
+                    MAPPER
+                        .createObjectNode()
+                        .put("op", "explain")
+                        .put("kind", "proxy")
+                        .put("name", "p4"),
+                    0,
+                    5_000)
+                .path("out")
+                .asText()
+                .equals("lost"));
+    begin(
+        rig.plan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4")))
+            .put("halt_lost", 0)
+            .put("on_missing", "skip"));
     drive(r);
     Thread.sleep(1_500);
     assertThat(state(r)).as("p4 uses the budget up").isEqualTo("running");
@@ -366,20 +462,41 @@
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i), 40, 0, 40, 8, 1, List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)), "bad" + IDS.incrementAndGet() + "-"),
+                  rig.front("p" + i),
+                  40,
+                  0,
+                  40,
+                  8,
+                  1,
+                  List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)),
+                  "bad" + IDS.incrementAndGet() + "-"),
               d -> {}));
     }
     loads.forEach(LoadGenerator::start);
     try {
       String r = "r" + IDS.incrementAndGet();
       String before = rig.version("h1");
-      ObjectNode plan = rig.plan(r, "host", before, FAILING + IDS.incrementAndGet(), List.of(List.of("h1"), List.of("h2"))).put("on_verdict", "back").put("halt_lost", 0);
+      ObjectNode plan =
+          rig.plan(
+                  r,
+                  "host",
+                  before,
+                  FAILING + IDS.incrementAndGet(),
+                  List.of(List.of("h1"), List.of("h2")))
+              .put("on_verdict", "back")
+              .put("halt_lost", 0);
       plan.putObject("guard").put("least_requests", 300).put("wait_ms", 20_000);
       begin(plan);
       drive(r);
-      // By the guard, which takes it back; or since so many proxies have ejected it that it counts as lost.
-      await("found", () -> List.of("halted", "returned").contains(state(r)) || rig.release(r).path("direction").asText().equals("back"));
-      assertThat(rig.release(r).path("state_why").asText()).containsAnyOf("bad (", "h1 is new, and lost");
+      // By the guard, which takes it back; or since so many proxies have ejected it that it counts
+      // as lost.
+      await(
+          "found",
+          () ->
+              List.of("halted", "returned").contains(state(r))
+                  || rig.release(r).path("direction").asText().equals("back"));
+      assertThat(rig.release(r).path("state_why").asText())
+          .containsAnyOf("bad (", "h1 is new, and lost");
       assertThat(rig.version("h2")).isEqualTo(before);
       change("release_back", r);
       await("returned", () -> state(r).equals("returned"));
@@ -393,15 +510,25 @@
 
   @Test
   void commandsThatHangWriteWithoutEndOrDieAreTriedThreeTimesAndHaltIt() throws Exception {
-    for (String command : List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
+    for (String command :
+        List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
       String r = "r" + IDS.incrementAndGet();
-      ObjectNode plan = rig.plan(r, "host", rig.version("h4"), "v" + IDS.incrementAndGet(), List.of(List.of("h4")));
-      ((ObjectNode) plan.path("carry")).put("timeout_ms", 1_000).putArray("command").add("bash").add("-c").add(command);
+      ObjectNode plan =
+          rig.plan(
+              r, "host", rig.version("h4"), "v" + IDS.incrementAndGet(), List.of(List.of("h4")));
+      ((ObjectNode) plan.path("carry"))
+          .put("timeout_ms", 1_000)
+          .putArray("command")
+          .add("bash")
+          .add("-c")
+          .add(command);
       begin(plan);
       drive(r);
       await("halted: " + command, () -> state(r).equals("halted"));
       assertThat(rig.release(r).path("state_why").asText()).contains("h4 after 3 tries");
-      await("h4 was given back as it was", () -> rig.release(r).path("targets").path(0).path("phase").asText().equals("in"));
+      await(
+          "h4 was given back as it was",
+          () -> rig.release(r).path("targets").path(0).path("phase").asText().equals("in"));
       assertThat(rig.release(r).path("targets").path(0).path("at").asText()).isEqualTo("old");
       assertThat(word(change("release_end", r))).isEqualTo("done");
     }
--- a/src/test/java/corkproxy/standin/StormTest.java
+++ b/src/test/java/corkproxy/standin/StormTest.java
@@ -6,13 +6,26 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rig by itself, before a host that is told when to fail: it must see a collapse, and one that lasts. */
+/**
+ * The rig by itself, before a host that is told when to fail: it must see a collapse, and one that
+ * lasts.
+ */
 class StormTest {
   private static Storm.Plan plan(HttpStandIn host, Storm.Crowd crowd, int size) {
     String[] place = host.place().split(":");
     return new Storm.Plan(
         List.of(new InetSocketAddress(place[0], Integer.parseInt(place[1]))),
-        10, 20, 200, crowd, size, false, 1, 0.5, 3, "/", 1);
+        10,
+        20,
+        200,
+        crowd,
+        size,
+        false,
+        1,
+        0.5,
+        3,
+        "/",
+        1);
   }
 
   @Test
@@ -36,7 +49,9 @@
     try (HttpStandIn host = new HttpStandIn(HttpStandIn.Options.quick("a"), new Ledger(100_000));
         Storm storm =
             new Storm(
-                plan(host, Storm.Crowd.USUAL, 5), () -> host.misbehave(HttpStandIn.Fault.RESET_BEFORE, 1), () -> {})) {
+                plan(host, Storm.Crowd.USUAL, 5),
+                () -> host.misbehave(HttpStandIn.Fault.RESET_BEFORE, 1),
+                () -> {})) {
       storm.run();
       assertThat(storm.recoveredAfter()).isNaN();
       assertThat(storm.afterShare()).isLessThan(0.1);
