--- a/src/main/java/corkproxy/Main.java
+++ b/src/main/java/leadferry/Main.java
@@ -1,10 +1,10 @@
-package corkproxy;
+package leadferry;
 
-import corkproxy.adapter.Adapter;
-import corkproxy.adapter.MalformedInputException;
-import corkproxy.proxy.ConfigException;
-import corkproxy.proxy.Proxy;
 import java.io.IOException;
+import leadferry.adapter.Adapter;
+import leadferry.adapter.MalformedInputException;
+import leadferry.proxy.ConfigException;
+import leadferry.proxy.Proxy;
 
 /** Entry point of the jar. */
 public final class Main {
@@ -12,21 +12,21 @@
 
   /**
    * Runs {@code proxy}, a client proxy on sockets, or {@code adapter}, the same decisions on the
-   * simulator's wire on standard input and output. The build runs {@code rehearse}, a client proxy
-   * for a moment, so that the JVM can archive the classes it takes. Everything else is the command
-   * line of {@code cli}, whose libraries the three above never load.
+   * simulator's wire on standard input and output. The build runs {@code warm-up} (formerly {@code
+   * rehearse}), a client proxy for a moment, so that the JVM can archive the classes it takes.
+   * Everything else is the command line of {@code cli}, whose libraries the three above never load.
    */
   public static void main(String[] args) throws IOException {
     String command = args.length == 1 ? args[0] : "";
     try {
       switch (command) {
         case "proxy" -> Proxy.run(System.getenv());
-        case "rehearse" -> Proxy.rehearse();
+        case "warm-up", "rehearse" -> Proxy.warmUp();
         case "adapter" -> new Adapter(System.in, System.out, System.err).run();
         default -> System.exit(CommandLineStart.run(args));
       }
     } catch (MalformedInputException | ConfigException e) {
-      System.err.println("corkproxy: " + e.getMessage());
+      System.err.println("leadferry: " + e.getMessage());
       System.exit(1);
     }
   }
@@ -34,7 +34,7 @@
   /** Guards the platform's process against classes that it has no use for. */
   private static final class CommandLineStart {
     static int run(String[] args) {
-      return corkproxy.cli.Corkproxy.run(args);
+      return leadferry.cli.Leadferry.run(args);
     }
   }
 }
--- a/src/main/java/corkproxy/adapter/Adapter.java
+++ b/src/main/java/leadferry/adapter/Adapter.java
@@ -1,15 +1,6 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import corkproxy.balancer.Actions;
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.News;
-import corkproxy.balancer.Result;
-import corkproxy.balancer.Settings;
-import corkproxy.fleet.Suspicions;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -19,8 +10,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
-/** Hosts one {@link Balancer} for each instance named on the wire and speaks the wire for them. */
+import leadferry.gossip.SuspicionProtocol;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.LoadBalancerActions;
+import leadferry.loadbalancer.LoadReport;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
+
+/**
+ * Hosts one {@link LoadBalancer} for each instance named on the wire and speaks the wire for them.
+ */
 public final class Adapter {
   /** A token that the module does not use: its own are requests, and -1. */
   private static final long TALK_TIMER = -2;
@@ -30,18 +32,18 @@
   private final PrintStream err;
   private final Line line = new Line();
   private final ReplyWriter reply = new ReplyWriter();
-  private final Map<Long, Balancer> instances = new HashMap<>();
+  private final Map<Long, LoadBalancer> instances = new HashMap<>();
 
   /**
    * The share of each instance in what all know of silent hosts, where the deployment lets them
    * talk.
    */
-  private final Map<Long, Suspicions> talking = new HashMap<>();
+  private final Map<Long, SuspicionProtocol> talking = new HashMap<>();
 
   /** What came of an event for a module that was still about it. */
   private final List<Runnable> after = new ArrayList<>();
 
-  private final Map<Long, List<HostEntry>> ledgers = new HashMap<>();
+  private final Map<Long, List<EndpointUpdate>> ledgers = new HashMap<>();
   private double now;
 
   /** Creates an adapter on these streams. */
@@ -110,19 +112,19 @@
     } else if (line.named("membership")) {
       membership();
     } else if (line.named("probed")) {
-      Balancer b = instance();
+      LoadBalancer b = instance();
       long host = line.number("host");
       if (b != null) {
         b.onReport(now, host, load());
       }
     } else if (line.named("gone")) {
-      Balancer b = instance();
+      LoadBalancer b = instance();
       long id = line.number("txn");
       if (b != null) {
         b.onClientGone(now, id);
       }
     } else if (line.named("first_byte")) {
-      Balancer b = instance();
+      LoadBalancer b = instance();
       long id = line.number("txn");
       int number = (int) line.number("sendNo");
       if (b != null) {
@@ -132,7 +134,7 @@
       instances.remove(line.number("who"));
       talking.remove(line.number("who"));
     } else if (line.named("heard")) {
-      Suspicions s = talking.get(line.number("who"));
+      SuspicionProtocol s = talking.get(line.number("who"));
       if (s != null) {
         s.heard(now, (int) line.number("from"), raw());
       }
@@ -155,46 +157,49 @@
   private void start(long who, JsonNode conf, long seed) {
     Settings settings = SettingsReader.read(conf);
     Wire wire = new Wire(who);
-    Balancer b = new Balancer(settings, seed, wire);
+    LoadBalancer b = new LoadBalancer(settings, seed, wire);
     instances.put(who, b);
     talking.remove(who);
     if (SettingsReader.peers(conf)) {
       talking.put(
-          who, new Suspicions(settings.zone(), settings.balancers(), settings.pace(), seed, wire));
+          who,
+          new SuspicionProtocol(
+              settings.zone(), settings.balancers(), settings.pace(), seed, wire));
     }
     b.onStart(now);
   }
 
-  private Balancer instance() {
+  private LoadBalancer instance() {
     return instances.get(line.number("who"));
   }
 
   private void outcome() {
-    Balancer b = instance();
+    LoadBalancer b = instance();
     long id = line.number("txn");
     int number = (int) line.number("sendNo");
-    Result result = result((int) line.number("reason"));
+    AttemptOutcome result = result((int) line.number("reason"));
     double spent = line.decimal("spent", 0);
     boolean over = line.flag("terminal");
-    Suspicions talks = talking.get(line.number("who"));
+    SuspicionProtocol talks = talking.get(line.number("who"));
     if (talks != null && result != null && result.answered()) {
       talks.answered(now, line.number("host"));
     }
     if (b != null) {
       // A reason that is not known proves nothing: as an error, it may have run.
-      b.onOutcome(now, id, number, result == null ? Result.ERROR : result, spent, over, load());
+      b.onOutcome(
+          now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
     }
   }
 
   private void inbound() {
-    Balancer b = instance();
+    LoadBalancer b = instance();
     long id = line.number("txn");
     String type = line.string("class");
     double budget = line.decimal("budget");
     if (b != null) {
       b.onRequest(
           now,
-          new Arrival(
+          new RequestArrival(
               id,
               type,
               line.string("org", null),
@@ -205,9 +210,9 @@
   }
 
   private void wake() {
-    Balancer b = instance();
+    LoadBalancer b = instance();
     long token = line.number("token");
-    Suspicions talks = talking.get(line.number("who"));
+    SuspicionProtocol talks = talking.get(line.number("who"));
     if (token == TALK_TIMER) {
       if (talks != null) {
         talks.due(now);
@@ -220,7 +225,7 @@
   private void ledger() throws IOException {
     long buffer = line.number("buffer");
     long records = line.number("records");
-    List<HostEntry> entries = new ArrayList<>();
+    List<EndpointUpdate> entries = new ArrayList<>();
     for (long i = 0; i < records; i++) {
       if (!reader.next(line)) {
         throw new MalformedInputException("the input ends in the middle of a ledger");
@@ -229,7 +234,7 @@
         throw line.malformed("a ledger has fewer 'host' lines than it says");
       }
       entries.add(
-          new HostEntry(
+          new EndpointUpdate(
               line.number("host"),
               line.string("hall", ""),
               line.string("model", ""),
@@ -241,36 +246,36 @@
     ledgers.put(buffer, entries);
   }
 
-  private static HostEntry.Condition condition(String s) {
+  private static EndpointUpdate.Condition condition(String s) {
     return switch (s) {
-      case "Ready" -> HostEntry.Condition.READY;
-      case "Gone" -> HostEntry.Condition.GONE;
-      default -> HostEntry.Condition.TERMINATING; // nothing new goes to a state not known
+      case "Ready" -> EndpointUpdate.Condition.READY;
+      case "Gone" -> EndpointUpdate.Condition.GONE;
+      default -> EndpointUpdate.Condition.TERMINATING; // nothing new goes to a state not known
     };
   }
 
   private void membership() {
-    Balancer b = instance();
-    News how =
+    LoadBalancer b = instance();
+    EndpointListEvent how =
         switch (line.string("how")) {
-          case "delta" -> News.DELTA;
-          case "full" -> News.FULL;
-          case "cached" -> News.CACHED;
-          case "failed" -> News.FAILED;
+          case "delta" -> EndpointListEvent.DELTA;
+          case "full" -> EndpointListEvent.FULL;
+          case "cached" -> EndpointListEvent.CACHED;
+          case "failed" -> EndpointListEvent.FAILED;
           default -> null;
         };
     if (b == null || how == null) {
       return;
     }
-    List<HostEntry> entries = List.of();
-    if (how != News.FAILED) {
+    List<EndpointUpdate> entries = List.of();
+    if (how != EndpointListEvent.FAILED) {
       entries = ledgers.get(line.number("buffer"));
       if (entries == null) {
         throw line.malformed("no ledger with this number has come");
       }
     }
     b.onMembership(now, how, entries);
-    Suspicions talks = talking.get(line.number("who"));
+    SuspicionProtocol talks = talking.get(line.number("who"));
     if (talks != null) {
       talks.members(how, entries);
     }
@@ -281,22 +286,22 @@
     return v == null ? null : new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
   }
 
-  private static Result result(int code) {
+  private static AttemptOutcome result(int code) {
     return switch (code) {
-      case 1 -> Result.OK;
-      case 2 -> Result.ERROR;
-      case 3 -> Result.FULL;
-      case 4 -> Result.TIMEOUT;
-      case 5 -> Result.CONNECT_FAILED;
-      case 6 -> Result.RESET;
-      case 7 -> Result.CANCELLED;
-      case 8 -> Result.MOOT;
+      case 1 -> AttemptOutcome.OK;
+      case 2 -> AttemptOutcome.ERROR;
+      case 3 -> AttemptOutcome.FULL;
+      case 4 -> AttemptOutcome.TIMEOUT;
+      case 5 -> AttemptOutcome.CONNECT_FAILED;
+      case 6 -> AttemptOutcome.RESET;
+      case 7 -> AttemptOutcome.CANCELLED;
+      case 8 -> AttemptOutcome.MOOT;
       default -> null;
     };
   }
 
   /** The actions of one instance, written in the order they are made. */
-  private final class Wire implements Actions, Suspicions.Actions {
+  private final class Wire implements LoadBalancerActions, SuspicionProtocol.Actions {
     private final long who;
 
     Wire(long who) {
@@ -309,7 +314,7 @@
 
     @Override
     public void send(long request, long host, double apart) {
-      Suspicions talks = talking.get(who);
+      SuspicionProtocol talks = talking.get(who);
       if (talks != null) {
         talks.attempted();
       }
@@ -344,7 +349,7 @@
 
     @Override
     public void silent(long host, double at, double sentAt) {
-      Suspicions talks = talking.get(who);
+      SuspicionProtocol talks = talking.get(who);
       if (talks != null) {
         talks.silent(at, host, sentAt);
       }
--- a/src/main/java/corkproxy/adapter/Line.java
+++ b/src/main/java/leadferry/adapter/Line.java
@@ -1,4 +1,4 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/src/main/java/corkproxy/adapter/MalformedInputException.java
+++ b/src/main/java/leadferry/adapter/MalformedInputException.java
@@ -1,4 +1,4 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 /** Input that is not of the wire; its message is one plain line. */
 public final class MalformedInputException extends RuntimeException {
--- a/src/main/java/corkproxy/adapter/ReplyWriter.java
+++ b/src/main/java/leadferry/adapter/ReplyWriter.java
@@ -1,4 +1,4 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/corkproxy/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -1,11 +1,11 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.balancer.Settings;
 import java.util.ArrayList;
 import java.util.List;
+import leadferry.loadbalancer.Settings;
 
 /** Reads the settings of an instance; what is not known is skipped, what is absent is harmless. */
 public final class SettingsReader {
--- a/src/main/java/corkproxy/cli/CheckCommand.java
+++ b/src/main/java/leadferry/cli/CheckCommand.java
@@ -1,16 +1,16 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.daemon.Daemon;
-import corkproxy.daemon.Fault;
-import corkproxy.daemon.FaultyFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import leadferry.daemon.ConfigurationError;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.Daemon;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -29,10 +29,10 @@
 
   @Override
   public Integer call() throws JsonProcessingException {
-    List<Fault> faults = new ArrayList<>();
+    List<ConfigurationError> faults = new ArrayList<>();
     try {
       Daemon.check(file);
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       faults.addAll(e.faults());
     }
     if (json) {
--- a/src/main/java/corkproxy/cli/DaemonCommand.java
+++ b/src/main/java/leadferry/cli/DaemonCommand.java
@@ -1,11 +1,11 @@
-package corkproxy.cli;
+package leadferry.cli;
 
-import corkproxy.daemon.Daemon;
-import corkproxy.daemon.DaemonLog;
-import corkproxy.daemon.FaultyFileException;
-import corkproxy.engine.Signals;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.Daemon;
+import leadferry.daemon.DaemonLog;
+import leadferry.engine.Signals;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -39,7 +39,7 @@
     Daemon daemon;
     try {
       daemon = new Daemon(file, freshKeeper, form -> log = DaemonLog.onStandardError(form));
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
--- a/src/main/java/corkproxy/cli/DemoCommand.java
+++ b/src/main/java/leadferry/cli/DemoCommand.java
@@ -1,14 +1,7 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.daemon.Daemon;
-import corkproxy.daemon.FaultyFileException;
-import corkproxy.engine.LineLog;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.Ledger;
-import corkproxy.standin.LoadGenerator;
-import corkproxy.standin.LoadGenerator.Outcome;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -22,6 +15,13 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.Daemon;
+import leadferry.engine.LineLog;
+import leadferry.testbed.ExecutionLog;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.LoadGenerator;
+import leadferry.testbed.LoadGenerator.Outcome;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -48,8 +48,8 @@
   @Option(names = "--json", description = "The result as JSON on standard output.")
   private boolean json;
 
-  private final Ledger ledger = new Ledger(2_000_000);
-  private final List<HttpStandIn> hosts = new ArrayList<>();
+  private final ExecutionLog ledger = new ExecutionLog(2_000_000);
+  private final List<FakeUpstream> hosts = new ArrayList<>();
   private final ConcurrentLinkedQueue<LoadGenerator.Done> done = new ConcurrentLinkedQueue<>();
   private final List<LoadGenerator.Kind> kinds =
       List.of(
@@ -91,9 +91,9 @@
         Progress progress = new Progress();
         Thread shown = progress.show(() -> load.over() + " requests over");
         pause(0.33);
-        hosts.get(2).misbehave(HttpStandIn.Fault.SILENT, 1);
+        hosts.get(2).misbehave(FakeUpstream.Fault.SILENT, 1);
         pause(0.17);
-        hosts.get(2).misbehave(HttpStandIn.Fault.NONE, 0);
+        hosts.get(2).misbehave(FakeUpstream.Fault.NONE, 0);
         pause(0.2);
         hosts.add(host("h4", 2_000, 4));
         Files.writeString(file, config(List.of("h1"), 4));
@@ -103,18 +103,19 @@
         progress.end(shown);
         return tell(load, reloaded, drainedAt);
       }
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 1;
     } finally {
-      hosts.forEach(HttpStandIn::close);
+      hosts.forEach(FakeUpstream::close);
       Files.deleteIfExists(file);
     }
   }
 
-  private HttpStandIn host(String name, double warmUpMs, long seed) {
-    return new HttpStandIn(
-        new HttpStandIn.Options(name, "p1", 0, 15, 3, 60, warmUpMs, 0.3, 400, true, 200, 11 + seed),
+  private FakeUpstream host(String name, double warmUpMs, long seed) {
+    return new FakeUpstream(
+        new FakeUpstream.Options(
+            name, "p1", 0, 15, 3, 60, warmUpMs, 0.3, 400, true, 200, 11 + seed),
         ledger);
   }
 
@@ -149,7 +150,7 @@
         cold = { for_ms = 2500, start_capacity = 0.3 }
         """);
     for (int i = 0; i < count; i++) {
-      HttpStandIn h = hosts.get(i);
+      FakeUpstream h = hosts.get(i);
       s.append("[[pool.roster.member]]\nid = \"")
           .append(h.name())
           .append("\"\naddress = \"")
@@ -189,7 +190,7 @@
     }
     long lost = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
     long afterGrace = hosts.get(0).lastArrival() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
-    long fallen = hosts.stream().filter(HttpStandIn::fallen).count();
+    long fallen = hosts.stream().filter(FakeUpstream::fallen).count();
     Map<String, Object> rules = new LinkedHashMap<>();
     rules.put("requests without their one answer", lost);
     rules.put("unsafe requests that ran twice", twice);
@@ -212,7 +213,7 @@
       classes.put(kinds.get(i).name(), row);
     }
     Map<String, Object> perHost = new LinkedHashMap<>();
-    for (HttpStandIn h : hosts) {
+    for (FakeUpstream h : hosts) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("served", h.served());
       row.put("connections", h.connections());
--- a/src/main/java/corkproxy/cli/StandInCommand.java
+++ b/src/main/java/leadferry/cli/FakeUpstreamCommand.java
@@ -1,18 +1,19 @@
-package corkproxy.cli;
+package leadferry.cli;
 
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.Ledger;
-import corkproxy.standin.QuickStandIn;
 import java.util.concurrent.Callable;
+import leadferry.testbed.ExecutionLog;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.MinimalFakeUpstream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 @Command(
-    name = "standin",
+    name = "fake-upstream",
+    aliases = "standin",
     mixinStandardHelpOptions = true,
     description = "Runs an HTTP host on loopback that can be made to misbehave, for trials.",
     footer = {"", "Exit status: 0 at its end, 2 for faulty arguments."})
-final class StandInCommand implements Callable<Integer> {
+final class FakeUpstreamCommand implements Callable<Integer> {
   private static final int LEDGER = 1_000_000;
 
   @Option(names = "--port", defaultValue = "0", description = "Port on 127.0.0.1; 0 takes any.")
@@ -55,7 +56,7 @@
   private int bodyBytes;
 
   @Option(names = "--fault", defaultValue = "none", description = "${COMPLETION-CANDIDATES}.")
-  private HttpStandIn.Fault fault;
+  private FakeUpstream.Fault fault;
 
   @Option(
       names = "--fault-share",
@@ -71,18 +72,18 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    if (serviceMs <= 0 && fault == HttpStandIn.Fault.NONE && !reports) {
+    if (serviceMs <= 0 && fault == FakeUpstream.Fault.NONE && !reports) {
       // Nothing to imitate: as quick as sockets are, so that it is not what a measurement measures.
-      try (QuickStandIn host = new QuickStandIn(name, port, bodyBytes)) {
+      try (MinimalFakeUpstream host = new MinimalFakeUpstream(name, port, bodyBytes)) {
         System.out.println(name + " at " + host.place());
         Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
         System.out.println(name + ": " + host.answered() + " answered");
       }
       return 0;
     }
-    Ledger ledger = new Ledger(LEDGER);
-    HttpStandIn.Options o =
-        new HttpStandIn.Options(
+    ExecutionLog ledger = new ExecutionLog(LEDGER);
+    FakeUpstream.Options o =
+        new FakeUpstream.Options(
             name,
             "p1",
             port,
@@ -95,7 +96,7 @@
             reports,
             bodyBytes,
             1);
-    try (HttpStandIn host = new HttpStandIn(o, ledger)) {
+    try (FakeUpstream host = new FakeUpstream(o, ledger)) {
       host.misbehave(fault, share);
       System.out.println(host.name() + " at " + host.place());
       Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
--- a/src/main/java/corkproxy/cli/FaultsCommand.java
+++ b/src/main/java/leadferry/cli/FaultTestCommand.java
@@ -1,18 +1,19 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.standin.FaultRun;
-import corkproxy.standin.FaultScript;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import leadferry.testbed.FaultScript;
+import leadferry.testbed.FaultTest;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 @Command(
-    name = "faults",
+    name = "fault-test",
+    aliases = "faults",
     mixinStandardHelpOptions = true,
     description = {
       "Runs keepers and daemons as processes on loopback, breaks the links between them, stops, kills and starts them,",
@@ -22,7 +23,7 @@
       "",
       "Exit status: 0 all were kept, 1 one was not ('broken' says which) or the rig failed, 2 faulty arguments."
     })
-final class FaultsCommand implements Callable<Integer> {
+final class FaultTestCommand implements Callable<Integer> {
   @Option(names = "--keepers", defaultValue = "3", description = "Keepers, 1 to 9.")
   private int keepers;
 
@@ -86,9 +87,9 @@
           spec.commandLine(),
           "keepers, proxies, hosts, seconds (expected: 1 to 9, 1 to 64, 2 to 64, 5 to 3600)");
     }
-    FaultRun.Sabotage s;
+    FaultTest.Sabotage s;
     try {
-      s = FaultRun.Sabotage.valueOf(sabotage.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+      s = FaultTest.Sabotage.valueOf(sabotage.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
     } catch (IllegalArgumentException e) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
@@ -118,9 +119,9 @@
     if (!json) {
       System.out.println("files and logs: " + at);
     }
-    try (FaultRun run =
-        new FaultRun(
-            new FaultRun.Plan(keepers, proxies, hosts, seconds, seed, s, rate, steps, releases),
+    try (FaultTest run =
+        new FaultTest(
+            new FaultTest.Plan(keepers, proxies, hosts, seconds, seed, s, rate, steps, releases),
             at)) {
       ObjectNode o = run.run();
       System.out.println(o);
--- a/src/main/java/corkproxy/cli/FleetCommand.java
+++ b/src/main/java/leadferry/cli/FleetCommand.java
@@ -1,13 +1,7 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.daemon.FaultyFileException;
-import corkproxy.daemon.KeeperFile;
-import corkproxy.engine.Addresses;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperClient;
-import corkproxy.quorum.KeeperClient.UnreachableException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -18,6 +12,12 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.Callable;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.ReplicaFile;
+import leadferry.engine.Addresses;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -91,7 +91,7 @@
 
     private long until;
 
-    KeeperClient client() {
+    ReplicaClient client() {
       Map<String, InetSocketAddress> at = new LinkedHashMap<>();
       keepers.forEach(
           (name, text) -> {
@@ -108,7 +108,7 @@
             spec.commandLine(), "--timeout-s " + timeout + " (expected: above 0, at most 86400)");
       }
       until = System.nanoTime() + (long) (timeout * 1e9);
-      return new KeeperClient(fleet, at, m -> {});
+      return new ReplicaClient(fleet, at, m -> {});
     }
 
     /**
@@ -116,7 +116,7 @@
      * people.
      */
     int ask(ObjectNode request, java.util.function.Consumer<ObjectNode> then) {
-      try (KeeperClient c = client()) {
+      try (ReplicaClient c = client()) {
         return told(c.call(request, until), then);
       } catch (UnreachableException e) {
         return unreached(e, request);
@@ -127,7 +127,7 @@
     int watch(ObjectNode request, java.util.function.Consumer<ObjectNode> then)
         throws InterruptedException {
       String last = "";
-      try (KeeperClient c = client()) {
+      try (ReplicaClient c = client()) {
         while (true) {
           ObjectNode o;
           try {
@@ -246,7 +246,7 @@
   abstract static class Outage extends Change {
     /** Asks for it, and waits until it is carried out. */
     int awaited(ObjectNode entry) {
-      try (KeeperClient c = target.client()) {
+      try (ReplicaClient c = target.client()) {
         ObjectNode request = Json.object().put("op", "submit").set("entry", entry);
         ObjectNode granted;
         try {
@@ -436,8 +436,8 @@
     public Integer call() {
       ObjectNode entry = entry("budgets").put("against", against);
       try {
-        entry.set("budgets", KeeperFile.budgets(file));
-      } catch (FaultyFileException e) {
+        entry.set("budgets", ReplicaFile.budgets(file));
+      } catch (ConfigurationException e) {
         System.err.println(e.getMessage());
         return 2;
       }
--- a/src/main/java/corkproxy/cli/Corkproxy.java
+++ b/src/main/java/leadferry/cli/Leadferry.java
@@ -1,36 +1,36 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
 /** The commands of the program, see their own help. */
 @Command(
-    name = "corkproxy",
+    name = "leadferry",
     description = "A client-side load-balancing proxy.",
     mixinStandardHelpOptions = true,
-    version = "corkproxy 0.1.0",
+    version = "leadferry 0.1.0",
     subcommands = {
       DaemonCommand.class,
-      KeeperCommand.class,
+      ReplicaCommand.class,
       FleetCommand.class,
-      FaultsCommand.class,
+      FaultTestCommand.class,
       CheckCommand.class,
-      StandInCommand.class,
+      FakeUpstreamCommand.class,
       LoadCommand.class,
       DemoCommand.class,
-      StormCommand.class
+      OverloadTestCommand.class
     },
     footer = {
       "",
-      "proxy, adapter and rehearse are started by the platform and take no options.",
+      "proxy, adapter and warm-up are started by the platform and take no options.",
       "Exit status: 0 done, 1 it went wrong or the rules did not hold, 2 faulty file or arguments."
     })
-public final class Corkproxy implements Runnable {
+public final class Leadferry implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   /** Runs the command that the arguments name; its exit status. */
   public static int run(String[] args) {
-    return new CommandLine(new Corkproxy()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
+    return new CommandLine(new Leadferry()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
   }
 
   @Override
--- a/src/main/java/corkproxy/cli/LoadCommand.java
+++ b/src/main/java/leadferry/cli/LoadCommand.java
@@ -1,9 +1,7 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.engine.Addresses;
-import corkproxy.standin.LoadGenerator;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,6 +9,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import leadferry.engine.Addresses;
+import leadferry.testbed.LoadGenerator;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/src/main/java/corkproxy/cli/StormCommand.java
+++ b/src/main/java/leadferry/cli/OverloadTestCommand.java
@@ -1,10 +1,6 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.standin.ChildProxy;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.Ledger;
-import corkproxy.standin.Storm;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,13 +13,18 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import leadferry.testbed.ChildProxy;
+import leadferry.testbed.ExecutionLog;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.OverloadTest;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
 @Command(
-    name = "storm",
+    name = "overload-test",
+    aliases = "storm",
     mixinStandardHelpOptions = true,
     description = {
       "Starts a proxy on part of a core before hosts that stay healthy, lets a storm loose on it, and tells how "
@@ -34,7 +35,7 @@
           + "clients connect anew at once. pause: the process stands still. restart: it ends and starts again."
     },
     footer = {"", "Exit status: 0 it recovered, 1 it did not, 2 faulty arguments."})
-final class StormCommand implements Callable<Integer> {
+final class OverloadTestCommand implements Callable<Integer> {
   enum Kind {
     CROWD,
     RETRY,
@@ -136,10 +137,12 @@
               + " 600 seconds at most");
     }
     Path folder = Files.createTempDirectory("leadferry-storm");
-    try (HttpStandIn a =
-            new HttpStandIn(HttpStandIn.Options.quick("a").takes(5, 8), new Ledger(1_000_000));
-        HttpStandIn b =
-            new HttpStandIn(HttpStandIn.Options.quick("b").takes(5, 8), new Ledger(1_000_000));
+    try (FakeUpstream a =
+            new FakeUpstream(
+                FakeUpstream.Options.quick("a").takes(5, 8), new ExecutionLog(1_000_000));
+        FakeUpstream b =
+            new FakeUpstream(
+                FakeUpstream.Options.quick("b").takes(5, 8), new ExecutionLog(1_000_000));
         ChildProxy proxy = proxy(folder, List.of(a, b))) {
       long from = System.nanoTime();
       proxy.start();
@@ -157,19 +160,19 @@
   }
 
   private int play(ChildProxy proxy, double started) throws IOException, InterruptedException {
-    Storm.Crowd does =
+    OverloadTest.Crowd does =
         switch (kind) {
-          case RETRY -> Storm.Crowd.RETRYING;
-          case SILENT -> Storm.Crowd.SILENT;
-          case TRICKLE -> Storm.Crowd.TRICKLING;
-          case HEADS -> Storm.Crowd.HEADS;
-          case DEAF -> Storm.Crowd.DEAF;
-          default -> Storm.Crowd.USUAL;
+          case RETRY -> OverloadTest.Crowd.RETRYING;
+          case SILENT -> OverloadTest.Crowd.SILENT;
+          case TRICKLE -> OverloadTest.Crowd.TRICKLING;
+          case HEADS -> OverloadTest.Crowd.HEADS;
+          case DEAF -> OverloadTest.Crowd.DEAF;
+          default -> OverloadTest.Crowd.USUAL;
         };
     int size = kind == Kind.RECONNECT || kind == Kind.PAUSE || kind == Kind.RESTART ? 0 : crowd;
     String path = target == Target.PLATFORM ? "/read/x" : "/";
-    Storm.Plan plan =
-        new Storm.Plan(
+    OverloadTest.Plan plan =
+        new OverloadTest.Plan(
             List.of(proxy.address()),
             clients,
             thinkMs,
@@ -199,7 +202,7 @@
           }
         };
     List<ChildProxy.Sample> samples = new ArrayList<>();
-    try (Storm storm = new Storm(plan, begin, () -> end(proxy))) {
+    try (OverloadTest storm = new OverloadTest(plan, begin, () -> end(proxy))) {
       Thread looks = new Thread(() -> look(proxy, samples), "looks");
       looks.setDaemon(true);
       looks.start();
@@ -248,12 +251,12 @@
     }
   }
 
-  private static void timeline(Storm storm, List<ChildProxy.Sample> samples) {
+  private static void timeline(OverloadTest storm, List<ChildProxy.Sample> samples) {
     System.out.println("   s  asked  served refused gave-up   cpu  waiting  open  half-closed");
-    Storm.Bucket[] all = storm.buckets();
-    for (int s = 0; (s + 1) * Storm.PER_SECOND <= all.length; s++) {
+    OverloadTest.Bucket[] all = storm.buckets();
+    for (int s = 0; (s + 1) * OverloadTest.PER_SECOND <= all.length; s++) {
       int[] n = new int[4];
-      for (int i = s * Storm.PER_SECOND; i < (s + 1) * Storm.PER_SECOND; i++) {
+      for (int i = s * OverloadTest.PER_SECOND; i < (s + 1) * OverloadTest.PER_SECOND; i++) {
         n[0] += all[i].asked();
         n[1] += all[i].served();
         n[2] += all[i].refused();
@@ -284,7 +287,7 @@
 
   // --- the proxy
 
-  private ChildProxy proxy(Path folder, List<HttpStandIn> hosts) throws IOException {
+  private ChildProxy proxy(Path folder, List<FakeUpstream> hosts) throws IOException {
     int port = freePort();
     Path config = folder.resolve("config");
     List<String> command = new ArrayList<>();
@@ -293,7 +296,7 @@
       command.add("@" + jvmFile);
     }
     command.addAll(jvm);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "corkproxy.Main"));
+    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "leadferry.Main"));
     Map<String, String> environment = Map.of();
     if (target == Target.PLATFORM) {
       Files.writeString(config, platformConfig(port, hosts));
@@ -317,9 +320,9 @@
     }
   }
 
-  private String platformConfig(int port, List<HttpStandIn> hosts) {
+  private String platformConfig(int port, List<FakeUpstream> hosts) {
     StringBuilder servers = new StringBuilder();
-    for (HttpStandIn h : hosts) {
+    for (FakeUpstream h : hosts) {
       servers
           .append(servers.isEmpty() ? "" : ",")
           .append("{\"id\":\"")
@@ -343,7 +346,7 @@
         + ",\"semantics\":\"idempotent\"}]}}";
   }
 
-  private String operatorsFile(int port, List<HttpStandIn> hosts) {
+  private String operatorsFile(int port, List<FakeUpstream> hosts) {
     StringBuilder s =
         new StringBuilder(
             "[daemon]\ndescriptors = "
@@ -355,7 +358,7 @@
                 + "\ndeadline_ms = "
                 + timeoutMs
                 + "\n[pool.a]\n");
-    for (HttpStandIn h : hosts) {
+    for (FakeUpstream h : hosts) {
       s.append("[[pool.a.member]]\nid = \"")
           .append(h.name())
           .append("\"\naddress = \"")
--- a/src/main/java/corkproxy/cli/Progress.java
+++ b/src/main/java/leadferry/cli/Progress.java
@@ -1,4 +1,4 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import java.util.function.Supplier;
 
--- a/src/main/java/corkproxy/cli/ReleaseCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseCommand.java
@@ -1,20 +1,20 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.cli.FleetCommand.Change;
-import corkproxy.cli.FleetCommand.Target;
-import corkproxy.daemon.FaultyFileException;
-import corkproxy.daemon.ReleaseFile;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperClient;
-import corkproxy.quorum.KeeperClient.UnreachableException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import leadferry.cli.FleetCommand.Change;
+import leadferry.cli.FleetCommand.Target;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.ReleaseFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -62,10 +62,10 @@
    * the status in {@code exit}.
    */
   private static ObjectNode plan(Target target, Path file, int[] exit) {
-    try (KeeperClient c = target.client()) {
+    try (ReplicaClient c = target.client()) {
       ObjectNode status = c.call(Json.object().put("op", "status"), target.until());
       return ReleaseFile.read(file, status);
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       exit[0] = 2;
     } catch (UnreachableException e) {
@@ -96,7 +96,7 @@
       ObjectNode o = Json.object().put("status", "done");
       o.set("plan", plan);
       List<String> never = new ArrayList<>();
-      try (KeeperClient c = target.client()) {
+      try (ReplicaClient c = target.client()) {
         for (JsonNode step : plan.path("steps")) {
           for (JsonNode t : step.path("targets")) {
             ObjectNode e =
@@ -213,7 +213,7 @@
                 + as
                 + "' (expected: 200 to 600000, 1 to 64 characters)");
       }
-      try (KeeperClient c = target.client();
+      try (ReplicaClient c = target.client();
           ReleaseDriver d =
               new ReleaseDriver(
                   c,
@@ -479,7 +479,7 @@
     @java.lang.Override
     public Integer call() {
       ObjectNode o;
-      try (KeeperClient c = target.client()) {
+      try (ReplicaClient c = target.client()) {
         o = c.call(Json.object().put("op", "release").put("release", name), target.until());
       } catch (UnreachableException e) {
         System.err.println("no keeper can be reached: " + e.getMessage());
--- a/src/main/java/corkproxy/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -1,13 +1,7 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperClient;
-import corkproxy.quorum.KeeperClient.UnreachableException;
-import corkproxy.quorum.Lease;
-import corkproxy.quorum.Pause;
-import corkproxy.release.Conductor;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -19,11 +13,17 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import leadferry.consensus.Json;
+import leadferry.consensus.Lease;
+import leadferry.consensus.Pause;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.release.ReleaseController;
 
 /**
- * Drives one release: asks the keepers how it stands, does what {@link Conductor} says, runs the
- * operator's commands. Any number of processes may drive; one holds the lease at a time, the others
- * wait for it. One thread for the keepers, others for commands.
+ * Drives one release: asks the keepers how it stands, does what {@link ReleaseController} says,
+ * runs the operator's commands. Any number of processes may drive; one holds the lease at a time,
+ * the others wait for it. One thread for the keepers, others for commands.
  *
  * <p>A command is a program with its arguments and no shell. It gets PATH and what LEADFERRY_
  * variables tell; its output is kept up to a bound and read to its end; past its time it is killed.
@@ -38,11 +38,11 @@
   private static final int MOST_OUTPUT = 4_096;
   private static final int RENEWALS = 4;
 
-  private final KeeperClient keepers;
+  private final ReplicaClient keepers;
   private final String release;
   private final long leaseMs;
   private final Consumer<String> log;
-  private final Conductor conductor;
+  private final ReleaseController conductor;
   private final Lease lease;
   private final ExecutorService commands =
       Executors.newCachedThreadPool(
@@ -59,12 +59,12 @@
 
   /** A driver that tells {@code log} what it does. */
   ReleaseDriver(
-      KeeperClient keepers, String name, String release, long leaseMs, Consumer<String> log) {
+      ReplicaClient keepers, String name, String release, long leaseMs, Consumer<String> log) {
     this.keepers = keepers;
     this.release = release;
     this.leaseMs = leaseMs;
     this.log = log;
-    this.conductor = new Conductor(name + "/" + UUID.randomUUID(), leaseMs);
+    this.conductor = new ReleaseController(name + "/" + UUID.randomUUID(), leaseMs);
     this.lease = new Lease(leaseMs);
   }
 
@@ -88,7 +88,7 @@
         if (r.path("status").asText().equals("unknown")) {
           return null;
         }
-        if (Conductor.over(r)) {
+        if (ReleaseController.over(r)) {
           tell(r);
           return r;
         }
@@ -99,7 +99,7 @@
                 ? ask(Json.object().put("op", "reports"), System.nanoTime() + leaseMs * 500_000L)
                 : null;
         now = System.nanoTime();
-        for (Conductor.Next next : conductor.next(r, reports, lease.holds(now), now)) {
+        for (ReleaseController.Next next : conductor.next(r, reports, lease.holds(now), now)) {
           carryOut(r, next);
         }
       }
@@ -160,8 +160,8 @@
     }
   }
 
-  private void carryOut(JsonNode r, Conductor.Next next) {
-    if (next instanceof Conductor.Submit s) {
+  private void carryOut(JsonNode r, ReleaseController.Next next) {
+    if (next instanceof ReleaseController.Submit s) {
       if (s.op().equals("release_intend") && System.nanoTime() - notBefore < 0) {
         return;
       }
@@ -183,18 +183,19 @@
                 + status
                 + (o != null && o.has("why") ? " " + o.path("why") : ""));
       }
-    } else if (next instanceof Conductor.Run run) {
+    } else if (next instanceof ReleaseController.Run run) {
       if (r.path("carry").path("by").asText().equals("agent")) {
-        conductor.ended(run, new Conductor.Ended(true, ""));
+        conductor.ended(run, new ReleaseController.Ended(true, ""));
         return;
       }
       commands.execute(
           () -> {
             Result x =
                 command(r, "command", run.target(), run.action(), run.fence(), run.version());
-            ends.add(() -> conductor.ended(run, new Conductor.Ended(x.status() == 0, x.text())));
+            ends.add(
+                () -> conductor.ended(run, new ReleaseController.Ended(x.status() == 0, x.text())));
           });
-    } else if (next instanceof Conductor.Look look) {
+    } else if (next instanceof ReleaseController.Look look) {
       commands.execute(
           () -> {
             Result x = command(r, "check", look.target(), look.action(), look.fence(), "");
@@ -203,8 +204,9 @@
                     conductor.seen(
                         look,
                         x.status() == 0
-                            ? new Conductor.Seen(x.output().lines().findFirst().orElse("").strip())
-                            : new Conductor.Seen("")));
+                            ? new ReleaseController.Seen(
+                                x.output().lines().findFirst().orElse("").strip())
+                            : new ReleaseController.Seen("")));
           });
     }
   }
--- a/src/main/java/corkproxy/cli/KeeperCommand.java
+++ b/src/main/java/leadferry/cli/ReplicaCommand.java
@@ -1,27 +1,28 @@
-package corkproxy.cli;
+package leadferry.cli;
 
-import corkproxy.daemon.DaemonLog;
-import corkproxy.daemon.FaultyFileException;
-import corkproxy.daemon.KeeperFile;
-import corkproxy.daemon.LogForm;
-import corkproxy.quorum.Keeper;
-import corkproxy.quorum.KeeperConfig;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
+import leadferry.consensus.Replica;
+import leadferry.consensus.ReplicaConfig;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.DaemonLog;
+import leadferry.daemon.LogForm;
+import leadferry.daemon.ReplicaFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 @Command(
-    name = "keeper",
+    name = "replica",
+    aliases = "keeper",
     mixinStandardHelpOptions = true,
     description = "Runs one of the keepers of the fleet's ledger by its file, until SIGTERM.",
     footer = {
       "",
       "Exit status: 0 ended, 1 it could not go on (the log says why), 2 the file is faulty, or a folder or address can't be had."
     })
-final class KeeperCommand implements Callable<Integer> {
+final class ReplicaCommand implements Callable<Integer> {
   @Option(
       names = "--config",
       required = true,
@@ -39,19 +40,19 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    KeeperConfig config;
+    ReplicaConfig config;
     try {
-      config = KeeperFile.read(file);
-    } catch (FaultyFileException e) {
+      config = ReplicaFile.read(file);
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
     DaemonLog log = DaemonLog.onStandardError(form);
     CountDownLatch broken = new CountDownLatch(1);
-    Keeper keeper;
+    Replica keeper;
     try {
       keeper =
-          new Keeper(
+          new Replica(
               config,
               fresh,
               log::line,
@@ -62,13 +63,13 @@
     } catch (NoClassDefFoundError e) {
       log.close();
       System.err.println(
-          "keeper: "
+          "replica: "
               + e.getMessage()
-              + " (expected: -cp 'target/corkproxy.jar:target/lib/*' corkproxy.Main keeper ...)");
+              + " (expected: -cp 'target/leadferry.jar:target/lib/*' leadferry.Main replica ...)");
       return 2;
     } catch (IOException | RuntimeException e) {
       log.close();
-      System.err.println("keeper " + config.name() + ": " + e.getMessage());
+      System.err.println("replica " + config.name() + ": " + e.getMessage());
       return 2;
     }
     Runtime.getRuntime()
--- a/src/main/java/corkproxy/cli/package-info.java
+++ b/src/main/java/leadferry/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The command line: {@code daemon}, {@code check}, {@code standin}, {@code load}, {@code demo}.
- * Begin with {@link corkproxy.cli.Corkproxy}. Loaded by none of {@code proxy}, {@code adapter} and
- * {@code rehearse}.
+ * Begin with {@link leadferry.cli.Leadferry}. Loaded by none of {@code proxy}, {@code adapter} and
+ * {@code warm-up}.
  */
-package corkproxy.cli;
+package leadferry.cli;
--- a/src/main/java/corkproxy/quorum/Ledger.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -1,15 +1,8 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Budget;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
-import corkproxy.disruption.Outcome;
-import corkproxy.disruption.Outcome.Status;
-import corkproxy.disruption.Subject;
-import corkproxy.release.Releases;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,6 +14,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.zip.CRC32C;
+import leadferry.disruption.Budget;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Outcome;
+import leadferry.disruption.Outcome.Status;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
+import leadferry.release.Releases;
 
 /**
  * The agreed state: what the log's entries, applied in their order, come to. Deterministic and
@@ -32,7 +32,7 @@
  * why} and {@code at} (the asker's wall clock, which nothing goes by). An entry of a later schema
  * is never guessed at: {@link LaterSchemaException}.
  */
-public final class Ledger {
+public final class FleetStateMachine {
   /** The form of entries and snapshots that this build reads and writes. */
   public static final int SCHEMA = 1;
 
@@ -71,15 +71,15 @@
 
   private record Call(String digest, ObjectNode outcome) {}
 
-  private final Disruption disruption;
+  private final DisruptionState disruption;
   private final Releases releases = new Releases();
   private final Map<String, Session> sessions = new TreeMap<>();
   private final LinkedHashMap<String, Call> calls = new LinkedHashMap<>();
   private final ArrayDeque<ObjectNode> audit = new ArrayDeque<>();
   private long entries;
 
-  public Ledger(Disruption.Times times) {
-    disruption = new Disruption(times);
+  public FleetStateMachine(DisruptionState.Times times) {
+    disruption = new DisruptionState(times);
   }
 
   /** The version of what members go by. */
@@ -174,7 +174,7 @@
     String name = text(e, "name");
     return switch (op) {
       case "drain" -> {
-        Kind kind = Kind.of(text(e, "kind"));
+        TargetType kind = TargetType.of(text(e, "kind"));
         yield kind == null
             ? new Outcome(
                 Status.MALFORMED,
@@ -225,7 +225,7 @@
     String name = text(e, "name");
     String incarnation = text(e, "incarnation");
     long lease = e.path("lease_ms").asLong();
-    if (!name.matches(Disruption.NAME)
+    if (!name.matches(DisruptionState.NAME)
         || incarnation.isEmpty()
         || lease < LEAST_LEASE_MS
         || lease > LONGEST_LEASE_MS) {
@@ -251,7 +251,7 @@
           label(e, "zone"),
           label(e, "runs"),
           text(e, "digest"),
-          Disruption.subjects(e.path("hosts")));
+          DisruptionState.subjects(e.path("hosts")));
     }
     ObjectNode o = outcome(new Outcome(Status.DONE, "", List.of())).put("session", s.id());
     disruption.view(o.putObject("view"));
@@ -269,7 +269,7 @@
       return noSession();
     }
     if (e.has("hosts")) {
-      disruption.catalogued(s.name(), text(e, "digest"), Disruption.subjects(e.path("hosts")));
+      disruption.catalogued(s.name(), text(e, "digest"), DisruptionState.subjects(e.path("hosts")));
     }
     disruption.told(
         s.name(),
@@ -320,7 +320,7 @@
     return releases.underWay();
   }
 
-  /** What runs out without an entry, and after how long (ms); see {@link Timers}. */
+  /** What runs out without an entry, and after how long (ms); see {@link LeaseTimers}. */
   public Map<String, Long> timers() {
     Map<String, Long> out = disruption.timers();
     releases.timers(out);
@@ -376,7 +376,7 @@
   /** What would become of a drain that was asked for now. */
   public ObjectNode explain(String kind, String name) {
     ObjectNode o = Json.object();
-    disruption.explain(Kind.of(kind), name, o);
+    disruption.explain(TargetType.of(kind), name, o);
     return o;
   }
 
@@ -436,7 +436,7 @@
 
   private static String label(ObjectNode e, String key) {
     String t = text(e, key);
-    return t.isEmpty() ? Subject.NONE : t;
+    return t.isEmpty() ? Target.NONE : t;
   }
 
   private static Set<String> names(JsonNode list) {
--- a/src/main/java/corkproxy/quorum/Json.java
+++ b/src/main/java/leadferry/consensus/Json.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/corkproxy/quorum/Lease.java
+++ b/src/main/java/leadferry/consensus/Lease.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 /**
  * A member's side of its lease. Without I/O; times are passed in (ns, of a monotonic clock that
--- a/src/main/java/corkproxy/quorum/Timers.java
+++ b/src/main/java/leadferry/consensus/LeaseTimers.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
  * Guards against a keeper that was stopped, wakes up, and takes everybody for dead whom it could
  * not hear.
  */
-public final class Timers {
+public final class LeaseTimers {
   /** A gap between two looks (ns) that tells that this process stood still. */
   static final long STALL_NANOS = 400_000_000L;
 
--- a/src/main/java/corkproxy/quorum/Pause.java
+++ b/src/main/java/leadferry/consensus/Pause.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 /** Waits between two looks; an interrupt ends the wait and stays set. */
 public final class Pause {
--- a/src/main/java/corkproxy/quorum/LogMachine.java
+++ b/src/main/java/leadferry/consensus/RatisStateMachine.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.File;
@@ -25,9 +25,12 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 
-/** Where the library meets the {@link Ledger}: entries that are committed, snapshots, restarts. */
-final class LogMachine extends BaseStateMachine {
-  private final Ledger ledger;
+/**
+ * Where the library meets the {@link FleetStateMachine}: entries that are committed, snapshots,
+ * restarts.
+ */
+final class RatisStateMachine extends BaseStateMachine {
+  private final FleetStateMachine ledger;
   private final Runnable changed;
   private final java.util.function.Consumer<Throwable> fatal;
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
@@ -36,7 +39,8 @@
    * {@code changed} runs after each entry; {@code fatal} is told what this keeper can't go on
    * after.
    */
-  LogMachine(Ledger ledger, Runnable changed, java.util.function.Consumer<Throwable> fatal) {
+  RatisStateMachine(
+      FleetStateMachine ledger, Runnable changed, java.util.function.Consumer<Throwable> fatal) {
     this.ledger = ledger;
     this.changed = changed;
     this.fatal = fatal;
--- a/src/main/java/corkproxy/quorum/Keeper.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -1,8 +1,7 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.release.Releases;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,6 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
+import leadferry.release.Releases;
 import org.apache.ratis.RaftConfigKeys;
 import org.apache.ratis.conf.RaftProperties;
 import org.apache.ratis.grpc.GrpcConfigKeys;
@@ -48,16 +48,16 @@
  * renews a lease, or reads, is answered only after a majority has confirmed that this keeper still
  * leads: one word from each for all who wait.
  */
-public final class Keeper implements AutoCloseable {
+public final class Replica implements AutoCloseable {
   private static final int TICK_MS = 50;
   private static final int MOST_REPORT_BYTES = 256 * 1024;
   private static final SizeInBytes BATCH = SizeInBytes.valueOf("4MB");
 
-  private final KeeperConfig config;
-  private final Ledger ledger;
+  private final ReplicaConfig config;
+  private final FleetStateMachine ledger;
   private final RaftServer server;
   private final RaftGroupId group;
-  private final Timers timers = new Timers();
+  private final LeaseTimers timers = new LeaseTimers();
   private final ClientId self = ClientId.randomId();
   private final AtomicLong calls = new AtomicLong();
   private final ScheduledExecutorService clock =
@@ -67,7 +67,7 @@
             t.setDaemon(true);
             return t;
           });
-  private final KeeperApi api;
+  private final ReplicaEndpoint api;
 
   /**
    * Those who wait for a word that this keeper leads, and those whom the one that is under way is
@@ -85,10 +85,11 @@
    *     lost it must not vote as if it had promised nothing
    * @throws IOException if its folder or an address can't be had, with what was expected
    */
-  public Keeper(KeeperConfig config, boolean fresh, Consumer<String> log, Consumer<Throwable> fatal)
+  public Replica(
+      ReplicaConfig config, boolean fresh, Consumer<String> log, Consumer<Throwable> fatal)
       throws IOException {
     this.config = config;
-    this.ledger = new Ledger(config.times());
+    this.ledger = new FleetStateMachine(config.times());
     this.group =
         RaftGroupId.valueOf(
             UUID.nameUUIDFromBytes(
@@ -98,14 +99,14 @@
     config
         .peers()
         .forEach((n, a) -> peers.add(RaftPeer.newBuilder().setId(n).setAddress(a).build()));
-    this.api = new KeeperApi(config, this, log);
+    this.api = new ReplicaEndpoint(config, this, log);
     RaftServer s;
     try {
       s =
           RaftServer.newBuilder()
               .setServerId(RaftPeerId.valueOf(config.name()))
               .setGroup(RaftGroup.valueOf(group, peers))
-              .setStateMachine(new LogMachine(ledger, api::changed, fatal))
+              .setStateMachine(new RatisStateMachine(ledger, api::changed, fatal))
               .setProperties(properties())
               .setOption(
                   known ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT)
@@ -200,7 +201,7 @@
       done.accept(elsewhere());
       return;
     }
-    byte[] bytes = Json.bytes(entry.put("schema", Ledger.SCHEMA));
+    byte[] bytes = Json.bytes(entry.put("schema", FleetStateMachine.SCHEMA));
     ask(RaftClientRequest.writeRequestType(), Message.valueOf(ByteString.copyFrom(bytes)))
         .whenComplete(
             (reply, failure) -> {
@@ -292,7 +293,7 @@
   boolean renew(String name, long session) {
     synchronized (ledger) {
       return ledger.lives(name, session)
-          && timers.renew(Ledger.timer(name, session), System.nanoTime());
+          && timers.renew(FleetStateMachine.timer(name, session), System.nanoTime());
     }
   }
 
@@ -347,7 +348,7 @@
     return o;
   }
 
-  Ledger ledger() {
+  FleetStateMachine ledger() {
     return ledger;
   }
 
@@ -419,7 +420,7 @@
       }
       for (String timer : due) {
         submit(
-            Ledger.ranOut(timer),
+            FleetStateMachine.ranOut(timer),
             o -> {
               if (o.has("redirect") || o.has("undecided")) {
                 synchronized (ledger) {
--- a/src/main/java/corkproxy/quorum/KeeperClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -14,7 +14,7 @@
  * next. For one thread. All that is sent may be sent again: entries carry a call's id, an
  * incarnation or a session with a number, by which the log takes them once.
  */
-public final class KeeperClient implements AutoCloseable {
+public final class ReplicaClient implements AutoCloseable {
   /**
    * One keeper has so long (ms) for a connection, and for an answer, before the next one is asked.
    */
@@ -40,13 +40,13 @@
   private final Map<String, InetSocketAddress> keepers;
   private final List<String> names;
   private final Consumer<ObjectNode> pushed;
-  private Wire wire;
+  private ReplicaConnection wire;
   private String at;
   private int next;
   private long ids;
 
   /** Keepers by name; views that they push go to {@code pushed}. */
-  public KeeperClient(
+  public ReplicaClient(
       String fleet, Map<String, InetSocketAddress> keepers, Consumer<ObjectNode> pushed) {
     this.fleet = fleet;
     this.keepers = new LinkedHashMap<>(keepers);
@@ -131,7 +131,7 @@
     if (wire == null) {
       at = names.get(next);
       long left = Math.max(1, (until - System.nanoTime()) / 1_000_000);
-      wire = new Wire(keepers.get(at), (int) Math.min(left, CONNECT_MS));
+      wire = new ReplicaConnection(keepers.get(at), (int) Math.min(left, CONNECT_MS));
     }
   }
 
--- a/src/main/java/corkproxy/quorum/KeeperConfig.java
+++ b/src/main/java/leadferry/consensus/ReplicaConfig.java
@@ -1,9 +1,9 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
-import corkproxy.disruption.Disruption;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
+import leadferry.disruption.DisruptionState;
 
 /**
  * What one keeper is told.
@@ -20,7 +20,7 @@
  *     dropped
  * @param times the fleet's times, which count for the first keeper that ever leads
  */
-public record KeeperConfig(
+public record ReplicaConfig(
     String fleet,
     String name,
     InetSocketAddress log,
@@ -29,4 +29,4 @@
     Map<String, InetSocketAddress> peers,
     int electionMs,
     int snapshotEntries,
-    Disruption.Times times) {}
+    DisruptionState.Times times) {}
--- a/src/main/java/corkproxy/quorum/Wire.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnection.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.EOFException;
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 
 /** A connection to a keeper: an object a line, in UTF-8, each way. For one thread. */
-final class Wire implements AutoCloseable {
+final class ReplicaConnection implements AutoCloseable {
   /** A longer line ends the connection (bytes). */
   static final int MOST_BYTES = 4 << 20;
 
@@ -20,7 +20,7 @@
   private int length;
 
   /** Connects within that time (ms). */
-  Wire(InetSocketAddress to, int connectMs) throws IOException {
+  ReplicaConnection(InetSocketAddress to, int connectMs) throws IOException {
     try {
       socket.connect(to, connectMs);
       socket.setTcpNoDelay(true);
--- a/src/main/java/corkproxy/quorum/KeeperApi.java
+++ b/src/main/java/leadferry/consensus/ReplicaEndpoint.java
@@ -1,7 +1,6 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.release.Releases;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -26,9 +25,10 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import leadferry.release.Releases;
 
 /** Where members and operators reach a keeper: an object a line, each way, over TCP. */
-final class KeeperApi implements AutoCloseable {
+final class ReplicaEndpoint implements AutoCloseable {
   /** What others than keepers may put into the log. */
   private static final Set<String> OPS =
       Stream.of(
@@ -45,8 +45,8 @@
   /** A connection that has said nothing for so long (s) is closed. */
   private static final int IDLE_S = 120;
 
-  private final KeeperConfig config;
-  private final Keeper keeper;
+  private final ReplicaConfig config;
+  private final Replica keeper;
   private final Consumer<String> log;
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
@@ -55,7 +55,7 @@
   private final AtomicBoolean pushing = new AtomicBoolean();
   private Channel listener;
 
-  KeeperApi(KeeperConfig config, Keeper keeper, Consumer<String> log) {
+  ReplicaEndpoint(ReplicaConfig config, Replica keeper, Consumer<String> log) {
     this.config = config;
     this.keeper = keeper;
     this.log = log;
@@ -86,7 +86,7 @@
                         .addLast(
                             new io.netty.handler.timeout.ReadTimeoutHandler(
                                 IDLE_S, TimeUnit.SECONDS),
-                            new LineBasedFrameDecoder(Wire.MOST_BYTES, true, true),
+                            new LineBasedFrameDecoder(ReplicaConnection.MOST_BYTES, true, true),
                             new Session(ch));
                   }
                 })
--- a/src/main/java/corkproxy/daemon/Fault.java
+++ b/src/main/java/leadferry/daemon/ConfigurationError.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 /**
  * One thing that is wrong in the operator's file.
@@ -8,7 +8,7 @@
  * @param found what stood there
  * @param expected what should stand there
  */
-public record Fault(String file, int line, String key, String found, String expected) {
+public record ConfigurationError(String file, int line, String key, String found, String expected) {
   @Override
   public String toString() {
     return file
--- a/src/main/java/corkproxy/daemon/Version.java
+++ b/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
@@ -1,16 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.ConnectionLimits;
-import corkproxy.engine.Hosts;
-import corkproxy.engine.PoolBounds;
-import corkproxy.http.Verdict;
-import corkproxy.limits.Limiter;
-import corkproxy.limits.RetryBudget;
-import corkproxy.routing.RouteTable;
-import corkproxy.routing.Rule;
-import corkproxy.routing.Split;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -19,20 +8,33 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import leadferry.engine.ConnectionLimits;
+import leadferry.engine.PoolBounds;
+import leadferry.engine.UpstreamHosts;
+import leadferry.http.FilterResult;
+import leadferry.limits.Limiter;
+import leadferry.limits.RetryBudget;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.Settings;
+import leadferry.routing.RouteRule;
+import leadferry.routing.RouteTable;
+import leadferry.routing.WeightedSplit;
 
 /**
  * One operator's file in force: immutable but for what limits and budgets count, and shared by all
  * workers. A request is judged by one version and ends under it.
  */
-final class Version {
+final class ConfigurationSnapshot {
   /** A route as requests take it. */
   record Target(
-      DaemonConfig.Route route, Split<String> split, Map<String, Verdict.Origin> origins) {}
+      DaemonConfig.Route route,
+      WeightedSplit<String> split,
+      Map<String, FilterResult.Origin> origins) {}
 
   /** A pool with its hosts as they are told to the modules. */
   record Pool(
       DaemonConfig.Pool config,
-      Hosts.News members,
+      UpstreamHosts.News members,
       RetryBudget retries,
       ConnectionLimits connections) {
     PoolBounds bounds() {
@@ -62,7 +64,8 @@
   final Set<String> hostsOut;
 
   /** {@code before} is the version that this one follows, or null; {@code unixMs} the time. */
-  Version(DaemonConfig config, Set<String> hostsOut, Version before, double unixMs) {
+  ConfigurationSnapshot(
+      DaemonConfig config, Set<String> hostsOut, ConfigurationSnapshot before, double unixMs) {
     this.hostsOut = Set.copyOf(hostsOut);
     this.number = before == null ? 1 : before.number + 1;
     this.config = config;
@@ -92,12 +95,13 @@
       targets.add(
           new Target(
               r,
-              new Split<>(
+              new WeightedSplit<>(
                   r.split().stream()
-                      .map(s -> new Split.Part<>(s.pool(), s.weight(), s.pool()))
+                      .map(s -> new WeightedSplit.Part<>(s.pool(), s.weight(), s.pool()))
                       .toList()),
               classes.keySet().stream()
-                  .collect(Collectors.toMap(c -> c, c -> new Verdict.Origin(r.name(), c, null)))));
+                  .collect(
+                      Collectors.toMap(c -> c, c -> new FilterResult.Origin(r.name(), c, null)))));
     }
     Set<String> byRoutes = judgedByRoutes(config);
     for (DaemonConfig.Listener l : config.listeners().values()) {
@@ -107,13 +111,13 @@
       judged.put(l.name(), Set.copyOf(names));
     }
     for (String listener : config.listeners().keySet()) {
-      List<Rule<Target>> rules = new ArrayList<>();
+      List<RouteRule<Target>> rules = new ArrayList<>();
       for (Target t : targets) {
         DaemonConfig.Route r = t.route();
         if (r.listeners().isEmpty() || r.listeners().contains(listener)) {
-          Rule<Integer> m = r.match();
+          RouteRule<Integer> m = r.match();
           rules.add(
-              new Rule<>(
+              new RouteRule<>(
                   m.name(),
                   m.hosts(),
                   m.kind(),
@@ -146,13 +150,13 @@
    * have been started anew meanwhile. What the fleet has agreed only takes hosts out, never in.
    */
   private Pool pool(DaemonConfig.Pool pool, Pool before, Set<String> outBefore, double unixMs) {
-    Map<String, Hosts.Member> known = new HashMap<>();
+    Map<String, UpstreamHosts.Member> known = new HashMap<>();
     if (before != null) {
       before.members.members().forEach(m -> known.put(m.name(), m));
     }
-    List<Hosts.Member> members = new ArrayList<>();
-    for (Hosts.Member m : pool.members()) {
-      Hosts.Member old = known.get(m.name());
+    List<UpstreamHosts.Member> members = new ArrayList<>();
+    for (UpstreamHosts.Member m : pool.members()) {
+      UpstreamHosts.Member old = known.get(m.name());
       boolean out = hostsOut.contains(m.name());
       boolean back = before != null && !out && outBefore.contains(m.name());
       double started =
@@ -160,13 +164,13 @@
               ? old.startedUnixMs()
               : number == 1 ? 0 : unixMs;
       members.add(
-          new Hosts.Member(
+          new UpstreamHosts.Member(
               m.name(),
               m.address(),
               m.zone(),
               m.kind(),
               m.cell(),
-              out ? HostEntry.Condition.TERMINATING : m.condition(),
+              out ? EndpointUpdate.Condition.TERMINATING : m.condition(),
               m.weight(),
               started));
     }
@@ -178,10 +182,11 @@
     ConnectionLimits connections =
         before == null ? new ConnectionLimits(pool.maxConnections()) : before.connections;
     connections.most(pool.maxConnections());
-    connections.keep(members.stream().map(Hosts.Member::address).collect(Collectors.toSet()));
+    connections.keep(
+        members.stream().map(UpstreamHosts.Member::address).collect(Collectors.toSet()));
     return new Pool(
         pool,
-        new Hosts.News(number, true, members),
+        new UpstreamHosts.News(number, true, members),
         sameBudget ? before.retries : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
         connections);
   }
--- a/src/main/java/corkproxy/daemon/Daemon.java
+++ b/src/main/java/leadferry/daemon/Daemon.java
@@ -1,11 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.engine.AcceptBackoff;
-import corkproxy.engine.Log;
-import corkproxy.engine.NativeTransport;
-import corkproxy.engine.NioTransport;
-import corkproxy.engine.Transport;
-import corkproxy.engine.Upstreams;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -30,6 +24,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import leadferry.engine.AcceptBackoff;
+import leadferry.engine.Log;
+import leadferry.engine.NativeTransport;
+import leadferry.engine.NioTransport;
+import leadferry.engine.Transport;
+import leadferry.engine.UpstreamConnectionPool;
 
 /**
  * The daemon from its start to its drain. Workers share nothing but limits and budgets; one loop
@@ -61,8 +61,8 @@
   private final Map<EventLoop, Worker> workers = new LinkedHashMap<>();
   private final Map<String, Bound> bound = new HashMap<>();
   private final CountDownLatch ended = new CountDownLatch(1);
-  private Version version;
-  private final FleetMember member;
+  private ConfigurationSnapshot version;
+  private final FleetAgent member;
   private final AutoCloseable keeper;
   private Set<String> hostsOut = Set.of();
   private boolean away;
@@ -76,7 +76,7 @@
    *
    * @throws FaultyFileException if the file is faulty, or a listener's address can't be had
    */
-  public Daemon(Path file, Function<LogForm, Log> logs) throws FaultyFileException {
+  public Daemon(Path file, Function<LogForm, Log> logs) throws ConfigurationException {
     this(file, false, logs);
   }
 
@@ -85,13 +85,13 @@
    * had a log.
    */
   public Daemon(Path file, boolean freshKeeper, Function<LogForm, Log> logs)
-      throws FaultyFileException {
+      throws ConfigurationException {
     this(file, OperatorFile.read(file), freshKeeper, logs, System.nanoTime());
   }
 
   private Daemon(
       Path file, DaemonConfig config, boolean freshKeeper, Function<LogForm, Log> logs, long seed)
-      throws FaultyFileException {
+      throws ConfigurationException {
     this.file = file;
     this.log = logs.apply(config.process().log());
     this.transport = transport(config.process().transport(), log);
@@ -112,13 +112,13 @@
         config.fleet() == null || config.fleet().keeper() == null
             ? null
             : keeper(config, freshKeeper);
-    this.member = config.fleet() == null ? null : new FleetMember(config.fleet(), this, log);
+    this.member = config.fleet() == null ? null : new FleetAgent(config.fleet(), this, log);
     if (member != null) {
       member.begin(config); // what the fleet has taken out is known before the first request
     }
     try {
       apply(config);
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       close();
       throw e;
     }
@@ -128,10 +128,10 @@
   }
 
   /** The keeper beside the workers. Where it can't go on it ends alone: requests do not need it. */
-  private AutoCloseable keeper(DaemonConfig config, boolean fresh) throws FaultyFileException {
+  private AutoCloseable keeper(DaemonConfig config, boolean fresh) throws ConfigurationException {
     String no;
     try {
-      return new corkproxy.quorum.Keeper(
+      return new leadferry.consensus.Replica(
           config.fleet().keeper(),
           fresh,
           log::line,
@@ -142,8 +142,10 @@
       no = e.getMessage();
     }
     close();
-    throw new FaultyFileException(
-        List.of(new Fault(file.toString(), 0, "fleet.keeper_file", no, "a keeper that can start")));
+    throw new ConfigurationException(
+        List.of(
+            new ConfigurationError(
+                file.toString(), 0, "fleet.keeper_file", no, "a keeper that can start")));
   }
 
   /**
@@ -161,7 +163,7 @@
     if (others && version != null && !draining) {
       try {
         apply(version.config);
-      } catch (FaultyFileException e) {
+      } catch (ConfigurationException e) {
         log.failure("what the fleet agreed", e); // nothing is bound anew by the same file
       }
     }
@@ -180,7 +182,7 @@
    * What became of requests since this process began, for the fleet; waits for the workers' loops.
    */
   com.fasterxml.jackson.databind.node.ObjectNode report() {
-    com.fasterxml.jackson.databind.node.ObjectNode out = corkproxy.quorum.Json.object();
+    com.fasterxml.jackson.databind.node.ObjectNode out = leadferry.consensus.Json.object();
     for (Worker w : workers.values()) {
       w.loop().submit(() -> w.report(out)).syncUninterruptibly();
     }
@@ -205,7 +207,7 @@
   }
 
   /** Judges a file and does nothing else; throws what is wrong with it. */
-  public static void check(Path file) throws FaultyFileException {
+  public static void check(Path file) throws ConfigurationException {
     OperatorFile.read(file);
   }
 
@@ -237,8 +239,8 @@
       }
       log.event("version " + version.number + " in force", "version", version.number);
       return true;
-    } catch (FaultyFileException e) {
-      for (Fault f : e.faults()) {
+    } catch (ConfigurationException e) {
+      for (ConfigurationError f : e.faults()) {
         log.event(
             "not taken: " + f,
             "file",
@@ -256,9 +258,10 @@
     }
   }
 
-  private void apply(DaemonConfig config) throws FaultyFileException {
+  private void apply(DaemonConfig config) throws ConfigurationException {
     Map<String, Bound> fresh = bindNew(config);
-    Version next = new Version(config, hostsOut, version, System.currentTimeMillis());
+    ConfigurationSnapshot next =
+        new ConfigurationSnapshot(config, hostsOut, version, System.currentTimeMillis());
     List<Future<?>> applied = new ArrayList<>();
     for (Worker w : workers.values()) {
       applied.add(w.loop().submit(() -> w.apply(next)));
@@ -288,9 +291,9 @@
   }
 
   /** Binds every address that is not bound yet, or none. */
-  private Map<String, Bound> bindNew(DaemonConfig config) throws FaultyFileException {
+  private Map<String, Bound> bindNew(DaemonConfig config) throws ConfigurationException {
     Map<String, Bound> fresh = new HashMap<>();
-    List<Fault> faults = new ArrayList<>();
+    List<ConfigurationError> faults = new ArrayList<>();
     for (DaemonConfig.Listener l : config.listeners().values()) {
       Bound b = bound.get(l.name());
       if (b != null && b.asked().equals(l.address())) {
@@ -301,7 +304,7 @@
         fresh.put(l.name(), new Bound(l.address(), f.channel()));
       } else {
         faults.add(
-            new Fault(
+            new ConfigurationError(
                 file.toString(),
                 0,
                 "listener." + l.name() + ".address",
@@ -311,7 +314,7 @@
     }
     if (!faults.isEmpty()) {
       fresh.values().forEach(b -> b.channel().close());
-      throw new FaultyFileException(faults);
+      throw new ConfigurationException(faults);
     }
     return fresh;
   }
@@ -333,8 +336,8 @@
               }
             })
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Upstreams.READS)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstreams.MARKS)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
--- a/src/main/java/corkproxy/daemon/DaemonConfig.java
+++ b/src/main/java/leadferry/daemon/DaemonConfig.java
@@ -1,14 +1,14 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.balancer.Settings;
-import corkproxy.engine.Hosts;
-import corkproxy.http.Forwarding;
-import corkproxy.limits.Limit;
-import corkproxy.routing.PathForm;
-import corkproxy.routing.Rule;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
+import leadferry.engine.UpstreamHosts;
+import leadferry.http.Forwarding;
+import leadferry.limits.Limit;
+import leadferry.loadbalancer.Settings;
+import leadferry.routing.PathNormalizer;
+import leadferry.routing.RouteRule;
 
 /** What the operator's file says, checked whole. Times are milliseconds. */
 record DaemonConfig(
@@ -66,7 +66,7 @@
       java.nio.file.Path state,
       String version,
       Map<String, InetSocketAddress> keepers,
-      corkproxy.quorum.KeeperConfig keeper) {}
+      leadferry.consensus.ReplicaConfig keeper) {}
 
   /** The kind of sockets: the best that is there, or a certain one. */
   enum Sockets {
@@ -80,7 +80,7 @@
   record Listener(
       String name,
       InetSocketAddress address,
-      PathForm.Mode paths,
+      PathNormalizer.Mode paths,
       String classHeader,
       String tenantHeader,
       String healthPath,
@@ -94,7 +94,7 @@
   /** A pool of servers; {@code settings} is what its module is told. */
   record Pool(
       String name,
-      List<Hosts.Member> members,
+      List<UpstreamHosts.Member> members,
       Settings settings,
       int maxAnswer,
       boolean passErrors,
@@ -131,7 +131,7 @@
   record Route(
       String name,
       List<String> listeners,
-      Rule<Integer> match,
+      RouteRule<Integer> match,
       String className,
       List<Share> split,
       SplitBy splitBy,
--- a/src/main/java/corkproxy/daemon/DaemonLog.java
+++ b/src/main/java/leadferry/daemon/DaemonLog.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import ch.qos.logback.classic.AsyncAppender;
 import ch.qos.logback.classic.Level;
@@ -9,10 +9,10 @@
 import ch.qos.logback.core.OutputStreamAppender;
 import ch.qos.logback.core.filter.Filter;
 import ch.qos.logback.core.spi.FilterReply;
-import corkproxy.engine.Log;
 import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
+import leadferry.engine.Log;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
--- a/src/main/java/corkproxy/daemon/DaemonGate.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -1,19 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.Fallback;
-import corkproxy.http.Framing;
-import corkproxy.http.Gate;
-import corkproxy.http.Streaming;
-import corkproxy.http.Verdict;
-import corkproxy.limits.Caller;
-import corkproxy.limits.Grant;
-import corkproxy.routing.PathForm;
-import corkproxy.routing.Rule;
-import corkproxy.routing.Split;
-import corkproxy.routing.Subject;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -26,27 +12,42 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.FallbackPools;
+import leadferry.http.FilterResult;
+import leadferry.http.Framing;
+import leadferry.http.RequestFilter;
+import leadferry.http.Streaming;
+import leadferry.limits.ClientIdentity;
+import leadferry.limits.Grant;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
+import leadferry.routing.PathNormalizer;
+import leadferry.routing.RequestAttributes;
+import leadferry.routing.RouteRule;
+import leadferry.routing.WeightedSplit;
 
 /**
  * From a request's head to the pool that takes it: path, host, class, route, limits, split. One
  * listener's on one worker under one version. May refuse before any attempt; never sends.
  */
-final class DaemonGate implements Gate {
+final class DaemonRequestFilter implements RequestFilter {
   /** A host name, or an address in brackets, with a port or none. */
   private static final int MAX_HOST = 255;
 
   private static final String SCHEME = "http://";
-  private static final Verdict.Origin NO_ROUTE = new Verdict.Origin(null, null, null);
+  private static final FilterResult.Origin NO_ROUTE = new FilterResult.Origin(null, null, null);
 
   private final Worker worker;
-  private final Version version;
+  private final ConfigurationSnapshot version;
   private final DaemonConfig.Listener listener;
-  private final corkproxy.routing.RouteTable<Version.Target> routes;
+  private final leadferry.routing.RouteTable<ConfigurationSnapshot.Target> routes;
   private final Set<String> judged;
   private final View view = new View();
   private final SplittableRandom random = new SplittableRandom();
 
-  DaemonGate(Worker worker, Version version, DaemonConfig.Listener listener) {
+  DaemonRequestFilter(
+      Worker worker, ConfigurationSnapshot version, DaemonConfig.Listener listener) {
     this.worker = worker;
     this.version = version;
     this.listener = listener;
@@ -55,7 +56,7 @@
   }
 
   /** The request at hand as routes see it; used anew for each, on one loop. */
-  private static final class View implements Subject {
+  private static final class View implements RequestAttributes {
     private HttpRequest head;
     private String host;
     private String path;
@@ -98,31 +99,32 @@
   }
 
   @Override
-  public Verdict judge(HttpRequest head, InetSocketAddress client) {
+  public FilterResult judge(HttpRequest head, InetSocketAddress client) {
     if (!originForm(head)) {
-      return Verdict.reject(400);
+      return FilterResult.reject(400);
     }
     String uri = head.uri();
     if (uri.equals(listener.healthPath())) {
-      return Verdict.answer(ready() ? 200 : 503, 0);
+      return FilterResult.answer(ready() ? 200 : 503, 0);
     }
     if (head.method().equals(HttpMethod.CONNECT)) {
-      return Verdict.reject(405);
+      return FilterResult.reject(405);
     }
     int query = uri.indexOf('?');
-    PathForm path = PathForm.of(query < 0 ? uri : uri.substring(0, query), listener.paths());
+    PathNormalizer path =
+        PathNormalizer.of(query < 0 ? uri : uri.substring(0, query), listener.paths());
     String host = host(head);
     if (path == null || host == null || query >= 0 && !plain(uri, query)) {
-      return Verdict.reject(400);
+      return FilterResult.reject(400);
     }
     view.head = head;
     view.host = host;
     view.path = path.match();
     String claimed = head.headers().get(listener.classHeader());
     view.className = claimed != null && version.classes.containsKey(claimed) ? claimed : null;
-    Rule<Version.Target> rule = routes.find(view);
+    RouteRule<ConfigurationSnapshot.Target> rule = routes.find(view);
     if (rule == null) {
-      return Verdict.answer(404, 0, NO_ROUTE);
+      return FilterResult.answer(404, 0, NO_ROUTE);
     }
     return route(head, client, path, query < 0 ? "" : uri.substring(query), rule);
   }
@@ -153,12 +155,12 @@
     return true;
   }
 
-  private Verdict route(
+  private FilterResult route(
       HttpRequest head,
       InetSocketAddress client,
-      PathForm path,
+      PathNormalizer path,
       String query,
-      Rule<Version.Target> rule) {
+      RouteRule<ConfigurationSnapshot.Target> rule) {
     HttpHeaders h = head.headers();
     DaemonConfig.Route route = rule.target().route();
     String name =
@@ -166,22 +168,22 @@
             ? route.className()
             : view.className != null ? view.className : DaemonConfig.DEFAULT_CLASS;
     Settings.RequestClass type = version.classes.get(name);
-    Verdict.Origin origin = rule.target().origins().get(name);
+    FilterResult.Origin origin = rule.target().origins().get(name);
     String key = Framing.single(h, "Idempotency-Key");
     if (type.semantics() == Settings.Semantics.DEDUPLICATED && (key == null || key.isBlank())) {
-      return Verdict.answer(400, 0, origin); // nothing tells its repeats apart
+      return FilterResult.answer(400, 0, origin); // nothing tells its repeats apart
     }
     double timeout = type.deadline();
     if (h.contains("X-Timeout-Ms")) {
       timeout = Math.min(timeout, Framing.whole(Framing.single(h, "X-Timeout-Ms")));
     }
     if (!(timeout >= 1)) {
-      return Verdict.answer(400, 0, origin);
+      return FilterResult.answer(400, 0, origin);
     }
     if (doubled(h, listener.classHeader())
         || doubled(h, listener.tenantHeader())
         || doubled(h, route.splitHeader())) {
-      return Verdict.answer(400, 0, origin); // a host may go by the other one
+      return FilterResult.answer(400, 0, origin); // a host may go by the other one
     }
     String tenant = h.get(listener.tenantHeader(), "");
     InetAddress caller =
@@ -189,25 +191,28 @@
     String address = caller == null ? "" : caller.getHostAddress();
     Grant grant =
         version.limiter.acquire(
-            new Caller(listener.name(), route.name(), tenant, name, address), System.nanoTime());
+            new ClientIdentity(listener.name(), route.name(), tenant, name, address),
+            System.nanoTime());
     if (grant.refusedBy() != null) {
-      return Verdict.answer(
-          429, grant.retryAfterMs(), new Verdict.Origin(route.name(), name, grant.refusedBy()));
+      return FilterResult.answer(
+          429,
+          grant.retryAfterMs(),
+          new FilterResult.Origin(route.name(), name, grant.refusedBy()));
     }
     String pool = rule.target().split().pick(splitKey(route, h, tenant, address));
     boolean safe = type.semantics() == Settings.Semantics.IDEMPOTENT;
-    Arrival arrival =
-        new Arrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
+    RequestArrival arrival =
+        new RequestArrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
     Dispatcher target = take(pool);
     if (target == null) {
       grant.release();
-      return Verdict.answer(503, 0, origin);
+      return FilterResult.answer(503, 0, origin);
     }
     if (caller != null) {
       listener.forwarding().tell(h, client.getAddress(), caller);
     }
     rewrite(head, route, rule, path, query);
-    return Verdict.take(
+    return FilterResult.take(
         target,
         arrival,
         fallback(route.fallback(), 0, pool, arrival, safe),
@@ -222,14 +227,14 @@
 
   /** The worker's pool, which counts what comes to it. */
   private Dispatcher take(String pool) {
-    Version.Pool p = version.pools.get(pool);
+    ConfigurationSnapshot.Pool p = version.pools.get(pool);
     p.retries().earn();
     version.retries.earn();
     return worker.pool(pool);
   }
 
-  private Fallback fallback(
-      List<String> names, int from, String first, Arrival arrival, boolean safe) {
+  private FallbackPools fallback(
+      List<String> names, int from, String first, RequestArrival arrival, boolean safe) {
     if (from >= names.size()) {
       return null;
     }
@@ -240,7 +245,7 @@
       for (int i = from; i < names.size(); i++) {
         Dispatcher d = names.get(i).equals(first) ? null : worker.pool(names.get(i));
         if (d != null) {
-          return new Fallback.Next(d, arrival, fallback(names, i + 1, first, arrival, safe));
+          return new FallbackPools.Next(d, arrival, fallback(names, i + 1, first, arrival, safe));
         }
       }
       return null;
@@ -257,24 +262,24 @@
           case TENANT -> tenant.isEmpty() ? null : tenant;
           case ADDRESS -> address;
         };
-    return key == null ? random.nextLong() : Split.hash(key);
+    return key == null ? random.nextLong() : WeightedSplit.hash(key);
   }
 
   private void rewrite(
       HttpRequest head,
       DaemonConfig.Route route,
-      Rule<Version.Target> rule,
-      PathForm path,
+      RouteRule<ConfigurationSnapshot.Target> rule,
+      PathNormalizer path,
       String query) {
     String forward = path.forward();
     if (!route.rewritePrefix().isEmpty()) {
       String rest = path.match().substring(rule.path().length());
-      String to = PathForm.ofPattern(route.rewritePrefix());
+      String to = PathNormalizer.ofPattern(route.rewritePrefix());
       to =
           to.endsWith("/") && (rest.startsWith("/") || rest.isEmpty() && to.length() > 1)
               ? to.substring(0, to.length() - 1)
               : to;
-      forward = PathForm.encode(to + rest);
+      forward = PathNormalizer.encode(to + rest);
     }
     head.setUri(forward + query);
     HttpHeaders h = head.headers();
--- a/src/main/java/corkproxy/daemon/FleetMember.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -1,19 +1,7 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
-import corkproxy.disruption.MemberView;
-import corkproxy.disruption.Subject;
-import corkproxy.engine.Hosts;
-import corkproxy.engine.Log;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperClient;
-import corkproxy.quorum.KeeperClient.UnreachableException;
-import corkproxy.quorum.Lease;
-import corkproxy.quorum.Ledger;
-import corkproxy.quorum.Pause;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -22,6 +10,18 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.UUID;
+import leadferry.consensus.FleetStateMachine;
+import leadferry.consensus.Json;
+import leadferry.consensus.Lease;
+import leadferry.consensus.Pause;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.ProxyMemberView;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
+import leadferry.engine.Log;
+import leadferry.engine.UpstreamHosts;
 
 /**
  * This daemon as a member of its fleet: one thread that keeps a session, goes by what the keepers
@@ -32,7 +32,7 @@
  *   begin: join, or the state file ... serving: renew, take news, tell ... leaving ... gone
  * </pre>
  */
-final class FleetMember implements AutoCloseable {
+final class FleetAgent implements AutoCloseable {
   /** Renewals a lease. */
   private static final int RENEWALS = 4;
 
@@ -43,9 +43,9 @@
   private final Daemon daemon;
   private final Log log;
   private final String incarnation = UUID.randomUUID().toString();
-  private final KeeperClient keepers;
+  private final ReplicaClient keepers;
   private final Lease lease;
-  private final MemberView view;
+  private final ProxyMemberView view;
   private final Thread thread;
   private long session;
   private long number;
@@ -63,13 +63,13 @@
   private volatile Runnable gone;
   private volatile boolean carriesNothing;
 
-  FleetMember(DaemonConfig.Fleet config, Daemon daemon, Log log) {
+  FleetAgent(DaemonConfig.Fleet config, Daemon daemon, Log log) {
     this.config = config;
     this.daemon = daemon;
     this.log = log;
-    this.keepers = new KeeperClient(config.fleet(), config.keepers(), m -> take(m.path("view")));
+    this.keepers = new ReplicaClient(config.fleet(), config.keepers(), m -> take(m.path("view")));
     this.lease = new Lease(config.leaseMs());
-    this.view = new MemberView(config.name());
+    this.view = new ProxyMemberView(config.name());
     this.thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
   }
@@ -268,18 +268,24 @@
     if (now == catalogued) {
       return catalogue;
     }
-    TreeMap<String, Subject> all = new TreeMap<>();
+    TreeMap<String, Target> all = new TreeMap<>();
     for (DaemonConfig.Pool p : now.pools().values()) {
-      for (Hosts.Member m : p.members()) {
+      for (UpstreamHosts.Member m : p.members()) {
         all.putIfAbsent(
             m.name(),
-            new Subject(
-                Kind.HOST, m.name(), m.zone(), Long.toHexString(m.cell()), p.name(), m.kind()));
+            new Target(
+                TargetType.HOST,
+                m.name(),
+                m.zone(),
+                Long.toHexString(m.cell()),
+                p.name(),
+                m.kind()));
       }
     }
     ArrayNode list = Json.object().putArray("hosts");
-    all.values().forEach(s -> Disruption.write(s, list.addObject()));
-    catalogue = Json.object().put("digest", Ledger.digest(Json.text(list))).set("hosts", list);
+    all.values().forEach(s -> DisruptionState.write(s, list.addObject()));
+    catalogue =
+        Json.object().put("digest", FleetStateMachine.digest(Json.text(list))).set("hosts", list);
     catalogued = now;
     return catalogue;
   }
--- a/src/main/java/corkproxy/daemon/LogForm.java
+++ b/src/main/java/leadferry/daemon/LogForm.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 /** How the daemon's log is written. */
 public enum LogForm {
--- a/src/main/java/corkproxy/daemon/Names.java
+++ b/src/main/java/leadferry/daemon/Names.java
@@ -1,9 +1,9 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.engine.Addresses;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import leadferry.engine.Addresses;
 
 /**
  * What an operator's file names so far, for the checks of one part against another: a part is read
@@ -21,7 +21,7 @@
   final Set<String> routes = new LinkedHashSet<>();
 
   /** Takes a name among its kind, or notes what is wrong with it. */
-  static void take(Section s, String name, Set<String> among) {
+  static void take(TomlSection s, String name, Set<String> among) {
     if (!name.matches(NAME)) {
       s.fault("", "the name '" + name + "'", "letters, digits, _, - and ., at most 64");
     } else if (!among.add(name)) {
@@ -30,7 +30,7 @@
   }
 
   /** The address that the key holds, or null and a fault. */
-  static InetSocketAddress address(Section s, String key, boolean portZero) {
+  static InetSocketAddress address(TomlSection s, String key, boolean portZero) {
     String text = s.text(key, null, "IP:port");
     InetSocketAddress a = text.isEmpty() ? null : Addresses.parse(text);
     if (!text.isEmpty() && (a == null || a.getPort() == 0 && !portZero)) {
--- a/src/main/java/corkproxy/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -1,11 +1,6 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import corkproxy.balancer.Settings;
-import corkproxy.http.Forwarding;
-import corkproxy.http.Networks;
-import corkproxy.limits.Limit;
-import corkproxy.routing.PathForm;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.CharacterCodingException;
@@ -19,6 +14,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import leadferry.http.Forwarding;
+import leadferry.http.Networks;
+import leadferry.limits.Limit;
+import leadferry.loadbalancer.Settings;
+import leadferry.routing.PathNormalizer;
 
 /**
  * Reads and judges the operator's file (TOML 1.0). One reading finds all that is wrong; what is
@@ -28,11 +28,11 @@
   /** A longer file is none of ours (bytes). */
   private static final long MOST_BYTES = 64L << 20;
 
-  private final Section root;
+  private final TomlSection root;
   private final Names names = new Names();
 
-  private OperatorFile(Section.Source source, JsonNode root) {
-    this.root = new Section(source, "", root);
+  private OperatorFile(TomlSection.Source source, JsonNode root) {
+    this.root = new TomlSection(source, "", root);
   }
 
   /**
@@ -40,37 +40,43 @@
    *
    * @throws FaultyFileException with every fault that was found
    */
-  static DaemonConfig read(Path file) throws FaultyFileException {
+  static DaemonConfig read(Path file) throws ConfigurationException {
     String name = file.toString();
     try {
       if (Files.size(file) > MOST_BYTES) {
-        throw new FaultyFileException(
-            List.of(new Fault(name, 0, "", "a longer file", "at most " + MOST_BYTES + " bytes")));
+        throw new ConfigurationException(
+            List.of(
+                new ConfigurationError(
+                    name, 0, "", "a longer file", "at most " + MOST_BYTES + " bytes")));
       }
       return parse(name, Files.readString(file));
     } catch (CharacterCodingException e) {
-      throw new FaultyFileException(List.of(new Fault(name, 0, "", "not UTF-8", "TOML in UTF-8")));
+      throw new ConfigurationException(
+          List.of(new ConfigurationError(name, 0, "", "not UTF-8", "TOML in UTF-8")));
     } catch (IOException | InvalidPathException e) {
-      throw new FaultyFileException(
-          List.of(new Fault(name, 0, "", "can't be read: " + e, "a file that can be read")));
+      throw new ConfigurationException(
+          List.of(
+              new ConfigurationError(
+                  name, 0, "", "can't be read: " + e, "a file that can be read")));
     }
   }
 
   /** Reads the file's text; {@code name} stands in faults. */
-  static DaemonConfig parse(String name, String text) throws FaultyFileException {
+  static DaemonConfig parse(String name, String text) throws ConfigurationException {
     TomlTree tree;
     try {
       tree = TomlTree.of(name, text);
     } catch (RuntimeException | StackOverflowError e) {
       // Guards against a parser that answers odd texts, thousands of brackets say, with errors of
       // its own.
-      throw new FaultyFileException(List.of(new Fault(name, 0, "", e.toString(), "TOML 1.0")));
+      throw new ConfigurationException(
+          List.of(new ConfigurationError(name, 0, "", e.toString(), "TOML 1.0")));
     }
-    Section.Source source = new Section.Source(name, tree);
+    TomlSection.Source source = new TomlSection.Source(name, tree);
     DaemonConfig config = new OperatorFile(source, tree.root).all();
     if (!source.faults.isEmpty()) {
-      source.faults.sort(java.util.Comparator.comparingInt(Fault::line));
-      throw new FaultyFileException(source.faults);
+      source.faults.sort(java.util.Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.faults);
     }
     return config;
   }
@@ -88,8 +94,8 @@
   }
 
   private DaemonConfig.Process process() {
-    Section d = root.table("daemon");
-    Section r = d.table("retries");
+    TomlSection d = root.table("daemon");
+    TomlSection r = d.table("retries");
     int instances = d.integer("instances", 1, 1, 1_000_000);
     DaemonConfig.Process p =
         new DaemonConfig.Process(
@@ -110,7 +116,7 @@
   }
 
   private DaemonConfig.Fleet fleet() {
-    Section f = root.table("fleet");
+    TomlSection f = root.table("fleet");
     if (!root.has("fleet")) {
       return null;
     }
@@ -119,7 +125,7 @@
       Names.take(f, name, new java.util.HashSet<>());
     }
     Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
-    Section k = f.table("keepers");
+    TomlSection k = f.table("keepers");
     for (String keeper : k.keys()) {
       keepers.put(keeper, Names.address(k, keeper, false));
     }
@@ -138,7 +144,7 @@
     }
     String fleet = f.text("fleet", null, "the fleet's name");
     String version = f.text("version", "-", "what runs here, as releases call it");
-    if (!version.matches(corkproxy.disruption.Disruption.NAME) && !version.equals("-")) {
+    if (!version.matches(leadferry.disruption.DisruptionState.NAME) && !version.equals("-")) {
       f.fault(
           "version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
     }
@@ -162,19 +168,19 @@
    * The keeper that this daemon runs as well, by a file of its own; null where none is named, or
    * where it is faulty.
    */
-  private static corkproxy.quorum.KeeperConfig keeper(Section f, String fleet) {
+  private static leadferry.consensus.ReplicaConfig keeper(TomlSection f, String fleet) {
     String file =
         f.text("keeper_file", "-", "the file of the keeper that runs in this process as well");
     if (file.equals("-")) {
       return null;
     }
     try {
-      corkproxy.quorum.KeeperConfig k = KeeperFile.read(java.nio.file.Path.of(file));
+      leadferry.consensus.ReplicaConfig k = ReplicaFile.read(java.nio.file.Path.of(file));
       if (!k.fleet().equals(fleet)) {
         f.fault("keeper_file", file + ", of fleet " + k.fleet(), "a keeper of fleet " + fleet);
       }
       return k;
-    } catch (FaultyFileException e) {
+    } catch (ConfigurationException e) {
       e.faults().forEach(x -> f.fault("keeper_file", x.toString(), "a sound keeper's file"));
       return null;
     }
@@ -183,8 +189,8 @@
   private Map<String, DaemonConfig.Listener> listeners() {
     Map<String, DaemonConfig.Listener> out = new LinkedHashMap<>();
     Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (Map.Entry<String, Section> e : root.named("listener").entrySet()) {
-      Section s = e.getValue();
+    for (Map.Entry<String, TomlSection> e : root.named("listener").entrySet()) {
+      TomlSection s = e.getValue();
       Names.take(s, e.getKey(), names.listeners);
       InetSocketAddress at = Names.address(s, "address", true);
       String other = at == null || at.getPort() == 0 ? null : taken.putIfAbsent(at, e.getKey());
@@ -200,7 +206,7 @@
           new DaemonConfig.Listener(
               e.getKey(),
               at,
-              s.word("paths", PathForm.Mode.STRICT, PathForm.Mode.class),
+              s.word("paths", PathNormalizer.Mode.STRICT, PathNormalizer.Mode.class),
               token(s, "class_header", "X-Priority-Class"),
               token(s, "tenant_header", "X-Tenant-Id"),
               health,
@@ -220,7 +226,7 @@
     return out;
   }
 
-  private static Networks networks(Section s) {
+  private static Networks networks(TomlSection s) {
     List<String> texts = s.texts("trusted");
     for (int i = 0; i < texts.size(); i++) {
       if (Networks.fault(texts.get(i))) {
@@ -233,7 +239,7 @@
     return new Networks(texts.stream().filter(t -> !Networks.fault(t)).toList());
   }
 
-  private static String token(Section s, String key, String otherwise) {
+  private static String token(TomlSection s, String key, String otherwise) {
     String t = s.text(key, otherwise, "the name of a header");
     if (!t.matches(Names.TOKEN)) {
       s.fault(key, "'" + t + "'", "the name of a header");
@@ -255,8 +261,8 @@
 
   private List<Settings.RequestClass> classes() {
     List<Settings.RequestClass> out = new ArrayList<>();
-    for (Map.Entry<String, Section> e : root.named("class").entrySet()) {
-      Section s = e.getValue();
+    for (Map.Entry<String, TomlSection> e : root.named("class").entrySet()) {
+      TomlSection s = e.getValue();
       Names.take(s, e.getKey(), names.classes);
       double deadline = s.number("deadline_ms", 5_000, 1, 3_600_000);
       double aim = s.number("aim_ms", Math.min(1_000, deadline), 1, 3_600_000);
@@ -311,7 +317,7 @@
   private List<Limit> limits() {
     List<Limit> out = new ArrayList<>();
     Set<String> limitNames = new LinkedHashSet<>();
-    for (Section s : root.list("limit")) {
+    for (TomlSection s : root.list("limit")) {
       String name = s.text("name", null, "the limit's name");
       String within = s.text("within", "", "the name of a limit that stands before");
       if (!within.isEmpty()) {
--- a/src/main/java/corkproxy/daemon/PoolReader.java
+++ b/src/main/java/leadferry/daemon/PoolReader.java
@@ -1,9 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.Hosts;
-import corkproxy.routing.Split;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,13 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import leadferry.engine.UpstreamHosts;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.Settings;
+import leadferry.routing.WeightedSplit;
 
 /** Reads and judges {@code [pool.NAME]} and its members. */
 final class PoolReader {
-  private final Section root;
+  private final TomlSection root;
   private final Names names;
 
-  PoolReader(Section root, Names names) {
+  PoolReader(TomlSection root, Names names) {
     this.root = root;
     this.names = names;
   }
@@ -32,11 +32,11 @@
   Map<String, DaemonConfig.Pool> read(
       List<Settings.RequestClass> classes, DaemonConfig.Process process) {
     Map<String, DaemonConfig.Pool> out = new LinkedHashMap<>();
-    for (Map.Entry<String, Section> e : root.named("pool").entrySet()) {
-      Section s = e.getValue();
+    for (Map.Entry<String, TomlSection> e : root.named("pool").entrySet()) {
+      TomlSection s = e.getValue();
       Names.take(s, e.getKey(), names.pools);
-      Section cold = s.table("cold");
-      Section retries = s.table("retries");
+      TomlSection cold = s.table("cold");
+      TomlSection retries = s.table("retries");
       String zone = s.text("zone", "-", "the zone to prefer");
       Settings settings =
           new Settings(
@@ -82,11 +82,11 @@
     return out;
   }
 
-  private static List<Hosts.Member> members(Section pool) {
-    List<Hosts.Member> out = new ArrayList<>();
+  private static List<UpstreamHosts.Member> members(TomlSection pool) {
+    List<UpstreamHosts.Member> out = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (Section s : pool.list("member")) {
+    for (TomlSection s : pool.list("member")) {
       String id = s.text("id", null, "the server's id");
       if (!id.isEmpty() && !ids.add(id)) {
         s.fault("id", "'" + id + "' a second time", "an id of its own");
@@ -100,16 +100,16 @@
       State state = s.word("state", State.UP, State.class);
       String pod = s.text("pod", "-", "the pod's name");
       out.add(
-          new Hosts.Member(
+          new UpstreamHosts.Member(
               id,
               at,
               s.text("zone", "-", "the zone's name"),
               s.text("kind", "-", "the kind of machine"),
               // A server of no pod shares the memory of its keys with no other.
-              Split.hash(pod.equals("-") ? "server " + id : "pod " + pod),
+              WeightedSplit.hash(pod.equals("-") ? "server " + id : "pod " + pod),
               state == State.UP && weight > 0
-                  ? HostEntry.Condition.READY
-                  : HostEntry.Condition.TERMINATING,
+                  ? EndpointUpdate.Condition.READY
+                  : EndpointUpdate.Condition.TERMINATING,
               weight,
               0));
       s.end();
--- a/src/main/java/corkproxy/daemon/QuietLogging.java
+++ b/src/main/java/leadferry/daemon/QuietLogging.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
--- a/src/main/java/corkproxy/daemon/RecordBudget.java
+++ b/src/main/java/leadferry/daemon/RecordBudget.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import java.util.concurrent.atomic.AtomicLong;
 
--- a/src/main/java/corkproxy/daemon/RecordEncoder.java
+++ b/src/main/java/leadferry/daemon/RecordEncoder.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.spi.ILoggingEvent;
--- a/src/main/java/corkproxy/daemon/ReleaseFile.java
+++ b/src/main/java/leadferry/daemon/ReleaseFile.java
@@ -1,11 +1,8 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Budget;
-import corkproxy.quorum.Json;
-import corkproxy.release.Plan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,6 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import leadferry.consensus.Json;
+import leadferry.disruption.Budget;
+import leadferry.release.ReleasePlan;
 
 /**
  * Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what
@@ -35,17 +35,20 @@
    * @param status the fleet as the ledger tells of it: proxies and hosts with their labels
    * @throws FaultyFileException with every fault that was found
    */
-  public static ObjectNode read(Path file, JsonNode status) throws FaultyFileException {
+  public static ObjectNode read(Path file, JsonNode status) throws ConfigurationException {
     String text;
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw new FaultyFileException(
-          List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
+      throw new ConfigurationException(
+          List.of(
+              new ConfigurationError(
+                  file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
     }
-    Section.Source source = new Section.Source(file.toString(), TomlTree.of(file.toString(), text));
-    Section root = new Section(source, "", source.lines.root);
-    Section r = root.table("release");
+    TomlSection.Source source =
+        new TomlSection.Source(file.toString(), TomlTree.of(file.toString(), text));
+    TomlSection root = new TomlSection(source, "", source.lines.root);
+    TomlSection r = root.table("release");
     ObjectNode plan = Json.object();
     plan.put("name", r.text("name", null, "the release's own name in the fleet"));
     String of = r.text("of", null, "proxy or host");
@@ -63,7 +66,7 @@
         plan.put(key, r.text(key, null, "a word as docs/RELEASES.md tells"));
       }
     }
-    Section g = r.table("guard");
+    TomlSection g = r.table("guard");
     plan.putObject("guard")
         .put("least_requests", g.integer("least_requests", 0, 0, 1_000_000_000))
         .put("max_worse", g.number("max_worse", 0.02, 0, 1))
@@ -77,17 +80,17 @@
     root.end();
     if (source.faults.isEmpty()) {
       List<String> faults = new ArrayList<>();
-      Plan.read(plan, faults);
+      ReleasePlan.read(plan, faults);
       faults.forEach(f -> r.fault("", f, "a plan as docs/RELEASES.md tells"));
     }
     if (!source.faults.isEmpty()) {
-      source.faults.sort(Comparator.comparingInt(Fault::line));
-      throw new FaultyFileException(source.faults);
+      source.faults.sort(Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.faults);
     }
     return plan;
   }
 
-  private static void carry(Section c, ObjectNode to) {
+  private static void carry(TomlSection c, ObjectNode to) {
     By by = c.word("by", By.COMMAND, By.class);
     to.put("by", by == By.COMMAND ? "command" : "agent");
     for (String key : List.of("command", "check")) {
@@ -109,14 +112,14 @@
    * Each step takes of what is left those that it names, or that carry its labels, or a share of
    * these.
    */
-  private static void steps(Section r, String of, JsonNode status, ArrayNode to) {
+  private static void steps(TomlSection r, String of, JsonNode status, ArrayNode to) {
     Map<String, JsonNode> all = new LinkedHashMap<>();
     status
         .path(of.equals("proxy") ? "proxies" : "hosts")
         .forEach(n -> all.put(n.path("name").asText(), n));
     Map<String, String> overall = labels(r);
     Set<String> taken = new LinkedHashSet<>();
-    for (Section s : r.list("step")) {
+    for (TomlSection s : r.list("step")) {
       ObjectNode step = to.addObject().put("name", s.text("name", null, "the step's name"));
       step.put("at_once", s.integer("at_once", 1, 1, 100_000))
           .put("bake_ms", s.integer("bake_ms", 0, 0, Integer.MAX_VALUE));
@@ -158,7 +161,7 @@
         .allMatch(l -> subject.path(l.getKey()).asText("-").equals(l.getValue()));
   }
 
-  private static Map<String, String> labels(Section s) {
+  private static Map<String, String> labels(TomlSection s) {
     Map<String, String> where = s.map("where");
     for (String label : where.keySet()) {
       if (!Budget.LABELS.contains(label)) {
--- a/src/main/java/corkproxy/daemon/KeeperFile.java
+++ b/src/main/java/leadferry/daemon/ReplicaFile.java
@@ -1,11 +1,7 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Budget;
-import corkproxy.disruption.Disruption;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -15,20 +11,24 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaConfig;
+import leadferry.disruption.Budget;
+import leadferry.disruption.DisruptionState;
 
 /** Reads and judges a keeper's file, and a file of budgets (TOML 1.0): {@code docs/FLEET.md}. */
-public final class KeeperFile {
-  private KeeperFile() {}
+public final class ReplicaFile {
+  private ReplicaFile() {}
 
   /**
    * Reads a keeper's file.
    *
    * @throws FaultyFileException with every fault that was found
    */
-  public static KeeperConfig read(Path file) throws FaultyFileException {
-    Section.Source source = source(file);
-    Section root = new Section(source, "", source.lines.root);
-    Section k = root.table("keeper");
+  public static ReplicaConfig read(Path file) throws ConfigurationException {
+    TomlSection.Source source = source(file);
+    TomlSection root = new TomlSection(source, "", source.lines.root);
+    TomlSection k = root.table("keeper");
     String fleet = k.text("fleet", null, "the fleet's name");
     String name = k.text("name", null, "this keeper's name");
     InetSocketAddress log = Names.address(k, "log_address", false);
@@ -37,15 +37,15 @@
     int election = k.integer("election_ms", 300, 50, 60_000);
     int snapshot = k.integer("snapshot_entries", 20_000, 50, 10_000_000);
     k.end();
-    Section f = root.table("fleet");
-    Disruption.Times times =
-        new Disruption.Times(
+    TomlSection f = root.table("fleet");
+    DisruptionState.Times times =
+        new DisruptionState.Times(
             f.integer("settle_ms", 5_000, 0, 3_600_000),
             f.integer("warm_ms", 10_000, 0, 3_600_000),
             f.integer("fence_ms", 1_000, 0, 3_600_000));
     f.end();
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    for (Map.Entry<String, Section> e : root.named("peer").entrySet()) {
+    for (Map.Entry<String, TomlSection> e : root.named("peer").entrySet()) {
       Names.take(e.getValue(), e.getKey(), new java.util.HashSet<>());
       peers.put(e.getKey(), Names.address(e.getValue(), "log_address", false));
       e.getValue().end();
@@ -64,7 +64,7 @@
     }
     root.end();
     end(source);
-    return new KeeperConfig(
+    return new ReplicaConfig(
         fleet, name, log, api, Path.of(folder), peers, election, snapshot, times);
   }
 
@@ -73,11 +73,11 @@
    *
    * @throws FaultyFileException with every fault that was found
    */
-  public static ArrayNode budgets(Path file) throws FaultyFileException {
-    Section.Source source = source(file);
-    Section root = new Section(source, "", source.lines.root);
+  public static ArrayNode budgets(Path file) throws ConfigurationException {
+    TomlSection.Source source = source(file);
+    TomlSection root = new TomlSection(source, "", source.lines.root);
     ArrayNode out = Json.object().putArray("budgets");
-    for (Section s : root.list("budget")) {
+    for (TomlSection s : root.list("budget")) {
       ObjectNode n = out.addObject();
       n.put("name", s.text("name", null, "the budget's name"));
       n.put("of", s.text("of", null, "proxy or host"))
@@ -97,20 +97,22 @@
     return out;
   }
 
-  private static void end(Section.Source source) throws FaultyFileException {
+  private static void end(TomlSection.Source source) throws ConfigurationException {
     if (!source.faults.isEmpty()) {
-      source.faults.sort(Comparator.comparingInt(Fault::line));
-      throw new FaultyFileException(source.faults);
+      source.faults.sort(Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.faults);
     }
   }
 
-  private static Section.Source source(Path file) throws FaultyFileException {
+  private static TomlSection.Source source(Path file) throws ConfigurationException {
     try {
-      return new Section.Source(
+      return new TomlSection.Source(
           file.toString(), TomlTree.of(file.toString(), Files.readString(file)));
     } catch (IOException e) {
-      throw new FaultyFileException(
-          List.of(new Fault(file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
+      throw new ConfigurationException(
+          List.of(
+              new ConfigurationError(
+                  file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
     }
   }
 }
--- a/src/main/java/corkproxy/daemon/RouteReader.java
+++ b/src/main/java/leadferry/daemon/RouteReader.java
@@ -1,11 +1,7 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.google.re2j.Pattern;
 import com.google.re2j.PatternSyntaxException;
-import corkproxy.http.Headers;
-import corkproxy.routing.PathForm;
-import corkproxy.routing.RouteCheck;
-import corkproxy.routing.Rule;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -14,16 +10,20 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import leadferry.http.Headers;
+import leadferry.routing.PathNormalizer;
+import leadferry.routing.RouteCheck;
+import leadferry.routing.RouteRule;
 
 /**
  * Reads and judges {@code [[route]]}: each by itself, against what the file names, and against the
  * others.
  */
 final class RouteReader {
-  private final Section root;
+  private final TomlSection root;
   private final Names names;
 
-  RouteReader(Section root, Names names) {
+  RouteReader(TomlSection root, Names names) {
     this.root = root;
     this.names = names;
   }
@@ -31,20 +31,20 @@
   /** The routes in the order of the file, none of them out of reach of all requests. */
   List<DaemonConfig.Route> read() {
     List<DaemonConfig.Route> out = new ArrayList<>();
-    List<Section> sections = root.list("route");
-    for (Section s : sections) {
+    List<TomlSection> sections = root.list("route");
+    for (TomlSection s : sections) {
       out.add(route(s, out.size()));
       s.end();
     }
     for (String listener : names.listeners) {
-      List<Rule<Integer>> rules = new ArrayList<>();
+      List<RouteRule<Integer>> rules = new ArrayList<>();
       for (DaemonConfig.Route r : out) {
         if (r.listeners().isEmpty() || r.listeners().contains(listener)) {
           rules.add(r.match());
         }
       }
       for (RouteCheck.Shadowed shadowed : RouteCheck.shadowed(rules)) {
-        Rule<Integer> r = rules.get(shadowed.route());
+        RouteRule<Integer> r = rules.get(shadowed.route());
         sections
             .get(r.target())
             .fault(
@@ -60,7 +60,7 @@
     return out;
   }
 
-  private DaemonConfig.Route route(Section s, int index) {
+  private DaemonConfig.Route route(TomlSection s, int index) {
     String name = s.text("name", null, "the route's name");
     if (!name.isEmpty()) {
       Names.take(s, name, names.routes);
@@ -83,14 +83,15 @@
     } else if (!by.equals("key")) {
       s.fault("split_by", "'" + by + "'", "key, tenant, address or header:NAME");
     }
-    Rule<Integer> match = match(s, name, index);
+    RouteRule<Integer> match = match(s, name, index);
     String rewrite = s.text("rewrite_prefix", "", "a path that begins with /");
     if (!rewrite.isEmpty()) {
-      PathForm form =
-          PathForm.of(PathForm.encode(PathForm.ofPattern(rewrite)), PathForm.Mode.STRICT);
+      PathNormalizer form =
+          PathNormalizer.of(
+              PathNormalizer.encode(PathNormalizer.ofPattern(rewrite)), PathNormalizer.Mode.STRICT);
       if (form == null) {
         s.fault("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
-      } else if (match.kind() != Rule.Kind.PREFIX) {
+      } else if (match.kind() != RouteRule.Kind.PREFIX) {
         s.fault("rewrite_prefix", "set", "only where the route has a prefix");
       }
     }
@@ -121,15 +122,15 @@
         List.copyOf(remove));
   }
 
-  private static void header(Section s, String key, String name) {
+  private static void header(TomlSection s, String key, String name) {
     if (!name.matches(Names.TOKEN) || Headers.FRAMING.contains(name.toLowerCase(Locale.ROOT))) {
       s.fault(key, "'" + name + "'", "a header that does not frame the message");
     }
   }
 
-  private List<DaemonConfig.Share> split(Section s, String pool) {
+  private List<DaemonConfig.Share> split(TomlSection s, String pool) {
     List<DaemonConfig.Share> out = new ArrayList<>();
-    List<Section> parts = s.list("split");
+    List<TomlSection> parts = s.list("split");
     if (pool.isEmpty() == parts.isEmpty()) {
       s.fault("pool", pool.isEmpty() ? "missing" : "set beside split", "either pool or split");
     }
@@ -139,7 +140,7 @@
     }
     double sum = 0;
     Set<String> named = new HashSet<>();
-    for (Section p : parts) {
+    for (TomlSection p : parts) {
       String name = p.text("pool", null, "the name of a pool");
       if (!name.isEmpty()) {
         p.known("pool", name, names.pools, "pool");
@@ -158,7 +159,7 @@
     return out;
   }
 
-  private Rule<Integer> match(Section s, String name, int index) {
+  private RouteRule<Integer> match(TomlSection s, String name, int index) {
     List<String> hosts = s.texts("hosts");
     for (int i = 0; i < hosts.size(); i++) {
       String h = hosts.get(i).toLowerCase(Locale.ROOT);
@@ -171,28 +172,28 @@
       }
       hosts.set(i, h);
     }
-    Rule.Kind kind = Rule.Kind.PREFIX;
+    RouteRule.Kind kind = RouteRule.Kind.PREFIX;
     String path = "/";
     int given = 0;
-    for (Rule.Kind k : Rule.Kind.values()) {
-      String key = k == Rule.Kind.EXACT ? "path" : k.name().toLowerCase(Locale.ROOT);
-      String text = s.text(key, "", k == Rule.Kind.REGEX ? "a regular expression" : "a path");
+    for (RouteRule.Kind k : RouteRule.Kind.values()) {
+      String key = k == RouteRule.Kind.EXACT ? "path" : k.name().toLowerCase(Locale.ROOT);
+      String text = s.text(key, "", k == RouteRule.Kind.REGEX ? "a regular expression" : "a path");
       if (text.isEmpty()) {
         continue;
       }
       given++;
       kind = k;
-      path = k == Rule.Kind.REGEX ? text : PathForm.ofPattern(text);
-      if (k == Rule.Kind.REGEX) {
+      path = k == RouteRule.Kind.REGEX ? text : PathNormalizer.ofPattern(text);
+      if (k == RouteRule.Kind.REGEX) {
         try {
           Pattern.compile(text);
         } catch (PatternSyntaxException e) {
           s.fault(key, e.getMessage(), "a regular expression in RE2 syntax");
           path = "/";
-          kind = Rule.Kind.PREFIX;
+          kind = RouteRule.Kind.PREFIX;
         }
       } else if (!text.startsWith("/")
-          || PathForm.of(PathForm.encode(path), PathForm.Mode.STRICT) == null) {
+          || PathNormalizer.of(PathNormalizer.encode(path), PathNormalizer.Mode.STRICT) == null) {
         s.fault(key, "'" + text + "'", "a decoded path that begins with /, without . or .. or //");
       }
     }
@@ -218,7 +219,7 @@
               }
               headers.put(k.toLowerCase(Locale.ROOT), v);
             });
-    return new Rule<>(
+    return new RouteRule<>(
         name,
         hosts.isEmpty() ? List.of("*") : hosts,
         kind,
--- a/src/main/java/corkproxy/daemon/Section.java
+++ b/src/main/java/leadferry/daemon/TomlSection.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
@@ -19,12 +19,12 @@
  * what it should be and goes on with the default, so that one reading finds all faults; {@link
  * #end} notes keys that nobody asked for.
  */
-final class Section {
+final class TomlSection {
   /** What all sections of one file share. */
   static final class Source {
     final String file;
     final TomlTree lines;
-    final List<Fault> faults = new ArrayList<>();
+    final List<ConfigurationError> faults = new ArrayList<>();
 
     Source(String file, TomlTree lines) {
       this.file = file;
@@ -32,7 +32,7 @@
     }
 
     void fault(String path, String found, String expected) {
-      faults.add(new Fault(file, lines.line(path), path, found, expected));
+      faults.add(new ConfigurationError(file, lines.line(path), path, found, expected));
     }
   }
 
@@ -41,7 +41,7 @@
   private final JsonNode node;
   private final Set<String> asked = new LinkedHashSet<>();
 
-  Section(Source source, String path, JsonNode node) {
+  TomlSection(Source source, String path, JsonNode node) {
     this.source = source;
     this.path = path;
     this.node = node;
@@ -67,36 +67,36 @@
     return node.path(key);
   }
 
-  Section table(String key) {
+  TomlSection table(String key) {
     JsonNode n = ask(key);
-    return new Section(source, path(key), n);
+    return new TomlSection(source, path(key), n);
   }
 
   /** Tables by name, as in {@code [pool.roster]}, in the order of the file. */
-  Map<String, Section> named(String key) {
+  Map<String, TomlSection> named(String key) {
     JsonNode n = ask(key);
-    Map<String, Section> out = new LinkedHashMap<>();
+    Map<String, TomlSection> out = new LinkedHashMap<>();
     if (!n.isMissingNode() && !n.isObject()) {
       source.fault(path(key), show(n), "tables by name, as in [" + key + ".NAME]");
       return out;
     }
     for (Iterator<Map.Entry<String, JsonNode>> i = n.fields(); i.hasNext(); ) {
       Map.Entry<String, JsonNode> e = i.next();
-      out.put(e.getKey(), new Section(source, path(key) + "." + e.getKey(), e.getValue()));
+      out.put(e.getKey(), new TomlSection(source, path(key) + "." + e.getKey(), e.getValue()));
     }
     return out;
   }
 
   /** Tables in a row, as in {@code [[route]]}. */
-  List<Section> list(String key) {
+  List<TomlSection> list(String key) {
     JsonNode n = ask(key);
-    List<Section> out = new ArrayList<>();
+    List<TomlSection> out = new ArrayList<>();
     if (!n.isMissingNode() && !n.isArray()) {
       source.fault(path(key), show(n), "an array of tables, as in [[" + key + "]]");
       return out;
     }
     for (int i = 0; i < n.size(); i++) {
-      out.add(new Section(source, path(key) + "[" + i + "]", n.get(i)));
+      out.add(new TomlSection(source, path(key) + "[" + i + "]", n.get(i)));
     }
     return out;
   }
@@ -166,7 +166,7 @@
         path(key),
         show(n),
         Arrays.stream(type.getEnumConstants())
-            .map(Section::word)
+            .map(TomlSection::word)
             .collect(Collectors.joining(", ")));
     return otherwise;
   }
--- a/src/main/java/corkproxy/daemon/TomlTree.java
+++ b/src/main/java/leadferry/daemon/TomlTree.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -31,14 +31,15 @@
    *
    * @throws FaultyFileException with every place at which it is no TOML
    */
-  static TomlTree of(String name, String text) throws FaultyFileException {
+  static TomlTree of(String name, String text) throws ConfigurationException {
     TomlParseResult parsed = Toml.parse(text);
     if (parsed.hasErrors()) {
-      List<Fault> faults = new ArrayList<>();
+      List<ConfigurationError> faults = new ArrayList<>();
       for (TomlParseError e : parsed.errors()) {
-        faults.add(new Fault(name, e.position().line(), "", e.getMessage(), "TOML 1.0"));
+        faults.add(
+            new ConfigurationError(name, e.position().line(), "", e.getMessage(), "TOML 1.0"));
       }
-      throw new FaultyFileException(faults);
+      throw new ConfigurationException(faults);
     }
     return new TomlTree(parsed);
   }
--- a/src/main/java/corkproxy/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -1,15 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.balancer.News;
-import corkproxy.engine.BodyBudget;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.Log;
-import corkproxy.engine.Sockets;
-import corkproxy.engine.Transport;
-import corkproxy.engine.Upstreams;
-import corkproxy.http.Front;
-import corkproxy.http.FrontSettings;
-import corkproxy.http.HttpProtocol;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.SocketChannel;
 import java.util.ArrayList;
@@ -20,6 +10,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.BodyBudget;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.Log;
+import leadferry.engine.Sockets;
+import leadferry.engine.Transport;
+import leadferry.engine.UpstreamConnectionPool;
+import leadferry.http.HttpProtocol;
+import leadferry.http.HttpServer;
+import leadferry.http.HttpServerSettings;
+import leadferry.loadbalancer.EndpointListEvent;
 
 /**
  * One event loop and all that is its own: the module instance and the connections of each pool, the
@@ -31,10 +31,13 @@
   /** A pool on this worker. */
   private static final class WorkerPool {
     final Dispatcher dispatcher;
-    final Upstreams upstreams;
-    Version.Pool version;
+    final UpstreamConnectionPool upstreams;
+    ConfigurationSnapshot.Pool version;
 
-    WorkerPool(Dispatcher dispatcher, Upstreams upstreams, Version.Pool version) {
+    WorkerPool(
+        Dispatcher dispatcher,
+        UpstreamConnectionPool upstreams,
+        ConfigurationSnapshot.Pool version) {
       this.dispatcher = dispatcher;
       this.upstreams = upstreams;
       this.version = version;
@@ -45,7 +48,7 @@
    * A listener that has gone from the file, and until when (ns) its backlog may still tell of
    * clients.
    */
-  private record Closing(String name, Front front, long until) {}
+  private record Closing(String name, HttpServer front, long until) {}
 
   private final EventLoop loop;
   private final Transport transport;
@@ -55,7 +58,7 @@
   private final BodyBudget budget;
   private final Map<String, WorkerPool> pools = new HashMap<>();
   private final List<WorkerPool> leaving = new ArrayList<>();
-  private final Map<String, Front> fronts = new HashMap<>();
+  private final Map<String, HttpServer> fronts = new HashMap<>();
   private final List<Closing> closing = new ArrayList<>();
   private final Counts counts = new Counts();
   private long seeds;
@@ -85,22 +88,22 @@
   }
 
   /** Puts a version in force; pools and listeners that it keeps go on as they are. */
-  void apply(Version v) {
+  void apply(ConfigurationSnapshot v) {
     for (Iterator<Map.Entry<String, WorkerPool>> i = pools.entrySet().iterator(); i.hasNext(); ) {
       Map.Entry<String, WorkerPool> e = i.next();
-      Version.Pool next = v.pools.get(e.getKey());
+      ConfigurationSnapshot.Pool next = v.pools.get(e.getKey());
       if (next == null || !next.config().continues(e.getValue().version.config())) {
         i.remove();
         leaving.add(e.getValue()); // what it has taken ends there
       }
     }
-    for (Version.Pool p : v.pools.values()) {
+    for (ConfigurationSnapshot.Pool p : v.pools.values()) {
       WorkerPool kept = pools.get(p.config().name());
       if (kept == null) {
         pools.put(p.config().name(), start(p));
       } else {
         if (!p.members().members().equals(kept.version.members().members())) {
-          kept.dispatcher.membership(News.FULL, p.members());
+          kept.dispatcher.membership(EndpointListEvent.FULL, p.members());
         }
         kept.version = p;
         kept.upstreams.bounds(p.bounds());
@@ -110,8 +113,8 @@
       WorkerPool pool = pools.get(p.config().name());
       pool.dispatcher.bound(() -> retryAllowed(v, p));
     }
-    for (Iterator<Map.Entry<String, Front>> i = fronts.entrySet().iterator(); i.hasNext(); ) {
-      Map.Entry<String, Front> e = i.next();
+    for (Iterator<Map.Entry<String, HttpServer>> i = fronts.entrySet().iterator(); i.hasNext(); ) {
+      Map.Entry<String, HttpServer> e = i.next();
       DaemonConfig.Listener l = v.config.listeners().get(e.getKey());
       if (l == null || !settings(l).equals(e.getValue().settings())) {
         i.remove();
@@ -124,11 +127,11 @@
       }
     }
     for (DaemonConfig.Listener l : v.config.listeners().values()) {
-      DaemonGate gate = new DaemonGate(this, v, l);
-      Front front = fronts.get(l.name());
+      DaemonRequestFilter gate = new DaemonRequestFilter(this, v, l);
+      HttpServer front = fronts.get(l.name());
       if (front == null) {
-        Front fresh =
-            new Front(
+        HttpServer fresh =
+            new HttpServer(
                 settings(l), gate, transport, sockets, budget, log.with("listener", l.name()));
         fresh.sendAway(away);
         fronts.put(l.name(), fresh);
@@ -138,7 +141,7 @@
     }
   }
 
-  private static boolean retryAllowed(Version v, Version.Pool p) {
+  private static boolean retryAllowed(ConfigurationSnapshot v, ConfigurationSnapshot.Pool p) {
     if (!p.retries().take()) {
       return false;
     }
@@ -149,8 +152,8 @@
     return true;
   }
 
-  private static FrontSettings settings(DaemonConfig.Listener l) {
-    return new FrontSettings(
+  private static HttpServerSettings settings(DaemonConfig.Listener l) {
+    return new HttpServerSettings(
         l.maxBody(),
         Long.MAX_VALUE,
         l.slowMs(),
@@ -163,11 +166,11 @@
         true);
   }
 
-  private WorkerPool start(Version.Pool p) {
+  private WorkerPool start(ConfigurationSnapshot.Pool p) {
     DaemonConfig.Pool c = p.config();
     Log named = log.with("pool", c.name());
-    Upstreams upstreams =
-        new Upstreams(
+    UpstreamConnectionPool upstreams =
+        new UpstreamConnectionPool(
             loop,
             transport,
             new HttpProtocol(c.maxAnswer(), Long.MAX_VALUE, false, true, c.passErrors()),
@@ -196,7 +199,7 @@
 
   /** A connection that the listener has accepted. */
   void accepted(String listener, SocketChannel ch) {
-    Front f = fronts.get(listener);
+    HttpServer f = fronts.get(listener);
     for (int i = closing.size() - 1; f == null && i >= 0; i--) {
       f = closing.get(i).name().equals(listener) ? closing.get(i).front() : null;
     }
@@ -236,7 +239,7 @@
    * What has become of attempts and requests here since this process began, by class; on the
    * worker's loop only.
    */
-  private static final class Counts implements corkproxy.engine.Tally {
+  private static final class Counts implements leadferry.engine.OutcomeCounter {
     final Map<String, Map<String, long[]>> hosts = new HashMap<>();
     final Map<String, long[]> own = new HashMap<>();
 
@@ -288,12 +291,12 @@
   /** Answers what was taken and asks clients to leave. */
   void drain() {
     draining = true;
-    fronts.values().forEach(Front::drain);
+    fronts.values().forEach(HttpServer::drain);
   }
 
   /** Whether anything that was taken has no answer yet. */
   boolean busy() {
-    return fronts.values().stream().anyMatch(Front::busy)
+    return fronts.values().stream().anyMatch(HttpServer::busy)
         || closing.stream().anyMatch(c -> c.front().busy());
   }
 
@@ -310,7 +313,7 @@
           i.remove();
         }
       }
-      for (Front f : fronts.values()) {
+      for (HttpServer f : fronts.values()) {
         f.sweep();
       }
       long now = System.nanoTime();
--- a/src/main/java/corkproxy/disruption/Budget.java
+++ b/src/main/java/leadferry/disruption/Budget.java
@@ -1,4 +1,4 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -21,7 +21,7 @@
  */
 public record Budget(
     String name,
-    Kind of,
+    TargetType of,
     Map<String, String> where,
     String by,
     int maxOut,
@@ -36,13 +36,13 @@
     where = Map.copyOf(where);
   }
 
-  boolean covers(Subject s) {
+  boolean covers(Target s) {
     return s.kind() == of
         && where.entrySet().stream().allMatch(e -> s.label(e.getKey()).equals(e.getValue()));
   }
 
   /** Whether both are counted together. */
-  boolean together(Subject a, Subject b) {
+  boolean together(Target a, Target b) {
     return by.equals(ALL) || a.label(by).equals(b.label(by));
   }
 
@@ -75,10 +75,10 @@
   public static Budget read(JsonNode n, List<String> faults) {
     int before = faults.size();
     String name = n.path("name").asText("");
-    if (!name.matches(Disruption.NAME)) {
+    if (!name.matches(DisruptionState.NAME)) {
       faults.add("budget name: '" + name + "' (expected: letters, digits, _, - and ., at most 64)");
     }
-    Kind of = Kind.of(n.path("of").asText(""));
+    TargetType of = TargetType.of(n.path("of").asText(""));
     if (of == null) {
       faults.add(
           "budget " + name + ", of: '" + n.path("of").asText("") + "' (expected: proxy or host)");
--- a/src/main/java/corkproxy/disruption/Disruption.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -1,9 +1,8 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Outcome.Status;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -12,6 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import leadferry.disruption.Outcome.Status;
 
 /**
  * Who is out, and who may go out. A proxy or host is <em>out</em> if it holds a permit, also one
@@ -29,7 +29,7 @@
  * <p>What takes time is named by {@link #timers}; the leader of the keepers counts it and writes
  * its end into the log.
  */
-public final class Disruption {
+public final class DisruptionState {
   /** Names of proxies, hosts and budgets. */
   public static final String NAME = "[A-Za-z0-9_][A-Za-z0-9_.:-]{0,63}";
 
@@ -64,16 +64,16 @@
   private long budgetsVersion;
   private String halted = "";
   private final List<Budget> budgets = new ArrayList<>();
-  private final Map<String, Permit> permits = new TreeMap<>();
-  private final Map<String, Member> members = new TreeMap<>();
+  private final Map<String, EvictionGrant> permits = new TreeMap<>();
+  private final Map<String, ProxyMember> members = new TreeMap<>();
 
   /** Hosts by the digest of the list in which proxies told of them. */
-  private final Map<String, List<Subject>> catalogues = new TreeMap<>();
+  private final Map<String, List<Target>> catalogues = new TreeMap<>();
 
   /** Hosts that have come back, and the change with which they did. */
   private final Map<String, Long> warming = new TreeMap<>();
 
-  public Disruption(Times times) {
+  public DisruptionState(Times times) {
     this.times = times;
   }
 
@@ -97,7 +97,7 @@
    * otherwise.
    */
   public String version(String proxy, long after) {
-    Member m = members.get(proxy);
+    ProxyMember m = members.get(proxy);
     return m != null && m.alive && m.said > 0 && m.joined > after ? m.version : "";
   }
 
@@ -105,7 +105,7 @@
   public Set<String> lost() {
     Set<String> out = new TreeSet<>();
     Set<String> suspects = new TreeSet<>();
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       if (!m.alive && !m.left) {
         out.add(m.name);
       }
@@ -118,13 +118,13 @@
   // --- what members tell
 
   /** A proxy's session begins. */
-  public void joined(String name, String zone, String runs, String digest, List<Subject> hosts) {
-    Member known = members.get(name);
+  public void joined(String name, String zone, String runs, String digest, List<Target> hosts) {
+    ProxyMember known = members.get(name);
     if (known == null && members.size() >= MOST_MEMBERS) {
       return;
     }
     change++;
-    Member m = known == null ? new Member(name) : known;
+    ProxyMember m = known == null ? new ProxyMember(name) : known;
     members.put(name, m);
     m.zone = zone;
     m.version = runs;
@@ -156,7 +156,7 @@
       boolean serving,
       Set<String> busy,
       Set<String> suspects) {
-    Member m = members.get(name);
+    ProxyMember m = members.get(name);
     if (m == null || !m.alive || number <= m.said) {
       return;
     }
@@ -175,7 +175,7 @@
         warming.put(h, change);
       }
     }
-    Permit p = held(Kind.PROXY, name);
+    EvictionGrant p = held(TargetType.PROXY, name);
     if (p != null && p.ending() && serving && seen >= p.endSince) {
       permits.remove(p.id);
       m.settling = change;
@@ -184,15 +184,15 @@
   }
 
   /** The list of hosts that a proxy balances over has changed. */
-  public void catalogued(String name, String digest, List<Subject> hosts) {
-    Member m = members.get(name);
+  public void catalogued(String name, String digest, List<Target> hosts) {
+    ProxyMember m = members.get(name);
     if (m != null) {
       change++;
       catalogue(m, digest, hosts);
     }
   }
 
-  private void catalogue(Member m, String digest, List<Subject> hosts) {
+  private void catalogue(ProxyMember m, String digest, List<Target> hosts) {
     m.catalogue = digest;
     catalogues.putIfAbsent(digest, List.copyOf(hosts));
     Set<String> used = new TreeSet<>();
@@ -205,7 +205,7 @@
    * heard of it.
    */
   public void ended(String name, boolean byItself) {
-    Member m = members.get(name);
+    ProxyMember m = members.get(name);
     if (m == null || !m.alive) {
       return;
     }
@@ -215,7 +215,7 @@
     m.serving = false;
     m.busy.clear();
     m.suspects.clear();
-    Permit p = held(Kind.PROXY, name);
+    EvictionGrant p = held(TargetType.PROXY, name);
     if (p != null && p.ending()) {
       permits.remove(p.id); // it counts as lost from here on, and hears the truth when it joins
     } else if (p != null && p.leaving && byItself) {
@@ -235,8 +235,8 @@
    *     forgotten, and takes nothing from any budget
    */
   public Outcome drain(
-      Kind kind, String name, long forMs, boolean leaving, String who, String why) {
-    if (leaving && (kind != Kind.PROXY || forMs != 0)) {
+      TargetType kind, String name, long forMs, boolean leaving, String who, String why) {
+    if (leaving && (kind != TargetType.PROXY || forMs != 0)) {
       return Outcome.of(
           Status.MALFORMED,
           "leave: of a " + kind.word() + " for " + forMs + " ms (expected: a proxy, for good)");
@@ -245,11 +245,11 @@
       return Outcome.of(
           Status.MALFORMED, "for_ms: " + forMs + " (expected: 0 to " + LONGEST_MS + ")");
     }
-    Subject s = subject(kind, name);
+    Target s = subject(kind, name);
     if (s == null) {
       return Outcome.of(Status.UNKNOWN, "no " + kind.word() + " '" + name + "'");
     }
-    Permit p = held(kind, name);
+    EvictionGrant p = held(kind, name);
     if (p != null) {
       return new Outcome(
           Status.REFUSED,
@@ -272,10 +272,11 @@
     }
     change++;
     version++;
-    Permit granted = new Permit(Long.toString(nextPermit++), s, who, why, forMs, version);
+    EvictionGrant granted =
+        new EvictionGrant(Long.toString(nextPermit++), s, who, why, forMs, version);
     granted.leaving = leaving;
     permits.put(granted.id, granted);
-    warming.remove(kind == Kind.HOST ? name : "");
+    warming.remove(kind == TargetType.HOST ? name : "");
     return new Outcome(Status.GRANTED, granted.id, List.of());
   }
 
@@ -285,21 +286,21 @@
    *
    * @return the permit, or "" where it is in service, or holds a permit
    */
-  public String hold(Kind kind, String name, String who, String why) {
-    Subject s = subject(kind, name);
+  public String hold(TargetType kind, String name, String who, String why) {
+    Target s = subject(kind, name);
     if (s == null || held(kind, name) != null || out(kind, name) == null || !halted.isEmpty()) {
       return "";
     }
     change++;
     version++;
-    Permit granted = new Permit(Long.toString(nextPermit++), s, who, why, 0, version);
+    EvictionGrant granted = new EvictionGrant(Long.toString(nextPermit++), s, who, why, 0, version);
     permits.put(granted.id, granted);
     return granted.id;
   }
 
   /** Gives back what a permit took out. */
   public Outcome undo(String id, String why) {
-    Permit p = permits.get(id);
+    EvictionGrant p = permits.get(id);
     if (p == null) {
       return Outcome.of(Status.UNKNOWN, "no permit '" + id + "'");
     }
@@ -308,7 +309,7 @@
       version++;
       p.endSince = version;
       p.endWhy = why;
-      Member holder = p.of.kind() == Kind.PROXY ? members.get(p.of.name()) : null;
+      ProxyMember holder = p.of.kind() == TargetType.PROXY ? members.get(p.of.name()) : null;
       if (holder != null && !holder.alive) {
         permits.remove(id); // lost all the same, until it joins and hears of it
       }
@@ -358,7 +359,7 @@
 
   /** An operator's word that a lost proxy's process is dead: it can send nothing any more. */
   public Outcome fence(String name) {
-    Member m = members.get(name);
+    ProxyMember m = members.get(name);
     if (m == null) {
       return Outcome.of(Status.UNKNOWN, "no proxy '" + name + "'");
     }
@@ -373,7 +374,7 @@
 
   /** Takes a proxy that has gone for good out of all counts. */
   public Outcome forget(String name) {
-    Member m = members.get(name);
+    ProxyMember m = members.get(name);
     if (m == null) {
       return Outcome.of(Status.UNKNOWN, "no proxy '" + name + "'");
     }
@@ -384,7 +385,7 @@
     }
     change++;
     members.remove(name);
-    Permit p = held(Kind.PROXY, name);
+    EvictionGrant p = held(TargetType.PROXY, name);
     if (p != null) {
       permits.remove(p.id);
     }
@@ -399,12 +400,12 @@
    */
   public Map<String, Long> timers() {
     Map<String, Long> out = new LinkedHashMap<>();
-    for (Permit p : permits.values()) {
+    for (EvictionGrant p : permits.values()) {
       if (p.forMs > 0 && !p.ending()) {
         out.put("permit:" + p.id, p.forMs + times.fenceMs());
       }
     }
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       if (m.settling > 0 && m.alive && m.serving) {
         out.put("settle:" + m.name + ":" + m.settling, times.settleMs());
       }
@@ -431,17 +432,17 @@
   // --- what follows from all that
 
   /** Why this one is out, or null if it is not. */
-  public String out(Kind kind, String name) {
-    Permit p = held(kind, name);
+  public String out(TargetType kind, String name) {
+    EvictionGrant p = held(kind, name);
     if (p != null) {
       return (p.ending() ? "permit " + p.id + ", ending" : "permit " + p.id);
     }
-    if (kind == Kind.HOST) {
+    if (kind == TargetType.HOST) {
       return suspectedBy(name) >= SUSPECTERS
           ? "ejected by " + suspectedBy(name)
           : warming.containsKey(name) ? "warming up" : null;
     }
-    Member m = members.get(name);
+    ProxyMember m = members.get(name);
     if (m == null) {
       return null;
     }
@@ -453,15 +454,15 @@
   private int suspectedBy(String host) {
     int n = 0;
     int alive = 0;
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       alive += m.alive ? 1 : 0;
       n += m.alive && m.suspects.contains(host) ? 1 : 0;
     }
     return n > 0 && n == alive ? Math.max(n, SUSPECTERS) : n;
   }
 
-  private Permit held(Kind kind, String name) {
-    for (Permit p : permits.values()) {
+  private EvictionGrant held(TargetType kind, String name) {
+    for (EvictionGrant p : permits.values()) {
       if (p.of.kind() == kind && p.of.name().equals(name)) {
         return p;
       }
@@ -470,21 +471,21 @@
   }
 
   /** All of a kind that the ledger knows, in the order of their names. */
-  public Collection<Subject> all(Kind kind) {
+  public Collection<Target> all(TargetType kind) {
     return byName(kind).values();
   }
 
   /** The same by name; made anew at each call. */
-  public Map<String, Subject> byName(Kind kind) {
-    Map<String, Subject> out = new TreeMap<>();
-    if (kind == Kind.PROXY) {
+  public Map<String, Target> byName(TargetType kind) {
+    Map<String, Target> out = new TreeMap<>();
+    if (kind == TargetType.PROXY) {
       members
           .values()
           .forEach(
               m ->
                   out.put(
                       m.name,
-                      new Subject(kind, m.name, m.zone, Subject.NONE, Subject.NONE, Subject.NONE)));
+                      new Target(kind, m.name, m.zone, Target.NONE, Target.NONE, Target.NONE)));
     } else {
       catalogues.values().forEach(c -> c.forEach(s -> out.putIfAbsent(s.name(), s)));
       permits.values().stream()
@@ -494,7 +495,7 @@
     return out;
   }
 
-  private Subject subject(Kind kind, String name) {
+  private Target subject(TargetType kind, String name) {
     return byName(kind).get(name);
   }
 
@@ -515,15 +516,14 @@
     }
   }
 
-  private List<Bound> bounds(Subject asked) {
+  private List<Bound> bounds(Target asked) {
     List<Bound> bounds = new ArrayList<>();
-    Collection<Subject> all = all(asked.kind());
+    Collection<Target> all = all(asked.kind());
     boolean any = false;
     for (Budget b : budgets) {
       any |= b.of() == asked.kind();
       if (b.covers(asked)) {
-        List<Subject> group =
-            all.stream().filter(s -> b.covers(s) && b.together(s, asked)).toList();
+        List<Target> group = all.stream().filter(s -> b.covers(s) && b.together(s, asked)).toList();
         bounds.add(bound("budget " + b.name(), group, b.allowed(group.size()), asked));
       }
     }
@@ -531,22 +531,22 @@
       bounds.add(
           bound("no budget of " + asked.kind().word() + ": one at a time", all, UNBUDGETED, asked));
     }
-    if (asked.kind() == Kind.PROXY) {
+    if (asked.kind() == TargetType.PROXY) {
       bounds.add(bound("the last proxy", all, all.size() - 1, asked));
     } else {
-      List<Subject> pool = all.stream().filter(s -> s.pool().equals(asked.pool())).toList();
+      List<Target> pool = all.stream().filter(s -> s.pool().equals(asked.pool())).toList();
       bounds.add(bound("the last host of pool " + asked.pool(), pool, pool.size() - 1, asked));
     }
     return bounds;
   }
 
-  private List<String> refusals(Subject asked) {
+  private List<String> refusals(Target asked) {
     return bounds(asked).stream().filter(Bound::full).map(Bound::text).toList();
   }
 
-  private Bound bound(String name, Collection<Subject> group, int allowed, Subject asked) {
+  private Bound bound(String name, Collection<Target> group, int allowed, Target asked) {
     List<String> others = new ArrayList<>();
-    for (Subject s : group) {
+    for (Target s : group) {
       String why = s.name().equals(asked.name()) ? null : out(s.kind(), s.name());
       if (why != null) {
         others.add(s.name() + " (" + why + ")");
@@ -556,15 +556,15 @@
   }
 
   /** What would become of a drain that was asked for now, and each bound that it would meet. */
-  public void explain(Kind kind, String name, ObjectNode to) {
-    Subject s = kind == null ? null : subject(kind, name);
+  public void explain(TargetType kind, String name, ObjectNode to) {
+    Target s = kind == null ? null : subject(kind, name);
     if (s == null) {
       to.put("status", Status.UNKNOWN.word())
           .putArray("why")
           .add("no " + (kind == null ? "kind" : kind.word()) + " '" + name + "'");
       return;
     }
-    Permit p = held(kind, name);
+    EvictionGrant p = held(kind, name);
     List<Bound> bounds = bounds(s);
     boolean no = p != null || bounds.stream().anyMatch(Bound::full);
     to.put("status", Status.DONE.word())
@@ -596,8 +596,8 @@
    * more.
    */
   private void settleHosts() {
-    for (Permit p : List.copyOf(permits.values())) {
-      if (p.of.kind() == Kind.HOST
+    for (EvictionGrant p : List.copyOf(permits.values())) {
+      if (p.of.kind() == TargetType.HOST
           && p.ending()
           && members.values().stream().noneMatch(m -> m.alive && m.seen < p.endSince)) {
         permits.remove(p.id);
@@ -613,11 +613,11 @@
    */
   public Map<String, String> awaited(String permit) {
     Map<String, String> out = new TreeMap<>();
-    Permit p = permits.get(permit);
-    if (p == null || p.of.kind() != Kind.HOST) {
+    EvictionGrant p = permits.get(permit);
+    if (p == null || p.of.kind() != TargetType.HOST) {
       return out;
     }
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       if (m.alive && m.seen < p.since) {
         out.put(m.name, "has not told that it knows");
       } else if (m.alive && m.busy.contains(p.of.name())) {
@@ -634,14 +634,14 @@
    * host's.
    */
   public boolean carriedOut(String permit) {
-    Permit p = permits.get(permit);
+    EvictionGrant p = permits.get(permit);
     if (p == null || p.ending()) {
       return false;
     }
-    if (p.of.kind() == Kind.HOST) {
+    if (p.of.kind() == TargetType.HOST) {
       return awaited(permit).isEmpty();
     }
-    Member m = members.get(p.of.name());
+    ProxyMember m = members.get(p.of.name());
     return m == null || m.alive && !m.serving && m.seen >= p.since || m.left || m.fenced;
   }
 
@@ -652,11 +652,11 @@
     to.put("version", version).put("halted", !halted.isEmpty());
     ArrayNode hosts = to.putArray("hosts_out");
     ObjectNode proxies = to.putObject("proxies_out");
-    for (Permit p : permits.values()) {
+    for (EvictionGrant p : permits.values()) {
       if (p.ending()) {
         continue;
       }
-      if (p.of.kind() == Kind.HOST) {
+      if (p.of.kind() == TargetType.HOST) {
         hosts.add(p.of.name());
       } else {
         proxies.putObject(p.of.name()).put("permit", p.id).put("for_ms", p.forMs);
@@ -672,7 +672,7 @@
       b.write(bs.addObject());
     }
     ArrayNode ps = to.putArray("permits");
-    for (Permit p : permits.values()) {
+    for (EvictionGrant p : permits.values()) {
       ObjectNode n = ps.addObject();
       n.put("id", p.id)
           .put("kind", p.of.kind().word())
@@ -689,7 +689,7 @@
       awaited(p.id).forEach(w::put);
     }
     ArrayNode ms = to.putArray("proxies");
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       ObjectNode n = ms.addObject();
       n.put("name", m.name)
           .put("zone", m.zone)
@@ -697,17 +697,17 @@
           .put("session", m.alive)
           .put("serving", m.serving)
           .put("seen", m.seen);
-      n.put("out", out(Kind.PROXY, m.name));
+      n.put("out", out(TargetType.PROXY, m.name));
     }
     ArrayNode hs = to.putArray("hosts");
-    for (Subject s : all(Kind.HOST)) {
+    for (Target s : all(TargetType.HOST)) {
       hs.addObject()
           .put("name", s.name())
           .put("zone", s.zone())
           .put("pod", s.pod())
           .put("pool", s.pool())
           .put("kind", s.type())
-          .put("out", out(Kind.HOST, s.name()));
+          .put("out", out(TargetType.HOST, s.name()));
     }
   }
 
@@ -729,7 +729,7 @@
     ArrayNode bs = to.putArray("budgets");
     budgets.forEach(b -> b.write(bs.addObject()));
     ArrayNode ps = to.putArray("permits");
-    for (Permit p : permits.values()) {
+    for (EvictionGrant p : permits.values()) {
       ObjectNode n = ps.addObject();
       write(p.of, n.putObject("of"));
       n.put("id", p.id)
@@ -740,7 +740,7 @@
       n.put("end_since", p.endSince).put("end_why", p.endWhy).put("leaving", p.leaving);
     }
     ArrayNode ms = to.putArray("members");
-    for (Member m : members.values()) {
+    for (ProxyMember m : members.values()) {
       ObjectNode n = ms.addObject();
       n.put("name", m.name)
           .put("zone", m.zone)
@@ -781,8 +781,8 @@
     n.path("budgets").forEach(b -> budgets.add(Budget.read(b, new ArrayList<>())));
     permits.clear();
     for (JsonNode p : n.path("permits")) {
-      Permit x =
-          new Permit(
+      EvictionGrant x =
+          new EvictionGrant(
               p.path("id").asText(),
               subject(p.path("of")),
               p.path("who").asText(),
@@ -796,7 +796,7 @@
     }
     members.clear();
     for (JsonNode x : n.path("members")) {
-      Member m = new Member(x.path("name").asText());
+      ProxyMember m = new ProxyMember(x.path("name").asText());
       m.zone = x.path("zone").asText();
       m.version = x.path("version").asText(NO_VERSION);
       m.joined = x.path("joined").asLong();
@@ -821,25 +821,25 @@
   }
 
   /** Hosts as a list of the log holds them. */
-  public static List<Subject> subjects(JsonNode list) {
-    List<Subject> out = new ArrayList<>();
+  public static List<Target> subjects(JsonNode list) {
+    List<Target> out = new ArrayList<>();
     list.forEach(s -> out.add(subject(s)));
     return out;
   }
 
-  private static Subject subject(JsonNode n) {
-    Kind kind = Kind.of(n.path("what").asText("host"));
-    return new Subject(
-        kind == null ? Kind.HOST : kind,
+  private static Target subject(JsonNode n) {
+    TargetType kind = TargetType.of(n.path("what").asText("host"));
+    return new Target(
+        kind == null ? TargetType.HOST : kind,
         n.path("name").asText(),
-        n.path("zone").asText(Subject.NONE),
-        n.path("pod").asText(Subject.NONE),
-        n.path("pool").asText(Subject.NONE),
-        n.path("kind").asText(Subject.NONE));
+        n.path("zone").asText(Target.NONE),
+        n.path("pod").asText(Target.NONE),
+        n.path("pool").asText(Target.NONE),
+        n.path("kind").asText(Target.NONE));
   }
 
   /** A subject as lists of the log hold it. */
-  public static void write(Subject s, ObjectNode to) {
+  public static void write(Target s, ObjectNode to) {
     to.put("what", s.kind().word())
         .put("name", s.name())
         .put("zone", s.zone())
--- a/src/main/java/corkproxy/disruption/Permit.java
+++ b/src/main/java/leadferry/disruption/EvictionGrant.java
@@ -1,4 +1,4 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 /**
  * The right of one proxy or host to be out of service.
@@ -10,9 +10,9 @@
  * <p>A permit that is ending still counts: guards against a holder that hears of the grant only
  * after somebody else has been given the place.
  */
-final class Permit {
+final class EvictionGrant {
   final String id;
-  final Subject of;
+  final Target of;
   final String who;
   final String why;
 
@@ -31,7 +31,7 @@
   /** Its holder is to end for good. */
   boolean leaving;
 
-  Permit(String id, Subject of, String who, String why, long forMs, long since) {
+  EvictionGrant(String id, Target of, String who, String why, long forMs, long since) {
     this.id = id;
     this.of = of;
     this.who = who;
--- a/src/main/java/corkproxy/disruption/Outcome.java
+++ b/src/main/java/leadferry/disruption/Outcome.java
@@ -1,4 +1,4 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/corkproxy/disruption/Member.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -1,15 +1,15 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import java.util.Set;
 import java.util.TreeSet;
 
 /** A client proxy as the ledger knows it: what it has told, and whether its session lives. */
-final class Member {
+final class ProxyMember {
   final String name;
-  String zone = Subject.NONE;
+  String zone = Target.NONE;
 
   /** What runs there, as it told when its session began. */
-  String version = Disruption.NO_VERSION;
+  String version = DisruptionState.NO_VERSION;
 
   /** The change of the ledger with which its session began. */
   long joined;
@@ -44,7 +44,7 @@
   /** The catalogue of hosts that it balances over, by digest. */
   String catalogue = "";
 
-  Member(String name) {
+  ProxyMember(String name) {
     this.name = name;
   }
 }
--- a/src/main/java/corkproxy/disruption/MemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -1,4 +1,4 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,7 +14,7 @@
  * old grant in its socket, and goes out when its place has long been given to somebody else. Coming
  * back needs nobody's leave: while it was away, it counted as out.
  */
-public final class MemberView {
+public final class ProxyMemberView {
   private final String name;
   private long version = -1;
   private Set<String> hostsOut = Set.of();
@@ -24,7 +24,7 @@
   private boolean away;
   private JsonNode held;
 
-  public MemberView(String name) {
+  public ProxyMemberView(String name) {
     this.name = name;
   }
 
--- a/src/main/java/corkproxy/disruption/Subject.java
+++ b/src/main/java/leadferry/disruption/Target.java
@@ -1,7 +1,8 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 /** A proxy or host with the labels by which budgets choose; a label that it lacks is "-". */
-public record Subject(Kind kind, String name, String zone, String pod, String pool, String type) {
+public record Target(
+    TargetType kind, String name, String zone, String pod, String pool, String type) {
   /** What has no label of a kind carries this. */
   public static final String NONE = "-";
 
--- a/src/main/java/corkproxy/disruption/Kind.java
+++ b/src/main/java/leadferry/disruption/TargetType.java
@@ -1,15 +1,15 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import java.util.Locale;
 
 /** What can be taken out of service. */
-public enum Kind {
+public enum TargetType {
   PROXY,
   HOST;
 
   /** The kind's word, or null where it is none. */
-  public static Kind of(String word) {
-    for (Kind k : values()) {
+  public static TargetType of(String word) {
+    for (TargetType k : values()) {
       if (k.word().equals(word)) {
         return k;
       }
--- a/src/main/java/corkproxy/disruption/package-info.java
+++ b/src/main/java/leadferry/disruption/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Who is out of service, by whose word, and how many may be: budgets, permits, drains, halt. Begin
- * with {@link corkproxy.disruption.Disruption}. Deterministic: applied from the agreed log, it
+ * with {@link leadferry.disruption.DisruptionState}. Deterministic: applied from the agreed log, it
  * takes no time, chance or environment but what an entry brings, and does no I/O. It must not know
  * how entries are agreed.
  */
-package corkproxy.disruption;
+package leadferry.disruption;
--- a/src/main/java/corkproxy/engine/Addresses.java
+++ b/src/main/java/leadferry/engine/Addresses.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/corkproxy/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -1,9 +1,9 @@
-package corkproxy.engine;
+package leadferry.engine;
 
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.Result;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.LoadReport;
 
 /**
  * One send of a request to a host; it ends with exactly one outcome. What goes out and how the
@@ -18,7 +18,7 @@
   protected static final long STILL_MS = 400;
 
   protected final Exchange exchange;
-  final Host host;
+  final UpstreamHost host;
   private final Dispatcher dispatcher;
   private final int number;
   private double sentAt;
@@ -32,7 +32,7 @@
   private boolean over;
 
   /** {@code sentAt} is the module's clock. */
-  protected Attempt(Exchange exchange, Host host, int number, double sentAt) {
+  protected Attempt(Exchange exchange, UpstreamHost host, int number, double sentAt) {
     this.exchange = exchange;
     this.dispatcher = exchange.dispatcher();
     this.host = host;
@@ -128,7 +128,7 @@
 
   final void attached(UpstreamConnection to) {
     if (connecting != null) {
-      sentAt += Hearing.behind() / 1e6; // it had come up before this was heard of
+      sentAt += ReadHorizon.behind() / 1e6; // it had come up before this was heard of
     }
     connecting = null;
     connection = to;
@@ -200,7 +200,7 @@
 
   /** The last byte has not gone out: there was no connection, or it went away before. */
   final void notSent() {
-    finish(Result.CONNECT_FAILED);
+    finish(AttemptOutcome.CONNECT_FAILED);
   }
 
   /**
@@ -213,25 +213,28 @@
 
   /** It must not go on, and its last byte has not gone out: it never ran. */
   final void moot() {
-    finish(Result.MOOT);
+    finish(AttemptOutcome.MOOT);
   }
 
   /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
   final void timeUp() {
-    finish(!mayHaveRun() ? Result.MOOT : waitsForClient() ? Result.CANCELLED : Result.TIMEOUT);
+    finish(
+        !mayHaveRun()
+            ? AttemptOutcome.MOOT
+            : waitsForClient() ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT);
   }
 
   final void cancel() {
-    finish(mayHaveRun() ? Result.CANCELLED : Result.MOOT);
+    finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
   }
 
   /** The connection broke, or the answer is malformed; the last byte had been written. */
   protected void broken() {
-    finish(Result.RESET);
+    finish(AttemptOutcome.RESET);
   }
 
   /** Ends it with this outcome; harmless if it is over. */
-  protected final void finish(Result result) {
+  protected final void finish(AttemptOutcome result) {
     if (over) {
       return;
     }
--- a/src/main/java/corkproxy/engine/BackgroundWriter.java
+++ b/src/main/java/leadferry/engine/BackgroundWriter.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.io.PrintStream;
 import java.util.concurrent.ArrayBlockingQueue;
@@ -59,7 +59,7 @@
             lost == 0
                 ? text
                 : text
-                    + "corkproxy: "
+                    + "leadferry: "
                     + lost
                     + " texts of the log were dropped: nobody reads it\n");
         out.flush();
--- a/src/main/java/corkproxy/engine/BodyBudget.java
+++ b/src/main/java/leadferry/engine/BodyBudget.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
--- a/src/main/java/corkproxy/engine/Call.java
+++ b/src/main/java/leadferry/engine/ClientCall.java
@@ -1,11 +1,11 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /**
  * A client's request as its protocol holds it: its bytes, and where its one final answer goes. The
  * engine calls exactly one of {@link #refused}, {@link #failed} and what the protocol's own attempt
  * does after {@link Exchange#claim} has told it that it may answer.
  */
-public interface Call {
+public interface ClientCall {
   /** The request goes on as this exchange: the first one, or a further one in another pool. */
   void carriedBy(Exchange exchange);
 
@@ -46,7 +46,7 @@
   }
 
   /** An attempt of the exchange at the host, not started yet. */
-  Attempt attempt(Exchange exchange, Host host, int number, double now);
+  Attempt attempt(Exchange exchange, UpstreamHost host, int number, double now);
 
   /** Final answer "no, and trying again does no harm"; {@code coolDownMs} 0 gives no advice. */
   void refused(double coolDownMs);
--- a/src/main/java/corkproxy/engine/ConnectFailure.java
+++ b/src/main/java/leadferry/engine/ConnectFailure.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.net.BindException;
 import java.net.ConnectException;
--- a/src/main/java/corkproxy/engine/ConnectionLimits.java
+++ b/src/main/java/leadferry/engine/ConnectionLimits.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
@@ -16,9 +16,9 @@
  *
  * <p>A count is taken before a connection is begun and given back when it has been closed, so the
  * bound holds at each moment. Where it is reached, an attempt waits in its worker ({@link
- * Upstreams}); a connection that another worker keeps idle is asked for, and one that ends passes
- * its place on to the workers in the order in which they asked. No lock; safe for use by many
- * threads.
+ * UpstreamConnectionPool}); a connection that another worker keeps idle is asked for, and one that
+ * ends passes its place on to the workers in the order in which they asked. No lock; safe for use
+ * by many threads.
  *
  * <pre>
  *   worker A   take ... carry ... idle ---- yields: close, give back -+
--- a/src/main/java/corkproxy/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -1,13 +1,5 @@
-package corkproxy.engine;
-
-import corkproxy.balancer.Actions;
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.Result;
-import corkproxy.balancer.Settings;
-import corkproxy.fleet.Suspicions;
+package leadferry.engine;
+
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
@@ -22,19 +14,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import leadferry.gossip.SuspicionProtocol;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.LoadBalancerActions;
+import leadferry.loadbalancer.LoadReport;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
 
 /**
  * Runs the module on the event loop: hands it one event at a time, in the order in which they came,
  * and carries out what it asks for. What an action brings about at once waits in a queue until the
  * module has returned.
  */
-public final class Dispatcher implements Actions {
+public final class Dispatcher implements LoadBalancerActions {
   /** The module's clock begins here, so that a host that started before this process has a time. */
   private static final double CLOCK_START = 1e9;
 
   /** Ends of attempts that are told one by one. */
-  private static final Set<Result> FAILURES =
-      EnumSet.of(Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET);
+  private static final Set<AttemptOutcome> FAILURES =
+      EnumSet.of(
+          AttemptOutcome.ERROR,
+          AttemptOutcome.FULL,
+          AttemptOutcome.TIMEOUT,
+          AttemptOutcome.CONNECT_FAILED,
+          AttemptOutcome.RESET);
 
   private record Event(Exchange about, Runnable what) {}
 
@@ -42,10 +47,10 @@
   private final EventLoop loop;
   private final Log log;
   private Settings settings;
-  private final Upstreams upstreams;
+  private final UpstreamConnectionPool upstreams;
   private final BodyBudget budget;
-  private final Hosts hosts;
-  private final Balancer balancer;
+  private final UpstreamHosts hosts;
+  private final LoadBalancer balancer;
   private final long startedAt = System.nanoTime();
   private final Map<Long, Exchange> exchanges = new HashMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
@@ -54,10 +59,10 @@
   private long nextId;
   private Runnable follow = () -> {};
   private BooleanSupplier retries = () -> true;
-  private Suspicions suspicions;
+  private SuspicionProtocol suspicions;
 
   /** Null where nobody counts, and so in the platform's process. */
-  private Tally tally;
+  private OutcomeCounter tally;
 
   /**
    * A pool of hosts on this loop, with a module of its own that is seeded so; it may have no name.
@@ -67,7 +72,7 @@
       EventLoop loop,
       Settings settings,
       long seed,
-      Upstreams upstreams,
+      UpstreamConnectionPool upstreams,
       BodyBudget budget,
       Log log) {
     this.name = name;
@@ -76,8 +81,8 @@
     this.settings = settings;
     this.upstreams = upstreams;
     this.budget = budget;
-    this.hosts = new Hosts(new ServerStartClock(System::currentTimeMillis, now()));
-    this.balancer = new Balancer(settings, seed, this);
+    this.hosts = new UpstreamHosts(new ServerStartClock(System::currentTimeMillis, now()));
+    this.balancer = new LoadBalancer(settings, seed, this);
   }
 
   /** The module's clock (ms). */
@@ -94,7 +99,7 @@
     return loop;
   }
 
-  Upstreams upstreams() {
+  UpstreamConnectionPool upstreams() {
     return upstreams;
   }
 
@@ -108,12 +113,12 @@
    */
   public void join(long seed, Consumer<byte[]> tell) {
     suspicions =
-        new Suspicions(
+        new SuspicionProtocol(
             settings.zone(),
             settings.balancers(),
             settings.pace(),
             seed,
-            new Suspicions.Actions() {
+            new SuspicionProtocol.Actions() {
               @Override
               public void tell(byte[] message) {
                 tell.accept(message);
@@ -149,7 +154,7 @@
   /** Hosts on which attempts of this pool are in flight, or wait to be. */
   public Set<String> busyHosts() {
     Set<String> busy = new HashSet<>();
-    for (Host h : hosts.all()) {
+    for (UpstreamHost h : hosts.all()) {
       if (h.calls > 0) {
         busy.add(h.name);
       }
@@ -173,7 +178,7 @@
   }
 
   /** Has attempts and requests counted there. */
-  public void tally(Tally counter) {
+  public void tally(OutcomeCounter counter) {
     tally = counter;
   }
 
@@ -220,16 +225,16 @@
   // --- events
 
   /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-  public void start(Hosts.News known, Runnable follow) {
+  public void start(UpstreamHosts.News known, Runnable follow) {
     this.follow = follow;
     deliver(null, () -> balancer.onStart(now()));
-    membership(corkproxy.balancer.News.CACHED, known);
+    membership(leadferry.loadbalancer.EndpointListEvent.CACHED, known);
   }
 
   /** A list, or changes to it, that has been checked whole. */
-  public void membership(corkproxy.balancer.News kind, Hosts.News news) {
-    Hosts.Change change = hosts.apply(news, now());
-    List<HostEntry> entries = change.entries();
+  public void membership(leadferry.loadbalancer.EndpointListEvent kind, UpstreamHosts.News news) {
+    UpstreamHosts.Change change = hosts.apply(news, now());
+    List<EndpointUpdate> entries = change.entries();
     deliver(null, () -> balancer.onMembership(now(), kind, entries));
     if (suspicions != null) {
       change.cut().forEach(h -> suspicions.forget(h.id));
@@ -240,7 +245,7 @@
     // first goes on: it may go to a host that is new in this list, and is not to be taken back from
     // there.
     List<Attempt> unsent = new ArrayList<>();
-    for (Host h : change.cut()) {
+    for (UpstreamHost h : change.cut()) {
       ejected.remove(h.name);
       unsent.addAll(upstreams.cut(h));
     }
@@ -264,20 +269,22 @@
 
   /** The watch broke or could not be opened. */
   public void followFailed() {
-    deliver(null, () -> balancer.onMembership(now(), corkproxy.balancer.News.FAILED, null));
+    deliver(
+        null,
+        () -> balancer.onMembership(now(), leadferry.loadbalancer.EndpointListEvent.FAILED, null));
   }
 
   /**
    * Takes a request that has come whole; its final answer comes within {@code arrival.budget()} ms.
    * The arrival's id is of no account: the pool has numbers of its own.
    */
-  public void take(Call call, Arrival arrival, Fallback fallback) {
+  public void take(ClientCall call, RequestArrival arrival, FallbackPools fallback) {
     long id = nextId++;
     Exchange e =
         new Exchange(id, this, call, arrival.className(), now() + arrival.budget(), fallback);
     exchanges.put(id, e);
-    Arrival numbered =
-        new Arrival(
+    RequestArrival numbered =
+        new RequestArrival(
             id,
             arrival.className(),
             arrival.tenant(),
@@ -288,13 +295,14 @@
   }
 
   void outcome(
-      Exchange e, Attempt a, Result result, double spent, boolean over, LoadReport report) {
+      Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
     int number = a.number();
     if (suspicions != null && result.answered()) {
       suspicions.answered(now(), a.host.id);
     }
-    if (tally != null && result != Result.CANCELLED && result != Result.MOOT) {
-      tally.attempt(a.host.name, e.className, result != Result.OK || spent > aim(e.className));
+    if (tally != null && result != AttemptOutcome.CANCELLED && result != AttemptOutcome.MOOT) {
+      tally.attempt(
+          a.host.name, e.className, result != AttemptOutcome.OK || spent > aim(e.className));
     }
     if (FAILURES.contains(result) && log.details()) {
       log.detail(
@@ -313,7 +321,7 @@
     deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
   }
 
-  private static String word(Result r) {
+  private static String word(AttemptOutcome r) {
     return r.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
@@ -343,7 +351,7 @@
 
   private void handle(Event e) {
     try {
-      balancer.onHeard(now() - Hearing.behind() / 1e6);
+      balancer.onHeard(now() - ReadHorizon.behind() / 1e6);
       e.what().run();
     } catch (RuntimeException x) {
       // Guards against one event that ends the process: it costs its own request only.
@@ -375,7 +383,7 @@
   @Override
   public void send(long request, long host, double apart) {
     Exchange e = exchanges.get(request);
-    Host h = hosts.get(host);
+    UpstreamHost h = hosts.get(host);
     if (e != null && h != null) {
       if (suspicions != null) {
         suspicions.attempted();
@@ -436,7 +444,7 @@
   @Override
   public void log(String line) {
     String[] words = line.split(" ", 3);
-    Host h = words.length == 3 && words[0].equals("host") ? host(words[1]) : null;
+    UpstreamHost h = words.length == 3 && words[0].equals("host") ? host(words[1]) : null;
     if (h == null) {
       log.line(line);
     } else {
@@ -450,7 +458,7 @@
   }
 
   /** The host that the module calls by this number, or null. */
-  private Host host(String number) {
+  private UpstreamHost host(String number) {
     try {
       return hosts.get(Long.parseLong(number));
     } catch (NumberFormatException e) {
--- a/src/main/java/corkproxy/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -1,27 +1,27 @@
-package corkproxy.engine;
+package leadferry.engine;
 
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.Result;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.LoadReport;
 
 /**
  * One client request in one pool, from its last byte on. The only place that gives a final answer,
  * and it gives exactly one; holds the deadline and the attempts.
  *
  * <p>Where a further pool may take the request up, a refusal by this pool's module moves it there
- * in place of answering, if {@link Fallback} names one and nothing that was sent may have run.
+ * in place of answering, if {@link FallbackPools} names one and nothing that was sent may have run.
  */
 public final class Exchange {
   final long id;
   final String className;
   final double takenAt;
   private final Dispatcher dispatcher;
-  private final Call call;
+  private final ClientCall call;
   private double deadlineAt;
-  private final Fallback fallback;
+  private final FallbackPools fallback;
   private final List<Attempt> attempts = new ArrayList<>(2);
   private final List<Future<?>> timers = new ArrayList<>(2);
   private int open;
@@ -36,10 +36,10 @@
   Exchange(
       long id,
       Dispatcher dispatcher,
-      Call call,
+      ClientCall call,
       String className,
       double deadlineAt,
-      Fallback fallback) {
+      FallbackPools fallback) {
     this.id = id;
     this.className = className;
     this.dispatcher = dispatcher;
@@ -101,7 +101,7 @@
 
   // --- attempts
 
-  void send(Host host, double apart) {
+  void send(UpstreamHost host, double apart) {
     Attempt a = call.attempt(this, host, attempts.size(), dispatcher.now());
     attempts.add(a);
     open++;
@@ -123,13 +123,14 @@
     attempts.get(number).cancel();
   }
 
-  void attemptEnded(Attempt a, Result result, double spent, LoadReport report) {
+  void attemptEnded(Attempt a, AttemptOutcome result, double spent, LoadReport report) {
     open--;
     mayHaveRun |= !result.neverRan();
-    if (answered && !result.neverRan() && result != Result.CANCELLED) {
+    if (answered && !result.neverRan() && result != AttemptOutcome.CANCELLED) {
       tally(
           result
-              == Result.OK); // its answer is the one that the client has had, or has had a part of
+              == AttemptOutcome
+                  .OK); // its answer is the one that the client has had, or has had a part of
     }
     dispatcher.outcome(this, a, result, spent, answered && !answering(), report);
     forgetIfDone();
@@ -193,7 +194,7 @@
    * repeats.
    */
   private boolean move() {
-    Fallback.Next next = fallback == null ? null : fallback.next(mayHaveRun);
+    FallbackPools.Next next = fallback == null ? null : fallback.next(mayHaveRun);
     double left = deadlineAt - dispatcher.now();
     if (next == null || left <= 0) {
       return false;
--- a/src/main/java/corkproxy/engine/Fallback.java
+++ b/src/main/java/leadferry/engine/FallbackPools.java
@@ -1,12 +1,12 @@
-package corkproxy.engine;
+package leadferry.engine;
 
-import corkproxy.balancer.Arrival;
+import leadferry.loadbalancer.RequestArrival;
 
 /** The pools that may take a request up, in order, where those before have refused it unsent. */
 @FunctionalInterface
-public interface Fallback {
+public interface FallbackPools {
   /** The next pool, the request as it arrives there, and what may follow it, or null. */
-  record Next(Dispatcher dispatcher, Arrival arrival, Fallback fallback) {}
+  record Next(Dispatcher dispatcher, RequestArrival arrival, FallbackPools fallback) {}
 
   /**
    * The next pool, or null where there is none. {@code mayHaveRun} tells that something sent for
--- a/src/main/java/corkproxy/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.io.PrintStream;
 import java.io.PrintWriter;
@@ -37,7 +37,7 @@
   @Override
   public synchronized void event(String what, Object... fields) {
     if (admits()) {
-      StringBuilder s = new StringBuilder("corkproxy: ").append(what);
+      StringBuilder s = new StringBuilder("leadferry: ").append(what);
       for (int i = 0; i + 1 < fields.length; i += 2) {
         if (fields[i + 1] != null) {
           s.append(' ').append(fields[i]).append('=').append(fields[i + 1]);
@@ -59,7 +59,7 @@
     if (admits()) {
       StringWriter stack = new StringWriter();
       t.printStackTrace(new PrintWriter(stack, true));
-      line("corkproxy: " + what, stack.toString());
+      line("leadferry: " + what, stack.toString());
     }
   }
 
@@ -72,7 +72,7 @@
     long now = System.nanoTime() / 1_000_000_000L;
     if (now != second) {
       if (dropped > 0) {
-        line("corkproxy: " + dropped + " lines left out", "");
+        line("leadferry: " + dropped + " lines left out", "");
       }
       second = now;
       written = 0;
--- a/src/main/java/corkproxy/engine/Log.java
+++ b/src/main/java/leadferry/engine/Log.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /**
  * What the people on call are told. Every kind is bounded a second, and what is past the bound is
--- a/src/main/java/corkproxy/engine/LogWithField.java
+++ b/src/main/java/leadferry/engine/LogWithField.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /** A log with one more field, which stands before the others. */
 record LogWithField(Log log, String field, String value) implements Log {
--- a/src/main/java/corkproxy/engine/NativeTransport.java
+++ b/src/main/java/leadferry/engine/NativeTransport.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoHandlerFactory;
@@ -21,7 +21,7 @@
   EPOLL {
     @Override
     public IoHandlerFactory loops() {
-      return Hearing.in(EpollIoHandler.newFactory());
+      return ReadHorizon.in(EpollIoHandler.newFactory());
     }
 
     @Override
--- a/src/main/java/corkproxy/engine/NioTransport.java
+++ b/src/main/java/leadferry/engine/NioTransport.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoHandlerFactory;
@@ -69,7 +69,7 @@
 
   @Override
   public IoHandlerFactory loops() {
-    return Hearing.in(NioIoHandler.newFactory());
+    return ReadHorizon.in(NioIoHandler.newFactory());
   }
 
   @Override
--- a/src/main/java/corkproxy/engine/Tally.java
+++ b/src/main/java/leadferry/engine/OutcomeCounter.java
@@ -1,11 +1,11 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /**
  * Counts what became of attempts and requests, by class; called on the pool's loop. Bad is what
  * failed, was refused, or came later than its class's aim. What a client gave up on, or what was
  * called off, is neither.
  */
-public interface Tally {
+public interface OutcomeCounter {
   /** An attempt has ended at that server. */
   void attempt(String server, String className, boolean bad);
 
--- a/src/main/java/corkproxy/engine/PoolBounds.java
+++ b/src/main/java/leadferry/engine/PoolBounds.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /**
  * What holds for the connections of one pool on one loop. They may be changed while it runs, but
--- a/src/main/java/corkproxy/engine/Hearing.java
+++ b/src/main/java/leadferry/engine/ReadHorizon.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -25,7 +25,7 @@
  * the middle and ends before that time, the stop is taken for the peers'. Cost: two readings of the
  * clock a turn.
  */
-public final class Hearing implements IoHandler, IoHandlerContext {
+public final class ReadHorizon implements IoHandler, IoHandlerContext {
   /**
    * A poll that returned as fast as this (ns), or in less than half of the time of the work before
    * it, is taken to have found what came meanwhile: cold code and a lost core make it look as if it
@@ -36,7 +36,7 @@
   /** A poll that returned so much later (ns) than it was asked to was kept from its core. */
   private static final long LATE_NANOS = 2_000_000;
 
-  private static final FastThreadLocal<Hearing> HERE = new FastThreadLocal<>();
+  private static final FastThreadLocal<ReadHorizon> HERE = new FastThreadLocal<>();
 
   private final IoHandler handler;
   private IoHandlerContext turn;
@@ -47,7 +47,7 @@
   private long polled = System.nanoTime();
   private long until = polled;
 
-  private Hearing(IoHandler handler) {
+  private ReadHorizon(IoHandler handler) {
     this.handler = handler;
   }
 
@@ -56,7 +56,7 @@
     return new IoHandlerFactory() {
       @Override
       public IoHandler newHandler(ThreadAwareExecutor loop) {
-        return new Hearing(loops.newHandler(loop));
+        return new ReadHorizon(loops.newHandler(loop));
       }
 
       @Override
@@ -68,13 +68,13 @@
 
   /** How long (ns) ago the present loop had read all that had come; 0 off a loop. */
   public static long behind() {
-    Hearing h = HERE.get();
+    ReadHorizon h = HERE.get();
     return h == null ? 0 : Math.max(0, System.nanoTime() - h.until);
   }
 
   /** How many turns the present loop has begun, its polls included; 0 off a loop. */
   public static long turns() {
-    Hearing h = HERE.get();
+    ReadHorizon h = HERE.get();
     return h == null ? 0 : h.turns;
   }
 
--- a/src/main/java/corkproxy/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/corkproxy/engine/Signals.java
+++ b/src/main/java/leadferry/engine/Signals.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/src/main/java/corkproxy/engine/SocketSlack.java
+++ b/src/main/java/leadferry/engine/SocketSlack.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 /**
  * By how much each time limit is longer on sockets than in the settings, by the protocol page: what
--- a/src/main/java/corkproxy/engine/Transport.java
+++ b/src/main/java/leadferry/engine/Transport.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoHandlerFactory;
--- a/src/main/java/corkproxy/engine/UpstreamConnection.java
+++ b/src/main/java/leadferry/engine/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -14,8 +14,8 @@
   /** An end so soon (ns) after a request was written tells that the connection was dead before. */
   private static final long AT_ONCE_NANOS = 25_000_000L;
 
-  private final Upstreams pool;
-  private final Host host;
+  private final UpstreamConnectionPool pool;
+  private final UpstreamHost host;
   private final InetSocketAddress address;
   private final double started;
   private final Channel channel;
@@ -30,7 +30,7 @@
   private long idleFor;
   private long writtenAt;
 
-  protected UpstreamConnection(Upstreams pool, Host host, Channel channel) {
+  protected UpstreamConnection(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     this.pool = pool;
     this.host = host;
     this.address = host.address;
@@ -82,7 +82,7 @@
     }
     host.surplus();
     if (unused) {
-      pool.surplus(System.nanoTime() - Hearing.behind() - since);
+      pool.surplus(System.nanoTime() - ReadHorizon.behind() - since);
     }
     channel.close();
   }
