--- a/src/main/java/corkproxy/engine/Upstreams.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /** The connections to hosts: opens them as needed, keeps the idle ones, ends them in time. */
-public final class Upstreams {
+public final class UpstreamConnectionPool {
   /** Part of the host's idle time after which a connection is closed: well before the host does. */
   private static final double IDLE_PART = 0.7;
 
@@ -60,7 +60,7 @@
   private long surplusAt;
 
   /** Connections of one pool on one loop. */
-  public Upstreams(
+  public UpstreamConnectionPool(
       EventLoop loop,
       Transport transport,
       Protocol protocol,
@@ -104,7 +104,7 @@
 
   /** Carries the call to its host on a quiet connection, on a new one, or waits for one. */
   void start(Attempt call) {
-    Host host = call.host;
+    UpstreamHost host = call.host;
     if (!due(call)) {
       return;
     }
@@ -130,7 +130,7 @@
   }
 
   /** A connection that may carry now, or null. */
-  private UpstreamConnection ready(Host host) {
+  private UpstreamConnection ready(UpstreamHost host) {
     UpstreamConnection c;
     while ((c = rested(host)) != null) {
       sockets.upstreamIdle(c, false);
@@ -143,7 +143,7 @@
   }
 
   /** Gives attempts that wait what has become free, in the order in which they came. */
-  private void pump(Host host) {
+  private void pump(UpstreamHost host) {
     if (host.pending.isEmpty()) {
       if (host.member != null) {
         host.member.places.pass();
@@ -183,7 +183,7 @@
   }
 
   /** The host's places at the address that it has now. */
-  private ConnectionLimits.Places places(Host host) {
+  private ConnectionLimits.Places places(UpstreamHost host) {
     if (host.member == null || !host.member.address.equals(host.address)) {
       leave(host);
       host.member = new HostMember(host, bounds.limits().of(host.address));
@@ -192,7 +192,7 @@
     return host.member.places;
   }
 
-  private static void leave(Host host) {
+  private static void leave(UpstreamHost host) {
     if (host.member != null) {
       host.member.places.leave(host.member);
       host.member = null;
@@ -201,12 +201,12 @@
 
   /** One host's part in the places that all workers share. */
   final class HostMember implements ConnectionLimits.Member {
-    private final Host host;
+    private final UpstreamHost host;
     private final InetSocketAddress address;
     private final ConnectionLimits.Places places;
     private final AtomicBoolean asked = new AtomicBoolean();
 
-    private HostMember(Host host, ConnectionLimits.Places places) {
+    private HostMember(UpstreamHost host, ConnectionLimits.Places places) {
       this.host = host;
       this.address = host.address;
       this.places = places;
@@ -245,7 +245,7 @@
    * own: on a connection in use again they would be the answer to another request. It costs a few
    * more connections to hosts that answer within milliseconds.
    */
-  private UpstreamConnection rested(Host host) {
+  private UpstreamConnection rested(UpstreamHost host) {
     long now = System.nanoTime();
     endRests(host, now);
     UpstreamConnection c = host.idle.peekLast();
@@ -257,14 +257,14 @@
    * Upkeep ends it then, but a request may come first, and the host's own end of it would be a
    * reset under a request that may have run.
    */
-  private long keepNanos(Host host, long now) {
+  private long keepNanos(UpstreamHost host, long now) {
     return Math.min((long) (IDLE_PART * bounds.idleMs() * 1e6), host.keepNanos(now));
   }
 
   /**
    * In one step a connection, where a look at each that rests would cost a busy host one a request.
    */
-  private void endRests(Host host, long now) {
+  private void endRests(UpstreamHost host, long now) {
     long rest = restNanos(host, now);
     UpstreamConnection c;
     while ((c = host.resting.peekFirst()) != null && now - c.since() >= rest) {
@@ -272,7 +272,7 @@
     }
   }
 
-  private long restNanos(Host host, long now) {
+  private long restNanos(UpstreamHost host, long now) {
     long rest = (long) (bounds.restMs() * 1e6);
     boolean seen = host.surplusSeen && now - host.surplusAt < SURPLUS_NANOS;
     boolean late = now - surplusAt < SURPLUS_NANOS;
@@ -293,7 +293,7 @@
   }
 
   /** Opens a connection for the call; its place has been taken. */
-  private void connect(Attempt call, Host host) {
+  private void connect(Attempt call, UpstreamHost host) {
     ConnectionLimits.Places places = bounds.limits() == null ? null : places(host);
     ChannelFuture f = sockets.roomForUpstream() ? bootstrap.connect(host.address) : null;
     if (f == null || !f.channel().isRegistered()) {
@@ -370,7 +370,7 @@
   }
 
   /** A connection has carried an attempt to its end and may carry another. */
-  void idle(Host host, UpstreamConnection c) {
+  void idle(UpstreamHost host, UpstreamConnection c) {
     discarding.remove(c);
     if (bounds.limits() != null) {
       ConnectionLimits.Places places = places(host);
@@ -393,7 +393,7 @@
     discarding.add(c);
   }
 
-  void closed(Host host, UpstreamConnection c) {
+  void closed(UpstreamHost host, UpstreamConnection c) {
     discarding.remove(c);
     if (!host.idle.remove(c)) {
       host.resting.remove(c);
@@ -402,7 +402,7 @@
   }
 
   /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
-  List<Attempt> cut(Host host) {
+  List<Attempt> cut(UpstreamHost host) {
     for (UpstreamConnection c : unused(host)) {
       if (!c.reusable()) {
         c.channel().close();
@@ -417,9 +417,9 @@
   }
 
   /** Closes what has been idle for long. */
-  void sweep(Iterable<Host> hosts) {
+  void sweep(Iterable<UpstreamHost> hosts) {
     long now = System.nanoTime();
-    for (Host h : hosts) {
+    for (UpstreamHost h : hosts) {
       endRests(h, now);
       UpstreamConnection c;
       while ((c = h.idle.peekFirst()) != null && now - c.since() > keepNanos(h, now)) {
@@ -437,15 +437,15 @@
     }
   }
 
-  private static List<UpstreamConnection> unused(Host h) {
+  private static List<UpstreamConnection> unused(UpstreamHost h) {
     List<UpstreamConnection> all = new ArrayList<>(h.idle);
     all.addAll(h.resting);
     return all;
   }
 
   /** Closes every connection on which nothing is carried. */
-  void closeIdle(Iterable<Host> hosts) {
-    for (Host h : hosts) {
+  void closeIdle(Iterable<UpstreamHost> hosts) {
+    for (UpstreamHost h : hosts) {
       unused(h).forEach(UpstreamConnection::closeIdle);
       leave(h);
     }
--- a/src/main/java/corkproxy/engine/Host.java
+++ b/src/main/java/leadferry/engine/UpstreamHost.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** A host as the sockets see it: where it listens, whether it may get work, its connections. */
-public final class Host {
+public final class UpstreamHost {
   /** Part of an idle time found dead that is trusted from then on, and the least of it. */
   private static final double KEEP_PART = 0.7;
 
@@ -51,7 +51,7 @@
   boolean pumping;
 
   /** This host's part in the places that workers share, or null. */
-  Upstreams.HostMember member;
+  UpstreamConnectionPool.HostMember member;
 
   /** Whether, and when (ns) last, bytes came behind an answer that belong to none. */
   boolean surplusSeen;
@@ -63,7 +63,7 @@
   private long keepNanos = Long.MAX_VALUE;
   private long keepSince;
 
-  Host(String name, long id) {
+  UpstreamHost(String name, long id) {
     this.name = name;
     this.id = id;
   }
--- a/src/main/java/corkproxy/engine/Hosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -1,6 +1,5 @@
-package corkproxy.engine;
+package leadferry.engine;
 
-import corkproxy.balancer.HostEntry;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,9 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import leadferry.loadbalancer.EndpointUpdate;
 
 /** The hosts that discovery has named, and the numbers by which the module knows them. */
-public final class Hosts {
+public final class UpstreamHosts {
   /**
    * A host as a list names it; {@code startedUnixMs} 0 is long ago, {@code address} may be null
    * where it gets no work.
@@ -23,7 +23,7 @@
       String zone,
       String kind,
       long cell,
-      HostEntry.Condition condition,
+      EndpointUpdate.Condition condition,
       double weight,
       double startedUnixMs) {}
 
@@ -33,26 +33,26 @@
   /**
    * What a list changed: the entries for the module, the hosts that may get nothing as they were.
    */
-  record Change(List<HostEntry> entries, Set<Host> cut) {}
+  record Change(List<EndpointUpdate> entries, Set<UpstreamHost> cut) {}
 
-  private final Map<String, Host> byName = new HashMap<>();
-  private final Map<Long, Host> byId = new HashMap<>();
+  private final Map<String, UpstreamHost> byName = new HashMap<>();
+  private final Map<Long, UpstreamHost> byId = new HashMap<>();
   private final ServerStartClock clock;
 
-  Hosts(ServerStartClock clock) {
+  UpstreamHosts(ServerStartClock clock) {
     this.clock = clock;
   }
 
-  Host get(long id) {
+  UpstreamHost get(long id) {
     return byId.get(id);
   }
 
-  Collection<Host> all() {
+  Collection<UpstreamHost> all() {
     return byId.values();
   }
 
   boolean anySendable() {
-    for (Host h : byId.values()) {
+    for (UpstreamHost h : byId.values()) {
       if (h.sendable) {
         return true;
       }
@@ -62,22 +62,23 @@
 
   /** Applies a list that came at {@code now} (ms) on the module's clock. */
   Change apply(News news, double now) {
-    List<HostEntry> entries = new ArrayList<>(news.members().size());
-    Set<Host> cut = new LinkedHashSet<>();
-    Set<Host> named = new HashSet<>();
+    List<EndpointUpdate> entries = new ArrayList<>(news.members().size());
+    Set<UpstreamHost> cut = new LinkedHashSet<>();
+    Set<UpstreamHost> named = new HashSet<>();
     for (Member m : news.members()) {
-      Host h = byName.get(m.name());
+      UpstreamHost h = byName.get(m.name());
       if (h == null) {
-        h = new Host(m.name(), number(m.name()));
+        h = new UpstreamHost(m.name(), number(m.name()));
         byName.put(h.name, h);
         byId.put(h.id, h);
       }
       double started = started(h, m.startedUnixMs(), now);
       entries.add(
-          new HostEntry(h.id, m.zone(), m.kind(), m.cell(), m.condition(), m.weight(), started));
+          new EndpointUpdate(
+              h.id, m.zone(), m.kind(), m.cell(), m.condition(), m.weight(), started));
       named.add(h);
-      h.listed = m.condition() != HostEntry.Condition.GONE;
-      h.sendable = m.condition() == HostEntry.Condition.READY;
+      h.listed = m.condition() != EndpointUpdate.Condition.GONE;
+      h.sendable = m.condition() == EndpointUpdate.Condition.READY;
       boolean elsewhere = h.cell != m.cell() || !h.zone.equals(m.zone());
       if (!h.sendable || elsewhere || !m.address().equals(h.address) || h.started != started) {
         cut.add(h);
@@ -91,7 +92,7 @@
       }
     }
     if (news.full()) {
-      for (Host h : byId.values()) {
+      for (UpstreamHost h : byId.values()) {
         if (!named.contains(h)) {
           h.listed = false;
           h.sendable = false;
@@ -106,7 +107,7 @@
   /**
    * The instant of a start never moves once it has been told, whatever becomes of the wall clock.
    */
-  private double started(Host host, double startedUnixMs, double now) {
+  private double started(UpstreamHost host, double startedUnixMs, double now) {
     if (startedUnixMs <= 0) {
       return 0;
     }
--- a/src/main/java/corkproxy/fleet/Suspicion.java
+++ b/src/main/java/leadferry/gossip/Suspicion.java
@@ -1,4 +1,4 @@
-package corkproxy.fleet;
+package leadferry.gossip;
 
 import java.nio.ByteBuffer;
 
--- a/src/main/java/corkproxy/fleet/Suspicions.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -1,13 +1,13 @@
-package corkproxy.fleet;
+package leadferry.gossip;
 
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.News;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
 
 /**
  * Silent hosts, found by all proxies together: suspicion and refutation, as in SWIM (Das, Gupta,
@@ -35,7 +35,7 @@
  * in it; as many messages as attempts, saved up to {@link #MOST_SAVED}. Not safe for use from
  * several threads at once. Times are ms.
  */
-public final class Suspicions {
+public final class SuspicionProtocol {
   /** What it asks of its proxy; called from within the event methods. */
   public interface Actions {
     /** Sends a message to every proxy of the tier. */
@@ -50,7 +50,7 @@
     /** The host answers others: it may get requests again. */
     void takeBack(long host);
 
-    /** Asks for {@link Suspicions#due} after so long (ms). */
+    /** Asks for {@link SuspicionProtocol#due} after so long (ms). */
     void later(double delay);
   }
 
@@ -140,7 +140,7 @@
    * @param seed of its waits, which should differ from proxy to proxy
    * @param actions what carries out its decisions
    */
-  public Suspicions(String zone, int proxies, double pace, long seed, Actions actions) {
+  public SuspicionProtocol(String zone, int proxies, double pace, long seed, Actions actions) {
     this.zone = Suspicion.zoneByte(zone);
     this.spread = Math.max(1, Math.min(MOST_SPREAD, proxies / FIRST_SPREAD));
     this.pace = pace;
@@ -157,13 +157,13 @@
    * A list of hosts, or changes to one, as the module gets it. What is known of a host ends with
    * its process.
    */
-  public void members(News kind, List<HostEntry> entries) {
-    if (kind == News.FAILED) {
+  public void members(EndpointListEvent kind, List<EndpointUpdate> entries) {
+    if (kind == EndpointListEvent.FAILED) {
       return;
     }
     Set<Long> ready = new HashSet<>();
-    for (HostEntry e : entries) {
-      if (e.condition() == HostEntry.Condition.READY) {
+    for (EndpointUpdate e : entries) {
+      if (e.condition() == EndpointUpdate.Condition.READY) {
         ready.add(e.id());
         standings.compute(
             e.id(),
@@ -173,7 +173,7 @@
         standings.remove(e.id());
       }
     }
-    if (kind != News.DELTA) {
+    if (kind != EndpointListEvent.DELTA) {
       standings.keySet().retainAll(ready);
     }
   }
--- a/src/main/java/corkproxy/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -1,7 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.SocketSlack;
-import corkproxy.engine.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,11 +11,13 @@
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.SocketSlack;
+import leadferry.engine.Transport;
 
 /**
  * A connection of the application's, from its opening to its end: which request it is at, what was
  * sent ahead of an answer, when it has to go. {@link RequestIntake} reads requests, {@link
- * AnswerWriter} writes answers.
+ * ResponseWriter} writes answers.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
   /** Part of a request that came while another was open, and when (ns). */
@@ -39,10 +39,10 @@
 
   private static final long AWAY_SILENT_NANOS = 1_500_000_000L;
 
-  private final Front front;
+  private final HttpServer front;
   private final SocketChannel channel;
   private final RequestDecoder decoder;
-  private final AnswerWriter answers;
+  private final ResponseWriter answers;
   private final RequestIntake intake;
   private final RequestLog log;
   private final long openedAt = System.nanoTime();
@@ -65,13 +65,13 @@
    * {@code letInAt} (ns) is the earliest at which it can have been let in: its client may have
    * written since then.
    */
-  ClientConnection(Front front, SocketChannel channel, RequestDecoder decoder, long letInAt) {
+  ClientConnection(HttpServer front, SocketChannel channel, RequestDecoder decoder, long letInAt) {
     this.front = front;
     this.letInAt = letInAt;
     this.channel = channel;
     this.decoder = decoder;
     this.log = new RequestLog(front.log(), channel);
-    this.answers = new AnswerWriter(this, front, channel);
+    this.answers = new ResponseWriter(this, front, channel);
     this.intake = new RequestIntake(this, front, channel, decoder, answers);
     this.slowNanos = front.settings().slowMs() * 1_000_000L;
   }
@@ -119,7 +119,9 @@
    */
   private long cameAt() {
     long earliest =
-        decoder.firstLook() ? Math.min(Front.heard(), letInAt) : Math.max(Front.heard(), idleSince);
+        decoder.firstLook()
+            ? Math.min(HttpServer.heard(), letInAt)
+            : Math.max(HttpServer.heard(), idleSince);
     return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
   }
 
@@ -402,7 +404,7 @@
    * health.
    */
   void tell(int status) {
-    Verdict v = intake.verdict();
+    FilterResult v = intake.verdict();
     boolean health = v != null && v.status() == status && v.origin() == null && !v.closes();
     if (!health && !told) {
       tell(RequestLog.outcome(status), status);
@@ -413,7 +415,7 @@
    * Tells what became of the present request, where it was not served; {@code status} may be null.
    */
   void tell(String outcome, Integer status) {
-    Verdict v = intake.verdict();
+    FilterResult v = intake.verdict();
     log.request(outcome, status, call, v, v == null ? decoder.since() : intake.since());
   }
 
--- a/src/main/java/corkproxy/http/CloseReason.java
+++ b/src/main/java/leadferry/http/CloseReason.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 import java.util.Locale;
 
--- a/src/main/java/corkproxy/http/Verdict.java
+++ b/src/main/java/leadferry/http/FilterResult.java
@@ -1,11 +1,11 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.Fallback;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.FallbackPools;
+import leadferry.loadbalancer.RequestArrival;
 
 /**
- * What a {@link Gate} makes of a request's head.
+ * What a {@link RequestFilter} makes of a request's head.
  *
  * @param status the status to answer with, or 0 to take the request
  * @param closes whether that answer also ends the connection, whatever of the request is to come
@@ -17,13 +17,13 @@
  * @param origin what the log tells of the request, or null
  * @param done run once when the request has its final answer, or is dropped before
  */
-public record Verdict(
+public record FilterResult(
     int status,
     boolean closes,
     double retryAfterMs,
     Dispatcher target,
-    Arrival arrival,
-    Fallback fallback,
+    RequestArrival arrival,
+    FallbackPools fallback,
     Streaming streaming,
     Origin origin,
     Runnable done) {
@@ -36,30 +36,30 @@
   private static final Runnable NOTHING = () -> {};
 
   /** What can't be a request: an error, and the end of the connection. */
-  public static Verdict reject(int status) {
-    return new Verdict(status, true, 0, null, null, null, Streaming.NEVER, null, NOTHING);
+  public static FilterResult reject(int status) {
+    return new FilterResult(status, true, 0, null, null, null, Streaming.NEVER, null, NOTHING);
   }
 
   /** A sound request that gets an answer of ours, after which its connection goes on. */
-  public static Verdict answer(int status, double retryAfterMs) {
+  public static FilterResult answer(int status, double retryAfterMs) {
     return answer(status, retryAfterMs, null);
   }
 
   /** The same, told in the log as of this origin. */
-  public static Verdict answer(int status, double retryAfterMs, Origin origin) {
-    return new Verdict(
+  public static FilterResult answer(int status, double retryAfterMs, Origin origin) {
+    return new FilterResult(
         status, false, retryAfterMs, null, null, null, Streaming.NEVER, origin, NOTHING);
   }
 
   /** A request for this pool. */
-  public static Verdict take(
+  public static FilterResult take(
       Dispatcher target,
-      Arrival arrival,
-      Fallback fallback,
+      RequestArrival arrival,
+      FallbackPools fallback,
       Streaming streaming,
       Origin origin,
       Runnable done) {
-    return new Verdict(
+    return new FilterResult(
         0, false, 0, target, arrival, fallback, streaming, origin, done == null ? NOTHING : done);
   }
 }
--- a/src/main/java/corkproxy/http/Forwarding.java
+++ b/src/main/java/leadferry/http/Forwarding.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
--- a/src/main/java/corkproxy/http/Headers.java
+++ b/src/main/java/leadferry/http/Headers.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
 import io.netty.handler.codec.http.HttpHeaderNames;
--- a/src/main/java/corkproxy/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -1,11 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.Result;
-import corkproxy.engine.Attempt;
-import corkproxy.engine.Body;
-import corkproxy.engine.Exchange;
-import corkproxy.engine.Host;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -15,6 +9,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
+import leadferry.engine.Attempt;
+import leadferry.engine.Body;
+import leadferry.engine.Exchange;
+import leadferry.engine.UpstreamHost;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.LoadReport;
 
 /** One send of an HTTP request to a host, and how its answer is read. */
 final class HttpAttempt extends Attempt {
@@ -37,7 +37,7 @@
   private double cameAt;
   private boolean error;
 
-  HttpAttempt(HttpCall call, Exchange exchange, Host host, int number, double now) {
+  HttpAttempt(HttpCall call, Exchange exchange, UpstreamHost host, int number, double now) {
     super(exchange, host, number, now);
     this.call = call;
   }
@@ -113,12 +113,12 @@
 
   /** The head of the final answer. */
   void head(HttpResponse reply) {
-    report = Reports.read(reply.headers().get(Reports.HEADER));
+    report = LoadReportHeaders.read(reply.headers().get(LoadReportHeaders.HEADER));
     int status = reply.status().code();
     HttpProtocol protocol = wire().protocol;
     if (status == 200 || protocol.passAll() && status < 500) {
       if (!mayHaveRun()) {
-        finish(Result.CONNECT_FAILED); // no host can serve what it has not been sent
+        finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
       } else if (!framed(reply)) {
         broken();
       } else {
@@ -146,9 +146,12 @@
       if (exchange.claim()) {
         call.answer(status);
       }
-      finish(Result.CANCELLED);
+      finish(AttemptOutcome.CANCELLED);
     } else {
-      finish(turnedAway ? Result.FULL : mayHaveRun() ? Result.ERROR : Result.CONNECT_FAILED);
+      finish(
+          turnedAway
+              ? AttemptOutcome.FULL
+              : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
     }
   }
 
@@ -172,7 +175,7 @@
    */
   private boolean stream() {
     if (!claimAnswer()) {
-      finish(Result.CANCELLED);
+      finish(AttemptOutcome.CANCELLED);
       return false;
     }
     streaming = true;
@@ -266,12 +269,12 @@
     if (streaming) {
       streaming = false;
       call.finish(trailers);
-      finish(Result.OK);
+      finish(AttemptOutcome.OK);
       return;
     }
     if (error) {
       call.keepError(head, whole, trailers);
-      finish(Result.ERROR);
+      finish(AttemptOutcome.ERROR);
       return;
     }
     if (exchange.claim()) {
@@ -279,7 +282,7 @@
     } else if (whole != null) {
       whole.free();
     }
-    finish(Result.OK);
+    finish(AttemptOutcome.OK);
   }
 
   @Override
--- a/src/main/java/corkproxy/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -1,10 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Attempt;
-import corkproxy.engine.Body;
-import corkproxy.engine.Call;
-import corkproxy.engine.Exchange;
-import corkproxy.engine.Host;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -24,15 +19,20 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.AsciiString;
 import java.util.List;
+import leadferry.engine.Attempt;
+import leadferry.engine.Body;
+import leadferry.engine.ClientCall;
+import leadferry.engine.Exchange;
+import leadferry.engine.UpstreamHost;
 
 /** An HTTP request, kept until its last attempt is over. */
-final class HttpCall implements Call {
+final class HttpCall implements ClientCall {
   private static final AsciiString TIMEOUT = AsciiString.cached("X-Timeout-Ms");
 
-  private final AnswerWriter client;
+  private final ResponseWriter client;
   private final HttpRequest head;
   private final Body body;
-  private final Upload upload;
+  private final RequestBodyUpload upload;
   private final HttpHeaders trailers;
   private final Streaming streaming;
   private final double budget;
@@ -49,10 +49,10 @@
    * time, 0 for what is left.
    */
   HttpCall(
-      AnswerWriter client,
+      ResponseWriter client,
       HttpRequest head,
       Body body,
-      Upload upload,
+      RequestBodyUpload upload,
       HttpHeaders trailers,
       Streaming streaming,
       double budget) {
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public Attempt attempt(Exchange by, Host host, int number, double now) {
+  public Attempt attempt(Exchange by, UpstreamHost host, int number, double now) {
     forgetError(); // only an error that ends the request is passed on
     return new HttpAttempt(this, by, host, number, now);
   }
@@ -126,7 +126,7 @@
     return streaming == Streaming.LARGE;
   }
 
-  Upload upload() {
+  RequestBodyUpload upload() {
     return upload;
   }
 
--- a/src/main/java/corkproxy/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -1,12 +1,12 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Host;
-import corkproxy.engine.Protocol;
-import corkproxy.engine.UpstreamConnection;
-import corkproxy.engine.Upstreams;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestEncoder;
+import leadferry.engine.Protocol;
+import leadferry.engine.UpstreamConnection;
+import leadferry.engine.UpstreamConnectionPool;
+import leadferry.engine.UpstreamHost;
 
 /**
  * HTTP/1.1 to the hosts of a pool.
@@ -26,7 +26,7 @@
     implements Protocol {
   /** Hosts as the platform's protocol has them. */
   public static final HttpProtocol PLATFORM =
-      new HttpProtocol(64 * 1024, FrontSettings.LARGEST, true, false, false);
+      new HttpProtocol(64 * 1024, HttpServerSettings.LARGEST, true, false, false);
 
   static final HttpDecoderConfig DECODER =
       new HttpDecoderConfig()
@@ -36,7 +36,7 @@
           .setInitialBufferSize(256);
 
   @Override
-  public UpstreamConnection open(Upstreams pool, Host host, Channel channel) {
+  public UpstreamConnection open(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     HttpUpstreamConnection.Decoder decoder = new HttpUpstreamConnection.Decoder(DECODER);
     HttpUpstreamConnection c = new HttpUpstreamConnection(pool, host, channel, decoder, this);
     channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
--- a/src/main/java/corkproxy/http/Front.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -1,12 +1,5 @@
-package corkproxy.http;
-
-import corkproxy.engine.AcceptBackoff;
-import corkproxy.engine.BodyBudget;
-import corkproxy.engine.Hearing;
-import corkproxy.engine.Log;
-import corkproxy.engine.Sockets;
-import corkproxy.engine.Transport;
-import corkproxy.engine.Upstreams;
+package leadferry.http;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -23,9 +16,16 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.AcceptBackoff;
+import leadferry.engine.BodyBudget;
+import leadferry.engine.Log;
+import leadferry.engine.ReadHorizon;
+import leadferry.engine.Sockets;
+import leadferry.engine.Transport;
+import leadferry.engine.UpstreamConnectionPool;
 
 /** The side that faces the application: listens, and knows all of its connections. */
-public final class Front {
+public final class HttpServer {
   /** Connections taken in one go; more might pass the limit before it is looked at. */
   private static final int ACCEPTS = 4;
 
@@ -42,8 +42,8 @@
   private final Sockets sockets;
   private final BodyBudget budget;
   private final Log log;
-  private final FrontSettings settings;
-  private Gate gate;
+  private final HttpServerSettings settings;
+  private RequestFilter gate;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
   private final Set<String> openIds = new HashSet<>();
   private Listener listener;
@@ -54,9 +54,9 @@
   private long refusedForSockets;
 
   /** A front of one loop; it listens itself, or is given what another has accepted. */
-  public Front(
-      FrontSettings settings,
-      Gate gate,
+  public HttpServer(
+      HttpServerSettings settings,
+      RequestFilter gate,
       Transport transport,
       Sockets sockets,
       BodyBudget budget,
@@ -85,8 +85,8 @@
                     new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
                 .handler(new AcceptBackoff(log::line, this::acceptsAgain))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Upstreams.READS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstreams.MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
                 .childHandler(
                     new ChannelInitializer<SocketChannel>() {
                       @Override
@@ -231,7 +231,7 @@
    * reads.
    */
   static long heard() {
-    return System.nanoTime() - Hearing.behind();
+    return System.nanoTime() - ReadHorizon.behind();
   }
 
   void opened(ClientConnection c) {
@@ -340,16 +340,16 @@
     log.line("out of sockets: " + ++refusedForSockets + " requests refused unsent");
   }
 
-  public FrontSettings settings() {
+  public HttpServerSettings settings() {
     return settings;
   }
 
-  Gate gate() {
+  RequestFilter gate() {
     return gate;
   }
 
   /** From the next head on, this gate judges; what was taken goes on as it was taken. */
-  public void gate(Gate next) {
+  public void gate(RequestFilter next) {
     gate = next;
   }
 
--- a/src/main/java/corkproxy/http/FrontSettings.java
+++ b/src/main/java/leadferry/http/HttpServerSettings.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 /**
  * Bounds of one listener.
@@ -18,7 +18,7 @@
  * @param daemon whether it is the daemon's: {@code Retry-After} is told in whole seconds (RFC 9110,
  *     10.2.3), HTTP/1.0 is spoken, and what is turned away has a line in the log
  */
-public record FrontSettings(
+public record HttpServerSettings(
     int maxBody,
     long maxStreamed,
     long slowMs,
@@ -37,8 +37,8 @@
   private static final int BODY_RATE = 32_000;
 
   /** Those of the platform's clients. */
-  public static FrontSettings platform(int maxOpen) {
-    return new FrontSettings(
+  public static HttpServerSettings platform(int maxOpen) {
+    return new HttpServerSettings(
         64 * 1024, LARGEST, 2_400, BODY_RATE, 2_000, 6_000, maxOpen, 1, true, false);
   }
 }
--- a/src/main/java/corkproxy/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -1,8 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Host;
-import corkproxy.engine.UpstreamConnection;
-import corkproxy.engine.Upstreams;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpContent;
@@ -16,6 +13,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.AsciiString;
 import io.netty.util.ReferenceCountUtil;
+import leadferry.engine.UpstreamConnection;
+import leadferry.engine.UpstreamConnectionPool;
+import leadferry.engine.UpstreamHost;
 
 /** A connection that speaks HTTP/1.1 to a host. */
 final class HttpUpstreamConnection extends UpstreamConnection {
@@ -74,7 +74,11 @@
   private int unwanted;
 
   HttpUpstreamConnection(
-      Upstreams pool, Host host, Channel channel, Decoder decoder, HttpProtocol protocol) {
+      UpstreamConnectionPool pool,
+      UpstreamHost host,
+      Channel channel,
+      Decoder decoder,
+      HttpProtocol protocol) {
     super(pool, host, channel);
     this.decoder = decoder;
     this.protocol = protocol;
--- a/src/main/java/corkproxy/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -1,14 +1,14 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Hearing;
-import corkproxy.engine.NioTransport;
-import corkproxy.engine.RetryingServerSocketChannel;
 import io.netty.channel.Channel;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.NioTransport;
+import leadferry.engine.ReadHorizon;
+import leadferry.engine.RetryingServerSocketChannel;
 
 /**
  * A listening socket of the JDK's whose connections can be asked whether their client has gone, and
@@ -50,12 +50,12 @@
 
   /** Begins a look at the queue, unless this turn has begun one. */
   private void look() {
-    long now = Hearing.turns();
+    long now = ReadHorizon.turns();
     if (now == turn && now != 0) {
       return;
     }
     if (!more || now != turn + 1 || now == 0) {
-      since = System.nanoTime() - Hearing.behind();
+      since = System.nanoTime() - ReadHorizon.behind();
       began = System.nanoTime();
       taken = 0;
     } else if (taken > BACKLOG) {
--- a/src/main/java/corkproxy/http/Reports.java
+++ b/src/main/java/leadferry/http/LoadReportHeaders.java
@@ -1,15 +1,15 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.balancer.LoadReport;
+import leadferry.loadbalancer.LoadReport;
 
 /** Reads load reports: {@code inflight=7,queue=2,util=0.61}; what is not known is skipped. */
-final class Reports {
+final class LoadReportHeaders {
   static final String HEADER = "X-Server-Load";
 
   /** No host holds or does more; guards against a figure that would drown all means. */
   private static final double MOST = 1e6;
 
-  private Reports() {}
+  private LoadReportHeaders() {}
 
   /** The report in {@code text}, or null where there is none or it can't be read as a whole. */
   static LoadReport read(String text) {
--- a/src/main/java/corkproxy/http/Networks.java
+++ b/src/main/java/leadferry/http/Networks.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/corkproxy/http/Upload.java
+++ b/src/main/java/leadferry/http/RequestBodyUpload.java
@@ -1,10 +1,10 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Body;
-import corkproxy.engine.BodyBudget;
-import corkproxy.engine.Dispatcher;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
+import leadferry.engine.Body;
+import leadferry.engine.BodyBudget;
+import leadferry.engine.Dispatcher;
 
 /**
  * The body of a request that goes on to a host while it comes from its client.
@@ -21,7 +21,7 @@
  *           --more---> let go ------------------->  attempt 2, the last one
  * </pre>
  */
-final class Upload {
+final class RequestBodyUpload {
   /** Bytes of a body that are kept for another attempt. */
   static final int REPLAY = 64 * 1024;
 
@@ -39,7 +39,7 @@
   private boolean waits;
 
   /** A body of which {@code come} has come already, or null; it is this upload's now. */
-  Upload(RequestIntake client, Dispatcher pool, Body come, BodyBudget budget) {
+  RequestBodyUpload(RequestIntake client, Dispatcher pool, Body come, BodyBudget budget) {
     this.client = client;
     this.budget = budget;
     this.kept = come == null ? pool.newBody(-1, true) : come;
--- a/src/main/java/corkproxy/http/RequestDecoder.java
+++ b/src/main/java/leadferry/http/RequestDecoder.java
@@ -1,6 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Hearing;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
@@ -9,6 +8,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
+import leadferry.engine.ReadHorizon;
 
 /**
  * Reads requests: tells since when part of one has come, reads heads by the letter, and stops
@@ -26,7 +26,7 @@
   /**
    * The turn of the loop in which its connection was accepted; 0 where loops don't count theirs.
    */
-  private final long acceptedIn = Hearing.turns();
+  private final long acceptedIn = ReadHorizon.turns();
 
   RequestDecoder() {
     super(HttpProtocol.DECODER);
@@ -103,7 +103,7 @@
    * of it.
    */
   boolean firstLook() {
-    return acceptedIn != 0 && Hearing.turns() <= acceptedIn + 1;
+    return acceptedIn != 0 && ReadHorizon.turns() <= acceptedIn + 1;
   }
 
   boolean receiving() {
--- a/src/main/java/corkproxy/http/Gate.java
+++ b/src/main/java/leadferry/http/RequestFilter.java
@@ -1,16 +1,16 @@
-package corkproxy.http;
+package leadferry.http;
 
 import io.netty.handler.codec.http.HttpRequest;
 import java.net.InetSocketAddress;
 import java.util.Set;
 
 /** Judges the heads of requests for a front: what is taken, by which pool, under which class. */
-public interface Gate {
+public interface RequestFilter {
   /**
    * Judges a head whose framing has been found sound. It may change the head's target and headers
    * to what hosts are to see.
    */
-  Verdict judge(HttpRequest head, InetSocketAddress client);
+  FilterResult judge(HttpRequest head, InetSocketAddress client);
 
   /**
    * Names, in lower case, of the headers that this gate judges by or that what it chooses will set,
--- a/src/main/java/corkproxy/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -1,8 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.engine.Body;
-import corkproxy.engine.Dispatcher;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.socket.SocketChannel;
@@ -17,6 +14,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
+import leadferry.engine.Body;
+import leadferry.engine.Dispatcher;
+import leadferry.loadbalancer.RequestArrival;
 
 /**
  * The way into a client's connection: from the decoded parts of one request to its verdict, its
@@ -40,15 +40,15 @@
   private static final int LINGER_BYTES = 1 << 20;
 
   private final ClientConnection client;
-  private final Front front;
+  private final HttpServer front;
   private final SocketChannel channel;
   private final RequestDecoder decoder;
-  private final AnswerWriter answers;
+  private final ResponseWriter answers;
   private final Runnable resume = this::resumeReading;
   private HttpRequest head;
-  private Verdict verdict;
+  private FilterResult verdict;
   private Body body;
-  private Upload upload;
+  private RequestBodyUpload upload;
   private boolean oldVersion;
   private boolean skipping;
   private String openId;
@@ -58,10 +58,10 @@
 
   RequestIntake(
       ClientConnection client,
-      Front front,
+      HttpServer front,
       SocketChannel channel,
       RequestDecoder decoder,
-      AnswerWriter answers) {
+      ResponseWriter answers) {
     this.client = client;
     this.front = front;
     this.channel = channel;
@@ -72,12 +72,12 @@
   // --- what it stands at
 
   /** The present request's, or null. */
-  Verdict verdict() {
+  FilterResult verdict() {
     return verdict;
   }
 
   /** The body that goes on while it comes, or null. */
-  Upload upload() {
+  RequestBodyUpload upload() {
     return upload;
   }
 
@@ -178,7 +178,9 @@
     oldVersion = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
     int fault = Framing.fault(request, front.gate().judgesBy(), front.settings().daemon());
     verdict =
-        fault != 0 ? Verdict.reject(fault) : front.gate().judge(request, channel.remoteAddress());
+        fault != 0
+            ? FilterResult.reject(fault)
+            : front.gate().judge(request, channel.remoteAddress());
     long length = HttpUtil.getContentLength(request, 0L);
     if (fault == 0 && length > mostBody()) {
       client.reject(413);
@@ -215,9 +217,9 @@
     if (!takeId(head)) {
       return;
     }
-    Arrival a = verdict.arrival();
+    RequestArrival a = verdict.arrival();
     boolean large = verdict.streaming() == Streaming.LARGE;
-    upload = new Upload(this, d, body, front.budget());
+    upload = new RequestBodyUpload(this, d, body, front.budget());
     body = null;
     HttpCall call =
         new HttpCall(
@@ -321,7 +323,7 @@
       return;
     }
     if (upload != null) {
-      Upload whole = upload;
+      RequestBodyUpload whole = upload;
       upload = null;
       channel
           .config()
--- a/src/main/java/corkproxy/http/RequestLog.java
+++ b/src/main/java/leadferry/http/RequestLog.java
@@ -1,8 +1,8 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Exchange;
-import corkproxy.engine.Log;
 import io.netty.channel.Channel;
+import leadferry.engine.Exchange;
+import leadferry.engine.Log;
 
 /**
  * The log's lines about one client connection and its requests; none where the log has no use for
@@ -36,11 +36,11 @@
    * @param verdict of the gate, or null
    * @param since when (ns) it came, 0 if that is not known
    */
-  void request(String outcome, Integer status, HttpCall call, Verdict verdict, long since) {
+  void request(String outcome, Integer status, HttpCall call, FilterResult verdict, long since) {
     if (!log.details()) {
       return;
     }
-    Verdict.Origin origin = verdict == null ? null : verdict.origin();
+    FilterResult.Origin origin = verdict == null ? null : verdict.origin();
     Exchange exchange = call == null ? null : call.exchange();
     log.detail(
         "request",
--- a/src/main/java/corkproxy/http/AnswerWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -1,6 +1,5 @@
-package corkproxy.http;
+package leadferry.http;
 
-import corkproxy.engine.Body;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -16,9 +15,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Locale;
+import leadferry.engine.Body;
 
 /** The way out of a client's connection: writes its answers, and knows how far they have got. */
-final class AnswerWriter {
+final class ResponseWriter {
   /** A client that takes nothing of its answer for so long (ns) has gone. */
   private static final long STALL_NANOS = 5_000_000_000L;
 
@@ -26,12 +26,12 @@
   private static final long STILL_NANOS = 30_000_000_000L;
 
   private final ClientConnection client;
-  private final Front front;
+  private final HttpServer front;
   private final SocketChannel channel;
   private long writingSince;
   private long movedAt;
 
-  AnswerWriter(ClientConnection client, Front front, SocketChannel channel) {
+  ResponseWriter(ClientConnection client, HttpServer front, SocketChannel channel) {
     this.client = client;
     this.front = front;
     this.channel = channel;
--- a/src/main/java/corkproxy/http/Streaming.java
+++ b/src/main/java/leadferry/http/Streaming.java
@@ -1,4 +1,4 @@
-package corkproxy.http;
+package leadferry.http;
 
 /** Whether the bodies of a request and of its answer go on while they come. */
 public enum Streaming {
--- a/src/main/java/corkproxy/limits/Caller.java
+++ b/src/main/java/leadferry/limits/ClientIdentity.java
@@ -1,7 +1,7 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 /** Whom a request is counted for. {@code tenant} is "" where none was told. */
-public record Caller(
+public record ClientIdentity(
     String listener, String route, String tenant, String className, String address) {
 
   String value(Limit.By by) {
--- a/src/main/java/corkproxy/limits/Bucket.java
+++ b/src/main/java/leadferry/limits/GcraBucket.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
@@ -12,7 +12,7 @@
  *    |----------------------|          it conforms while tat - now is at most burst - 1 intervals
  * </pre>
  */
-final class Bucket {
+final class GcraBucket {
   /** Marks a bucket that has been thrown out of its table: nothing may be taken from it. */
   private static final int DEAD = Integer.MIN_VALUE / 2;
 
@@ -24,7 +24,7 @@
   /**
    * The outer limit's bucket; it can't change while a place here is taken, which holds one there.
    */
-  private volatile Bucket parent;
+  private volatile GcraBucket parent;
 
   private final AtomicInteger inUse = new AtomicInteger();
   private final AtomicLong tat = new AtomicLong(Long.MIN_VALUE);
@@ -34,12 +34,12 @@
   private volatile int childrenBefore;
   private volatile long seenIn = -1;
 
-  Bucket(long key) {
+  GcraBucket(long key) {
     this.key = key;
   }
 
   /** Takes a place within the outer one, which may be null; false if this bucket is dead. */
-  boolean enter(Bucket outer) {
+  boolean enter(GcraBucket outer) {
     int n;
     do {
       n = inUse.get();
@@ -55,7 +55,7 @@
   }
 
   void leave() {
-    Bucket outer = parent;
+    GcraBucket outer = parent;
     if (inUse.decrementAndGet() == 0 && outer != null) {
       outer.busyChildren.decrementAndGet();
     }
@@ -104,7 +104,7 @@
   }
 
   /** A child has asked: counts it once a window among those that share the rate. */
-  void seen(Bucket child, long now) {
+  void seen(GcraBucket child, long now) {
     long window = now / WINDOW_NANOS;
     if (child.seenIn == window) {
       return;
--- a/src/main/java/corkproxy/limits/BucketTable.java
+++ b/src/main/java/leadferry/limits/GcraBucketTable.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
@@ -12,24 +12,24 @@
  * <p>Keys are 64-bit numbers; two callers share a bucket by accident with a chance of about n/2^64.
  * Look-ups take no lock; only a newcomer does.
  */
-final class BucketTable {
+final class GcraBucketTable {
   private static final int WAYS = 8;
 
-  private final AtomicReferenceArray<Bucket> slots;
+  private final AtomicReferenceArray<GcraBucket> slots;
   private final int setMask;
-  private final Bucket overflow = new Bucket(0);
+  private final GcraBucket overflow = new GcraBucket(0);
 
   /** Room for {@code keys} buckets, rounded up to a power of two. */
-  BucketTable(int keys) {
+  GcraBucketTable(int keys) {
     int size = Integer.highestOneBit(Math.max(WAYS, keys) * 2 - 1);
     slots = new AtomicReferenceArray<>(size);
     setMask = size / WAYS - 1;
   }
 
   /** Takes a place in the key's bucket. */
-  Bucket enter(long key, Bucket parent, long now) {
+  GcraBucket enter(long key, GcraBucket parent, long now) {
     while (true) {
-      Bucket b = find(key);
+      GcraBucket b = find(key);
       if (b == null) {
         b = add(key, now);
       }
@@ -39,10 +39,10 @@
     }
   }
 
-  private Bucket find(long key) {
+  private GcraBucket find(long key) {
     int from = set(key);
     for (int i = from; i < from + WAYS; i++) {
-      Bucket b = slots.get(i);
+      GcraBucket b = slots.get(i);
       if (b != null && b.key == key) {
         return b;
       }
@@ -50,16 +50,16 @@
     return null;
   }
 
-  private synchronized Bucket add(long key, long now) {
-    Bucket there = find(key);
+  private synchronized GcraBucket add(long key, long now) {
+    GcraBucket there = find(key);
     if (there != null && there.inUse() >= 0) {
       return there;
     }
     int from = set(key);
     for (int i = from; i < from + WAYS; i++) {
-      Bucket b = slots.get(i);
+      GcraBucket b = slots.get(i);
       if (b == null || b.inUse() < 0 || b.idle(now) && b.retire()) {
-        Bucket fresh = new Bucket(key);
+        GcraBucket fresh = new GcraBucket(key);
         slots.set(i, fresh);
         return fresh;
       }
--- a/src/main/java/corkproxy/limits/Limit.java
+++ b/src/main/java/leadferry/limits/Limit.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import java.util.Set;
 
@@ -42,7 +42,7 @@
     classes = Set.copyOf(classes);
   }
 
-  boolean holdsFor(Caller c) {
+  boolean holdsFor(ClientIdentity c) {
     return (listeners.isEmpty() || listeners.contains(c.listener()))
         && (routes.isEmpty() || routes.contains(c.route()))
         && (classes.isEmpty() || classes.contains(c.className()));
--- a/src/main/java/corkproxy/limits/Limiter.java
+++ b/src/main/java/leadferry/limits/Limiter.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import java.util.HashMap;
 import java.util.List;
@@ -21,7 +21,7 @@
  *
  * <p>State is kept by name: {@link #Limiter(List, int, Limiter)} takes over what is in use, so that
  * a limit that is lowered counts what is in flight and refuses until enough of it has ended. Memory
- * is fixed, see {@link BucketTable}. Locks only for callers that are new.
+ * is fixed, see {@link GcraBucketTable}. Locks only for callers that are new.
  */
 public final class Limiter {
   /** The part of an outer limit up to which callers need not share. */
@@ -31,7 +31,7 @@
   private static final double COME_BACK_MS = 1_000;
 
   private final List<Limit> limits;
-  private final BucketTable[] tables;
+  private final GcraBucketTable[] tables;
   private final int[] parents;
   private final int keys;
 
@@ -51,7 +51,7 @@
     this.limits = List.copyOf(limits);
     this.keys = keys;
     this.seed = before == null ? new java.security.SecureRandom().nextLong() : before.seed;
-    this.tables = new BucketTable[limits.size()];
+    this.tables = new GcraBucketTable[limits.size()];
     this.parents = new int[limits.size()];
     Map<String, Integer> places = new HashMap<>();
     for (int i = 0; i < tables.length; i++) {
@@ -61,13 +61,13 @@
         throw new IllegalArgumentException(
             "within: " + l.within() + " (expected: a limit that stands before " + l.name() + ")");
       }
-      BucketTable kept = before == null || before.keys != keys ? null : before.table(l);
-      tables[i] = kept == null ? new BucketTable(keys) : kept;
+      GcraBucketTable kept = before == null || before.keys != keys ? null : before.table(l);
+      tables[i] = kept == null ? new GcraBucketTable(keys) : kept;
       places.put(l.name(), i);
     }
   }
 
-  private BucketTable table(Limit l) {
+  private GcraBucketTable table(Limit l) {
     for (int i = 0; i < tables.length; i++) {
       Limit mine = limits.get(i);
       if (mine.name().equals(l.name())
@@ -80,20 +80,20 @@
   }
 
   /** Asks for a place; {@code now} in nanoseconds that never go back. */
-  public Grant acquire(Caller caller, long now) {
+  public Grant acquire(ClientIdentity caller, long now) {
     if (tables.length == 0) {
       return Grant.FREE;
     }
-    Bucket[] taken = new Bucket[tables.length];
-    Bucket[] at = new Bucket[tables.length];
+    GcraBucket[] taken = new GcraBucket[tables.length];
+    GcraBucket[] at = new GcraBucket[tables.length];
     int count = 0;
     for (int i = 0; i < tables.length; i++) {
       Limit l = limits.get(i);
       if (!l.holdsFor(caller)) {
         continue;
       }
-      Bucket parent = parents[i] < 0 ? null : at[parents[i]];
-      Bucket b = tables[i].enter(key(l, caller, parent), parent, now);
+      GcraBucket parent = parents[i] < 0 ? null : at[parents[i]];
+      GcraBucket b = tables[i].enter(key(l, caller, parent), parent, now);
       taken[count++] = b;
       at[i] = b;
       double wait = check(l, b);
@@ -119,11 +119,11 @@
     return Grant.of(taken, count);
   }
 
-  private static double check(Limit l, Bucket b) {
+  private static double check(Limit l, GcraBucket b) {
     return l.concurrency() > 0 && b.inUse() > l.concurrency() ? COME_BACK_MS : 0;
   }
 
-  private double checkShare(Limit outer, Bucket parent, Bucket b, long now) {
+  private double checkShare(Limit outer, GcraBucket parent, GcraBucket b, long now) {
     if (outer.concurrency() > 0 && parent.inUse() > SHARED_FROM * outer.concurrency()) {
       int part = Math.max(1, outer.concurrency() / (parent.busyChildren() + 1));
       if (b.inUse() > part) {
@@ -141,7 +141,7 @@
   }
 
   /** The number of a caller's bucket; within an outer limit it has one for each of its buckets. */
-  private long key(Limit l, Caller c, Bucket parent) {
+  private long key(Limit l, ClientIdentity c, GcraBucket parent) {
     String s = c.value(l.by());
     long h = seed ^ (parent == null ? 0 : parent.key * 0x9E3779B97F4A7C15L + 1);
     for (int i = 0; i < s.length(); i++) {
@@ -155,7 +155,7 @@
   /** Buckets that all limits together may hold: what bounds their memory. */
   public long capacity() {
     long sum = 0;
-    for (BucketTable t : tables) {
+    for (GcraBucketTable t : tables) {
       sum += t.capacity();
     }
     return sum;
--- a/src/main/java/corkproxy/limits/RetryBudget.java
+++ b/src/main/java/leadferry/limits/RetryBudget.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import java.util.concurrent.atomic.AtomicLong;
 
--- a/src/main/java/corkproxy/limits/package-info.java
+++ b/src/main/java/leadferry/limits/package-info.java
@@ -1,6 +1,6 @@
 /**
  * How much a caller may take: rates, concurrency, retries. Decisions only, no I/O; time is passed
- * in. Begin with {@link corkproxy.limits.Limiter}. What is refused here is refused before any
+ * in. Begin with {@link leadferry.limits.Limiter}. What is refused here is refused before any
  * attempt; what is let through is the decision module's.
  */
-package corkproxy.limits;
+package leadferry.limits;
--- a/src/main/java/corkproxy/balancer/Admission.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -1,11 +1,11 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 
 /** Own rate and load, and early refusal when the aim can't be met. */
-final class Admission {
+final class AdmissionController {
   /** The part of recent requests that came from a tenant. */
   private static final class Share {
     final double portion;
@@ -18,7 +18,7 @@
   }
 
   private final SplittableRandom random;
-  private final Actions actions;
+  private final LoadBalancerActions actions;
   private final LiveSettings settings;
   private final Map<String, Share> shares = new HashMap<>();
   private double sum;
@@ -33,7 +33,7 @@
   private double meanValue;
   private boolean overloaded;
 
-  Admission(LiveSettings settings, SplittableRandom random, Actions actions) {
+  AdmissionController(LiveSettings settings, SplittableRandom random, LoadBalancerActions actions) {
     this.settings = settings;
     this.random = random;
     this.actions = actions;
--- a/src/main/java/corkproxy/balancer/Result.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
@@ -1,7 +1,7 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** How an attempt ended. */
-public enum Result {
+public enum AttemptOutcome {
   OK(false),
   ERROR(false),
   FULL(true),
@@ -13,7 +13,7 @@
 
   private final boolean neverRan;
 
-  Result(boolean neverRan) {
+  AttemptOutcome(boolean neverRan) {
     this.neverRan = neverRan;
   }
 
--- a/src/main/java/corkproxy/balancer/Attempts.java
+++ b/src/main/java/leadferry/loadbalancer/Attempts.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
   static final class Attempt {
     final Call call;
     final int number;
-    final Fleet.Host host;
+    final EndpointTable.Host host;
     final String zone;
     final long cell;
     final double sentAt;
@@ -19,7 +19,7 @@
     boolean mayHaveRun = true;
     boolean cancelled;
 
-    Attempt(Call call, int number, Fleet.Host host, double sentAt) {
+    Attempt(Call call, int number, EndpointTable.Host host, double sentAt) {
       this.call = call;
       this.number = number;
       this.host = host;
@@ -51,7 +51,7 @@
       this.maxAttempts = limits.maxAttempts();
     }
 
-    boolean tried(Fleet.Host h) {
+    boolean tried(EndpointTable.Host h) {
       return attempts.stream().anyMatch(a -> a.host == h);
     }
   }
@@ -104,7 +104,7 @@
    * The one place that decides whether a request may go to {@code target}, or be refused where
    * {@code target} is null. Guards rule 1 (nothing after the end) and rule 2 (no effect twice).
    */
-  boolean allowed(Call c, Fleet.Host target, double now) {
+  boolean allowed(Call c, EndpointTable.Host target, double now) {
     if (c.ended || c.streaming) {
       return false;
     }
@@ -141,7 +141,7 @@
     return true;
   }
 
-  Attempt start(Call c, Fleet.Host h, double now) {
+  Attempt start(Call c, EndpointTable.Host h, double now) {
     Attempt a = new Attempt(c, c.attempts.size(), h, now);
     c.attempts.add(a);
     c.open++;
@@ -151,7 +151,7 @@
   }
 
   /** Ends the attempt; 1 if it was in flight still, else 0. */
-  int finish(Attempt a, Result result) {
+  int finish(Attempt a, AttemptOutcome result) {
     a.open = false;
     a.mayHaveRun = !result.neverRan();
     a.call.open--;
--- a/src/main/java/corkproxy/balancer/News.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointListEvent.java
@@ -1,7 +1,7 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** The kind of a membership event. */
-public enum News {
+public enum EndpointListEvent {
   /** Only the changed entries. */
   DELTA,
   /** The whole list; hosts not in it are gone. */
--- a/src/main/java/corkproxy/balancer/Draw.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,30 +6,30 @@
 import java.util.function.Predicate;
 
 /** The design's draw: from a pool, d candidates, the one with the fewest own requests wins. */
-final class Draw {
+final class EndpointPicker {
   private final LiveSettings settings;
-  private final Fleet fleet;
-  private final Health health;
+  private final EndpointTable fleet;
+  private final OutlierDetector health;
   private final Attempts attempts;
-  private final Admission admission;
+  private final AdmissionController admission;
   private final SplittableRandom random;
-  private Fleet.Host[] local = {};
-  private Fleet.Host[] remote = {};
-  private final List<Fleet.Host> drawn = new ArrayList<>();
+  private EndpointTable.Host[] local = {};
+  private EndpointTable.Host[] remote = {};
+  private final List<EndpointTable.Host> drawn = new ArrayList<>();
   private int size;
   private int changes = -1;
-  private Fleet.Host best;
+  private EndpointTable.Host best;
   private double bestCount;
   private double bestWait;
   private int equals;
   private boolean thrifty;
 
-  Draw(
+  EndpointPicker(
       LiveSettings settings,
-      Fleet fleet,
-      Health health,
+      EndpointTable fleet,
+      OutlierDetector health,
       Attempts attempts,
-      Admission admission,
+      AdmissionController admission,
       SplittableRandom random) {
     this.settings = settings;
     this.fleet = fleet;
@@ -40,12 +40,12 @@
   }
 
   /** The host for the next attempt of the call, or null where none may or should get it. */
-  Fleet.Host pick(Attempts.Call c, double now) {
+  EndpointTable.Host pick(Attempts.Call c, double now) {
     return choose(c, candidates(c, now), now);
   }
 
   /** The candidates drawn for the next attempt of the call; valid until the next draw. */
-  List<Fleet.Host> candidates(Attempts.Call c, double now) {
+  List<EndpointTable.Host> candidates(Attempts.Call c, double now) {
     // Guards against many proxies that use up the hosts' connections together (if1c0a3).
     double most = Tuning.HOST_PROXIES * fleet.ready().size() / settings.now().balancers();
     double own = Tuning.BASE_POOL + Tuning.POOL_PER_IN_FLIGHT * admission.peak(now);
@@ -62,12 +62,12 @@
   }
 
   /** The winner of these candidates, or of the panic fallback where none can be used. */
-  Fleet.Host choose(Attempts.Call c, List<Fleet.Host> candidates, double now) {
+  EndpointTable.Host choose(Attempts.Call c, List<EndpointTable.Host> candidates, double now) {
     best = null;
     thrifty = random.nextInt(Tuning.EXPLORE) > 0;
     // A slow or spared host that is full of our own requests gives way to one that is not.
     for (int pass = 0; pass < 2 && best == null; pass++) {
-      for (Fleet.Host h : candidates) {
+      for (EndpointTable.Host h : candidates) {
         if (pass > 0 || !full(c, h)) {
           consider(h, now);
         }
@@ -80,12 +80,12 @@
   }
 
   /** Whether the host tells of a queue that can't be through in time. */
-  boolean late(Attempts.Call c, Fleet.Host h, double now) {
+  boolean late(Attempts.Call c, EndpointTable.Host h, double now) {
     return full(c, h) || fleet.expectedAnswer(h, now) > Tuning.REFUSE_AT * usefulTime(c);
   }
 
   /** Whether our own requests at the host alone are such a queue. */
-  private boolean full(Attempts.Call c, Fleet.Host h) {
+  private boolean full(Attempts.Call c, EndpointTable.Host h) {
     return fleet.ownAnswer(h) > Tuning.OWN_REFUSE_AT * usefulTime(c);
   }
 
@@ -94,10 +94,10 @@
   }
 
   /** Adds up to d of the pool's hosts to those drawn; true if one of them is due for a trial. */
-  private boolean draw(Fleet.Host[] pool, Attempts.Call c, double now) {
+  private boolean draw(EndpointTable.Host[] pool, Attempts.Call c, double now) {
     int seen = 0;
     for (int i = 0; i < 4 * Tuning.CHOICES && seen < Tuning.CHOICES && pool.length > 0; i++) {
-      Fleet.Host h = pool[random.nextInt(pool.length)];
+      EndpointTable.Host h = pool[random.nextInt(pool.length)];
       if (drawn.contains(h)
           || !usable(h, c, now, pool == local ? pool.length : fleet.ready().size())) {
         continue;
@@ -113,7 +113,7 @@
     return false;
   }
 
-  private boolean usable(Fleet.Host h, Attempts.Call c, double now, int among) {
+  private boolean usable(EndpointTable.Host h, Attempts.Call c, double now, int among) {
     return attempts.allowed(c, h, now)
         && (c.attempts.isEmpty() || !c.tried(h))
         && health.available(h, now, c.type.silentAfter())
@@ -121,7 +121,7 @@
         && (fleet.warmth(h, now) >= 1 || credit(h, now, among));
   }
 
-  private void consider(Fleet.Host h, double now) {
+  private void consider(EndpointTable.Host h, double now) {
     double count = h.inFlight + health.charge(h, now);
     double wait = fleet.expectedWait(h, now, thrifty);
     boolean take;
@@ -150,7 +150,7 @@
    * have given to all others. What counts is what hosts serve, not what clients ask: their retries
    * multiply in a jam.
    */
-  private boolean credit(Fleet.Host h, double now, int among) {
+  private boolean credit(EndpointTable.Host h, double now, int among) {
     Settings.Rules rules = settings.now().rules();
     double share = admission.servedRate(now) / Math.max(1, among);
     double gain =
@@ -165,13 +165,13 @@
   }
 
   /** When the draw finds nobody: any host that may get it, healthy ones first (panic). */
-  private Fleet.Host anyAllowed(Attempts.Call c, double now) {
-    List<Fleet.Host> all = fleet.ready();
+  private EndpointTable.Host anyAllowed(Attempts.Call c, double now) {
+    List<EndpointTable.Host> all = fleet.ready();
     int n = all.size();
     int start = n == 0 ? 0 : random.nextInt(n);
-    Fleet.Host lastResort = null;
+    EndpointTable.Host lastResort = null;
     for (int i = 0; i < n; i++) {
-      Fleet.Host h = all.get((start + i) % n);
+      EndpointTable.Host h = all.get((start + i) % n);
       if (!attempts.allowed(c, h, now) || (fleet.warmth(h, now) < 1 && !credit(h, now, n))) {
         continue;
       }
@@ -188,21 +188,21 @@
   private void rebuild(int wanted) {
     size = wanted;
     changes = fleet.changes;
-    List<Fleet.Host> all = fleet.ready();
-    Predicate<Fleet.Host> near =
+    List<EndpointTable.Host> all = fleet.ready();
+    Predicate<EndpointTable.Host> near =
         h -> settings.now().zone() == null || settings.now().zone().equals(h.zone);
-    local = window(all.stream().filter(near).toArray(Fleet.Host[]::new), wanted);
-    remote = window(all.stream().filter(near.negate()).toArray(Fleet.Host[]::new), wanted);
+    local = window(all.stream().filter(near).toArray(EndpointTable.Host[]::new), wanted);
+    remote = window(all.stream().filter(near.negate()).toArray(EndpointTable.Host[]::new), wanted);
   }
 
   /** A stable, balanced subset: proxies start evenly spread over the ring of hosts. */
-  private Fleet.Host[] window(Fleet.Host[] ring, int wanted) {
+  private EndpointTable.Host[] window(EndpointTable.Host[] ring, int wanted) {
     if (ring.length <= wanted) {
       return ring;
     }
     int start =
         (int) ((double) settings.now().position() * ring.length / settings.now().balancers());
-    Fleet.Host[] out = new Fleet.Host[wanted];
+    EndpointTable.Host[] out = new EndpointTable.Host[wanted];
     for (int i = 0; i < wanted; i++) {
       out[i] = ring[Math.floorMod(start + i, ring.length)];
     }
--- a/src/main/java/corkproxy/balancer/Fleet.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointTable.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 /** The host view: membership, drain state, own requests in flight, latency and load figures. */
-final class Fleet {
+final class EndpointTable {
   /** A host as this instance knows it. */
   static final class Host {
     final long id;
@@ -91,7 +91,7 @@
 
   double heard = Double.POSITIVE_INFINITY;
 
-  Fleet(LiveSettings settings) {
+  EndpointTable(LiveSettings settings) {
     this.settings = settings;
   }
 
@@ -109,14 +109,15 @@
     return ready;
   }
 
-  void apply(double now, News kind, List<HostEntry> entries, SplittableRandom random) {
-    if (kind == News.FAILED) {
+  void apply(
+      double now, EndpointListEvent kind, List<EndpointUpdate> entries, SplittableRandom random) {
+    if (kind == EndpointListEvent.FAILED) {
       return;
     }
     mark++;
     boolean different = false;
-    for (HostEntry e : entries) {
-      if (e.condition() == HostEntry.Condition.GONE) {
+    for (EndpointUpdate e : entries) {
+      if (e.condition() == EndpointUpdate.Condition.GONE) {
         different |= byId.remove(e.id()) != null;
         continue;
       }
@@ -128,7 +129,7 @@
         byId.put(h.id, h);
         different = true;
       }
-      boolean sendable = e.condition() == HostEntry.Condition.READY;
+      boolean sendable = e.condition() == EndpointUpdate.Condition.READY;
       h.zone = e.zone();
       h.kind = e.kind();
       h.cell = e.cell();
@@ -136,7 +137,7 @@
       different |= sendable != h.sendable;
       h.sendable = sendable;
     }
-    if (kind != News.DELTA) {
+    if (kind != EndpointListEvent.DELTA) {
       different |= byId.values().removeIf(h -> h.listMark != mark);
     }
     if (different) {
--- a/src/main/java/corkproxy/balancer/HostEntry.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointUpdate.java
@@ -1,7 +1,7 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** One entry of a host list; {@code onlineSince} 0 means long ago. */
-public record HostEntry(
+public record EndpointUpdate(
     long id,
     String zone,
     String kind,
--- a/src/main/java/corkproxy/balancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** The settings in force. They change as a whole, between two events. */
 final class LiveSettings {
--- a/src/main/java/corkproxy/balancer/Balancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.HashMap;
 import java.util.List;
@@ -7,34 +7,34 @@
 
 /**
  * The decisions of one client proxy. Feed it events with a clock in ms that never goes back; it
- * answers through {@link Actions}. Not safe for use from several threads at once.
+ * answers through {@link LoadBalancerActions}. Not safe for use from several threads at once.
  */
-public final class Balancer {
+public final class LoadBalancer {
   private static final long FOLLOW_TIMER = -1;
 
   private final LiveSettings settings;
-  private final Actions actions;
+  private final LoadBalancerActions actions;
   private final SplittableRandom random;
-  private final Fleet fleet;
-  private final Health health;
+  private final EndpointTable fleet;
+  private final OutlierDetector health;
   private final Attempts attempts;
-  private final Admission admission;
-  private final Draw draw;
+  private final AdmissionController admission;
+  private final EndpointPicker draw;
   private final Map<String, Attempts.ClassState> classes = new HashMap<>();
   private final Map<Long, Attempts.Call> calls = new HashMap<>();
   private double followBackoff = Tuning.FOLLOW_BACKOFF;
   private boolean followTimer;
 
   /** Creates an instance that knows no host yet. */
-  public Balancer(Settings settings, long seed, Actions actions) {
+  public LoadBalancer(Settings settings, long seed, LoadBalancerActions actions) {
     this.settings = new LiveSettings(settings);
     this.actions = actions;
     this.random = new SplittableRandom(seed);
-    this.fleet = new Fleet(this.settings);
-    this.health = new Health(fleet, random, actions);
+    this.fleet = new EndpointTable(this.settings);
+    this.health = new OutlierDetector(fleet, random, actions);
     this.attempts = new Attempts(this.settings);
-    this.admission = new Admission(this.settings, random, actions);
-    this.draw = new Draw(this.settings, fleet, health, attempts, admission, random);
+    this.admission = new AdmissionController(this.settings, random, actions);
+    this.draw = new EndpointPicker(this.settings, fleet, health, attempts, admission, random);
     onSettings(settings);
   }
 
@@ -60,15 +60,15 @@
   }
 
   /** News from discovery. */
-  public void onMembership(double now, News kind, List<HostEntry> entries) {
+  public void onMembership(double now, EndpointListEvent kind, List<EndpointUpdate> entries) {
     fleet.apply(now, kind, entries, random);
-    if (kind == News.FAILED && settings.now().mustFollow() && !followTimer) {
+    if (kind == EndpointListEvent.FAILED && settings.now().mustFollow() && !followTimer) {
       // Discovery is scarce: wait longer each time, at chance, but never past what is allowed.
       followTimer = true;
       actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
       followBackoff =
           Math.min(2 * followBackoff, Math.max(1, settings.now().rules().askWithin() / 2));
-    } else if (kind == News.DELTA || kind == News.FULL) {
+    } else if (kind == EndpointListEvent.DELTA || kind == EndpointListEvent.FULL) {
       followBackoff = Tuning.FOLLOW_BACKOFF;
     }
   }
@@ -79,7 +79,7 @@
   }
 
   /** A client's request has come. */
-  public void onRequest(double now, Arrival arrival) {
+  public void onRequest(double now, RequestArrival arrival) {
     Attempts.ClassState type =
         classes.computeIfAbsent(
             arrival.className(),
@@ -92,7 +92,7 @@
     calls.put(c.id, c);
     boolean refused = admission.refuses(now, type.rules, c.standing);
     // Guards against a jam that only memory holds up: a host known to have room gets the request.
-    Fleet.Host idle = refused ? draw.pick(c, now) : null;
+    EndpointTable.Host idle = refused ? draw.pick(c, now) : null;
     if (!refused) {
       dispatch(c, now);
     } else if (idle != null && fleet.idle(idle, now)) {
@@ -108,7 +108,7 @@
       double now,
       long request,
       int number,
-      Result result,
+      AttemptOutcome result,
       double spent,
       boolean over,
       LoadReport load) {
@@ -135,12 +135,13 @@
     return Math.max(0, spent - fleet.behind(now));
   }
 
-  private void learn(Attempts.Attempt a, Result result, double now, double spent, Attempts.Call c) {
+  private void learn(
+      Attempts.Attempt a, AttemptOutcome result, double now, double spent, Attempts.Call c) {
     Attempts.ClassState type = c.type;
-    if (c.answering == a && result == Result.CANCELLED) {
+    if (c.answering == a && result == AttemptOutcome.CANCELLED) {
       return; // it waited for its client
     }
-    admission.ended(result == Result.OK);
+    admission.ended(result == AttemptOutcome.OK);
     switch (result) {
       case OK -> {
         health.succeeded(a.host, now);
@@ -169,15 +170,15 @@
       case TIMEOUT, RESET, CONNECT_FAILED -> {
         // A host that has answered others since is busy, or lost this one; a silent one is broken.
         // Guards against answers lost on the way that look like a jam: a host with room had none.
-        if (result == Result.TIMEOUT && !c.streaming && !fleet.roomy(a.host, now)) {
+        if (result == AttemptOutcome.TIMEOUT && !c.streaming && !fleet.roomy(a.host, now)) {
           admission.answered(now, spent + fleet.behind(now), type.rules.aim());
         }
-        if (result != Result.TIMEOUT || a.host.lastAnswer <= a.sentAt) {
+        if (result != AttemptOutcome.TIMEOUT || a.host.lastAnswer <= a.sentAt) {
           health.failed(a.host, now, false);
-          if (result != Result.RESET) {
+          if (result != AttemptOutcome.RESET) {
             actions.silent(a.host.id, now, a.sentAt);
           }
-          if (result == Result.TIMEOUT && fleet.roomy(a.host, now)) {
+          if (result == AttemptOutcome.TIMEOUT && fleet.roomy(a.host, now)) {
             health.closed(a.host, type, now);
           }
         }
@@ -216,7 +217,7 @@
     Attempts.Attempt a = c.attempts.get(number);
     // Guards against slow readers of long answers that look like busy hosts: the work is done.
     admission.inFlight(now, -attempts.leave(a));
-    learn(a, Result.OK, now, atHost(spent, now), c);
+    learn(a, AttemptOutcome.OK, now, atHost(spent, now), c);
     c.streaming = true;
     c.answering = a;
     cancelOthers(c, number);
@@ -242,7 +243,7 @@
    * hint, no more.
    */
   public void onHint(double now, long host, double length) {
-    Fleet.Host h = fleet.get(host);
+    EndpointTable.Host h = fleet.get(host);
     if (h != null && (length > 0 ? fleet.spares(now) : h.ejected.trial)) {
       health.hinted(h, now, length);
     }
@@ -274,7 +275,7 @@
       return;
     }
     if (settings.now().limits().parallelTries()) {
-      Fleet.Host h = attempts.takeRetry() ? draw.pick(c, now) : null;
+      EndpointTable.Host h = attempts.takeRetry() ? draw.pick(c, now) : null;
       if (h != null) {
         send(c, h, now);
       }
@@ -285,7 +286,7 @@
   }
 
   private void dispatch(Attempts.Call c, double now) {
-    Fleet.Host h = draw.pick(c, now);
+    EndpointTable.Host h = draw.pick(c, now);
     // Guards against a jam: where even the winner can't answer in time, no work is begun.
     if (h == null || (c.attempts.isEmpty() && draw.late(c, h, now))) {
       conclude(c, now);
@@ -294,7 +295,7 @@
     }
   }
 
-  private void send(Attempts.Call c, Fleet.Host h, double now) {
+  private void send(Attempts.Call c, EndpointTable.Host h, double now) {
     attempts.start(c, h, now);
     h.coldCredit -= fleet.warmth(h, now) < 1 ? 1 : 0;
     fleet.notePeak(h, now);
--- a/src/main/java/corkproxy/balancer/Actions.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancerActions.java
@@ -1,7 +1,9 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
-/** What a {@link Balancer} asks its proxy to do. Calls are made from within the event methods. */
-public interface Actions {
+/**
+ * What a {@link LoadBalancer} asks its proxy to do. Calls are made from within the event methods.
+ */
+public interface LoadBalancerActions {
   /**
    * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls. It
    * may have to wait for a connection: when its first byte is to go out, each other attempt that
@@ -19,7 +21,7 @@
   /** Stops the wait for an attempt. */
   void cancel(long request, int attempt);
 
-  /** Asks for {@link Balancer#onTimer} with this token after {@code delay} ms. */
+  /** Asks for {@link LoadBalancer#onTimer} with this token after {@code delay} ms. */
   void schedule(double delay, long token);
 
   /** Asks discovery for changes from now on. */
--- a/src/main/java/corkproxy/balancer/LoadReport.java
+++ b/src/main/java/leadferry/loadbalancer/LoadReport.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** Figures a host reports of itself; {@code NaN} where a figure is not reported. */
 public record LoadReport(
--- a/src/main/java/corkproxy/balancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.List;
 
--- a/src/main/java/corkproxy/balancer/Tuning.java
+++ b/src/main/java/leadferry/loadbalancer/Tuning.java
@@ -1,4 +1,4 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 /** Every constant of the module, with its reason. None is fitted to one deployment. */
 final class Tuning {
--- a/src/main/java/corkproxy/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -1,13 +1,8 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.adapter.MalformedInputException;
-import corkproxy.adapter.SettingsReader;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.Addresses;
-import corkproxy.engine.PoolBounds;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,6 +12,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import leadferry.adapter.MalformedInputException;
+import leadferry.adapter.SettingsReader;
+import leadferry.engine.Addresses;
+import leadferry.engine.PoolBounds;
+import leadferry.loadbalancer.Settings;
 
 /** What the platform tells one client proxy; times are milliseconds. */
 record Config(
--- a/src/main/java/corkproxy/proxy/ConfigCheck.java
+++ b/src/main/java/leadferry/proxy/ConfigCheck.java
@@ -1,4 +1,4 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
--- a/src/main/java/corkproxy/proxy/ConfigException.java
+++ b/src/main/java/leadferry/proxy/ConfigException.java
@@ -1,4 +1,4 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 /** The configuration is missing or makes no sense; the message is one plain line. */
 public final class ConfigException extends Exception {
--- a/src/main/java/corkproxy/proxy/Discovery.java
+++ b/src/main/java/leadferry/proxy/Discovery.java
@@ -1,16 +1,8 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.News;
-import corkproxy.engine.Addresses;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.Hearing;
-import corkproxy.engine.Hosts;
-import corkproxy.engine.Log;
-import corkproxy.engine.RetryingSocketChannel;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -42,6 +34,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.Addresses;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.Log;
+import leadferry.engine.ReadHorizon;
+import leadferry.engine.RetryingSocketChannel;
+import leadferry.engine.UpstreamHosts;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
 
 /**
  * The watch on the list of hosts. It resumes from the last version that was applied, so that a
@@ -143,12 +143,12 @@
 
   /** Starts the module with the list of the configuration, and the watch behind it. */
   void start(JsonNode known) {
-    Hosts.News news;
+    UpstreamHosts.News news;
     try {
       news = read(known);
       version = news.version();
     } catch (IllegalArgumentException e) {
-      news = new Hosts.News(0, true, List.of());
+      news = new UpstreamHosts.News(0, true, List.of());
     }
     dispatcher.start(news, this::open);
     if (!asked) {
@@ -205,7 +205,7 @@
   void sweep() {
     if (watch != null) {
       boolean opening = !asked && hurried && !watch.heard;
-      long heard = System.nanoTime() - Hearing.behind();
+      long heard = System.nanoTime() - ReadHorizon.behind();
       if (heard - watch.heardAt > (opening ? OPENING_NANOS : SILENCE_NANOS)) {
         hurried = !opening;
         watch.broken("silent");
@@ -220,23 +220,24 @@
    *
    * @throws IllegalArgumentException if it is not of that form; nothing has been changed then
    */
-  private static Hosts.News read(JsonNode list) {
+  private static UpstreamHosts.News read(JsonNode list) {
     JsonNode servers = list.path("servers");
     if (!list.isObject() || !servers.isArray() || !list.path("version").canConvertToLong()) {
       throw new IllegalArgumentException("not a list with version and servers");
     }
-    List<Hosts.Member> members = new ArrayList<>(servers.size());
+    List<UpstreamHosts.Member> members = new ArrayList<>(servers.size());
     Set<String> names = new HashSet<>();
     for (JsonNode s : servers) {
       String name = s.path("id").asText("");
       InetSocketAddress address = Addresses.parse(s.path("addr").asText(""));
-      HostEntry.Condition condition =
+      EndpointUpdate.Condition condition =
           switch (s.path("state").asText("")) {
-            case "up" -> HostEntry.Condition.READY;
-            case "removed" -> HostEntry.Condition.GONE;
-            default -> HostEntry.Condition.TERMINATING; // nothing new goes to a state not known
+            case "up" -> EndpointUpdate.Condition.READY;
+            case "removed" -> EndpointUpdate.Condition.GONE;
+            default ->
+                EndpointUpdate.Condition.TERMINATING; // nothing new goes to a state not known
           };
-      if (name.isEmpty() || (address == null && condition == HostEntry.Condition.READY)) {
+      if (name.isEmpty() || (address == null && condition == EndpointUpdate.Condition.READY)) {
         throw new IllegalArgumentException("an entry without id or address");
       }
       if (!names.add(name)) {
@@ -244,7 +245,7 @@
             "an id twice in one list"); // which of both holds can't be told
       }
       members.add(
-          new Hosts.Member(
+          new UpstreamHosts.Member(
               name,
               address,
               s.path("zone").asText(""),
@@ -254,7 +255,8 @@
               s.path("weight").asDouble(1),
               s.path("started_ms").asDouble(0)));
     }
-    return new Hosts.News(list.path("version").asLong(), list.path("full").asBoolean(), members);
+    return new UpstreamHosts.News(
+        list.path("version").asLong(), list.path("full").asBoolean(), members);
   }
 
   /** No watch is open, for this reason: another one will be. */
@@ -456,7 +458,7 @@
       size = 0;
       lineFrom = 0;
       brackets = 0;
-      Hosts.News news;
+      UpstreamHosts.News news;
       try {
         news = read(JSON.readTree(text, 0, length));
       } catch (IOException | IllegalArgumentException e) {
@@ -480,7 +482,8 @@
     private void unchanged() {
       dispatcher.upToDate();
       if (!good && asked && version != NO_VERSION) {
-        dispatcher.membership(News.DELTA, new Hosts.News(version, false, List.of()));
+        dispatcher.membership(
+            EndpointListEvent.DELTA, new UpstreamHosts.News(version, false, List.of()));
       }
       good();
     }
@@ -494,7 +497,7 @@
       }
     }
 
-    private void apply(Hosts.News news) {
+    private void apply(UpstreamHosts.News news) {
       if (version == NO_VERSION && !news.full()) {
         broken("changes came ahead of the list");
         return;
@@ -504,7 +507,7 @@
         return;
       }
       version = news.version();
-      dispatcher.membership(news.full() ? News.FULL : News.DELTA, news);
+      dispatcher.membership(news.full() ? EndpointListEvent.FULL : EndpointListEvent.DELTA, news);
     }
 
     @Override
--- a/src/main/java/corkproxy/proxy/Generations.java
+++ b/src/main/java/leadferry/proxy/HotRestart.java
@@ -1,4 +1,4 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -24,8 +24,10 @@
  *
  * <p>Without a folder a process believes itself alone, which is right but where an upgrade happens.
  */
-final class Generations implements AutoCloseable {
+final class HotRestart implements AutoCloseable {
+  /** Kept from earlier builds: during an upgrade one of them may run beside this one. */
   private static final String PREFIX = "corkproxy-";
+
   private static final int TRIES = 3;
   private static final int SIZE = 17;
 
@@ -53,21 +55,21 @@
   private final Path own;
   private final FileChannel channel;
 
-  private Generations(Path folder, Path own, FileChannel channel) {
+  private HotRestart(Path folder, Path own, FileChannel channel) {
     this.folder = folder;
     this.own = own;
     this.channel = channel;
   }
 
   /** Joins those in the folder, or nobody where it is null or can't be used. */
-  static Generations join(String folder) {
+  static HotRestart join(String folder) {
     for (int i = 0; i < TRIES && folder != null && !folder.isEmpty(); i++) {
       try {
         Path own = Files.createTempFile(Path.of(folder), PREFIX, ".lock");
         FileChannel c = FileChannel.open(own, StandardOpenOption.WRITE);
         c.lock();
         if (Files.exists(own)) {
-          return new Generations(Path.of(folder), own, c);
+          return new HotRestart(Path.of(folder), own, c);
         }
         c.close(); // another process took it for a dead one's, before it was locked
       } catch (IOException | RuntimeException e) {
@@ -78,8 +80,8 @@
   }
 
   /** Those of a process that knows of no other. */
-  static Generations alone() {
-    return new Generations(null, null, null);
+  static HotRestart alone() {
+    return new HotRestart(null, null, null);
   }
 
   /** Tells the others how this process stands; harmless where it can't be told. */
--- a/src/main/java/corkproxy/proxy/Management.java
+++ b/src/main/java/leadferry/proxy/Management.java
@@ -1,8 +1,5 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.engine.AcceptBackoff;
-import corkproxy.engine.Log;
-import corkproxy.engine.RetryingServerSocketChannel;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -34,6 +31,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import leadferry.engine.AcceptBackoff;
+import leadferry.engine.Log;
+import leadferry.engine.RetryingServerSocketChannel;
 
 /**
  * Where operators call: one call a connection, answered with 200 or an error. It has a thread of
--- a/src/main/java/corkproxy/proxy/Operators.java
+++ b/src/main/java/leadferry/proxy/OperatorState.java
@@ -1,10 +1,10 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 /**
  * What operators have asked of this process, and what it tells them; safe for use by several
  * threads.
  */
-final class Operators {
+final class OperatorState {
   private volatile boolean serves;
   private volatile boolean sentAway;
   private volatile Runnable changed = () -> {};
--- a/src/main/java/corkproxy/proxy/PeerAddresses.java
+++ b/src/main/java/leadferry/proxy/PeerAddresses.java
@@ -1,4 +1,4 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.Map;
--- a/src/main/java/corkproxy/proxy/Peers.java
+++ b/src/main/java/leadferry/proxy/Peers.java
@@ -1,6 +1,5 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.engine.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -14,6 +13,7 @@
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ObjIntConsumer;
+import leadferry.engine.Log;
 
 /**
  * The datagrams between client proxies: bytes out, bytes and their sender's number in. A message is
--- a/src/main/java/corkproxy/proxy/PlatformGate.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -1,36 +1,36 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.Dispatcher;
-import corkproxy.http.Framing;
-import corkproxy.http.Gate;
-import corkproxy.http.Streaming;
-import corkproxy.http.Verdict;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import java.net.InetSocketAddress;
 import java.util.Set;
+import leadferry.engine.Dispatcher;
+import leadferry.http.FilterResult;
+import leadferry.http.Framing;
+import leadferry.http.RequestFilter;
+import leadferry.http.Streaming;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
 
 /**
  * What has to hold of a request of the platform's before anything of it is taken. Guards hosts
  * against what is of no use to them, and the module against names that clients make up. It does
  * harm to a client that strays from the protocol without need: it gets an error of its own.
  */
-final class PlatformGate implements Gate {
+final class PlatformRequestFilter implements RequestFilter {
   private static final int MAX_ID = 128;
   private static final String HEALTH = "/_health";
 
   private final Dispatcher pool;
-  private final Retuning types;
-  private final Operators operators;
+  private final SettingsReload types;
+  private final OperatorState operators;
   private boolean draining;
 
-  PlatformGate(Dispatcher pool, Settings settings, Operators operators) {
+  PlatformRequestFilter(Dispatcher pool, Settings settings, OperatorState operators) {
     this.pool = pool;
     this.operators = operators;
-    this.types = new Retuning(settings);
+    this.types = new SettingsReload(settings);
   }
 
   /** Other settings hold for what comes from now on; {@link #settled} ends their grace. */
@@ -61,46 +61,46 @@
   }
 
   @Override
-  public Verdict judge(HttpRequest request, InetSocketAddress client) {
+  public FilterResult judge(HttpRequest request, InetSocketAddress client) {
     if (request.uri().equals(HEALTH)) {
       return request.method().equals(HttpMethod.GET)
-          ? Verdict.answer(ready() ? 200 : 503, 0)
-          : Verdict.reject(405);
+          ? FilterResult.answer(ready() ? 200 : 503, 0)
+          : FilterResult.reject(405);
     }
     HttpHeaders h = request.headers();
     String id = Framing.single(h, "X-Request-ID");
     if (id == null || id.isBlank() || id.length() > MAX_ID) {
-      return Verdict.reject(400);
+      return FilterResult.reject(400);
     }
     String name = className(request.uri());
     if (h.contains("X-Priority-Class") && !name.equals(Framing.single(h, "X-Priority-Class"))) {
-      return Verdict.reject(400);
+      return FilterResult.reject(400);
     }
     String key = Framing.single(h, "Idempotency-Key");
     boolean keyed = key != null && !key.isBlank();
     Settings.RequestClass type = types.of(name, request.method(), keyed);
     if (type == null) {
-      return Verdict.reject(404);
+      return FilterResult.reject(404);
     }
-    if (!Retuning.fits(type, request.method(), keyed)) {
-      return Verdict.reject(Retuning.fits(type, request.method(), true) ? 400 : 405);
+    if (!SettingsReload.fits(type, request.method(), keyed)) {
+      return FilterResult.reject(SettingsReload.fits(type, request.method(), true) ? 400 : 405);
     }
     double timeout = type.deadline();
     if (h.contains("X-Timeout-Ms")) {
       timeout = Math.min(timeout, Framing.whole(Framing.single(h, "X-Timeout-Ms")));
     }
     if (Double.isNaN(timeout)) {
-      return Verdict.reject(400);
+      return FilterResult.reject(400);
     }
-    Arrival arrival =
-        new Arrival(
+    RequestArrival arrival =
+        new RequestArrival(
             0,
             type.name(),
             h.get("X-Tenant-Id"),
             timeout,
             estimate(h.get("X-Cost")),
             "1".equals(h.get("X-Retried")));
-    return Verdict.take(pool, arrival, null, Streaming.LARGE, null, null);
+    return FilterResult.take(pool, arrival, null, Streaming.LARGE, null, null);
   }
 
   /** The work expected, which clients state in microseconds and the module takes in ms. */
--- a/src/main/java/corkproxy/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -1,20 +1,5 @@
-package corkproxy.proxy;
-
-import corkproxy.balancer.Settings;
-import corkproxy.engine.BackgroundWriter;
-import corkproxy.engine.BodyBudget;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.LineLog;
-import corkproxy.engine.Log;
-import corkproxy.engine.NioTransport;
-import corkproxy.engine.Signals;
-import corkproxy.engine.SocketSlack;
-import corkproxy.engine.Sockets;
-import corkproxy.engine.Transport;
-import corkproxy.engine.Upstreams;
-import corkproxy.http.Front;
-import corkproxy.http.FrontSettings;
-import corkproxy.http.HttpProtocol;
+package leadferry.proxy;
+
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -28,6 +13,21 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import leadferry.engine.BackgroundWriter;
+import leadferry.engine.BodyBudget;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.LineLog;
+import leadferry.engine.Log;
+import leadferry.engine.NioTransport;
+import leadferry.engine.Signals;
+import leadferry.engine.SocketSlack;
+import leadferry.engine.Sockets;
+import leadferry.engine.Transport;
+import leadferry.engine.UpstreamConnectionPool;
+import leadferry.http.HttpProtocol;
+import leadferry.http.HttpServer;
+import leadferry.http.HttpServerSettings;
+import leadferry.loadbalancer.Settings;
 
 /** One client proxy: all of it on one event loop thread, from its start to its drain. */
 public final class Proxy {
@@ -91,16 +91,16 @@
    */
   private static final double TOLD_PART = 0.5;
 
-  private final Operators operators;
-  private final Generations generations;
+  private final OperatorState operators;
+  private final HotRestart generations;
   private final Sockets sockets;
   private final BodyBudget budget;
   private Config config;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
-  private final PlatformGate gate;
-  private final Front front;
-  private final Upstreams upstreams;
+  private final PlatformRequestFilter gate;
+  private final HttpServer front;
+  private final UpstreamConnectionPool upstreams;
   private final Dispatcher dispatcher;
   private final Discovery discovery;
   private final Peers peers;
@@ -121,7 +121,7 @@
 
   private volatile boolean listens;
 
-  Proxy(Config config, Operators operators, Generations generations, Log log) {
+  Proxy(Config config, OperatorState operators, HotRestart generations, Log log) {
     this.config = config;
     this.operators = operators;
     this.generations = generations;
@@ -135,12 +135,14 @@
     this.budget = new BodyBudget(0);
     share(generations.others());
     this.upstreams =
-        new Upstreams(loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), sockets, log);
+        new UpstreamConnectionPool(
+            loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), sockets, log);
     this.dispatcher =
         new Dispatcher(null, loop, config.settings(), config.seed(), upstreams, budget, log);
-    this.gate = new PlatformGate(dispatcher, config.settings(), operators);
+    this.gate = new PlatformRequestFilter(dispatcher, config.settings(), operators);
     this.front =
-        new Front(FrontSettings.platform(config.maxOpen()), gate, TRANSPORT, sockets, budget, log);
+        new HttpServer(
+            HttpServerSettings.platform(config.maxOpen()), gate, TRANSPORT, sockets, budget, log);
     this.discovery = new Discovery(group, config, dispatcher, log);
     PeerAddresses others = config.peers();
     this.peers = others == null ? null : new Peers(others, dispatcher::heard, log);
@@ -150,7 +152,7 @@
   }
 
   /** Goes by the whole of the limits, or by what another process leaves of them. */
-  private void share(Generations.Standing others) {
+  private void share(HotRestart.Standing others) {
     shared = others != null;
     long mb = config.memoryMb() - (shared ? 2 : 1) * BASE_MB;
     long bodies = Math.max(LEAST_BODIES_MB, Math.min(MOST_BODIES_MB, mb)) << 20;
@@ -167,7 +169,7 @@
   private void compare() {
     try {
       generations.tell(
-          new Generations.Standing(
+          new HotRestart.Standing(
               listening(), sockets.clients(), sockets.upstreams(), budget.used()));
       share(generations.others());
     } catch (RuntimeException e) {
@@ -187,13 +189,13 @@
     BackgroundWriter writer = new BackgroundWriter(System.err);
     Log log = new LineLog(writer::write, "1".equals(env.get(LOG_DETAILS)));
     Config config = Config.load(env);
-    Generations generations = Generations.join(env.get("TMPDIR"));
-    Operators operators = new Operators();
+    HotRestart generations = HotRestart.join(env.get("TMPDIR"));
+    OperatorState operators = new OperatorState();
     if (config.management() != null) {
       listen(
           new Management(operators::serves, operators::sendAway, operators::takeBack, log), config);
     }
-    Rehearsal.run(config, generations.others() != null, log);
+    WarmUp.run(config, generations.others() != null, log);
     Proxy p = new Proxy(config, operators, generations, log);
     String file = env.get("BALANCER_CONFIG");
     if (!Signals.onHangup(() -> p.reload(file))) {
@@ -236,9 +238,9 @@
   }
 
   /** Runs only what comes before a client proxy listens, with classes of its own. */
-  public static void rehearse() {
+  public static void warmUp() {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    Rehearsal.run(Config.example(), false, new LineLog(System.err, false));
+    WarmUp.run(Config.example(), false, new LineLog(System.err, false));
   }
 
   /** Takes up the configuration whenever its file changes from now on. */
@@ -384,7 +386,7 @@
     if (settling != null) {
       settling.cancel(false);
     }
-    settling = loop.schedule(gate::settled, Retuning.OLD_FORM_MS, TimeUnit.MILLISECONDS);
+    settling = loop.schedule(gate::settled, SettingsReload.OLD_FORM_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -430,7 +432,7 @@
   /** Whether another process has the clients' address; no, where that can't be found out. */
   private boolean anotherListens() {
     try {
-      Generations.Standing others = generations.others();
+      HotRestart.Standing others = generations.others();
       return others != null && others.listens();
     } catch (RuntimeException e) {
       log.failure("other processes could not be looked for", e);
--- a/src/main/java/corkproxy/proxy/Retuning.java
+++ b/src/main/java/leadferry/proxy/SettingsReload.java
@@ -1,11 +1,11 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.balancer.Settings;
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import leadferry.loadbalancer.Settings;
 
 /**
  * The classes by which requests are judged, and for a while after a change of the settings those
@@ -21,7 +21,7 @@
  * form falls under the new rules; one in the old form under the old ones, by a name of its own in
  * the module, so that nothing of the old rules reaches a request of the new form.
  */
-final class Retuning {
+final class SettingsReload {
   /** How long (ms) requests of the old form are taken. */
   static final long OLD_FORM_MS = 2_500;
 
@@ -32,7 +32,7 @@
   private Map<String, Settings.RequestClass> types = Map.of();
   private Map<String, Settings.RequestClass> former = Map.of();
 
-  Retuning(Settings first) {
+  SettingsReload(Settings first) {
     settings = first;
     types = byName(first);
   }
--- a/src/main/java/corkproxy/proxy/Rehearsal.java
+++ b/src/main/java/leadferry/proxy/WarmUp.java
@@ -1,10 +1,7 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.balancer.Settings;
-import corkproxy.engine.LineLog;
-import corkproxy.engine.Log;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -16,6 +13,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import leadferry.engine.LineLog;
+import leadferry.engine.Log;
+import leadferry.loadbalancer.Settings;
 
 /**
  * Requests that a client proxy of its own carries on loopback before the real one listens. Guards
@@ -25,7 +25,7 @@
  * a fifth of the usual calls, so that a fifth of the requests warms as much. One that fails is left
  * out.
  */
-final class Rehearsal {
+final class WarmUp {
   static final int REQUESTS = 300;
   private static final long MOST_NANOS = 3_000_000_000L;
   private static final int PATIENCE_MS = 500;
@@ -55,7 +55,7 @@
   private final ServerSocket host;
   private final boolean paced;
 
-  private Rehearsal(Config config, ServerSocket host, boolean paced) {
+  private WarmUp(Config config, ServerSocket host, boolean paced) {
     this.config = config;
     this.host = host;
     this.paced = paced;
@@ -69,7 +69,7 @@
    */
   static int run(Config config, boolean paced, Log log) {
     try (ServerSocket host = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
-      return new Rehearsal(config, host, paced).play();
+      return new WarmUp(config, host, paced).play();
     } catch (IOException | ConfigException | RuntimeException e) {
       log.line("rehearsal left out: " + e);
       return 0;
@@ -100,8 +100,8 @@
     Proxy proxy =
         new Proxy(
             own,
-            new Operators(),
-            Generations.alone(),
+            new OperatorState(),
+            HotRestart.alone(),
             new LineLog(
                 new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8),
                 false));
--- a/src/main/java/corkproxy/proxy/WatchedFile.java
+++ b/src/main/java/leadferry/proxy/WatchedFile.java
@@ -1,4 +1,4 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/corkproxy/proxy/package-info.java
+++ b/src/main/java/leadferry/proxy/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The platform's process: its configuration, its gate, its discovery, the rehearsal before it
- * listens. Begin with {@link corkproxy.proxy.Proxy}. Loads nothing of the daemon.
+ * listens. Begin with {@link leadferry.proxy.Proxy}. Loads nothing of the daemon.
  */
-package corkproxy.proxy;
+package leadferry.proxy;
--- a/src/main/java/corkproxy/release/Guard.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -1,4 +1,4 @@
-package corkproxy.release;
+package leadferry.release;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -15,9 +15,9 @@
  *
  * <p>Never a verdict from too few requests, and none that comes from silence: it waits and says for
  * what. How often it halts what is sound, and how often it lets through what is not, is measured in
- * {@code GuardTest} and told in {@code docs/design/release.md}.
+ * {@code CanaryAnalysisTest} and told in {@code docs/design/release.md}.
  */
-public final class Guard {
+public final class CanaryAnalysis {
   /**
    * Bounds of a verdict.
    *
@@ -93,7 +93,7 @@
 
   private final Bounds bounds;
 
-  public Guard(Bounds bounds) {
+  public CanaryAnalysis(Bounds bounds) {
     this.bounds = bounds;
   }
 
--- a/src/main/java/corkproxy/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -1,21 +1,21 @@
-package corkproxy.release;
+package leadferry.release;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
-import corkproxy.disruption.Outcome;
-import corkproxy.disruption.Outcome.Status;
-import corkproxy.disruption.Subject;
-import corkproxy.release.Item.At;
-import corkproxy.release.Item.Phase;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Outcome;
+import leadferry.disruption.Outcome.Status;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
+import leadferry.release.ReleaseTarget.At;
+import leadferry.release.ReleaseTarget.Phase;
 
 /**
  * One release, as the log's entries have brought it about.
@@ -30,12 +30,12 @@
  *               PAUSED, HALTED ----------------------------------------+---- HALTED, PAUSED
  * </pre>
  *
- * <p>Who may be out is not decided here: each target goes out by a permit of {@link Disruption},
- * under all budgets, so a release never takes out more than drains might, and forward and back
- * alike. What is decided here is who is next, by whose hand (the driver's fence), and whether it
- * goes on at all. What is done to a target is told to the log before it is done ({@code intended},
- * {@code acting}) and after it was seen ({@code observed}); an action whose driver was lost is
- * looked at by the next one, never assumed.
+ * <p>Who may be out is not decided here: each target goes out by a permit of {@link
+ * DisruptionState}, under all budgets, so a release never takes out more than drains might, and
+ * forward and back alike. What is decided here is who is next, by whose hand (the driver's fence),
+ * and whether it goes on at all. What is done to a target is told to the log before it is done
+ * ({@code intended}, {@code acting}) and after it was seen ({@code observed}); an action whose
+ * driver was lost is looked at by the next one, never assumed.
  */
 final class Release {
   /** Where it stands. */
@@ -60,7 +60,7 @@
   /** So often an action is begun anew at one target before the release halts. */
   private static final int MOST_TRIES = 3;
 
-  final Plan plan;
+  final ReleasePlan plan;
   final long number;
   final String who;
   final String why;
@@ -90,16 +90,16 @@
   private boolean lostDriver;
   private long orders;
   private final Set<String> forgiven = new TreeSet<>();
-  private final Map<String, Item> items = new LinkedHashMap<>();
+  private final Map<String, ReleaseTarget> items = new LinkedHashMap<>();
 
-  Release(Plan plan, long number, String who, String why) {
+  Release(ReleasePlan plan, long number, String who, String why) {
     this.plan = plan;
     this.number = number;
     this.who = who;
     this.why = why;
     for (int s = 0; s < plan.steps().size(); s++) {
       for (String t : plan.steps().get(s).targets()) {
-        items.put(t, new Item(t, s));
+        items.put(t, new ReleaseTarget(t, s));
       }
     }
   }
@@ -150,12 +150,12 @@
   // --- what a driver does
 
   /** Asks for a target to go out; {@code action} is the number that its action would get. */
-  Outcome intend(long of, String name, long action, Disruption disruption) {
+  Outcome intend(long of, String name, long action, DisruptionState disruption) {
     Outcome no = notMine(of);
     if (no != null) {
       return no;
     }
-    Item i = items.get(name);
+    ReleaseTarget i = items.get(name);
     if (i == null) {
       return Outcome.of(Status.UNKNOWN, "no target '" + name + "'");
     }
@@ -203,7 +203,7 @@
     return new Outcome(Status.GRANTED, o.permit(), List.of(), action);
   }
 
-  private static void begin(Item i, String permit, long action, long fence) {
+  private static void begin(ReleaseTarget i, String permit, long action, long fence) {
     i.phase = Phase.LEAVING;
     i.permit = permit;
     i.action = action;
@@ -214,12 +214,12 @@
   }
 
   /** What changes the target is about to be begun: from here on it may have run. */
-  Outcome acting(long of, String name, long action, Disruption disruption) {
+  Outcome acting(long of, String name, long action, DisruptionState disruption) {
     Outcome no = notMine(of);
     if (no != null) {
       return no;
     }
-    Item i = items.get(name);
+    ReleaseTarget i = items.get(name);
     if (i == null || i.action != action || i.phase != Phase.LEAVING && i.phase != Phase.ACTING) {
       return Outcome.of(Status.CONFLICT, name + ": not action " + action);
     }
@@ -258,12 +258,12 @@
    * named was there.
    */
   Outcome observed(
-      long of, String name, long action, String version, String text, Disruption disruption) {
+      long of, String name, long action, String version, String text, DisruptionState disruption) {
     Outcome no = notMine(of);
     if (no != null) {
       return no;
     }
-    Item i = items.get(name);
+    ReleaseTarget i = items.get(name);
     if (i == null || i.action != action) {
       return Outcome.of(Status.CONFLICT, name + ": not action " + action);
     }
@@ -297,7 +297,7 @@
 
   /** An agent's word of the action that it was given: what the target is now. */
   Outcome reported(String name, long action, int tries, String version) {
-    Item i = items.get(name);
+    ReleaseTarget i = items.get(name);
     if (i == null || i.phase != Phase.ACTING || i.action != action || i.tries != tries) {
       return Outcome.of(
           Status.CONFLICT,
@@ -395,7 +395,7 @@
    * Operators want it tried again: each action has its time anew, and one more try at the least.
    */
   private void tryAnew() {
-    for (Item i : items.values()) {
+    for (ReleaseTarget i : items.values()) {
       i.late = false;
       i.tries = Math.min(i.tries, MOST_TRIES - 1);
     }
@@ -404,7 +404,7 @@
   /**
    * An operator's word against a guard: the step that has baked is good, or the lost are no reason.
    */
-  Outcome override(String what, String text, Disruption disruption) {
+  Outcome override(String what, String text, DisruptionState disruption) {
     switch (what) {
       case "verdict" -> {
         if (!forward || state.over() || !baked) {
@@ -469,7 +469,7 @@
       if (baking > 0 && !baked) {
         to.put("release-bake:" + plan.name() + ":" + baking, plan.steps().get(goal - 1).bakeMs());
       }
-      for (Item i : items.values()) {
+      for (ReleaseTarget i : items.values()) {
         if (i.phase != Phase.IN && !i.late && !i.held) {
           to.put("release-action:" + plan.name() + ":" + i.action, plan.actionMs());
         }
@@ -486,7 +486,7 @@
       }
       case "release-bake" -> baked = true;
       default -> {
-        for (Item i : items.values()) {
+        for (ReleaseTarget i : items.values()) {
           if (i.action == n && i.phase != Phase.IN) {
             i.late = true;
             halt(
@@ -504,7 +504,7 @@
 
   // --- what follows from all that
 
-  private At wanted(Item i) {
+  private At wanted(ReleaseTarget i) {
     return i.step < goal ? At.NEW : At.OLD;
   }
 
@@ -523,12 +523,12 @@
    * @param newest whether no later release has any of its targets: only then what it has done still
    *     counts
    */
-  void look(Disruption disruption, java.util.function.LongSupplier action, boolean newest) {
+  void look(DisruptionState disruption, java.util.function.LongSupplier action, boolean newest) {
     if (state == State.ENDED || state == State.RETURNED || state == State.DONE && !newest) {
       return;
     }
     Set<String> known = disruption.byName(plan.of()).keySet();
-    for (Item i : items.values()) {
+    for (ReleaseTarget i : items.values()) {
       if (i.phase == Phase.COMING && disruption.out(plan.of(), i.name) == null) {
         i.phase = Phase.IN;
         i.permit = "";
@@ -581,11 +581,12 @@
    * Who comes back with another version than it was given was down while it was changed, or was
    * changed by somebody else.
    */
-  private void wrong(Item i, Disruption disruption, java.util.function.LongSupplier action) {
+  private void wrong(
+      ReleaseTarget i, DisruptionState disruption, java.util.function.LongSupplier action) {
     String told =
-        plan.of() == Kind.PROXY && i.phase == Phase.IN ? disruption.version(i.name, -1) : "";
+        plan.of() == TargetType.PROXY && i.phase == Phase.IN ? disruption.version(i.name, -1) : "";
     At at = told.equals(plan.version()) ? At.NEW : told.equals(plan.from()) ? At.OLD : At.UNKNOWN;
-    if (told.isEmpty() || told.equals(Disruption.NO_VERSION) || at == i.at) {
+    if (told.isEmpty() || told.equals(DisruptionState.NO_VERSION) || at == i.at) {
       return;
     }
     i.at = at;
@@ -605,8 +606,8 @@
    * Whether every target of the goal's steps, and on the way back every target, is what it is to
    * be, and in service.
    */
-  private boolean whole(Disruption disruption, Set<String> lost) {
-    for (Item i : items.values()) {
+  private boolean whole(DisruptionState disruption, Set<String> lost) {
+    for (ReleaseTarget i : items.values()) {
       if (i.gone || forward && i.step >= goal) {
         continue;
       }
@@ -626,7 +627,7 @@
         && items.values().stream().anyMatch(i -> i.permit.equals(permit) && i.phase != Phase.IN);
   }
 
-  boolean shares(Plan other) {
+  boolean shares(ReleasePlan other) {
     return plan.of() == other.of() && other.targets().stream().anyMatch(items::containsKey);
   }
 
@@ -634,12 +635,12 @@
     return e.name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  private static String word(Item i) {
+  private static String word(ReleaseTarget i) {
     return word(i.phase);
   }
 
   /** All that staff and drivers go by. */
-  void status(ObjectNode to, Disruption disruption) {
+  void status(ObjectNode to, DisruptionState disruption) {
     plan.write(to);
     to.put("number", number)
         .put("who", who)
@@ -652,9 +653,9 @@
         .put("fence", fence);
     to.put("baking", baking).put("baked", baked);
     Set<String> lost = disruption.lost();
-    Map<String, Subject> subjects = disruption.byName(plan.of());
+    Map<String, Target> subjects = disruption.byName(plan.of());
     ArrayNode is = to.putArray("targets");
-    for (Item i : items.values()) {
+    for (ReleaseTarget i : items.values()) {
       ObjectNode n =
           is.addObject()
               .put("name", i.name)
@@ -673,15 +674,15 @@
           .put("order", i.order);
       n.put("lost", lost.contains(i.name))
           .put("out", disruption.out(plan.of(), i.name))
-          .put("zone", subjects.containsKey(i.name) ? subjects.get(i.name).zone() : Subject.NONE);
+          .put("zone", subjects.containsKey(i.name) ? subjects.get(i.name).zone() : Target.NONE);
       n.put("carried_out", i.phase == Phase.LEAVING && disruption.carriedOut(i.permit));
       // What a proxy tells of itself since its action began is the sight of it.
       String told =
-          plan.of() == Kind.PROXY && i.phase == Phase.ACTING
+          plan.of() == TargetType.PROXY && i.phase == Phase.ACTING
               ? disruption.version(i.name, i.actedAt)
               : "";
       n.put("told", told.isEmpty() ? i.reported : told);
-      if (i.phase == Phase.LEAVING && plan.of() == Kind.HOST) {
+      if (i.phase == Phase.LEAVING && plan.of() == TargetType.HOST) {
         ObjectNode w = n.putObject("awaited");
         disruption.awaited(i.permit).forEach(w::put);
       }
@@ -709,7 +710,7 @@
         .put("orders", orders);
     forgiven.forEach(to.putArray("forgiven")::add);
     ArrayNode is = to.putArray("items");
-    for (Item i : items.values()) {
+    for (ReleaseTarget i : items.values()) {
       ObjectNode n =
           is.addObject()
               .put("name", i.name)
@@ -729,7 +730,7 @@
   static Release restore(JsonNode n) {
     Release r =
         new Release(
-            Plan.read(n.path("plan"), new ArrayList<>()),
+            ReleasePlan.read(n.path("plan"), new ArrayList<>()),
             n.path("number").asLong(),
             n.path("who").asText(),
             n.path("why").asText());
@@ -747,7 +748,7 @@
     r.orders = n.path("orders").asLong();
     n.path("forgiven").forEach(f -> r.forgiven.add(f.asText()));
     for (JsonNode x : n.path("items")) {
-      Item i = r.items.get(x.path("name").asText());
+      ReleaseTarget i = r.items.get(x.path("name").asText());
       i.phase = Phase.valueOf(x.path("phase").asText());
       i.at = At.valueOf(x.path("at").asText());
       i.permit = x.path("permit").asText();
--- a/src/main/java/corkproxy/release/Conductor.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -1,4 +1,4 @@
-package corkproxy.release;
+package leadferry.release;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * both believe that they may run it; one whose lease is over and who does not know it yet is turned
  * away by whoever carries the action out, by the number that goes with it.
  */
-public final class Conductor {
+public final class ReleaseController {
   /** What is to be done. */
   public sealed interface Next permits Submit, Run, Look {}
 
@@ -62,13 +62,13 @@
 
   private long baking;
   private long bakedAt = Long.MIN_VALUE;
-  private Map<String, Map<String, Guard.Count>> baseline = Map.of();
+  private Map<String, Map<String, CanaryAnalysis.Count>> baseline = Map.of();
 
   /**
    * A driver of that name, its own among all processes that ever drive, with a lease of that
    * length.
    */
-  public Conductor(String driver, long leaseMs) {
+  public ReleaseController(String driver, long leaseMs) {
     this.driver = driver;
     this.leaseMs = leaseMs;
   }
@@ -331,16 +331,17 @@
     if (reports == null) {
       return;
     }
-    Map<String, Map<String, Guard.Count>> counts = counts(release, reports);
+    Map<String, Map<String, CanaryAnalysis.Count>> counts = counts(release, reports);
     if (baking != since) {
       baking = since;
       baseline = counts;
       bakedAt = Long.MIN_VALUE;
       return;
     }
-    Guard.Bounds bounds = Guard.Bounds.read(release.path("guard"), new ArrayList<>());
-    Map<String, Guard.Count> fresh = new TreeMap<>();
-    Map<String, Guard.Count> old = new TreeMap<>();
+    CanaryAnalysis.Bounds bounds =
+        CanaryAnalysis.Bounds.read(release.path("guard"), new ArrayList<>());
+    Map<String, CanaryAnalysis.Count> fresh = new TreeMap<>();
+    Map<String, CanaryAnalysis.Count> old = new TreeMap<>();
     difference(counts, "new ", fresh);
     difference(counts, "old ", old);
     if (old.isEmpty()) {
@@ -360,15 +361,19 @@
                 missing.add(r.getKey());
               }
             });
-    Guard.Verdict v = new Guard(bounds).judge(fresh, old, missing);
+    CanaryAnalysis.Verdict v = new CanaryAnalysis(bounds).judge(fresh, old, missing);
     boolean baked = release.path("baked").asBoolean();
     if (baked && bakedAt == Long.MIN_VALUE) {
       bakedAt = now;
     }
     boolean waitedInVain =
-        baked && v.word() == Guard.Word.WAIT && now - bakedAt > bounds.waitMs() * 1_000_000L;
-    if (v.word() == Guard.Word.HALT || waitedInVain || baked && v.word() == Guard.Word.GO) {
-      boolean go = v.word() == Guard.Word.GO;
+        baked
+            && v.word() == CanaryAnalysis.Word.WAIT
+            && now - bakedAt > bounds.waitMs() * 1_000_000L;
+    if (v.word() == CanaryAnalysis.Word.HALT
+        || waitedInVain
+        || baked && v.word() == CanaryAnalysis.Word.GO) {
+      boolean go = v.word() == CanaryAnalysis.Word.GO;
       out.add(
           submit(
               "release_verdict",
@@ -386,16 +391,20 @@
 
   /** What was counted since the baseline by all whose key begins so. */
   private void difference(
-      Map<String, Map<String, Guard.Count>> counts, String of, Map<String, Guard.Count> to) {
+      Map<String, Map<String, CanaryAnalysis.Count>> counts,
+      String of,
+      Map<String, CanaryAnalysis.Count> to) {
     counts.forEach(
         (key, byClass) -> {
           if (key.startsWith(of)) {
-            Map<String, Guard.Count> before =
+            Map<String, CanaryAnalysis.Count> before =
                 baseline.getOrDefault(key, baseline.isEmpty() ? Map.of() : byClass);
             byClass.forEach(
                 (c, n) ->
                     to.merge(
-                        c, n.since(before.getOrDefault(c, Guard.Count.NONE)), Guard.Count::plus));
+                        c,
+                        n.since(before.getOrDefault(c, CanaryAnalysis.Count.NONE)),
+                        CanaryAnalysis.Count::plus));
           }
         });
   }
@@ -405,7 +414,8 @@
    * session and, of hosts, the host; by class. What is out, cold or settling is in neither; the old
    * only count in zones in which there is something new, like held against like.
    */
-  private static Map<String, Map<String, Guard.Count>> counts(JsonNode release, JsonNode reports) {
+  private static Map<String, Map<String, CanaryAnalysis.Count>> counts(
+      JsonNode release, JsonNode reports) {
     Map<String, JsonNode> targets = new HashMap<>();
     Map<String, Boolean> zones = new HashMap<>();
     for (JsonNode t : release.path("targets")) {
@@ -414,7 +424,7 @@
         zones.put(t.path("zone").asText(), true);
       }
     }
-    Map<String, Map<String, Guard.Count>> out = new TreeMap<>();
+    Map<String, Map<String, CanaryAnalysis.Count>> out = new TreeMap<>();
     int step = release.path("goal").asInt() - 1;
     boolean hosts = release.path("of").asText().equals("host");
     for (Map.Entry<String, JsonNode> r : reports.path("reports").properties()) {
@@ -444,7 +454,7 @@
   }
 
   private static void put(
-      Map<String, Map<String, Guard.Count>> out,
+      Map<String, Map<String, CanaryAnalysis.Count>> out,
       JsonNode target,
       Map<String, Boolean> zones,
       int step,
@@ -461,13 +471,14 @@
         at.equals("new")
             ? at + (target.path("step").asInt() == step ? " now " : " before ") + of
             : at + " " + of;
-    Map<String, Guard.Count> counts = out.computeIfAbsent(key, k -> new TreeMap<>());
+    Map<String, CanaryAnalysis.Count> counts = out.computeIfAbsent(key, k -> new TreeMap<>());
     byClass
         .properties()
         .forEach(
             c ->
                 counts.put(
                     c.getKey(),
-                    new Guard.Count(c.getValue().path(0).asLong(), c.getValue().path(1).asLong())));
+                    new CanaryAnalysis.Count(
+                        c.getValue().path(0).asLong(), c.getValue().path(1).asLong())));
   }
 }
--- a/src/main/java/corkproxy/release/Plan.java
+++ b/src/main/java/leadferry/release/ReleasePlan.java
@@ -1,10 +1,8 @@
-package corkproxy.release;
+package leadferry.release;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,6 +10,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.TargetType;
 
 /**
  * What a release changes, in which order, and what must hold meanwhile; as the log holds it, with
@@ -37,9 +37,9 @@
  * @param carry how targets are changed: {@code by} "command" with argument lists, or "agent"; the
  *     ledger only keeps it
  */
-public record Plan(
+public record ReleasePlan(
     String name,
-    Kind of,
+    TargetType of,
     String version,
     String from,
     List<Step> steps,
@@ -50,7 +50,7 @@
     boolean skipMissing,
     boolean hold,
     boolean backOnVerdict,
-    Guard.Bounds guard,
+    CanaryAnalysis.Bounds guard,
     JsonNode carry) {
   /**
    * Names of releases and steps: those of members but for the colon, which parts the names of
@@ -70,7 +70,7 @@
     }
   }
 
-  public Plan {
+  public ReleasePlan {
     steps = List.copyOf(steps);
   }
 
@@ -104,15 +104,15 @@
    *
    * @return the plan, or null where there was a fault
    */
-  public static Plan read(JsonNode n, List<String> faults) {
+  public static ReleasePlan read(JsonNode n, List<String> faults) {
     int before = faults.size();
     String name = named(n, "name", NAME, faults);
-    String version = named(n, "version", Disruption.NAME, faults);
-    String from = named(n, "from", Disruption.NAME, faults);
+    String version = named(n, "version", DisruptionState.NAME, faults);
+    String from = named(n, "from", DisruptionState.NAME, faults);
     if (version.equals(from) && !version.isEmpty()) {
       faults.add("from: '" + from + "' (expected: another than version)");
     }
-    Kind of = Kind.of(n.path("of").asText(""));
+    TargetType of = TargetType.of(n.path("of").asText(""));
     if (of == null) {
       faults.add("of: '" + n.path("of").asText("") + "' (expected: proxy or host)");
     }
@@ -159,9 +159,9 @@
               + MOST_TARGETS
               + " targets)");
     }
-    Guard.Bounds guard = Guard.Bounds.read(n.path("guard"), faults);
-    Plan plan =
-        new Plan(
+    CanaryAnalysis.Bounds guard = CanaryAnalysis.Bounds.read(n.path("guard"), faults);
+    ReleasePlan plan =
+        new ReleasePlan(
             name,
             of,
             version,
--- a/src/main/java/corkproxy/release/Item.java
+++ b/src/main/java/leadferry/release/ReleaseTarget.java
@@ -1,4 +1,4 @@
-package corkproxy.release;
+package leadferry.release;
 
 /**
  * One target of a release.
@@ -8,7 +8,7 @@
  *                    LEAVING --given back untouched------------------------> COMING
  * </pre>
  */
-final class Item {
+final class ReleaseTarget {
   /** Where it stands. */
   enum Phase {
     IN,
@@ -67,7 +67,7 @@
    */
   long order;
 
-  Item(String name, int step) {
+  ReleaseTarget(String name, int step) {
     this.name = name;
     this.step = step;
   }
--- a/src/main/java/corkproxy/release/Releases.java
+++ b/src/main/java/leadferry/release/Releases.java
@@ -1,16 +1,16 @@
-package corkproxy.release;
+package leadferry.release;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Outcome;
-import corkproxy.disruption.Outcome.Status;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Outcome;
+import leadferry.disruption.Outcome.Status;
 
 /**
  * All releases of a fleet, as the log's entries have brought them about; those that are over are
@@ -58,7 +58,7 @@
   private long actions;
 
   /** Applies an entry that is one of {@link #DRIVERS} or {@link #OPERATORS}. */
-  public Outcome apply(String op, JsonNode e, Disruption disruption) {
+  public Outcome apply(String op, JsonNode e, DisruptionState disruption) {
     String name = e.path("release").isTextual() ? e.path("release").asText() : "";
     if (op.equals("release_start")) {
       return start(e, disruption);
@@ -105,9 +105,9 @@
     };
   }
 
-  private Outcome start(JsonNode e, Disruption disruption) {
+  private Outcome start(JsonNode e, DisruptionState disruption) {
     List<String> faults = new ArrayList<>();
-    Plan plan = Plan.read(e.path("plan"), faults);
+    ReleasePlan plan = ReleasePlan.read(e.path("plan"), faults);
     if (plan == null) {
       return new Outcome(Status.MALFORMED, "", faults);
     }
@@ -188,7 +188,7 @@
   }
 
   /** Takes note of what the last entry has changed in the fleet; to be called after each. */
-  public void look(Disruption disruption) {
+  public void look(DisruptionState disruption) {
     for (Release r : releases.values()) {
       boolean newest =
           r.state != Release.State.DONE
@@ -232,7 +232,7 @@
   }
 
   /** One release whole, or all in a line each where {@code name} is empty. */
-  public void status(String name, ObjectNode to, Disruption disruption) {
+  public void status(String name, ObjectNode to, DisruptionState disruption) {
     if (name.isEmpty()) {
       ArrayNode all = to.putArray("releases");
       releases.values().stream()
--- a/src/main/java/corkproxy/routing/PathForm.java
+++ b/src/main/java/leadferry/routing/PathNormalizer.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import java.nio.charset.StandardCharsets;
 
@@ -18,7 +18,7 @@
  *   /a/..;x/b     turned away in both: some hosts drop what follows the semicolon first
  * </pre>
  */
-public final class PathForm {
+public final class PathNormalizer {
   /** What becomes of dot segments and empty segments. */
   public enum Mode {
     /** The request is turned away. */
@@ -30,7 +30,7 @@
   private final String match;
   private final String forward;
 
-  private PathForm(String match, String forward) {
+  private PathNormalizer(String match, String forward) {
     this.match = match;
     this.forward = forward;
   }
@@ -46,7 +46,7 @@
   }
 
   /** The form of a raw path without its query, or null where it has no single reading. */
-  public static PathForm of(String raw, Mode mode) {
+  public static PathNormalizer of(String raw, Mode mode) {
     int n = raw.length();
     if (n == 0 || raw.charAt(0) != '/') {
       return null;
@@ -65,13 +65,13 @@
     }
     int odd = oddSegment(match);
     if (odd == 0) {
-      return new PathForm(match, raw);
+      return new PathNormalizer(match, raw);
     }
     if (mode == Mode.STRICT || odd == 2) {
       return null;
     }
     String resolved = resolve(match);
-    return resolved == null ? null : new PathForm(resolved, encode(resolved));
+    return resolved == null ? null : new PathNormalizer(resolved, encode(resolved));
   }
 
   /** Text of the operator's, in the form that matched paths have. */
--- a/src/main/java/corkproxy/routing/RegionTable.java
+++ b/src/main/java/leadferry/routing/RegionTable.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 /**
  * An immutable-after-build hash table from strings to values that is asked with a region of a
--- a/src/main/java/corkproxy/routing/Subject.java
+++ b/src/main/java/leadferry/routing/RequestAttributes.java
@@ -1,11 +1,11 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 /** What routes look at in a request. */
-public interface Subject {
+public interface RequestAttributes {
   /** The host asked for, in lower case without port, or "" where none was told. */
   String host();
 
-  /** The path in the form that {@link PathForm} gives for matching, without a query. */
+  /** The path in the form that {@link PathNormalizer} gives for matching, without a query. */
   String path();
 
   /** The method, as it was sent. */
--- a/src/main/java/corkproxy/routing/RouteCheck.java
+++ b/src/main/java/leadferry/routing/RouteCheck.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,11 +18,11 @@
    * stands behind a regular expression that takes every path. Regular expressions are not compared
    * with each other beyond their text: whether one contains another is not told in linear time.
    */
-  public static <T> List<Shadowed> shadowed(List<Rule<T>> rules) {
+  public static <T> List<Shadowed> shadowed(List<RouteRule<T>> rules) {
     Map<String, List<Integer>> groups = new HashMap<>();
     Map<String, List<Integer>> catchAll = new HashMap<>();
     for (int i = 0; i < rules.size(); i++) {
-      Rule<T> r = rules.get(i);
+      RouteRule<T> r = rules.get(i);
       for (String host : r.hosts()) {
         groups.computeIfAbsent(group(host, r), k -> new ArrayList<>(1)).add(i);
         if (r.takesAnyPath()) {
@@ -49,16 +49,16 @@
     return found;
   }
 
-  private static String group(String host, Rule<?> r) {
+  private static String group(String host, RouteRule<?> r) {
     return host + '\0' + r.kind() + '\0' + r.path();
   }
 
-  private static <T> int winner(List<Rule<T>> rules, int i, List<Integer> group) {
-    Rule<T> r = rules.get(i);
+  private static <T> int winner(List<RouteRule<T>> rules, int i, List<Integer> group) {
+    RouteRule<T> r = rules.get(i);
     for (int j : group) {
-      Rule<T> other = rules.get(j);
+      RouteRule<T> other = rules.get(j);
       boolean before =
-          r.kind() == Rule.Kind.REGEX || other.conditions() == r.conditions()
+          r.kind() == RouteRule.Kind.REGEX || other.conditions() == r.conditions()
               ? j < i
               : other.conditions() > r.conditions();
       if (j != i && before && other.covers(r)) {
@@ -68,10 +68,11 @@
     return -1;
   }
 
-  private static <T> int behind(List<Rule<T>> rules, int i, List<Integer> catchAll) {
-    Rule<T> r = rules.get(i);
+  private static <T> int behind(List<RouteRule<T>> rules, int i, List<Integer> catchAll) {
+    RouteRule<T> r = rules.get(i);
     for (int j : catchAll) {
-      boolean before = r.kind() == Rule.Kind.PREFIX || r.kind() == Rule.Kind.REGEX && j < i;
+      boolean before =
+          r.kind() == RouteRule.Kind.PREFIX || r.kind() == RouteRule.Kind.REGEX && j < i;
       if (j != i && before && rules.get(j).covers(r)) {
         return j;
       }
--- a/src/main/java/corkproxy/routing/Rule.java
+++ b/src/main/java/leadferry/routing/RouteRule.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import com.google.re2j.Pattern;
 import java.util.List;
@@ -11,13 +11,14 @@
  * @param name the route's name
  * @param hosts {@code *} for any, {@code a.b}, {@code *.a.b} or {@code a.*}, in lower case
  * @param kind how {@code path} is meant
- * @param path the path, prefix or regular expression, in the form of {@link PathForm#ofPattern}
+ * @param path the path, prefix or regular expression, in the form of {@link
+ *     PathNormalizer#ofPattern}
  * @param methods the methods, or none for any
  * @param headers values that headers must have; {@code *} asks only that the header is there
  * @param classes the classes, or none for any
  * @param target what the route leads to
  */
-public record Rule<T>(
+public record RouteRule<T>(
     String name,
     List<String> hosts,
     Kind kind,
@@ -37,7 +38,7 @@
     PREFIX
   }
 
-  public Rule {
+  public RouteRule {
     hosts = List.copyOf(hosts);
     methods = Set.copyOf(methods);
     headers = Map.copyOf(headers);
@@ -55,7 +56,7 @@
   }
 
   /** Whether the conditions besides host and path hold. */
-  boolean holds(Subject s) {
+  boolean holds(RequestAttributes s) {
     if (!methods.isEmpty() && !methods.contains(s.method())) {
       return false;
     }
@@ -74,7 +75,7 @@
   }
 
   /** Whether every request that meets the other's conditions meets these too. */
-  boolean covers(Rule<?> other) {
+  boolean covers(RouteRule<?> other) {
     return (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
         && (classes.isEmpty() || !other.classes.isEmpty() && classes.containsAll(other.classes))
         && headers.entrySet().stream()
--- a/src/main/java/corkproxy/routing/RouteTable.java
+++ b/src/main/java/leadferry/routing/RouteTable.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import com.google.re2j.Pattern;
 import java.util.ArrayList;
@@ -29,18 +29,18 @@
 public final class RouteTable<T> {
   /** The routes of one host pattern. */
   private static final class HostRoutes<T> {
-    final RegionTable<List<Rule<T>>> exact = new RegionTable<>();
-    final RegionTable<List<Rule<T>>> prefixes = new RegionTable<>();
-    final List<Rule<T>> regexRules = new ArrayList<>();
+    final RegionTable<List<RouteRule<T>>> exact = new RegionTable<>();
+    final RegionTable<List<RouteRule<T>>> prefixes = new RegionTable<>();
+    final List<RouteRule<T>> regexRules = new ArrayList<>();
     final List<Pattern> regexes = new ArrayList<>();
 
     /** Bit n is set where some prefix has n segments (the last bit: that many or more). */
     long depths;
 
-    Rule<T> find(Subject s) {
+    RouteRule<T> find(RequestAttributes s) {
       String path = s.path();
       if (!exact.isEmpty()) {
-        Rule<T> r = first(exact.get(path), s);
+        RouteRule<T> r = first(exact.get(path), s);
         if (r != null) {
           return r;
         }
@@ -53,8 +53,8 @@
       return prefixes.isEmpty() ? null : longestPrefix(path, s);
     }
 
-    private Rule<T> longestPrefix(String path, Subject s) {
-      Rule<T> best = null;
+    private RouteRule<T> longestPrefix(String path, RequestAttributes s) {
+      RouteRule<T> best = null;
       int hash = 0;
       int n = path.length();
       int depth = 0;
@@ -63,7 +63,7 @@
         if (c == '/') {
           // Each probe among many routes is a miss of the cache: only depths that exist get one.
           if ((depths >>> Math.min(depth, 63) & 1) != 0) {
-            Rule<T> r = first(prefixes.get(path, 0, i, hash), s);
+            RouteRule<T> r = first(prefixes.get(path, 0, i, hash), s);
             best = r == null ? best : r;
           }
           depth++;
@@ -73,7 +73,7 @@
       return best;
     }
 
-    private static <T> Rule<T> first(List<Rule<T>> rules, Subject s) {
+    private static <T> RouteRule<T> first(List<RouteRule<T>> rules, RequestAttributes s) {
       if (rules != null) {
         for (int i = 0; i < rules.size(); i++) {
           if (rules.get(i).holds(s)) {
@@ -91,10 +91,10 @@
   private final HostRoutes<T> any = new HostRoutes<>();
 
   /** Compiles rules that {@link RouteCheck} has found sound, in the order of the file. */
-  public RouteTable(List<Rule<T>> rules) {
+  public RouteTable(List<RouteRule<T>> rules) {
     Map<String, HostRoutes<T>> byHost = new LinkedHashMap<>();
     byHost.put("*", any);
-    for (Rule<T> r : rules) {
+    for (RouteRule<T> r : rules) {
       for (String host : r.hosts()) {
         add(byHost.computeIfAbsent(host, h -> new HostRoutes<>()), r);
       }
@@ -111,17 +111,18 @@
         });
   }
 
-  private static <T> void add(HostRoutes<T> to, Rule<T> r) {
-    if (r.kind() == Rule.Kind.REGEX) {
+  private static <T> void add(HostRoutes<T> to, RouteRule<T> r) {
+    if (r.kind() == RouteRule.Kind.REGEX) {
       to.regexRules.add(r);
       to.regexes.add(r.pattern());
       return;
     }
-    RegionTable<List<Rule<T>>> table = r.kind() == Rule.Kind.EXACT ? to.exact : to.prefixes;
-    if (r.kind() == Rule.Kind.PREFIX) {
+    RegionTable<List<RouteRule<T>>> table =
+        r.kind() == RouteRule.Kind.EXACT ? to.exact : to.prefixes;
+    if (r.kind() == RouteRule.Kind.PREFIX) {
       to.depths |= 1L << Math.min(63, r.path().chars().filter(c -> c == '/').count());
     }
-    List<Rule<T>> same = table.get(r.path());
+    List<RouteRule<T>> same = table.get(r.path());
     if (same == null) {
       same = new ArrayList<>(1);
       table.put(r.path(), same);
@@ -131,7 +132,7 @@
   }
 
   /** The rule that wins, or null where none does. */
-  public Rule<T> find(Subject s) {
+  public RouteRule<T> find(RequestAttributes s) {
     String host = s.host();
     HostRoutes<T> found = hosts.isEmpty() ? null : hosts.get(host);
     if (found == null && !suffixes.isEmpty()) {
--- a/src/main/java/corkproxy/routing/Split.java
+++ b/src/main/java/leadferry/routing/WeightedSplit.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * only to a pool whose weight rose, or from one whose weight fell, and pools get keys in proportion
  * to their weights. Costs one logarithm a pool; the order of the pools is of no account.
  */
-public final class Split<T> {
+public final class WeightedSplit<T> {
   /** A pool of the split by name, its weight (0 or more), and what it leads to. */
   public record Part<T>(String name, double weight, T target) {}
 
@@ -17,7 +17,7 @@
   private final long[] salts;
 
   /** Parts of which at least one has a weight. */
-  public Split(List<Part<T>> parts) {
+  public WeightedSplit(List<Part<T>> parts) {
     this.parts = List.copyOf(parts);
     this.salts = new long[parts.size()];
     for (int i = 0; i < salts.length; i++) {
--- a/src/main/java/corkproxy/standin/Child.java
+++ b/src/main/java/leadferry/testbed/Child.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -43,7 +43,7 @@
                 "-Xshare:auto",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "corkproxy.Main"));
+                "leadferry.Main"));
     out.addAll(List.of(args));
     return out;
   }
--- a/src/main/java/corkproxy/standin/ChildProxy.java
+++ b/src/main/java/leadferry/testbed/ChildProxy.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/corkproxy/standin/Ledger.java
+++ b/src/main/java/leadferry/testbed/ExecutionLog.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
  * past that is only counted, and {@link #unrecorded} tells that the ledger can't vouch for it. Safe
  * for use by many threads.
  */
-public final class Ledger {
+public final class ExecutionLog {
   /** One run of a request: where, in which pod, when (ns of {@link System#nanoTime}). */
   public record Execution(String host, String pod, long at) {}
 
@@ -21,7 +21,7 @@
   private final AtomicLong unrecorded = new AtomicLong();
 
   /** A ledger of at most so many ids. */
-  public Ledger(int most) {
+  public ExecutionLog(int most) {
     this.most = most;
   }
 
--- a/src/main/java/corkproxy/standin/HttpStandIn.java
+++ b/src/main/java/leadferry/testbed/FakeUpstream.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -39,7 +39,7 @@
  * <p>An answer echoes {@code X-Request-ID} and names the host in {@code X-Served-By}, the body
  * begins with the id, so that a client can tell an answer made for another request from its own.
  */
-public final class HttpStandIn implements AutoCloseable {
+public final class FakeUpstream implements AutoCloseable {
   /** What goes wrong. */
   public enum Fault {
     NONE,
@@ -161,7 +161,7 @@
       ChannelHandlerContext ctx, String id, boolean head, boolean close, long until) {}
 
   private final Options options;
-  private final Ledger ledger;
+  private final ExecutionLog ledger;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
   private final Channel listener;
@@ -181,7 +181,7 @@
   private int running;
 
   /** Starts a host on loopback. */
-  public HttpStandIn(Options options, Ledger ledger) {
+  public FakeUpstream(Options options, ExecutionLog ledger) {
     this.options = options;
     this.ledger = ledger;
     this.random = new SplittableRandom(options.seed());
--- a/src/main/java/corkproxy/standin/FaultRun.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -23,10 +23,10 @@
 
 /**
  * Keepers and daemons as processes, hosts and load, with faults between them from a seed, and
- * operators who drain and give back meanwhile. Every link goes through a {@link Relay}; {@link
- * Judge} and {@link History} say what was kept.
+ * operators who drain and give back meanwhile. Every link goes through a {@link FaultyLink}; {@link
+ * HistoryChecker} and {@link History} say what was kept.
  */
-public final class FaultRun implements AutoCloseable {
+public final class FaultTest implements AutoCloseable {
   /** What the rig does behind the ledger's back, to show that the judge sees it. */
   public enum Sabotage {
     NONE,
@@ -96,12 +96,12 @@
   private final Plan plan;
   private final Path folder;
   private final Random random;
-  private final Ledger ledger = new Ledger(5_000_000);
+  private final ExecutionLog ledger = new ExecutionLog(5_000_000);
   private final Map<String, Child> keepers = new LinkedHashMap<>();
   private final Map<String, Child> proxies = new LinkedHashMap<>();
-  private final List<HttpStandIn> hosts = new ArrayList<>();
-  private final List<Relay> relays = new ArrayList<>();
-  private final Map<String, Relay.Link> links = new ConcurrentHashMap<>();
+  private final List<FakeUpstream> hosts = new ArrayList<>();
+  private final List<FaultyLink> relays = new ArrayList<>();
+  private final Map<String, FaultyLink.Link> links = new ConcurrentHashMap<>();
   private final Map<String, InetSocketAddress> apis = new LinkedHashMap<>();
   private final Map<String, InetSocketAddress> fronts = new LinkedHashMap<>();
   private final Map<String, AtomicInteger> counts = new TreeMap<>();
@@ -115,7 +115,7 @@
 
   private final List<LoadGenerator> loads = new ArrayList<>();
   private final History history;
-  private Judge judge;
+  private HistoryChecker judge;
   private Operator operator;
   private volatile boolean over;
   private final Map<String, String> proxyFiles = new LinkedHashMap<>();
@@ -128,29 +128,29 @@
   /** Versions that begin so make hosts fail three requests in ten. */
   public static final String FAILING_VERSION = "failing";
 
-  private Supervisor supervisor;
+  private ProcessSupervisor supervisor;
   private Path carry;
 
   /** The rig's processes and hosts as its supervisor knows them. */
-  private final class RigSite implements Supervisor.Site {
+  private final class RigSite implements ProcessSupervisor.Site {
     @Override
     public void replace(String target, String version) throws IOException, InterruptedException {
       Child c = proxies.get(target);
       if (c == null) {
-        HttpStandIn h = host(target);
+        FakeUpstream h = host(target);
         if (h.inHand() > 0) {
           judge.breaks(target + " was replaced with requests in its hands");
         }
         versions.put(target, version);
         h.misbehave(
             version.startsWith(FAILING_VERSION)
-                ? HttpStandIn.Fault.FAIL_FAST
-                : HttpStandIn.Fault.NONE,
+                ? FakeUpstream.Fault.FAIL_FAST
+                : FakeUpstream.Fault.NONE,
             0.3);
         h.startAnew();
         return;
       }
-      if (judge.now(target) == Judge.Seen.SERVES) {
+      if (judge.now(target) == HistoryChecker.Seen.SERVES) {
         judge.breaks(target + " was restarted while it served");
       }
       judge.restarts(target);
@@ -178,7 +178,7 @@
   }
 
   /** What carries releases out. */
-  public Supervisor supervisor() {
+  public ProcessSupervisor supervisor() {
     return supervisor;
   }
 
@@ -255,7 +255,7 @@
     return judge.broken();
   }
 
-  public FaultRun(Plan plan, Path folder) {
+  public FaultTest(Plan plan, Path folder) {
     this.plan = plan;
     this.folder = folder;
     this.random = new Random(plan.seed());
@@ -271,8 +271,8 @@
   }
 
   /** The link from a source to a destination. */
-  public Relay.Link link(String from, String to) {
-    return links.computeIfAbsent(from + ">" + to, k -> new Relay.Link());
+  public FaultyLink.Link link(String from, String to) {
+    return links.computeIfAbsent(from + ">" + to, k -> new FaultyLink.Link());
   }
 
   /** The name by which its keepers are asked. */
@@ -329,12 +329,12 @@
 
   /** What a probe of that proxy saw last: its health path's 200, 503, or nothing. */
   public boolean serves(String proxy) {
-    return judge.seen(proxy) == Judge.Seen.SERVES;
+    return judge.seen(proxy) == HistoryChecker.Seen.SERVES;
   }
 
   /** Whether it was seen to answer that it does not serve. */
   public boolean saysNo(String proxy) {
-    return judge.seen(proxy) == Judge.Seen.SAYS_NO;
+    return judge.seen(proxy) == HistoryChecker.Seen.SAYS_NO;
   }
 
   /** Where clients reach a proxy. */
@@ -343,12 +343,12 @@
   }
 
   /** A host. */
-  public HttpStandIn host(String name) {
+  public FakeUpstream host(String name) {
     return hosts.stream().filter(h -> h.name().equals(name)).findFirst().orElseThrow();
   }
 
   /** The runs of requests at hosts. */
-  public Ledger ledger() {
+  public ExecutionLog ledger() {
     return ledger;
   }
 
@@ -364,7 +364,7 @@
 
   /** Makes all links whole. */
   public void mend() {
-    links.values().forEach(Relay.Link::heal);
+    links.values().forEach(FaultyLink.Link::heal);
   }
 
   /** Makes all links whole and waits until nobody is out. */
@@ -373,9 +373,10 @@
     await("whole again", () -> outInside() == 0);
   }
 
-  private Relay relay(InetSocketAddress to, java.util.function.IntFunction<Relay.Link> link)
+  private FaultyLink relay(
+      InetSocketAddress to, java.util.function.IntFunction<FaultyLink.Link> link)
       throws IOException {
-    Relay r = new Relay(to, link);
+    FaultyLink r = new FaultyLink(to, link);
     relays.add(r);
     return r;
   }
@@ -443,8 +444,8 @@
     }
     for (int i = 1; i <= plan.hosts(); i++) {
       hosts.add(
-          new HttpStandIn(
-              HttpStandIn.Options.quick("h" + i).takes(SERVICE_MS, 2).warmsUp(WARM_MS, COLD),
+          new FakeUpstream(
+              FakeUpstream.Options.quick("h" + i).takes(SERVICE_MS, 2).warmsUp(WARM_MS, COLD),
               ledger));
     }
     for (int i = 1; i <= plan.proxies(); i++) {
@@ -457,7 +458,7 @@
       List<String> command = Child.program(64, "daemon", "--config", file.toString());
       proxies.put(name, new Child(name, command, command, folder.resolve(name + ".log")));
     }
-    supervisor = new Supervisor(new RigSite());
+    supervisor = new ProcessSupervisor(new RigSite());
     carry = supervisor.program(folder);
     for (Child c : keepers.values()) {
       c.start();
@@ -466,10 +467,10 @@
       c.start();
     }
     operator = new Operator(fleet, keeperApis());
-    judge = new Judge(fronts, proxiesAllowed(), hostsAllowed());
+    judge = new HistoryChecker(fronts, proxiesAllowed(), hostsAllowed());
     await(
         "all proxies serve",
-        () -> fronts.keySet().stream().allMatch(p -> judge.seen(p) == Judge.Seen.SERVES));
+        () -> fronts.keySet().stream().allMatch(p -> judge.seen(p) == HistoryChecker.Seen.SERVES));
     budgets();
     await("all proxies are members and in", () -> outInside() == 0);
     fronts.keySet().forEach(judge::up);
@@ -478,7 +479,7 @@
   private String owner(int port) {
     Map<Long, String> pids = new HashMap<>();
     keepers.values().forEach(c -> pids.put(c.pid(), c.name()));
-    return Relay.owner(port, pids);
+    return FaultyLink.owner(port, pids);
   }
 
   private String proxyFile(String name) throws IOException {
@@ -500,7 +501,7 @@
     f.append(
         "[class.claim]\naim_ms = 1000\ndeadline_ms = 3000\n[class.list]\naim_ms = 1000\ndeadline_ms = 3000\nrepeat = \"safe\"\n");
     f.append("[pool.roster]\ncold = { for_ms = " + WARM_MS + ", start_capacity = " + COLD + " }\n");
-    for (HttpStandIn h : hosts) {
+    for (FakeUpstream h : hosts) {
       InetSocketAddress at = relay(h.address(), p -> link(name, h.name())).address();
       f.append("[[pool.roster.member]]\nid = \"")
           .append(h.name())
@@ -595,7 +596,7 @@
         boolean forth = random.nextBoolean();
         boolean back = !forth || random.nextBoolean();
         counted(forth && back ? "cut" : "one_way");
-        List<Relay.Link> cut = new ArrayList<>();
+        List<FaultyLink.Link> cut = new ArrayList<>();
         for (String other : keepers.keySet()) {
           if (!other.equals(k)) {
             link(k, other).cut(forth, back);
@@ -603,7 +604,7 @@
             cut.addAll(List.of(link(k, other), link(other, k)));
           }
         }
-        later(length, () -> cut.forEach(Relay.Link::heal));
+        later(length, () -> cut.forEach(FaultyLink.Link::heal));
       }
       case 1 -> {
         boolean forth = random.nextBoolean();
@@ -620,12 +621,12 @@
       case 3 -> {
         counted("cut");
         link(p, k).cutMiddle();
-        HttpStandIn h = hosts.get(random.nextInt(hosts.size()));
+        FakeUpstream h = hosts.get(random.nextInt(hosts.size()));
         link(p, h.name()).cutMiddle();
       }
       case 4 -> {
         counted("cut");
-        HttpStandIn h = hosts.get(random.nextInt(hosts.size()));
+        FakeUpstream h = hosts.get(random.nextInt(hosts.size()));
         link(p, h.name()).refuse(true);
         later(length, () -> link(p, h.name()).heal());
       }
@@ -726,10 +727,10 @@
     long until = from + START_MS * 1_000_000L;
     // A probe that began before the fault ended tells nothing.
     sleep(200);
-    while (judge.seen(proxy) == Judge.Seen.NOTHING && System.nanoTime() - until < 0) {
+    while (judge.seen(proxy) == HistoryChecker.Seen.NOTHING && System.nanoTime() - until < 0) {
       sleep(10);
     }
-    boolean there = judge.seen(proxy) != Judge.Seen.NOTHING;
+    boolean there = judge.seen(proxy) != HistoryChecker.Seen.NOTHING;
     sleep(300); // the answers of requests that it held meanwhile
     return there;
   }
@@ -1050,7 +1051,7 @@
     int twice = 0;
     int turnedAway = 0;
     Set<Long> actions = new java.util.HashSet<>();
-    for (Supervisor.Deed d : supervisor.deeds()) {
+    for (ProcessSupervisor.Deed d : supervisor.deeds()) {
       if (!d.verb().equals("command")) {
         continue;
       }
@@ -1065,7 +1066,7 @@
       }
     }
     hosts.stream()
-        .filter(HttpStandIn::fallen)
+        .filter(FakeUpstream::fallen)
         .forEach(h -> judge.breaks(h.name() + " was pushed over while it was cold"));
     ObjectNode r = o.putObject("releases");
     for (String k : List.of("begun", "done", "returned", "halted", "back")) {
@@ -1154,7 +1155,7 @@
       t.join(4L * START_MS);
     }
     releasing.join(8L * START_MS);
-    links.values().forEach(Relay.Link::heal);
+    links.values().forEach(FaultyLink.Link::heal);
     scripted.forEach((who, permit) -> undo("end-" + permit, permit, who.split(" "), random));
     long healed = System.nanoTime();
     undecided.forEach(
@@ -1206,7 +1207,7 @@
         }
         String p =
             fronts.keySet().stream()
-                .filter(n -> judge.seen(n) == Judge.Seen.SERVES)
+                .filter(n -> judge.seen(n) == HistoryChecker.Seen.SERVES)
                 .findFirst()
                 .orElseThrow();
         proxies.get(p).kill();
@@ -1305,8 +1306,8 @@
     }
     proxies.values().forEach(Child::close);
     keepers.values().forEach(Child::close);
-    hosts.forEach(HttpStandIn::close);
-    for (Relay r : relays) {
+    hosts.forEach(FakeUpstream::close);
+    for (FaultyLink r : relays) {
       r.close();
     }
   }
--- a/src/main/java/corkproxy/standin/Relay.java
+++ b/src/main/java/leadferry/testbed/FaultyLink.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -22,7 +22,7 @@
  *          ==== forth ====&gt;   &lt;==== back ====
  * </pre>
  */
-public final class Relay implements AutoCloseable {
+public final class FaultyLink implements AutoCloseable {
   private static final int CHUNK = 16 * 1024;
   private static final long LOOK_MS = 5;
 
@@ -70,7 +70,7 @@
   private volatile boolean closed;
 
   /** A relay whose link is that of the source that connects from a port. */
-  public Relay(InetSocketAddress to, IntFunction<Link> links) throws IOException {
+  public FaultyLink(InetSocketAddress to, IntFunction<Link> links) throws IOException {
     this.to = to;
     this.links = links;
     this.listener = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
--- a/src/main/java/corkproxy/standin/HeadBytes.java
+++ b/src/main/java/leadferry/testbed/HeadBytes.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
--- a/src/main/java/corkproxy/standin/History.java
+++ b/src/main/java/leadferry/testbed/History.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/corkproxy/standin/Judge.java
+++ b/src/main/java/leadferry/testbed/HistoryChecker.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
  * what hosts ran, what clients were answered, and the rig's own clock and faults. It asks no
  * process of the program for its word.
  */
-final class Judge implements AutoCloseable {
+final class HistoryChecker implements AutoCloseable {
   private static final int PROBE_MS = 100;
   private static final int PATIENCE_MS = 1_500;
 
@@ -75,7 +75,7 @@
   private int proxiesMost;
   private int hostsMost;
 
-  Judge(Map<String, InetSocketAddress> proxies, int proxiesAllowed, int hostsAllowed) {
+  HistoryChecker(Map<String, InetSocketAddress> proxies, int proxiesAllowed, int hostsAllowed) {
     this.proxies = proxies;
     this.proxiesAllowed = proxiesAllowed;
     this.hostsAllowed = hostsAllowed;
@@ -301,12 +301,12 @@
   }
 
   /** Requests that ran at hosts after they were said to be out, and those that ran twice. */
-  synchronized long[] hosts(Ledger ledger, Set<String> unsafe) {
+  synchronized long[] hosts(ExecutionLog ledger, Set<String> unsafe) {
     hostsOut.forEach((h, from) -> hostTimes.add(new Object[] {h, from, Long.MAX_VALUE}));
     long[] n = new long[2];
     ledger.visit(
         (id, runs) -> {
-          for (Ledger.Execution e : runs) {
+          for (ExecutionLog.Execution e : runs) {
             for (Object[] t : hostTimes) {
               if (t[0].equals(e.host()) && e.at() > (Long) t[1] && e.at() < (Long) t[2]) {
                 n[0]++;
--- a/src/main/java/corkproxy/standin/LoadGenerator.java
+++ b/src/main/java/leadferry/testbed/LoadGenerator.java
@@ -1,6 +1,5 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
-import corkproxy.engine.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -20,6 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
+import leadferry.engine.Transport;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -80,7 +80,7 @@
   private final Histogram[] served;
   private final long[][] outcomes;
   private final Template[] templates;
-  private final Transport transport = QuickStandIn.transport();
+  private final Transport transport = MinimalFakeUpstream.transport();
 
   /**
    * {@code sink} hears of every request that is over, on one of the load's threads; may be null.
@@ -331,11 +331,12 @@
               ? "Content-Length: " + k.bodyBytes() + "\r\n"
               : "";
       return new Template(
-          QuickStandIn.ascii(
+          MinimalFakeUpstream.ascii(
               k.method() + " " + k.path() + " HTTP/1.1\r\nHost: load.test\r\nX-Request-ID: "),
-          QuickStandIn.ascii("\r\n" + k.headers()),
+          MinimalFakeUpstream.ascii("\r\n" + k.headers()),
           keyed,
-          QuickStandIn.ascii((keyed ? "\r\n" : "") + length + "\r\n" + " ".repeat(k.bodyBytes())),
+          MinimalFakeUpstream.ascii(
+              (keyed ? "\r\n" : "") + length + "\r\n" + " ".repeat(k.bodyBytes())),
           k.method().equals("HEAD"));
     }
   }
@@ -348,11 +349,11 @@
     TRAILERS
   }
 
-  private static final byte[] ID = QuickStandIn.ascii("x-request-id");
-  private static final byte[] LENGTH = QuickStandIn.ascii("content-length");
-  private static final byte[] ENCODING = QuickStandIn.ascii("transfer-encoding");
-  private static final byte[] CONNECTION = QuickStandIn.ascii("connection");
-  private static final byte[] CLOSE = QuickStandIn.ascii("close");
+  private static final byte[] ID = MinimalFakeUpstream.ascii("x-request-id");
+  private static final byte[] LENGTH = MinimalFakeUpstream.ascii("content-length");
+  private static final byte[] ENCODING = MinimalFakeUpstream.ascii("transfer-encoding");
+  private static final byte[] CONNECTION = MinimalFakeUpstream.ascii("connection");
+  private static final byte[] CLOSE = MinimalFakeUpstream.ascii("close");
 
   private final class Connection extends ChannelInboundHandlerAdapter {
     private final Lane lane;
@@ -373,7 +374,7 @@
 
     void write(Request r) {
       request = r;
-      id = QuickStandIn.ascii(r.id);
+      id = MinimalFakeUpstream.ascii(r.id);
       Template t = templates[r.kind];
       ByteBuf b =
           channel.alloc().ioBuffer(t.before.length + t.after.length + t.end.length + 2 * id.length);
--- a/src/main/java/corkproxy/standin/QuickStandIn.java
+++ b/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
@@ -1,8 +1,5 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
-import corkproxy.engine.NativeTransport;
-import corkproxy.engine.NioTransport;
-import corkproxy.engine.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -16,13 +13,16 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import leadferry.engine.NativeTransport;
+import leadferry.engine.NioTransport;
+import leadferry.engine.Transport;
 
 /**
  * A host that does no work and never misbehaves, as quick as this machine's sockets let it be: one
  * write for each read, answers copied from bytes that stand ready. It is what the daemon is
- * measured against; {@link HttpStandIn} is what it is tested against.
+ * measured against; {@link FakeUpstream} is what it is tested against.
  */
-public final class QuickStandIn implements AutoCloseable {
+public final class MinimalFakeUpstream implements AutoCloseable {
   private static final byte[] ID = ascii("x-request-id");
   private static final byte[] LENGTH = ascii("content-length");
   private static final byte[] CHUNKED = ascii("transfer-encoding");
@@ -34,7 +34,7 @@
   private volatile long answered;
 
   /** Starts a host on loopback, at any port for 0, that answers {@code bodyBytes} bytes. */
-  public QuickStandIn(String name, int port, int bodyBytes) {
+  public MinimalFakeUpstream(String name, int port, int bodyBytes) {
     this.head =
         ascii(
             "HTTP/1.1 200 OK\r\ncontent-length: "
--- a/src/main/java/corkproxy/standin/Operator.java
+++ b/src/main/java/leadferry/testbed/Operator.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/corkproxy/standin/Storm.java
+++ b/src/main/java/leadferry/testbed/OverloadTest.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -41,7 +41,7 @@
  * what keeps a collapse up once its trigger has gone: the fewer are served, the more connect.
  * Everything runs on one loop; the number of connections and the time are bounded by the plan.
  */
-public final class Storm implements AutoCloseable {
+public final class OverloadTest implements AutoCloseable {
   /** What a client of the crowd does. */
   public enum Crowd {
     /** What a usual one does. */
@@ -137,7 +137,7 @@
    * {@code begin} and {@code end} are the trigger besides the crowd; they run on a thread of their
    * own.
    */
-  public Storm(Plan plan, Runnable begin, Runnable end) {
+  public OverloadTest(Plan plan, Runnable begin, Runnable end) {
     if (plan.targets().isEmpty()
         || plan.clients() < 1
         || plan.crowdSize() < 0
--- a/src/main/java/corkproxy/standin/Supervisor.java
+++ b/src/main/java/leadferry/testbed/ProcessSupervisor.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -19,7 +19,7 @@
  * one line each way over TCP. It keeps the highest fence that it has seen for each target and turns
  * lower ones away, and notes all that it was asked to do.
  */
-public final class Supervisor implements AutoCloseable {
+public final class ProcessSupervisor implements AutoCloseable {
   /** Changes targets and tells what they are. */
   public interface Site {
     /**
@@ -54,7 +54,7 @@
   private final List<Deed> deeds = new ArrayList<>();
   private volatile Hook hook = (before, deed) -> {};
 
-  public Supervisor(Site site) throws IOException {
+  public ProcessSupervisor(Site site) throws IOException {
     this.site = site;
     Thread t = new Thread(this::accept, "supervisor");
     t.setDaemon(true);
--- a/src/test/java/corkproxy/ArchitectureTest.java
+++ b/src/test/java/leadferry/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package corkproxy;
+package leadferry;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
@@ -16,22 +16,22 @@
           List.of("cli"),
           List.of("daemon", "proxy"),
           List.of("http"),
-          List.of("quorum"),
+          List.of("consensus"),
           List.of("release"),
           List.of("disruption"),
           List.of("engine"),
           List.of("routing", "limits"),
           List.of("adapter"),
-          List.of("fleet"),
-          List.of("balancer"));
+          List.of("gossip"),
+          List.of("loadbalancer"));
 
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
-          .importPackages("corkproxy");
+          .importPackages("leadferry");
 
   private static String[] packages(List<String> names) {
-    return names.stream().map(n -> "corkproxy." + n + "..").toArray(String[]::new);
+    return names.stream().map(n -> "leadferry." + n + "..").toArray(String[]::new);
   }
 
   @Test
@@ -58,10 +58,10 @@
           if (!a.equals(b)) {
             noClasses()
                 .that()
-                .resideInAPackage("corkproxy." + a + "..")
+                .resideInAPackage("leadferry." + a + "..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("corkproxy." + b + "..")
+                .resideInAPackage("leadferry." + b + "..")
                 .allowEmptyShould(true)
                 .check(CLASSES);
           }
@@ -75,11 +75,11 @@
   void onlyStartsOfServersAndOperatorsOutputReadTheWallClock() {
     noClasses()
         .that()
-        .resideOutsideOfPackage("corkproxy.cli..")
+        .resideOutsideOfPackage("leadferry.cli..")
         .and()
-        .doNotHaveFullyQualifiedName("corkproxy.engine.Dispatcher")
+        .doNotHaveFullyQualifiedName("leadferry.engine.Dispatcher")
         .and()
-        .doNotHaveFullyQualifiedName("corkproxy.daemon.Daemon")
+        .doNotHaveFullyQualifiedName("leadferry.daemon.Daemon")
         .should()
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
@@ -93,7 +93,7 @@
   void theEngineKnowsNoProtocol() {
     noClasses()
         .that()
-        .resideInAPackage("corkproxy.engine..")
+        .resideInAPackage("leadferry.engine..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("io.netty.handler.codec..", "com.fasterxml.jackson..")
@@ -105,12 +105,12 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "corkproxy.balancer..",
-            "corkproxy.routing..",
-            "corkproxy.limits..",
-            "corkproxy.fleet..",
-            "corkproxy.disruption..",
-            "corkproxy.release..")
+            "leadferry.loadbalancer..",
+            "leadferry.routing..",
+            "leadferry.limits..",
+            "leadferry.gossip..",
+            "leadferry.disruption..",
+            "leadferry.release..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
@@ -124,15 +124,19 @@
   void theLedgerKnowsNoProxyAndDoesNoInputOrOutput() {
     noClasses()
         .that()
-        .resideInAnyPackage("corkproxy.quorum..", "corkproxy.disruption..", "corkproxy.release..")
+        .resideInAnyPackage(
+            "leadferry.consensus..", "leadferry.disruption..", "leadferry.release..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "corkproxy.engine..", "corkproxy.balancer..", "corkproxy.http..", "corkproxy.fleet..")
+            "leadferry.engine..",
+            "leadferry.loadbalancer..",
+            "leadferry.http..",
+            "leadferry.gossip..")
         .check(CLASSES);
     noClasses()
         .that()
-        .haveNameMatching("corkproxy\\.quorum\\.(Ledger|Timers|Lease).*")
+        .haveNameMatching("leadferry\\.consensus\\.(FleetStateMachine|LeaseTimers|Lease).*")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
@@ -148,10 +152,10 @@
   void productionUsesNoStandIn() {
     noClasses()
         .that()
-        .resideOutsideOfPackages("corkproxy.standin..", "corkproxy.cli..")
+        .resideOutsideOfPackages("leadferry.testbed..", "leadferry.cli..")
         .should()
         .dependOnClassesThat()
-        .resideInAPackage("corkproxy.standin..")
+        .resideInAPackage("leadferry.testbed..")
         .check(CLASSES);
   }
 }
--- a/src/test/java/corkproxy/adapter/AdapterScenario.java
+++ b/src/test/java/leadferry/adapter/AdapterScenario.java
@@ -1,4 +1,4 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/test/java/corkproxy/adapter/RecordedAdapterRunTest.java
+++ b/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
@@ -1,4 +1,4 @@
-package corkproxy.adapter;
+package leadferry.adapter;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/corkproxy/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -1,14 +1,5 @@
-package corkproxy.bench;
-
-import corkproxy.balancer.Actions;
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.News;
-import corkproxy.balancer.Result;
-import corkproxy.balancer.Settings;
-import corkproxy.fleet.Suspicions;
+package leadferry.bench;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,6 +7,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import leadferry.gossip.SuspicionProtocol;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.LoadBalancerActions;
+import leadferry.loadbalancer.LoadReport;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
 
 /**
  * Many real modules before modelled hosts, in one thread and in virtual time: what each does alone,
@@ -121,9 +121,10 @@
       }
     }
 
-    private HostEntry entry() {
-      HostEntry.Condition c = gone ? HostEntry.Condition.TERMINATING : HostEntry.Condition.READY;
-      return new HostEntry(id, "a", "k", id / 6, c, 1, since);
+    private EndpointUpdate entry() {
+      EndpointUpdate.Condition c =
+          gone ? EndpointUpdate.Condition.TERMINATING : EndpointUpdate.Condition.READY;
+      return new EndpointUpdate(id, "a", "k", id / 6, c, 1, since);
     }
   }
 
@@ -156,18 +157,18 @@
         lost++;
         return;
       }
-      end(Result.OK, true, true);
+      end(AttemptOutcome.OK, true, true);
     }
 
     /** Ends the attempt; {@code keep} tells that its connection may carry another. */
-    void end(Result result, boolean served, boolean keep) {
+    void end(AttemptOutcome result, boolean served, boolean keep) {
       if (over) {
         return;
       }
       over = true;
       proxy.release(host, keep);
       LoadReport load =
-          result == Result.OK || result == Result.FULL
+          result == AttemptOutcome.OK || result == AttemptOutcome.FULL
               ? new LoadReport(
                   host.running + host.queue.size(),
                   Double.NaN,
@@ -180,27 +181,28 @@
     }
   }
 
-  private final class Proxy implements Actions, Suspicions.Actions {
-    final Balancer module;
+  private final class Proxy implements LoadBalancerActions, SuspicionProtocol.Actions {
+    final LoadBalancer module;
     final Map<Long, Integer> attempts = new HashMap<>();
     final Map<Long, Job> open = new HashMap<>();
     final Map<Long, Ask> asks = new HashMap<>();
     final Map<Host, ArrayDeque<Double>> idle = new HashMap<>();
-    final Suspicions suspicions;
+    final SuspicionProtocol suspicions;
     final int position;
     long next;
 
     Proxy(int position) {
       this.position = position;
-      module = new Balancer(settings(plan.proxies, position), plan.seed * 31 + position, this);
-      suspicions = new Suspicions(null, plan.proxies, AIM, plan.seed * 37 + position, this);
+      module = new LoadBalancer(settings(plan.proxies, position), plan.seed * 31 + position, this);
+      suspicions = new SuspicionProtocol(null, plan.proxies, AIM, plan.seed * 37 + position, this);
     }
 
     void ask(Ask a) {
       long id = next++;
       asks.put(id, a);
       a.tries++;
-      module.onRequest(now, new Arrival(id, a.type, null, TRY_PART * DEADLINE, Double.NaN, false));
+      module.onRequest(
+          now, new RequestArrival(id, a.type, null, TRY_PART * DEADLINE, Double.NaN, false));
       at(TRY_PART * DEADLINE, () -> giveUp(id));
     }
 
@@ -208,7 +210,7 @@
       if (asks.containsKey(id)) {
         Job j = open.get(id);
         if (j != null) {
-          j.end(Result.TIMEOUT, true, false);
+          j.end(AttemptOutcome.TIMEOUT, true, false);
         } else {
           module.onClientGone(now, id);
           answered(id, false);
@@ -228,14 +230,14 @@
       }
     }
 
-    void outcome(Job j, Result result, boolean over, LoadReport load) {
+    void outcome(Job j, AttemptOutcome result, boolean over, LoadReport load) {
       open.remove(j.request, j);
       if (talk && result.answered()) {
         suspicions.answered(now, j.host.id);
       }
       module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
       if (over) {
-        answered(j.request, result == Result.OK);
+        answered(j.request, result == AttemptOutcome.OK);
       }
     }
 
@@ -279,7 +281,7 @@
         if (host.connections >= plan.connections) {
           tableFull++;
           host.connections++; // for as long as it takes to be turned away
-          at(2 * TRIP, () -> j.end(Result.FULL, false, false));
+          at(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, false));
           return;
         }
         host.connections++;
@@ -288,7 +290,7 @@
       }
       if (j.type.equals(host.limits)) {
         turnedAway++;
-        at(2 * TRIP, () -> j.end(Result.FULL, false, true));
+        at(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, true));
       } else {
         at(TRIP, () -> host.take(j));
       }
@@ -309,7 +311,7 @@
     public void cancel(long request, int attempt) {
       Job j = open.get(request);
       if (j != null && j.number == attempt) {
-        at(0, () -> j.end(Result.CANCELLED, false, false));
+        at(0, () -> j.end(AttemptOutcome.CANCELLED, false, false));
       }
     }
 
@@ -408,13 +410,13 @@
     for (int i = 0; i < plan.hosts; i++) {
       add(0);
     }
-    List<HostEntry> entries = hosts.stream().map(Host::entry).toList();
+    List<EndpointUpdate> entries = hosts.stream().map(Host::entry).toList();
     for (int i = 0; i < plan.proxies; i++) {
       Proxy p = new Proxy(i);
       proxies.add(p);
       p.module.onStart(now);
-      p.module.onMembership(now, News.CACHED, entries);
-      p.suspicions.members(News.CACHED, entries);
+      p.module.onMembership(now, EndpointListEvent.CACHED, entries);
+      p.suspicions.members(EndpointListEvent.CACHED, entries);
     }
     arrive();
   }
@@ -498,13 +500,13 @@
     Host h = add(now);
     old.gone = true;
     hosts.remove(old);
-    List<HostEntry> news = List.of(old.entry(), h.entry());
+    List<EndpointUpdate> news = List.of(old.entry(), h.entry());
     for (Proxy p : proxies) {
       at(
           late * random.nextDouble(),
           () -> {
-            p.suspicions.members(News.DELTA, news);
-            p.module.onMembership(now, News.DELTA, news);
+            p.suspicions.members(EndpointListEvent.DELTA, news);
+            p.module.onMembership(now, EndpointListEvent.DELTA, news);
           });
     }
   }
--- a/src/test/java/corkproxy/bench/FleetTest.java
+++ b/src/test/java/leadferry/bench/FleetTest.java
@@ -1,10 +1,10 @@
-package corkproxy.bench;
+package leadferry.bench;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.bench.FleetModel.Plan;
 import java.util.List;
 import java.util.stream.IntStream;
+import leadferry.bench.FleetModel.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/corkproxy/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -1,12 +1,12 @@
-package corkproxy.bench;
+package leadferry.bench;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.News;
-import corkproxy.balancer.Result;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.RequestArrival;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -35,22 +35,22 @@
   private static final int HOSTS = 30;
   private static final int BATCH = 8;
 
-  private static Balancer balancer() {
-    Balancer b = new Balancer(PickBenchmark.settings(), 1, new PickBenchmark.Nothing());
+  private static LoadBalancer balancer() {
+    LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.Nothing());
     b.onStart(1e6);
-    b.onMembership(1e6, News.FULL, PickBenchmark.entries(HOSTS));
+    b.onMembership(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
     return b;
   }
 
-  private static void decide(Balancer b, long id, double now) {
-    b.onRequest(now, new Arrival(id, "c", null, 800, Double.NaN, false));
-    b.onOutcome(now, id, 0, Result.OK, 8, true, null);
+  private static void decide(LoadBalancer b, long id, double now) {
+    b.onRequest(now, new RequestArrival(id, "c", null, 800, Double.NaN, false));
+    b.onOutcome(now, id, 0, AttemptOutcome.OK, 8, true, null);
   }
 
   /** A module a thread. */
   @State(Scope.Thread)
   public static class Own {
-    final Balancer balancer = balancer();
+    final LoadBalancer balancer = balancer();
     long id;
     double now = 1e6;
   }
@@ -67,7 +67,7 @@
       decider =
           new Thread(
               () -> {
-                Balancer b = balancer();
+                LoadBalancer b = balancer();
                 long id = 0;
                 double now = 1e6;
                 while (!over) {
--- a/src/test/java/corkproxy/bench/IdleClients.java
+++ b/src/test/java/leadferry/bench/IdleClients.java
@@ -1,12 +1,12 @@
-package corkproxy.bench;
+package leadferry.bench;
 
-import corkproxy.engine.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import leadferry.engine.Addresses;
 
 /**
  * Opens so many connections, asks once on each, keeps them for some seconds and tells how many
--- a/src/test/java/corkproxy/bench/KeeperHunt.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -1,9 +1,6 @@
-package corkproxy.bench;
+package leadferry.bench;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import corkproxy.quorum.Json;
-import corkproxy.standin.FaultRun;
-import corkproxy.standin.Operator;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -13,21 +10,24 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
+import leadferry.consensus.Json;
+import leadferry.testbed.FaultTest;
+import leadferry.testbed.Operator;
 
 /**
  * Crashes the leader and the one follower that was with it, while the other is behind, and looks
  * for an answered call that the ledger does not know: {@code java -cp "$(bench/classpath)"
- * corkproxy.bench.KeeperHunt SECONDS SEED}.
+ * leadferry.bench.LostGrantSearch SECONDS SEED}.
  */
-public final class KeeperHunt {
-  private KeeperHunt() {}
+public final class LostGrantSearch {
+  private LostGrantSearch() {}
 
   public static void main(String[] args) throws Exception {
     int seconds = Integer.parseInt(args[0]);
     Random random = new Random(Long.parseLong(args[1]));
     Path folder = Files.createTempDirectory("hunt");
-    try (FaultRun rig =
-        new FaultRun(new FaultRun.Plan(3, 1, 2, 60, 1, FaultRun.Sabotage.NONE, 1), folder)) {
+    try (FaultTest rig =
+        new FaultTest(new FaultTest.Plan(3, 1, 2, 60, 1, FaultTest.Sabotage.NONE, 1), folder)) {
       rig.start();
       ConcurrentLinkedQueue<String> answered = new ConcurrentLinkedQueue<>();
       AtomicBoolean over = new AtomicBoolean();
--- a/src/test/java/corkproxy/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -1,15 +1,15 @@
-package corkproxy.bench;
+package leadferry.bench;
 
-import corkproxy.balancer.Actions;
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.News;
-import corkproxy.balancer.Result;
-import corkproxy.balancer.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.LoadBalancerActions;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -35,7 +35,7 @@
   @Param({"30", "3000"})
   public int hosts;
 
-  private Balancer balancer;
+  private LoadBalancer balancer;
   private double now = 1e6;
   private long id;
 
@@ -55,16 +55,16 @@
         false);
   }
 
-  static List<HostEntry> entries(int n) {
-    List<HostEntry> out = new ArrayList<>();
+  static List<EndpointUpdate> entries(int n) {
+    List<EndpointUpdate> out = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      out.add(new HostEntry(i + 1, "z", "k", i / 8, HostEntry.Condition.READY, 1, 0));
+      out.add(new EndpointUpdate(i + 1, "z", "k", i / 8, EndpointUpdate.Condition.READY, 1, 0));
     }
     return out;
   }
 
   /** Does nothing: what is measured is the decision. */
-  static class Nothing implements Actions {
+  static class Nothing implements LoadBalancerActions {
     @Override
     public void send(long request, long host, double apart) {}
 
@@ -89,18 +89,18 @@
 
   @Setup
   public void build() {
-    balancer = new Balancer(settings(), 1, new Nothing());
+    balancer = new LoadBalancer(settings(), 1, new Nothing());
     balancer.onStart(now);
-    balancer.onMembership(now, News.FULL, entries(hosts));
+    balancer.onMembership(now, EndpointListEvent.FULL, entries(hosts));
     for (int i = 0; i < OPEN; i++) {
-      balancer.onRequest(now, new Arrival(id++, "c", null, 800, Double.NaN, false));
+      balancer.onRequest(now, new RequestArrival(id++, "c", null, 800, Double.NaN, false));
     }
   }
 
   @Benchmark
   public void requestAndOutcome() {
     now += 0.5;
-    balancer.onOutcome(now, id - OPEN, 0, Result.OK, 8, true, null);
-    balancer.onRequest(now, new Arrival(id++, "c", null, 800, Double.NaN, false));
+    balancer.onOutcome(now, id - OPEN, 0, AttemptOutcome.OK, 8, true, null);
+    balancer.onRequest(now, new RequestArrival(id++, "c", null, 800, Double.NaN, false));
   }
 }
--- a/src/test/java/corkproxy/bench/KeeperBench.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -1,14 +1,7 @@
-package corkproxy.bench;
+package leadferry.bench;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.proxy.World;
-import corkproxy.quorum.Json;
-import corkproxy.quorum.KeeperClient;
-import corkproxy.standin.Child;
-import corkproxy.standin.FaultRun;
-import corkproxy.standin.LoadGenerator;
-import corkproxy.standin.Operator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -22,27 +15,34 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.ToDoubleFunction;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.proxy.ProxyFixture;
+import leadferry.testbed.Child;
+import leadferry.testbed.FaultTest;
+import leadferry.testbed.LoadGenerator;
+import leadferry.testbed.Operator;
 
 /**
  * What keepers cost and how soon they are whole again, on one machine: {@code bench/keepers}.
  * Prints a line a figure; each is a count or a time of this run, with its baseline beside it where
  * it has one.
  */
-public final class KeeperBench {
+public final class ReplicaBenchmark {
   /** Of each kind of daemon: loads, requests a second, and seconds. */
   private static final int ROUNDS = 7;
 
   private static final int RATE = 600;
   private static final int ROUND_SECONDS = 4;
 
-  private KeeperBench() {}
+  private ReplicaBenchmark() {}
 
   public static void main(String[] args) throws Exception {
     boolean deathsAlone = args.length > 0 && args[0].equals("deaths");
     int members = args.length > 0 && !deathsAlone ? Integer.parseInt(args[0]) : 2_000;
     Path folder = Files.createTempDirectory("keepers");
-    try (FaultRun rig =
-        new FaultRun(new FaultRun.Plan(3, 2, 12, 60, 1, FaultRun.Sabotage.NONE, 1), folder)) {
+    try (FaultTest rig =
+        new FaultTest(new FaultTest.Plan(3, 2, 12, 60, 1, FaultTest.Sabotage.NONE, 1), folder)) {
       rig.start();
       if (deathsAlone) {
         deaths(rig, 15);
@@ -76,8 +76,8 @@
    * What membership costs a daemon: the same file with [fleet] and without, in turn, at the same
    * open-loop rate.
    */
-  private static void membership(FaultRun rig, Path folder) throws Exception {
-    int port = World.freePort();
+  private static void membership(FaultTest rig, Path folder) throws Exception {
+    int port = ProxyFixture.freePort();
     String member = Files.readString(folder.resolve("p1.toml"));
     String alone =
         member
@@ -154,14 +154,14 @@
     }
   }
 
-  private static long applied(FaultRun rig) throws Exception {
+  private static long applied(FaultTest rig) throws Exception {
     return rig.operatorAt(rig.leader())
         .ask(Json.object().put("op", "health"), 0, 2_000)
         .path("applied")
         .asLong();
   }
 
-  private static void rest(FaultRun rig, int seconds) throws Exception {
+  private static void rest(FaultTest rig, int seconds) throws Exception {
     long before = applied(rig);
     Thread.sleep(seconds * 1_000L);
     System.out.printf(
@@ -169,7 +169,7 @@
   }
 
   /** Pairs of a drain and its undo, by so many operators at once. */
-  private static void grants(FaultRun rig, int calls, int operators) throws InterruptedException {
+  private static void grants(FaultTest rig, int calls, int operators) throws InterruptedException {
     AtomicLong done = new AtomicLong();
     CountDownLatch over = new CountDownLatch(operators);
     long start = System.nanoTime();
@@ -211,7 +211,7 @@
   }
 
   /** So many real sessions, joined at once and kept for a while. */
-  private static void herd(FaultRun rig, int members) throws Exception {
+  private static void herd(FaultTest rig, int members) throws Exception {
     int threads = 32;
     Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
     int k = 0;
@@ -229,11 +229,11 @@
       int first = t;
       new Thread(
               () -> {
-                List<KeeperClient> clients = new ArrayList<>();
+                List<ReplicaClient> clients = new ArrayList<>();
                 List<Long> sessions = new ArrayList<>();
                 try {
                   for (int m = first; m < members; m += threads) {
-                    KeeperClient c = new KeeperClient(rig.fleet(), keepers, x -> {});
+                    ReplicaClient c = new ReplicaClient(rig.fleet(), keepers, x -> {});
                     ObjectNode e =
                         Json.object()
                             .put("op", "join")
@@ -264,10 +264,10 @@
                       (o.path("status").asText().equals("done") ? renewed : lost).incrementAndGet();
                     }
                   }
-                } catch (KeeperClient.UnreachableException e) {
+                } catch (ReplicaClient.UnreachableException e) {
                   lost.incrementAndGet();
                 } finally {
-                  clients.forEach(KeeperClient::close);
+                  clients.forEach(ReplicaClient::close);
                   over.countDown();
                 }
               })
@@ -282,7 +282,7 @@
   /**
    * From the kill of the leader to the next grant, beside the time of a grant where nobody dies.
    */
-  private static void deaths(FaultRun rig, int times) throws Exception {
+  private static void deaths(FaultTest rig, int times) throws Exception {
     List<Long> usual = new ArrayList<>();
     List<Long> dead = new ArrayList<>();
     for (int i = 0; i < times; i++) {
@@ -307,7 +307,7 @@
   /**
    * How long (ms) until a drain is granted, asked for again while it is refused; it is given back.
    */
-  private static long granted(FaultRun rig, String id, int first) {
+  private static long granted(FaultTest rig, String id, int first) {
     long start = System.nanoTime();
     for (int n = 0; System.nanoTime() - start < 30_000_000_000L; n++) {
       JsonNode o =
--- a/src/test/java/corkproxy/bench/RouteBenchmark.java
+++ b/src/test/java/leadferry/bench/RouteBenchmark.java
@@ -1,14 +1,14 @@
-package corkproxy.bench;
+package leadferry.bench;
 
-import corkproxy.routing.RouteTable;
-import corkproxy.routing.Rule;
-import corkproxy.routing.Subject;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
+import leadferry.routing.RequestAttributes;
+import leadferry.routing.RouteRule;
+import leadferry.routing.RouteTable;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -41,7 +41,7 @@
   private final Map<String, Integer> map = new java.util.HashMap<>();
   private int at;
 
-  private record Request(String host, String path) implements Subject {
+  private record Request(String host, String path) implements RequestAttributes {
     @Override
     public String method() {
       return "GET";
@@ -73,11 +73,11 @@
 
   @Setup
   public void build() {
-    List<Rule<Integer>> rules = new ArrayList<>();
+    List<RouteRule<Integer>> rules = new ArrayList<>();
     for (int i = 0; i < routes; i++) {
-      Rule.Kind kind = i % 2 == 0 ? Rule.Kind.EXACT : Rule.Kind.PREFIX;
+      RouteRule.Kind kind = i % 2 == 0 ? RouteRule.Kind.EXACT : RouteRule.Kind.PREFIX;
       rules.add(
-          new Rule<>(
+          new RouteRule<>(
               "r" + i,
               List.of("api.test"),
               kind,
--- a/src/test/java/corkproxy/bench/Streams.java
+++ b/src/test/java/leadferry/bench/Streams.java
@@ -1,4 +1,4 @@
-package corkproxy.bench;
+package leadferry.bench;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/src/test/java/corkproxy/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -1,14 +1,14 @@
-package corkproxy.bench;
+package leadferry.bench;
 
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.Balancer;
-import corkproxy.balancer.News;
-import corkproxy.balancer.Result;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.RequestArrival;
 
 /**
  * What it costs the spread over hosts and the connections to them that workers count for
@@ -48,11 +48,11 @@
     long[] refused = {0};
     int[] worst = {0};
     java.util.Map<Long, Double> startedAt = new java.util.HashMap<>();
-    Balancer[] modules = new Balancer[workers];
+    LoadBalancer[] modules = new LoadBalancer[workers];
     for (int w = 0; w < workers; w++) {
       int worker = w;
       modules[w] =
-          new Balancer(
+          new LoadBalancer(
               PickBenchmark.settings().at(0),
               w + 1,
               new PickBenchmark.Nothing() {
@@ -76,7 +76,7 @@
                 }
               });
       modules[w].onStart(now[0]);
-      modules[w].onMembership(now[0], News.FULL, PickBenchmark.entries(HOSTS));
+      modules[w].onMembership(now[0], EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
     }
     double rate = load * HOSTS * CORES / SERVICE;
     double[] times = new double[REQUESTS];
@@ -95,12 +95,12 @@
         open[e.worker()][e.host()]--;
         double spent = now[0] - startedAt.remove(e.id());
         times[done++] = spent;
-        modules[e.worker()].onOutcome(now[0], e.id(), 0, Result.OK, spent, true, null);
+        modules[e.worker()].onOutcome(now[0], e.id(), 0, AttemptOutcome.OK, spent, true, null);
       } else {
         now[0] = next;
         startedAt.put(id, next);
         modules[random.nextInt(workers)].onRequest(
-            next, new Arrival(id, "c", null, 800, Double.NaN, false));
+            next, new RequestArrival(id, "c", null, 800, Double.NaN, false));
         id++;
         next += -Math.log(1 - random.nextDouble()) / rate;
       }
