--- a/src/test/java/corkproxy/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -1,11 +1,9 @@
-package corkproxy.cli;
+package leadferry.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.Ledger;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -15,6 +13,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import leadferry.testbed.ExecutionLog;
+import leadferry.testbed.FakeUpstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +32,7 @@
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(vm);
-    command.addAll(List.of("-cp", CLASS_PATH, "corkproxy.Main"));
+    command.addAll(List.of("-cp", CLASS_PATH, "leadferry.Main"));
     command.addAll(List.of(args));
     return new ProcessBuilder(command);
   }
@@ -160,7 +160,8 @@
 
   @Test
   void loadTellsWhatCameBack() throws Exception {
-    try (HttpStandIn host = new HttpStandIn(HttpStandIn.Options.quick("h"), new Ledger(10_000))) {
+    try (FakeUpstream host =
+        new FakeUpstream(FakeUpstream.Options.quick("h"), new ExecutionLog(10_000))) {
       Run r = run("load", host.place(), "--rate", "500", "--seconds", "2", "--json");
       assertThat(r.status()).as(r.err()).isZero();
       JsonNode json = new ObjectMapper().readTree(r.out());
@@ -284,7 +285,7 @@
       // It has listened once its front has been set up, after the rehearsal.
       long until = System.nanoTime() + 60_000_000_000L;
       while (System.nanoTime() < until && !Files.exists(classes)
-          || !Files.readString(classes).contains("corkproxy.http.ClientConnection")) {
+          || !Files.readString(classes).contains("leadferry.http.ClientConnection")) {
         Thread.sleep(50);
       }
       signal(p, "TERM");
@@ -293,21 +294,21 @@
       p.destroyForcibly();
     }
     List<String> loaded = Files.readAllLines(classes);
-    assertThat(loaded).anyMatch(l -> l.contains("corkproxy.proxy.Proxy"));
+    assertThat(loaded).anyMatch(l -> l.contains("leadferry.proxy.Proxy"));
     assertThat(loaded)
         .noneMatch(
             l ->
-                l.contains("corkproxy.daemon.")
-                    || l.contains("corkproxy.cli.")
-                    || l.contains("corkproxy.routing.")
-                    || l.contains("corkproxy.limits.")
-                    || l.contains("corkproxy.standin.")
-                    || l.contains("corkproxy.quorum.")
-                    || l.contains("corkproxy.disruption.")
+                l.contains("leadferry.daemon.")
+                    || l.contains("leadferry.cli.")
+                    || l.contains("leadferry.routing.")
+                    || l.contains("leadferry.limits.")
+                    || l.contains("leadferry.testbed.")
+                    || l.contains("leadferry.consensus.")
+                    || l.contains("leadferry.disruption.")
                     || l.contains("org.apache.ratis.")
                     || l.contains("netty.channel.epoll.")
                     || l.contains("netty.channel.uring.")
-                    || l.contains("corkproxy.engine.NativeTransport")
+                    || l.contains("leadferry.engine.NativeTransport")
                     || l.contains("org.slf4j.")
                     || l.contains("ch.qos.logback.")
                     || l.contains("picocli.")
--- a/src/test/java/corkproxy/quorum/DrainWalkTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -1,12 +1,9 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.MemberView;
-import corkproxy.quorum.Walk.Step;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -20,6 +17,9 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
+import leadferry.consensus.StateSpaceExplorer.Step;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.ProxyMemberView;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -27,7 +27,7 @@
  * restarts, to a stated depth, in one thread: who really serves is kept beside the ledger and
  * compared with what it allows.
  */
-class DrainWalkTest {
+class DrainStateSpaceTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
   private static final int ALLOWED = 1;
   private static final int DEPTH = Integer.getInteger("walk.depth", 6);
@@ -40,11 +40,11 @@
     boolean runs = true;
     long session;
     long number;
-    final MemberView view;
+    final ProxyMemberView view;
     boolean serves = true;
 
     Process(String name) {
-      view = new MemberView(name);
+      view = new ProxyMemberView(name);
     }
 
     final ArrayDeque<JsonNode> news = new ArrayDeque<>();
@@ -52,10 +52,10 @@
   }
 
   /** One state of the whole, made anew by its steps. */
-  private final class World implements Walk.World {
+  private final class World implements StateSpaceExplorer.World {
     private final Predicate<World> promise;
 
-    final Ledger ledger = new Ledger(new Disruption.Times(10, 10, 10));
+    final FleetStateMachine ledger = new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
     final Map<String, Process> processes = new HashMap<>();
     final Set<String> permits = new TreeSet<>();
     int crashes;
@@ -158,14 +158,17 @@
                   () -> {
                     crashes++; // stopped, say: what was on its way to it stays there
                     apply(
-                        Ledger.ranOut(
-                            Ledger.timer(
+                        FleetStateMachine.ranOut(
+                            FleetStateMachine.timer(
                                 n, p.session))); // its lease is over before this is said: see
                     // LeaseTest
                   }));
         }
         if (!p.runs && lives) {
-          out.add(new Step("expire " + n, () -> apply(Ledger.ranOut(Ledger.timer(n, p.session)))));
+          out.add(
+              new Step(
+                  "expire " + n,
+                  () -> apply(FleetStateMachine.ranOut(FleetStateMachine.timer(n, p.session)))));
         }
         if (!lives) {
           out.add(
@@ -201,7 +204,7 @@
       }
       for (String t : ledger.timers().keySet()) {
         if (!t.startsWith("session:")) {
-          out.add(new Step("time " + t, () -> apply(Ledger.ranOut(t))));
+          out.add(new Step("time " + t, () -> apply(FleetStateMachine.ranOut(t))));
         }
       }
       return out;
@@ -277,7 +280,8 @@
 
   @Test
   void neverMoreProxiesAreOutByDecisionThanAllowed() {
-    Walk walk = new Walk(() -> new World(w -> w.out().size() <= ALLOWED));
+    StateSpaceExplorer walk =
+        new StateSpaceExplorer(() -> new World(w -> w.out().size() <= ALLOWED));
     assertThat(walk.all(DEPTH)).isEmpty();
     System.out.println("drains walked: " + walk.states() + " states to a depth of " + DEPTH);
     assertThat(walk.states()).isGreaterThan(1_000);
@@ -285,7 +289,8 @@
 
   @Test
   void walksAtRandomFarBeyondThatDepthKeepThePromise() {
-    Walk walk = new Walk(() -> new World(w -> w.out().size() <= ALLOWED));
+    StateSpaceExplorer walk =
+        new StateSpaceExplorer(() -> new World(w -> w.out().size() <= ALLOWED));
     for (long seed = 1; seed <= Integer.getInteger("walk.seeds", 300); seed++) {
       assertThat(walk.random(seed, 60)).as("seed " + seed).isEmpty();
     }
@@ -293,7 +298,7 @@
 
   @Test
   void whatARandomWalkFindsIsCutDownToWhatMatters() {
-    assertThat(new Walk(() -> new World(w -> !w.out().contains("a"))).random(1, 60))
+    assertThat(new StateSpaceExplorer(() -> new World(w -> !w.out().contains("a"))).random(1, 60))
         .hasSize(3)
         .contains("drain a", "news a", "=> out: [a]");
   }
--- a/src/test/java/corkproxy/quorum/LedgerTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -6,16 +6,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
-import corkproxy.disruption.Subject;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
 import org.junit.jupiter.api.Test;
 
-class LedgerTest {
-  private final Ledger ledger = new Ledger(new Disruption.Times(500, 500, 100));
+class FleetStateMachineTest {
+  private final FleetStateMachine ledger =
+      new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
   private long number;
 
   private JsonNode apply(ObjectNode e) {
@@ -36,9 +37,9 @@
             .put("digest", "d");
     ArrayNode hosts = e.putArray("hosts");
     for (int i = 1; i <= 6; i++) {
-      Disruption.write(
-          new Subject(
-              Kind.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
+      DisruptionState.write(
+          new Target(
+              TargetType.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
           hosts.addObject());
     }
     return apply(e).path("session").asLong();
@@ -81,7 +82,7 @@
   private void timeout(String prefix) {
     for (String t : List.copyOf(ledger.timers().keySet())) {
       if (t.startsWith(prefix)) {
-        apply(Ledger.ranOut(t));
+        apply(FleetStateMachine.ranOut(t));
       }
     }
   }
@@ -216,7 +217,7 @@
   @Test
   void aLaterSchemaIsNeverGuessedAt() {
     assertThatThrownBy(() -> apply(op("halt").put("schema", 2)))
-        .isInstanceOf(Ledger.LaterSchemaException.class);
+        .isInstanceOf(FleetStateMachine.LaterSchemaException.class);
     ObjectNode later = Json.read(ledger.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> ledger.restore(Json.bytes(later))).hasMessageContaining("later build");
   }
@@ -229,15 +230,15 @@
   void aSnapshotRestoredAnywhereLeadsToTheSameState() {
     for (int seed = 0; seed < 40; seed++) {
       Random r = new Random(seed);
-      Ledger one = new Ledger(new Disruption.Times(500, 500, 100));
+      FleetStateMachine one = new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
       List<byte[]> entries = new ArrayList<>();
       for (int i = 0; i < 120; i++) {
         entries.add(random(r, one));
         one.apply(entries.get(i));
       }
       int cut = r.nextInt(entries.size());
-      Ledger two = new Ledger(new Disruption.Times(1, 1, 1));
-      Ledger before = new Ledger(new Disruption.Times(500, 500, 100));
+      FleetStateMachine two = new FleetStateMachine(new DisruptionState.Times(1, 1, 1));
+      FleetStateMachine before = new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
       entries.subList(0, cut).forEach(before::apply);
       two.restore(before.snapshot());
       entries.subList(cut, entries.size()).forEach(two::apply);
@@ -247,7 +248,7 @@
     }
   }
 
-  private static byte[] random(Random r, Ledger now) {
+  private static byte[] random(Random r, FleetStateMachine now) {
     String name = "" + (char) ('a' + r.nextInt(3));
     List<String> timers = List.copyOf(now.timers().keySet());
     ObjectNode e =
@@ -273,7 +274,9 @@
                   .put("call", "c" + r.nextInt(50));
           case 4 -> op("undo").put("permit", "" + r.nextInt(5));
           case 5 ->
-              timers.isEmpty() ? op("resume") : Ledger.ranOut(timers.get(r.nextInt(timers.size())));
+              timers.isEmpty()
+                  ? op("resume")
+                  : FleetStateMachine.ranOut(timers.get(r.nextInt(timers.size())));
           default -> op(r.nextInt(4) == 0 ? "halt" : "resume");
         };
     return Json.bytes(e);
--- a/src/test/java/corkproxy/quorum/LeaseTest.java
+++ b/src/test/java/leadferry/consensus/LeaseTest.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
     Random random = new Random(5);
     for (int run = 0; run < 2_000; run++) {
       double speed = 0.91 + 0.18 * random.nextDouble(); // the keeper's clock against the member's
-      Timers keeper = new Timers();
+      LeaseTimers keeper = new LeaseTimers();
       Lease lease = new Lease(1_000);
       keeper.begin(0);
       keeper.due(ONE, 0);
@@ -57,7 +57,7 @@
 
   @Test
   void aLeaderThatStoodStillBelievesNobodyDead() {
-    Timers t = new Timers();
+    LeaseTimers t = new LeaseTimers();
     t.begin(0);
     t.due(ONE, 0);
     for (long ms = 50; ms <= 900; ms += 50) {
@@ -72,7 +72,7 @@
 
   @Test
   void aNewLeaderWaitsAWholeLease() {
-    Timers t = new Timers();
+    LeaseTimers t = new LeaseTimers();
     t.begin(0);
     t.due(ONE, 0);
     t.due(ONE, 300 * MS);
@@ -86,7 +86,7 @@
 
   @Test
   void whatWasToldToTheLogIsNotRenewed() {
-    Timers t = new Timers();
+    LeaseTimers t = new LeaseTimers();
     t.begin(0);
     for (long ms = 0; ms < 1_000; ms += 100) {
       t.due(ONE, ms * MS);
--- a/src/test/java/corkproxy/quorum/LogMachineTest.java
+++ b/src/test/java/leadferry/consensus/RatisStateMachineTest.java
@@ -1,13 +1,13 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.disruption.Disruption;
 import java.util.concurrent.atomic.AtomicInteger;
+import leadferry.disruption.DisruptionState;
 import org.apache.ratis.util.LifeCycle;
 import org.junit.jupiter.api.Test;
 
-class LogMachineTest {
+class RatisStateMachineTest {
   /**
    * The library pauses a keeper before it installs another's snapshot, and gives it up if it is not
    * paused then.
@@ -15,9 +15,11 @@
   @Test
   void aKeeperIsPausedForASnapshotAndRunsAfterIt() throws Exception {
     AtomicInteger changes = new AtomicInteger();
-    LogMachine m =
-        new LogMachine(
-            new Ledger(new Disruption.Times(1, 1, 1)), changes::incrementAndGet, t -> {});
+    RatisStateMachine m =
+        new RatisStateMachine(
+            new FleetStateMachine(new DisruptionState.Times(1, 1, 1)),
+            changes::incrementAndGet,
+            t -> {});
     m.getLifeCycle().transition(LifeCycle.State.STARTING);
     m.getLifeCycle().transition(LifeCycle.State.RUNNING);
     m.pause();
--- a/src/test/java/corkproxy/quorum/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -1,11 +1,10 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -13,6 +12,7 @@
 import java.util.Base64;
 import java.util.TreeMap;
 import java.util.zip.GZIPInputStream;
+import leadferry.disruption.DisruptionState;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -21,7 +21,7 @@
  * snapshots, byte for byte. Replicas of two builds must never differ about one log.
  */
 class RecordedEntriesTest {
-  private Ledger ledger;
+  private FleetStateMachine ledger;
 
   @ParameterizedTest
   @CsvSource({"every-operation,12", "drains,4", "releases,60"})
@@ -54,15 +54,15 @@
     if (step.has("times")) {
       JsonNode times = step.path("times");
       ledger =
-          new Ledger(
-              new Disruption.Times(
+          new FleetStateMachine(
+              new DisruptionState.Times(
                   times.path(0).asLong(), times.path(1).asLong(), times.path(2).asLong()));
     } else if (step.has("restore")) {
       ledger.restore(decoded(step.path("restore")));
     } else if (step.has("throws")) {
       assertThatThrownBy(() -> ledger.apply(decoded(step.path("entry"))))
           .as(where)
-          .isInstanceOf(Ledger.LaterSchemaException.class);
+          .isInstanceOf(FleetStateMachine.LaterSchemaException.class);
     } else if (step.has("entry")) {
       assertThat(Json.text(ledger.apply(decoded(step.path("entry")))))
           .as(where)
--- a/src/test/java/corkproxy/quorum/RecordedReplicaTest.java
+++ b/src/test/java/leadferry/consensus/RecordedReplicaTest.java
@@ -1,10 +1,9 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -17,6 +16,7 @@
 import java.util.Map;
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipInputStream;
+import leadferry.disruption.DisruptionState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -31,8 +31,8 @@
   void aFolderOfAnEarlierBuildIsRead() throws Exception {
     unzip("folder.zip");
     List<JsonNode> transcript = transcript();
-    try (Keeper replica = replica(false);
-        Wire connection = new Wire(replicaAddress, 1_000)) {
+    try (Replica replica = replica(false);
+        ReplicaConnection connection = new ReplicaConnection(replicaAddress, 1_000)) {
       assertThat(replica).isNotNull();
       // The last questions of the recording only read: their answers are the state in the folder.
       for (JsonNode exchange : transcript.subList(transcript.size() - 6, transcript.size())) {
@@ -43,8 +43,8 @@
 
   @Test
   void everyRequestGetsTheAnswerOfTheEarlierBuild() throws Exception {
-    try (Keeper replica = replica(true);
-        Wire connection = new Wire(replicaAddress, 1_000)) {
+    try (Replica replica = replica(true);
+        ReplicaConnection connection = new ReplicaConnection(replicaAddress, 1_000)) {
       assertThat(replica).isNotNull();
       for (JsonNode exchange : transcript()) {
         assertSameAnswer(connection, exchange);
@@ -54,11 +54,11 @@
 
   private InetSocketAddress replicaAddress;
 
-  private Keeper replica(boolean fresh) throws IOException {
+  private Replica replica(boolean fresh) throws IOException {
     InetSocketAddress log = freeAddress();
     replicaAddress = freeAddress();
-    return new Keeper(
-        new KeeperConfig(
+    return new Replica(
+        new ReplicaConfig(
             "roster",
             "k1",
             log,
@@ -67,7 +67,7 @@
             Map.of("k1", log),
             100,
             12,
-            new Disruption.Times(600_000, 600_000, 1_000)),
+            new DisruptionState.Times(600_000, 600_000, 1_000)),
         fresh,
         System.err::println,
         Throwable::printStackTrace);
@@ -106,7 +106,8 @@
   }
 
   /** Asks until the replica leads, as members do. */
-  private static void assertSameAnswer(Wire connection, JsonNode exchange) throws Exception {
+  private static void assertSameAnswer(ReplicaConnection connection, JsonNode exchange)
+      throws Exception {
     ObjectNode request = (ObjectNode) exchange.path("request");
     ObjectNode answer = null;
     for (int i = 0; i < MOST_REDIRECTS; i++) {
--- a/src/test/java/corkproxy/quorum/ReleaseWalkTest.java
+++ b/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
@@ -1,13 +1,9 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.MemberView;
-import corkproxy.quorum.Walk.Step;
-import corkproxy.release.Conductor;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -15,6 +11,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import leadferry.consensus.StateSpaceExplorer.Step;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.ProxyMemberView;
+import leadferry.release.ReleaseController;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -24,7 +24,7 @@
  * stands still, commands that come late, a member lost, a halt, a way back. The real ledger,
  * members and conductors; who serves, and what was run, is kept beside them.
  */
-class ReleaseWalkTest {
+class ReleaseStateSpaceTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
   private static final String RELEASE = "r";
 
@@ -34,7 +34,7 @@
     long session;
     int incarnation;
     long number;
-    MemberView view;
+    ProxyMemberView view;
     boolean runs = true;
     long fence;
 
@@ -44,17 +44,17 @@
   }
 
   private static final class Driver {
-    Conductor conductor;
+    ReleaseController conductor;
     int lives;
     boolean stalled;
-    final List<Conductor.Next> todo = new ArrayList<>();
+    final List<ReleaseController.Next> todo = new ArrayList<>();
   }
 
   /** A command on its way: it lands whatever becomes of its driver. */
-  private record Flight(Conductor of, Conductor.Next what) {}
+  private record Flight(ReleaseController of, ReleaseController.Next what) {}
 
-  private static final class World implements Walk.World {
-    Ledger ledger = new Ledger(new Disruption.Times(10, 10, 10));
+  private static final class World implements StateSpaceExplorer.World {
+    FleetStateMachine ledger = new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
     final Map<String, Process> processes = new TreeMap<>();
     final Map<String, Driver> drivers = new TreeMap<>();
     final List<Flight> flights = new ArrayList<>();
@@ -74,7 +74,7 @@
         processes.put(p, new Process());
         join(p);
       }
-      timers().forEach(t -> apply(Ledger.ranOut(t)));
+      timers().forEach(t -> apply(FleetStateMachine.ranOut(t)));
       ObjectNode plan =
           Json.object()
               .put("name", RELEASE)
@@ -115,7 +115,7 @@
 
     private void born(String d) {
       Driver x = drivers.get(d);
-      x.conductor = new Conductor(d + ++x.lives, 1_000);
+      x.conductor = new ReleaseController(d + ++x.lives, 1_000);
       x.todo.clear();
     }
 
@@ -189,7 +189,7 @@
     void join(String name) {
       Process p = processes.get(name);
       p.runs = true;
-      p.view = new MemberView(name);
+      p.view = new ProxyMemberView(name);
       p.number = 0;
       ObjectNode e =
           Json.object()
@@ -230,10 +230,10 @@
 
     void land(Flight f) {
       flights.remove(f);
-      if (f.what() instanceof Conductor.Run r) {
+      if (f.what() instanceof ReleaseController.Run r) {
         Process p = processes.get(r.target());
         if (r.fence() < p.fence) {
-          f.of().ended(r, new Conductor.Ended(false, "fence"));
+          f.of().ended(r, new ReleaseController.Ended(false, "fence"));
           return;
         }
         p.fence = r.fence();
@@ -243,11 +243,11 @@
           broken = r + " ran twice";
         }
         restart(r.target(), r.version());
-        f.of().ended(r, new Conductor.Ended(true, ""));
-      } else if (f.what() instanceof Conductor.Look l) {
+        f.of().ended(r, new ReleaseController.Ended(true, ""));
+      } else if (f.what() instanceof ReleaseController.Look l) {
         Process p = processes.get(l.target());
         p.fence = Math.max(p.fence, l.fence());
-        f.of().seen(l, l.fence() < p.fence ? null : new Conductor.Seen(p.version));
+        f.of().seen(l, l.fence() < p.fence ? null : new ReleaseController.Seen(p.version));
       }
     }
 
@@ -257,8 +257,8 @@
     }
 
     void does(Driver d) {
-      Conductor.Next next = d.todo.remove(0);
-      if (next instanceof Conductor.Submit s) {
+      ReleaseController.Next next = d.todo.remove(0);
+      if (next instanceof ReleaseController.Submit s) {
         ObjectNode e = Json.object().put("op", s.op()).put("release", RELEASE);
         s.with().forEach((k, v) -> e.putPOJO(k, v));
         apply(Json.read(Json.bytes(e)));
@@ -316,7 +316,9 @@
                 || drivers.values().stream()
                     .noneMatch(d -> d.conductor.drives(release()) && !d.stalled);
         if (!t.startsWith("session:") && !t.startsWith("release-longest") && may) {
-          out.add(new Step("time " + t.replaceAll("[0-9]+$", ""), () -> apply(Ledger.ranOut(t))));
+          out.add(
+              new Step(
+                  "time " + t.replaceAll("[0-9]+$", ""), () -> apply(FleetStateMachine.ranOut(t))));
         }
       }
       if (restarts < 2) {
@@ -337,7 +339,7 @@
                   () -> {
                     losses++;
                     lost.add(n);
-                    apply(Ledger.ranOut(Ledger.timer(n, p.session)));
+                    apply(FleetStateMachine.ranOut(FleetStateMachine.timer(n, p.session)));
                   }));
         }
         if (behind(n)) {
@@ -367,7 +369,7 @@
         looks(d);
       }
       processes.keySet().forEach(this::news);
-      timers().forEach(t -> apply(Ledger.ranOut(t)));
+      timers().forEach(t -> apply(FleetStateMachine.ranOut(t)));
       String timer =
           ledger.timers().keySet().stream()
               .filter(t -> t.startsWith("release-driver:"))
@@ -375,7 +377,7 @@
               .orElse("");
       if (!timer.isEmpty()
           && drivers.values().stream().noneMatch(d -> d.conductor.drives(release()))) {
-        apply(Ledger.ranOut(timer));
+        apply(FleetStateMachine.ranOut(timer));
       }
     }
 
@@ -383,7 +385,7 @@
     private void restart() {
       restarts++;
       byte[] before = ledger.snapshot();
-      ledger = new Ledger(new Disruption.Times(10, 10, 10));
+      ledger = new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
       ledger.restore(before);
       seen = null;
       if (!java.util.Arrays.equals(before, ledger.snapshot())) {
@@ -445,7 +447,7 @@
     public String key() {
       ObjectNode o = Json.read(ledger.snapshot());
       o.remove(List.of("audit", "calls", "entries"));
-      StringBuilder s = new StringBuilder(DrainWalkTest.ranked(Json.text(o)));
+      StringBuilder s = new StringBuilder(DrainStateSpaceTest.ranked(Json.text(o)));
       processes.forEach(
           (n, p) ->
               s.append(n).append(p.version).append(p.runs).append(p.view.away()).append(p.fence));
@@ -473,7 +475,7 @@
   @CsvSource({"true,0", "true,2", "true,3", "false,3", "true,4", "false,4"})
   void allInterleavingsKeepThePromises(boolean checks, int begun) {
     int depth = Integer.getInteger("release.depth", 3);
-    Walk walk = new Walk(() -> new World(checks, begun));
+    StateSpaceExplorer walk = new StateSpaceExplorer(() -> new World(checks, begun));
     assertThat(walk.all(depth)).isEmpty();
     System.out.println(
         "releases walked: "
@@ -488,7 +490,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void walksAtRandomKeepThePromisesAndAllCanBeTakenBackAfterwards(boolean checks) {
-    Walk walk = new Walk(() -> new World(checks, 0));
+    StateSpaceExplorer walk = new StateSpaceExplorer(() -> new World(checks, 0));
     int[] ran = new int[1];
     for (long seed = 1; seed <= Integer.getInteger("release.seeds", 100); seed++) {
       assertThat(
--- a/src/test/java/corkproxy/quorum/Walk.java
+++ b/src/test/java/leadferry/consensus/StateSpaceExplorer.java
@@ -1,4 +1,4 @@
-package corkproxy.quorum;
+package leadferry.consensus;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,7 +11,7 @@
  * Walks all interleavings of what can happen next to a stated depth, or far beyond it at random;
  * cuts down what it finds.
  */
-final class Walk {
+final class StateSpaceExplorer {
   /** Something that can happen; its name is its own in its state. */
   record Step(String name, Runnable what) {}
 
@@ -34,7 +34,7 @@
   private final Supplier<World> start;
   private int states;
 
-  Walk(Supplier<World> start) {
+  StateSpaceExplorer(Supplier<World> start) {
     this.start = start;
   }
 
--- a/src/test/java/corkproxy/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -1,16 +1,12 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.CLASSES;
-import static corkproxy.daemon.Installation.LISTENER;
-import static corkproxy.daemon.Installation.pool;
-import static corkproxy.daemon.Installation.request;
-import static corkproxy.daemon.Installation.route;
+import static leadferry.daemon.DaemonFixture.CLASSES;
+import static leadferry.daemon.DaemonFixture.LISTENER;
+import static leadferry.daemon.DaemonFixture.pool;
+import static leadferry.daemon.DaemonFixture.request;
+import static leadferry.daemon.DaemonFixture.route;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.NativeTransport;
-import corkproxy.proxy.World;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.HttpStandIn.Fault;
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,6 +15,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import leadferry.engine.NativeTransport;
+import leadferry.proxy.ProxyFixture;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.FakeUpstream.Fault;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.BeforeEach;
@@ -34,11 +34,11 @@
   private static final String PATIENT = "[class.claim]\naim_ms = 20000\ndeadline_ms = 20000\n";
 
   @TempDir Path folder;
-  private Installation it;
+  private DaemonFixture it;
 
   @BeforeEach
   void open() {
-    it = new Installation(folder);
+    it = new DaemonFixture(folder);
   }
 
   @AfterEach
@@ -59,8 +59,8 @@
                 try (Socket s = it.client()) {
                   for (int i = 0; i < each; i++) {
                     String id = prefix + n + "-" + i;
-                    World.write(s, request("POST", "/claim", id));
-                    String answer = World.read(s.getInputStream());
+                    ProxyFixture.write(s, request("POST", "/claim", id));
+                    String answer = ProxyFixture.read(s.getInputStream());
                     if (answer != null
                         && answer.startsWith("HTTP/1.1 200")
                         && answer.contains("\r\n\r\n" + id)) {
@@ -87,7 +87,7 @@
   @ParameterizedTest
   @CsvSource({"1, 1", "4, 1", "4, 3"})
   void aCrowdBeforeASlowHostNeverHoldsMoreThanItsBound(int workers, int most) throws Exception {
-    HttpStandIn slow = it.host(HttpStandIn.Options.quick("slow").takes(2, 1));
+    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(2, 1));
     it.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
@@ -100,16 +100,16 @@
 
   @Test
   void aBoundThatIsLoweredUnderLoadHoldsAsSoonAsAnswersHaveGone() throws Exception {
-    HttpStandIn slow = it.host(HttpStandIn.Options.quick("slow").takes(5, 8));
+    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(5, 8));
     it.start(
         "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 8", slow), CLAIMS);
     Thread load = new Thread(() -> quietly(() -> crowd(32, 40, "d")));
     load.start();
-    World.await(() -> slow.connections() == 8);
+    ProxyFixture.await(() -> slow.connections() == 8);
     it.write(
         "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 2", slow), CLAIMS);
     assertThat(it.daemon.reload()).isTrue();
-    World.await(() -> slow.connections() <= 2);
+    ProxyFixture.await(() -> slow.connections() <= 2);
     for (int i = 0; load.isAlive(); i++) {
       assertThat(slow.connections()).isLessThanOrEqualTo(3); // one of them may be closing
       Thread.sleep(5);
@@ -135,18 +135,18 @@
 
   @Test
   void whereNothingMayWaitARequestGoesToAnotherHostOrIsRefusedUnsent() throws Exception {
-    HttpStandIn a = it.host("a");
-    HttpStandIn b = it.host("b");
+    FakeUpstream a = it.host("a");
+    FakeUpstream b = it.host("b");
     a.misbehave(Fault.SILENT, 1);
     b.misbehave(Fault.SILENT, 1);
     it.start(LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
     List<Socket> out = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       Socket s = it.client();
-      World.write(s, request("POST", "/claim", "in" + i));
+      ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       out.add(s);
       int n = i + 1;
-      World.await(() -> it.ledger.executions() == n);
+      ProxyFixture.await(() -> it.ledger.executions() == n);
     }
     assertThat(it.ledger.of("in0").get(0).host()).isNotEqualTo(it.ledger.of("in1").get(0).host());
     assertThat(it.status(request("POST", "/claim", "past"))).isEqualTo(503);
@@ -158,7 +158,7 @@
 
   @Test
   void whatWaitsForAConnectionWhenItsTimeIsUpIsRefusedAndNeverRan() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
     it.start(
         LISTENER,
@@ -168,13 +168,13 @@
         CLAIMS,
         route("short", "/short", "class = \"short\"\npool = \"a\""));
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "out"));
-      World.await(() -> it.ledger.executions() == 1);
+      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.await(() -> it.ledger.executions() == 1);
       assertThat(it.status(request("POST", "/short", "waits"))).isEqualTo(503);
     }
     assertThat(it.ledger.of("waits")).isEmpty();
     a.misbehave(Fault.NONE, 0);
-    World.await(() -> quietly200("after"));
+    ProxyFixture.await(() -> quietly200("after"));
   }
 
   /**
@@ -186,7 +186,7 @@
     Assumptions.assumeTrue(
         NativeTransport.EPOLL.missing() == null,
         "the JDK's sockets can't be asked without losing a byte");
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
     it.start(
         "[daemon]\nworkers = 1\ntransport = \"epoll\"",
@@ -195,11 +195,11 @@
         pool("a", "max_connections = 1", a),
         CLAIMS);
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "out"));
-      World.await(() -> it.ledger.executions() == 1);
+      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.await(() -> it.ledger.executions() == 1);
       for (boolean reset : new boolean[] {false, true}) {
         try (Socket leaver = it.client()) {
-          World.write(
+          ProxyFixture.write(
               leaver,
               request("POST", "/claim", "waits" + reset)
                   + request("POST", "/claim", "ahead" + reset));
@@ -209,7 +209,7 @@
       }
       a.misbehave(Fault.NONE, 0);
     }
-    World.await(() -> quietly200("after"));
+    ProxyFixture.await(() -> quietly200("after"));
     assertThat(it.ledger.of("waitsfalse")).isEmpty();
     assertThat(it.ledger.of("waitstrue")).isEmpty();
     assertThat(it.ledger.of("aheadfalse")).isEmpty();
@@ -225,28 +225,28 @@
 
   @Test
   void aHostThatLeavesGivesItsWaitingRequestsToAnother() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
     it.start(LISTENER, PATIENT, pool("a", "max_connections = 1", a), CLAIMS);
     try (Socket s = it.client();
         Socket waits = it.client()) {
-      World.write(s, request("POST", "/claim", "out"));
-      World.await(() -> it.ledger.executions() == 1);
-      World.write(waits, request("POST", "/claim", "waits"));
-      HttpStandIn b = it.host("b");
+      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.await(() -> it.ledger.executions() == 1);
+      ProxyFixture.write(waits, request("POST", "/claim", "waits"));
+      FakeUpstream b = it.host("b");
       it.write(LISTENER, PATIENT, pool("a", "max_connections = 1", a, b), CLAIMS);
       assertThat(it.daemon.reload()).isTrue();
       it.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
       assertThat(it.daemon.reload()).isTrue();
-      assertThat(World.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
       assertThat(it.ledger.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
     }
   }
 
   @Test
   void aConnectionIsClosedAfterItsNumberOfRequests() throws Exception {
-    try (World world = new World(folder, 128)) {
-      World.Host host = world.new Host(h -> World.ok("x"));
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host = world.new Host(h -> ProxyFixture.ok("x"));
       it.start(
           LISTENER,
           CLASSES,
@@ -264,8 +264,9 @@
   @Test
   void onlyAHostThatWasSeenToSendSurplusRests() throws Exception {
     AtomicBoolean spoils = new AtomicBoolean();
-    try (World world = new World(folder, 128)) {
-      World.Host host = world.new Host(h -> World.ok("x") + (spoils.get() ? "noise" : ""));
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host =
+          world.new Host(h -> ProxyFixture.ok("x") + (spoils.get() ? "noise" : ""));
       it.start(
           LISTENER,
           CLASSES,
@@ -286,15 +287,17 @@
 
   private static void ask(Socket s, String prefix, int times) throws Exception {
     for (int i = 0; i < times; i++) {
-      World.write(s, request("POST", "/claim", prefix + i));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("\r\n\r\nx");
+      ProxyFixture.write(s, request("POST", "/claim", prefix + i));
+      assertThat(ProxyFixture.read(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .endsWith("\r\n\r\nx");
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"auto", "nio", "epoll", "io-uring"})
   void everyTransportServesOrGivesWayToTheJdk(String transport) throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(
         "[daemon]\nworkers = 2\ntransport = \"" + transport + "\"",
         LISTENER,
@@ -309,7 +312,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"nio", "epoll", "io-uring"})
   void aRequestOnAConnectionThatIsOlderThanItsTimeHasAllOfIt(String transport) throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(
         "[daemon]\nworkers = 1\ntransport = \"" + transport + "\"",
         LISTENER,
@@ -319,8 +322,8 @@
     try (Socket s = it.client()) {
       for (int i = 0; i < 2; i++) {
         Thread.sleep(1_000);
-        World.write(s, request("POST", "/claim", "r" + i));
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        ProxyFixture.write(s, request("POST", "/claim", "r" + i));
+        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
       }
     }
   }
--- a/src/test/java/corkproxy/daemon/Installation.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -1,10 +1,5 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import corkproxy.engine.LineLog;
-import corkproxy.proxy.World;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.Ledger;
-import corkproxy.standin.LoadGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,33 +10,38 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import leadferry.engine.LineLog;
+import leadferry.proxy.ProxyFixture;
+import leadferry.testbed.ExecutionLog;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.LoadGenerator;
 
 /** A daemon between stand-ins and clients on loopback, with a file that tests write. */
-final class Installation implements AutoCloseable {
-  final Ledger ledger = new Ledger(1_000_000);
+final class DaemonFixture implements AutoCloseable {
+  final ExecutionLog ledger = new ExecutionLog(1_000_000);
   final ByteArrayOutputStream logged = new ByteArrayOutputStream();
   final Path file;
-  private final List<HttpStandIn> hosts = new ArrayList<>();
-  final List<RawHost> raw = new ArrayList<>();
+  private final List<FakeUpstream> hosts = new ArrayList<>();
+  final List<RawUpstream> raw = new ArrayList<>();
   Daemon daemon;
 
-  Installation(Path folder) {
+  DaemonFixture(Path folder) {
     file = folder.resolve("leadferry.toml");
   }
 
-  HttpStandIn host(String name) {
-    return host(HttpStandIn.Options.quick(name));
+  FakeUpstream host(String name) {
+    return host(FakeUpstream.Options.quick(name));
   }
 
-  HttpStandIn host(HttpStandIn.Options options) {
-    HttpStandIn h = new HttpStandIn(options, ledger);
+  FakeUpstream host(FakeUpstream.Options options) {
+    FakeUpstream h = new FakeUpstream(options, ledger);
     hosts.add(h);
     return h;
   }
 
   /** A host that answers to the byte what it is told to. */
-  RawHost raw(RawHost.Serving serving) throws IOException {
-    RawHost h = new RawHost(serving);
+  RawUpstream raw(RawUpstream.Serving serving) throws IOException {
+    RawUpstream h = new RawUpstream(serving);
     raw.add(h);
     return h;
   }
@@ -52,9 +52,9 @@
   }
 
   /** A pool with these members; {@code more} are further lines of its table. */
-  static String pool(String name, String more, HttpStandIn... members) {
+  static String pool(String name, String more, FakeUpstream... members) {
     StringBuilder s = new StringBuilder("[pool." + name + "]\n" + more + "\n");
-    for (HttpStandIn h : members) {
+    for (FakeUpstream h : members) {
       s.append("[[pool.")
           .append(name)
           .append(".member]]\nid = \"")
@@ -110,8 +110,8 @@
 
   static Socket client(InetSocketAddress to) throws IOException {
     Socket s = new Socket();
-    s.connect(to, World.PATIENCE_MS);
-    s.setSoTimeout(World.PATIENCE_MS);
+    s.connect(to, ProxyFixture.PATIENCE_MS);
+    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
     return s;
   }
 
@@ -131,8 +131,8 @@
   /** The whole answer on a connection of its own, or null where that ended without one. */
   String ask(String request) throws IOException {
     try (Socket s = client()) {
-      World.write(s, request);
-      return World.read(s.getInputStream());
+      ProxyFixture.write(s, request);
+      return ProxyFixture.read(s.getInputStream());
     }
   }
 
@@ -155,7 +155,7 @@
     if (daemon != null) {
       daemon.close();
     }
-    hosts.forEach(HttpStandIn::close);
-    raw.forEach(RawHost::close);
+    hosts.forEach(FakeUpstream::close);
+    raw.forEach(RawUpstream::close);
   }
 }
--- a/src/test/java/corkproxy/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -1,12 +1,11 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.request;
+import static leadferry.daemon.DaemonFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import ch.qos.logback.classic.LoggerContext;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import corkproxy.standin.HttpStandIn;
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -14,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import leadferry.testbed.FakeUpstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -142,24 +142,24 @@
   @Test
   void whatIsNotServedIsToldWithItsRouteClassPoolServerAndAttempt(@TempDir Path folder)
       throws Exception {
-    try (Installation it = new Installation(folder)) {
-      HttpStandIn a = it.host("a");
-      HttpStandIn broken = it.host("broken");
+    try (DaemonFixture it = new DaemonFixture(folder)) {
+      FakeUpstream a = it.host("a");
+      FakeUpstream broken = it.host("broken");
       it.start(
-          Installation.LISTENER,
+          DaemonFixture.LISTENER,
           "[class.list]\naim_ms = 200\ndeadline_ms = 400\nrepeat = \"safe\"\n",
-          Installation.pool("p", "max_attempts = 1\n", a),
-          Installation.pool("q", "max_attempts = 1\n", broken),
-          Installation.route("one", "/one", "pool = \"p\"\nclass = \"list\""),
-          Installation.route("two", "/two", "pool = \"q\"\nclass = \"list\""),
+          DaemonFixture.pool("p", "max_attempts = 1\n", a),
+          DaemonFixture.pool("q", "max_attempts = 1\n", broken),
+          DaemonFixture.route("one", "/one", "pool = \"p\"\nclass = \"list\""),
+          DaemonFixture.route("two", "/two", "pool = \"q\"\nclass = \"list\""),
           "[[limit]]\nname = \"tight\"\nroutes = [\"one\"]\nper_second = 0.001\nburst = 1\n");
-      broken.misbehave(HttpStandIn.Fault.RESET_AFTER, 1);
+      broken.misbehave(FakeUpstream.Fault.RESET_AFTER, 1);
       assertThat(it.status(request("GET", "/one", "1"))).isEqualTo(200);
       assertThat(it.status(request("GET", "/one", "2"))).isEqualTo(429);
       assertThat(it.status(request("GET", "/three", "3"))).isEqualTo(404);
       assertThat(it.status(request("GET", "/two", "4"))).isIn(502, 503, 504);
       assertThat(it.status(request("GET", "/_health", "5"))).isEqualTo(200);
-      List<String> told = it.log().lines().filter(l -> l.startsWith("corkproxy: request")).toList();
+      List<String> told = it.log().lines().filter(l -> l.startsWith("leadferry: request")).toList();
       assertThat(told).hasSize(3);
       assertThat(told.get(0))
           .contains(
@@ -175,7 +175,7 @@
       assertThat(told.get(2)).contains("route=two", "pool=q", "server=broken", "attempt=1", "ms=");
       assertThat(it.log().lines())
           .anyMatch(
-              l -> l.startsWith("corkproxy: attempt pool=q outcome=reset server=broken attempt=1"));
+              l -> l.startsWith("leadferry: attempt pool=q outcome=reset server=broken attempt=1"));
     }
   }
 }
--- a/src/test/java/corkproxy/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -1,19 +1,13 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.CLASSES;
-import static corkproxy.daemon.Installation.LISTENER;
-import static corkproxy.daemon.Installation.pool;
-import static corkproxy.daemon.Installation.request;
-import static corkproxy.daemon.Installation.route;
+import static leadferry.daemon.DaemonFixture.CLASSES;
+import static leadferry.daemon.DaemonFixture.LISTENER;
+import static leadferry.daemon.DaemonFixture.pool;
+import static leadferry.daemon.DaemonFixture.request;
+import static leadferry.daemon.DaemonFixture.route;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import corkproxy.engine.LineLog;
-import corkproxy.proxy.World;
-import corkproxy.standin.HttpStandIn;
-import corkproxy.standin.HttpStandIn.Fault;
-import corkproxy.standin.LoadGenerator;
-import corkproxy.standin.LoadGenerator.Outcome;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.net.ServerSocket;
@@ -25,6 +19,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
+import leadferry.engine.LineLog;
+import leadferry.proxy.ProxyFixture;
+import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.FakeUpstream.Fault;
+import leadferry.testbed.LoadGenerator;
+import leadferry.testbed.LoadGenerator.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -40,11 +40,11 @@
       new LoadGenerator.Kind("claim", 1, "POST", "/claim", "", 100, 3_000);
 
   @TempDir Path folder;
-  private Installation it;
+  private DaemonFixture it;
 
   @BeforeEach
   void open() {
-    it = new Installation(folder);
+    it = new DaemonFixture(folder);
   }
 
   @AfterEach
@@ -56,9 +56,9 @@
 
   @Test
   void aReloadEvery50MsHalfOfThemBadLosesNothingAndPutsNoBadFileInForce() throws Exception {
-    HttpStandIn a = it.host("a");
-    HttpStandIn b = it.host("b");
-    HttpStandIn never = it.host("never");
+    FakeUpstream a = it.host("a");
+    FakeUpstream b = it.host("b");
+    FakeUpstream never = it.host("never");
     String[] good = {
       String.join("\n", LISTENER, CLASSES, pool("a", "", a), CLAIMS),
       String.join(
@@ -109,12 +109,12 @@
 
   @Test
   void aRequestEndsUnderTheVersionThatTookIt() throws Exception {
-    HttpStandIn slow = it.host(HttpStandIn.Options.quick("slow").takes(400, 1));
+    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(400, 1));
     it.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "out"));
-      World.await(() -> it.ledger.of("out").size() == 1);
-      HttpStandIn other = it.host("other");
+      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.await(() -> it.ledger.of("out").size() == 1);
+      FakeUpstream other = it.host("other");
       it.write(
           LISTENER,
           CLASSES,
@@ -122,21 +122,21 @@
           route("else", "/else", "class = \"claim\"\npool = \"b\""));
       assertThat(it.daemon.reload()).isTrue();
       assertThat(it.status(request("POST", "/claim", "late"))).isEqualTo(404);
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("out");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("out");
     }
-    World.await(() -> slow.connections() == 0); // the pool that went has let go
+    ProxyFixture.await(() -> slow.connections() == 0); // the pool that went has let go
     assertThat(it.ledger.of("out")).hasSize(1);
     assertThat(it.ledger.of("late")).isEmpty();
   }
 
   @Test
   void whatStaysOverAReloadKeepsItsConnections() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
       for (int i = 0; i < 5; i++) {
-        World.write(s, request("POST", "/claim", "r" + i));
-        assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        ProxyFixture.write(s, request("POST", "/claim", "r" + i));
+        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
         it.write(
             LISTENER,
             CLASSES,
@@ -152,12 +152,12 @@
 
   @Test
   void aListenerWhosePortIsTakenIsAFaultAndChangesNothing() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     try (ServerSocket other = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       String taken = "[listener.second]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\"\n";
       it.write(LISTENER, taken, CLASSES, pool("a", "", a), CLAIMS);
       assertThatThrownBy(() -> new Daemon(it.file, form -> new LineLog(quiet(), false)))
-          .isInstanceOf(FaultyFileException.class)
+          .isInstanceOf(ConfigurationException.class)
           .hasMessageContaining("listener.second.address");
       it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
       it.write(
@@ -174,25 +174,25 @@
 
   @Test
   void aListenerThatGoesAnswersWhatItHasTakenAndAskedClientsLeave() throws Exception {
-    HttpStandIn slow = it.host(HttpStandIn.Options.quick("slow").takes(300, 2));
+    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(300, 2));
     String second = "[listener.second]\naddress = \"127.0.0.1:0\"\n";
     it.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
-    try (Socket s = Installation.client(it.daemon.address("second"))) {
-      World.write(s, request("POST", "/claim", "out"));
-      World.await(() -> it.ledger.of("out").size() == 1);
+    try (Socket s = DaemonFixture.client(it.daemon.address("second"))) {
+      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.await(() -> it.ledger.of("out").size() == 1);
       it.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
       assertThat(it.daemon.reload()).isTrue();
-      assertThat(World.read(s.getInputStream()))
+      assertThat(ProxyFixture.read(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .containsIgnoringCase("connection: close");
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
     assertThat(it.daemon.address("second")).isNull();
   }
 
   @Test
   void anEmptiedPoolRefusesAndAFilledOneServesAgain() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     it.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
     assertThat(it.daemon.reload()).isTrue();
@@ -205,15 +205,15 @@
 
   @Test
   void aDrainDuringReloadsAnswersAllThatWasTaken() throws Exception {
-    HttpStandIn slow = it.host(HttpStandIn.Options.quick("slow").takes(150, 50));
+    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(150, 50));
     it.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       Socket s = it.client();
-      World.write(s, request("POST", "/claim", "r" + i));
+      ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    World.await(() -> it.ledger.executions() == 20);
+    ProxyFixture.await(() -> it.ledger.executions() == 20);
     Thread reloads =
         new Thread(
             () -> {
@@ -225,7 +225,7 @@
     it.daemon.drain();
     reloads.join();
     for (Socket s : clients) {
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
       s.close();
     }
     it.daemon.awaitEnd();
@@ -237,17 +237,17 @@
 
   @Test
   void aLimitThatIsLoweredCountsWhatIsInFlight() throws Exception {
-    HttpStandIn silent = it.host("silent");
+    FakeUpstream silent = it.host("silent");
     silent.misbehave(Fault.SILENT, 1);
     String limit = "[[limit]]\nname = \"l\"\nconcurrency = ";
     it.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       Socket s = it.client();
-      World.write(s, request("POST", "/claim", "r" + i));
+      ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    World.await(() -> it.ledger.executions() == 5);
+    ProxyFixture.await(() -> it.ledger.executions() == 5);
     it.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
     assertThat(it.daemon.reload()).isTrue();
     String refused = it.ask(request("POST", "/claim", "over"));
@@ -257,7 +257,7 @@
       clients.get(i).close();
     }
     silent.misbehave(Fault.NONE, 0);
-    World.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
+    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
     for (Socket s : clients) {
       s.close();
     }
@@ -265,7 +265,7 @@
 
   @Test
   void aHotTenantLeavesRoomForQuietOnes() throws Exception {
-    HttpStandIn silent = it.host("silent");
+    FakeUpstream silent = it.host("silent");
     silent.misbehave(Fault.SILENT, 1);
     it.start(
         LISTENER,
@@ -278,18 +278,18 @@
     for (int i = 0; i < 40; i++) {
       Socket s = it.client();
       clients.add(s);
-      World.write(s, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
+      ProxyFixture.write(s, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
     }
-    World.await(() -> it.ledger.executions() >= 16);
+    ProxyFixture.await(() -> it.ledger.executions() >= 16);
     List<String> quiet = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       Socket s = it.client();
       clients.add(s);
       String id = "quiet" + i;
-      World.write(s, request("POST", "/claim", id, "X-Tenant-Id: quiet" + i));
+      ProxyFixture.write(s, request("POST", "/claim", id, "X-Tenant-Id: quiet" + i));
       quiet.add(id);
     }
-    World.await(() -> quiet.stream().allMatch(id -> it.ledger.of(id).size() == 1));
+    ProxyFixture.await(() -> quiet.stream().allMatch(id -> it.ledger.of(id).size() == 1));
     assertThat(it.ledger.executions()).isLessThanOrEqualTo(20);
     for (Socket s : clients) {
       s.close();
@@ -299,7 +299,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 4})
   void clientsThatGoMidRequestLeaveNothingBehindOnAnyWorker(int workers) throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
     it.start(
         "[daemon]\nworkers = " + workers,
@@ -315,26 +315,27 @@
         clients.add(s);
         String whole = request("POST", "/claim", "g" + round + "-" + i);
         // Half of them go while their request still comes, after the limit has counted it.
-        World.write(
+        ProxyFixture.write(
             s, i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
       }
       int expected = 8 * (round + 1);
-      World.await(() -> it.ledger.executions() == expected);
+      ProxyFixture.await(() -> it.ledger.executions() == expected);
       for (Socket s : clients) {
         s.close();
       }
-      World.await(() -> a.connections() == 0); // their attempts were given up
+      ProxyFixture.await(() -> a.connections() == 0); // their attempts were given up
     }
     a.misbehave(Fault.NONE, 0);
     for (int i = 0; i < 16; i++) {
       int n = i;
-      World.await(() -> quietly(() -> it.status(request("POST", "/claim", "after" + n))) == 200);
+      ProxyFixture.await(
+          () -> quietly(() -> it.status(request("POST", "/claim", "after" + n))) == 200);
     }
   }
 
   @Test
   void aCrowdPastTheBoundIsClosedAndLeavesThoseInsideAlone() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
     // 64 descriptors are 12 for clients: 40 are kept back, the rest is halved. One is for the
     // newcomer.
@@ -342,18 +343,19 @@
     List<Socket> inside = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
       Socket s = it.client();
-      World.write(s, request("POST", "/claim", "in" + i));
+      ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       inside.add(s);
     }
-    World.await(() -> it.ledger.executions() == 11);
-    World.await(() -> quietly(() -> it.status(request("POST", "/claim", "past"))) == 0);
+    ProxyFixture.await(() -> it.ledger.executions() == 11);
+    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "past"))) == 0);
     assertThat(it.ledger.of("past")).isEmpty();
     for (Socket s : inside) {
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 50"); // their one answer
+      assertThat(ProxyFixture.read(s.getInputStream()))
+          .startsWith("HTTP/1.1 50"); // their one answer
       s.close();
     }
     a.misbehave(Fault.NONE, 0);
-    World.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
+    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
   }
 
   private interface Asked {
@@ -396,8 +398,8 @@
     "/public/%0d%0aX:1"
   })
   void aPathOfTwoReadingsReachesNoHost(String path) throws Exception {
-    HttpStandIn open = it.host("open");
-    HttpStandIn admin = it.host("admin");
+    FakeUpstream open = it.host("open");
+    FakeUpstream admin = it.host("admin");
     it.start(
         LISTENER,
         CLASSES,
@@ -413,8 +415,8 @@
 
   @Test
   void anEncodedLetterCannotPassItsRoute() throws Exception {
-    HttpStandIn open = it.host("open");
-    HttpStandIn admin = it.host("admin");
+    FakeUpstream open = it.host("open");
+    FakeUpstream admin = it.host("admin");
     it.start(
         LISTENER,
         CLASSES,
@@ -429,13 +431,13 @@
   @Test
   void whereTheListenerResolvesPathsTheHostIsSentWhatWasMatched() throws Exception {
     List<String> seen = new java.util.concurrent.CopyOnWriteArrayList<>();
-    try (World world = new World(folder, 128)) {
-      World.Host host =
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host =
           world
           .new Host(
               h -> {
                 seen.add(h.split(" ")[1]);
-                return World.ok("x");
+                return ProxyFixture.ok("x");
               });
       it.start(
           LISTENER + "paths = \"resolve\"",
@@ -451,13 +453,13 @@
   @Test
   void aRouteRewritesItsPrefixAndHeaders() throws Exception {
     List<String> heads = new java.util.concurrent.CopyOnWriteArrayList<>();
-    try (World world = new World(folder, 128)) {
-      World.Host host =
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host =
           world
           .new Host(
               h -> {
                 heads.add(h);
-                return World.ok("x");
+                return ProxyFixture.ok("x");
               });
       it.start(
           LISTENER,
@@ -480,8 +482,8 @@
 
   @Test
   void aSplitKeepsAKeyOnOneSide() throws Exception {
-    HttpStandIn a = it.host("a");
-    HttpStandIn b = it.host("b");
+    FakeUpstream a = it.host("a");
+    FakeUpstream b = it.host("b");
     it.start(
         LISTENER,
         CLASSES,
@@ -511,8 +513,8 @@
   })
   void aFallbackTakesOnlyWhatIsKnownNotToHaveRunOrIsSafe(
       String type, Fault fault, int status, int runsAtNext) throws Exception {
-    HttpStandIn first = it.host("first");
-    HttpStandIn next = it.host("next");
+    FakeUpstream first = it.host("first");
+    FakeUpstream next = it.host("next");
     first.misbehave(fault, 1);
     it.start(
         LISTENER,
@@ -526,8 +528,8 @@
 
   @Test
   void aKeyedRequestThatMayHaveRunStaysInItsPool() throws Exception {
-    HttpStandIn first = it.host("first");
-    HttpStandIn next = it.host("next");
+    FakeUpstream first = it.host("first");
+    FakeUpstream next = it.host("next");
     first.misbehave(Fault.RESET_AFTER, 1);
     it.start(
         LISTENER,
@@ -543,8 +545,8 @@
 
   @Test
   void aRetryBudgetOnlySaysNo() throws Exception {
-    HttpStandIn[] hosts = {it.host("a"), it.host("b"), it.host("c")};
-    for (HttpStandIn h : hosts) {
+    FakeUpstream[] hosts = {it.host("a"), it.host("b"), it.host("c")};
+    for (FakeUpstream h : hosts) {
       h.misbehave(Fault.TURN_AWAY, 1);
     }
     String route = route("r", "/", "class = \"list\"\npool = \"a\"");
@@ -578,7 +580,7 @@
         "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
       })
   void whatCannotBeARequestGetsAnErrorAndReachesNoHost(String bytes) throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(it.status(bytes)).isBetween(400, 505);
     assertThat(a.lastArrival()).isZero();
@@ -587,7 +589,7 @@
 
   @Test
   void aBodyOverTheBoundIsTurnedAwayHoweverItIsFramed() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER + "max_body_bytes = 100", CLASSES, pool("a", "", a), CLAIMS);
     String sized = request("POST", "/c", "r").replace("Content-Length: 0", "Content-Length: 101");
     assertThat(it.status(sized + "x".repeat(101))).isEqualTo(413);
@@ -601,7 +603,7 @@
 
   @Test
   void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(it.status(request("POST", "/c", "warm"))).isEqualTo(200);
     CountDownLatch held = new CountDownLatch(1);
@@ -618,18 +620,18 @@
     held.await();
     try (Socket stays = it.client()) {
       try (Socket gone = it.client()) {
-        World.write(gone, request("POST", "/c", "gone"));
+        ProxyFixture.write(gone, request("POST", "/c", "gone"));
       }
-      World.write(stays, request("POST", "/c", "stays"));
+      ProxyFixture.write(stays, request("POST", "/c", "stays"));
       release.countDown();
-      assertThat(World.read(stays.getInputStream())).contains("stays");
+      assertThat(ProxyFixture.read(stays.getInputStream())).contains("stays");
     }
     assertThat(a.served()).isEqualTo(2);
   }
 
   @Test
   void theLogOfBadInputIsBounded() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     for (int i = 0; i < 300; i++) {
       assertThat(it.status("GET /../x HTTP/1.1\r\nHost: a\r\n\r\n")).isEqualTo(400);
@@ -641,16 +643,16 @@
 
   @Test
   void aHeadRequestGetsTheLengthWithoutTheBody() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
       for (int i = 0; i < 2; i++) {
-        World.write(s, request("HEAD", "/x", "h" + i));
+        ProxyFixture.write(s, request("HEAD", "/x", "h" + i));
         String head = head(s);
         assertThat(head).startsWith("HTTP/1.1 200").containsIgnoringCase("content-length: 64");
       }
-      World.write(s, request("GET", "/x", "g"));
-      assertThat(World.read(s.getInputStream())).contains("\r\n\r\ng ");
+      ProxyFixture.write(s, request("GET", "/x", "g"));
+      assertThat(ProxyFixture.read(s.getInputStream())).contains("\r\n\r\ng ");
     }
   }
 
@@ -664,8 +666,8 @@
 
   @Test
   void answersBelow500ArePassedOnAsTheyAre() throws Exception {
-    try (World world = new World(folder, 128)) {
-      World.Host host =
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host =
           world
           .new Host(
               h ->
--- a/src/test/java/corkproxy/daemon/FuzzedDaemon.java
+++ b/src/test/java/leadferry/daemon/FuzzedDaemon.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import java.io.ByteArrayOutputStream;
 import java.net.Socket;
@@ -10,17 +10,17 @@
 /** A daemon before one host that keeps, byte for byte, each request that it is sent. */
 public final class FuzzedDaemon {
   private final List<byte[]> received = new CopyOnWriteArrayList<>();
-  private final RawHost host;
-  private final Installation it = new Installation(Files.createTempDirectory("fuzz"));
+  private final RawUpstream host;
+  private final DaemonFixture it = new DaemonFixture(Files.createTempDirectory("fuzz"));
 
   public FuzzedDaemon() throws Exception {
-    host = new RawHost((h, in, out, s) -> serve(in, out));
+    host = new RawUpstream((h, in, out, s) -> serve(in, out));
     it.start(
-        Installation.LISTENER + "slow_ms = 2000\nforwarded = \"off\"",
+        DaemonFixture.LISTENER + "slow_ms = 2000\nforwarded = \"off\"",
         "[class.claim]\ndeadline_ms = 2000\n[class.log]\nrepeat = \"keyed\"\nwindow_ms = 500\n",
-        RawHost.pool("a", "max_requests_per_connection = 1", host),
-        Installation.route("logs", "/log", "class = \"log\"\npool = \"a\""),
-        Installation.route("all", "/", "class = \"claim\"\npool = \"a\""));
+        RawUpstream.pool("a", "max_requests_per_connection = 1", host),
+        DaemonFixture.route("logs", "/log", "class = \"log\"\npool = \"a\""),
+        DaemonFixture.route("all", "/", "class = \"claim\"\npool = \"a\""));
   }
 
   /**
@@ -29,7 +29,7 @@
    */
   private void serve(java.io.InputStream in, java.io.OutputStream out) throws Exception {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    String head = RawHost.until(in, "\r\n\r\n");
+    String head = RawUpstream.until(in, "\r\n\r\n");
     if (head == null) {
       return;
     }
@@ -39,7 +39,7 @@
     if (lower.contains("\r\ntransfer-encoding:")) {
       String line;
       do {
-        line = RawHost.until(in, "\r\n");
+        line = RawUpstream.until(in, "\r\n");
         all.write(line.getBytes(StandardCharsets.ISO_8859_1));
         all.write(in.readNBytes(Integer.parseInt(line.trim(), 16)));
         if (!line.equals("0\r\n")) {
@@ -47,7 +47,7 @@
         }
       } while (!line.equals("0\r\n"));
       do {
-        line = RawHost.until(in, "\r\n");
+        line = RawUpstream.until(in, "\r\n");
         all.write(line.getBytes(StandardCharsets.ISO_8859_1));
       } while (!line.equals("\r\n"));
     } else if (length >= 0) {
@@ -58,7 +58,7 @@
     if (!head.startsWith("GET /fence ")) {
       received.add(all.toByteArray());
     }
-    RawHost.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     in.read();
   }
 
@@ -68,10 +68,10 @@
 
   /** Waits until nothing that was sent before can reach the host any more. */
   public void settle() throws Exception {
-    if (it.status(Installation.request("GET", "/fence", "f")) != 200) {
+    if (it.status(DaemonFixture.request("GET", "/fence", "f")) != 200) {
       throw new AssertionError("the daemon serves no more");
     }
-    corkproxy.proxy.World.await(() -> host.ended.get() == host.accepted.get());
+    leadferry.proxy.ProxyFixture.await(() -> host.ended.get() == host.accepted.get());
   }
 
   /** All requests since the last {@link #forget}, in the order in which they came. */
--- a/src/test/java/corkproxy/daemon/HeadersTest.java
+++ b/src/test/java/leadferry/daemon/HeadersTest.java
@@ -1,17 +1,17 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.CLASSES;
-import static corkproxy.daemon.Installation.LISTENER;
-import static corkproxy.daemon.Installation.request;
-import static corkproxy.daemon.Installation.route;
+import static leadferry.daemon.DaemonFixture.CLASSES;
+import static leadferry.daemon.DaemonFixture.LISTENER;
+import static leadferry.daemon.DaemonFixture.request;
+import static leadferry.daemon.DaemonFixture.route;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.proxy.World;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
+import leadferry.proxy.ProxyFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,19 +37,19 @@
 
   @TempDir Path folder;
   private final List<String> heads = new CopyOnWriteArrayList<>();
-  private Installation it;
-  private World world;
+  private DaemonFixture it;
+  private ProxyFixture world;
 
   @BeforeEach
   void open() throws Exception {
-    it = new Installation(folder);
-    world = new World(folder, 128);
-    World.Host host =
+    it = new DaemonFixture(folder);
+    world = new ProxyFixture(folder, 128);
+    ProxyFixture.Host host =
         world
         .new Host(
             h -> {
               heads.add(h);
-              return World.ok("x");
+              return ProxyFixture.ok("x");
             });
     it.start(
         LISTENER + "class_header = \"X-Kind\"\ntenant_header = \"X-Office\"",
@@ -76,7 +76,7 @@
   void everyHeaderThatIsJudgedReachesTheHostAsItWasJudged() throws Exception {
     String answer = it.ask(judged("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
     assertThat(answer).startsWith("HTTP/1.1 100"); // and the answer behind it
-    World.await(() -> heads.size() == 1);
+    ProxyFixture.await(() -> heads.size() == 1);
     String head = heads.get(0).toLowerCase(Locale.ROOT);
     JUDGED.forEach(
         (k, v) -> {
@@ -191,9 +191,9 @@
       for (byte b : bytes) {
         s.getOutputStream().write(b);
       }
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
-      World.write(s, request("GET", "/x", "again"));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      ProxyFixture.write(s, request("GET", "/x", "again"));
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
   }
 
--- a/src/test/java/corkproxy/daemon/OperatorFileTest.java
+++ b/src/test/java/leadferry/daemon/OperatorFileTest.java
@@ -1,14 +1,14 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-import corkproxy.balancer.Settings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import leadferry.loadbalancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,9 +30,9 @@
       pool = "a"
       """;
 
-  private static List<Fault> faults(String text) {
-    FaultyFileException e =
-        catchThrowableOfType(FaultyFileException.class, () -> OperatorFile.parse("f", text));
+  private static List<ConfigurationError> faults(String text) {
+    ConfigurationException e =
+        catchThrowableOfType(ConfigurationException.class, () -> OperatorFile.parse("f", text));
     return e == null ? List.of() : e.faults();
   }
 
@@ -47,7 +47,7 @@
     assertThat(
             faults(SMALL + "[fleet]\nname = \"a b\"\nlease_ms = 5\non_unreachable = \"last\"\n")
                 .stream()
-                .map(Fault::key))
+                .map(ConfigurationError::key))
         .contains("fleet", "fleet.lease_ms", "fleet.keepers", "fleet.state_file", "fleet.fleet");
   }
 
@@ -70,7 +70,7 @@
 
   @Test
   void allFaultsAreToldInOneRunEachWithLineKeyAndWhatWasExpected() {
-    List<Fault> found =
+    List<ConfigurationError> found =
         faults(
             """
             [daemon]
@@ -146,18 +146,18 @@
       })
   void aFaultNamesItsKey(String what, String instead, String key) {
     String text = SMALL.replace(what.trim(), instead.trim().replace("\\n", "\n"));
-    assertThat(faults(text)).extracting(Fault::key).contains(key.trim());
+    assertThat(faults(text)).extracting(ConfigurationError::key).contains(key.trim());
     assertThat(faults(text)).allMatch(f -> f.line() > 0);
   }
 
   @Test
   void whatIsNoTomlNamesItsLine() {
     assertThat(faults("[a]\nb = \n").get(0).line()).isEqualTo(2);
-    assertThat(faults("")).extracting(Fault::key).contains("listener", "pool");
+    assertThat(faults("")).extracting(ConfigurationError::key).contains("listener", "pool");
   }
 
   @Test
-  void linesAreFoundInEveryShapeThatTomlHas() throws FaultyFileException {
+  void linesAreFoundInEveryShapeThatTomlHas() throws ConfigurationException {
     TomlTree l =
         TomlTree.of(
             "f",
@@ -224,7 +224,7 @@
     for (String s : spoilt) {
       try {
         OperatorFile.parse("f", s);
-      } catch (FaultyFileException e) {
+      } catch (ConfigurationException e) {
         faulty++;
         assertThat(e.faults()).isNotEmpty();
       }
--- a/src/test/java/corkproxy/daemon/RawHost.java
+++ b/src/test/java/leadferry/daemon/RawUpstream.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -15,10 +15,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A host that a test writes to the byte: one thread a connection, small socket buffers. */
-final class RawHost implements AutoCloseable {
+final class RawUpstream implements AutoCloseable {
   /** What is done with a connection; returns when it is to be closed. */
   interface Serving {
-    void serve(RawHost host, InputStream in, OutputStream out, Socket s) throws Exception;
+    void serve(RawUpstream host, InputStream in, OutputStream out, Socket s) throws Exception;
   }
 
   /**
@@ -33,7 +33,7 @@
   final AtomicInteger accepted = new AtomicInteger();
   final AtomicInteger ended = new AtomicInteger();
 
-  RawHost(Serving serving) throws IOException {
+  RawUpstream(Serving serving) throws IOException {
     listener.setReceiveBufferSize(BUFFER);
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     thread(
@@ -76,9 +76,9 @@
   }
 
   /** A pool of these hosts; {@code more} are further lines of its table. */
-  static String pool(String name, String more, RawHost... hosts) {
+  static String pool(String name, String more, RawUpstream... hosts) {
     StringBuilder s = new StringBuilder("[pool." + name + "]\n" + more + "\n");
-    for (RawHost h : hosts) {
+    for (RawUpstream h : hosts) {
       int port = h.listener.getLocalPort();
       s.append("[[pool.")
           .append(name)
--- a/src/test/java/corkproxy/daemon/ReleaseFileTest.java
+++ b/src/test/java/leadferry/daemon/ReleaseFileTest.java
@@ -1,4 +1,4 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
@@ -6,10 +6,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.quorum.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import leadferry.consensus.Json;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -36,7 +36,7 @@
     return o;
   }
 
-  private JsonNode read(String text) throws IOException, FaultyFileException {
+  private JsonNode read(String text) throws IOException, ConfigurationException {
     return ReleaseFile.read(Files.writeString(folder.resolve("plan.toml"), text), fleet());
   }
 
@@ -58,16 +58,16 @@
 
   @Test
   void everyFaultIsToldWithItsLineAndKey() {
-    FaultyFileException e =
+    ConfigurationException e =
         catchThrowableOfType(
-            FaultyFileException.class,
+            ConfigurationException.class,
             () ->
                 read(
                     HEAD
                         + "halt_losst = 1\n[release.guard]\nmax_worse = 2\n[[release.step]]\nname = \"x\"\ntargets = [\"h2\", \"h9\"]\n[[release.step]]\nname = \"y\"\ntargets = [\"h2\"]\n"
                         + "[[release.step]]\nname = \"z\"\nwhere = { zone = \"c\" }\n"));
     assertThat(e.faults())
-        .extracting(Fault::key)
+        .extracting(ConfigurationError::key)
         .contains(
             "release.halt_losst",
             "release.guard.max_worse",
@@ -80,9 +80,9 @@
 
   @Test
   void whatThePlanItselfMustNotSayIsAFaultOfTheFile() {
-    FaultyFileException e =
+    ConfigurationException e =
         catchThrowableOfType(
-            FaultyFileException.class,
+            ConfigurationException.class,
             () -> read(HEAD.replace("v1", "v2") + CARRY + "[[release.step]]\nname = \"all\"\n"));
     assertThat(e.getMessage()).contains("from: 'v2' (expected: another than version)");
   }
--- a/src/test/java/corkproxy/daemon/StreamingTest.java
+++ b/src/test/java/leadferry/daemon/StreamingTest.java
@@ -1,11 +1,10 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.LISTENER;
-import static corkproxy.daemon.Installation.request;
-import static corkproxy.daemon.Installation.route;
+import static leadferry.daemon.DaemonFixture.LISTENER;
+import static leadferry.daemon.DaemonFixture.request;
+import static leadferry.daemon.DaemonFixture.route;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.proxy.World;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
@@ -14,6 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import leadferry.proxy.ProxyFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -43,11 +43,11 @@
   private static final long LONG = 48L << 20;
 
   @TempDir Path folder;
-  private Installation it;
+  private DaemonFixture it;
 
   @BeforeEach
   void open() {
-    it = new Installation(folder);
+    it = new DaemonFixture(folder);
   }
 
   @AfterEach
@@ -57,10 +57,10 @@
 
   private Socket client() throws Exception {
     Socket s = new Socket();
-    s.setReceiveBufferSize(RawHost.BUFFER);
-    s.setSendBufferSize(RawHost.BUFFER);
-    s.connect(new InetSocketAddress("127.0.0.1", it.address().getPort()), World.PATIENCE_MS);
-    s.setSoTimeout(World.PATIENCE_MS);
+    s.setReceiveBufferSize(RawUpstream.BUFFER);
+    s.setSendBufferSize(RawUpstream.BUFFER);
+    s.connect(new InetSocketAddress("127.0.0.1", it.address().getPort()), ProxyFixture.PATIENCE_MS);
+    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
     return s;
   }
 
@@ -74,7 +74,7 @@
   private static long still(AtomicLong count) throws InterruptedException {
     long[] last = {-1};
     int[] same = {0};
-    World.await(
+    ProxyFixture.await(
         () -> {
           same[0] = count.get() == last[0] ? same[0] + 1 : 0;
           last[0] = count.get();
@@ -90,118 +90,120 @@
   void anUploadGoesOnWhileItComesAndItsClientWaitsForTheHost(boolean chunked) throws Exception {
     AtomicLong got = new AtomicLong();
     CountDownLatch reads = new CountDownLatch(1);
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               while (host.head(in) != null) {
-                reads.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                reads.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
                 if (chunked) {
                   long[] n = new long[1];
-                  RawHost.chunks(in, n);
+                  RawUpstream.chunks(in, n);
                   got.addAndGet(n[0]);
                 } else {
                   for (long left = LONG; left > 0; left -= in.skip(left)) {}
                   got.addAndGet(LONG);
                 }
-                RawHost.write(out, OK);
+                RawUpstream.write(out, OK);
               }
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     AtomicLong sent = new AtomicLong();
     try (Socket s = client()) {
-      World.write(
+      ProxyFixture.write(
           s, upload("r", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LONG));
-      RawHost.thread(
+      RawUpstream.thread(
           () -> {
             OutputStream out = s.getOutputStream();
             byte[] block = new byte[32 * 1024];
             for (long n = 0; n < LONG; n += block.length) {
               if (chunked) {
-                RawHost.write(out, "8000\r\n");
+                RawUpstream.write(out, "8000\r\n");
               }
               out.write(block);
               if (chunked) {
-                RawHost.write(out, "\r\n");
+                RawUpstream.write(out, "\r\n");
               }
               sent.addAndGet(block.length);
             }
             if (chunked) {
-              RawHost.write(out, "0\r\n\r\n");
+              RawUpstream.write(out, "0\r\n\r\n");
             }
           });
-      World.await(() -> h.heads.size() == 1); // the host has the head while the body still comes
+      ProxyFixture.await(
+          () -> h.heads.size() == 1); // the host has the head while the body still comes
       assertThat(still(sent)).isLessThan(LONG / 4);
       reads.countDown();
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
       assertThat(got).hasValue(LONG);
     }
   }
 
   @Test
   void aBodyThatTakesLongerThanTheAimIsNotItsHostsSilence() throws Exception {
-    RawHost.Serving serving =
+    RawUpstream.Serving serving =
         (host, in, out, s) -> {
           host.head(in);
           in.readNBytes(200_000);
-          RawHost.write(out, OK);
+          RawUpstream.write(out, OK);
         };
     it.start(
         LISTENER,
         CLASSES.replace("aim_ms = 20000", "aim_ms = 100"),
-        RawHost.pool("a", "parallel = true", it.raw(serving), it.raw(serving)),
+        RawUpstream.pool("a", "parallel = true", it.raw(serving), it.raw(serving)),
         LISTS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Content-Length: 200000"));
+      ProxyFixture.write(s, upload("r", "Content-Length: 200000"));
       for (int i = 0; i < 10; i++) {
         Thread.sleep(80); // what the test is about: time in which the host has nothing to answer
-        World.write(s, "x".repeat(20_000));
+        ProxyFixture.write(s, "x".repeat(20_000));
       }
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(it.rawHeads()).isEqualTo(1);
   }
 
   @Test
   void anUploadThatIsCutHalfWayIsCutAtItsHostAndNotSentAgain() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.chunks(in, new long[1]);
-              RawHost.write(out, OK);
+              RawUpstream.chunks(in, new long[1]);
+              RawUpstream.write(out, OK);
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), LISTS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Transfer-Encoding: chunked") + "5\r\nhello\r\n");
-      World.await(() -> h.heads.size() == 1);
+      ProxyFixture.write(s, upload("r", "Transfer-Encoding: chunked") + "5\r\nhello\r\n");
+      ProxyFixture.await(() -> h.heads.size() == 1);
     }
-    World.await(() -> h.ended.get() == 1); // it saw the end of the stream inside the body
+    ProxyFixture.await(() -> h.ended.get() == 1); // it saw the end of the stream inside the body
     assertThat(h.heads).hasSize(1);
     try (Socket s = client()) {
-      World.write(s, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
-      assertThat(World.ends(s)).isTrue();
+      ProxyFixture.write(
+          s, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    World.await(() -> h.ended.get() == h.heads.size());
+    ProxyFixture.await(() -> h.ended.get() == h.heads.size());
   }
 
   @Test
   void anEarlyErrorIsPassedOnAndEndsTheConnection() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.write(out, "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nfull");
+              RawUpstream.write(out, "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nfull");
               in.read(new byte[1024]);
               Thread.sleep(300);
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Content-Length: 1000000") + "begins");
-      assertThat(World.read(s.getInputStream()))
+      ProxyFixture.write(s, upload("r", "Content-Length: 1000000") + "begins");
+      assertThat(ProxyFixture.read(s.getInputStream()))
           .startsWith("HTTP/1.1 500")
           .containsIgnoringCase("connection: close")
           .endsWith("full");
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
     assertThat(h.heads).hasSize(1);
   }
@@ -212,76 +214,79 @@
       throws Exception {
     java.util.concurrent.atomic.AtomicInteger first =
         new java.util.concurrent.atomic.AtomicInteger();
-    RawHost.Serving serving =
+    RawUpstream.Serving serving =
         (host, in, out, s) -> {
           while (host.head(in) != null) {
             for (long left = length; left > 0; left -= in.skip(left)) {}
-            RawHost.write(
+            RawUpstream.write(
                 out,
                 first.getAndIncrement() == 0
                     ? "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
                     : OK);
           }
         };
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
+    it.start(
+        LISTENER, CLASSES, RawUpstream.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Content-Length: " + length) + "x".repeat(length));
-      assertThat(RawHost.until(s.getInputStream(), "\r\n\r\n")).startsWith("HTTP/1.1 " + status);
+      ProxyFixture.write(s, upload("r", "Content-Length: " + length) + "x".repeat(length));
+      assertThat(RawUpstream.until(s.getInputStream(), "\r\n\r\n"))
+          .startsWith("HTTP/1.1 " + status);
     }
     assertThat(it.rawHeads()).isEqualTo(1 + other);
   }
 
   @Test
   void anUploadThatMayHaveRunIsNotSentAgain() throws Exception {
-    RawHost.Serving serving =
+    RawUpstream.Serving serving =
         (host, in, out, s) -> {
           host.head(in);
           in.read();
           s.setSoLinger(true, 0);
         };
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
+    it.start(
+        LISTENER, CLASSES, RawUpstream.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 502");
+      ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
     }
     assertThat(it.rawHeads()).isEqualTo(1);
   }
 
   @Test
   void aBodyThatStopsComingIsGivenUp() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.chunks(in, new long[1]);
+              RawUpstream.chunks(in, new long[1]);
             });
-    it.start(LISTENER + "slow_ms = 200", CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    it.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
-      World.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 502");
-      assertThat(World.ends(s)).isTrue();
+      ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    World.await(() -> h.ended.get() == 1);
+    ProxyFixture.await(() -> h.ended.get() == 1);
   }
 
   // --- answers
 
-  private RawHost longAnswers(AtomicLong sent, long upTo) throws Exception {
+  private RawUpstream longAnswers(AtomicLong sent, long upTo) throws Exception {
     return it.raw(
         (host, in, out, s) -> {
           while (host.head(in) != null) {
-            RawHost.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            RawUpstream.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             byte[] block = new byte[32 * 1024];
             for (long n = 0; n < upTo; n += block.length) {
-              RawHost.write(out, "8000\r\n");
+              RawUpstream.write(out, "8000\r\n");
               out.write(block);
-              RawHost.write(out, "\r\n");
+              RawUpstream.write(out, "\r\n");
               sent.addAndGet(block.length);
             }
             if (upTo < LONG) {
               return; // dies in the middle of it
             }
-            RawHost.write(out, "0\r\nX-Sum: 7\r\n\r\n");
+            RawUpstream.write(out, "0\r\nX-Sum: 7\r\n\r\n");
           }
         });
   }
@@ -293,18 +298,18 @@
   @Test
   void thirtyClientsThatReadNothingCostOthersNothing() throws Exception {
     byte[] block = new byte[32 * 1024];
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               String head;
               while ((head = host.head(in)) != null) {
                 if (head.contains("/long")) {
-                  RawHost.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
+                  RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
                   for (long n = 0; n < LONG; n += block.length) {
                     out.write(block);
                   }
                 } else {
-                  RawHost.write(out, OK);
+                  RawUpstream.write(out, OK);
                 }
               }
             });
@@ -319,7 +324,7 @@
         deadline_ms = 1500
         repeat = "safe"
         """,
-        RawHost.pool("a", "", h),
+        RawUpstream.pool("a", "", h),
         route("long", "/long", "class = \"long\"\npool = \"a\"\nstream = true"),
         route("short", "/", "class = \"short\"\npool = \"a\""));
     java.util.List<Socket> deaf = new java.util.ArrayList<>();
@@ -327,9 +332,9 @@
       for (int i = 0; i < 30; i++) {
         Socket s = client();
         deaf.add(s);
-        World.write(s, request("GET", "/long", "deaf-" + i));
+        ProxyFixture.write(s, request("GET", "/long", "deaf-" + i));
       }
-      World.await(() -> h.heads.size() == 30);
+      ProxyFixture.await(() -> h.heads.size() == 30);
       java.util.Map<Integer, Integer> statuses = new java.util.TreeMap<>();
       int after = 0;
       for (int i = 0; after < 100; i++) { // until all of the long ones have been cut, and on
@@ -348,19 +353,19 @@
   @Test
   void aClientThatStopsReadingHoldsItsHostAndTakesNoMemory() throws Exception {
     AtomicLong sent = new AtomicLong();
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", longAnswers(sent, LONG)), LISTS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", longAnswers(sent, LONG)), LISTS);
     try (Socket s = client()) {
-      World.write(s, request("GET", "/x", "r"));
+      ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawHost.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
       assertThat(still(sent)).isLessThan(LONG / 4);
       long[] got = new long[1];
-      assertThat(RawHost.chunks(in, got)).isEqualTo("X-Sum: 7\r\n");
+      assertThat(RawUpstream.chunks(in, got)).isEqualTo("X-Sum: 7\r\n");
       assertThat(got[0]).isEqualTo(LONG);
-      World.write(s, request("GET", "/x", "again"));
-      assertThat(RawHost.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      ProxyFixture.write(s, request("GET", "/x", "again"));
+      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
     }
-    World.await(
+    ProxyFixture.await(
         () ->
             it.raw.get(0).ended.get()
                 == 1); // a client that leaves in the middle takes its attempt with it
@@ -372,14 +377,14 @@
     it.start(
         LISTENER,
         CLASSES,
-        RawHost.pool("a", "", longAnswers(sent, 1 << 20), longAnswers(sent, 1 << 20)),
+        RawUpstream.pool("a", "", longAnswers(sent, 1 << 20), longAnswers(sent, 1 << 20)),
         LISTS);
     try (Socket s = client()) {
-      World.write(s, request("GET", "/x", "r"));
+      ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawHost.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
       long[] got = new long[1];
-      org.assertj.core.api.Assertions.assertThatThrownBy(() -> RawHost.chunks(in, got))
+      org.assertj.core.api.Assertions.assertThatThrownBy(() -> RawUpstream.chunks(in, got))
           .isInstanceOf(java.io.IOException.class);
     }
     assertThat(it.rawHeads()).isEqualTo(1); // it has begun: no other may answer
@@ -387,43 +392,43 @@
 
   @Test
   void aStreamWhoseTimeIsUpIsCut() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nbegins");
+              RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nbegins");
               in.read();
             });
-    it.start(LISTENER, CLASSES.replace("20000", "400"), RawHost.pool("a", "", h), LISTS);
+    it.start(LISTENER, CLASSES.replace("20000", "400"), RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
-      World.write(s, request("GET", "/x", "r"));
-      assertThat(RawHost.until(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
-      assertThat(World.ends(s)).isTrue();
+      ProxyFixture.write(s, request("GET", "/x", "r"));
+      assertThat(RawUpstream.until(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    World.await(() -> h.ended.get() == 1);
+    ProxyFixture.await(() -> h.ended.get() == 1);
   }
 
   @Test
   void aDrainWaitsForAnOpenStream() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.write(
+              RawUpstream.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
-              go.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
-              RawHost.write(out, "2\r\ncd\r\n0\r\n\r\n");
+              go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+              RawUpstream.write(out, "2\r\ncd\r\n0\r\n\r\n");
             });
-    it.start("[daemon]\ndrain_ms = 20000", LISTENER, CLASSES, RawHost.pool("a", "", h), LISTS);
+    it.start("[daemon]\ndrain_ms = 20000", LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
-      World.write(s, request("GET", "/x", "r"));
+      ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawHost.until(in, "ab\r\n")).contains("2\r\nab");
+      assertThat(RawUpstream.until(in, "ab\r\n")).contains("2\r\nab");
       it.daemon.drain();
       Thread.sleep(50);
       go.countDown();
-      assertThat(RawHost.until(in, "0\r\n\r\n")).isEqualTo("2\r\ncd\r\n0\r\n\r\n");
+      assertThat(RawUpstream.until(in, "0\r\n\r\n")).isEqualTo("2\r\ncd\r\n0\r\n\r\n");
       it.daemon.awaitEnd();
       assertThat(it.log()).contains("drained").doesNotContain("cut short");
     }
@@ -431,15 +436,15 @@
 
   @Test
   void toHttp10AnAnswerWithoutALengthIsGivenOne() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.write(
+              RawUpstream.write(
                   out,
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n");
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), LISTS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
     assertThat(it.ask("GET /x HTTP/1.0\r\n\r\n"))
         .startsWith("HTTP/1.1 200")
         .containsIgnoringCase("content-length: 4")
--- a/src/test/java/corkproxy/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -1,18 +1,18 @@
-package corkproxy.daemon;
+package leadferry.daemon;
 
-import static corkproxy.daemon.Installation.CLASSES;
-import static corkproxy.daemon.Installation.LISTENER;
-import static corkproxy.daemon.Installation.pool;
-import static corkproxy.daemon.Installation.request;
-import static corkproxy.daemon.Installation.route;
+import static leadferry.daemon.DaemonFixture.CLASSES;
+import static leadferry.daemon.DaemonFixture.LISTENER;
+import static leadferry.daemon.DaemonFixture.pool;
+import static leadferry.daemon.DaemonFixture.request;
+import static leadferry.daemon.DaemonFixture.route;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.proxy.World;
-import corkproxy.standin.HttpStandIn;
 import java.io.InputStream;
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.List;
+import leadferry.proxy.ProxyFixture;
+import leadferry.testbed.FakeUpstream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -27,11 +27,11 @@
   private static final String LISTS = route("lists", "/", "class = \"list\"\npool = \"a\"");
 
   @TempDir Path folder;
-  private Installation it;
+  private DaemonFixture it;
 
   @BeforeEach
   void open() {
-    it = new Installation(folder);
+    it = new DaemonFixture(folder);
   }
 
   @AfterEach
@@ -40,11 +40,11 @@
   }
 
   /** A host that gives every request, without a body, this answer. */
-  private RawHost host(String answer) throws Exception {
+  private RawUpstream host(String answer) throws Exception {
     return it.raw(
         (host, in, out, s) -> {
           while (host.head(in) != null) {
-            RawHost.write(out, answer);
+            RawUpstream.write(out, answer);
           }
         });
   }
@@ -56,8 +56,8 @@
 
   @Test
   void anErrorThatEndsAnUnsafeRequestIsPassedOnWhole() throws Exception {
-    RawHost h = host(ERROR);
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h, host(ERROR)), CLAIMS);
+    RawUpstream h = host(ERROR);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h, host(ERROR)), CLAIMS);
     assertThat(it.ask(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 500 ")
         .contains("X-Trace: t7")
@@ -68,7 +68,10 @@
   @Test
   void theLastErrorOfASafeRequestIsPassedOnWhenItsAttemptsAreUsedUp() throws Exception {
     it.start(
-        LISTENER, CLASSES, RawHost.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)), LISTS);
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)),
+        LISTS);
     assertThat(it.ask(request("GET", "/x", "r")))
         .startsWith("HTTP/1.1 500 ")
         .endsWith("{\"error\":\"full\"}");
@@ -80,7 +83,7 @@
     it.start(
         LISTENER,
         CLASSES,
-        RawHost.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))),
+        RawUpstream.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))),
         CLAIMS);
     assertThat(it.ask(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
@@ -89,7 +92,7 @@
 
   @Test
   void whereAnOperatorDoesNotWantThemErrorsStayInside() throws Exception {
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
     assertThat(it.ask(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("error");
@@ -97,13 +100,13 @@
 
   @Test
   void anErrorWhoseBodyBreaksOffIsNotPassedOn() throws Exception {
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               host.head(in);
-              RawHost.write(out, ERROR.substring(0, ERROR.length() - 3));
+              RawUpstream.write(out, ERROR.substring(0, ERROR.length() - 3));
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     assertThat(it.ask(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("X-Trace");
@@ -114,7 +117,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 16})
   void whatIsSentAheadIsAnsweredInOrderHoweverMuchItIs(int pipeline) throws Exception {
-    HttpStandIn a = it.host(HttpStandIn.Options.quick("a").takes(1, 4));
+    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(1, 4));
     it.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 400; i++) {
@@ -124,9 +127,9 @@
           .append(body);
     }
     try (Socket s = it.client()) {
-      RawHost.thread(() -> World.write(s, all.toString()));
+      RawUpstream.thread(() -> ProxyFixture.write(s, all.toString()));
       for (int i = 0; i < 400; i++) {
-        assertThat(World.read(s.getInputStream()))
+        assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .contains("\r\n\r\np" + i + " ");
       }
@@ -136,47 +139,51 @@
 
   @Test
   void aBadThirdRequestEndsThePipelineBehindTheAnswersOfTheFirstTwo() throws Exception {
-    HttpStandIn a = it.host(HttpStandIn.Options.quick("a").takes(20, 1));
+    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(20, 1));
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(
+      ProxyFixture.write(
           s,
           request("POST", "/claim", "p0")
               + request("POST", "/claim", "p1")
               + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n"
               + request("POST", "/claim", "p3"));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("\r\n\r\np0 ");
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("\r\n\r\np1 ");
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 400");
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.read(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .contains("\r\n\r\np0 ");
+      assertThat(ProxyFixture.read(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .contains("\r\n\r\np1 ");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
     assertThat(it.ledger.of("p3")).isEmpty();
   }
 
   @Test
   void aClientThatLeavesItsPipelineLeavesNothingBehind() throws Exception {
-    HttpStandIn a = it.host(HttpStandIn.Options.quick("a").takes(50, 1));
+    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(50, 1));
     it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(
+      ProxyFixture.write(
           s,
           request("POST", "/claim", "q0")
               + request("POST", "/claim", "q1")
               + request("POST", "/claim", "q2"));
-      World.await(() -> it.ledger.of("q0").size() == 1);
+      ProxyFixture.await(() -> it.ledger.of("q0").size() == 1);
     }
-    World.await(() -> a.connections() == 0);
+    ProxyFixture.await(() -> a.connections() == 0);
     assertThat(it.status(request("POST", "/claim", "after"))).isEqualTo(200);
     assertThat(it.ledger.of("q2")).isEmpty();
   }
 
   @Test
   void aPipelineOfOneIsNone() throws Exception {
-    HttpStandIn a = it.host("a");
+    FakeUpstream a = it.host("a");
     it.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = it.client()) {
-      World.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      ProxyFixture.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(it.ledger.executions()).isZero();
   }
@@ -185,19 +192,19 @@
 
   @Test
   void clientsOfHttp10AreServedWithAndWithoutKeepAlive() throws Exception {
-    RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = it.client()) {
       for (int i = 0; i < 3; i++) {
-        World.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-        assertThat(World.read(s.getInputStream()))
+        ProxyFixture.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
+        assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("connection: keep-alive")
             .endsWith("ok");
       }
-      World.write(s, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
-      assertThat(World.ends(s)).isTrue();
+      ProxyFixture.write(s, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
     assertThat(h.heads.get(0))
         .startsWith("GET /x HTTP/1.1\r\n")
@@ -222,11 +229,11 @@
   })
   void theHostOfAnAbsoluteTargetWins(
       String target, String host, String path, String told, int status) throws Exception {
-    RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     it.start(
         LISTENER,
         CLASSES,
-        RawHost.pool("a", "", h),
+        RawUpstream.pool("a", "", h),
         "[[route]]\nname = \"b\"\nhosts = [\"b.test\"]\nprefix = \"/\"\npool = \"a\"");
     assertThat(it.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"))
         .isEqualTo(status);
@@ -243,38 +250,38 @@
   @Test
   void trailersGoBothWays() throws Exception {
     List<String> trailers = new java.util.concurrent.CopyOnWriteArrayList<>();
-    RawHost h =
+    RawUpstream h =
         it.raw(
             (host, in, out, s) -> {
               while (host.head(in) != null) {
-                trailers.add(RawHost.chunks(in, new long[1]));
-                RawHost.write(
+                trailers.add(RawUpstream.chunks(in, new long[1]));
+                RawUpstream.write(
                     out,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 7\r\nContent-Length: 9\r\n\r\n");
               }
             });
-    it.start(LISTENER, CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     String head =
         request("POST", "/x", "r", "TE: trailers", "Connection: TE")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
     try (Socket s = it.client()) {
       for (int i = 0; i < 2; i++) {
-        World.write(s, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
+        ProxyFixture.write(s, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
         InputStream in = s.getInputStream();
-        assertThat(RawHost.until(in, "\r\n\r\n"))
+        assertThat(RawUpstream.until(in, "\r\n\r\n"))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("transfer-encoding: chunked");
-        assertThat(RawHost.until(in, "\r\n\r\n")).isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
+        assertThat(RawUpstream.until(in, "\r\n\r\n")).isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
-      World.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      ProxyFixture.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
     try (Socket s = it.client()) {
-      World.write(
+      ProxyFixture.write(
           s, "GET /x HTTP/1.0\r\n\r\n"); // answered by a host that waits for a body: not at all
-      World.await(() -> h.heads.size() == 3);
+      ProxyFixture.await(() -> h.heads.size() == 3);
     }
   }
 
@@ -285,11 +292,11 @@
 
   @Test
   void aCallerThatIsNotTrustedCannotMakeUpAnAddress() throws Exception {
-    RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     it.start(
         LISTENER,
         CLASSES,
-        RawHost.pool("a", "", h),
+        RawUpstream.pool("a", "", h),
         CLAIMS,
         "[[limit]]\nname = \"each\"\nby = \"address\"\nper_second = 0.001\nburst = 2");
     assertThat(it.status(request("GET", "/x", "r", MADE_UP))).isEqualTo(200);
@@ -316,11 +323,11 @@
         "X-Nothing: 1 | 127.0.0.1",
       })
   void ofAChainTheLastThatIsNotTrustedIsTheCaller(String line, String caller) throws Exception {
-    RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     it.start(
         LISTENER + "trusted = [\"127.0.0.0/8\", \"10.0.0.0/8\"]\nforwarded = \"replace\"",
         CLASSES,
-        RawHost.pool("a", "", h),
+        RawUpstream.pool("a", "", h),
         CLAIMS);
     assertThat(it.status(request("GET", "/x", "r", line))).isEqualTo(200);
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nx-forwarded-for: " + caller + "\r\n");
@@ -328,8 +335,8 @@
 
   @Test
   void aTrustedHopIsAddedTo() throws Exception {
-    RawHost h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawHost.pool("a", "", h), CLAIMS);
+    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    it.start(LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     assertThat(
             it.status(
                 request(
--- a/src/test/java/corkproxy/disruption/MemberViewTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
@@ -1,4 +1,4 @@
-package corkproxy.disruption;
+package leadferry.disruption;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
-class MemberViewTest {
-  private final MemberView view = new MemberView("a");
+class ProxyMemberViewTest {
+  private final ProxyMemberView view = new ProxyMemberView("a");
 
   private static ObjectNode news(long version, long forMs, String... out) {
     ObjectNode o = JsonNodeFactory.instance.objectNode().put("version", version);
--- a/src/test/java/corkproxy/engine/BackgroundWriterTest.java
+++ b/src/test/java/leadferry/engine/BackgroundWriterTest.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -45,7 +45,7 @@
     read.countDown();
     writer.flush(10_000);
     assertThat(arrived.toString())
-        .containsPattern("corkproxy: [0-9]+ texts of the log were dropped");
+        .containsPattern("leadferry: [0-9]+ texts of the log were dropped");
     assertThat(arrived.toString().lines().count()).isLessThan(TEXTS / 2);
   }
 
--- a/src/test/java/corkproxy/engine/DescriptorsTest.java
+++ b/src/test/java/leadferry/engine/DescriptorsTest.java
@@ -1,13 +1,13 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.balancer.Settings;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import leadferry.loadbalancer.Settings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/corkproxy/engine/Pool.java
+++ b/src/test/java/leadferry/engine/Pool.java
@@ -1,11 +1,5 @@
-package corkproxy.engine;
-
-import corkproxy.balancer.Arrival;
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.LoadReport;
-import corkproxy.balancer.Result;
-import corkproxy.balancer.Settings;
-import corkproxy.proxy.World;
+package leadferry.engine;
+
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -28,6 +22,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadReport;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
+import leadferry.proxy.ProxyFixture;
 
 /**
  * The engine before hosts on loopback sockets, with a protocol in which one byte is a request, and
@@ -61,13 +61,15 @@
   Pool(Transport transport, int size, Settings.RequestClass type) throws Exception {
     group = new MultiThreadIoEventLoopGroup(1, transport.loops());
     loop = (EventLoop) group.next();
-    List<Hosts.Member> members = new ArrayList<>();
+    List<UpstreamHosts.Member> members = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
       hosts.add(host);
-      World.spawn(() -> accept(host));
+      ProxyFixture.spawn(() -> accept(host));
       InetSocketAddress address = (InetSocketAddress) host.getLocalSocketAddress();
-      members.add(new Hosts.Member("h" + i, address, "z", "k", 1, HostEntry.Condition.READY, 1, 0));
+      members.add(
+          new UpstreamHosts.Member(
+              "h" + i, address, "z", "k", 1, EndpointUpdate.Condition.READY, 1, 0));
     }
     Settings settings =
         new Settings(
@@ -82,15 +84,15 @@
             1,
             false);
     Log log = new LineLog(new PrintStream(OutputStream.nullOutputStream()), false);
-    Upstreams upstreams =
-        new Upstreams(
+    UpstreamConnectionPool upstreams =
+        new UpstreamConnectionPool(
             loop, transport, this::connection, PoolBounds.unbounded(10_000, 5_000), sockets, log);
     dispatcher =
         onLoop(
             () -> {
               Dispatcher d =
                   new Dispatcher(null, loop, settings, 7, upstreams, new BodyBudget(1 << 20), log);
-              d.start(new Hosts.News(1, true, members), () -> {});
+              d.start(new UpstreamHosts.News(1, true, members), () -> {});
               return d;
             });
   }
@@ -99,7 +101,7 @@
     while (true) {
       Socket s = host.accept();
       accepted.add(s);
-      World.spawn(
+      ProxyFixture.spawn(
           () -> {
             int b;
             while ((b = s.getInputStream().read()) >= 0) {
@@ -123,7 +125,7 @@
     onLoop(
         () -> {
           dispatcher.take(
-              new OneByte(), new Arrival(0, "c", null, 60_000, Double.NaN, false), null);
+              new OneByte(), new RequestArrival(0, "c", null, 60_000, Double.NaN, false), null);
           return null;
         });
   }
@@ -158,12 +160,12 @@
   }
 
   /** A request of one byte, and its answer. */
-  private final class OneByte implements Call {
+  private final class OneByte implements ClientCall {
     @Override
     public void carriedBy(Exchange exchange) {}
 
     @Override
-    public Attempt attempt(Exchange exchange, Host host, int number, double now) {
+    public Attempt attempt(Exchange exchange, UpstreamHost host, int number, double now) {
       return new Attempt(exchange, host, number, now) {
         @Override
         protected ChannelFuture write(Channel channel) {
@@ -194,14 +196,15 @@
     public void free() {}
   }
 
-  private UpstreamConnection connection(Upstreams pool, Host host, Channel channel) {
+  private UpstreamConnection connection(
+      UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     UpstreamConnection c = new Answered(pool, host, channel);
     channel.pipeline().addLast(c);
     return c;
   }
 
   private final class Answered extends UpstreamConnection {
-    private Answered(Upstreams pool, Host host, Channel channel) {
+    private Answered(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
       super(pool, host, channel);
     }
 
@@ -221,7 +224,7 @@
         answers.add("served");
       }
       finished(true);
-      a.finish(Result.OK);
+      a.finish(AttemptOutcome.OK);
     }
   }
 }
--- a/src/test/java/corkproxy/engine/HearingTest.java
+++ b/src/test/java/leadferry/engine/ReadHorizonTest.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -23,7 +23,7 @@
 /**
  * A loop that was busy knows how old what it reads may be; one that waited knows that it is new.
  */
-class HearingTest {
+class ReadHorizonTest {
   private static final long BUSY_MS = 60;
   private final BlockingQueue<Long> behind = new LinkedBlockingQueue<>();
   private MultiThreadIoEventLoopGroup group;
@@ -51,7 +51,7 @@
 
                   @Override
                   public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                    behind.add(Hearing.behind());
+                    behind.add(ReadHorizon.behind());
                     io.netty.util.ReferenceCountUtil.release(msg);
                   }
                 })
@@ -117,6 +117,6 @@
   @MethodSource("transports")
   void offALoopNothingIsBehind(Transport t) throws Exception {
     open(t);
-    assertThat(Hearing.behind()).isZero();
+    assertThat(ReadHorizon.behind()).isZero();
   }
 }
--- a/src/test/java/corkproxy/engine/ServerStartClockTest.java
+++ b/src/test/java/leadferry/engine/ServerStartClockTest.java
@@ -1,4 +1,4 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
--- a/src/test/java/corkproxy/engine/UnfinishedWritesTest.java
+++ b/src/test/java/leadferry/engine/UnfinishedWritesTest.java
@@ -1,9 +1,9 @@
-package corkproxy.engine;
+package leadferry.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.balancer.Settings;
 import io.netty.buffer.Unpooled;
+import leadferry.loadbalancer.Settings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/corkproxy/fuzz/FrontFuzzTest.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzTest.java
@@ -1,14 +1,14 @@
-package corkproxy.fuzz;
+package leadferry.fuzz;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class FrontFuzzTest {
+class HttpServerFuzzTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void whateverReachesAHostIsWhatWasSentByTheGrammar(long seed) throws Exception {
-    assertThat(FrontFuzz.run(seed, 1_500)).isGreaterThan(50); // some do get through
+    assertThat(HttpServerFuzzer.run(seed, 1_500)).isGreaterThan(50); // some do get through
   }
 }
--- a/src/test/java/corkproxy/fuzz/FrontFuzz.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -1,19 +1,19 @@
-package corkproxy.fuzz;
+package leadferry.fuzz;
 
-import corkproxy.daemon.FuzzedDaemon;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.SplittableRandom;
+import leadferry.daemon.FuzzedDaemon;
 
 /**
  * Sends bytes to a daemon and compares what its host was sent with what {@link StrictReader} makes
  * of the bytes. As a program it makes bytes of a grammar for some seconds; {@code
  * fuzzerTestOneInput} is where a coverage-guided fuzzer comes in ({@code bench/fuzz}).
  */
-public final class FrontFuzz {
+public final class HttpServerFuzzer {
   /** Headers whose values must arrive as they were read. */
   private static final List<String> JUDGED =
       List.of(
@@ -26,7 +26,7 @@
 
   private static FuzzedDaemon daemon;
 
-  private FrontFuzz() {}
+  private HttpServerFuzzer() {}
 
   /** Jazzer's entry: the first byte tells how the rest is split. */
   public static void fuzzerTestOneInput(byte[] data) throws Exception {
@@ -239,8 +239,8 @@
   }
 
   /**
-   * Makes inputs for so many seconds, from a seed on: {@code FrontFuzz SECONDS [SEED]}. {@code
-   * FrontFuzz corpus FOLDER N} writes N of them instead.
+   * Makes inputs for so many seconds, from a seed on: {@code HttpServerFuzzer SECONDS [SEED]}.
+   * {@code HttpServerFuzzer corpus FOLDER N} writes N of them instead.
    */
   public static void main(String[] args) throws Exception {
     if (args[0].equals("corpus")) {
--- a/src/test/java/corkproxy/fuzz/StrictReader.java
+++ b/src/test/java/leadferry/fuzz/StrictReader.java
@@ -1,4 +1,4 @@
-package corkproxy.fuzz;
+package leadferry.fuzz;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/corkproxy/fleet/SuspicionsTest.java
+++ b/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
@@ -1,23 +1,23 @@
-package corkproxy.fleet;
+package leadferry.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.balancer.HostEntry;
-import corkproxy.balancer.News;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a proxy says of silent hosts, and on whose word it leaves one out or takes it back. */
-class SuspicionsTest {
+class SuspicionProtocolTest {
   private static final long HOST = 77;
   private static final double AIM = 500;
 
-  private static final class Ear implements Suspicions.Actions {
+  private static final class Ear implements SuspicionProtocol.Actions {
     final List<Suspicion> told = new ArrayList<>();
     final List<String> did = new ArrayList<>();
     final List<Double> waits = new ArrayList<>();
@@ -45,14 +45,14 @@
   }
 
   private final Ear ear = new Ear();
-  private final Suspicions one = new Suspicions("a", 100, AIM, 5, ear);
+  private final SuspicionProtocol one = new SuspicionProtocol("a", 100, AIM, 5, ear);
 
-  SuspicionsTest() {
-    one.members(News.FULL, List.of(host(0, HostEntry.Condition.READY)));
+  SuspicionProtocolTest() {
+    one.members(EndpointListEvent.FULL, List.of(host(0, EndpointUpdate.Condition.READY)));
   }
 
-  private static HostEntry host(double since, HostEntry.Condition condition) {
-    return new HostEntry(HOST, "a", "k", 1, condition, 1, since);
+  private static EndpointUpdate host(double since, EndpointUpdate.Condition condition) {
+    return new EndpointUpdate(HOST, "a", "k", 1, condition, 1, since);
   }
 
   private static byte[] silence(String zone, int age) {
@@ -236,23 +236,28 @@
     one.heard(1_000, 3, silence("a", 450));
     one.heard(1_010, 4, silence("a", 450));
     decide(1_010);
-    one.members(News.FAILED, List.of());
-    one.members(News.DELTA, List.of());
-    one.members(News.DELTA, List.of(host(0, HostEntry.Condition.READY)));
+    one.members(EndpointListEvent.FAILED, List.of());
+    one.members(EndpointListEvent.DELTA, List.of());
+    one.members(EndpointListEvent.DELTA, List.of(host(0, EndpointUpdate.Condition.READY)));
     assertThat(one.leavesOut(HOST)).isTrue();
     change.to.accept(one);
     assertThat(one.leavesOut(HOST)).isFalse();
   }
 
   private enum Change {
-    DRAINS(s -> s.members(News.DELTA, List.of(host(0, HostEntry.Condition.TERMINATING)))),
-    STARTS_ANEW(s -> s.members(News.DELTA, List.of(host(900, HostEntry.Condition.READY)))),
-    IS_NOT_IN_A_WHOLE_LIST(s -> s.members(News.FULL, List.of())),
+    DRAINS(
+        s ->
+            s.members(
+                EndpointListEvent.DELTA, List.of(host(0, EndpointUpdate.Condition.TERMINATING)))),
+    STARTS_ANEW(
+        s ->
+            s.members(EndpointListEvent.DELTA, List.of(host(900, EndpointUpdate.Condition.READY)))),
+    IS_NOT_IN_A_WHOLE_LIST(s -> s.members(EndpointListEvent.FULL, List.of())),
     IS_ELSEWHERE(s -> s.forget(HOST));
 
-    private final Consumer<Suspicions> to;
+    private final Consumer<SuspicionProtocol> to;
 
-    Change(Consumer<Suspicions> to) {
+    Change(Consumer<SuspicionProtocol> to) {
       this.to = to;
     }
   }
--- a/src/test/java/corkproxy/limits/LimiterTest.java
+++ b/src/test/java/leadferry/limits/LimiterTest.java
@@ -1,4 +1,4 @@
-package corkproxy.limits;
+package leadferry.limits;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -21,8 +21,8 @@
     return new Limit(name, by, within, Set.of(), Set.of(), Set.of(), rate, burst, open);
   }
 
-  private static Caller tenant(String name) {
-    return new Caller("main", "r", name, "c", "127.0.0.1");
+  private static ClientIdentity tenant(String name) {
+    return new ClientIdentity("main", "r", name, "c", "127.0.0.1");
   }
 
   private boolean passes(Limiter l, String tenant) {
@@ -99,10 +99,12 @@
     Limiter limiter = new Limiter(List.of(l), 64);
     assertThat(passes(limiter, "a")).isTrue();
     assertThat(passes(limiter, "b")).isFalse();
-    assertThat(limiter.acquire(new Caller("main", "other", "a", "c", ""), now).refusedBy())
+    assertThat(limiter.acquire(new ClientIdentity("main", "other", "a", "c", ""), now).refusedBy())
+        .isNull();
+    assertThat(limiter.acquire(new ClientIdentity("side", "r", "a", "c", ""), now).refusedBy())
+        .isNull();
+    assertThat(limiter.acquire(new ClientIdentity("main", "r", "a", "d", ""), now).refusedBy())
         .isNull();
-    assertThat(limiter.acquire(new Caller("side", "r", "a", "c", ""), now).refusedBy()).isNull();
-    assertThat(limiter.acquire(new Caller("main", "r", "a", "d", ""), now).refusedBy()).isNull();
   }
 
   @Test
--- a/src/test/java/corkproxy/balancer/Bench.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -1,10 +1,10 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** Builds settings and hosts for tests, and records what a balancer asks for. */
-final class Bench implements Actions {
+final class LoadBalancerFixture implements LoadBalancerActions {
   record Send(long request, int number, long host, double at) {}
 
   double now = 1_000;
@@ -53,24 +53,25 @@
         false);
   }
 
-  static HostEntry host(long id) {
-    return host(id, HostEntry.Condition.READY, 0);
+  static EndpointUpdate host(long id) {
+    return host(id, EndpointUpdate.Condition.READY, 0);
   }
 
-  static HostEntry host(long id, HostEntry.Condition condition, double since) {
-    return new HostEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
+  static EndpointUpdate host(long id, EndpointUpdate.Condition condition, double since) {
+    return new EndpointUpdate(
+        id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
   }
 
-  static List<HostEntry> hosts(int n) {
-    List<HostEntry> all = new ArrayList<>();
+  static List<EndpointUpdate> hosts(int n) {
+    List<EndpointUpdate> all = new ArrayList<>();
     for (int i = 0; i < n; i++) {
       all.add(host(i));
     }
     return all;
   }
 
-  static Arrival request(long id, String type, double budget) {
-    return new Arrival(id, type, null, budget, Double.NaN, false);
+  static RequestArrival request(long id, String type, double budget) {
+    return new RequestArrival(id, type, null, budget, Double.NaN, false);
   }
 
   Send last() {
--- a/src/test/java/corkproxy/balancer/RulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -1,10 +1,7 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.balancer.HostEntry.Condition;
-import corkproxy.balancer.Settings.Scope;
-import corkproxy.balancer.Settings.Semantics;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,11 +9,14 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import leadferry.loadbalancer.EndpointUpdate.Condition;
+import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random legal events against a balancer, judged by a checker that shares no code with it. */
-class RulesTest {
+class LoadBalancerRulesTest {
   private static final double SLACK = 20;
 
   /** What the checker itself knows of an attempt. */
@@ -26,7 +26,7 @@
     /** When its first byte went out; NaN before. */
     double at = Double.NaN;
 
-    Result result;
+    AttemptOutcome result;
 
     Try(long host) {
       this.host = host;
@@ -35,7 +35,9 @@
     boolean mayHaveRun() {
       return result == null
           ? !Double.isNaN(at)
-          : !(result == Result.FULL || result == Result.CONNECT_FAILED || result == Result.MOOT);
+          : !(result == AttemptOutcome.FULL
+              || result == AttemptOutcome.CONNECT_FAILED
+              || result == AttemptOutcome.MOOT);
     }
   }
 
@@ -46,7 +48,7 @@
     final List<Try> tries = new ArrayList<>();
   }
 
-  private final class World implements Actions {
+  private final class World implements LoadBalancerActions {
     final Random random;
     final Settings settings;
     final boolean parallel;
@@ -56,12 +58,12 @@
     final double lateness;
 
     final Map<Long, Req> reqs = new HashMap<>();
-    final Map<Long, HostEntry> list = new HashMap<>();
+    final Map<Long, EndpointUpdate> list = new HashMap<>();
     final Map<Long, List<Double>> coldSends = new HashMap<>();
     final List<Object[]> due = new ArrayList<>();
     final List<String> faults = new ArrayList<>();
     double now = 500;
-    Balancer balancer;
+    LoadBalancer balancer;
     long nextId;
     int answered;
 
@@ -71,15 +73,15 @@
       maxAttempts = 1 + random.nextInt(5);
       lateness = 0;
       settings =
-          Bench.settings(
+          LoadBalancerFixture.settings(
               parallel,
               maxAttempts,
               random.nextBoolean(),
-              Bench.type("safe", Semantics.IDEMPOTENT, Scope.ALL),
-              Bench.type("all", Semantics.DEDUPLICATED, Scope.ALL),
-              Bench.type("zone", Semantics.DEDUPLICATED, Scope.ZONE),
-              Bench.type("cell", Semantics.DEDUPLICATED, Scope.CELL),
-              Bench.type("once", Semantics.AT_MOST_ONCE, Scope.ALL));
+              LoadBalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL),
+              LoadBalancerFixture.type("all", Semantics.DEDUPLICATED, Scope.ALL),
+              LoadBalancerFixture.type("zone", Semantics.DEDUPLICATED, Scope.ZONE),
+              LoadBalancerFixture.type("cell", Semantics.DEDUPLICATED, Scope.CELL),
+              LoadBalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL));
     }
 
     /** One of a deployment that nobody has. */
@@ -98,7 +100,7 @@
     @Override
     public void send(long id, long host, double apart) {
       Req r = reqs.get(id);
-      HostEntry h = list.get(host);
+      EndpointUpdate h = list.get(host);
       if (r.ended) {
         faults.add("rule 1: sent after the end");
       }
@@ -140,7 +142,7 @@
       if (t.result == null && goes) {
         write(id, r, t, number);
       } else {
-        settle(id, r, t, number, Result.MOOT, 0);
+        settle(id, r, t, number, AttemptOutcome.MOOT, 0);
       }
     }
 
@@ -154,27 +156,27 @@
       double left = r.deadline - now;
       double p = random.nextDouble();
       double spent = Math.min(left, -60 * Math.log(1 - random.nextDouble()));
-      Result end =
+      AttemptOutcome end =
           p < 0.5 && spent < left
-              ? Result.OK
-              : p < 0.6 ? Result.TIMEOUT : Result.values()[random.nextInt(7)];
-      if (end == Result.TIMEOUT || end == Result.OK && spent >= left) {
-        end = Result.TIMEOUT;
+              ? AttemptOutcome.OK
+              : p < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
+      if (end == AttemptOutcome.TIMEOUT || end == AttemptOutcome.OK && spent >= left) {
+        end = AttemptOutcome.TIMEOUT;
         spent = left;
       }
-      Result result = end;
+      AttemptOutcome result = end;
       double took = spent;
       at(spent, () -> settle(id, r, t, number, result, took));
     }
 
-    private boolean repeatable(Req r, Try t, HostEntry h) {
+    private boolean repeatable(Req r, Try t, EndpointUpdate h) {
       if (r.type.semantics() == Semantics.IDEMPOTENT) {
         return true;
       }
       if (r.type.semantics() == Semantics.AT_MOST_ONCE || now - t.at >= r.type.repeatWindow()) {
         return false;
       }
-      HostEntry first = list.get(t.host);
+      EndpointUpdate first = list.get(t.host);
       return switch (r.type.scope()) {
         case ALL -> true;
         case ZONE -> first.zone().equals(h.zone());
@@ -182,14 +184,14 @@
       };
     }
 
-    private void settle(long id, Req r, Try t, int number, Result result, double spent) {
+    private void settle(long id, Req r, Try t, int number, AttemptOutcome result, double spent) {
       if (t.result != null) {
         return;
       }
       t.result = result;
-      boolean over = r.ended || result == Result.OK;
+      boolean over = r.ended || result == AttemptOutcome.OK;
       r.ended |= over;
-      if (result == Result.OK) {
+      if (result == AttemptOutcome.OK) {
         answered++;
       }
       LoadReport report = held(random.nextInt(9));
@@ -241,10 +243,10 @@
         faults.add("cancelled where that is not allowed");
       }
       if (Double.isNaN(t.at)) {
-        at(0, () -> settle(id, r, t, attempt, Result.MOOT, 0));
+        at(0, () -> settle(id, r, t, attempt, AttemptOutcome.MOOT, 0));
         return;
       }
-      at(0, () -> settle(id, r, t, attempt, Result.CANCELLED, now - t.at));
+      at(0, () -> settle(id, r, t, attempt, AttemptOutcome.CANCELLED, now - t.at));
     }
 
     @Override
@@ -254,7 +256,7 @@
 
     @Override
     public void follow() {
-      at(50, () -> balancer.onMembership(now, News.FAILED, List.of()));
+      at(50, () -> balancer.onMembership(now, EndpointListEvent.FAILED, List.of()));
     }
 
     @Override
@@ -262,7 +264,7 @@
 
     void change(int hosts) {
       long id = random.nextInt(hosts);
-      HostEntry old = list.get(id);
+      EndpointUpdate old = list.get(id);
       Condition c =
           switch (random.nextInt(5)) {
             case 0 -> Condition.TERMINATING;
@@ -270,34 +272,34 @@
             default -> Condition.READY;
           };
       double since = random.nextInt(3) == 0 ? now : old == null ? 0 : old.onlineSince();
-      HostEntry e = Bench.host(id, c, since);
+      EndpointUpdate e = LoadBalancerFixture.host(id, c, since);
       list.put(id, e);
       if (random.nextInt(4) > 0) {
-        balancer.onMembership(now, News.DELTA, List.of(e));
+        balancer.onMembership(now, EndpointListEvent.DELTA, List.of(e));
         return;
       }
-      List<HostEntry> all = new ArrayList<>();
+      List<EndpointUpdate> all = new ArrayList<>();
       for (long k : new java.util.TreeSet<>(list.keySet())) {
-        HostEntry h = list.get(k);
+        EndpointUpdate h = list.get(k);
         if (h.condition() == Condition.GONE) {
           continue;
         }
         if (random.nextInt(10) == 0) {
-          list.put(k, Bench.host(k, Condition.GONE, h.onlineSince()));
+          list.put(k, LoadBalancerFixture.host(k, Condition.GONE, h.onlineSince()));
         } else {
           all.add(h);
         }
       }
-      balancer.onMembership(now, News.FULL, all);
+      balancer.onMembership(now, EndpointListEvent.FULL, all);
     }
 
     void run(int hosts, double length) {
-      balancer = new Balancer(settings, random.nextLong(), this);
-      for (HostEntry e : Bench.hosts(hosts)) {
+      balancer = new LoadBalancer(settings, random.nextLong(), this);
+      for (EndpointUpdate e : LoadBalancerFixture.hosts(hosts)) {
         list.put(e.id(), e);
       }
       balancer.onStart(now);
-      balancer.onMembership(now, News.CACHED, new ArrayList<>(list.values()));
+      balancer.onMembership(now, EndpointListEvent.CACHED, new ArrayList<>(list.values()));
       double stop = now + length;
       arrive(stop);
       for (double t = 100; t < length; t += 100 + random.nextInt(400)) {
@@ -345,7 +347,7 @@
       r.deadline = now + budget;
       long id = nextId++;
       reqs.put(id, r);
-      balancer.onRequest(now, Bench.request(id, r.type.name(), budget));
+      balancer.onRequest(now, LoadBalancerFixture.request(id, r.type.name(), budget));
       // A client may leave early; what is out still ends.
       if (random.nextInt(30) == 0) {
         at(
--- a/src/test/java/corkproxy/balancer/BalancerTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
@@ -1,52 +1,54 @@
-package corkproxy.balancer;
+package leadferry.loadbalancer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.balancer.HostEntry.Condition;
-import corkproxy.balancer.Settings.Scope;
-import corkproxy.balancer.Settings.Semantics;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import leadferry.loadbalancer.EndpointUpdate.Condition;
+import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
-class BalancerTest {
+class LoadBalancerTest {
   private static final String SAFE = "safe";
-  private final Bench bench = new Bench();
+  private final LoadBalancerFixture bench = new LoadBalancerFixture();
 
-  private Balancer balancer(Settings settings, List<HostEntry> hosts) {
-    Balancer b = new Balancer(settings, 7, bench);
+  private LoadBalancer balancer(Settings settings, List<EndpointUpdate> hosts) {
+    LoadBalancer b = new LoadBalancer(settings, 7, bench);
     b.onStart(bench.now);
-    b.onMembership(bench.now, News.CACHED, hosts);
+    b.onMembership(bench.now, EndpointListEvent.CACHED, hosts);
     return b;
   }
 
-  private Balancer safe(int hosts) {
+  private LoadBalancer safe(int hosts) {
     return balancer(
-        Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), Bench.hosts(hosts));
+        LoadBalancerFixture.settings(
+            LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+        LoadBalancerFixture.hosts(hosts));
   }
 
-  private void serve(Balancer b, long id, double spent) {
-    b.onRequest(bench.now, Bench.request(id, SAFE, 800));
-    Bench.Send s = bench.last();
+  private void serve(LoadBalancer b, long id, double spent) {
+    b.onRequest(bench.now, LoadBalancerFixture.request(id, SAFE, 800));
+    LoadBalancerFixture.Send s = bench.last();
     bench.now += spent;
-    b.onOutcome(bench.now, id, s.number(), Result.OK, spent, true, null);
+    b.onOutcome(bench.now, id, s.number(), AttemptOutcome.OK, spent, true, null);
   }
 
   @Test
   void refusesAtOnceWithoutHosts() {
-    Balancer b = safe(0);
-    b.onRequest(bench.now, Bench.request(1, SAFE, 800));
+    LoadBalancer b = safe(0);
+    b.onRequest(bench.now, LoadBalancerFixture.request(1, SAFE, 800));
     assertThat(bench.refused).containsExactly(1L);
   }
 
   @Test
   void spreadsOpenRequestsByOwnCount() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     Map<Long, Integer> counts = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       counts.merge(bench.last().host(), 1, Integer::sum);
     }
     assertThat(counts.values()).allSatisfy(n -> assertThat(n).isBetween(7, 13));
@@ -54,11 +56,11 @@
 
   @Test
   void leavesOutHostThatIsSilent() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     for (int i = 0; i < 200; i++) {
       serve(b, i, 10);
     }
-    b.onRequest(bench.now, Bench.request(1_000, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(1_000, SAFE, 800));
     long silent = bench.last().host();
     bench.now += 300;
     for (int i = 2_000; i < 2_100; i++) {
@@ -69,16 +71,16 @@
 
   @Test
   void ejectsFastFailingHostAndTriesItAgain() {
-    Balancer b = safe(5);
+    LoadBalancer b = safe(5);
     long bad = 2;
     int first = 0;
     int later = 0;
     int trials = 0;
     for (int i = 0; i < 2_000; i++) {
       bench.now += 5;
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       for (int k = 0; k < 3; k++) {
-        Bench.Send s = bench.last();
+        LoadBalancerFixture.Send s = bench.last();
         if (s.request() != i || s.number() != k) {
           break;
         }
@@ -88,7 +90,8 @@
           later += i >= 100 && bench.now < 7_000 ? 1 : 0;
           trials += bench.now >= 7_000 ? 1 : 0;
         }
-        b.onOutcome(bench.now, i, k, fails ? Result.ERROR : Result.OK, 1, !fails, null);
+        b.onOutcome(
+            bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
       }
     }
     assertThat(first).isLessThan(8);
@@ -99,15 +102,15 @@
   /** When all hosts fail alike it is no outlier's fault: the few left must not get all the load. */
   @Test
   void ejectsOnlyAPartOfTheHostsAtOnce() {
-    Balancer b = safe(3);
+    LoadBalancer b = safe(3);
     for (int i = 0; i < 60; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-      b.onOutcome(bench.now, i, 0, Result.ERROR, 1, true, null);
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
     }
     int before = bench.sends.size();
-    b.onRequest(bench.now, Bench.request(100, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(100, SAFE, 800));
     assertThat(bench.sends).hasSizeGreaterThan(before);
-    b.onOutcome(bench.now, 100, 0, Result.OK, 1, true, null);
+    b.onOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
     assertThat(bench.logs).filteredOn(l -> l.endsWith("ejected")).hasSize(1);
     bench.now += 20_000;
     for (int i = 200; i < 260; i++) {
@@ -119,12 +122,12 @@
   /** Full hosts are busy, not broken: none is ejected, and what piles up is refused early. */
   @Test
   void fullHostsAreNotEjected() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     for (int i = 0; i < 60; i++) {
       bench.now += 20;
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
-        b.onOutcome(bench.now, i, k, Result.FULL, 1, false, null);
+        b.onOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
       }
     }
     assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
@@ -134,21 +137,27 @@
 
   @Test
   void sendsNothingToDrainingHost() {
-    Balancer b = safe(3);
-    b.onMembership(bench.now, News.DELTA, List.of(Bench.host(1, Condition.TERMINATING, 0)));
+    LoadBalancer b = safe(3);
+    b.onMembership(
+        bench.now,
+        EndpointListEvent.DELTA,
+        List.of(LoadBalancerFixture.host(1, Condition.TERMINATING, 0)));
     for (int i = 0; i < 60; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       assertThat(bench.last().host()).isNotEqualTo(1);
     }
   }
 
   @Test
   void thinsRestartedHostIntoThePool() {
-    Balancer b = safe(6);
+    LoadBalancer b = safe(6);
     for (int i = 0; i < 1_000; i++) {
       serve(b, i, 4);
     }
-    b.onMembership(bench.now, News.DELTA, List.of(Bench.host(3, Condition.READY, bench.now)));
+    b.onMembership(
+        bench.now,
+        EndpointListEvent.DELTA,
+        List.of(LoadBalancerFixture.host(3, Condition.READY, bench.now)));
     int cold = 0;
     for (int i = 1_000; i < 1_500; i++) {
       serve(b, i, 4);
@@ -160,31 +169,33 @@
 
   @Test
   void unsafeRequestIsNeverRepeatedAfterTimeout() {
-    Balancer b =
+    LoadBalancer b =
         balancer(
-            Bench.settings(Bench.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)), Bench.hosts(4));
-    b.onRequest(bench.now, Bench.request(1, "once", 400));
-    b.onOutcome(bench.now + 400, 1, 0, Result.TIMEOUT, 400, false, null);
+            LoadBalancerFixture.settings(
+                LoadBalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)),
+            LoadBalancerFixture.hosts(4));
+    b.onRequest(bench.now, LoadBalancerFixture.request(1, "once", 400));
+    b.onOutcome(bench.now + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
     assertThat(bench.sends).hasSize(1);
     assertThat(bench.failed).containsExactly(1L);
-    b.onRequest(bench.now, Bench.request(2, "once", 400));
-    b.onOutcome(bench.now, 2, 0, Result.FULL, 1, false, null);
+    b.onRequest(bench.now, LoadBalancerFixture.request(2, "once", 400));
+    b.onOutcome(bench.now, 2, 0, AttemptOutcome.FULL, 1, false, null);
     assertThat(bench.sends).hasSize(3);
   }
 
   @Test
   void refusesEarlyInOverloadAndRecovers() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     for (int i = 0; i < 60; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
     }
     bench.now += 790;
     for (int i = 0; i < 60; i++) {
-      b.onOutcome(bench.now, i, 0, Result.OK, 790, true, null);
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
     }
     int sent = bench.sends.size();
     for (int i = 1_000; i < 1_050; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
     }
     assertThat(bench.refused).hasSizeGreaterThan(20);
     assertThat(bench.sends).hasSizeGreaterThan(sent);
@@ -199,31 +210,32 @@
   /** Between two time-outs of a light proxy a jam must not be forgotten (incident i6d1b83). */
   @Test
   void jamIsRememberedBetweenTimeouts() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     for (int i = 0; i < 60; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
     }
     bench.now += 790;
     for (int i = 0; i < 60; i++) {
-      b.onOutcome(bench.now, i, 0, Result.OK, 790, true, null);
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
     }
     bench.now += 3_000;
     for (int i = 1_000; i < 1_100; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
     }
     assertThat(bench.refused).hasSizeGreaterThan(60);
   }
 
   @Test
   void followsAgainAfterFailureWithBackoff() {
-    Balancer b =
+    LoadBalancer b =
         balancer(
-            Bench.settings(true, 4, true, Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
-            Bench.hosts(2));
+            LoadBalancerFixture.settings(
+                true, 4, true, LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            LoadBalancerFixture.hosts(2));
     assertThat(bench.follows).isEqualTo(1);
     double last = 0;
     for (int i = 0; i < 6; i++) {
-      b.onMembership(bench.now, News.FAILED, List.of());
+      b.onMembership(bench.now, EndpointListEvent.FAILED, List.of());
       Map.Entry<Double, List<Long>> timer = bench.timers.pollFirstEntry();
       last = timer.getKey() - bench.now;
       bench.now = timer.getKey();
@@ -235,13 +247,17 @@
 
   @Test
   void sameSeedAndEventsGiveTheSameActions() {
-    Bench other = new Bench();
-    for (Bench each : List.of(bench, other)) {
-      Balancer b =
-          new Balancer(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 3, each);
-      b.onMembership(each.now, News.FULL, Bench.hosts(9));
+    LoadBalancerFixture other = new LoadBalancerFixture();
+    for (LoadBalancerFixture each : List.of(bench, other)) {
+      LoadBalancer b =
+          new LoadBalancer(
+              LoadBalancerFixture.settings(
+                  LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+              3,
+              each);
+      b.onMembership(each.now, EndpointListEvent.FULL, LoadBalancerFixture.hosts(9));
       for (int i = 0; i < 100; i++) {
-        b.onRequest(each.now, Bench.request(i, SAFE, 800));
+        b.onRequest(each.now, LoadBalancerFixture.request(i, SAFE, 800));
       }
     }
     assertThat(other.sends).isEqualTo(bench.sends);
@@ -250,13 +266,13 @@
   /** Guards against a few heavy requests that make every queue look too long to begin. */
   @Test
   void heavyAnswersDoNotMakeQueuesLookLong() {
-    Balancer b = safe(3);
+    LoadBalancer b = safe(3);
     for (int i = 0; i < 120; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-      Bench.Send s = bench.last();
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
+      LoadBalancerFixture.Send s = bench.last();
       double spent = i % 10 == 9 ? 780 : 60;
       bench.now += spent;
-      b.onOutcome(bench.now, i, s.number(), Result.OK, spent, true, held(10));
+      b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, spent, true, held(10));
     }
     // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does
     // not.
@@ -265,31 +281,33 @@
     for (long h = 0; h < 3; h++) {
       b.onReport(bench.now, h, held(25));
     }
-    b.onRequest(bench.now, Bench.request(900, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(900, SAFE, 800));
     assertThat(bench.refused).hasSize(refused);
   }
 
   /** Guards against a tenant's burst that takes the place of requests within their share. */
   @Test
   void refusesATenantOverItsShareFirst() {
-    Balancer b =
+    LoadBalancer b =
         balancer(
-            Bench.settings(
+            LoadBalancerFixture.settings(
                 List.of(new Settings.Tenant("x", 10, 0.5), new Settings.Tenant("y", 10, 0.5)),
-                Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
-            Bench.hosts(4));
+                LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            LoadBalancerFixture.hosts(4));
     for (int i = 0; i < 90; i++) {
-      b.onRequest(bench.now, new Arrival(i, SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
+      b.onRequest(
+          bench.now, new RequestArrival(i, SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
     }
     bench.now += 790;
     for (int i = 0; i < 90; i++) {
-      b.onOutcome(bench.now, i, 0, Result.OK, 300, true, null);
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, null);
     }
     int[] refused = new int[2];
     for (int i = 0; i < 180; i++) {
       int before = bench.refused.size();
       boolean y = i % 9 == 0;
-      b.onRequest(bench.now, new Arrival(1_000 + i, SAFE, y ? "y" : "x", 800, Double.NaN, false));
+      b.onRequest(
+          bench.now, new RequestArrival(1_000 + i, SAFE, y ? "y" : "x", 800, Double.NaN, false));
       refused[y ? 1 : 0] += bench.refused.size() - before;
     }
     // 160 of x, 20 of y
@@ -299,23 +317,26 @@
   /** Guards against a jam's flood of retries that pushes a cold host over (i8a3c58). */
   @Test
   void jamSendsAColdHostNoMoreThanWarmOnesServe() {
-    Balancer b = safe(5);
+    LoadBalancer b = safe(5);
     int cold = 0;
     int served = 0;
     for (int i = 0; i < 4_000; i++) {
       bench.now += 1;
       if (i == 2_000) {
         b.onMembership(
-            bench.now, News.DELTA, List.of(Bench.host(3, HostEntry.Condition.READY, bench.now)));
+            bench.now,
+            EndpointListEvent.DELTA,
+            List.of(LoadBalancerFixture.host(3, EndpointUpdate.Condition.READY, bench.now)));
       }
       int before = bench.sends.size();
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       for (int k = before; k < bench.sends.size(); k++) {
-        Bench.Send s = bench.sends.get(k);
+        LoadBalancerFixture.Send s = bench.sends.get(k);
         boolean ok = k % 10 == 0; // hosts serve a tenth of what comes
         cold += i >= 2_000 && s.host() == 3 ? 1 : 0;
         served += i >= 2_000 && ok ? 1 : 0;
-        b.onOutcome(bench.now, i, s.number(), ok ? Result.OK : Result.FULL, 2, ok, null);
+        b.onOutcome(
+            bench.now, i, s.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
       }
     }
     // A warm host serves a fifth of that, and a cold one may get at most three times as much.
@@ -327,15 +348,18 @@
   /** Guards against many proxies that together use up the hosts' connections (if1c0a3). */
   @Test
   void manyProxiesOnFewHostsKeepSmallPools() {
-    Settings s = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+    Settings s =
+        LoadBalancerFixture.settings(
+            LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
     Settings many =
         new Settings(
             s.classes(), s.tenants(), s.limits(), s.rules(), false, "a", 17, 1_500, 1, false);
-    Balancer b = balancer(many, Bench.hosts(40));
+    LoadBalancer b = balancer(many, LoadBalancerFixture.hosts(40));
     for (int i = 0; i < 500; i++) {
       serve(b, i, 10);
     }
-    assertThat(bench.sends.stream().map(Bench.Send::host).distinct().count()).isBetween(3L, 5L);
+    assertThat(bench.sends.stream().map(LoadBalancerFixture.Send::host).distinct().count())
+        .isBetween(3L, 5L);
   }
 
   private static LoadReport held(double n) {
@@ -345,7 +369,7 @@
   /** One crowded host among idle ones costs no request, and its old report is not believed long. */
   @Test
   void aCrowdedHostIsPassedOverAndTriedAgain() {
-    Balancer b = safe(3);
+    LoadBalancer b = safe(3);
     int i = 0;
     for (; i < 300; i++) {
       report(b, i, bench.now, 1);
@@ -355,7 +379,7 @@
     for (; i < 600; i++) {
       boolean first = request(b, i) == 1 && !told;
       told |= first;
-      b.onOutcome(bench.now, i, 0, Result.OK, 100, true, load(first ? 60 : 1));
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, load(first ? 60 : 1));
     }
     assertThat(told).isTrue();
     assertThat(bench.refused).isEmpty();
@@ -371,13 +395,13 @@
   /** Time-outs of a host that answers nothing at all say nothing of how busy the others are. */
   @Test
   void aSilentHostIsNoReasonToRefuseWhileOthersHaveRoom() {
-    Balancer b = safe(6);
+    LoadBalancer b = safe(6);
     for (int i = 0; i < 400; i++) {
       bench.now += 5;
       if (request(b, i) == 2) {
-        b.onOutcome(bench.now, i, 0, Result.TIMEOUT, 800, true, null);
+        b.onOutcome(bench.now, i, 0, AttemptOutcome.TIMEOUT, 800, true, null);
       } else {
-        b.onOutcome(bench.now, i, 0, Result.OK, 100, true, load(1));
+        b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, load(1));
       }
     }
     assertThat(bench.refused).isEmpty();
@@ -390,23 +414,28 @@
   @Test
   void aHostThatLimitsAClassKeepsTheOthers() {
     String limited = "limited";
-    Balancer b =
+    LoadBalancer b =
         balancer(
-            Bench.settings(
-                Bench.type(limited, Semantics.AT_MOST_ONCE, Scope.ALL),
-                Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
-            List.of(Bench.host(0), Bench.host(1), Bench.host(2), Bench.host(3)));
+            LoadBalancerFixture.settings(
+                LoadBalancerFixture.type(limited, Semantics.AT_MOST_ONCE, Scope.ALL),
+                LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            List.of(
+                LoadBalancerFixture.host(0),
+                LoadBalancerFixture.host(1),
+                LoadBalancerFixture.host(2),
+                LoadBalancerFixture.host(3)));
     int turned = 0;
     int others = 0;
     for (int i = 0; i < 1_000; i++) {
       bench.now += 10;
-      b.onRequest(bench.now, Bench.request(i, i % 2 == 0 ? limited : SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, i % 2 == 0 ? limited : SAFE, 800));
       for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
         boolean limits = i % 2 == 0 && bench.last().host() < 2;
         turned += limits ? 1 : 0;
         others += i % 2 == 1 && bench.last().host() < 2 ? 1 : 0;
         bench.now += 5;
-        b.onOutcome(bench.now, i, k, limits ? Result.FULL : Result.OK, 5, !limits, load(1));
+        b.onOutcome(
+            bench.now, i, k, limits ? AttemptOutcome.FULL : AttemptOutcome.OK, 5, !limits, load(1));
       }
     }
     assertThat(bench.refused).isEmpty();
@@ -420,7 +449,7 @@
    */
   @Test
   void aHostThatTakesAClassAgainGetsItsPart() {
-    Balancer b = safe(2);
+    LoadBalancer b = safe(2);
     int turned = 0;
     int served = 0;
     for (int i = 0; i < 1_000; i++) {
@@ -430,9 +459,10 @@
       boolean full = limits && host == 0;
       turned += full ? 1 : 0;
       served += bench.now > 12_000 && host == 0 ? 1 : 0;
-      b.onOutcome(bench.now, i, 0, full ? Result.FULL : Result.OK, 5, !full, load(1));
+      b.onOutcome(
+          bench.now, i, 0, full ? AttemptOutcome.FULL : AttemptOutcome.OK, 5, !full, load(1));
       if (full) {
-        b.onOutcome(bench.now, i, 1, Result.OK, 5, true, load(1));
+        b.onOutcome(bench.now, i, 1, AttemptOutcome.OK, 5, true, load(1));
       }
     }
     assertThat(turned).isBetween(2, 12);
@@ -445,7 +475,7 @@
    */
   @Test
   void anAnswerLostOnTheWayIsNoJam() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     double[] lost = new double[4];
     for (int i = 0; i < 600; i++) {
       bench.now += 10;
@@ -453,9 +483,9 @@
       if (i % 3 == 0 && lost[host] == 0) {
         lost[host] = i + 1;
       } else {
-        b.onOutcome(bench.now, i, 0, Result.OK, 100, true, load(1));
+        b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, load(1));
         if (lost[host] > 0) {
-          b.onOutcome(bench.now, (long) lost[host] - 1, 0, Result.TIMEOUT, 800, true, null);
+          b.onOutcome(bench.now, (long) lost[host] - 1, 0, AttemptOutcome.TIMEOUT, 800, true, null);
           lost[host] = 0;
         }
       }
@@ -468,18 +498,19 @@
    */
   @Test
   void aHostThatAnswersOthersIsNotEjectedForTimeOuts() {
-    Balancer b = safe(1);
+    LoadBalancer b = safe(1);
     int both = 0;
     for (int i = 0; i < 200; i += 2) {
       request(b, i);
       request(b, i + 1);
       bench.now += 20;
-      b.onOutcome(bench.now, i + 1, 0, Result.OK, 20, true, load(1));
+      b.onOutcome(bench.now, i + 1, 0, AttemptOutcome.OK, 20, true, load(1));
       bench.now += 800;
       // Where the second was refused, nobody has answered beside the first.
       boolean beside = !bench.refused.contains(i + 1L);
       both += beside && !bench.refused.contains((long) i) ? 1 : 0;
-      b.onOutcome(bench.now, i, 0, beside ? Result.TIMEOUT : Result.OK, 820, true, null);
+      b.onOutcome(
+          bench.now, i, 0, beside ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK, 820, true, null);
     }
     assertThat(both).isGreaterThan(10);
     assertThat(bench.logs).noneMatch(l -> l.endsWith("ejected"));
@@ -488,25 +519,25 @@
   /** Our own requests in flight are at the host, whatever its report, which is late, says. */
   @Test
   void anOldReportDoesNotHideOurOwnRequests() {
-    Balancer b = safe(1);
+    LoadBalancer b = safe(1);
     for (int i = 0; i < 200; i++) {
       bench.now += 1;
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       if (bench.last().request() == i) {
-        b.onOutcome(bench.now, i, 0, Result.OK, 160, true, load(7)); // 20 ms for each held
+        b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 160, true, load(7)); // 20 ms for each held
       }
     }
     ArrayDeque<Long> open = new ArrayDeque<>();
     int most = 0;
     for (long i = 200; i < 400; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       if (bench.last().request() == i) {
         open.add(i);
       }
       most = Math.max(most, open.size());
       if (i % 2 == 1) {
         double spent = 20 * open.size();
-        b.onOutcome(bench.now, open.remove(), 0, Result.OK, spent, true, load(0));
+        b.onOutcome(bench.now, open.remove(), 0, AttemptOutcome.OK, spent, true, load(0));
       }
     }
     assertThat(most).isBetween(2, 30);
@@ -515,15 +546,17 @@
   /** A host that is gone leaves nothing behind, and its id may come back as another host's. */
   @Test
   void anIdThatComesBackInheritsNothing() {
-    Balancer b = safe(2);
+    LoadBalancer b = safe(2);
     for (int i = 0; i < 60 && bench.logs.isEmpty(); i++) {
       bench.now += 5_000; // so that the charge of a failure fades and the host is drawn again
       boolean bad = request(b, i) == 0;
-      b.onOutcome(bench.now, i, 0, bad ? Result.ERROR : Result.OK, 100, true, null);
+      b.onOutcome(bench.now, i, 0, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100, true, null);
     }
     assertThat(bench.logs).containsExactly("host 0 ejected");
-    for (HostEntry.Condition c : List.of(HostEntry.Condition.GONE, HostEntry.Condition.READY)) {
-      b.onMembership(bench.now, News.DELTA, List.of(Bench.host(0, c, 0)));
+    for (EndpointUpdate.Condition c :
+        List.of(EndpointUpdate.Condition.GONE, EndpointUpdate.Condition.READY)) {
+      b.onMembership(
+          bench.now, EndpointListEvent.DELTA, List.of(LoadBalancerFixture.host(0, c, 0)));
     }
     int before = bench.sends.size();
     for (int i = 100; i < 140; i++) {
@@ -532,14 +565,14 @@
     assertThat(bench.sends.subList(before, bench.sends.size())).anyMatch(x -> x.host() == 0);
   }
 
-  private long request(Balancer b, int id) {
-    b.onRequest(bench.now, Bench.request(id, SAFE, 800));
+  private long request(LoadBalancer b, int id) {
+    b.onRequest(bench.now, LoadBalancerFixture.request(id, SAFE, 800));
     return bench.last().host();
   }
 
-  private void report(Balancer b, int id, double now, double held) {
+  private void report(LoadBalancer b, int id, double now, double held) {
     request(b, id);
-    b.onOutcome(now, id, 0, Result.OK, 100, true, load(held));
+    b.onOutcome(now, id, 0, AttemptOutcome.OK, 100, true, load(held));
   }
 
   private static LoadReport load(double held) {
@@ -550,11 +583,11 @@
 
   @Test
   void anAnswerThatHasBegunLeavesTheCount() {
-    Balancer b = safe(2);
+    LoadBalancer b = safe(2);
     Map<Long, Integer> reading = new HashMap<>();
     int widest = 0;
     for (int i = 0; i < 100; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       bench.now += 10;
       b.onFirstByte(bench.now, i, 0, 10);
       reading.merge(bench.last().host(), 1, Integer::sum);
@@ -573,17 +606,17 @@
    * for 40 ms.
    */
   private int pickedThoughUnread(boolean told) {
-    Balancer b = safe(2);
+    LoadBalancer b = safe(2);
     bench.sends.clear();
     for (int n = 0; n < 400; n++) {
       int i = told ? n : 1_000 + n; // an id is one request's
       b.onHeard(bench.now);
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-      Bench.Send s = bench.last();
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
+      LoadBalancerFixture.Send s = bench.last();
       double unread = s.host() == 0 ? 40 : 0;
       bench.now += 10 + unread;
       b.onHeard(bench.now - (told ? unread : 0));
-      b.onOutcome(bench.now, i, s.number(), Result.OK, 10 + unread, true, null);
+      b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, 10 + unread, true, null);
     }
     return (int) bench.sends.stream().filter(s -> s.host() == 0).count();
   }
@@ -596,22 +629,22 @@
 
   @Test
   void aHostIsNotSilentWhileThisProcessHearsNothing() {
-    Balancer b = safe(2);
+    LoadBalancer b = safe(2);
     for (int i = 0; i < 200; i++) {
       serve(b, i, 10);
     }
-    b.onRequest(bench.now, Bench.request(1_000, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(1_000, SAFE, 800));
     long busy = bench.last().host();
     b.onHeard(bench.now + 1);
     bench.now += 150;
     Map<Long, Integer> counts = new HashMap<>();
     for (int i = 2_000; i < 2_020; i++) {
-      b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       counts.merge(bench.last().host(), 1, Integer::sum);
     }
     assertThat(counts.get(busy)).isGreaterThan(5); // its answer may stand here
     b.onHeard(bench.now); // and now it is known that none has come
-    b.onRequest(bench.now, Bench.request(3_000, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(3_000, SAFE, 800));
     assertThat(bench.last().host()).isNotEqualTo(busy);
   }
 
@@ -619,12 +652,13 @@
   void clientsThatReadNothingOfLongAnswersCostOthersNothing() {
     Settings.RequestClass stream =
         new Settings.RequestClass("stream", 400, 4_000, Semantics.IDEMPOTENT, Scope.ALL, 300, 1, 0);
-    Balancer b =
+    LoadBalancer b =
         balancer(
-            Bench.settings(stream, Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
-            Bench.hosts(1));
+            LoadBalancerFixture.settings(
+                stream, LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            LoadBalancerFixture.hosts(1));
     for (int i = 0; i < 30; i++) {
-      b.onRequest(bench.now, Bench.request(i, "stream", 4_000));
+      b.onRequest(bench.now, LoadBalancerFixture.request(i, "stream", 4_000));
       bench.now += 10;
       b.onFirstByte(bench.now, i, 0, 10);
     }
@@ -632,7 +666,7 @@
       serve(b, i, 10);
     }
     for (int i = 0; i < 30; i++) {
-      b.onOutcome(bench.now, i, 0, Result.CANCELLED, 4_000, true, null);
+      b.onOutcome(bench.now, i, 0, AttemptOutcome.CANCELLED, 4_000, true, null);
     }
     for (int i = 2_000; i < 2_400; i++) {
       serve(b, i, 10);
@@ -645,28 +679,31 @@
 
   @Test
   void openRequestsKeepTheirClassAndNewOnesHaveTheNew() {
-    Settings.RequestClass loose = Bench.type("c", Semantics.IDEMPOTENT, Scope.ALL);
-    Settings.RequestClass strict = Bench.type("c", Semantics.AT_MOST_ONCE, Scope.ALL);
-    Balancer b = balancer(Bench.settings(loose), Bench.hosts(4));
-    b.onRequest(bench.now, Bench.request(1, "c", 800));
-    b.onSettings(Bench.settings(strict));
-    b.onRequest(bench.now, Bench.request(2, "c", 800));
-    b.onOutcome(bench.now, 1, 0, Result.ERROR, 5, false, null);
+    Settings.RequestClass loose = LoadBalancerFixture.type("c", Semantics.IDEMPOTENT, Scope.ALL);
+    Settings.RequestClass strict = LoadBalancerFixture.type("c", Semantics.AT_MOST_ONCE, Scope.ALL);
+    LoadBalancer b = balancer(LoadBalancerFixture.settings(loose), LoadBalancerFixture.hosts(4));
+    b.onRequest(bench.now, LoadBalancerFixture.request(1, "c", 800));
+    b.onSettings(LoadBalancerFixture.settings(strict));
+    b.onRequest(bench.now, LoadBalancerFixture.request(2, "c", 800));
+    b.onOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 5, false, null);
     assertThat(bench.last().request()).isEqualTo(1L); // again: it came as one that may be
-    b.onOutcome(bench.now, 2, 0, Result.ERROR, 5, false, null);
+    b.onOutcome(bench.now, 2, 0, AttemptOutcome.ERROR, 5, false, null);
     assertThat(bench.failed).containsExactly(2L);
   }
 
   @Test
   void openRequestsGetTheSmallerOfBothNumbersOfAttempts() {
-    Settings.RequestClass type = Bench.type("c", Semantics.IDEMPOTENT, Scope.ALL);
+    Settings.RequestClass type = LoadBalancerFixture.type("c", Semantics.IDEMPOTENT, Scope.ALL);
     for (int[] change : new int[][] {{2, 4}, {4, 2}}) {
       bench.sends.clear();
-      Balancer b = balancer(Bench.settings(true, change[0], false, type), Bench.hosts(6));
-      b.onRequest(bench.now, Bench.request(change[0], "c", 800));
-      b.onSettings(Bench.settings(true, change[1], false, type));
+      LoadBalancer b =
+          balancer(
+              LoadBalancerFixture.settings(true, change[0], false, type),
+              LoadBalancerFixture.hosts(6));
+      b.onRequest(bench.now, LoadBalancerFixture.request(change[0], "c", 800));
+      b.onSettings(LoadBalancerFixture.settings(true, change[1], false, type));
       for (int i = 0; i < bench.sends.size(); i++) {
-        b.onOutcome(bench.now, change[0], i, Result.CONNECT_FAILED, 5, false, null);
+        b.onOutcome(bench.now, change[0], i, AttemptOutcome.CONNECT_FAILED, 5, false, null);
       }
       assertThat(bench.sends).hasSize(2);
     }
@@ -674,13 +711,15 @@
 
   @Test
   void whatIsKnownOfHostsOutlivesTheSettings() {
-    Balancer b = safe(4);
+    LoadBalancer b = safe(4);
     for (int i = 0; i < 200; i++) {
       serve(b, i, 10);
     }
-    b.onRequest(bench.now, Bench.request(1_000, SAFE, 800));
+    b.onRequest(bench.now, LoadBalancerFixture.request(1_000, SAFE, 800));
     long silent = bench.last().host();
-    b.onSettings(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
+    b.onSettings(
+        LoadBalancerFixture.settings(
+            LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
     bench.now += 300;
     for (int i = 2_000; i < 2_100; i++) {
       serve(b, i, 1);
--- a/src/test/java/corkproxy/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -1,18 +1,10 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.BodyBudget;
-import corkproxy.engine.Dispatcher;
-import corkproxy.engine.LineLog;
-import corkproxy.engine.Log;
-import corkproxy.engine.NioTransport;
-import corkproxy.engine.Sockets;
-import corkproxy.engine.Upstreams;
-import corkproxy.http.HttpProtocol;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -37,6 +29,14 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
+import leadferry.engine.BodyBudget;
+import leadferry.engine.Dispatcher;
+import leadferry.engine.LineLog;
+import leadferry.engine.Log;
+import leadferry.engine.NioTransport;
+import leadferry.engine.Sockets;
+import leadferry.engine.UpstreamConnectionPool;
+import leadferry.http.HttpProtocol;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -51,12 +51,12 @@
   private static final long TENTH = 100_000_000L;
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
+    world = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
@@ -67,7 +67,7 @@
   /**
    * Answers the first questions with these bytes and an end, and later ones as a discovery does.
    */
-  private final class Broken extends World.Server {
+  private final class Broken extends ProxyFixture.Server {
     final List<Long> asked = new CopyOnWriteArrayList<>();
     private final String bad;
     private final String good;
@@ -80,7 +80,7 @@
 
     @Override
     void serve(Socket s) throws IOException {
-      if (World.read(s.getInputStream()) == null) {
+      if (ProxyFixture.read(s.getInputStream()) == null) {
         return;
       }
       asked.add(System.nanoTime());
@@ -90,7 +90,7 @@
         s.close();
       } else {
         write(s, chunk(good + "\n"));
-        World.read(s.getInputStream()); // until the watch ends
+        ProxyFixture.read(s.getInputStream()); // until the watch ends
       }
     }
   }
@@ -140,7 +140,7 @@
         "");
   }
 
-  private void start(World.Server discovery, String known) throws Exception {
+  private void start(ProxyFixture.Server discovery, String known) throws Exception {
     Path file = world.configure(discovery.address(), known);
     world.run(file, new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
   }
@@ -149,15 +149,15 @@
   @ParameterizedTest
   @MethodSource("badAnswers")
   void aBadAnswerChangesNothingAndTheNextGoodOneIsTaken(String bad) throws Exception {
-    World.Host old = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host old = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     Broken discovery = new Broken(bad, list(51, entry("next", next.address())));
     start(discovery, list(40, entry("old", old.address())));
-    World.await(() -> !discovery.asked.isEmpty());
+    ProxyFixture.await(() -> !discovery.asked.isEmpty());
     if (discovery.asked.size() <= BAD_ANSWERS) {
       assertThat(world.ask(claim("a"))).matches("(?s).*(old|next)");
     }
-    World.await(
+    ProxyFixture.await(
         () -> {
           try {
             return world.ask(claim("b" + System.nanoTime())).endsWith("next");
@@ -169,7 +169,7 @@
   }
 
   /** Turns away all calls but a few in each tenth of a second, and tells the others the list. */
-  private final class Overbooked extends World.Server {
+  private final class Overbooked extends ProxyFixture.Server {
     final List<Long> asked = new CopyOnWriteArrayList<>();
     final AtomicInteger told = new AtomicInteger();
     private final String list;
@@ -190,7 +190,7 @@
 
     @Override
     void serve(Socket s) throws IOException {
-      while (World.read(s.getInputStream()) != null) {
+      while (ProxyFixture.read(s.getInputStream()) != null) {
         if (takes()) {
           told.incrementAndGet();
           write(s, chunk(list + "\n"));
@@ -221,11 +221,11 @@
   void thirtyThatStartAtOnceBeforeAnOverbookedDiscoveryAreAllToldAndDoNotStormIt()
       throws Exception {
     Overbooked discovery = new Overbooked(3, list(51, entry("h", "127.0.0.1:1")));
-    List<World> worlds = new ArrayList<>();
+    List<ProxyFixture> worlds = new ArrayList<>();
     try {
       List<Thread> starts = new ArrayList<>();
       for (int i = 0; i < 30; i++) {
-        World w = new World(Files.createDirectory(folder.resolve("p" + i)), 128);
+        ProxyFixture w = new ProxyFixture(Files.createDirectory(folder.resolve("p" + i)), 128);
         w.asked = true;
         w.seed = 10 + i;
         worlds.add(w);
@@ -245,12 +245,12 @@
       for (Thread t : starts) {
         t.join();
       }
-      World.await(() -> discovery.told.get() >= 30);
+      ProxyFixture.await(() -> discovery.told.get() >= 30);
       assertThat(discovery.told).hasValue(30);
       // 81 and 87 with waits that double, at chance; 135 where all wait alike.
       assertThat(discovery.asked.size()).isLessThan(120);
     } finally {
-      for (World w : worlds) {
+      for (ProxyFixture w : worlds) {
         w.close();
       }
     }
@@ -273,12 +273,12 @@
    * Tells this list, whole where it is asked for, and on a watch in pieces cut anywhere, with more
    * behind it.
    */
-  private World.Server telling(String list, List<String> paths) throws IOException {
+  private ProxyFixture.Server telling(String list, List<String> paths) throws IOException {
     return world.new Server() {
       @Override
       void serve(Socket s) throws IOException {
         String head;
-        while ((head = World.read(s.getInputStream())) != null) {
+        while ((head = ProxyFixture.read(s.getInputStream())) != null) {
           paths.add(head.split(" ")[1]);
           if (!head.contains("follow")) {
             write(s, ok(list));
@@ -297,25 +297,26 @@
   @ParameterizedTest
   @MethodSource("indents")
   void aListThatComesIndentedOnTheWatchIsTaken(String indented) throws Exception {
-    World.Host old = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host old = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
     start(
         telling(indented.replace("ADDRESS", next.address()), paths),
         list(40, entry("old", old.address())));
-    World.await(() -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
+    ProxyFixture.await(
+        () -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
     assertThat(paths).containsExactly("/catalog/members?follow=1&since=40");
   }
 
   @ParameterizedTest
   @MethodSource("indents")
   void aWholeListThatComesIndentedIsTaken(String indented) throws Exception {
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
     start(
         telling(indented.replace("ADDRESS", next.address()), paths),
         "{}"); // no version to go on from
-    World.await(() -> paths.contains("/catalog/members?follow=1&since=51"));
+    ProxyFixture.await(() -> paths.contains("/catalog/members?follow=1&since=51"));
     assertThat(paths).containsExactly("/catalog/members", "/catalog/members?follow=1&since=51");
     assertThat(world.<Boolean>onLoop(() -> world.proxy.sends("next"))).isTrue();
   }
@@ -326,13 +327,13 @@
    */
   @Test
   void anIndentedListThatIsCutIsAskedForAnew() throws Exception {
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     AtomicInteger watches = new AtomicInteger();
-    World.Server discovery =
+    ProxyFixture.Server discovery =
         world.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
             String list = list(51, entry("next", next.address()));
             write(
                 s, chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
@@ -340,7 +341,7 @@
           }
         };
     start(discovery, list(40));
-    World.await(() -> world.onLoop(() -> world.proxy.sends("next")));
+    ProxyFixture.await(() -> world.onLoop(() -> world.proxy.sends("next")));
     assertThat(watches).hasValue(2);
   }
 
@@ -358,16 +359,16 @@
    */
   @Test
   void aListIsHeardInTimeThoughTheReplacementOfASilentWatchIsSilentToo() throws Exception {
-    World.Host old = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host old = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     AtomicLong silentFrom = new AtomicLong();
     AtomicLong toldAt = new AtomicLong();
     AtomicInteger watches = new AtomicInteger();
-    World.Server discovery =
+    ProxyFixture.Server discovery =
         world.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
             switch (watches.incrementAndGet()) {
               case 1 -> {
                 write(
@@ -383,13 +384,14 @@
                 toldAt.compareAndSet(0, System.nanoTime());
               }
             }
-            World.read(s.getInputStream()); // until the watch ends
+            ProxyFixture.read(s.getInputStream()); // until the watch ends
           }
         };
     start(discovery, list(39));
-    World.await(() -> toldAt.get() != 0);
+    ProxyFixture.await(() -> toldAt.get() != 0);
     assertThat(toldAt.get() - silentFrom.get()).isLessThan(6_000_000_000L);
-    World.await(() -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
+    ProxyFixture.await(
+        () -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
   }
 
   /**
@@ -399,22 +401,22 @@
   @Test
   void whereDiscoveryIsAskedAQuietWatchEndsTheWaitsThatGrewBeforeIt() throws Exception {
     world.asked = true;
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     AtomicInteger calls = new AtomicInteger();
     AtomicLong silentFrom = new AtomicLong();
     AtomicLong askedAt = new AtomicLong();
-    World.Server discovery =
+    ProxyFixture.Server discovery =
         world.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
             if (calls.incrementAndGet() <= 4) {
               write(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
               s.close();
             } else if (calls.get() == 5) {
               write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
               silentFrom.set(System.nanoTime());
-              World.read(s.getInputStream()); // until the watch ends
+              ProxyFixture.read(s.getInputStream()); // until the watch ends
             } else {
               askedAt.compareAndSet(0, System.nanoTime());
               stayOpen(s);
@@ -422,7 +424,7 @@
           }
         };
     start(discovery, list(40, entry("h", host.address())));
-    World.await(() -> askedAt.get() != 0);
+    ProxyFixture.await(() -> askedAt.get() != 0);
     // 3 s of silence, 0.2 s until it is looked at, and the first wait of 0.75 s at the most.
     assertThat(askedAt.get() - silentFrom.get()).isBetween(2_900_000_000L, 4_400_000_000L);
   }
@@ -443,17 +445,17 @@
   @ValueSource(booleans = {false, true})
   void aWatchThatNoDescriptorIsLeftForIsOpenedLater(boolean asked) throws Exception {
     world.asked = asked;
-    World.Discovery there = world.new Discovery(41, world.new Host(h -> ok("done")));
+    ProxyFixture.Discovery there = world.new Discovery(41, world.new Host(h -> ok("done")));
     Path file = world.configure(there.address(), list(40));
     Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()));
-    Log quiet = World.quietLog();
+    Log quiet = ProxyFixture.quietLog();
     NioTransport transport = new NioTransport();
     MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.loops());
     EventLoop loop = (EventLoop) group.next();
     try {
       scarce = 2;
-      Upstreams upstreams =
-          new Upstreams(
+      UpstreamConnectionPool upstreams =
+          new UpstreamConnectionPool(
               loop, transport, HttpProtocol.PLATFORM, config.bounds(), new Sockets(128), quiet);
       Discovery watch =
           loop.submit(
@@ -472,7 +474,7 @@
                     return w;
                   })
               .get();
-      World.await(() -> loop.submit(watch::told).syncUninterruptibly().getNow());
+      ProxyFixture.await(() -> loop.submit(watch::told).syncUninterruptibly().getNow());
       assertThat(scarce).isNegative();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
@@ -486,7 +488,7 @@
       throws Exception {
     world.grace = grace;
     List<Long> tries = new CopyOnWriteArrayList<>();
-    World.Server discovery =
+    ProxyFixture.Server discovery =
         world.new Server() {
           @Override
           void serve(Socket s) throws IOException {
@@ -496,7 +498,7 @@
           }
         };
     start(discovery, list(39));
-    World.await(() -> tries.size() >= 16);
+    ProxyFixture.await(() -> tries.size() >= 16);
     long longest = 0;
     for (int i = 1; i < tries.size(); i++) {
       longest = Math.max(longest, tries.get(i) - tries.get(i - 1));
@@ -510,15 +512,15 @@
    */
   @Test
   void theFirstRequestOfANewProcessGoesByWhatDiscoveryHas() throws Exception {
-    World.Host drained = world.new Host(h -> ok("drained"));
-    World.Host up = world.new Host(h -> ok("up"));
+    ProxyFixture.Host drained = world.new Host(h -> ok("drained"));
+    ProxyFixture.Host up = world.new Host(h -> ok("up"));
     CountDownLatch answers = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
-    World.Server discovery =
+    ProxyFixture.Server discovery =
         world.new Server() {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
             asked.countDown();
             answers.await();
             write(
@@ -527,11 +529,11 @@
                     drains(41, "drained", drained.address())
                             .replace("}]", "}," + entry("up", up.address()) + "]")
                         + "\n"));
-            World.read(s.getInputStream()); // until the watch ends
+            ProxyFixture.read(s.getInputStream()); // until the watch ends
           }
         };
     world.grace = 4_000;
-    world.listen = World.freePort();
+    world.listen = ProxyFixture.freePort();
     CompletableFuture<String> first =
         CompletableFuture.supplyAsync(() -> firstAnswer(world.listen));
     CompletableFuture<Void> started =
@@ -544,7 +546,7 @@
               }
             });
     asked.await();
-    World.await(
+    ProxyFixture.await(
         new BooleanSupplier() {
           private final long until =
               System.nanoTime() + 5 * TENTH; // what goes by the old list has been sent by then
@@ -562,12 +564,12 @@
 
   /** The answer to a request that is sent as soon as anybody listens there. */
   private static String firstAnswer(int port) {
-    long until = System.nanoTime() + World.PATIENCE_MS * 1_000_000L;
+    long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
     while (System.nanoTime() < until) {
       try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-        s.setSoTimeout(World.PATIENCE_MS);
+        s.setSoTimeout(ProxyFixture.PATIENCE_MS);
         write(s, claim("first"));
-        return World.read(s.getInputStream());
+        return ProxyFixture.read(s.getInputStream());
       } catch (IOException e) {
         LockSupport.parkNanos(1_000_000);
       }
@@ -577,10 +579,10 @@
 
   @Test
   void oneCauseIsOneLineHoweverOftenItIsMet() throws Exception {
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     Broken discovery = new Broken(chunk("no list\n"), list(51, entry("old", host.address())));
     start(discovery, list(40, entry("old", host.address())));
-    World.await(() -> discovery.asked.size() > BAD_ANSWERS);
+    ProxyFixture.await(() -> discovery.asked.size() > BAD_ANSWERS);
     assertThat(log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("watch:")))
         .hasSize(1);
   }
--- a/src/test/java/corkproxy/proxy/HangupProbe.java
+++ b/src/test/java/leadferry/proxy/HangupProbe.java
@@ -1,6 +1,6 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.engine.Signals;
+import leadferry.engine.Signals;
 
 /** A process that says whether SIGHUP will reach it. */
 final class HangupProbe {
--- a/src/test/java/corkproxy/proxy/LargeBodiesTest.java
+++ b/src/test/java/leadferry/proxy/LargeBodiesTest.java
@@ -1,8 +1,8 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -30,11 +30,11 @@
   private static final String LAST = claim("a", "Content-Length: 0", "Connection: close");
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
+    world = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
@@ -51,15 +51,15 @@
   }
 
   /** A host that writes its answer in two parts, the second once it is let. */
-  private World.Host halting(String first, String second, CountDownLatch go, boolean reset)
+  private ProxyFixture.Host halting(String first, String second, CountDownLatch go, boolean reset)
       throws IOException {
     return world.new Host(h -> null) {
       @Override
       void serve(Socket s) throws IOException {
-        while (World.read(s.getInputStream()) != null) {
+        while (ProxyFixture.read(s.getInputStream()) != null) {
           write(s, first);
           try {
-            go.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             return;
           }
@@ -81,16 +81,17 @@
   void aLongBodyPassesAndItsTimeCountsFromItsLastByte() throws Exception {
     world.deadline = 500;
     String body = pattern(LONG);
-    World.Host host = world.new Host(h -> ok(h.endsWith("\r\n\r\n" + body) ? "whole" : "other"));
+    ProxyFixture.Host host =
+        world.new Host(h -> ok(h.endsWith("\r\n\r\n" + body) ? "whole" : "other"));
     world.start(host);
     try (Socket s = world.client()) {
       write(s, claim("a", "Content-Length: " + LONG));
       write(s, body.substring(0, LONG / 2));
       Thread.sleep(700); // longer than its time with the host
       write(s, body.substring(LONG / 2));
-      assertThat(World.read(s.getInputStream())).endsWith("whole");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("whole");
       write(s, claim("b"));
-      assertThat(World.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(host.heads.get(0))
         .contains("X-Timeout-Ms: 500"); // a host counts from the last byte too
@@ -152,16 +153,16 @@
     CountDownLatch both = new CountDownLatch(2);
     String body = pattern(LONG);
     String half = body.substring(0, 10_000);
-    World.Host[] hosts = new World.Host[2];
+    ProxyFixture.Host[] hosts = new ProxyFixture.Host[2];
     for (int i = 0; i < 2; i++) {
       hosts[i] =
           world.new Host(h -> null) {
             @Override
             void serve(Socket s) throws IOException {
-              while (World.read(s.getInputStream()) != null) {
+              while (ProxyFixture.read(s.getInputStream()) != null) {
                 both.countDown(); // the first is silent until a second copy is out
                 try {
-                  both.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                  both.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
                   write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half));
                   Thread.sleep(100);
                 } catch (InterruptedException e) {
@@ -210,7 +211,7 @@
         write(s, body.substring(0, LONG / 2));
         Thread.sleep(50);
         write(s, body.substring(LONG / 2));
-        assertThat(World.read(s.getInputStream()))
+        assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith("HTTP/1.1 503")
             .doesNotContain("close");
       }
@@ -227,7 +228,7 @@
     return Integer.toHexString(s.length()) + "\r\n" + s + "\r\n";
   }
 
-  private static String unchunked(World world, String request) throws IOException {
+  private static String unchunked(ProxyFixture world, String request) throws IOException {
     try (Socket s = world.client()) {
       write(s, request);
       String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
