--- a/src/test/java/corkproxy/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -1,12 +1,11 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import corkproxy.engine.LineLog;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -22,6 +21,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Function;
+import leadferry.engine.LineLog;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -35,12 +35,12 @@
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
   private Management management;
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
+    world = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
@@ -56,18 +56,18 @@
   private String call(String request) throws IOException {
     try (Socket s = caller()) {
       write(s, request);
-      return World.read(s.getInputStream());
+      return ProxyFixture.read(s.getInputStream());
     }
   }
 
   private Socket caller() throws IOException {
     Socket s = new Socket();
-    s.connect(management.address(), World.PATIENCE_MS);
-    s.setSoTimeout(World.PATIENCE_MS);
+    s.connect(management.address(), ProxyFixture.PATIENCE_MS);
+    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
     return s;
   }
 
-  private void manage(Operators o) throws Exception {
+  private void manage(OperatorState o) throws Exception {
     management =
         new Management(
             o::serves,
@@ -85,11 +85,11 @@
 
   @Test
   void readinessIsSaidOnceThisProcessServes() throws Exception {
-    Operators o = new Operators();
+    OperatorState o = new OperatorState();
     manage(o);
     String ready = "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n";
     assertThat(call(ready)).startsWith("HTTP/1.1 503");
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.operators = o;
     world.start(host);
     assertThat(call(ready)).startsWith("HTTP/1.1 200");
@@ -103,7 +103,7 @@
     "noise, 400"
   })
   void whatIsNoCallIsAnError(String line, int status) throws Exception {
-    Operators o = new Operators();
+    OperatorState o = new OperatorState();
     manage(o);
     assertThat(call(line + "\r\nHost: a\r\n\r\n")).startsWith("HTTP/1.1 " + status);
     assertThat(o.sentAway()).isFalse();
@@ -111,7 +111,7 @@
 
   @Test
   void callersThatSayNothingKeepNobodyOut() throws Exception {
-    Operators o = new Operators();
+    OperatorState o = new OperatorState();
     manage(o);
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 5 * Management.MOST; i++) {
@@ -123,7 +123,7 @@
     }
     assertThat(call(put("/v1/client-proxy/drain"))).startsWith("HTTP/1.1 200");
     assertThat(o.sentAway()).isTrue();
-    assertThat(World.ends(silent.get(0))).isTrue(); // the oldest made room
+    assertThat(ProxyFixture.ends(silent.get(0))).isTrue(); // the oldest made room
     for (Socket s : silent) {
       s.close();
     }
@@ -133,26 +133,26 @@
 
   @Test
   void clientsThatAreSentAwayGetTheirAnswersAndLeave() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     try (Socket idle = world.client();
         Socket used = world.client()) {
       for (Socket s : List.of(idle, used)) {
         write(s, HEALTH);
-        assertThat(World.read(s.getInputStream()))
+        assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .doesNotContain("close");
       }
       world.operators.sendAway();
       assertThat(world.ask(HEALTH)).startsWith("HTTP/1.1 503");
       write(used, claim("a"));
-      assertThat(World.read(used.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.read(used.getInputStream())).endsWith("served");
       assertThat(world.ask(claim("b"))).endsWith("served"); // the front may still send some
-      assertThat(World.ends(idle)).isTrue();
-      assertThat(World.ends(used)).isTrue();
+      assertThat(ProxyFixture.ends(idle)).isTrue();
+      assertThat(ProxyFixture.ends(used)).isTrue();
     }
     world.operators.takeBack();
-    World.await(
+    ProxyFixture.await(
         () -> {
           try {
             String answer = world.ask(HEALTH);
@@ -190,7 +190,7 @@
 
   private void await(String request, String status) throws Exception {
     AtomicBoolean seen = new AtomicBoolean();
-    World.await(
+    ProxyFixture.await(
         () -> {
           try {
             seen.set(world.ask(request).startsWith("HTTP/1.1 " + status));
@@ -244,7 +244,7 @@
     world.start(world.new Host(full), world.new Host(full));
     rewritten("\"maxAttempts\":3", "\"maxAttempts\":1");
     world.reload();
-    World.await(
+    ProxyFixture.await(
         () -> {
           try {
             int before = world.sends();
@@ -271,7 +271,7 @@
       })
   void nothingOfABrokenFileIsTaken(String change) throws Exception {
     world.start(world.new Host(h -> ok("served")));
-    World.Discovery other = world.new Discovery(3, world.new Host(h -> ok("other")));
+    ProxyFixture.Discovery other = world.new Discovery(3, world.new Host(h -> ok("other")));
     Config inForce =
         Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
     String[] c = change.split(" -> ", 2);
@@ -300,17 +300,17 @@
 
   @Test
   void aSuccessorTakesTheClientsAndAnswersThem() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
-    world.generations = Generations.join(folder.toString());
-    World.Discovery discovery = world.start(host);
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
+    world.generations = HotRestart.join(folder.toString());
+    ProxyFixture.Discovery discovery = world.start(host);
     Proxy old = world.proxy;
     int port = old.address().getPort();
     Socket kept = world.client();
     write(kept, claim("kept"));
-    assertThat(World.read(kept.getInputStream())).endsWith("served");
+    assertThat(ProxyFixture.read(kept.getInputStream())).endsWith("served");
     assertThat(world.generations.others()).isNull();
 
-    Generations next = Generations.join(folder.toString());
+    HotRestart next = HotRestart.join(folder.toString());
     assertThat(world.generations.others().listens()).isFalse();
     world.listen = port;
     world.generations = next;
@@ -333,8 +333,8 @@
             });
     clients.start();
     old.drain();
-    World.await(() -> !old.listening());
-    assertThat(World.ends(kept)).isTrue();
+    ProxyFixture.await(() -> !old.listening());
+    assertThat(ProxyFixture.ends(kept)).isTrue();
     old.awaitEnd(); // nobody is left there
     over.set(true);
     clients.join();
@@ -346,14 +346,14 @@
 
   @Test
   void theFileOfAProcessThatDiedCountsForNobody() throws Exception {
-    Generations one = Generations.join(folder.toString());
+    HotRestart one = HotRestart.join(folder.toString());
     Files.createTempFile(folder, "corkproxy-", ".lock"); // nobody holds it
     assertThat(one.others()).isNull();
-    assertThat(Generations.join(null).others()).isNull();
-    assertThat(Generations.join(folder.resolve("nowhere").toString()).others()).isNull();
-    Generations two = Generations.join(folder.toString());
-    two.tell(new Generations.Standing(true, 3, 5, 1L << 33));
-    assertThat(one.others()).isEqualTo(new Generations.Standing(true, 3, 5, 1L << 33));
+    assertThat(HotRestart.join(null).others()).isNull();
+    assertThat(HotRestart.join(folder.resolve("nowhere").toString()).others()).isNull();
+    HotRestart two = HotRestart.join(folder.toString());
+    two.tell(new HotRestart.Standing(true, 3, 5, 1L << 33));
+    assertThat(one.others()).isEqualTo(new HotRestart.Standing(true, 3, 5, 1L << 33));
     two.close();
     assertThat(one.others()).isNull();
     one.close();
--- a/src/test/java/corkproxy/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -1,11 +1,9 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.PATIENCE_MS;
-import static corkproxy.proxy.World.ok;
+import static leadferry.proxy.ProxyFixture.PATIENCE_MS;
+import static leadferry.proxy.ProxyFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.LineLog;
-import corkproxy.fleet.Suspicion;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -16,6 +14,8 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Arrays;
+import leadferry.engine.LineLog;
+import leadferry.gossip.Suspicion;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -40,8 +40,8 @@
     }
   }
 
-  private World world() {
-    World w = new World(folder, 256);
+  private ProxyFixture world() {
+    ProxyFixture w = new ProxyFixture(folder, 256);
     w.aim = 300;
     w.deadline = 500;
     String own = "\"127.0.0.1:" + proxy.getPort() + "\"";
@@ -71,13 +71,13 @@
   }
 
   /** Asks until the silent host has lost a request, and returns what the proxy says of it. */
-  private Suspicion loseOne(World w, World.Host silent) throws Exception {
+  private Suspicion loseOne(ProxyFixture w, ProxyFixture.Host silent) throws Exception {
     // Of its own requests: a proxy of another run on this machine may look for its discovery at a
     // port that is this host's now.
     for (int i = 0;
         silent.heads.stream().noneMatch(head -> head.contains("X-Request-ID: lost"));
         i++) {
-      w.ask(World.claim("lost" + i));
+      w.ask(ProxyFixture.claim("lost" + i));
     }
     Suspicion said = hear();
     assertThat(said.answers()).isFalse();
@@ -85,39 +85,41 @@
   }
 
   /** Runs a proxy before a silent host and three that answer, with its log. */
-  private void run(World w, World.Host silent, ByteArrayOutputStream log) throws Exception {
-    World.Host[] hosts = {silent, answers(w), answers(w), answers(w)};
-    World.Discovery d = w.new Discovery(40, hosts);
+  private void run(ProxyFixture w, ProxyFixture.Host silent, ByteArrayOutputStream log)
+      throws Exception {
+    ProxyFixture.Host[] hosts = {silent, answers(w), answers(w), answers(w)};
+    ProxyFixture.Discovery d = w.new Discovery(40, hosts);
     w.run(
         w.configure(d.address(), d.list()),
         new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
   }
 
-  private static World.Host answers(World w) throws IOException {
+  private static ProxyFixture.Host answers(ProxyFixture w) throws IOException {
     return w.new Host(h -> ok("served"));
   }
 
   @Test
   void aHostThatAnotherFoundSilentTooIsLeftOutUntilItAnswersSomebody() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (World w = world()) {
-      World.Host silent = w.new Host(h -> null);
+    try (ProxyFixture w = world()) {
+      ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
       Suspicion said = loseOne(w, silent);
       assertThat(log.toString()).doesNotContain("silent to several");
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
-      World.await(
+      ProxyFixture.await(
           () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
       say(peer, new Suspicion(said.zone(), said.host(), 0, true).bytes());
-      World.await(() -> log.toString().contains("h" + silent.port() + " answers another proxy"));
+      ProxyFixture.await(
+          () -> log.toString().contains("h" + silent.port() + " answers another proxy"));
     }
   }
 
   @Test
   void strangersAndNoiseAreNoWitnesses() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (World w = world()) {
-      World.Host silent = w.new Host(h -> null);
+    try (ProxyFixture w = world()) {
+      ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
       Suspicion said = loseOne(w, silent);
       byte[] silence = new Suspicion(said.zone(), said.host(), 100, false).bytes();
@@ -130,7 +132,7 @@
       }
       assertThat(log.toString()).doesNotContain("silent to several");
       say(peer, silence); // behind all of these in the same queue
-      World.await(() -> log.toString().contains("silent to several"));
+      ProxyFixture.await(() -> log.toString().contains("silent to several"));
       assertThat(log.toString()).containsOnlyOnce("silent to several");
     }
   }
@@ -148,15 +150,15 @@
   void aPortThatIsNotFreeYetIsListenedOnOnceItIs() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     DatagramSocket holder = new DatagramSocket(proxy);
-    try (World w = world()) {
-      World.Host silent = w.new Host(h -> null);
+    try (ProxyFixture w = world()) {
+      ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
-      World.await(() -> log.toString().contains("peers can't be heard"));
+      ProxyFixture.await(() -> log.toString().contains("peers can't be heard"));
       holder.close();
-      World.await(this::taken);
+      ProxyFixture.await(this::taken);
       Suspicion said = loseOne(w, silent);
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
-      World.await(
+      ProxyFixture.await(
           () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
     }
   }
--- a/src/test/java/corkproxy/proxy/World.java
+++ b/src/test/java/leadferry/proxy/ProxyFixture.java
@@ -1,7 +1,5 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import corkproxy.engine.LineLog;
-import corkproxy.engine.Log;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -25,9 +23,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
+import leadferry.engine.LineLog;
+import leadferry.engine.Log;
 
 /** A client proxy between hosts, a discovery and clients, all on loopback sockets. */
-public final class World implements AutoCloseable {
+public final class ProxyFixture implements AutoCloseable {
   /** Ample: no test waits so long unless it fails. */
   public static final int PATIENCE_MS = 20_000;
 
@@ -59,11 +59,11 @@
   /** Where the proxy talks to others, as keys of the configuration; empty where it may not. */
   String peers = "";
 
-  Operators operators = new Operators();
-  Generations generations = Generations.alone();
+  OperatorState operators = new OperatorState();
+  HotRestart generations = HotRestart.alone();
   Proxy proxy;
 
-  public World(Path folder, int sockets) {
+  public ProxyFixture(Path folder, int sockets) {
     this.file = folder.resolve("config.json");
     this.sockets = sockets;
   }
--- a/src/test/java/corkproxy/proxy/ProxyTest.java
+++ b/src/test/java/leadferry/proxy/ProxyTest.java
@@ -1,11 +1,10 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.Signals;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -16,6 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import leadferry.engine.Signals;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,11 +28,11 @@
   private static final String FOUR_HUNDREDS = "HTTP/1.1 4";
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
+    world = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
@@ -44,30 +44,30 @@
 
   @Test
   void aReloadMovesTheWatchToAnotherDiscoveryWhateverItsVersions() throws Exception {
-    World.Host old = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host old = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     world.start(old);
     assertThat(world.ask(claim("a"))).endsWith("old");
-    World.Discovery other = world.new Discovery(3, next); // its versions are lower
+    ProxyFixture.Discovery other = world.new Discovery(3, next); // its versions are lower
     world.configure(other.address(), "{}");
     world.reload();
-    World.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
+    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
     assertThat(world.ask(claim("b"))).endsWith("next");
   }
 
   @Test
   void aBadFileIsPassedOverAndAHalfWrittenOneReadAgain() throws Exception {
-    World.Host host = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.Host host = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
     world.start(host);
-    World.Discovery other = world.new Discovery(3, next);
+    ProxyFixture.Discovery other = world.new Discovery(3, next);
     Path file = world.configure(other.address(), "{}");
     String whole = Files.readString(file);
     Files.writeString(file, whole.substring(0, whole.length() / 2));
     world.reload();
     assertThat(world.ask(claim("a"))).endsWith("old");
     Files.writeString(file, whole);
-    World.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
+    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
     assertThat(world.ask(claim("b"))).endsWith("next");
   }
 
@@ -80,7 +80,7 @@
   @Test
   void aConnectionThatIsNotUsedIsGivenBackLongBeforeTheHostWouldEndIt() throws Exception {
     AtomicInteger ended = new AtomicInteger();
-    World.Host host =
+    ProxyFixture.Host host =
         world.new Host(h -> ok("done")) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
@@ -90,7 +90,7 @@
         };
     world.start(host);
     assertThat(world.ask(claim("a"))).endsWith("done");
-    World.await(() -> ended.get() == 1); // the configuration lets it stand idle for a minute
+    ProxyFixture.await(() -> ended.get() == 1); // the configuration lets it stand idle for a minute
     assertThat(world.ask(claim("b"))).endsWith("done");
     assertThat(host.connections()).isEqualTo(2);
   }
@@ -101,7 +101,7 @@
   @ValueSource(booleans = {false, true})
   void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate(boolean onAnOldConnection)
       throws Exception {
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     world.start(host);
     assertThat(world.ask(claim("warm")))
         .endsWith("done"); // its connection to the host stands ready
@@ -109,7 +109,7 @@
     try (Socket stays = world.client()) {
       if (onAnOldConnection) {
         write(gone, claim("first"));
-        assertThat(World.read(gone.getInputStream())).endsWith("done");
+        assertThat(ProxyFixture.read(gone.getInputStream())).endsWith("done");
       }
       int before = world.sends();
       Thread.sleep(50); // the rest of a connection to a host is over
@@ -121,14 +121,14 @@
           .submit(
               () -> {
                 held.countDown();
-                return release.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                return release.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
               });
-      assertThat(held.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+      assertThat(held.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
       write(gone, claim("gone"));
       gone.close();
       write(stays, claim("stays"));
       release.countDown();
-      assertThat(World.read(stays.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(stays.getInputStream())).endsWith("done");
       assertThat(world.sends() - before).isEqualTo(1);
     }
   }
@@ -140,7 +140,7 @@
     new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
         .start()
         .waitFor();
-    assertThat(told.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(told.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   /** As {@code nohup} starts a process: the JVM takes the handler and never calls it. */
@@ -152,7 +152,7 @@
         new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                before + "exec \"$0\" -cp \"$1\" corkproxy.proxy.HangupProbe",
+                before + "exec \"$0\" -cp \"$1\" leadferry.proxy.HangupProbe",
                 java,
                 System.getProperty("java.class.path"))
             .redirectErrorStream(true)
@@ -163,13 +163,13 @@
 
   @Test
   void aProcessThatNoSignalReachesSeesItsConfigurationChange() throws Exception {
-    world.start(world.new Host(h -> World.ok("before")));
-    World.Host other = world.new Host(h -> World.ok("after"));
-    World.Discovery there = world.new Discovery(50, other);
+    world.start(world.new Host(h -> ProxyFixture.ok("before")));
+    ProxyFixture.Host other = world.new Host(h -> ProxyFixture.ok("after"));
+    ProxyFixture.Discovery there = world.new Discovery(50, other);
     Path file = world.configure("127.0.0.1:1", "null");
     world.proxy.watch(file.toString());
     world.configure(there.address(), there.list());
-    World.await(
+    ProxyFixture.await(
         () -> {
           try {
             String answer = world.ask(claim("now"));
@@ -187,12 +187,12 @@
   void theEchoOfOurOwnBurstInReportsRefusesNothing() throws Exception {
     int burst = 20;
     CountDownLatch go = new CountDownLatch(1);
-    World.Host host =
+    ProxyFixture.Host host =
         world
         .new Host(
             h -> {
               await(go);
-              return World.ok("served", "X-Server-Load: inflight=" + burst / 2);
+              return ProxyFixture.ok("served", "X-Server-Load: inflight=" + burst / 2);
             });
     world.start(host);
     List<Socket> clients = new ArrayList<>();
@@ -201,11 +201,11 @@
       write(s, claim("burst" + i));
       clients.add(s);
     }
-    World.await(() -> host.heads.size() == burst);
+    ProxyFixture.await(() -> host.heads.size() == burst);
     Thread.sleep(500); // longer than the aim of 400 ms
     go.countDown();
     for (Socket s : clients) {
-      assertThat(World.read(s.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
     }
     for (int i = 0; i < 5; i++) {
       assertThat(world.ask(claim("after" + i))).endsWith("served");
@@ -217,8 +217,8 @@
    */
   @Test
   void aSilentHostShowsWhereClientsGiveUpFirst() throws Exception {
-    World.Host silent = world.new Host(h -> null);
-    World.Host slow =
+    ProxyFixture.Host silent = world.new Host(h -> null);
+    ProxyFixture.Host slow =
         world
         .new Host(
             h -> {
@@ -231,10 +231,10 @@
       try (Socket s = world.client()) {
         write(s, claim("a" + i));
         int sent = i + 1;
-        World.await(() -> silent.heads.size() + slow.heads.size() == sent);
+        ProxyFixture.await(() -> silent.heads.size() + slow.heads.size() == sent);
         if (slow.heads.size() > served) {
           served++;
-          assertThat(World.read(s.getInputStream())).endsWith("served");
+          assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
         } else {
           sleep(100);
         }
@@ -246,7 +246,7 @@
   /** Idle connections that die sooner than the settings say, without a sign, are learned of. */
   @Test
   void connectionsThatDieIdleAreNotKeptSoLong() throws Exception {
-    World.Host host = world.new DroppingHost(150);
+    ProxyFixture.Host host = world.new DroppingHost(150);
     world.start(host);
     int lost = 0;
     for (int i = 0; i < 12; i++) {
@@ -272,14 +272,14 @@
   void aFailureIsForgottenInAims() throws Exception {
     world.aim = 40;
     AtomicInteger failed = new AtomicInteger();
-    World.Host sound =
+    ProxyFixture.Host sound =
         world
         .new Host(
             h -> {
               sleep(12);
               return ok("served");
             });
-    World.Host once =
+    ProxyFixture.Host once =
         world
         .new Host(
             h ->
@@ -301,7 +301,7 @@
   @Test
   void aHostFullOfOurOwnRequestsGivesWay() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    World.Host[] hosts = new World.Host[2];
+    ProxyFixture.Host[] hosts = new ProxyFixture.Host[2];
     for (int k = 0; k < 2; k++) {
       int self = k;
       hosts[k] =
@@ -326,18 +326,18 @@
       write(s, claim((i < 16 ? "learn" : "then") + i));
       if (i == 15) {
         for (Socket c : clients) {
-          assertThat(World.read(c.getInputStream())).endsWith("served");
+          assertThat(ProxyFixture.read(c.getInputStream())).endsWith("served");
         }
       }
     }
     // Equal counts up to 8 or 9 at each, where the slow one is full; the fast one takes more.
-    World.await(() -> hosts[0].heads.size() + hosts[1].heads.size() >= 16 + 22);
+    ProxyFixture.await(() -> hosts[0].heads.size() + hosts[1].heads.size() >= 16 + 22);
     go.countDown();
   }
 
-  private static void awaitHeads(World.Host host, int n) {
+  private static void awaitHeads(ProxyFixture.Host host, int n) {
     try {
-      World.await(() -> host.heads.size() >= n);
+      ProxyFixture.await(() -> host.heads.size() >= n);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -353,7 +353,7 @@
 
   private static void await(CountDownLatch latch) {
     try {
-      latch.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+      latch.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -387,7 +387,7 @@
         "Expect: the-moon",
       })
   void whatCanBeReadInTwoWaysIsRejectedHere(String lines) throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     String[] split = lines.split("\\|");
     assertThat(world.ask(claim("a", split))).startsWith(FOUR_HUNDREDS);
@@ -405,7 +405,7 @@
         "\u0000\u0001\u0002",
       })
   void whatNoHostCanUseIsRejectedHere(String lines) throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     String request = lines.replace("|", "\r\n") + "\r\nContent-Length: 0\r\n\r\n";
     assertThat(world.ask(request)).startsWith(FOUR_HUNDREDS);
@@ -415,12 +415,12 @@
   @Test
   void anIdThatIsOpenIsNotTakenAgain() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    World.Host host =
+    ProxyFixture.Host host =
         world
         .new Host(
             h -> {
               try {
-                go.await(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -429,10 +429,10 @@
     world.start(host);
     try (Socket first = world.client()) {
       write(first, claim("a"));
-      World.await(() -> host.heads.size() == 1);
+      ProxyFixture.await(() -> host.heads.size() == 1);
       assertThat(world.ask(claim("a"))).startsWith("HTTP/1.1 409");
       go.countDown();
-      assertThat(World.read(first.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.read(first.getInputStream())).endsWith("served");
     }
     assertThat(world.ask(claim("a"))).endsWith("served");
     assertThat(host.heads).hasSize(2);
@@ -440,7 +440,7 @@
 
   @Test
   void aFloodOnOneConnectionIsRejectedUnsent() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 300; i++) {
@@ -448,8 +448,8 @@
     }
     try (Socket s = world.client()) {
       write(s, flood.toString());
-      assertThat(World.read(s.getInputStream())).startsWith(FOUR_HUNDREDS);
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.read(s.getInputStream())).startsWith(FOUR_HUNDREDS);
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
     assertThat(host.heads).isEmpty();
   }
@@ -461,13 +461,13 @@
     String text = part.equals("half a body") ? claim("a", "Content-Length: 10") + "five!" : part;
     try (Socket s = world.client()) {
       write(s, text);
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
   }
 
   @Test
   void aCrowdThatSaysNothingLeavesRoomForOthers() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     List<Socket> crowd = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
@@ -475,7 +475,7 @@
     }
     assertThat(world.ask(claim("a"))).endsWith("served");
     for (Socket s : crowd) {
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(s)).isTrue();
       s.close();
     }
     assertThat(world.ask(claim("b"))).endsWith("served");
@@ -487,7 +487,7 @@
    */
   @Test
   void slowHeadsSurviveACrowdThatNeverEndsItsOwn() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     List<Socket> slow = new ArrayList<>();
     List<Socket> endless = new ArrayList<>();
@@ -500,7 +500,7 @@
     assertThat(world.ask(claim("usual"))).endsWith("served");
     for (Socket s : slow) {
       write(s, "Content-Length: 0\r\n\r\n");
-      assertThat(World.read(s.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
     }
     for (Socket s : endless) {
       s.close();
@@ -523,8 +523,8 @@
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
       })
   void aSpoiltAnswerFailsAndIsNotRepeated(String answer) throws Exception {
-    World.Host a = world.new Host(h -> answer);
-    World.Host b = world.new Host(h -> answer);
+    ProxyFixture.Host a = world.new Host(h -> answer);
+    ProxyFixture.Host b = world.new Host(h -> answer);
     world.start(a, b);
     assertThat(world.ask(claim("a"))).startsWith("HTTP/1.1 502");
     assertThat(a.heads.size() + b.heads.size()).isEqualTo(1);
@@ -534,12 +534,12 @@
   @ValueSource(strings = {"noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"})
   void whatComesBehindAnAnswerReachesNobody(String surplus) throws Exception {
     AtomicInteger n = new AtomicInteger();
-    World.Host host = world.new Host(h -> ok("answer" + n.incrementAndGet()) + surplus);
+    ProxyFixture.Host host = world.new Host(h -> ok("answer" + n.incrementAndGet()) + surplus);
     world.start(host);
     try (Socket s = world.client()) {
       for (int i = 1; i <= 5; i++) {
         write(s, claim("a" + i));
-        assertThat(World.read(s.getInputStream())).endsWith("answer" + i);
+        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("answer" + i);
       }
     }
   }
@@ -547,12 +547,12 @@
   /** A second copy may come in a packet of its own, a moment after the answer. */
   @Test
   void aConnectionRestsBeforeItCarriesAnotherRequest() throws Exception {
-    World.Host host = world.new Host(h -> ok("served"));
+    ProxyFixture.Host host = world.new Host(h -> ok("served"));
     world.start(host);
     try (Socket s = world.client()) {
       for (int i = 0; i < 200; i++) {
         write(s, claim("a" + i));
-        assertThat(World.read(s.getInputStream())).endsWith("served");
+        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
       }
     }
     assertThat(host.heads).hasSize(200);
@@ -561,7 +561,7 @@
 
   @Test
   void interimAnswersAndReportsThatCannotBeReadDoNoHarm() throws Exception {
-    World.Host host =
+    ProxyFixture.Host host =
         world
         .new Host(
             h ->
@@ -576,7 +576,7 @@
 
   @Test
   void theFaultThatAHostFindsWithARequestIsItsClients() throws Exception {
-    World.Host a = world.new Host(h -> "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
+    ProxyFixture.Host a = world.new Host(h -> "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
     world.start(a);
     for (int i = 0; i < 10; i++) {
       assertThat(world.ask(claim("a" + i))).startsWith("HTTP/1.1 400");
@@ -594,7 +594,7 @@
       Socket s = world.client();
       staying.add(s);
       write(s, claim("a" + i));
-      answers.add(World.read(s.getInputStream()));
+      answers.add(ProxyFixture.read(s.getInputStream()));
     }
     assertThat(answers).allSatisfy(a -> assertThat(a).endsWith("served"));
     assertThat(answers.get(0)).doesNotContain("connection: close");
--- a/src/test/java/corkproxy/proxy/RestartsTest.java
+++ b/src/test/java/leadferry/proxy/RestartsTest.java
@@ -1,11 +1,10 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.LineLog;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -19,6 +18,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
+import leadferry.engine.LineLog;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
   private static final long NEW_NANOS = 400_000_000L;
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
   private final Queue<String> arrived = new ConcurrentLinkedQueue<>();
   private final AtomicInteger answered = new AtomicInteger();
   private final AtomicInteger served = new AtomicInteger();
@@ -49,7 +49,7 @@
 
   @BeforeEach
   void open() {
-    world = new World(folder, 256);
+    world = new ProxyFixture(folder, 256);
     world.aim = 100;
     world.deadline = 600;
   }
@@ -99,7 +99,7 @@
           kept = connect(crossed);
         }
         write(kept, request);
-        String answer = World.read(kept.getInputStream());
+        String answer = ProxyFixture.read(kept.getInputStream());
         if (answer == null
             || answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
           kept.close();
@@ -114,14 +114,14 @@
 
     /** Whoever finds nobody listening comes again: nothing of his was taken. */
     private Socket connect(boolean crossed) throws IOException {
-      long until = System.nanoTime() + World.PATIENCE_MS * 1_000_000L;
+      long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
       while (!crossed && ends && System.nanoTime() - endsFrom > NEW_NANOS) {
         LockSupport.parkNanos(2_000_000);
       }
       while (true) {
         try {
           Socket s = new Socket(InetAddress.getLoopbackAddress(), world.listen);
-          s.setSoTimeout(World.PATIENCE_MS);
+          s.setSoTimeout(ProxyFixture.PATIENCE_MS);
           s.setTcpNoDelay(true);
           return s;
         } catch (java.net.ConnectException e) {
@@ -134,23 +134,23 @@
     }
   }
 
-  private World.Host host(int hangsOneIn) throws IOException {
+  private ProxyFixture.Host host(int hangsOneIn) throws IOException {
     AtomicInteger seen = new AtomicInteger();
     return world
     .new Host(
         h -> {
-          arrived.add(World.header(h, "X-Request-ID"));
+          arrived.add(ProxyFixture.header(h, "X-Request-ID"));
           return seen.incrementAndGet() % hangsOneIn == 0 ? null : ok("done");
         });
   }
 
   @Test
   void tenThousandRequestsThroughTwentyRestartsAreNeitherLostNorRunTwice() throws Exception {
-    world.listen = World.freePort();
-    World.Host[] hosts = {
+    world.listen = ProxyFixture.freePort();
+    ProxyFixture.Host[] hosts = {
       host(1), host(20), host(50), host(1_000_000), host(1_000_000)
     }; // the first one answers nobody
-    World.Discovery d = world.new Discovery(40, hosts);
+    ProxyFixture.Discovery d = world.new Discovery(40, hosts);
     for (int i = 0; i < CLIENTS; i++) {
       new Client(i).start();
     }
@@ -160,7 +160,7 @@
           new LineLog(new PrintStream(OutputStream.nullOutputStream()), false));
       ends = false;
       int enoughOfThis = (i + 1) * REQUESTS / (RESTARTS + 1);
-      World.await(() -> answered.get() + lost.get() >= enoughOfThis);
+      ProxyFixture.await(() -> answered.get() + lost.get() >= enoughOfThis);
       if (i == RESTARTS) {
         enough.set(true);
       }
--- a/src/test/java/corkproxy/proxy/SignalsTest.java
+++ b/src/test/java/leadferry/proxy/SignalsTest.java
@@ -1,8 +1,8 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -24,15 +24,15 @@
  */
 class SignalsTest {
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
   private Process process;
   private final CountDownLatch answers = new CountDownLatch(1);
 
   @BeforeEach
   void open() throws IOException {
-    world = new World(folder, 128);
-    world.deadline = World.PATIENCE_MS;
-    world.listen = World.freePort();
+    world = new ProxyFixture(folder, 128);
+    world.deadline = ProxyFixture.PATIENCE_MS;
+    world.listen = ProxyFixture.freePort();
   }
 
   @AfterEach
@@ -42,7 +42,7 @@
   }
 
   /** A host that answers once it is let. */
-  private World.Host host(String answer) throws IOException {
+  private ProxyFixture.Host host(String answer) throws IOException {
     return world
     .new Host(
         h -> {
@@ -55,8 +55,8 @@
         });
   }
 
-  private Path start(World.Host host) throws IOException {
-    World.Discovery d = world.new Discovery(40, host);
+  private Path start(ProxyFixture.Host host) throws IOException {
+    ProxyFixture.Discovery d = world.new Discovery(40, host);
     Path file = world.configure(d.address(), d.list());
     ProcessBuilder b =
         new ProcessBuilder(
@@ -65,7 +65,7 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "corkproxy.Main",
+                "leadferry.Main",
                 "proxy")
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("log").toFile());
@@ -77,11 +77,11 @@
 
   /** The first connection that anybody can have, as soon as the process listens. */
   private Socket first() throws IOException, InterruptedException {
-    long until = System.nanoTime() + World.PATIENCE_MS * 1_000_000L;
+    long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
     while (true) {
       try {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), world.listen);
-        s.setSoTimeout(World.PATIENCE_MS);
+        s.setSoTimeout(ProxyFixture.PATIENCE_MS);
         return s;
       } catch (IOException e) {
         if (System.nanoTime() > until) {
@@ -99,22 +99,22 @@
   }
 
   private void endsWell() throws Exception {
-    assertThat(process.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(process.waitFor(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(process.exitValue()).isZero();
   }
 
   /** What is taken in the first moment is answered, though the end is asked for in that moment. */
   @Test
   void anEndThatIsAskedForAsSoonAsItListensLosesNothing() throws Exception {
-    World.Host host = host(ok("done"));
+    ProxyFixture.Host host = host(ok("done"));
     start(host);
     try (Socket s = first()) {
       write(s, claim("first"));
       signal("TERM");
       signal("TERM"); // and once more
-      World.await(() -> host.heads.size() == 1);
+      ProxyFixture.await(() -> host.heads.size() == 1);
       answers.countDown();
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
     }
     endsWell();
   }
@@ -123,9 +123,9 @@
   @Test
   void anEndThatIsAskedForBeforeItListensIsAnEnd() throws Exception {
     start(host(ok("done")));
-    World.await(() -> process.info().startInstant().isPresent() || !process.isAlive());
+    ProxyFixture.await(() -> process.info().startInstant().isPresent() || !process.isAlive());
     signal("TERM");
-    assertThat(process.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(process.waitFor(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   /**
@@ -134,18 +134,18 @@
    */
   @Test
   void aNewConfigurationAndTheEndInOneMomentLoseNothing() throws Exception {
-    World.Host host = host(ok("done"));
+    ProxyFixture.Host host = host(ok("done"));
     start(host);
     try (Socket s = first()) {
       write(s, claim("first"));
-      World.await(() -> host.heads.size() == 1);
-      World.Host other = world.new Host(h -> ok("other"));
-      World.Discovery there = world.new Discovery(3, other);
+      ProxyFixture.await(() -> host.heads.size() == 1);
+      ProxyFixture.Host other = world.new Host(h -> ok("other"));
+      ProxyFixture.Discovery there = world.new Discovery(3, other);
       world.configure(there.address(), there.list());
       signal("HUP");
       signal("TERM");
       answers.countDown();
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
     }
     endsWell();
   }
@@ -158,11 +158,11 @@
   void anAnswerThatItsClientReadsSlowlyIsWholeThoughTheProcessEnds() throws Exception {
     world.deadline = 2_000; // 2.7 s from SIGTERM to SIGKILL
     int size = 16 << 20;
-    World.Host host = host(ok("x".repeat(size)));
+    ProxyFixture.Host host = host(ok("x".repeat(size)));
     start(host);
     try (Socket s = first()) {
       write(s, claim("first"));
-      World.await(() -> host.heads.size() == 1);
+      ProxyFixture.await(() -> host.heads.size() == 1);
       answers.countDown();
       InputStream in = s.getInputStream();
       int head = in.readNBytes(4).length;
--- a/src/test/java/corkproxy/proxy/StartTest.java
+++ b/src/test/java/leadferry/proxy/StartTest.java
@@ -1,7 +1,7 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.ok;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -21,11 +21,11 @@
   private static final long HELD_MS = 300;
 
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
+    world = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
--- a/src/test/java/corkproxy/proxy/EndingsTest.java
+++ b/src/test/java/leadferry/proxy/TerminationRaceTest.java
@@ -1,9 +1,9 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
-import static corkproxy.proxy.World.claim;
-import static corkproxy.proxy.World.log;
-import static corkproxy.proxy.World.ok;
-import static corkproxy.proxy.World.write;
+import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.log;
+import static leadferry.proxy.ProxyFixture.ok;
+import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -28,15 +28,15 @@
  * Endings while something is still owed, each order of events forced by the peers:
  * docs/design/endings.md.
  */
-class EndingsTest {
+class TerminationRaceTest {
   @TempDir Path folder;
-  private World world;
+  private ProxyFixture world;
 
   @BeforeEach
   void open() {
-    world = new World(folder, 128);
-    world.connectTimeout = 2 * World.PATIENCE_MS;
-    world.deadline = 2 * World.PATIENCE_MS;
+    world = new ProxyFixture(folder, 128);
+    world.connectTimeout = 2 * ProxyFixture.PATIENCE_MS;
+    world.deadline = 2 * ProxyFixture.PATIENCE_MS;
   }
 
   @AfterEach
@@ -51,17 +51,17 @@
   void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent(boolean cancel, boolean reset)
       throws Exception {
     world.cancel = cancel;
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     try (Socket leaver = world.client()) {
       write(leaver, claim("leaver"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       if (reset) {
         leaver.setSoLinger(true, 0);
       }
     }
-    World.await(() -> world.open() == 0); // long before its time, and its connection's
-    World.await(() -> world.upstreams() == 0);
+    ProxyFixture.await(() -> world.open() == 0); // long before its time, and its connection's
+    ProxyFixture.await(() -> world.upstreams() == 0);
     host.comesUp();
     assertThat(world.ask(claim("next"))).endsWith("late");
     assertThat(host.heads).hasSize(1).first().asString().contains("next");
@@ -71,15 +71,15 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 300, 30_000})
   void aClientThatSentMoreAheadAndLeftIsSeenToHaveLeft(int requestsAhead) throws Exception {
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     try (Socket leaver = world.client()) {
       write(leaver, claim("leaver"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       write(leaver, claim("ahead").repeat(requestsAhead));
     }
-    World.await(() -> world.open() == 0);
-    World.await(() -> world.upstreams() == 0);
+    ProxyFixture.await(() -> world.open() == 0);
+    ProxyFixture.await(() -> world.upstreams() == 0);
     host.comesUp();
     assertThat(world.ask(claim("next"))).endsWith("late");
     assertThat(host.heads).hasSize(1);
@@ -100,22 +100,22 @@
   void aClientThatLeftBehindTheConnectIsSeenBeforeTheWrite(
       boolean cancel, boolean reset, int requestsAhead) throws Exception {
     world.cancel = cancel;
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     AutoCloseable held;
     try (Socket leaver = world.client()) {
       write(leaver, claim("leaver"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       held = world.heldLoop();
       host.comesUp();
-      World.await(() -> host.late() == 1);
+      ProxyFixture.await(() -> host.late() == 1);
       write(leaver, claim("ahead").repeat(requestsAhead));
       if (reset) {
         leaver.setSoLinger(true, 0);
       }
     }
     held.close();
-    World.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
+    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
     assertThat(world.ask(claim("next"))).endsWith("late");
     assertThat(host.heads).hasSize(1).first().asString().contains("next");
   }
@@ -127,7 +127,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 300})
   void aClientThatHasLeftBeforeItIsReadIsNotSentOn(int requestsAhead) throws Exception {
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     world.start(host);
     assertThat(world.ask(claim("first"))).endsWith("done");
     Thread.sleep(20); // its connection has rested, and carries the next one at once
@@ -137,7 +137,7 @@
     }
     held.close();
     assertThat(world.ask(claim("next"))).endsWith("done");
-    World.await(() -> world.open() == 0 && world.clients() == 0);
+    ProxyFixture.await(() -> world.open() == 0 && world.clients() == 0);
     assertThat(host.heads).hasSize(2).last().asString().contains("next");
   }
 
@@ -149,11 +149,11 @@
   @ValueSource(booleans = {true, false})
   void ofAThousandLeaversNoneIsSentOn(boolean cancel) throws Exception {
     world.close();
-    world = new World(folder, 512);
-    world.connectTimeout = 2 * World.PATIENCE_MS;
-    world.deadline = 2 * World.PATIENCE_MS;
+    world = new ProxyFixture(folder, 512);
+    world.connectTimeout = 2 * ProxyFixture.PATIENCE_MS;
+    world.deadline = 2 * ProxyFixture.PATIENCE_MS;
     world.cancel = cancel;
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     int cases = 0;
     int late = 0;
@@ -164,7 +164,7 @@
         leavers.add(s);
         write(s, claim("leaver" + cases + "-" + i));
       }
-      World.await(() -> world.upstreams() == leavers.size());
+      ProxyFixture.await(() -> world.upstreams() == leavers.size());
       cases += leavers.size();
       for (int i = 0; i < leavers.size(); i++) {
         Socket s = leavers.get(i);
@@ -176,7 +176,7 @@
         s.close();
       }
       long left = System.nanoTime();
-      World.await(() -> world.open() == 0);
+      ProxyFixture.await(() -> world.open() == 0);
       late += System.nanoTime() - left > 300_000_000L ? leavers.size() : 0;
     }
     host.comesUp();
@@ -186,7 +186,7 @@
         "leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
     assertThat(sent).isZero();
     assertThat(world.upstreams()).isEqualTo(1); // that of the one that has stayed
-    World.await(() -> world.clients() == 0);
+    ProxyFixture.await(() -> world.clients() == 0);
   }
 
   @ParameterizedTest
@@ -195,7 +195,7 @@
       throws Exception {
     world.cancel = cancel;
     CountDownLatch both = new CountDownLatch(1);
-    World.Host quick =
+    ProxyFixture.Host quick =
         world
         .new Host(
             h -> {
@@ -206,17 +206,17 @@
               }
               return ok("quick");
             });
-    World.LateHost late = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
     world.start(quick, late);
     try (Socket s = world.client()) {
       write(s, log("copied"));
-      World.await(() -> world.upstreams() == 2);
+      ProxyFixture.await(() -> world.upstreams() == 2);
       both.countDown();
-      assertThat(World.read(s.getInputStream())).endsWith("quick");
-      World.await(() -> world.open() == 0);
-      World.await(() -> world.upstreams() == 1);
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("quick");
+      ProxyFixture.await(() -> world.open() == 0);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       late.comesUp();
-      World.await(() -> late.open.size() > 0);
+      ProxyFixture.await(() -> late.open.size() > 0);
       assertThat(late.heads).isEmpty();
     }
   }
@@ -229,15 +229,15 @@
   @ValueSource(booleans = {true, false})
   void aLongBodyWhoseClientLeftWhileItWaitedIsNotSentOnWhole(boolean cancel) throws Exception {
     world.cancel = cancel;
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     int size = (1 << 20) + 100_000;
     try (Socket leaver = world.client()) {
       write(leaver, claim("leaver", "Content-Length: " + size) + "x".repeat(size));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
     }
     host.comesUp();
-    World.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
+    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
     assertThat(world.ask(claim("next"))).endsWith("late");
     assertThat(whole(host, size)).isZero();
   }
@@ -248,28 +248,28 @@
    */
   @Test
   void aLongBodyThatWaitsTellsItsHostNoMoreTimeThanItsClientHas() throws Exception {
-    world.generations = Generations.join(folder.toString());
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    world.generations = HotRestart.join(folder.toString());
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     int most = 1 << 20; // past this it is not held
-    try (Generations beside = Generations.join(folder.toString());
+    try (HotRestart beside = HotRestart.join(folder.toString());
         Socket s = world.client()) {
       write(s, claim("long", "Content-Length: " + (most + 2_000)) + "x".repeat(most - 1_000));
-      World.await(() -> beside.others().bodies() == most - 1_000);
+      ProxyFixture.await(() -> beside.others().bodies() == most - 1_000);
       write(s, "x".repeat(3_000)); // in one read, with the last byte
-      World.await(() -> world.open() == 1);
+      ProxyFixture.await(() -> world.open() == 1);
       long whole = System.nanoTime();
-      World.await(() -> System.nanoTime() - whole > 200_000_000L);
+      ProxyFixture.await(() -> System.nanoTime() - whole > 200_000_000L);
       long waited = (System.nanoTime() - whole) / 1_000_000;
       host.comesUp();
-      assertThat(World.read(s.getInputStream())).endsWith("late");
-      assertThat(Long.parseLong(World.header(host.heads.get(0), "X-Timeout-Ms")))
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("late");
+      assertThat(Long.parseLong(ProxyFixture.header(host.heads.get(0), "X-Timeout-Ms")))
           .isBetween(1L, world.deadline - waited);
     }
   }
 
   /** Requests of which the host has got a body so long, to its last byte. */
-  private static long whole(World.Host host, int size) {
+  private static long whole(ProxyFixture.Host host, int size) {
     return host.heads.stream().filter(h -> h.length() - h.indexOf("\r\n\r\n") - 4 == size).count();
   }
 
@@ -281,13 +281,13 @@
   @ValueSource(booleans = {true, false})
   void aLongBodyThatBreaksOffLeavesNothingOut(boolean cancel) throws Exception {
     world.cancel = cancel;
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     world.start(host);
     try (Socket leaver = world.client()) {
       write(leaver, claim("leaver", "Content-Length: " + (3 << 20)) + "x".repeat(2 << 20));
-      World.await(() -> host.connections() == 1);
+      ProxyFixture.await(() -> host.connections() == 1);
     }
-    World.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
+    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
     assertThat(whole(host, 3 << 20)).isZero();
   }
 
@@ -299,24 +299,24 @@
     world.cancel = cancel;
     world.aim = 100;
     world.window = 1_000;
-    World.Host hangs = world.new Host(h -> null);
-    World.LateHost late = world.new LateHost(h -> ok("late"));
+    ProxyFixture.Host hangs = world.new Host(h -> null);
+    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
     world.start(hangs, late);
     try (Socket s = world.client()) {
       write(s, log("keyed"));
-      World.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
+      ProxyFixture.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
       long until = System.nanoTime() + world.window * 1_000_000L;
-      World.await(() -> System.nanoTime() > until);
+      ProxyFixture.await(() -> System.nanoTime() > until);
       late.comesUp();
-      World.await(() -> late.late() == 1);
-      World.await(() -> world.upstreams() == 1 || !late.heads.isEmpty());
+      ProxyFixture.await(() -> late.late() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1 || !late.heads.isEmpty());
       assertThat(late.heads).isEmpty();
       assertThat(world.open()).isEqualTo(1); // the one that hangs may answer still
     }
   }
 
   /** A discovery that tells its list, and what else it is given to tell. */
-  private final class Teller extends World.Server {
+  private final class Teller extends ProxyFixture.Server {
     private final String list;
     private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
 
@@ -327,7 +327,7 @@
 
     @Override
     void serve(Socket s) throws IOException, InterruptedException {
-      World.read(s.getInputStream());
+      ProxyFixture.read(s.getInputStream());
       write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
       while (true) {
         String line = news.poll(500, TimeUnit.MILLISECONDS);
@@ -380,15 +380,15 @@
   @ParameterizedTest
   @ValueSource(strings = {"draining", "removed", "left out", "moved", "started anew"})
   void aRequestThatWaitsForAHostIsNotSentToWhatTheHostHasBecome(String change) throws Exception {
-    World.LateHost host = world.new LateHost(h -> ok("late"));
-    World.Host other = world.new Host(h -> ok("other"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.Host other = world.new Host(h -> ok("other"));
     Teller discovery = new Teller(news(true, 41, host.address(), "up", 0));
     world.run(
         world.configure(discovery.address(), news(true, 40, host.address(), "up", 0)),
-        World.quietLog());
+        ProxyFixture.quietLog());
     try (Socket s = world.client()) {
       write(s, claim("waits"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       discovery.news.add(
           switch (change) {
             case "left out" -> list(true, 42);
@@ -399,19 +399,20 @@
           });
       if (change.equals("started anew")) {
         discovery.news.add(list(false, 43, entry("behind", other.address(), 1)));
-        World.await(
+        ProxyFixture.await(
             () ->
                 world.onLoop(
                     () ->
                         world.proxy.sends("behind"))); // and so the change before it has been taken
         host.comesUp(); // for a connection of its own: the one before was withdrawn
-        assertThat(World.read(s.getInputStream())).endsWith("late");
+        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("late");
         assertThat(host.heads).hasSize(1);
-        World.await(() -> host.late() == 1);
+        ProxyFixture.await(() -> host.late() == 1);
       } else {
-        assertThat(World.read(s.getInputStream())).contains(" 503 "); // refused: it never ran
+        assertThat(ProxyFixture.read(s.getInputStream()))
+            .contains(" 503 "); // refused: it never ran
         assertThat(host.heads).isEmpty();
-        World.await(() -> world.upstreams() == 0);
+        ProxyFixture.await(() -> world.upstreams() == 0);
         host.comesUp();
         assertThat(host.heads).isEmpty();
       }
@@ -422,11 +423,11 @@
   @Test
   void aClientThatLeavesWhileItsBodyWaitsForMemoryIsNotSentOn() throws Exception {
     world.close();
-    world = new World(folder, 512);
+    world = new ProxyFixture(folder, 512);
     world.memory = 96; // 8 MB of bodies
     world.deadline = 1_500;
     int size = 65_536;
-    World.Host hangs = world.new Host(h -> null);
+    ProxyFixture.Host hangs = world.new Host(h -> null);
     world.start(hangs);
     List<Socket> holders = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
@@ -434,14 +435,15 @@
       holders.add(s);
       write(s, claim("holder" + i, "Content-Length: " + size) + "x".repeat(size));
     }
-    World.await(() -> hangs.heads.size() == holders.size()); // 4.6 MB, until their time is over
+    ProxyFixture.await(
+        () -> hangs.heads.size() == holders.size()); // 4.6 MB, until their time is over
     List<Socket> leavers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
       Socket s = world.client();
       leavers.add(s);
       write(s, claim("leaver" + i, "Content-Length: " + size) + "x".repeat(size - 100));
     }
-    World.await(() -> world.clients() == holders.size() + leavers.size());
+    ProxyFixture.await(() -> world.clients() == holders.size() + leavers.size());
     for (Socket s : leavers) {
       write(
           s,
@@ -460,10 +462,10 @@
       leavers.get(i).close();
     }
     for (Socket s : holders) {
-      assertThat(World.read(s.getInputStream())).contains(" 504 ");
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 504 ");
       s.close();
     }
-    World.await(() -> world.clients() == 0 && world.open() == 0);
+    ProxyFixture.await(() -> world.clients() == 0 && world.open() == 0);
     System.out.println("waited for memory and left: " + (holders.size() + leavers.size() - taken));
     assertThat(taken).isLessThan(holders.size() + leavers.size());
     assertThat(hangs.heads).hasSize(taken);
@@ -476,17 +478,17 @@
   @Test
   void aCopyThatWaitsIsNotSentToAHostThatHasComeToAnotherCell() throws Exception {
     world.aim = 100;
-    World.Host hangs = world.new Host(h -> null);
-    World.LateHost late = world.new LateHost(h -> ok("late"));
+    ProxyFixture.Host hangs = world.new Host(h -> null);
+    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
     String list =
         list(true, 41, entry("hangs", hangs.address(), 1), entry("late", late.address(), 1));
     Teller discovery = new Teller(list);
-    world.run(world.configure(discovery.address(), list), World.quietLog());
+    world.run(world.configure(discovery.address(), list), ProxyFixture.quietLog());
     try (Socket s = world.client()) {
       write(s, log("keyed"));
-      World.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
+      ProxyFixture.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
       discovery.news.add(list(false, 42, entry("late", late.address(), 2)));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       late.comesUp();
       assertThat(late.heads).isEmpty();
       assertThat(world.open()).isEqualTo(1); // the one that hangs may answer still
@@ -498,22 +500,22 @@
    */
   @Test
   void aRequestThatWaitsForAHostThatGoesIsServedByOneThatComesInTheSameList() throws Exception {
-    World.LateHost goes = world.new LateHost(h -> ok("goes"));
-    World.Host comes = world.new Host(h -> ok("comes"));
+    ProxyFixture.LateHost goes = world.new LateHost(h -> ok("goes"));
+    ProxyFixture.Host comes = world.new Host(h -> ok("comes"));
     Teller discovery = new Teller(news(true, 41, goes.address(), "up", 0));
     world.run(
         world.configure(discovery.address(), news(true, 40, goes.address(), "up", 0)),
-        World.quietLog());
+        ProxyFixture.quietLog());
     try (Socket s = world.client()) {
       write(s, claim("waits"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       discovery.news.add(
           list(
               false,
               42,
               entry("h", goes.address(), 1, "removed", 0),
               entry("new", comes.address(), 1)));
-      assertThat(World.read(s.getInputStream())).endsWith("comes");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("comes");
     }
   }
 
@@ -525,17 +527,17 @@
    */
   @Test
   void anEndOfAPooledConnectionThatNobodyHasReadIsSeenBeforeTheWrite() throws Exception {
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     world.start(host);
     assertThat(world.ask(claim("warm"))).endsWith("done");
     try (Socket s = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       Thread.sleep(10); // its rest is over
       AutoCloseable held = world.heldLoop();
       write(s, claim("crosses"));
       host.open.get(0).shutdownOutput();
       held.close();
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
       assertThat(host.connections()).isEqualTo(2);
     }
   }
@@ -546,13 +548,13 @@
    */
   @Test
   void aSecondAnswerThatCameLateOnceIsNotTakenForTheNextOnes() throws Exception {
-    World.Host host =
+    ProxyFixture.Host host =
         world.new Host(h -> null) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
             String head;
-            while ((head = World.read(s.getInputStream())) != null) {
-              String id = World.header(head, "X-Request-ID");
+            while ((head = ProxyFixture.read(s.getInputStream())) != null) {
+              String id = ProxyFixture.header(head, "X-Request-ID");
               Thread.sleep(id.equals("third") ? 100 : 0); // what is late comes before it
               write(s, ok(id));
               Thread.sleep(25);
@@ -562,15 +564,15 @@
         };
     world.start(host);
     assertThat(world.ask(claim("first"))).endsWith("first");
-    World.await(() -> world.upstreams() == 0); // it came where nothing was carried
+    ProxyFixture.await(() -> world.upstreams() == 0); // it came where nothing was carried
     try (Socket s = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       write(s, claim("second"));
-      assertThat(World.read(s.getInputStream())).endsWith("second");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("second");
       Thread.sleep(
           10); // longer than a connection rests at first, and not yet as late as what is late
       write(s, claim("third"));
-      assertThat(World.read(s.getInputStream())).endsWith("third");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("third");
     }
   }
 
@@ -581,18 +583,19 @@
   @ParameterizedTest
   @CsvSource({"reset", "unframed", "interim"})
   void aFaultOnAConnectionInUseMakesNoneRestLonger(String fault) throws Exception {
-    world.aim = World.PATIENCE_MS; // two aims of idle time
-    World.Host host =
+    world.aim = ProxyFixture.PATIENCE_MS; // two aims of idle time
+    ProxyFixture.Host host =
         world.new Host(h -> null) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
             String head;
-            while ((head = World.read(s.getInputStream())) != null) {
-              String id = World.header(head, "X-Request-ID");
+            while ((head = ProxyFixture.read(s.getInputStream())) != null) {
+              String id = ProxyFixture.header(head, "X-Request-ID");
               switch (id) {
                 case "reset" -> {
                   write(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it");
-                  World.await(() -> world.onLoop(() -> true)); // a turn of the loop has passed
+                  ProxyFixture.await(
+                      () -> world.onLoop(() -> true)); // a turn of the loop has passed
                   s.setSoLinger(true, 0);
                   s.close();
                   return;
@@ -608,7 +611,7 @@
     try (Socket s = world.client()) {
       for (String id : List.of("first", fault)) {
         write(s, claim(id));
-        assertThat(World.read(s.getInputStream()))
+        assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith(id.equals(fault) ? "HTTP/1.1 502" : "HTTP/1.1 200");
         Thread.sleep(
             20); // the next one is on the same connection, which has stood idle for as long
@@ -616,7 +619,7 @@
       assertThat(host.connections()).isEqualTo(1);
       for (int i = 0; i < 10; i++) {
         write(s, claim("after" + i));
-        assertThat(World.read(s.getInputStream())).endsWith("after" + i);
+        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("after" + i);
         Thread.sleep(
             20); // longer than a connection rests, and shorter than it would after a late answer
       }
@@ -630,7 +633,7 @@
     world.deadline = 400;
     CountDownLatch answers = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(1);
-    World.Host host =
+    ProxyFixture.Host host =
         world
         .new Host(
             h -> {
@@ -652,16 +655,16 @@
     world.start(host);
     try (Socket s = world.client()) {
       write(s, claim("both"));
-      World.await(() -> host.heads.size() == 1);
+      ProxyFixture.await(() -> host.heads.size() == 1);
       AutoCloseable held = world.heldLoop();
       answers.countDown();
       long until = System.nanoTime() + 500_000_000L;
-      World.await(() -> System.nanoTime() > until);
+      ProxyFixture.await(() -> System.nanoTime() > until);
       held.close();
-      assertThat(World.read(s.getInputStream())).matches("(?s)HTTP/1.1 (200 .*both|504 .*)");
+      assertThat(ProxyFixture.read(s.getInputStream())).matches("(?s)HTTP/1.1 (200 .*both|504 .*)");
       write(s, claim("next"));
-      assertThat(World.read(s.getInputStream())).endsWith("next");
-      World.await(() -> world.open() == 0);
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("next");
+      ProxyFixture.await(() -> world.open() == 0);
     }
   }
 
@@ -673,24 +676,24 @@
   void anAnswerOfNoLengthThatNeverEndsIsSeenToBeCutOnceItsTimeIsOver() throws Exception {
     world.deadline = 600;
     String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmore\r\n";
-    World.Host host =
+    ProxyFixture.Host host =
         world.new Host(h -> head) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
             write(s, head);
             Thread.sleep(150); // past which an answer that still comes is passed on
             write(s, "4\r\nmore\r\n");
-            World.read(s.getInputStream());
+            ProxyFixture.read(s.getInputStream());
           }
         };
     world.start(host);
     try (Socket s = world.client()) {
       write(s, claim("endless"));
-      assertThat(World.read(s.getInputStream())).contains(" 200 ");
-      assertThat(World.ends(s)).isTrue();
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 200 ");
+      assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    World.await(() -> world.open() == 0 && world.upstreams() == 0);
+    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0);
   }
 
   // --- a restart with requests in flight
@@ -701,16 +704,16 @@
     CompletableFuture<Void> ended;
     try (Socket s = world.client()) {
       write(s, claim("slow", "Content-Length: 4") + "ab");
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       ended = world.drain();
       long until =
           System.nanoTime()
               + 1_000_000_000L; // past the time at which nobody may stay who carries nothing
-      World.await(() -> System.nanoTime() > until);
+      ProxyFixture.await(() -> System.nanoTime() > until);
       write(s, "cd");
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
     }
-    ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -719,14 +722,14 @@
    */
   @Test
   void aRequestWhoseClassMayTakeLongerThanSigkillLeavesIsAnsweredBeforeTheEnd() throws Exception {
-    World.Host hangs = world.new Host(h -> null);
+    ProxyFixture.Host hangs = world.new Host(h -> null);
     world.start(hangs);
     try (Socket s = world.client()) {
       write(s, claim("long"));
-      World.await(() -> hangs.heads.size() == 1);
+      ProxyFixture.await(() -> hangs.heads.size() == 1);
       CompletableFuture<Void> ended = world.drain();
-      assertThat(World.read(s.getInputStream())).contains(" 502 ");
-      ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 502 ");
+      ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -735,13 +738,13 @@
   void theEndComesWithNoConnectionOpenThatCouldBeWrittenTo() throws Exception {
     world.start(world.new Host(h -> ok("done")));
     try (Socket before = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       CompletableFuture<Void> ended = world.drain();
       try (Socket after = world.client()) {
-        ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
         assertThat(world.clients()).isZero();
-        assertThat(World.ends(before)).isTrue();
-        assertThat(World.ends(after)).isTrue();
+        assertThat(ProxyFixture.ends(before)).isTrue();
+        assertThat(ProxyFixture.ends(after)).isTrue();
       }
     }
   }
@@ -756,12 +759,12 @@
     long stood;
     do {
       world.close();
-      world = new World(folder, 128);
+      world = new ProxyFixture(folder, 128);
       world.start(world.new Host(h -> ok("done")));
       CompletableFuture<Void> ended = world.drain();
       try (Socket rests = world.client();
           Stalls stalls = new Stalls()) {
-        assertThat(World.ends(rests)).isTrue();
+        assertThat(ProxyFixture.ends(rests)).isTrue();
         try {
           answer = world.ask(claim("once more"));
         } catch (java.net.ConnectException e) {
@@ -769,7 +772,7 @@
         }
         stood = stalls.longestMs();
       }
-      ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+      ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
       assertThat(world.clients()).isZero();
     } while (answer.equals("refused")
         && stood > 20); // this process stood still, and the client was late by as much
@@ -824,13 +827,13 @@
       waiting.add(s);
       write(s, claim("waits" + i));
     }
-    World.await(() -> System.nanoTime() > until);
+    ProxyFixture.await(() -> System.nanoTime() > until);
     held.close();
     for (Socket s : waiting) {
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
       s.close();
     }
-    ended.get(World.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
   }
 
   // --- a new configuration
@@ -842,13 +845,13 @@
   @Test
   void theIdleTimeOfANewConfigurationHolds() throws Exception {
     world.aim = 2_000; // two aims of idle time
-    World.DroppingHost host = world.new DroppingHost(400);
-    World.Discovery d = world.start(host);
+    ProxyFixture.DroppingHost host = world.new DroppingHost(400);
+    ProxyFixture.Discovery d = world.start(host);
     assertThat(world.ask(claim("first"))).endsWith("served");
     world.connIdle = 300;
     world.configure(d.address(), d.list());
     world.reload();
-    World.await(() -> world.upstreams() == 0); // long before four seconds are over
+    ProxyFixture.await(() -> world.upstreams() == 0); // long before four seconds are over
     assertThat(world.ask(claim("second"))).endsWith("served");
     assertThat(host.open).hasSize(2);
   }
@@ -856,15 +859,16 @@
   /** The connect that hangs belongs to the address before. */
   @Test
   void aNewConfigurationWhileAWatchIsBeingOpenedMovesIt() throws Exception {
-    World.Host old = world.new Host(h -> ok("old"));
-    World.Host next = world.new Host(h -> ok("next"));
-    World.LateHost hangs = world.new LateHost(h -> null);
+    ProxyFixture.Host old = world.new Host(h -> ok("old"));
+    ProxyFixture.Host next = world.new Host(h -> ok("next"));
+    ProxyFixture.LateHost hangs = world.new LateHost(h -> null);
     world.run(
-        world.configure(hangs.address(), world.new Discovery(40, old).list()), World.quietLog());
-    World.Discovery other = world.new Discovery(3, next);
+        world.configure(hangs.address(), world.new Discovery(40, old).list()),
+        ProxyFixture.quietLog());
+    ProxyFixture.Discovery other = world.new Discovery(3, next);
     world.configure(other.address(), "{}");
     world.reload();
-    World.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
+    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
     hangs.comesUp();
     assertThat(world.ask(claim("a"))).endsWith("next");
     assertThat(hangs.heads).isEmpty();
@@ -881,21 +885,21 @@
       Socket s = world.client();
       fill.add(s);
       write(s, "POST /cl"); // begun, and so none that makes room yet
-      World.await(() -> world.clients() == fill.size());
+      ProxyFixture.await(() -> world.clients() == fill.size());
     }
     fill.remove(0).close();
     fill.remove(0).close();
-    World.await(() -> world.clients() == fill.size());
+    ProxyFixture.await(() -> world.clients() == fill.size());
     Socket speaks = world.client();
-    World.await(() -> world.clients() == fill.size() + 1);
+    ProxyFixture.await(() -> world.clients() == fill.size() + 1);
     AutoCloseable held = world.heldLoop();
     long until =
         System.nanoTime() + 100_000_000L; // twice what a client may be silent for in a crowd
-    World.await(() -> System.nanoTime() > until);
+    ProxyFixture.await(() -> System.nanoTime() > until);
     fill.add(world.client()); // ready ahead of it, and one too many
     write(speaks, claim("speaks"));
     held.close();
-    assertThat(World.read(speaks.getInputStream())).endsWith("done");
+    assertThat(ProxyFixture.read(speaks.getInputStream())).endsWith("done");
     speaks.close();
     for (Socket s : fill) {
       s.close();
@@ -908,17 +912,17 @@
   @Test
   void aConnectionThatHasStoodIdleTooLongIsNotUsedThoughUpkeepHasNotEndedItYet() throws Exception {
     world.connIdle = 1_000;
-    World.DroppingHost host = world.new DroppingHost(900);
+    ProxyFixture.DroppingHost host = world.new DroppingHost(900);
     world.start(host);
     assertThat(world.ask(claim("first"))).endsWith("served");
     try (Socket s = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       AutoCloseable held = world.heldLoop();
       long until = System.nanoTime() + 1_100_000_000L;
-      World.await(() -> System.nanoTime() > until);
+      ProxyFixture.await(() -> System.nanoTime() > until);
       write(s, claim("second"));
       held.close();
-      assertThat(World.read(s.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
     }
   }
 
@@ -927,19 +931,19 @@
   @Test
   void aRequestWhoseTimeIsOverWhenItsConnectionIsUpIsNotSent() throws Exception {
     world.deadline = 700;
-    World.LateHost host = world.new LateHost(h -> ok("late"));
+    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
     world.start(host);
     try (Socket s = world.client()) {
       write(s, claim("over"));
-      World.await(() -> world.upstreams() == 1);
+      ProxyFixture.await(() -> world.upstreams() == 1);
       AutoCloseable held = world.heldLoop();
       host.comesUp();
-      World.await(
+      ProxyFixture.await(
           () -> host.late() == 1); // later than its time: the kernel tries again after a second
       held.close();
-      assertThat(World.read(s.getInputStream())).contains(" 503 ");
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 503 ");
     }
-    World.await(() -> world.open() == 0);
+    ProxyFixture.await(() -> world.open() == 0);
     assertThat(host.heads).isEmpty();
   }
 
@@ -950,12 +954,12 @@
   @Test
   void aRequestWhoseTimeWentByUnreadIsAnsweredAtOnceAndNotSent() throws Exception {
     world.deadline = 400;
-    World.Host host = world.new Host(h -> ok("done"));
+    ProxyFixture.Host host = world.new Host(h -> ok("done"));
     world.start(host);
     List<Socket> clients = new ArrayList<>();
     clients.add(world.client());
     write(clients.get(0), claim("warm"));
-    assertThat(World.read(clients.get(0).getInputStream())).endsWith("done");
+    assertThat(ProxyFixture.read(clients.get(0).getInputStream())).endsWith("done");
     AutoCloseable held = world.heldLoop();
     for (int i = 0; i < 12; i++) { // more than are accepted in one turn
       Socket s = i == 0 ? clients.get(0) : world.client();
@@ -963,10 +967,10 @@
       clients.add(s);
     }
     long until = System.nanoTime() + 800_000_000L;
-    World.await(() -> System.nanoTime() > until);
+    ProxyFixture.await(() -> System.nanoTime() > until);
     held.close();
     for (Socket s : clients.subList(1, clients.size())) {
-      assertThat(World.read(s.getInputStream())).contains(" 503 ");
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 503 ");
       s.close();
     }
     assertThat(host.heads).hasSize(1);
@@ -981,16 +985,16 @@
   @Test
   void aRequestThatWasReadLateIsAnsweredInItsOwnTime() throws Exception {
     world.deadline = 3_000;
-    World.Host hangs = world.new Host(h -> null);
+    ProxyFixture.Host hangs = world.new Host(h -> null);
     world.start(hangs);
     try (Socket s = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       AutoCloseable held = world.heldLoop();
       write(s, claim("late"));
       long at = System.nanoTime();
-      World.await(() -> System.nanoTime() > at + 1_500_000_000L);
+      ProxyFixture.await(() -> System.nanoTime() > at + 1_500_000_000L);
       held.close();
-      assertThat(World.read(s.getInputStream())).contains(" 504 ");
+      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 504 ");
       assertThat(System.nanoTime() - at).isBetween(1_500_000_000L, 4_000_000_000L);
       assertThat(hangs.heads).hasSize(1);
     }
@@ -1002,11 +1006,11 @@
     world.deadline = 400;
     world.start(world.new Host(h -> ok("done")));
     try (Socket s = world.client()) {
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       long until = System.nanoTime() + 600_000_000L;
-      World.await(() -> System.nanoTime() > until);
+      ProxyFixture.await(() -> System.nanoTime() > until);
       write(s, claim("rested"));
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
     }
   }
 
@@ -1021,13 +1025,13 @@
     try (Socket s = world.client()) {
       String request = claim("slow", "Content-Length: 4");
       write(s, request.substring(0, 20));
-      World.await(() -> world.clients() == 1);
+      ProxyFixture.await(() -> world.clients() == 1);
       for (String piece : List.of(request.substring(20) + "ab", "cd")) {
         long until = System.nanoTime() + 500_000_000L;
-        World.await(() -> System.nanoTime() > until);
+        ProxyFixture.await(() -> System.nanoTime() > until);
         write(s, piece);
       }
-      assertThat(World.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
     }
   }
 }
--- a/src/test/java/corkproxy/proxy/RehearsalTest.java
+++ b/src/test/java/leadferry/proxy/WarmUpTest.java
@@ -1,18 +1,18 @@
-package corkproxy.proxy;
+package leadferry.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.engine.LineLog;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Map;
+import leadferry.engine.LineLog;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RehearsalTest {
+class WarmUpTest {
   /**
    * Aims far shorter than cold code takes, as a process on part of a core has them, refuse none of
    * it.
@@ -20,17 +20,17 @@
   @ParameterizedTest
   @ValueSource(ints = {400, 1})
   void aRehearsalCarriesItsRequestsAndSaysNothing(int aim, @TempDir Path folder) throws Exception {
-    try (World world = new World(folder, 128)) {
+    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
       world.aim = aim;
       world.deadline = 2 * aim;
       String file = world.configure("127.0.0.1:9", "{}").toString();
       ByteArrayOutputStream lines = new ByteArrayOutputStream();
       int answered =
-          Rehearsal.run(
+          WarmUp.run(
               Config.load(Map.of("BALANCER_CONFIG", file)),
               false,
               new LineLog(new PrintStream(lines, true, StandardCharsets.UTF_8), false));
-      assertThat(answered).isEqualTo(Rehearsal.REQUESTS);
+      assertThat(answered).isEqualTo(WarmUp.REQUESTS);
       assertThat(lines.toString(StandardCharsets.UTF_8)).isEmpty();
     }
   }
--- a/src/test/java/corkproxy/release/GuardTest.java
+++ b/src/test/java/leadferry/release/CanaryAnalysisTest.java
@@ -1,21 +1,21 @@
-package corkproxy.release;
+package leadferry.release;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.release.Guard.Bounds;
-import corkproxy.release.Guard.Count;
-import corkproxy.release.Guard.Word;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import leadferry.release.CanaryAnalysis.Bounds;
+import leadferry.release.CanaryAnalysis.Count;
+import leadferry.release.CanaryAnalysis.Word;
 import org.junit.jupiter.api.Test;
 
 /**
  * How often the guard halts what is sound, and what it lets through; and that it says nothing from
  * too little.
  */
-class GuardTest {
+class CanaryAnalysisTest {
   private static final Bounds BOUNDS = new Bounds(400, 0.02, 0.05, 3, 60_000);
 
   /** Parts of the fleet that have the new version after each step. */
@@ -30,7 +30,7 @@
   private static double release(long seed, double worse) {
     SplittableRandom random = new SplittableRandom(seed);
     double base = random.nextDouble() * 0.05;
-    Guard guard = new Guard(BOUNDS);
+    CanaryAnalysis guard = new CanaryAnalysis(BOUNDS);
     double before = 0;
     for (double share : STEPS) {
       // With nothing old left, as the conductor does: the step's own against those that were judged
@@ -96,7 +96,7 @@
   void oneBadClassIsFoundAmongSoundOnes() {
     Map<String, Count> fresh = Map.of("claim", new Count(60, 20), "list", new Count(5_000, 10));
     Map<String, Count> old = Map.of("claim", new Count(600, 6), "list", new Count(50_000, 100));
-    assertThat(new Guard(BOUNDS).judge(fresh, old, List.of()))
+    assertThat(new CanaryAnalysis(BOUNDS).judge(fresh, old, List.of()))
         .satisfies(
             v -> {
               assertThat(v.word()).isEqualTo(Word.HALT);
@@ -106,10 +106,10 @@
 
   @Test
   void itWaitsForReportsThatAreMissingAndForRequests() {
-    Guard g = new Guard(BOUNDS);
+    CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
     Map<String, Count> well = Map.of("list", new Count(5_000, 10));
     assertThat(g.judge(well, well, List.of("p3")))
-        .isEqualTo(new Guard.Verdict(Word.WAIT, "no fresh report of p3"));
+        .isEqualTo(new CanaryAnalysis.Verdict(Word.WAIT, "no fresh report of p3"));
     assertThat(g.judge(Map.of("list", new Count(399, 0)), well, List.of()).word())
         .isEqualTo(Word.WAIT);
     assertThat(g.judge(well, Map.of("list", new Count(10, 0)), List.of()).word())
@@ -119,7 +119,7 @@
 
   @Test
   void whereNothingOldIsLeftTheNewIsHeldAgainstABound() {
-    Guard g = new Guard(BOUNDS);
+    CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
     assertThat(g.judge(Map.of("list", new Count(1_000, 20)), Map.of(), List.of()).word())
         .isEqualTo(Word.GO);
     assertThat(g.judge(Map.of("list", new Count(1_000, 120)), Map.of(), List.of()).word())
--- a/src/test/java/corkproxy/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -1,20 +1,20 @@
-package corkproxy.release;
+package leadferry.release;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import corkproxy.disruption.Budget;
-import corkproxy.disruption.Disruption;
-import corkproxy.disruption.Kind;
-import corkproxy.disruption.Outcome;
-import corkproxy.disruption.Outcome.Status;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import leadferry.disruption.Budget;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Outcome;
+import leadferry.disruption.Outcome.Status;
+import leadferry.disruption.TargetType;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -22,7 +22,8 @@
 class ReleaseTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private final Disruption disruption = new Disruption(new Disruption.Times(0, 0, 0));
+  private final DisruptionState disruption =
+      new DisruptionState(new DisruptionState.Times(0, 0, 0));
   private final Releases releases = new Releases();
   private final Map<String, Long> words = new TreeMap<>();
   private ObjectNode plan;
@@ -173,7 +174,7 @@
     begin();
     change("a", "v2");
     judged(0);
-    assertThat(disruption.drain(Kind.PROXY, "d", 0, false, "op", "x").status())
+    assertThat(disruption.drain(TargetType.PROXY, "d", 0, false, "op", "x").status())
         .isEqualTo(Status.GRANTED);
     out("b");
     assertThat(apply("intend", "target", "c"))
@@ -259,10 +260,10 @@
     change("c", "v2");
     judged(1);
     apply("back", "to_step", 1);
-    Conductor x = new Conductor("x", 1_000);
+    ReleaseController x = new ReleaseController("x", 1_000);
     assertThat(x.next(status(), null, true, 0))
         .containsExactly(
-            new Conductor.Submit(
+            new ReleaseController.Submit(
                 "release_intend", new TreeMap<>(Map.of("fence", fence, "target", "c"))));
     change("c", "v1");
     change("b", "v1");
@@ -301,7 +302,7 @@
         assertThat(a.path("at").asText()).isEqualTo("unknown");
         assertThat(a.path("phase").asText()).isEqualTo("leaving");
         assertThat(a.path("held").asBoolean()).isTrue();
-        assertThat(disruption.out(Kind.PROXY, "a")).startsWith("permit");
+        assertThat(disruption.out(TargetType.PROXY, "a")).startsWith("permit");
       }
     }
   }
@@ -347,7 +348,7 @@
     plan.put("version", "v1").put("on_wrong", "maybe").put("action_ms", 5);
     step("first", 0, "a");
     List<String> faults = new ArrayList<>();
-    assertThat(Plan.read(plan, faults)).isNull();
+    assertThat(ReleasePlan.read(plan, faults)).isNull();
     assertThat(String.join("\n", faults))
         .contains(
             "from:",
--- a/src/test/java/corkproxy/routing/PathFormTest.java
+++ b/src/test/java/leadferry/routing/PathNormalizerTest.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PathFormTest {
+class PathNormalizerTest {
   @ParameterizedTest
   @CsvSource({
     "/, /, /",
@@ -22,7 +22,7 @@
   })
   void aPathOfOneReadingIsMatchedDecodedAndSentOnAsItCame(
       String raw, String match, String forward) {
-    PathForm f = PathForm.of(raw, PathForm.Mode.STRICT);
+    PathNormalizer f = PathNormalizer.of(raw, PathNormalizer.Mode.STRICT);
     assertThat(f.match()).isEqualTo(match);
     assertThat(f.forward()).isEqualTo(forward);
   }
@@ -41,8 +41,8 @@
     "/a/%2e/b%20c, /a/b%20c",
   })
   void resolvingMatchesAndSendsTheResolvedPath(String raw, String forward) {
-    assertThat(PathForm.of(raw, PathForm.Mode.STRICT)).isNull();
-    PathForm f = PathForm.of(raw, PathForm.Mode.RESOLVE);
+    assertThat(PathNormalizer.of(raw, PathNormalizer.Mode.STRICT)).isNull();
+    PathNormalizer f = PathNormalizer.of(raw, PathNormalizer.Mode.RESOLVE);
     assertThat(f == null ? null : f.forward()).isEqualTo(forward);
   }
 
@@ -71,8 +71,8 @@
         "/%2e%2e;/b"
       })
   void whatHasNoSingleReadingIsNoPathInAnyMode(String raw) {
-    for (PathForm.Mode m : PathForm.Mode.values()) {
-      assertThat(PathForm.of(raw, m)).as(m + " " + raw).isNull();
+    for (PathNormalizer.Mode m : PathNormalizer.Mode.values()) {
+      assertThat(PathNormalizer.of(raw, m)).as(m + " " + raw).isNull();
     }
   }
 
@@ -89,11 +89,11 @@
       for (int j = random.nextInt(8); j > 0; j--) {
         raw.append(pieces[random.nextInt(pieces.length)]);
       }
-      for (PathForm.Mode m : PathForm.Mode.values()) {
-        PathForm f = PathForm.of(raw.toString(), m);
+      for (PathNormalizer.Mode m : PathNormalizer.Mode.values()) {
+        PathNormalizer f = PathNormalizer.of(raw.toString(), m);
         if (f != null) {
           taken++;
-          PathForm again = PathForm.of(f.forward(), PathForm.Mode.STRICT);
+          PathNormalizer again = PathNormalizer.of(f.forward(), PathNormalizer.Mode.STRICT);
           assertThat(again).as("%s as %s", raw, f.forward()).isNotNull();
           assertThat(again.match()).isEqualTo(f.match());
           assertThat(f.match()).doesNotContain("//").doesNotContain("/../").doesNotContain("/./");
--- a/src/test/java/corkproxy/routing/RouteTableTest.java
+++ b/src/test/java/leadferry/routing/RouteTableTest.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,7 +17,7 @@
 class RouteTableTest {
   private record Request(
       String host, String path, String method, String className, Map<String, String> headers)
-      implements Subject {
+      implements RequestAttributes {
     @Override
     public String header(String name) {
       return headers.get(name);
@@ -28,8 +28,9 @@
     return new Request(host, path, "GET", null, Map.of());
   }
 
-  private static Rule<Integer> rule(String name, Rule.Kind kind, String path, String... hosts) {
-    return new Rule<>(
+  private static RouteRule<Integer> rule(
+      String name, RouteRule.Kind kind, String path, String... hosts) {
+    return new RouteRule<>(
         name,
         hosts.length == 0 ? List.of("*") : List.of(hosts),
         kind,
@@ -40,9 +41,9 @@
         0);
   }
 
-  private static Rule<Integer> with(
-      Rule<Integer> r, Set<String> methods, Map<String, String> headers, Set<String> classes) {
-    return new Rule<>(r.name(), r.hosts(), r.kind(), r.path(), methods, headers, classes, 0);
+  private static RouteRule<Integer> with(
+      RouteRule<Integer> r, Set<String> methods, Map<String, String> headers, Set<String> classes) {
+    return new RouteRule<>(r.name(), r.hosts(), r.kind(), r.path(), methods, headers, classes, 0);
   }
 
   @ParameterizedTest
@@ -54,11 +55,11 @@
     RouteTable<Integer> t =
         new RouteTable<>(
             List.of(
-                rule("root", Rule.Kind.PREFIX, "/"),
-                rule("prefix", Rule.Kind.PREFIX, "/visits/"),
-                rule("deeper", Rule.Kind.PREFIX, "/visits/x/deep"),
-                rule("regex", Rule.Kind.REGEX, "/visits/[0-9]+"),
-                rule("exact", Rule.Kind.EXACT, "/visits")));
+                rule("root", RouteRule.Kind.PREFIX, "/"),
+                rule("prefix", RouteRule.Kind.PREFIX, "/visits/"),
+                rule("deeper", RouteRule.Kind.PREFIX, "/visits/x/deep"),
+                rule("regex", RouteRule.Kind.REGEX, "/visits/[0-9]+"),
+                rule("exact", RouteRule.Kind.EXACT, "/visits")));
     assertThat(t.find(get("a", path)).name()).isEqualTo(wins);
   }
 
@@ -71,13 +72,13 @@
     RouteTable<Integer> t =
         new RouteTable<>(
             List.of(
-                rule("any", Rule.Kind.PREFIX, "/"),
-                rule("short", Rule.Kind.PREFIX, "/", "*.test"),
-                rule("suffix", Rule.Kind.PREFIX, "/", "*.a.test"),
-                rule("longer", Rule.Kind.PREFIX, "/", "*.x.a.test"),
-                rule("lead", Rule.Kind.PREFIX, "/", "a.*"),
-                rule("longlead", Rule.Kind.PREFIX, "/", "a.b.*"),
-                rule("exact", Rule.Kind.PREFIX, "/", "a.test")));
+                rule("any", RouteRule.Kind.PREFIX, "/"),
+                rule("short", RouteRule.Kind.PREFIX, "/", "*.test"),
+                rule("suffix", RouteRule.Kind.PREFIX, "/", "*.a.test"),
+                rule("longer", RouteRule.Kind.PREFIX, "/", "*.x.a.test"),
+                rule("lead", RouteRule.Kind.PREFIX, "/", "a.*"),
+                rule("longlead", RouteRule.Kind.PREFIX, "/", "a.b.*"),
+                rule("exact", RouteRule.Kind.PREFIX, "/", "a.test")));
     assertThat(t.find(get(host, "/")).name()).isEqualTo(wins);
   }
 
@@ -86,24 +87,29 @@
     RouteTable<Integer> t =
         new RouteTable<>(
             List.of(
-                rule("any", Rule.Kind.PREFIX, "/"), rule("one", Rule.Kind.EXACT, "/x", "a.test")));
+                rule("any", RouteRule.Kind.PREFIX, "/"),
+                rule("one", RouteRule.Kind.EXACT, "/x", "a.test")));
     assertThat(t.find(get("a.test", "/y"))).isNull();
   }
 
   @Test
   void ofOnePathTheOneWithMostConditionsThatHoldWins() {
-    Rule<Integer> base = rule("plain", Rule.Kind.PREFIX, "/a");
+    RouteRule<Integer> base = rule("plain", RouteRule.Kind.PREFIX, "/a");
     RouteTable<Integer> t =
         new RouteTable<>(
             List.of(
                 base,
-                with(rule("post", Rule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of(), Set.of()),
+                with(rule("post", RouteRule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of(), Set.of()),
                 with(
-                    rule("both", Rule.Kind.PREFIX, "/a"),
+                    rule("both", RouteRule.Kind.PREFIX, "/a"),
                     Set.of("POST"),
                     Map.of("x", "1"),
                     Set.of()),
-                with(rule("class", Rule.Kind.PREFIX, "/a/b"), Set.of(), Map.of(), Set.of("log"))));
+                with(
+                    rule("class", RouteRule.Kind.PREFIX, "/a/b"),
+                    Set.of(),
+                    Map.of(),
+                    Set.of("log"))));
     assertThat(t.find(get("h", "/a/b")).name()).isEqualTo("plain"); // on to the shorter prefix
     assertThat(t.find(new Request("h", "/a/b", "GET", "log", Map.of())).name()).isEqualTo("class");
     assertThat(t.find(new Request("h", "/a", "POST", null, Map.of())).name()).isEqualTo("post");
@@ -114,7 +120,7 @@
   }
 
   /** The order of precedence written down once more, as slowly as can be. */
-  private static Rule<Integer> slowly(List<Rule<Integer>> rules, Request r) {
+  private static RouteRule<Integer> slowly(List<RouteRule<Integer>> rules, Request r) {
     String host =
         rules.stream()
             .flatMap(x -> x.hosts().stream())
@@ -137,9 +143,12 @@
                       case PREFIX -> 2;
                     })
             .thenComparingInt(
-                i -> rules.get(i).kind() == Rule.Kind.PREFIX ? -rules.get(i).path().length() : 0)
+                i ->
+                    rules.get(i).kind() == RouteRule.Kind.PREFIX
+                        ? -rules.get(i).path().length()
+                        : 0)
             .thenComparingInt(
-                i -> rules.get(i).kind() == Rule.Kind.REGEX ? 0 : -rules.get(i).conditions())
+                i -> rules.get(i).kind() == RouteRule.Kind.REGEX ? 0 : -rules.get(i).conditions())
             .thenComparingInt(i -> i);
     return IntStream.range(0, rules.size())
         .boxed()
@@ -164,7 +173,7 @@
             && host.startsWith(pattern.substring(0, pattern.length() - 1));
   }
 
-  private static boolean pathMatches(Rule<Integer> r, String path) {
+  private static boolean pathMatches(RouteRule<Integer> r, String path) {
     return switch (r.kind()) {
       case EXACT -> path.equals(r.path());
       case REGEX -> Pattern.matches(r.path(), path);
@@ -176,13 +185,13 @@
   private static final String[] PATHS = {"/", "/a", "/a/b", "/a/b/c", "/b", "/ab"};
   private static final String[] REGEXES = {"/a.*", "/[ab]+", "/.*/c", "/a/b"};
 
-  private static List<Rule<Integer>> randomRules(SplittableRandom random) {
-    List<Rule<Integer>> rules = new ArrayList<>();
+  private static List<RouteRule<Integer>> randomRules(SplittableRandom random) {
+    List<RouteRule<Integer>> rules = new ArrayList<>();
     int n = 1 + random.nextInt(12);
     for (int i = 0; i < n; i++) {
-      Rule.Kind kind = Rule.Kind.values()[random.nextInt(3)];
+      RouteRule.Kind kind = RouteRule.Kind.values()[random.nextInt(3)];
       String path =
-          kind == Rule.Kind.REGEX
+          kind == RouteRule.Kind.REGEX
               ? REGEXES[random.nextInt(REGEXES.length)]
               : PATHS[random.nextInt(PATHS.length)];
       rules.add(
@@ -211,11 +220,11 @@
     SplittableRandom random = new SplittableRandom(42);
     int found = 0;
     for (int i = 0; i < 3_000; i++) {
-      List<Rule<Integer>> rules = randomRules(random);
+      List<RouteRule<Integer>> rules = randomRules(random);
       RouteTable<Integer> t = new RouteTable<>(rules);
       for (int j = 0; j < 20; j++) {
         Request r = randomRequest(random);
-        Rule<Integer> expected = slowly(rules, r);
+        RouteRule<Integer> expected = slowly(rules, r);
         assertThat(t.find(r)).as("%s of %s", r, rules).isSameAs(expected);
         found += expected == null ? 0 : 1;
       }
@@ -228,7 +237,7 @@
     SplittableRandom random = new SplittableRandom(7);
     int shadowed = 0;
     for (int i = 0; i < 2_000; i++) {
-      List<Rule<Integer>> rules = randomRules(random);
+      List<RouteRule<Integer>> rules = randomRules(random);
       RouteTable<Integer> t = new RouteTable<>(rules);
       for (RouteCheck.Shadowed s : RouteCheck.shadowed(rules)) {
         shadowed++;
@@ -244,14 +253,14 @@
 
   @Test
   void twinsAndWhatStandsBehindACatchAllAreTold() {
-    List<Rule<Integer>> rules =
+    List<RouteRule<Integer>> rules =
         List.of(
-            rule("a", Rule.Kind.PREFIX, "/a"),
-            rule("twin", Rule.Kind.PREFIX, "/a/"),
-            rule("all", Rule.Kind.REGEX, "/.*", "x"),
-            rule("behind", Rule.Kind.PREFIX, "/b", "x"),
-            rule("also", Rule.Kind.PREFIX, "/b", "x", "y"),
-            rule("exact", Rule.Kind.EXACT, "/b", "x"));
+            rule("a", RouteRule.Kind.PREFIX, "/a"),
+            rule("twin", RouteRule.Kind.PREFIX, "/a/"),
+            rule("all", RouteRule.Kind.REGEX, "/.*", "x"),
+            rule("behind", RouteRule.Kind.PREFIX, "/b", "x"),
+            rule("also", RouteRule.Kind.PREFIX, "/b", "x", "y"),
+            rule("exact", RouteRule.Kind.EXACT, "/b", "x"));
     assertThat(RouteCheck.shadowed(rules))
         .containsExactly(new RouteCheck.Shadowed(1, 0), new RouteCheck.Shadowed(3, 2));
   }
--- a/src/test/java/corkproxy/routing/SplitTest.java
+++ b/src/test/java/leadferry/routing/WeightedSplitTest.java
@@ -1,4 +1,4 @@
-package corkproxy.routing;
+package leadferry.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -6,24 +6,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SplitTest {
+class WeightedSplitTest {
   private static final int KEYS = 20_000;
 
-  private static Split<String> of(double a, double b, double c) {
-    return new Split<>(
+  private static WeightedSplit<String> of(double a, double b, double c) {
+    return new WeightedSplit<>(
         List.of(
-            new Split.Part<>("a", a, "a"),
-            new Split.Part<>("b", b, "b"),
-            new Split.Part<>("c", c, "c")));
+            new WeightedSplit.Part<>("a", a, "a"),
+            new WeightedSplit.Part<>("b", b, "b"),
+            new WeightedSplit.Part<>("c", c, "c")));
   }
 
   @Test
   void poolsGetKeysInProportionToTheirWeights() {
-    Split<String> s = of(5, 3, 2);
+    WeightedSplit<String> s = of(5, 3, 2);
     int a = 0;
     int c = 0;
     for (int i = 0; i < KEYS; i++) {
-      String p = s.pick(Split.hash("key" + i));
+      String p = s.pick(WeightedSplit.hash("key" + i));
       a += p.equals("a") ? 1 : 0;
       c += p.equals("c") ? 1 : 0;
     }
@@ -35,11 +35,11 @@
   void aKeyMovesOnlyToThePoolWhoseWeightRose() {
     double[] weights = {0, 1, 5, 25, 50, 100};
     for (int w = 1; w < weights.length; w++) {
-      Split<String> before = of(50, 30, weights[w - 1]);
-      Split<String> after = of(50, 30, weights[w]);
+      WeightedSplit<String> before = of(50, 30, weights[w - 1]);
+      WeightedSplit<String> after = of(50, 30, weights[w]);
       int moved = 0;
       for (int i = 0; i < KEYS; i++) {
-        long key = Split.hash("key" + i);
+        long key = WeightedSplit.hash("key" + i);
         if (!before.pick(key).equals(after.pick(key))) {
           assertThat(after.pick(key)).isEqualTo("c");
           moved++;
@@ -51,9 +51,9 @@
 
   @Test
   void aPoolOfNoWeightGetsNothing() {
-    Split<String> s = of(1, 0, 1);
+    WeightedSplit<String> s = of(1, 0, 1);
     for (int i = 0; i < KEYS; i++) {
-      assertThat(s.pick(Split.hash("key" + i))).isNotEqualTo("b");
+      assertThat(s.pick(WeightedSplit.hash("key" + i))).isNotEqualTo("b");
     }
   }
 }
--- a/src/test/java/corkproxy/soak/AttemptRecord.java
+++ b/src/test/java/leadferry/soak/AttemptRecord.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 /**
  * What one server saw of one attempt.
--- a/src/test/java/corkproxy/soak/DaemonAcceptTest.java
+++ b/src/test/java/leadferry/soak/DaemonAcceptTest.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -44,7 +44,8 @@
     threads.shutdownNow();
   }
 
-  private static String operatorFile(int port, String transport, List<FakeUpstream> upstreams) {
+  private static String operatorFile(
+      int port, String transport, List<RecordingUpstream> upstreams) {
     StringBuilder text =
         new StringBuilder("[daemon]\nworkers = 2\ntransport = \"" + transport + "\"\n");
     text.append("[listener.main]\naddress = \"127.0.0.1:").append(port).append("\"\n");
@@ -53,7 +54,7 @@
         .append("\nrepeat = \"unsafe\"\n");
     text.append("[class.log]\naim_ms = 400\ndeadline_ms = ").append(DEADLINE_MS);
     text.append("\nrepeat = \"keyed\"\nscope = \"pod\"\nwindow_ms = 500\n[pool.all]\n");
-    for (FakeUpstream each : upstreams) {
+    for (RecordingUpstream each : upstreams) {
       text.append("[[pool.all.member]]\nid = \"")
           .append(each.name())
           .append("\"\naddress = \"")
@@ -90,9 +91,9 @@
   void failuresOfAcceptLoseNoRequest(String transport) throws Exception {
     Optional<Path> library = PreloadLibrary.build(folder);
     Assumptions.assumeTrue(library.isPresent(), "a C compiler");
-    List<FakeUpstream> upstreams = new ArrayList<>();
+    List<RecordingUpstream> upstreams = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      upstreams.add(new FakeUpstream("s" + i, 0, 10, history, threads, i));
+      upstreams.add(new RecordingUpstream("s" + i, 0, 10, history, threads, i));
     }
     start(transport, upstreams, library.get());
     SoakClient.Habits habits = new SoakClient.Habits(50, 1, 0, DEADLINE_MS, DEADLINE_MS);
@@ -107,7 +108,7 @@
     for (Thread client : clients) {
       client.join();
     }
-    upstreams.forEach(FakeUpstream::close);
+    upstreams.forEach(RecordingUpstream::close);
     List<SoakJudge.Violation> violations = new SoakJudge(history, 0, SLACK_MS).violations();
     System.out.println(
         "daemon, "
@@ -123,7 +124,7 @@
     assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
   }
 
-  private void start(String transport, List<FakeUpstream> upstreams, Path library)
+  private void start(String transport, List<RecordingUpstream> upstreams, Path library)
       throws IOException, InterruptedException {
     int port = SoakRun.freePort();
     Path file =
--- a/src/test/java/corkproxy/soak/FakeDiscovery.java
+++ b/src/test/java/leadferry/soak/FakeDiscovery.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -49,7 +49,7 @@
   }
 
   /** Puts a server into a state and tells it; {@code removed} takes it out of the list. */
-  synchronized void set(FakeUpstream upstream, String state) {
+  synchronized void set(RecordingUpstream upstream, String state) {
     version++;
     String entry = upstream.entry(state);
     Long before = lastChange.put(upstream.name(), version);
--- a/src/test/java/corkproxy/soak/FaultMatrix.java
+++ b/src/test/java/leadferry/soak/FaultMatrix.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/corkproxy/soak/ProxyProcess.java
+++ b/src/test/java/leadferry/soak/ProxyProcess.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -90,7 +90,7 @@
     List<String> command = new ArrayList<>(limited(faults.descriptors()));
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(kind.options());
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "corkproxy.Main"));
+    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "leadferry.Main"));
     command.addAll(kind.arguments());
     ProcessBuilder builder = new ProcessBuilder(command);
     builder
--- a/src/test/java/corkproxy/soak/FakeUpstream.java
+++ b/src/test/java/leadferry/soak/RecordingUpstream.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,7 +11,7 @@
 import java.util.concurrent.ExecutorService;
 
 /** An upstream host that records each attempt, and misbehaves as it is told. */
-final class FakeUpstream implements AutoCloseable {
+final class RecordingUpstream implements AutoCloseable {
   /** What it does with the requests that come. */
   enum Behaviour {
     HEALTHY,
@@ -44,7 +44,7 @@
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile Behaviour behaviour = Behaviour.HEALTHY;
 
-  FakeUpstream(
+  RecordingUpstream(
       String name,
       long startedUnixMs,
       double serviceMs,
--- a/src/test/java/corkproxy/soak/RequestRecord.java
+++ b/src/test/java/leadferry/soak/RequestRecord.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 /**
  * What one client saw of one request. Times are nanoseconds of {@link System#nanoTime}, 0 where it
--- a/src/test/java/corkproxy/soak/SoakClient.java
+++ b/src/test/java/leadferry/soak/SoakClient.java
@@ -1,6 +1,5 @@
-package corkproxy.soak;
+package leadferry.soak;
 
-import corkproxy.soak.RequestRecord.Outcome;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -8,6 +7,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
+import leadferry.soak.RequestRecord.Outcome;
 
 /**
  * A client of the protocol page: one request at a time, connections kept while they stay open, a
--- a/src/test/java/corkproxy/soak/SoakHistory.java
+++ b/src/test/java/leadferry/soak/SoakHistory.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/corkproxy/soak/SoakJudge.java
+++ b/src/test/java/leadferry/soak/SoakJudge.java
@@ -1,10 +1,10 @@
-package corkproxy.soak;
+package leadferry.soak;
 
-import corkproxy.soak.RequestRecord.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
+import leadferry.soak.RequestRecord.Outcome;
 
 /**
  * Judges a run by the rules of the protocol page, from records that clients, servers and discovery
--- a/src/test/java/corkproxy/soak/SoakJudgeTest.java
+++ b/src/test/java/leadferry/soak/SoakJudgeTest.java
@@ -1,13 +1,13 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.soak.RequestRecord.Outcome;
-import corkproxy.soak.SoakJudge.Rule;
-import corkproxy.soak.SoakJudge.Violation;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
+import leadferry.soak.RequestRecord.Outcome;
+import leadferry.soak.SoakJudge.Rule;
+import leadferry.soak.SoakJudge.Violation;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -171,7 +171,8 @@
   @Test
   void aRequestThatAServerRanAndDeniedIsFoundToHaveRunTwice() throws Exception {
     SoakPlan.Event deny =
-        new SoakPlan.Event(100, SoakPlan.Kind.BEHAVE, 0, FakeUpstream.Behaviour.DENY.ordinal());
+        new SoakPlan.Event(
+            100, SoakPlan.Kind.BEHAVE, 0, RecordingUpstream.Behaviour.DENY.ordinal());
     SoakPlan plan =
         SoakPlan.steady(32, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, deny);
     assertThat(played(plan, false)).containsExactly(Rule.DUPLICATE);
--- a/src/test/java/corkproxy/soak/SoakPlan.java
+++ b/src/test/java/leadferry/soak/SoakPlan.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -236,7 +236,7 @@
       case 2 -> events.add(new Event(at, Kind.RELOAD, target, 0));
       case 3 -> events.add(new Event(at, Kind.STOP, target, 10 + random.nextInt(140)));
       case 4, 5 -> {
-        int behaviour = 1 + random.nextInt(FakeUpstream.Behaviour.DENY.ordinal() - 1);
+        int behaviour = 1 + random.nextInt(RecordingUpstream.Behaviour.DENY.ordinal() - 1);
         events.add(new Event(at, Kind.BEHAVE, target, behaviour));
         events.add(new Event(at + 500 + random.nextInt(2_000), Kind.BEHAVE, target, 0));
       }
--- a/src/test/java/corkproxy/soak/SoakRun.java
+++ b/src/test/java/leadferry/soak/SoakRun.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -56,7 +56,7 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final List<FakeUpstream> upstreams = new ArrayList<>();
+  private final List<RecordingUpstream> upstreams = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private volatile boolean running = true;
 
@@ -114,7 +114,7 @@
     this.library = library;
     for (int i = 0; i < plan.upstreams(); i++) {
       upstreams.add(
-          new FakeUpstream("s" + i, 0, plan.serviceMs(), history, threads, plan.seed() + i));
+          new RecordingUpstream("s" + i, 0, plan.serviceMs(), history, threads, plan.seed() + i));
     }
     for (int i = 0; i < plan.proxies(); i++) {
       nodes.add(new Node(i));
@@ -252,9 +252,9 @@
       case BEHAVE ->
           upstreams
               .get(event.target() % upstreams.size())
-              .behave(FakeUpstream.Behaviour.values()[(int) event.value()]);
+              .behave(RecordingUpstream.Behaviour.values()[(int) event.value()]);
       case DRAIN -> {
-        FakeUpstream leaving = upstreams.get(event.target() % upstreams.size());
+        RecordingUpstream leaving = upstreams.get(event.target() % upstreams.size());
         nodes.forEach(each -> drain(each, leaving));
       }
       case CRASH -> node.process.kill();
@@ -263,7 +263,7 @@
     }
   }
 
-  private void drain(Node node, FakeUpstream leaving) {
+  private void drain(Node node, RecordingUpstream leaving) {
     if (plan.sabotage() == SoakPlan.Sabotage.DRAINS_NOT_TOLD) {
       history.notifiedOfDrain(node.index, leaving.name(), System.nanoTime());
     } else {
@@ -329,7 +329,7 @@
       node.process.kill();
       node.discovery.close();
     }
-    upstreams.forEach(FakeUpstream::close);
+    upstreams.forEach(RecordingUpstream::close);
     threads.shutdownNow();
   }
 }
--- a/src/test/java/corkproxy/soak/SoakTest.java
+++ b/src/test/java/leadferry/soak/SoakTest.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/corkproxy/soak/StalledClient.java
+++ b/src/test/java/leadferry/soak/StalledClient.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/corkproxy/soak/SystemCallFault.java
+++ b/src/test/java/leadferry/soak/SystemCallFault.java
@@ -1,4 +1,4 @@
-package corkproxy.soak;
+package leadferry.soak;
 
 /**
  * One rule of the preload library: calls of a kind on sockets of a role fail in one way, one in so
--- a/src/test/java/corkproxy/standin/FleetProcessesTest.java
+++ b/src/test/java/leadferry/testbed/FleetProcessesTest.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -36,11 +36,11 @@
   @TempDir(factory = MemoryFolder.class)
   private static Path folder;
 
-  private static FaultRun rig;
+  private static FaultTest rig;
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultRun(new FaultRun.Plan(3, 4, 4, 60, 1, FaultRun.Sabotage.NONE, 40), folder);
+    rig = new FaultTest(new FaultTest.Plan(3, 4, 4, 60, 1, FaultTest.Sabotage.NONE, 40), folder);
     rig.start();
   }
 
@@ -416,7 +416,7 @@
     for (String k : List.of("k1", "k2", "k3")) {
       rig.keeper(k).stop();
     }
-    Thread.sleep(3 * FaultRun.LEASE_MS);
+    Thread.sleep(3 * FaultTest.LEASE_MS);
     for (int i = 0; i < 20; i++) {
       assertThat(request("p" + (1 + i % 4), "stopped-" + i)).isEqualTo(200);
     }
@@ -424,7 +424,7 @@
       rig.keeper(k).resume();
     }
     rig.leader();
-    Thread.sleep(FaultRun.LEASE_MS);
+    Thread.sleep(FaultTest.LEASE_MS);
     assertThat(expired()).isEqualTo(before);
     granted("proxy", "p1");
   }
@@ -434,7 +434,7 @@
     String leader = rig.leader();
     rig.keeper(leader).stop();
     granted("proxy", "p1");
-    Thread.sleep(3 * FaultRun.LEASE_MS);
+    Thread.sleep(3 * FaultTest.LEASE_MS);
     rig.keeper(leader).resume();
     JsonNode o = rig.operatorAt(leader).change(drainOf("proxy", "p2"), id(), 0, 500);
     assertThat(word(o)).isIn("nothing", "refused");
--- a/src/test/java/corkproxy/standin/HistoryTest.java
+++ b/src/test/java/leadferry/testbed/HistoryCheckerTest.java
@@ -1,14 +1,14 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import corkproxy.standin.History.Call;
-import corkproxy.standin.History.Op;
-import corkproxy.standin.History.Outcome;
+import leadferry.testbed.History.Call;
+import leadferry.testbed.History.Op;
+import leadferry.testbed.History.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** The checker finds an order where there is one, and none where there is none. */
-class HistoryTest {
+class HistoryCheckerTest {
   private final History history = new History(1, 1);
 
   private void call(Op op, String name, long start, long end, Outcome outcome) {
--- a/src/test/java/corkproxy/standin/MemoryFolder.java
+++ b/src/test/java/leadferry/testbed/MemoryFolder.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
             && Files.isWritable(SHARED_MEMORY)
             && Files.getFileStore(SHARED_MEMORY).getUsableSpace() > ROOM_BYTES;
     return there
-        ? Files.createTempDirectory(SHARED_MEMORY, "corkproxy")
-        : Files.createTempDirectory("corkproxy");
+        ? Files.createTempDirectory(SHARED_MEMORY, "leadferry")
+        : Files.createTempDirectory("leadferry");
   }
 }
--- a/src/test/java/corkproxy/standin/StormTest.java
+++ b/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,10 +10,10 @@
  * The rig by itself, before a host that is told when to fail: it must see a collapse, and one that
  * lasts.
  */
-class StormTest {
-  private static Storm.Plan plan(HttpStandIn host, Storm.Crowd crowd, int size) {
+class OverloadRecoveryTest {
+  private static OverloadTest.Plan plan(FakeUpstream host, OverloadTest.Crowd crowd, int size) {
     String[] place = host.place().split(":");
-    return new Storm.Plan(
+    return new OverloadTest.Plan(
         List.of(new InetSocketAddress(place[0], Integer.parseInt(place[1]))),
         10,
         20,
@@ -30,12 +30,13 @@
 
   @Test
   void whatEndsWithItsTriggerHasRecoveredAndTheGapIsSeen() throws Exception {
-    try (HttpStandIn host = new HttpStandIn(HttpStandIn.Options.quick("a"), new Ledger(100_000));
-        Storm storm =
-            new Storm(
-                plan(host, Storm.Crowd.SILENT, 20),
-                () -> host.misbehave(HttpStandIn.Fault.SILENT, 1),
-                () -> host.misbehave(HttpStandIn.Fault.NONE, 0))) {
+    try (FakeUpstream host =
+            new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
+        OverloadTest storm =
+            new OverloadTest(
+                plan(host, OverloadTest.Crowd.SILENT, 20),
+                () -> host.misbehave(FakeUpstream.Fault.SILENT, 1),
+                () -> host.misbehave(FakeUpstream.Fault.NONE, 0))) {
       storm.run();
       assertThat(storm.calmShare()).isGreaterThan(0.95);
       assertThat(storm.triggerShare()).isLessThan(0.5);
@@ -46,11 +47,12 @@
 
   @Test
   void whatGoesOnAfterItsTriggerHasNotRecovered() throws Exception {
-    try (HttpStandIn host = new HttpStandIn(HttpStandIn.Options.quick("a"), new Ledger(100_000));
-        Storm storm =
-            new Storm(
-                plan(host, Storm.Crowd.USUAL, 5),
-                () -> host.misbehave(HttpStandIn.Fault.RESET_BEFORE, 1),
+    try (FakeUpstream host =
+            new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
+        OverloadTest storm =
+            new OverloadTest(
+                plan(host, OverloadTest.Crowd.USUAL, 5),
+                () -> host.misbehave(FakeUpstream.Fault.RESET_BEFORE, 1),
                 () -> {})) {
       storm.run();
       assertThat(storm.recoveredAfter()).isNaN();
--- a/src/test/java/corkproxy/standin/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -1,4 +1,4 @@
-package corkproxy.standin;
+package leadferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -36,12 +36,12 @@
   @TempDir(factory = MemoryFolder.class)
   private static Path folder;
 
-  private static FaultRun rig;
+  private static FaultTest rig;
   private final List<Child> drivers = new ArrayList<>();
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultRun(new FaultRun.Plan(3, 4, 4, 60, 1, FaultRun.Sabotage.NONE, 40), folder);
+    rig = new FaultTest(new FaultTest.Plan(3, 4, 4, 60, 1, FaultTest.Sabotage.NONE, 40), folder);
     rig.start();
   }
 
@@ -161,8 +161,8 @@
   private static int onceEach(int from, String... targets) {
     Set<String> seen = new HashSet<>();
     int n = 0;
-    List<Supervisor.Deed> deeds = rig.supervisor().deeds();
-    for (Supervisor.Deed d : deeds.subList(from, deeds.size())) {
+    List<ProcessSupervisor.Deed> deeds = rig.supervisor().deeds();
+    for (ProcessSupervisor.Deed d : deeds.subList(from, deeds.size())) {
       if (d.verb().equals("command") && !d.refused() && List.of(targets).contains(d.target())) {
         n++;
         assertThat(seen.add(d.action() + "/" + d.version()))
@@ -234,7 +234,7 @@
       throws Exception {
     String r = begin("host", "h3", "h4");
     Child slow = drive(r);
-    CompletableFuture<Supervisor.Deed> held = new CompletableFuture<>();
+    CompletableFuture<ProcessSupervisor.Deed> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
     rig.supervisor()
         .hook(
@@ -261,7 +261,7 @@
                             && d.target().equals(held.join().target())
                             && d.verb().equals("command")))
         .isNotEmpty()
-        .allMatch(Supervisor.Deed::refused);
+        .allMatch(ProcessSupervisor.Deed::refused);
   }
 
   @Test
@@ -294,7 +294,7 @@
     assertThat(
             rig.supervisor().deeds().subList(then, deeds()).stream()
                 .filter(d -> d.verb().equals("command"))
-                .map(Supervisor.Deed::target))
+                .map(ProcessSupervisor.Deed::target))
         .doesNotContain("p3");
     assertThat(state(r)).isEqualTo("halted");
     assertThat(word(change("release_back", r))).isEqualTo("done");
@@ -307,7 +307,7 @@
     String before = rig.version("p1");
     String r = "r" + IDS.incrementAndGet();
     begin(
-        rig.plan(r, "proxy", before, FaultRun.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+        rig.plan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
             .put("action_ms", 9_000));
     drive(r);
     await("halted", () -> state(r).equals("halted"));
@@ -344,7 +344,7 @@
       if (n == 2) {
         List<String> two = List.of("k1", "k2");
         two.forEach(k -> rig.keeper(k).stop());
-        Thread.sleep(2L * FaultRun.LEASE_MS);
+        Thread.sleep(2L * FaultTest.LEASE_MS);
         two.forEach(k -> rig.keeper(k).resume());
       } else {
         rig.keeper(leader).kill();
@@ -506,7 +506,7 @@
     }
   }
 
-  private static final String FAILING = FaultRun.FAILING_VERSION;
+  private static final String FAILING = FaultTest.FAILING_VERSION;
 
   @Test
   void commandsThatHangWriteWithoutEndOrDieAreTriedThreeTimesAndHaltIt() throws Exception {
