--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -114,7 +114,7 @@
     PathNormalizer path =
         PathNormalizer.of(query < 0 ? uri : uri.substring(0, query), listener.paths());
     String host = host(head);
-    if (path == null || host == null || query >= 0 && !plain(uri, query)) {
+    if (path == null || host == null || (query >= 0 && !plain(uri, query))) {
       return FilterResult.reject(400);
     }
     view.head = head;
@@ -146,7 +146,7 @@
     String authority = uri.substring(SCHEME.length(), end);
     boolean old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
     if (authority.isEmpty()
-        || !old && Framing.single(head.headers(), HttpHeaderNames.HOST) == null) {
+        || (!old && Framing.single(head.headers(), HttpHeaderNames.HOST) == null)) {
       return false; // HTTP/1.1 has a Host all the same
     }
     head.headers().set(HttpHeaderNames.HOST, authority);
@@ -276,7 +276,7 @@
       String rest = path.match().substring(rule.path().length());
       String to = PathNormalizer.ofPattern(route.rewritePrefix());
       to =
-          to.endsWith("/") && (rest.startsWith("/") || rest.isEmpty() && to.length() > 1)
+          to.endsWith("/") && (rest.startsWith("/") || (rest.isEmpty() && to.length() > 1))
               ? to.substring(0, to.length() - 1)
               : to;
       forward = PathNormalizer.encode(to + rest);
@@ -316,17 +316,17 @@
         end = i;
       } else if (c >= 'A' && c <= 'Z') {
         upper = true;
-      } else if (!(c >= 'a' && c <= 'z'
-          || c >= '0' && c <= '9'
+      } else if (!((c >= 'a' && c <= 'z')
+          || (c >= '0' && c <= '9')
           || c == '.'
           || c == '-'
           || c == '_'
-          || bracket && (c == '[' || c == ']' || c == ':'))) {
+          || (bracket && (c == '[' || c == ']' || c == ':')))) {
         return null;
       }
     }
     end -= end > 0 && h.charAt(end - 1) == '.' ? 1 : 0;
-    if (end == 0 || bracket && h.charAt(end - 1) != ']') {
+    if (end == 0 || (bracket && h.charAt(end - 1) != ']')) {
       return null;
     }
     String name = end == h.length() ? h : h.substring(0, end);
--- a/src/main/java/leadferry/daemon/Names.java
+++ b/src/main/java/leadferry/daemon/Names.java
@@ -33,7 +33,7 @@
   static InetSocketAddress address(TomlSection s, String key, boolean portZero) {
     String text = s.text(key, null, "IP:port");
     InetSocketAddress a = text.isEmpty() ? null : Addresses.parse(text);
-    if (!text.isEmpty() && (a == null || a.getPort() == 0 && !portZero)) {
+    if (!text.isEmpty() && (a == null || (a.getPort() == 0 && !portZero))) {
       s.fault(key, "'" + text + "'", "IP:port, with a port from 1 to 65535");
       return null;
     }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -378,7 +378,7 @@
     if (m == null) {
       return Outcome.of(Status.UNKNOWN, "no proxy '" + name + "'");
     }
-    if (m.alive || !m.left && !m.fenced) {
+    if (m.alive || (!m.left && !m.fenced)) {
       return Outcome.of(
           Status.REFUSED,
           name + (m.alive ? " has a session that lives" : " was lost and may run: fence it first"));
@@ -642,7 +642,7 @@
       return awaited(permit).isEmpty();
     }
     ProxyMember m = members.get(p.of.name());
-    return m == null || m.alive && !m.serving && m.seen >= p.since || m.left || m.fenced;
+    return m == null || (m.alive && !m.serving && m.seen >= p.since) || m.left || m.fenced;
   }
 
   /**
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -107,7 +107,7 @@
     open++;
     if (!call.replayable()
         || attempts.size() > dispatcher.maxAttempts()
-        || attempts.size() > 1 && !dispatcher.retryAllowed()) {
+        || (attempts.size() > 1 && !dispatcher.retryAllowed())) {
       a.withhold();
     } else {
       a.start(apart);
--- a/src/main/java/leadferry/engine/UpstreamConnectionPool.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -377,7 +377,7 @@
       // Guards against a worker that keeps every place of a host for itself, however long others
       // wait.
       boolean turn = host.pending.isEmpty() || c.carried() % TURN == 0;
-      if (places.over() || turn && places.wanted()) {
+      if (places.over() || (turn && places.wanted())) {
         c.channel().close();
         return;
       }
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -208,7 +208,7 @@
    */
   public void silent(double now, long host, double sentAt) {
     Standing s = standings.get(host);
-    if (s == null || s.answeredAt >= sentAt || s.leftOut() && sentAt <= s.leftOutAt) {
+    if (s == null || s.answeredAt >= sentAt || (s.leftOut() && sentAt <= s.leftOutAt)) {
       return; // others know better, or know it by now
     }
     if (random.nextDouble() < said) {
--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -135,7 +135,7 @@
       } else if (intake.skipping()) {
         idleSince = System.nanoTime();
         intake.skip((HttpObject) msg);
-      } else if (intake.upload() != null || call == null && held.isEmpty()) {
+      } else if (intake.upload() != null || (call == null && held.isEmpty())) {
         intake.take((HttpObject) msg, cameAt());
       } else if (front.settings().pipeline() > 1) {
         hold((HttpObject) msg);
@@ -302,8 +302,8 @@
     // by
     // the time of an answer can't be told from the next request.
     closing |=
-        (front.draining() || front.crowded()) && heldRequests == 0
-            || intake.upload() != null && !intake.skips();
+        ((front.draining() || front.crowded()) && heldRequests == 0)
+            || (intake.upload() != null && !intake.skips());
     return closing;
   }
 
--- a/src/main/java/leadferry/http/Forwarding.java
+++ b/src/main/java/leadferry/http/Forwarding.java
@@ -139,7 +139,7 @@
         if (c == '"') {
           quoted = !quoted;
         }
-        if (i < line.length() && (quoted || c != ',' && c != ';')) {
+        if (i < line.length() && (quoted || (c != ',' && c != ';'))) {
           continue;
         }
         String pair = line.substring(from, i).strip();
--- a/src/main/java/leadferry/http/HeadScanner.java
+++ b/src/main/java/leadferry/http/HeadScanner.java
@@ -108,7 +108,7 @@
                   ? State.LINE_END
                   : inLength && b != ' ' && b != '\t' && (b < '0' || b > '9')
                       ? State.FAULTY
-                      : b >= ' ' && b != 0x7f || b == '\t' || b < 0 ? State.VALUE : State.FAULTY;
+                      : (b >= ' ' && b != 0x7f) || b == '\t' || b < 0 ? State.VALUE : State.FAULTY;
           case HEAD_END -> b == '\n' ? State.DONE : State.FAULTY;
           case DONE, FAULTY -> state;
         };
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -116,7 +116,7 @@
     report = LoadReportHeaders.read(reply.headers().get(LoadReportHeaders.HEADER));
     int status = reply.status().code();
     HttpProtocol protocol = wire().protocol;
-    if (status == 200 || protocol.passAll() && status < 500) {
+    if (status == 200 || (protocol.passAll() && status < 500)) {
       if (!mayHaveRun()) {
         finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
       } else if (!framed(reply)) {
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -188,7 +188,7 @@
    */
   boolean streams(long length, int held) {
     return client.canStream(length)
-        && (streaming == Streaming.ALWAYS || streaming == Streaming.LARGE && length > held);
+        && (streaming == Streaming.ALWAYS || (streaming == Streaming.LARGE && length > held));
   }
 
   /** Whether an answer of no told length goes on while it comes once it is too long to be held. */
--- a/src/main/java/leadferry/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -154,7 +154,7 @@
     }
     int major = head.protocolVersion().majorVersion();
     HttpAttempt a = (HttpAttempt) attempt();
-    if (major != 1 || reply != Reply.NONE && reply != Reply.INTERIM || a == null) {
+    if (major != 1 || (reply != Reply.NONE && reply != Reply.INTERIM) || a == null) {
       lost(); // no HTTP of ours, or a second answer, which belongs to no attempt
       return;
     }
--- a/src/main/java/leadferry/limits/GcraBucketTable.java
+++ b/src/main/java/leadferry/limits/GcraBucketTable.java
@@ -58,7 +58,7 @@
     int from = set(key);
     for (int i = from; i < from + WAYS; i++) {
       GcraBucket b = slots.get(i);
-      if (b == null || b.inUse() < 0 || b.idle(now) && b.retire()) {
+      if (b == null || b.inUse() < 0 || (b.idle(now) && b.retire())) {
         GcraBucket fresh = new GcraBucket(key);
         slots.set(i, fresh);
         return fresh;
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -464,7 +464,7 @@
       // Guards a request that crossed such a close: its client sends it once more, on a new
       // connection.
       acceptUntil = front.clear() ? Math.min(giveUpAt, now + SocketSlack.NANOS) : acceptUntil;
-      if (listening() && (front.empty() && now >= acceptUntil || now >= giveUpAt)) {
+      if (listening() && ((front.empty() && now >= acceptUntil) || now >= giveUpAt)) {
         front.leaveListening(); // whom it lets in is waited for, too
       }
     }
--- a/src/main/java/leadferry/proxy/SettingsReload.java
+++ b/src/main/java/leadferry/proxy/SettingsReload.java
@@ -75,8 +75,8 @@
     Settings.RequestClass now = types.get(name);
     Settings.RequestClass was = former.get(name);
     return was == null
-            || now != null && fits(now, method, keyed)
-            || now != null && !fits(was, method, keyed)
+            || (now != null && fits(now, method, keyed))
+            || (now != null && !fits(was, method, keyed))
         ? now
         : was;
   }
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -124,7 +124,7 @@
       return new Verdict(Word.WAIT, "no fresh report of " + String.join(", ", missing));
     }
     if (freshAll.all() < bounds.leastRequests()
-        || !old.isEmpty() && oldAll.all() < bounds.leastRequests()) {
+        || (!old.isEmpty() && oldAll.all() < bounds.leastRequests())) {
       return new Verdict(
           Word.WAIT,
           "too few requests: new "
--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -168,7 +168,7 @@
           "release " + plan.name() + " is " + state.word() + why(stateWhy));
     }
     boolean stuck = i.phase == Phase.COMING && !forward;
-    if (i.phase != Phase.IN && !stuck || i.at == wanted(i) || i.gone) {
+    if ((i.phase != Phase.IN && !stuck) || i.at == wanted(i) || i.gone) {
       return Outcome.of(Status.REFUSED, name + " is not to be changed now");
     }
     long open = items.values().stream().filter(x -> x != i && x.phase != Phase.IN).count();
@@ -220,7 +220,7 @@
       return no;
     }
     ReleaseTarget i = items.get(name);
-    if (i == null || i.action != action || i.phase != Phase.LEAVING && i.phase != Phase.ACTING) {
+    if (i == null || i.action != action || (i.phase != Phase.LEAVING && i.phase != Phase.ACTING)) {
       return Outcome.of(Status.CONFLICT, name + ": not action " + action);
     }
     if (state != State.RUNNING) {
@@ -275,7 +275,7 @@
     i.at =
         version.equals(plan.version()) ? At.NEW : version.equals(plan.from()) ? At.OLD : At.UNKNOWN;
     boolean untouched = i.phase == Phase.LEAVING;
-    if (i.at == wanted(i) || i.at != At.UNKNOWN && state != State.RUNNING && !i.held) {
+    if (i.at == wanted(i) || (i.at != At.UNKNOWN && state != State.RUNNING && !i.held)) {
       disruption.undo(
           i.permit,
           "release " + plan.name() + ": " + (untouched ? "given back untouched" : i.found));
@@ -524,7 +524,7 @@
    *     counts
    */
   void look(DisruptionState disruption, java.util.function.LongSupplier action, boolean newest) {
-    if (state == State.ENDED || state == State.RETURNED || state == State.DONE && !newest) {
+    if (state == State.ENDED || state == State.RETURNED || (state == State.DONE && !newest)) {
       return;
     }
     Set<String> known = disruption.byName(plan.of()).keySet();
@@ -608,7 +608,7 @@
    */
   private boolean whole(DisruptionState disruption, Set<String> lost) {
     for (ReleaseTarget i : items.values()) {
-      if (i.gone || forward && i.step >= goal) {
+      if (i.gone || (forward && i.step >= goal)) {
         continue;
       }
       boolean missing = i.phase == Phase.IN && lost.contains(i.name);
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -269,9 +269,9 @@
         return;
       }
     } else if (seen == null
-        || seen != LOOKING
+        || (seen != LOOKING
             && known != null
-            && now - lookedAt.getOrDefault(at, now) >= LOOK_AGAIN_NANOS) {
+            && now - lookedAt.getOrDefault(at, now) >= LOOK_AGAIN_NANOS)) {
       if (leaseHolds) {
         looks.put(at, LOOKING);
         lookedAt.put(at, now);
@@ -298,7 +298,7 @@
     for (JsonNode t : release.path("targets")) {
       boolean in = t.path("phase").asText().equals("in");
       open += in ? 0 : 1;
-      boolean may = t.path("out").isNull() || !forward && missing(t);
+      boolean may = t.path("out").isNull() || (!forward && missing(t));
       if (in
           && !t.path("gone").asBoolean()
           && may
@@ -372,7 +372,7 @@
             && now - bakedAt > bounds.waitMs() * 1_000_000L;
     if (v.word() == CanaryAnalysis.Word.HALT
         || waitedInVain
-        || baked && v.word() == CanaryAnalysis.Word.GO) {
+        || (baked && v.word() == CanaryAnalysis.Word.GO)) {
       boolean go = v.word() == CanaryAnalysis.Word.GO;
       out.add(
           submit(
--- a/src/main/java/leadferry/routing/PathNormalizer.java
+++ b/src/main/java/leadferry/routing/PathNormalizer.java
@@ -177,9 +177,9 @@
     StringBuilder out = new StringBuilder(path.length() + 8);
     for (int i = 0; i < path.length(); i++) {
       char c = path.charAt(i);
-      if (c >= 'a' && c <= 'z'
-          || c >= 'A' && c <= 'Z'
-          || c >= '0' && c <= '9'
+      if ((c >= 'a' && c <= 'z')
+          || (c >= 'A' && c <= 'Z')
+          || (c >= '0' && c <= '9')
           || "/-._~!$&'()*+,;=:@".indexOf(c) >= 0) {
         out.append(c);
       } else {
--- a/src/main/java/leadferry/routing/RouteCheck.java
+++ b/src/main/java/leadferry/routing/RouteCheck.java
@@ -58,7 +58,7 @@
     for (int j : group) {
       RouteRule<T> other = rules.get(j);
       boolean before =
-          r.kind() == RouteRule.Kind.REGEX || other.conditions() == r.conditions()
+          (r.kind() == RouteRule.Kind.REGEX || other.conditions() == r.conditions())
               ? j < i
               : other.conditions() > r.conditions();
       if (j != i && before && other.covers(r)) {
@@ -72,7 +72,7 @@
     RouteRule<T> r = rules.get(i);
     for (int j : catchAll) {
       boolean before =
-          r.kind() == RouteRule.Kind.PREFIX || r.kind() == RouteRule.Kind.REGEX && j < i;
+          r.kind() == RouteRule.Kind.PREFIX || (r.kind() == RouteRule.Kind.REGEX && j < i);
       if (j != i && before && rules.get(j).covers(r)) {
         return j;
       }
--- a/src/main/java/leadferry/routing/RouteRule.java
+++ b/src/main/java/leadferry/routing/RouteRule.java
@@ -66,7 +66,7 @@
     if (!headers.isEmpty()) {
       for (Map.Entry<String, String> e : headers.entrySet()) {
         String value = s.header(e.getKey());
-        if (value == null || !e.getValue().equals("*") && !e.getValue().equals(value)) {
+        if (value == null || (!e.getValue().equals("*") && !e.getValue().equals(value))) {
           return false;
         }
       }
@@ -76,8 +76,8 @@
 
   /** Whether every request that meets the other's conditions meets these too. */
   boolean covers(RouteRule<?> other) {
-    return (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
-        && (classes.isEmpty() || !other.classes.isEmpty() && classes.containsAll(other.classes))
+    return (methods.isEmpty() || (!other.methods.isEmpty() && methods.containsAll(other.methods)))
+        && (classes.isEmpty() || (!other.classes.isEmpty() && classes.containsAll(other.classes)))
         && headers.entrySet().stream()
             .allMatch(
                 e -> {
--- a/src/main/java/leadferry/testbed/ExecutionLog.java
+++ b/src/main/java/leadferry/testbed/ExecutionLog.java
@@ -28,7 +28,7 @@
   /** A request begins to run. */
   public void ran(String id, String host, String pod) {
     executions.incrementAndGet();
-    if (id == null || byId.size() >= most && !byId.containsKey(id)) {
+    if (id == null || (byId.size() >= most && !byId.containsKey(id))) {
       unrecorded.incrementAndGet();
       return;
     }
--- a/src/main/java/leadferry/testbed/FaultScript.java
+++ b/src/main/java/leadferry/testbed/FaultScript.java
@@ -105,7 +105,7 @@
       String a = arguments.get(i);
       boolean last = i == 2;
       boolean sound =
-          kinds && i == 0
+          (kinds && i == 0)
               ? Set.of("proxy", "host").contains(a)
               : last
                   ? verb.equals("cut")
--- a/src/main/java/leadferry/testbed/OverloadTest.java
+++ b/src/main/java/leadferry/testbed/OverloadTest.java
@@ -297,7 +297,7 @@
     }
 
     private boolean done() {
-      return over || closed || !counted && !crowding;
+      return over || closed || (!counted && !crowding);
     }
 
     void open() {
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -284,7 +284,7 @@
     try {
       // It has listened once its front has been set up, after the rehearsal.
       long until = System.nanoTime() + 60_000_000_000L;
-      while (System.nanoTime() < until && !Files.exists(classes)
+      while ((System.nanoTime() < until && !Files.exists(classes))
           || !Files.readString(classes).contains("leadferry.http.ClientConnection")) {
         Thread.sleep(50);
       }
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -242,9 +243,9 @@
       entries.subList(0, cut).forEach(before::apply);
       two.restore(before.snapshot());
       entries.subList(cut, entries.size()).forEach(two::apply);
-      assertThat(new String(two.snapshot()))
+      assertThat(new String(two.snapshot(), StandardCharsets.UTF_8))
           .as("seed %d", seed)
-          .isEqualTo(new String(one.snapshot()));
+          .isEqualTo(new String(one.snapshot(), StandardCharsets.UTF_8));
     }
   }
 
--- a/src/test/java/leadferry/consensus/RecordedReplicaTest.java
+++ b/src/test/java/leadferry/consensus/RecordedReplicaTest.java
@@ -116,7 +116,7 @@
       while (answer != null && answer.has("push")) {
         answer = connection.receive(System.nanoTime() + ANSWER_NANOS);
       }
-      if (answer == null || !answer.has("redirect") && !answer.has("undecided")) {
+      if (answer == null || (!answer.has("redirect") && !answer.has("undecided"))) {
         break;
       }
       Pause.of(50);
--- a/src/test/java/leadferry/engine/BackgroundWriterTest.java
+++ b/src/test/java/leadferry/engine/BackgroundWriterTest.java
@@ -5,6 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -44,9 +45,9 @@
     }
     read.countDown();
     writer.flush(10_000);
-    assertThat(arrived.toString())
+    assertThat(arrived.toString(StandardCharsets.UTF_8))
         .containsPattern("leadferry: [0-9]+ texts of the log were dropped");
-    assertThat(arrived.toString().lines().count()).isLessThan(TEXTS / 2);
+    assertThat(arrived.toString(StandardCharsets.UTF_8).lines().count()).isLessThan(TEXTS / 2);
   }
 
   @Test
@@ -56,6 +57,6 @@
     writer.write("one\n");
     writer.write("two\n");
     writer.flush(10_000);
-    assertThat(arrived.toString()).isEqualTo("one\ntwo\n");
+    assertThat(arrived.toString(StandardCharsets.UTF_8)).isEqualTo("one\ntwo\n");
   }
 }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -160,7 +160,7 @@
           p < 0.5 && spent < left
               ? AttemptOutcome.OK
               : p < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
-      if (end == AttemptOutcome.TIMEOUT || end == AttemptOutcome.OK && spent >= left) {
+      if (end == AttemptOutcome.TIMEOUT || (end == AttemptOutcome.OK && spent >= left)) {
         end = AttemptOutcome.TIMEOUT;
         spent = left;
       }
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -105,13 +105,17 @@
       ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
       Suspicion said = loseOne(w, silent);
-      assertThat(log.toString()).doesNotContain("silent to several");
+      assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
       ProxyFixture.await(
-          () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
+          () ->
+              log.toString(StandardCharsets.UTF_8)
+                  .contains("h" + silent.port() + " silent to several proxies"));
       say(peer, new Suspicion(said.zone(), said.host(), 0, true).bytes());
       ProxyFixture.await(
-          () -> log.toString().contains("h" + silent.port() + " answers another proxy"));
+          () ->
+              log.toString(StandardCharsets.UTF_8)
+                  .contains("h" + silent.port() + " answers another proxy"));
     }
   }
 
@@ -130,10 +134,10 @@
           say(peer, new byte[300]);
         }
       }
-      assertThat(log.toString()).doesNotContain("silent to several");
+      assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
       say(peer, silence); // behind all of these in the same queue
-      ProxyFixture.await(() -> log.toString().contains("silent to several"));
-      assertThat(log.toString()).containsOnlyOnce("silent to several");
+      ProxyFixture.await(() -> log.toString(StandardCharsets.UTF_8).contains("silent to several"));
+      assertThat(log.toString(StandardCharsets.UTF_8)).containsOnlyOnce("silent to several");
     }
   }
 
@@ -153,13 +157,16 @@
     try (ProxyFixture w = world()) {
       ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
-      ProxyFixture.await(() -> log.toString().contains("peers can't be heard"));
+      ProxyFixture.await(
+          () -> log.toString(StandardCharsets.UTF_8).contains("peers can't be heard"));
       holder.close();
       ProxyFixture.await(this::taken);
       Suspicion said = loseOne(w, silent);
       say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
       ProxyFixture.await(
-          () -> log.toString().contains("h" + silent.port() + " silent to several proxies"));
+          () ->
+              log.toString(StandardCharsets.UTF_8)
+                  .contains("h" + silent.port() + " silent to several proxies"));
     }
   }
 }
--- a/src/test/java/leadferry/routing/RouteTableTest.java
+++ b/src/test/java/leadferry/routing/RouteTableTest.java
@@ -165,12 +165,12 @@
   private static boolean hostMatches(String pattern, String host) {
     return pattern.equals("*")
         || pattern.equals(host)
-        || pattern.startsWith("*.")
+        || (pattern.startsWith("*.")
             && host.length() > pattern.length() - 1
-            && host.endsWith(pattern.substring(1))
-        || pattern.endsWith(".*")
+            && host.endsWith(pattern.substring(1)))
+        || (pattern.endsWith(".*")
             && host.length() > pattern.length() - 1
-            && host.startsWith(pattern.substring(0, pattern.length() - 1));
+            && host.startsWith(pattern.substring(0, pattern.length() - 1)));
   }
 
   private static boolean pathMatches(RouteRule<Integer> r, String path) {
--- a/src/test/java/leadferry/soak/ProxyProcess.java
+++ b/src/test/java/leadferry/soak/ProxyProcess.java
@@ -4,6 +4,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -148,8 +149,11 @@
       socket.setSoTimeout(CONNECT_MS);
       socket
           .getOutputStream()
-          .write("GET /_health HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n".getBytes());
-      return new String(socket.getInputStream().readNBytes(12)).startsWith(kind.healthy());
+          .write(
+              "GET /_health HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n"
+                  .getBytes(StandardCharsets.UTF_8));
+      return new String(socket.getInputStream().readNBytes(12), StandardCharsets.UTF_8)
+          .startsWith(kind.healthy());
     } catch (IOException e) {
       return false;
     }
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -209,8 +209,8 @@
               // Before the first command is carried out, and right after the second one, with no
               // answer given.
               if (deed.verb().equals("command")
-                  && (before && killed.get() == 0
-                      || !before && killed.get() == 1 && deed.target().equals("h2"))) {
+                  && ((before && killed.get() == 0)
+                      || (!before && killed.get() == 1 && deed.target().equals("h2")))) {
                 killed.incrementAndGet();
                 now[0].kill();
                 CompletableFuture.runAsync(
