--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -20,6 +20,8 @@
 import leadferry.disruption.Outcome.Status;
 import leadferry.disruption.Target;
 import leadferry.disruption.TargetType;
+import leadferry.release.ReleaseCommand;
+import leadferry.release.ReleaseCommandCodec;
 import leadferry.release.Releases;
 
 /**
@@ -135,8 +137,8 @@
 
   private ObjectNode decide(ObjectNode e) {
     String op = text(e, "op");
-    if (Releases.DRIVERS.contains(op)) {
-      Outcome o = releases.apply(op, e, disruption);
+    if (ReleaseCommandCodec.DRIVER_OPERATIONS.contains(op)) {
+      Outcome o = release(op, e);
       if (o.status() == Status.GRANTED || o.status() == Status.DONE) {
         note(e, o); // what a budget refused is asked again until it is granted
       }
@@ -164,12 +166,20 @@
         return outcome(new Outcome(Status.DONE, "", List.of()));
       default:
         Outcome o =
-            Releases.OPERATORS.contains(op) ? releases.apply(op, e, disruption) : operator(op, e);
+            ReleaseCommandCodec.OPERATOR_OPERATIONS.contains(op) ? release(op, e) : operator(op, e);
         note(e, o);
         return outcome(o);
     }
   }
 
+  private Outcome release(String operation, ObjectNode entry) {
+    List<String> faults = new ArrayList<>();
+    ReleaseCommand command = ReleaseCommandCodec.decode(operation, entry, faults);
+    return command == null
+        ? new Outcome(Status.MALFORMED, "", faults)
+        : releases.apply(command, disruption);
+  }
+
   private Outcome operator(String op, ObjectNode e) {
     String name = text(e, "name");
     return switch (op) {
--- a/src/main/java/leadferry/consensus/ReplicaEndpoint.java
+++ b/src/main/java/leadferry/consensus/ReplicaEndpoint.java
@@ -25,7 +25,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import leadferry.release.Releases;
+import leadferry.release.ReleaseCommandCodec;
 
 /** Where members and operators reach a keeper: an object a line, each way, over TCP. */
 final class ReplicaEndpoint implements AutoCloseable {
@@ -35,8 +35,8 @@
               Set.of(
                   "join", "tell", "leave", "drain", "undo", "halt", "resume", "fence", "forget",
                   "budgets"),
-              Releases.DRIVERS,
-              Releases.OPERATORS)
+              ReleaseCommandCodec.DRIVER_OPERATIONS,
+              ReleaseCommandCodec.OPERATOR_OPERATIONS)
           .flatMap(Set::stream)
           .collect(Collectors.toUnmodifiableSet());
 
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -227,6 +227,38 @@
 
   // --- what operators ask
 
+  /** Applies a command and tells what became of it. */
+  public Outcome apply(DisruptionCommand command) {
+    if (command instanceof DisruptionCommand.Drain drain) {
+      return drain(
+          drain.type(),
+          drain.name(),
+          drain.durationMillis(),
+          drain.leaving(),
+          drain.who(),
+          drain.why());
+    }
+    if (command instanceof DisruptionCommand.Undo undo) {
+      return undo(undo.grant(), undo.why());
+    }
+    if (command instanceof DisruptionCommand.Halt halt) {
+      return halt(halt.why());
+    }
+    if (command instanceof DisruptionCommand.Resume) {
+      return resume();
+    }
+    if (command instanceof DisruptionCommand.Fence fence) {
+      return fence(fence.name());
+    }
+    if (command instanceof DisruptionCommand.Forget forget) {
+      return forget(forget.name());
+    }
+    if (command instanceof DisruptionCommand.ReplaceBudgets replace) {
+      return budgets(replace.budgets(), replace.expectedVersion());
+    }
+    throw new IllegalArgumentException("command: " + command + " (expected: one of disruption)");
+  }
+
   /**
    * Asks for a proxy or host to be taken out.
    *
--- a/src/main/java/leadferry/release/Releases.java
+++ b/src/main/java/leadferry/release/Releases.java
@@ -28,89 +28,78 @@
 
   private static final long LONGEST_LEASE_MS = 600_000;
 
-  /**
-   * The entries that are a driver's, which come often and are not all worth a line of the audit.
-   */
-  public static final Set<String> DRIVERS =
-      Set.of(
-          "release_drive",
-          "release_yield",
-          "release_intend",
-          "release_acting",
-          "release_observed",
-          "release_reported",
-          "release_verdict");
-
-  /** The entries that are an operator's. */
-  public static final Set<String> OPERATORS =
-      Set.of(
-          "release_start",
-          "release_pause",
-          "release_resume",
-          "release_halt",
-          "release_back",
-          "release_override",
-          "release_end");
-
   private final Map<String, Release> releases = new TreeMap<>();
   private long numbers;
   private long fences;
   private long actions;
 
-  /** Applies an entry that is one of {@link #DRIVERS} or {@link #OPERATORS}. */
-  public Outcome apply(String op, JsonNode e, DisruptionState disruption) {
-    String name = e.path("release").isTextual() ? e.path("release").asText() : "";
-    if (op.equals("release_start")) {
-      return start(e, disruption);
+  /** Applies a command and tells what became of it. */
+  public Outcome apply(ReleaseCommand command, DisruptionState disruption) {
+    if (command instanceof ReleaseCommand.StartRelease start) {
+      return start(start, disruption);
     }
-    Release r = releases.get(name);
-    if (r == null) {
-      return Outcome.of(Status.UNKNOWN, "no release '" + name + "'");
+    Release release = releases.get(command.release());
+    if (release == null) {
+      return Outcome.of(Status.UNKNOWN, "no release '" + command.release() + "'");
     }
-    long fence = e.path("fence").asLong();
-    String target = e.path("target").asText();
-    String why = e.path("why").asText();
-    return switch (op) {
-      case "release_drive" -> drive(r, e);
-      case "release_yield" -> {
-        r.undriven(fence, true);
-        yield Outcome.of(Status.DONE);
-      }
-      case "release_intend" -> {
-        Outcome o = r.intend(fence, target, actions + 1, disruption);
-        actions = Math.max(actions, o.number());
-        yield o;
-      }
-      case "release_acting" -> r.acting(fence, target, e.path("action").asLong(), disruption);
-      case "release_observed" ->
-          r.observed(
-              fence,
-              target,
-              e.path("action").asLong(),
-              e.path("found").asText(),
-              e.path("text").asText(),
-              disruption);
-      case "release_reported" ->
-          r.reported(
-              target, e.path("action").asLong(), e.path("tries").asInt(), e.path("found").asText());
-      case "release_verdict" ->
-          r.verdict(
-              fence, e.path("step").asInt(-1), e.path("go").asBoolean(), e.path("text").asText());
-      case "release_pause" -> r.pause(why);
-      case "release_resume" -> r.resume(why);
-      case "release_halt" -> r.halted(why);
-      case "release_back" -> back(r, e);
-      case "release_override" -> r.override(e.path("what").asText(), why, disruption);
-      default -> r.end(why);
-    };
+    return applyTo(release, command, disruption);
   }
 
-  private Outcome start(JsonNode e, DisruptionState disruption) {
-    List<String> faults = new ArrayList<>();
-    ReleasePlan plan = ReleasePlan.read(e.path("plan"), faults);
-    if (plan == null) {
-      return new Outcome(Status.MALFORMED, "", faults);
+  private Outcome applyTo(Release release, ReleaseCommand command, DisruptionState disruption) {
+    if (command instanceof ReleaseCommand.AcquireLease lease) {
+      return drive(release, lease);
+    }
+    if (command instanceof ReleaseCommand.YieldLease lease) {
+      release.undriven(lease.fence(), true);
+      return Outcome.of(Status.DONE);
+    }
+    if (command instanceof ReleaseCommand.IntendChange intent) {
+      Outcome outcome = release.intend(intent.fence(), intent.target(), actions + 1, disruption);
+      actions = Math.max(actions, outcome.number());
+      return outcome;
+    }
+    if (command instanceof ReleaseCommand.BeginChange change) {
+      return release.acting(change.fence(), change.target(), change.action(), disruption);
+    }
+    if (command instanceof ReleaseCommand.RecordObservation seen) {
+      return release.observed(
+          seen.fence(), seen.target(), seen.action(), seen.found(), seen.text(), disruption);
+    }
+    if (command instanceof ReleaseCommand.RecordReport report) {
+      return release.reported(report.target(), report.action(), report.attempt(), report.found());
     }
+    if (command instanceof ReleaseCommand.RecordVerdict verdict) {
+      return release.verdict(
+          verdict.fence(), verdict.step(), verdict.proceed(), verdict.evidence());
+    }
+    return operator(release, command, disruption);
+  }
+
+  private Outcome operator(Release release, ReleaseCommand command, DisruptionState disruption) {
+    if (command instanceof ReleaseCommand.PauseRelease pause) {
+      return release.pause(pause.why());
+    }
+    if (command instanceof ReleaseCommand.ResumeRelease resume) {
+      return release.resume(resume.why());
+    }
+    if (command instanceof ReleaseCommand.HaltRelease halt) {
+      return release.halted(halt.why());
+    }
+    if (command instanceof ReleaseCommand.RollBack rollback) {
+      return back(release, rollback);
+    }
+    if (command instanceof ReleaseCommand.OverrideCheck override) {
+      return release.override(override.check(), override.why(), disruption);
+    }
+    if (command instanceof ReleaseCommand.EndRelease end) {
+      return release.end(end.why());
+    }
+    throw new IllegalArgumentException("command: " + command + " (expected: one of a release)");
+  }
+
+  private Outcome start(ReleaseCommand.StartRelease command, DisruptionState disruption) {
+    ReleasePlan plan = command.plan();
+    List<String> faults = new ArrayList<>();
     Set<String> names = disruption.byName(plan.of()).keySet();
     for (String t : plan.targets()) {
       if (!names.contains(t)) {
@@ -137,8 +126,7 @@
     if (!faults.isEmpty()) {
       return new Outcome(Status.REFUSED, "", faults);
     }
-    releases.put(
-        plan.name(), new Release(plan, ++numbers, e.path("who").asText(), e.path("why").asText()));
+    releases.put(plan.name(), new Release(plan, ++numbers, command.who(), command.why()));
     while (releases.size() - active() > REMEMBERED) {
       releases.values().stream()
           .filter(r -> r.state.over())
@@ -157,9 +145,9 @@
     return releases.values().stream().filter(r -> !r.state.over()).count();
   }
 
-  private Outcome drive(Release r, JsonNode e) {
-    String driver = e.path("driver").asText();
-    long lease = e.path("lease_ms").asLong();
+  private Outcome drive(Release r, ReleaseCommand.AcquireLease command) {
+    String driver = command.driver();
+    long lease = command.leaseMillis();
     if (driver.isEmpty()
         || driver.length() > 128
         || lease < LEAST_LEASE_MS
@@ -172,7 +160,7 @@
   }
 
   /** A release that is done may be taken back as long as no other has its targets. */
-  private Outcome back(Release r, JsonNode e) {
+  private Outcome back(Release r, ReleaseCommand.RollBack command) {
     for (Release other : releases.values()) {
       if (r.state.over() && other != r && !other.state.over() && other.shares(r.plan)) {
         return Outcome.of(
@@ -184,7 +172,7 @@
                 + " and has some of its targets");
       }
     }
-    return r.back(e.path("to_step").asInt(0), e.path("why").asText());
+    return r.back(command.toStep(), command.why());
   }
 
   /** Takes note of what the last entry has changed in the fleet; to be called after each. */
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -79,11 +79,19 @@
     for (int i = 0; i < with.length; i += 2) {
       e.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
     }
-    Outcome o = releases.apply("release_" + op, e, disruption);
+    Outcome o = apply("release_" + op, e);
     releases.look(disruption);
     return o;
   }
 
+  private Outcome apply(String operation, ObjectNode entry) {
+    List<String> faults = new ArrayList<>();
+    ReleaseCommand command = ReleaseCommandCodec.decode(operation, entry, faults);
+    return command == null
+        ? new Outcome(Status.MALFORMED, "", faults)
+        : releases.apply(command, disruption);
+  }
+
   private void begin() {
     assertThat(apply("start", "plan", plan)).extracting(Outcome::status).isEqualTo(Status.DONE);
     drive("x");
@@ -282,9 +290,7 @@
         apply("end");
         plan.put("name", "r2");
       }
-      Outcome o =
-          releases.apply(
-              "release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan), disruption);
+      Outcome o = apply("release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan));
       assertThat(o.status()).as(o.toString()).isEqualTo(Status.DONE);
       if (rule.equals("queue")) {
         drive("x");
