--- a/src/main/java/leadferry/cli/FaultTestCommand.java
+++ b/src/main/java/leadferry/cli/FaultTestCommand.java
@@ -4,19 +4,26 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import leadferry.testbed.FaultScript;
 import leadferry.testbed.FaultTest;
+import leadferry.testbed.FaultTestPlan;
+import leadferry.testbed.Sabotage;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** Runs a {@link FaultTest} and prints its report. */
 @Command(
     name = "fault-test",
     aliases = "faults",
     mixinStandardHelpOptions = true,
     description = {
-      "Runs keepers and daemons as processes on loopback, breaks the links between them, stops, kills and starts them,",
+      "Runs replicas and daemons as processes on loopback, breaks the links between them, stops, kills and starts them,",
       "while operators drain and give back; says as JSON, on its last line, whether the promises were kept."
     },
     footer = {
@@ -24,14 +31,22 @@
       "Exit status: 0 all were kept, 1 one was not ('broken' says which) or the rig failed, 2 faulty arguments."
     })
 final class FaultTestCommand implements Callable<Integer> {
-  @Option(names = "--keepers", defaultValue = "3", description = "Keepers, 1 to 9.")
-  private int keepers;
+  private static final int MOST_PROCESSES = 64;
+
+  @Option(
+      names = {"--replicas", "--keepers"},
+      defaultValue = "3",
+      description = "Replicas of the agreed state, 1 to 9.")
+  private int replicas;
 
   @Option(names = "--proxies", defaultValue = "8", description = "Daemons, 1 to 64.")
   private int proxies;
 
-  @Option(names = "--hosts", defaultValue = "12", description = "Stand-in hosts, 2 to 64.")
-  private int hosts;
+  @Option(
+      names = {"--upstreams", "--hosts"},
+      defaultValue = "12",
+      description = "Fake upstream hosts, 2 to 64.")
+  private int upstreams;
 
   @Option(names = "--seconds", defaultValue = "60", description = "How long, 5 to 3600.")
   private double seconds;
@@ -49,7 +64,7 @@
       names = "--sabotage",
       defaultValue = "none",
       description =
-          "Breaks a promise behind the ledger's back: none, proxy-out, drained-host, twice or restart.")
+          "Breaks a promise on purpose, which must be found: none, proxy-out, drained-host, twice or restart.")
   private String sabotage;
 
   @Option(
@@ -76,59 +91,86 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    if (keepers < 1
-        || keepers > 9
-        || proxies < 1
-        || proxies > 64
-        || hosts < 2
-        || hosts > 64
-        || !(seconds >= 5 && seconds <= 3_600)) {
-      throw new CommandLine.ParameterException(
-          spec.commandLine(),
-          "keepers, proxies, hosts, seconds (expected: 1 to 9, 1 to 64, 2 to 64, 5 to 3600)");
+    checkSizes();
+    FaultTestPlan plan =
+        new FaultTestPlan(
+            replicas,
+            proxies,
+            upstreams,
+            seconds,
+            seed,
+            parsedSabotage(),
+            rate,
+            parsedScript(),
+            releases);
+    Path at =
+        folder == null ? Files.createTempDirectory("fault-test") : Files.createDirectories(folder);
+    if (!json) {
+      System.out.println("files and logs: " + at);
     }
-    FaultTest.Sabotage s;
+    try (FaultTest test = new FaultTest(plan, at)) {
+      ObjectNode report = test.run();
+      System.out.println(report);
+      return report.path("broken").isEmpty() ? 0 : 1;
+    } catch (IOException e) {
+      System.err.println("the test could not be carried out: " + e.getMessage());
+      return 1;
+    }
+  }
+
+  private void checkSizes() {
+    boolean sound =
+        isBetween(replicas, 1, 9)
+            && isBetween(proxies, 1, MOST_PROCESSES)
+            && isBetween(upstreams, 2, MOST_PROCESSES)
+            && isBetween(seconds, 5, 3_600);
+    if (!sound) {
+      throw faultyArgument(
+          "replicas, proxies, upstreams, seconds (expected: 1 to 9, 1 to 64, 2 to 64, 5 to 3600)");
+    }
+  }
+
+  private static boolean isBetween(double value, double least, double most) {
+    return value >= least && value <= most;
+  }
+
+  private Sabotage parsedSabotage() {
     try {
-      s = FaultTest.Sabotage.valueOf(sabotage.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+      return Sabotage.valueOf(sabotage.toUpperCase(Locale.ROOT).replace('-', '_'));
     } catch (IllegalArgumentException e) {
-      throw new CommandLine.ParameterException(
-          spec.commandLine(),
+      throw faultyArgument(
           "--sabotage "
               + sabotage
               + " (expected: none, proxy-out, drained-host, twice or restart)");
     }
-    java.util.List<FaultScript.Step> steps = null;
-    if (script != null) {
-      java.util.Set<String> names = new java.util.TreeSet<>();
-      for (int i = 1; i <= 64; i++) {
-        names.addAll(
-            java.util.List.of(
-                i <= keepers ? "k" + i : "k1",
-                i <= proxies ? "p" + i : "p1",
-                i <= hosts ? "h" + i : "h1"));
-      }
-      try {
-        steps = FaultScript.read(Files.readAllLines(script), names);
-      } catch (IOException | IllegalArgumentException e) {
-        throw new CommandLine.ParameterException(
-            spec.commandLine(), "--script " + script + ": " + e.getMessage());
-      }
+  }
+
+  private List<FaultScript.Step> parsedScript() {
+    if (script == null) {
+      return null;
     }
-    Path at =
-        folder == null ? Files.createTempDirectory("faults") : Files.createDirectories(folder);
-    if (!json) {
-      System.out.println("files and logs: " + at);
+    try {
+      return FaultScript.read(Files.readAllLines(script), processNames());
+    } catch (IOException | IllegalArgumentException e) {
+      throw faultyArgument("--script " + script + ": " + e.getMessage());
     }
-    try (FaultTest run =
-        new FaultTest(
-            new FaultTest.Plan(keepers, proxies, hosts, seconds, seed, s, rate, steps, releases),
-            at)) {
-      ObjectNode o = run.run();
-      System.out.println(o);
-      return o.path("broken").isEmpty() ? 0 : 1;
-    } catch (IOException e) {
-      System.err.println("the rig failed: " + e.getMessage());
-      return 1;
+  }
+
+  private Set<String> processNames() {
+    Set<String> names = new TreeSet<>();
+    addNames(names, "k", replicas);
+    addNames(names, "p", proxies);
+    addNames(names, "h", upstreams);
+    return names;
+  }
+
+  private static void addNames(Set<String> names, String prefix, int count) {
+    for (int i = 1; i <= count; i++) {
+      names.add(prefix + i);
     }
   }
+
+  private CommandLine.ParameterException faultyArgument(String message) {
+    return new CommandLine.ParameterException(spec.commandLine(), message);
+  }
 }
--- a/src/main/java/leadferry/testbed/FaultScript.java
+++ b/src/main/java/leadferry/testbed/FaultScript.java
@@ -12,8 +12,8 @@
  *
  * <pre>
  *   2.0  cut p1 k1 forth        # what p1 sends k1 is held back; also back, both
- *   2.5  isolate k2             # from all other keepers
- *   3.0  kill k1                # and start, stop (SIGSTOP), cont (SIGCONT), of keepers and proxies
+ *   2.5  isolate k2             # from all other replicas
+ *   3.0  kill k1                # and start, stop (SIGSTOP), cont (SIGCONT), of replicas and proxies
  *   4.0  drain proxy p2         # and undo proxy p2, halt, resume
  *   9.0  heal                   # all links are whole
  * </pre>
@@ -123,7 +123,7 @@
                     ? "proxy or host"
                     : last
                         ? verb.equals("cut") ? "forth, back or both" : "milliseconds"
-                        : "a keeper, proxy or host of the rig")
+                        : "a replica, proxy or host of the test")
                 + ")");
       }
     }
--- /dev/null
+++ b/src/main/java/leadferry/testbed/FaultTestReport.java
@@ -0,0 +1,133 @@
+package leadferry.testbed;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Predicate;
+
+/** The result of a fault test as JSON; docs/FLEET.md tells its keys. */
+final class FaultTestReport {
+  private static final ObjectMapper MAPPER = new ObjectMapper();
+
+  private final ObjectNode report = MAPPER.createObjectNode();
+
+  FaultTestReport(FaultTestPlan plan) {
+    report.put("seed", plan.seed()).put("seconds", plan.seconds());
+    report
+        .putObject("processes")
+        .put("keepers", plan.replicas())
+        .put("proxies", plan.proxies())
+        .put("hosts", plan.upstreams());
+  }
+
+  ObjectNode json() {
+    return report;
+  }
+
+  void faults(InjectedFaults faults) {
+    ObjectNode counts = report.putObject("faults");
+    for (InjectedFaults.Kind kind : InjectedFaults.Kind.values()) {
+      counts.put(kind.key(), faults.counted(kind));
+    }
+  }
+
+  void drains(History history) {
+    report
+        .putObject("drains")
+        .put("asked", count(history, call -> isDrain(call)))
+        .put("granted", count(history, call -> isDrain(call, History.Outcome.GRANTED)))
+        .put(
+            "refused",
+            count(
+                history,
+                call ->
+                    isDrain(call, History.Outcome.REFUSED)
+                        || isDrain(call, History.Outcome.HALTED)))
+        .put("undecided", count(history, call -> isDrain(call, History.Outcome.UNDECIDED)))
+        .put(
+            "ended",
+            count(
+                history,
+                call -> call.op() == History.Op.UNDO && call.outcome() == History.Outcome.DONE));
+  }
+
+  private static boolean isDrain(History.Call call) {
+    return call.op() == History.Op.DRAIN;
+  }
+
+  private static boolean isDrain(History.Call call, History.Outcome outcome) {
+    return isDrain(call) && call.outcome() == outcome;
+  }
+
+  private static long count(History history, Predicate<History.Call> predicate) {
+    return history.calls().stream().filter(predicate).count();
+  }
+
+  void unavailable(HistoryChecker checker, FaultTestPlan plan) {
+    report
+        .putObject("out")
+        .put("proxies_most", checker.proxiesMost())
+        .put("proxies_allowed", plan.proxiesAllowed())
+        .put("hosts_most", checker.hostsMost())
+        .put("hosts_allowed", plan.upstreamsAllowed());
+  }
+
+  void requests(
+      List<LoadGenerator> loads, HistoryChecker checker, HistoryChecker.UpstreamViolations found) {
+    report
+        .putObject("requests")
+        .put("sent", loads.stream().mapToLong(LoadGenerator::sent).sum())
+        .put(
+            "served",
+            loads.stream().mapToLong(load -> load.count(LoadGenerator.Outcome.SERVED)).sum())
+        .put("lost", checker.lost())
+        .put("twice", found.executedTwice())
+        .put("to_drained", found.sentToDrained());
+  }
+
+  void recovery(RecoveryTracker recovery) {
+    List<Long> sorted = recovery.sortedMillis();
+    report
+        .putObject("recovery_ms")
+        .put("median", sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2))
+        .put("most", sorted.isEmpty() ? 0 : sorted.get(sorted.size() - 1));
+  }
+
+  void broken(HistoryChecker checker) {
+    checker.broken().forEach(report.putArray("broken")::add);
+  }
+
+  void releases(ReleaseWorkload workload, ProcessSupervisor supervisor) {
+    ObjectNode releases = report.putObject("releases");
+    for (ReleaseWorkload.Event event : ReleaseWorkload.Event.values()) {
+      releases.put(event.key(), workload.counted(event));
+    }
+    int done = 0;
+    int again = 0;
+    int sameFenceTwice = 0;
+    int rejected = 0;
+    Set<Long> actions = new HashSet<>();
+    Set<String> commands = new HashSet<>();
+    for (ProcessSupervisor.Deed deed : supervisor.deeds()) {
+      if (!deed.verb().equals("command")) {
+        continue;
+      }
+      if (deed.refused()) {
+        rejected++;
+        continue;
+      }
+      done++;
+      again += actions.add(deed.action()) ? 0 : 1;
+      String command = deed.action() + "/" + deed.fence() + "/" + deed.version();
+      sameFenceTwice += commands.add(command) ? 0 : 1;
+    }
+    report
+        .putObject("actions")
+        .put("done", done)
+        .put("again", again)
+        .put("same_fence_twice", sameFenceTwice)
+        .put("turned_away", rejected);
+  }
+}
--- a/src/main/java/leadferry/testbed/HistoryChecker.java
+++ b/src/main/java/leadferry/testbed/HistoryChecker.java
@@ -43,6 +43,16 @@
 
   private record Look(Seen seen, long at) {}
 
+  /** Requests that ran at a drained upstream, and unsafe ones that ran more than once. */
+  record UpstreamViolations(long sentToDrained, long executedTwice) {}
+
+  /** A time (ns) in which an upstream was said to be out of service everywhere. */
+  private record DrainedTime(String host, long from, long until) {
+    boolean covers(ExecutionLog.Execution run) {
+      return host.equals(run.host()) && run.at() > from && run.at() < until;
+    }
+  }
+
   /**
    * A time (ns) in which the rig itself had a proxy down; {@code to} Long.MAX_VALUE while it has.
    */
@@ -67,7 +77,7 @@
   private final Map<String, List<Down>> downs = new ConcurrentHashMap<>();
   private final Map<String, List<Down>> restarts = new ConcurrentHashMap<>();
   private final Map<String, Long> hostsOut = new ConcurrentHashMap<>();
-  private final List<Object[]> hostTimes = new ArrayList<>();
+  private final List<DrainedTime> drainedTimes = new ArrayList<>();
   private final Set<String> broken = new TreeSet<>();
   private final AtomicLong lost = new AtomicLong();
   private final long began = System.nanoTime();
@@ -267,7 +277,7 @@
   synchronized void hostBack(String host) {
     Long from = hostsOut.remove(host);
     if (from != null) {
-      hostTimes.add(new Object[] {host, from, System.nanoTime()});
+      drainedTimes.add(new DrainedTime(host, from, System.nanoTime()));
     }
   }
 
@@ -300,26 +310,31 @@
     }
   }
 
-  /** Requests that ran at hosts after they were said to be out, and those that ran twice. */
-  synchronized long[] hosts(ExecutionLog ledger, Set<String> unsafe) {
-    hostsOut.forEach((h, from) -> hostTimes.add(new Object[] {h, from, Long.MAX_VALUE}));
-    long[] n = new long[2];
-    ledger.visit(
+  /**
+   * Looks at what ran at upstreams.
+   *
+   * @param unsafePrefixes the ids of requests that may run once begin so
+   */
+  synchronized UpstreamViolations checkUpstreams(
+      ExecutionLog executions, Set<String> unsafePrefixes) {
+    hostsOut.forEach((host, from) -> drainedTimes.add(new DrainedTime(host, from, Long.MAX_VALUE)));
+    AtomicLong sentToDrained = new AtomicLong();
+    AtomicLong executedTwice = new AtomicLong();
+    executions.visit(
         (id, runs) -> {
-          for (ExecutionLog.Execution e : runs) {
-            for (Object[] t : hostTimes) {
-              if (t[0].equals(e.host()) && e.at() > (Long) t[1] && e.at() < (Long) t[2]) {
-                n[0]++;
-                breaks("request sent to drained host " + e.host());
-              }
+          for (ExecutionLog.Execution run : runs) {
+            long times = drainedTimes.stream().filter(time -> time.covers(run)).count();
+            if (times > 0) {
+              sentToDrained.addAndGet(times);
+              breaks("request sent to drained host " + run.host());
             }
           }
-          if (runs.size() > 1 && unsafe.stream().anyMatch(id::startsWith)) {
-            n[1]++;
+          if (runs.size() > 1 && unsafePrefixes.stream().anyMatch(id::startsWith)) {
+            executedTwice.incrementAndGet();
             breaks("unsafe request " + id + " ran " + runs.size() + " times");
           }
         });
-    return n;
+    return new UpstreamViolations(sentToDrained.get(), executedTwice.get());
   }
 
   long lost() {
--- a/src/main/java/leadferry/testbed/Child.java
+++ b/src/main/java/leadferry/testbed/ManagedProcess.java
@@ -7,33 +7,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of the program that a rig starts, stops, continues, kills and starts again; known from
+ * A process of the program that a test starts, stops, continues, kills and starts again; known from
  * outside only.
  */
-public final class Child implements AutoCloseable {
+public final class ManagedProcess implements AutoCloseable {
   private final String name;
-  private final List<String> first;
-  private final List<String> again;
+  private final List<String> firstCommand;
+  private final List<String> laterCommand;
   private final Path log;
   private Process process;
   private boolean stopped;
 
   /**
-   * {@code first} starts it the first time, {@code again} after that; what it tells goes to {@code
-   * log}.
+   * A process that is not started yet.
+   *
+   * @param firstCommand starts it the first time
+   * @param laterCommand starts it after that
+   * @param log gets what it writes to standard output and error
    */
-  public Child(String name, List<String> first, List<String> again, Path log) {
+  public ManagedProcess(
+      String name, List<String> firstCommand, List<String> laterCommand, Path log) {
     this.name = name;
-    this.first = List.copyOf(first);
-    this.again = List.copyOf(again);
+    this.firstCommand = List.copyOf(firstCommand);
+    this.laterCommand = List.copyOf(laterCommand);
     this.log = log;
   }
 
   /**
    * The command that starts this build of the program with these arguments, on so many MB of heap.
    */
-  public static List<String> program(int heapMb, String... args) {
-    List<String> out =
+  public static List<String> program(int heapMb, String... arguments) {
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -44,22 +48,18 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "leadferry.Main"));
-    out.addAll(List.of(args));
-    return out;
+    command.addAll(List.of(arguments));
+    return command;
   }
 
+  /** The name by which a test knows it. */
   public String name() {
     return name;
   }
 
+  /** Starts it; its first command is for its first start alone. */
   public synchronized void start() throws IOException {
-    List<String> command = process == null ? first : again;
-    process =
-        new ProcessBuilder(command)
-            .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
-            .start();
-    stopped = false;
+    run(command());
   }
 
   /**
@@ -69,7 +69,15 @@
   public synchronized void startOnDiskOf(int kib) throws IOException {
     List<String> command =
         new ArrayList<>(List.of("bash", "-c", "ulimit -f " + kib + "; exec \"$@\"", "bash"));
-    command.addAll(process == null ? first : again);
+    command.addAll(command());
+    run(command);
+  }
+
+  private List<String> command() {
+    return process == null ? firstCommand : laterCommand;
+  }
+
+  private void run(List<String> command) throws IOException {
     process =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -78,24 +86,29 @@
     stopped = false;
   }
 
+  /** Whether it is alive and not stopped. */
   public synchronized boolean runs() {
     return process != null && process.isAlive() && !stopped;
   }
 
+  /** Its process id, or -1 before its first start. */
   public synchronized long pid() {
     return process == null ? -1 : process.pid();
   }
 
+  /** Stops it (SIGSTOP) until {@link #resume}. */
   public synchronized void stop() {
     signal("STOP");
     stopped = true;
   }
 
+  /** Lets it go on (SIGCONT). */
   public synchronized void resume() {
     signal("CONT");
     stopped = false;
   }
 
+  /** Kills it (SIGKILL) and waits for its end. */
   public synchronized void kill() {
     process.destroyForcibly();
     try {
@@ -106,10 +119,10 @@
   }
 
   /** SIGTERM, and so many milliseconds for its end; the exit status, or -1. */
-  public synchronized int end(long mostMs) {
+  public synchronized int end(long timeoutMillis) {
     process.destroy();
     try {
-      return process.waitFor(mostMs, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
+      return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return -1;
--- a/src/main/java/leadferry/testbed/Operator.java
+++ b/src/main/java/leadferry/testbed/Operator.java
@@ -12,64 +12,67 @@
 import java.util.List;
 
 /**
- * Somebody who asks keepers for drains and the like, by their protocol alone (docs/FLEET.md): an
- * object a line. Begins with the keeper it is told to, and goes on to others as an operator's
+ * An operator, who asks replicas for drains and the like, by their protocol alone (docs/FLEET.md):
+ * an object a line. Begins with the replica it is told to, and goes on to others as an operator's
  * command would.
  */
 public final class Operator {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final int TRY_MS = 1_000;
+  private static final int ATTEMPT_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 20;
 
   private final String fleet;
-  private final List<InetSocketAddress> keepers;
+  private final List<InetSocketAddress> replicas;
 
-  public Operator(String fleet, List<InetSocketAddress> keepers) {
+  /** An operator of that fleet who knows these replicas. */
+  public Operator(String fleet, List<InetSocketAddress> replicas) {
     this.fleet = fleet;
-    this.keepers = List.copyOf(keepers);
+    this.replicas = List.copyOf(replicas);
   }
 
-  public static ObjectNode entry(String op) {
-    return MAPPER.createObjectNode().put("op", op);
+  /** An entry of the log with that operation, to be filled in. */
+  public static ObjectNode entry(String operation) {
+    return MAPPER.createObjectNode().put("op", operation);
   }
 
   /** Asks with a call's id; null where no answer came in time, and so nobody knows. */
-  public JsonNode change(ObjectNode entry, String id, int first, long mostMs) {
-    entry.put("call", id).put("who", "rig").put("why", "rig");
-    return ask(MAPPER.createObjectNode().put("op", "submit").set("entry", entry), first, mostMs);
+  public JsonNode change(ObjectNode entry, String callId, int first, long timeoutMillis) {
+    entry.put("call", callId).put("who", "rig").put("why", "rig");
+    return ask(
+        MAPPER.createObjectNode().put("op", "submit").set("entry", entry), first, timeoutMillis);
   }
 
   /** Asks for anything; null where no answer came in time. */
-  public JsonNode ask(ObjectNode request, int first, long mostMs) {
-    long until = System.nanoTime() + mostMs * 1_000_000L;
+  public JsonNode ask(ObjectNode request, int first, long timeoutMillis) {
+    long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
     request.put("id", 1).put("fleet", fleet);
-    for (int i = first; System.nanoTime() < until; i++) {
-      JsonNode o = once(keepers.get(i % keepers.size()), request);
-      if (o != null && !o.has("redirect") && !o.has("undecided")) {
-        return o;
+    for (int i = first; System.nanoTime() < deadlineNanos; i++) {
+      JsonNode answer = once(replicas.get(i % replicas.size()), request);
+      if (answer != null && !answer.has("redirect") && !answer.has("undecided")) {
+        return answer;
       }
-      try {
-        Thread.sleep(20);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
+      Threads.sleepMillis(RETRY_MILLIS);
+      if (Thread.currentThread().isInterrupted()) {
         return null;
       }
     }
     return null;
   }
 
-  /** Asks one keeper once; null where no answer came in a second. */
-  static JsonNode once(InetSocketAddress to, ObjectNode request) {
-    try (Socket s = new Socket()) {
-      s.connect(to, TRY_MS);
-      s.setSoTimeout(TRY_MS);
-      s.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
-      BufferedReader in =
-          new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+  /** Asks one replica once; null where no answer came in a second. */
+  static JsonNode once(InetSocketAddress replica, ObjectNode request) {
+    try (Socket socket = new Socket()) {
+      socket.connect(replica, ATTEMPT_MILLIS);
+      socket.setSoTimeout(ATTEMPT_MILLIS);
+      socket.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
+      BufferedReader reader =
+          new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
       String line;
-      while ((line = in.readLine()) != null) {
-        JsonNode o = MAPPER.readTree(line);
-        if (!o.has("push")) {
-          return o;
+      while ((line = reader.readLine()) != null) {
+        JsonNode message = MAPPER.readTree(line);
+        if (!message.has("push")) {
+          return message;
         }
       }
     } catch (IOException e) {
--- /dev/null
+++ b/src/main/java/leadferry/testbed/RandomFaultSchedule.java
@@ -0,0 +1,170 @@
+package leadferry.testbed;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import leadferry.testbed.InjectedFaults.Kind;
+
+/** Which fault comes when, from a seed: one at a time begins, each ends by itself. */
+final class RandomFaultSchedule {
+  private static final int SHORTEST_MILLIS = 200;
+  private static final int LENGTH_SPREAD_MILLIS = 3 * FaultTest.LEASE_MS;
+  private static final int SHORTEST_DELAY_MILLIS = 50;
+  private static final int DELAY_SPREAD_MILLIS = 200;
+  private static final int KINDS = 9;
+  private static final int KINDS_WITH_DRIVERS = 12;
+
+  private final FaultTestPlan plan;
+  private final FaultTestTopology topology;
+  private final HistoryChecker checker;
+  private final InjectedFaults faults;
+  private final BackgroundTasks tasks;
+  private final Random random;
+
+  RandomFaultSchedule(
+      FaultTestPlan plan,
+      FaultTestTopology topology,
+      HistoryChecker checker,
+      InjectedFaults faults,
+      BackgroundTasks tasks) {
+    this.plan = plan;
+    this.topology = topology;
+    this.checker = checker;
+    this.faults = faults;
+    this.tasks = tasks;
+    this.random = new Random(plan.seed());
+  }
+
+  /** The pause before the next fault (ms). */
+  long nextPauseMillis() {
+    return 300 + random.nextInt(900);
+  }
+
+  /** Begins a fault. */
+  void injectNext() {
+    long millis = SHORTEST_MILLIS + random.nextInt(LENGTH_SPREAD_MILLIS);
+    String replica = any(topology.replicaNames());
+    String proxy = any(topology.proxyNames());
+    switch (random.nextInt(plan.releases() ? KINDS_WITH_DRIVERS : KINDS)) {
+      case 0 -> cutReplica(replica, millis);
+      case 1 -> cutProxyFromReplicas(proxy, millis);
+      case 2 -> delayProxy(proxy, millis);
+      case 3 -> cutInTheMiddle(proxy, replica);
+      case 4 -> refuseAtUpstream(proxy, millis);
+      case 5 -> faults.stall(topology.replica(replica), millis, () -> {});
+      case 6 -> stallProxy(proxy, 2 * millis);
+      case 7 -> killReplica(topology.replica(replica), millis);
+      case 8 -> killProxy(proxy, 3 * millis);
+      default -> disturbDriver(millis);
+    }
+  }
+
+  private String any(Set<String> names) {
+    return List.copyOf(names).get(random.nextInt(names.size()));
+  }
+
+  private FakeUpstream anyUpstream() {
+    return topology.upstreams().get(random.nextInt(topology.upstreams().size()));
+  }
+
+  private void cutReplica(String replica, long millis) {
+    boolean forward = random.nextBoolean();
+    boolean backward = !forward || random.nextBoolean();
+    faults.count(forward && backward ? Kind.CUT : Kind.ONE_WAY);
+    List<FaultyLink.Link> cut = new ArrayList<>();
+    for (String other : topology.replicaNames()) {
+      if (!other.equals(replica)) {
+        topology.link(replica, other).cut(forward, backward);
+        topology.link(other, replica).cut(backward, forward);
+        cut.add(topology.link(replica, other));
+        cut.add(topology.link(other, replica));
+      }
+    }
+    tasks.runLater(millis, () -> cut.forEach(FaultyLink.Link::heal));
+  }
+
+  private void cutProxyFromReplicas(String proxy, long millis) {
+    boolean forward = random.nextBoolean();
+    boolean backward = !forward || random.nextBoolean();
+    faults.count(forward && backward ? Kind.CUT : Kind.ONE_WAY);
+    linksToReplicas(proxy).forEach(link -> link.cut(forward, backward));
+    healLater(proxy, millis);
+  }
+
+  private void delayProxy(String proxy, long millis) {
+    faults.count(Kind.DELAY);
+    linksToReplicas(proxy)
+        .forEach(link -> link.delay(SHORTEST_DELAY_MILLIS + random.nextInt(DELAY_SPREAD_MILLIS)));
+    healLater(proxy, millis);
+  }
+
+  private List<FaultyLink.Link> linksToReplicas(String source) {
+    return topology.replicaNames().stream().map(replica -> topology.link(source, replica)).toList();
+  }
+
+  private void healLater(String source, long millis) {
+    tasks.runLater(millis, () -> linksToReplicas(source).forEach(FaultyLink.Link::heal));
+  }
+
+  private void cutInTheMiddle(String proxy, String replica) {
+    faults.count(Kind.CUT);
+    topology.link(proxy, replica).cutMiddle();
+    topology.link(proxy, anyUpstream().name()).cutMiddle();
+  }
+
+  private void refuseAtUpstream(String proxy, long millis) {
+    faults.count(Kind.CUT);
+    FaultyLink.Link link = topology.link(proxy, anyUpstream().name());
+    link.refuse(true);
+    tasks.runLater(millis, link::heal);
+  }
+
+  private void stallProxy(String proxy, long millis) {
+    if (checker.downNow() < plan.proxiesAllowed()) {
+      faults.stallProxy(topology.proxy(proxy), millis);
+    }
+  }
+
+  private void killReplica(ManagedProcess replica, long downMillis) {
+    if (replica.runs()) {
+      faults.kill(replica);
+      tasks.runLater(downMillis, () -> faults.restart(replica));
+    }
+  }
+
+  private void killProxy(String name, long downMillis) {
+    ManagedProcess proxy = topology.proxy(name);
+    if (proxy.runs() && checker.downNow() < plan.proxiesAllowed()) {
+      faults.killProxy(proxy, downMillis);
+    }
+  }
+
+  /** Kills a driver and starts it again, stops it, or cuts it off from all replicas. */
+  private void disturbDriver(long millis) {
+    List<ManagedProcess> running =
+        topology.drivers().values().stream().filter(ManagedProcess::runs).toList();
+    if (running.isEmpty()) {
+      return;
+    }
+    ManagedProcess driver = running.get(random.nextInt(running.size()));
+    switch (random.nextInt(3)) {
+      case 0 -> {
+        faults.kill(driver);
+        tasks.runLater(millis / 3, () -> restartIfStillWanted(driver));
+      }
+      case 1 -> faults.stall(driver, millis, () -> {});
+      default -> {
+        faults.count(Kind.CUT);
+        linksToReplicas(driver.name()).forEach(link -> link.cut(true, random.nextBoolean()));
+        healLater(driver.name(), millis);
+      }
+    }
+  }
+
+  private void restartIfStillWanted(ManagedProcess driver) {
+    if (topology.drivers().containsValue(driver)) {
+      faults.restart(driver);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/testbed/ReleasedVersions.java
@@ -0,0 +1,76 @@
+package leadferry.testbed;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+
+/** The versions at proxies and upstreams, and how the supervisor replaces them. */
+final class ReleasedVersions implements ProcessSupervisor.Site {
+  private static final long END_MILLIS = 20_000;
+
+  /** The part of requests that an upstream of a failing version fails. */
+  private static final double FAILING_SHARE = 0.3;
+
+  private final FaultTestTopology topology;
+  private final HistoryChecker checker;
+  private final RecoveryTracker recovery;
+  private final BackgroundTasks tasks;
+  private final Map<String, String> versions = new ConcurrentHashMap<>();
+
+  ReleasedVersions(
+      FaultTestTopology topology,
+      HistoryChecker checker,
+      RecoveryTracker recovery,
+      BackgroundTasks tasks) {
+    this.topology = topology;
+    this.checker = checker;
+    this.recovery = recovery;
+    this.tasks = tasks;
+  }
+
+  @Override
+  public void replace(String target, String version) throws IOException, InterruptedException {
+    if (topology.proxy(target) == null) {
+      replaceUpstream(target, version);
+    } else {
+      replaceProxy(target, version);
+    }
+  }
+
+  private void replaceUpstream(String target, String version) throws IOException {
+    FakeUpstream upstream = topology.upstream(target);
+    if (upstream.inHand() > 0) {
+      checker.breaks(target + " was replaced with requests in its hands");
+    }
+    versions.put(target, version);
+    boolean failing = version.startsWith(FaultTest.FAILING_VERSION);
+    upstream.misbehave(
+        failing ? FakeUpstream.Fault.FAIL_FAST : FakeUpstream.Fault.NONE, FAILING_SHARE);
+    upstream.startAnew();
+  }
+
+  private void replaceProxy(String target, String version) throws IOException {
+    ManagedProcess proxy = topology.proxy(target);
+    if (checker.now(target) == HistoryChecker.Seen.SERVES) {
+      checker.breaks(target + " was restarted while it served");
+    }
+    checker.restarts(target);
+    if (proxy.runs() && proxy.end(END_MILLIS) != 0) {
+      checker.breaks(target + " did not end when it was told to");
+    }
+    versions.put(target, version);
+    topology.writeProxyFile(target, version);
+    proxy.start();
+    tasks.runLater(
+        0,
+        () -> {
+          recovery.awaitAnswer(target, System.nanoTime());
+          checker.restarted(target);
+        });
+  }
+
+  @Override
+  public String version(String target) {
+    return versions.getOrDefault(target, FaultTest.FIRST_VERSION);
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/testbed/ScriptedFaults.java
@@ -0,0 +1,137 @@
+package leadferry.testbed;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.ConcurrentHashMap;
+import leadferry.testbed.InjectedFaults.Kind;
+
+/** Carries out a {@link FaultScript}: faults and operators' calls at stated times. */
+final class ScriptedFaults {
+  private final FaultTestTopology topology;
+  private final HistoryChecker checker;
+  private final InjectedFaults faults;
+  private final RecoveryTracker recovery;
+  private final BackgroundTasks tasks;
+  private final OperatorWorkload operators;
+
+  /** Grants that a script's drains got, by whom they took out. */
+  private final Map<DrainTarget, String> grants = new ConcurrentHashMap<>();
+
+  ScriptedFaults(
+      FaultTestTopology topology,
+      HistoryChecker checker,
+      InjectedFaults faults,
+      RecoveryTracker recovery,
+      BackgroundTasks tasks,
+      OperatorWorkload operators) {
+    this.topology = topology;
+    this.checker = checker;
+    this.faults = faults;
+    this.recovery = recovery;
+    this.tasks = tasks;
+    this.operators = operators;
+  }
+
+  /** Carries out all steps, each at its time from now on. */
+  void perform(List<FaultScript.Step> steps) {
+    long startNanos = System.nanoTime();
+    int number = 0;
+    for (FaultScript.Step step : steps) {
+      long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+      Threads.sleepMillis((long) (step.at() * 1e3) - elapsedMillis);
+      perform(step, "script-" + number, new Random(number));
+      number++;
+    }
+  }
+
+  /** Gives back what the script has drained and not given back itself. */
+  void undoRemaining(Random random) {
+    grants.forEach((target, grant) -> operators.undo("end-" + grant, grant, target, random));
+  }
+
+  private void perform(FaultScript.Step step, String callId, Random random) {
+    List<String> arguments = step.arguments();
+    switch (step.verb()) {
+      case "kill", "stop" -> takeDown(arguments.get(0), step.verb().equals("kill"));
+      case "start", "cont" -> bringBack(arguments.get(0), step.verb().equals("start"));
+      case "isolate" -> {
+        faults.count(Kind.CUT);
+        topology.isolate(arguments.get(0));
+      }
+      case "cut", "delay", "refuse", "middle" ->
+          breakLink(step.verb(), topology.link(arguments.get(0), arguments.get(1)), arguments);
+      case "heal" -> topology.healLinks();
+      case "drain" -> drain(new DrainTarget(arguments.get(0), arguments.get(1)), callId, random);
+      case "undo" -> undo(new DrainTarget(arguments.get(0), arguments.get(1)), callId, random);
+      case "halt" -> tasks.runLater(0, () -> operators.halt(callId, random));
+      default -> tasks.runLater(0, () -> operators.resume(callId, random));
+    }
+  }
+
+  private void takeDown(String name, boolean kill) {
+    ManagedProcess process = topology.process(name);
+    if (topology.proxy(name) != null) {
+      checker.down(name);
+    }
+    if (kill) {
+      faults.kill(process);
+    } else {
+      faults.count(Kind.STALL);
+      process.stop();
+    }
+  }
+
+  private void bringBack(String name, boolean restart) {
+    ManagedProcess process = topology.process(name);
+    if (restart) {
+      faults.restart(process);
+    } else {
+      process.resume();
+    }
+    if (topology.proxy(name) != null) {
+      long sinceNanos = System.nanoTime();
+      tasks.runLater(0, () -> recovery.awaitRecovery(name, sinceNanos));
+    }
+  }
+
+  private void breakLink(String verb, FaultyLink.Link link, List<String> arguments) {
+    switch (verb) {
+      case "cut" -> {
+        String way = arguments.get(2);
+        faults.count(way.equals("both") ? Kind.CUT : Kind.ONE_WAY);
+        link.cut(!way.equals("back"), !way.equals("forth"));
+      }
+      case "delay" -> {
+        faults.count(Kind.DELAY);
+        link.delay(Integer.parseInt(arguments.get(2)));
+      }
+      case "refuse" -> {
+        faults.count(Kind.CUT);
+        link.refuse(true);
+      }
+      default -> {
+        faults.count(Kind.CUT);
+        link.cutMiddle();
+      }
+    }
+  }
+
+  private void drain(DrainTarget target, String callId, Random random) {
+    Map<String, DrainTarget> held = new LinkedHashMap<>();
+    tasks.runLater(
+        0,
+        () -> {
+          operators.drain(callId, target, random, held);
+          held.forEach((grant, drained) -> grants.put(drained, grant));
+        });
+  }
+
+  private void undo(DrainTarget target, String callId, Random random) {
+    String grant = grants.remove(target);
+    if (grant != null) {
+      tasks.runLater(0, () -> operators.undo(callId, grant, target, random));
+    }
+  }
+}
--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -12,11 +12,13 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import leadferry.consensus.Json;
 import leadferry.testbed.FaultTest;
+import leadferry.testbed.FaultTestPlan;
 import leadferry.testbed.Operator;
+import leadferry.testbed.Sabotage;
 
 /**
  * Crashes the leader and the one follower that was with it, while the other is behind, and looks
- * for an answered call that the ledger does not know: {@code java -cp "$(bench/classpath)"
+ * for an answered call that the agreed state does not know: {@code java -cp "$(bench/classpath)"
  * leadferry.bench.LostGrantSearch SECONDS SEED}.
  */
 public final class LostGrantSearch {
@@ -27,7 +29,7 @@
     Random random = new Random(Long.parseLong(args[1]));
     Path folder = Files.createTempDirectory("hunt");
     try (FaultTest rig =
-        new FaultTest(new FaultTest.Plan(3, 1, 2, 60, 1, FaultTest.Sabotage.NONE, 1), folder)) {
+        new FaultTest(new FaultTestPlan(3, 1, 2, 60, 1, Sabotage.NONE, 1), folder)) {
       rig.start();
       ConcurrentLinkedQueue<String> answered = new ConcurrentLinkedQueue<>();
       AtomicBoolean over = new AtomicBoolean();
@@ -63,19 +65,19 @@
         java.util.Collections.shuffle(others, random);
         // One is behind; what the leader and the other one have answered must outlive the crash of
         // both.
-        rig.keeper(others.get(0)).stop();
+        rig.replica(others.get(0)).stop();
         Thread.sleep(200 + random.nextInt(400));
-        rig.keeper(others.get(1)).kill();
+        rig.replica(others.get(1)).kill();
         if (random.nextBoolean()) {
-          rig.keeper(others.get(1)).start();
+          rig.replica(others.get(1)).start();
           Thread.sleep(1_200 + random.nextInt(600));
-          rig.keeper(others.get(1)).kill();
+          rig.replica(others.get(1)).kill();
         }
-        rig.keeper(leader).kill();
-        rig.keeper(others.get(1)).start();
-        rig.keeper(others.get(0)).resume();
+        rig.replica(leader).kill();
+        rig.replica(others.get(1)).start();
+        rig.replica(others.get(0)).resume();
         Thread.sleep(2_500);
-        rig.keeper(leader).start();
+        rig.replica(leader).start();
         Thread.sleep(1_500);
         faults++;
       }
--- a/src/test/java/leadferry/bench/ReplicaBenchmark.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -18,13 +18,15 @@
 import leadferry.consensus.Json;
 import leadferry.consensus.ReplicaClient;
 import leadferry.proxy.ProxyFixture;
-import leadferry.testbed.Child;
 import leadferry.testbed.FaultTest;
+import leadferry.testbed.FaultTestPlan;
 import leadferry.testbed.LoadGenerator;
+import leadferry.testbed.ManagedProcess;
 import leadferry.testbed.Operator;
+import leadferry.testbed.Sabotage;
 
 /**
- * What keepers cost and how soon they are whole again, on one machine: {@code bench/keepers}.
+ * What replicas cost and how soon they are whole again, on one machine: {@code bench/replicas}.
  * Prints a line a figure; each is a count or a time of this run, with its baseline beside it where
  * it has one.
  */
@@ -42,7 +44,7 @@
     int members = args.length > 0 && !deathsAlone ? Integer.parseInt(args[0]) : 2_000;
     Path folder = Files.createTempDirectory("keepers");
     try (FaultTest rig =
-        new FaultTest(new FaultTest.Plan(3, 2, 12, 60, 1, FaultTest.Sabotage.NONE, 1), folder)) {
+        new FaultTest(new FaultTestPlan(3, 2, 12, 60, 1, Sabotage.NONE, 1), folder)) {
       rig.start();
       if (deathsAlone) {
         deaths(rig, 15);
@@ -50,7 +52,7 @@
       }
       String leader = rig.leader();
       System.out.printf(
-          "a keeper's resident memory, idle: %d MB%n", residentMb(rig.keeper(leader).pid()));
+          "a keeper's resident memory, idle: %d MB%n", residentMb(rig.replica(leader).pid()));
       rest(rig, 10);
       membership(rig, folder);
       grants(rig, 300, 1);
@@ -58,7 +60,7 @@
       herd(rig, members);
       System.out.printf(
           "the leader's resident memory with %d sessions: %d MB%n",
-          members, residentMb(rig.keeper(rig.leader()).pid()));
+          members, residentMb(rig.replica(rig.leader()).pid()));
       deaths(rig, 15);
     }
   }
@@ -86,17 +88,18 @@
                 "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
                 "[listener.main]\naddress = \"127.0.0.1:" + port + "\"");
     Path file = Files.writeString(folder.resolve("alone.toml"), alone);
-    List<String> command = Child.program(64, "daemon", "--config", file.toString());
-    try (Child child = new Child("alone", command, command, folder.resolve("alone.log"))) {
+    List<String> command = ManagedProcess.program(64, "daemon", "--config", file.toString());
+    try (ManagedProcess child =
+        new ManagedProcess("alone", command, command, folder.resolve("alone.log"))) {
       child.start();
       Round[] with = new Round[ROUNDS];
       Round[] without = new Round[ROUNDS];
       InetSocketAddress there = new InetSocketAddress("127.0.0.1", port);
       Thread.sleep(3_000);
-      Round.of(rig.front("p1"), rig.proxy("p1").pid(), "warm-a");
+      Round.of(rig.proxyAddress("p1"), rig.proxy("p1").pid(), "warm-a");
       Round.of(there, child.pid(), "warm-b");
       for (int i = 0; i < ROUNDS; i++) {
-        with[i] = Round.of(rig.front("p1"), rig.proxy("p1").pid(), "with" + i);
+        with[i] = Round.of(rig.proxyAddress("p1"), rig.proxy("p1").pid(), "with" + i);
         without[i] = Round.of(there, child.pid(), "without" + i);
       }
       for (Round[] r : List.of(with, without)) {
@@ -215,7 +218,7 @@
     int threads = 32;
     Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
     int k = 0;
-    for (InetSocketAddress a : rig.keeperApis()) {
+    for (InetSocketAddress a : rig.replicaAddresses()) {
       keepers.put("k" + ++k, a);
     }
     AtomicLong joined = new AtomicLong();
@@ -288,9 +291,9 @@
     for (int i = 0; i < times; i++) {
       usual.add(granted(rig, "usual-" + i, i));
       String leader = rig.leader();
-      rig.keeper(leader).kill();
+      rig.replica(leader).kill();
       dead.add(granted(rig, "death-" + i, i));
-      rig.keeper(leader).start();
+      rig.replica(leader).start();
       Thread.sleep(3_000);
     }
     Collections.sort(usual);
--- a/src/test/java/leadferry/testbed/FleetProcessesTest.java
+++ b/src/test/java/leadferry/testbed/FleetProcessesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three keepers and four daemons as processes, one of each kind allowed out, and faults between
+ * Three replicas and four daemons as processes, one of each kind allowed out, and faults between
  * them.
  */
 class FleetProcessesTest {
@@ -40,7 +40,7 @@
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultTest(new FaultTest.Plan(3, 4, 4, 60, 1, FaultTest.Sabotage.NONE, 40), folder);
+    rig = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
     rig.start();
   }
 
@@ -50,15 +50,15 @@
   }
 
   /**
-   * Links first: a test that failed while one was cut must not leave the next one without keepers.
+   * Links first: a test that failed while one was cut must not leave the next one without replicas.
    */
   @AfterEach
   void giveBack() throws Exception {
-    rig.mend();
+    rig.healLinks();
     for (JsonNode p : status().path("permits")) {
       undo(p.path("id").asText());
     }
-    rig.heal();
+    rig.healAndAwaitRecovery();
   }
 
   private static String id() {
@@ -122,7 +122,7 @@
   /** The status of a request at a proxy, 0 for none. */
   private static int request(String proxy, String id) {
     try (Socket s = new Socket()) {
-      s.connect(rig.front(proxy), 2_000);
+      s.connect(rig.proxyAddress(proxy), 2_000);
       s.setSoTimeout(5_000);
       s.getOutputStream()
           .write(
@@ -176,11 +176,11 @@
     CompletableFuture<JsonNode> first =
         CompletableFuture.supplyAsync(
             () -> rig.operatorAt(leader).change(drainOf("host", "h1"), id, 0, 1_000));
-    rig.keeper(leader).kill();
+    rig.replica(leader).kill();
     first.get();
     JsonNode again = rig.operator().change(drainOf("host", "h1"), id, 0, PATIENCE_MS);
     JsonNode other = rig.operator().change(drainOf("host", "h2"), id, 0, PATIENCE_MS);
-    rig.keeper(leader).start();
+    rig.replica(leader).start();
     assertThat(word(again)).isEqualTo("granted");
     assertThat(word(other)).as("the id was used for something else").isEqualTo("conflict");
     assertThat(status().path("permits")).hasSize(1);
@@ -193,7 +193,7 @@
     JsonNode alone = rig.operatorAt(leader).change(drainOf("proxy", "p3"), id(), 0, 3_000);
     assertThat(word(alone)).isEqualTo("nothing");
     granted("proxy", "p4");
-    rig.mend();
+    rig.healLinks();
     await(() -> rig.saysNo("p4"));
     // What the cut-off leader had in its log and nobody confirmed is not there afterwards, or was
     // refused.
@@ -246,7 +246,7 @@
         MAPPER.createObjectNode().put("op", "renew").put("name", "p1").put("session", 1);
     for (String k : List.of("k1", "k2", "k3")) {
       for (ObjectNode q : List.of(MAPPER.createObjectNode().put("op", "status"), renew)) {
-        JsonNode o = Operator.once(rig.keeperApi(k), q.put("id", 1).put("fleet", rig.fleet()));
+        JsonNode o = Operator.once(rig.replicaAddress(k), q.put("id", 1).put("fleet", rig.fleet()));
         assertThat(o).as("%s, %s leads", k, leader).isNotNull();
         assertThat(o.path("redirect").asText()).isEqualTo(k.equals(leader) ? "" : leader);
       }
@@ -299,14 +299,14 @@
     JsonNode granted = drain("proxy", "p1");
     await(() -> rig.saysNo("p1"));
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.keeper(k).kill();
+      rig.replica(k).kill();
     }
     for (int i = 0; i < 50; i++) {
       assertThat(request("p" + (2 + i % 3), "gone-" + i)).isEqualTo(200);
     }
     assertThat(rig.saysNo("p1")).isTrue();
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.keeper(k).start();
+      rig.replica(k).start();
     }
     assertThat(word(drain("proxy", "p2"))).isEqualTo("refused");
     assertThat(status().path("permits").path(0).path("id")).isEqualTo(granted.path("permit"));
@@ -336,7 +336,7 @@
       assertThat(request("p" + (1 + i % 2), "beside-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger()
+    rig.executions()
         .visit(
             (id, runs) -> {
               if (id.startsWith("after-") || id.startsWith("beside-")) {
@@ -380,10 +380,10 @@
             .as(k)
             .isTrue();
       }
-      rig.keeper(k).kill();
+      rig.replica(k).kill();
     }
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.keeper(k).start();
+      rig.replica(k).start();
     }
     assertThat(status().path("permits").path(0).path("id").asText()).isEqualTo(permit);
     assertThat(word(drain("host", "h2"))).isEqualTo("refused");
@@ -414,14 +414,14 @@
   void keepersStoppedForThreeLeasesAndContinuedTakeNobodyForDead() throws Exception {
     long before = expired();
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.keeper(k).stop();
+      rig.replica(k).stop();
     }
     Thread.sleep(3 * FaultTest.LEASE_MS);
     for (int i = 0; i < 20; i++) {
       assertThat(request("p" + (1 + i % 4), "stopped-" + i)).isEqualTo(200);
     }
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.keeper(k).resume();
+      rig.replica(k).resume();
     }
     rig.leader();
     Thread.sleep(FaultTest.LEASE_MS);
@@ -432,10 +432,10 @@
   @Test
   void aLeaderStoppedForThreeLeasesAndContinuedGrantsNothingByItself() throws Exception {
     String leader = rig.leader();
-    rig.keeper(leader).stop();
+    rig.replica(leader).stop();
     granted("proxy", "p1");
     Thread.sleep(3 * FaultTest.LEASE_MS);
-    rig.keeper(leader).resume();
+    rig.replica(leader).resume();
     JsonNode o = rig.operatorAt(leader).change(drainOf("proxy", "p2"), id(), 0, 500);
     assertThat(word(o)).isIn("nothing", "refused");
     assertThat(status().path("permits")).hasSize(1);
@@ -454,7 +454,7 @@
       assertThat(word(drain("proxy", "p2"))).isEqualTo("refused");
     }
     assertThat(word(drain("proxy", "p2"))).as("lost now, and counted").isEqualTo("refused");
-    rig.mend();
+    rig.healLinks();
     await(() -> word(drain("proxy", "p2")).equals("granted"));
     assertThat(rig.serves("p1")).isTrue();
   }
@@ -469,8 +469,8 @@
                 "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
                 "[listener.main]\naddress = \"127.0.0.1:0\""));
     Path log = folder.resolve("p1-second.log");
-    List<String> command = Child.program(64, "daemon", "--config", second.toString());
-    try (Child c = new Child("p1-second", command, command, log)) {
+    List<String> command = ManagedProcess.program(64, "daemon", "--config", second.toString());
+    try (ManagedProcess c = new ManagedProcess("p1-second", command, command, log)) {
       c.start();
       await(() -> read(log).contains("in use by a process whose lease is not over"));
       assertThat(read(log)).doesNotContain("ready");
@@ -485,7 +485,7 @@
   void aKeeperWithALogTornAtItsLastRecordComesBackAndFollows() throws Exception {
     assertThat(word(drain("host", "h2"))).isEqualTo("granted");
     String torn = rig.leader().equals("k3") ? "k2" : "k3";
-    rig.keeper(torn).kill();
+    rig.replica(torn).kill();
     Path log;
     try (var all = Files.walk(folder.resolve(torn))) {
       log =
@@ -499,7 +499,7 @@
       end--;
     }
     Files.write(log, java.util.Arrays.copyOf(bytes, end - 3));
-    rig.keeper(torn).start();
+    rig.replica(torn).start();
     await(
         () -> {
           JsonNode h =
@@ -532,7 +532,7 @@
       assertThat(request("p2", "woken-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger()
+    rig.executions()
         .visit(
             (request, runs) -> {
               if (request.startsWith("woken-")) {
@@ -555,7 +555,7 @@
     JsonNode no = drain("host", "h1");
     assertThat(word(no)).isEqualTo("refused");
     assertThat(no.path("why").toString()).contains("h4 (ejected by 2)");
-    rig.mend();
+    rig.healLinks();
     await(
         () -> {
           crowd(half, "whole-" + n.incrementAndGet());
@@ -588,15 +588,15 @@
             return t;
           });
 
-  private static JsonNode health(String keeper) {
-    return rig.operatorAt(keeper).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
+  private static JsonNode health(String replica) {
+    return rig.operatorAt(replica).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
   }
 
   @Test
   void aKeeperOnAFullDiskHoldsNobodyUpAndFollowsOnceThereIsRoom() throws Exception {
     String full = rig.leader().equals("k3") ? "k2" : "k3";
-    rig.keeper(full).kill();
-    rig.keeper(full).startOnDiskOf(300);
+    rig.replica(full).kill();
+    rig.replica(full).startOnDiskOf(300);
     await(() -> health(full) != null && health(full).path("applied").asLong() > 0);
     String much = "x".repeat(60_000);
     for (int i = 0; i < 12; i++) {
@@ -609,8 +609,8 @@
     assertThat(read(folder.resolve(full + ".log")))
         .as("its log tells of it")
         .contains("File too large");
-    rig.keeper(full).kill();
-    rig.keeper(full).start();
+    rig.replica(full).kill();
+    rig.replica(full).start();
     long applied = health(rig.leader()).path("applied").asLong();
     await(() -> health(full) != null && health(full).path("applied").asLong() >= applied);
     assertThat(status().path("permits")).hasSize(1);
@@ -627,7 +627,7 @@
       assertThat(request("p2", "middle-" + i)).isEqualTo(200);
     }
     Set<String> at = new TreeSet<>();
-    rig.ledger()
+    rig.executions()
         .visit(
             (request, runs) -> {
               if (request.startsWith("middle-")) {
@@ -641,13 +641,13 @@
   void aHostThatWasStartedAnewWhileItWasOutIsNotPushedOverWhenItIsGivenBack() throws Exception {
     String permit = granted("host", "h1").path("permit").asText();
     await(() -> permit(permit).path("carried_out").asBoolean());
-    rig.host("h1").startAnew();
+    rig.upstream("h1").startAnew();
     List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i),
+                  rig.proxyAddress("p" + i),
                   120,
                   0,
                   3,
@@ -662,9 +662,9 @@
     for (LoadGenerator l : loads) {
       l.await();
     }
-    long served = rig.host("h1").served();
+    long served = rig.upstream("h1").served();
     loads.forEach(LoadGenerator::close);
-    assertThat(rig.host("h1").fallen()).isFalse();
+    assertThat(rig.upstream("h1").fallen()).isFalse();
     assertThat(served).isPositive();
   }
 
--- a/src/test/java/leadferry/testbed/MemoryFolder.java
+++ b/src/test/java/leadferry/testbed/MemoryFolder.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.io.TempDirFactory;
 
 /**
- * A folder in memory, where the system has such a file system. Guards tests of several keepers
+ * A folder in memory, where the system has such a file system. Guards tests of several replicas
  * against a disk that others keep busy: each vote and each entry waits for it, so elections took as
  * long as it did. What a killed process has written stays.
  */
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Releases over three keepers and four daemons as processes, one of each kind allowed out, driven
+ * Releases over three replicas and four daemons as processes, one of each kind allowed out, driven
  * by processes, with faults between them. What was done is told by the supervisor that did it, who
  * was out by probes.
  */
@@ -37,11 +37,11 @@
   private static Path folder;
 
   private static FaultTest rig;
-  private final List<Child> drivers = new ArrayList<>();
+  private final List<ManagedProcess> drivers = new ArrayList<>();
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultTest(new FaultTest.Plan(3, 4, 4, 60, 1, FaultTest.Sabotage.NONE, 40), folder);
+    rig = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
     rig.start();
   }
 
@@ -58,8 +58,8 @@
     }
     failed = true;
     rig.supervisor().hook((before, deed) -> {});
-    rig.mend();
-    drivers.forEach(Child::close);
+    rig.healLinks();
+    drivers.forEach(ManagedProcess::close);
     for (JsonNode r : rig.release("").path("releases")) {
       if (!List.of("done", "returned", "ended").contains(r.path("state").asText())) {
         String name = r.path("name").asText();
@@ -68,8 +68,8 @@
         await("returned", () -> state(name).equals("returned"));
       }
     }
-    drivers.forEach(Child::close);
-    rig.heal();
+    drivers.forEach(ManagedProcess::close);
+    rig.healAndAwaitRecovery();
     assertThat(rig.broken()).isEmpty();
     assertThat(rig.proxiesMost()).as("out at once").isLessThanOrEqualTo(1);
     failed = false;
@@ -130,7 +130,7 @@
   private static String begin(String of, String... targets) {
     String name = "r" + IDS.incrementAndGet();
     ObjectNode plan =
-        rig.plan(
+        rig.releasePlan(
             name,
             of,
             rig.version(targets[0]),
@@ -151,8 +151,8 @@
     assertThat(word(o)).as(String.valueOf(o)).isEqualTo("done");
   }
 
-  private Child drive(String release) throws IOException {
-    Child c = rig.driver("d" + IDS.incrementAndGet(), release);
+  private ManagedProcess drive(String release) throws IOException {
+    ManagedProcess c = rig.startDriver("d" + IDS.incrementAndGet(), release);
     drivers.add(c);
     return c;
   }
@@ -190,7 +190,7 @@
     int from = deeds();
     String r = begin("proxy", "p1", "p2", "p3", "p4");
     String version = rig.release(r).path("version").asText();
-    Child d = drive(r);
+    ManagedProcess d = drive(r);
     await("done", () -> state(r).equals("done"));
     await("the driver ends", () -> !d.runs());
     assertThat(versions("p1", "p2", "p3", "p4").values()).containsOnly(version);
@@ -202,7 +202,7 @@
     int from = deeds();
     String r = begin("host", "h1", "h2");
     AtomicInteger killed = new AtomicInteger();
-    Child[] now = {drive(r)};
+    ManagedProcess[] now = {drive(r)};
     rig.supervisor()
         .hook(
             (before, deed) -> {
@@ -233,7 +233,7 @@
   void aDriverStoppedInTheMiddleOfAnActionForLongerThanItsLeaseIsTurnedAwayByItsFence()
       throws Exception {
     String r = begin("host", "h3", "h4");
-    Child slow = drive(r);
+    ManagedProcess slow = drive(r);
     CompletableFuture<ProcessSupervisor.Deed> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
     rig.supervisor()
@@ -307,7 +307,7 @@
     String before = rig.version("p1");
     String r = "r" + IDS.incrementAndGet();
     begin(
-        rig.plan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+        rig.releasePlan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
             .put("action_ms", 9_000));
     drive(r);
     await("halted", () -> state(r).equals("halted"));
@@ -343,13 +343,13 @@
       String leader = rig.leader();
       if (n == 2) {
         List<String> two = List.of("k1", "k2");
-        two.forEach(k -> rig.keeper(k).stop());
+        two.forEach(k -> rig.replica(k).stop());
         Thread.sleep(2L * FaultTest.LEASE_MS);
-        two.forEach(k -> rig.keeper(k).resume());
+        two.forEach(k -> rig.replica(k).resume());
       } else {
-        rig.keeper(leader).kill();
+        rig.replica(leader).kill();
         Thread.sleep(500);
-        rig.keeper(leader).start();
+        rig.replica(leader).start();
       }
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
@@ -364,7 +364,7 @@
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i),
+                  rig.proxyAddress("p" + i),
                   30,
                   0,
                   15,
@@ -391,7 +391,7 @@
     assertThat(bad).isEmpty();
     assertThat(onceEach(from, "h1", "h2", "h3")).isEqualTo(3);
     for (String h : List.of("h1", "h2", "h3")) {
-      assertThat(rig.host(h).fallen()).as(h).isFalse();
+      assertThat(rig.upstream(h).fallen()).as(h).isFalse();
     }
   }
 
@@ -400,7 +400,7 @@
     List<CompletableFuture<String>> asked = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       ObjectNode plan =
-          rig.plan(
+          rig.releasePlan(
               "twin" + IDS.incrementAndGet(),
               "host",
               rig.version("h1"),
@@ -443,7 +443,7 @@
                 .asText()
                 .equals("lost"));
     begin(
-        rig.plan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4")))
+        rig.releasePlan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4")))
             .put("halt_lost", 0)
             .put("on_missing", "skip"));
     drive(r);
@@ -462,7 +462,7 @@
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.front("p" + i),
+                  rig.proxyAddress("p" + i),
                   40,
                   0,
                   40,
@@ -477,7 +477,7 @@
       String r = "r" + IDS.incrementAndGet();
       String before = rig.version("h1");
       ObjectNode plan =
-          rig.plan(
+          rig.releasePlan(
                   r,
                   "host",
                   before,
@@ -514,7 +514,7 @@
         List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
       String r = "r" + IDS.incrementAndGet();
       ObjectNode plan =
-          rig.plan(
+          rig.releasePlan(
               r, "host", rig.version("h4"), "v" + IDS.incrementAndGet(), List.of(List.of("h4")));
       ((ObjectNode) plan.path("carry"))
           .put("timeout_ms", 1_000)
