--- a/src/main/java/leadferry/disruption/Budget.java
+++ b/src/main/java/leadferry/disruption/Budget.java
@@ -2,109 +2,85 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
- * How many of a kind may be out of service at once.
+ * How many targets of one type may be unavailable at the same time: the disruption budget of
+ * Kubernetes, counted for a whole group or for each value of a label by itself.
  *
- * @param name what refusals call it
- * @param of proxies or hosts
- * @param where labels that a subject must carry to count, by label; empty for all
- * @param by the label whose values are counted each by itself, or "all"
- * @param maxOut at most so many out; below 0 for no such bound
- * @param maxShare at most this share of a group, rounded down; above 1 for no such bound
- * @param minIn at least so many stay
+ * @param name name of the budget, as refusals show it
+ * @param targetType whether it counts proxies or hosts
+ * @param selector labels that a target must carry to count, by label; empty selects all
+ * @param groupBy the label whose values are counted each by itself, or {@link #ALL}
+ * @param maxUnavailable upper bound of unavailable targets; below 0 for no such bound
+ * @param maxUnavailableShare upper bound as a share of the group (0 to 1), rounded down; above 1
+ *     for no such bound
+ * @param minAvailable lower bound of available targets; 0 for no such bound
  */
 public record Budget(
     String name,
-    TargetType of,
-    Map<String, String> where,
-    String by,
-    int maxOut,
-    double maxShare,
-    int minIn) {
-  /** The labels that {@code where} and {@code by} may name. */
+    TargetType targetType,
+    Map<String, String> selector,
+    String groupBy,
+    int maxUnavailable,
+    double maxUnavailableShare,
+    int minAvailable) {
+  /** The labels that {@code selector} and {@code groupBy} may name. */
   public static final Set<String> LABELS = Set.of("zone", "pod", "pool", "kind");
 
+  /** The value of {@code groupBy} that counts all selected targets as one group. */
   public static final String ALL = "all";
 
+  /** The value of {@code maxUnavailable} that sets no bound. */
+  static final int NO_COUNT_BOUND = -1;
+
+  /** The value of {@code maxUnavailableShare} that sets no bound. */
+  static final double NO_SHARE_BOUND = 2;
+
+  /** Guards against a share such as 0.29 of 100 being rounded down to 28. */
+  private static final double ROUNDING_TOLERANCE = 1e-9;
+
+  /** Copies the selector, which has no null keys or values. */
   public Budget {
-    where = Map.copyOf(where);
+    selector = Map.copyOf(selector);
   }
 
-  boolean covers(Target s) {
-    return s.kind() == of
-        && where.entrySet().stream().allMatch(e -> s.label(e.getKey()).equals(e.getValue()));
+  /** Whether this budget counts that target. */
+  boolean selects(Target target) {
+    return target.kind() == targetType
+        && selector.entrySet().stream()
+            .allMatch(wanted -> target.label(wanted.getKey()).equals(wanted.getValue()));
   }
 
-  /** Whether both are counted together. */
-  boolean together(Target a, Target b) {
-    return by.equals(ALL) || a.label(by).equals(b.label(by));
+  /** Whether both targets are counted in the same group. */
+  boolean sameGroup(Target one, Target other) {
+    return groupBy.equals(ALL) || one.label(groupBy).equals(other.label(groupBy));
   }
 
-  /** How many of a group of that size may be out, never below 0. */
-  int allowed(int size) {
-    int most = maxOut < 0 ? size : Math.min(size, maxOut);
-    if (maxShare <= 1) {
-      most = Math.min(most, (int) Math.floor(maxShare * size + 1e-9));
+  /** How many targets of a group of that size may be unavailable, at least 0. */
+  int allowedUnavailable(int groupSize) {
+    int allowed = maxUnavailable < 0 ? groupSize : Math.min(groupSize, maxUnavailable);
+    if (maxUnavailableShare <= 1) {
+      int allowedByShare = (int) Math.floor(maxUnavailableShare * groupSize + ROUNDING_TOLERANCE);
+      allowed = Math.min(allowed, allowedByShare);
     }
-    return Math.max(0, Math.min(most, size - minIn));
+    return Math.max(0, Math.min(allowed, groupSize - minAvailable));
   }
 
-  /** The budget as the log holds it. */
-  public void write(ObjectNode to) {
-    to.put("name", name)
-        .put("of", of.word())
-        .put("by", by)
-        .put("max_out", maxOut)
-        .put("max_share", maxShare)
-        .put("min_in", minIn);
-    ObjectNode w = to.putObject("where");
-    new TreeMap<>(where).forEach(w::put);
+  /** Writes the stored form, see {@link BudgetCodec#encode}. */
+  public void write(ObjectNode json) {
+    BudgetCodec.encode(this, json);
   }
 
   /**
-   * Reads a budget; what is wrong with it goes to {@code faults}.
+   * Reads the stored form, see {@link BudgetCodec#decode}.
    *
-   * @return the budget, or null where there was a fault
+   * @param errors receives what is wrong with it
+   * @return the budget, or null where there was an error
    */
-  public static Budget read(JsonNode n, List<String> faults) {
-    int before = faults.size();
-    String name = n.path("name").asText("");
-    if (!name.matches(DisruptionState.NAME)) {
-      faults.add("budget name: '" + name + "' (expected: letters, digits, _, - and ., at most 64)");
-    }
-    TargetType of = TargetType.of(n.path("of").asText(""));
-    if (of == null) {
-      faults.add(
-          "budget " + name + ", of: '" + n.path("of").asText("") + "' (expected: proxy or host)");
-    }
-    String by = n.path("by").asText(ALL);
-    if (!by.equals(ALL) && !LABELS.contains(by)) {
-      faults.add("budget " + name + ", by: '" + by + "' (expected: all, zone, pod, pool or kind)");
-    }
-    Map<String, String> where = new TreeMap<>();
-    for (String label :
-        new ArrayList<>(n.path("where").properties().stream().map(Map.Entry::getKey).toList())) {
-      if (!LABELS.contains(label)) {
-        faults.add(
-            "budget " + name + ", where: '" + label + "' (expected: zone, pod, pool or kind)");
-      }
-      where.put(label, n.path("where").path(label).asText());
-    }
-    int maxOut = n.path("max_out").asInt(-1);
-    double maxShare = n.path("max_share").asDouble(2);
-    int minIn = n.path("min_in").asInt(0);
-    if (maxOut < 0 && maxShare > 1 && minIn <= 0) {
-      faults.add("budget " + name + ": no bound (expected: max_out, max_share or min_in)");
-    }
-    if (maxShare < 0 || minIn < 0) {
-      faults.add("budget " + name + ": below 0 (expected: bounds of 0 or more)");
-    }
-    return faults.size() > before ? null : new Budget(name, of, where, by, maxOut, maxShare, minIn);
+  public static Budget read(JsonNode json, List<String> errors) {
+    return BudgetCodec.decode(json, errors);
   }
 }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -6,11 +6,13 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import leadferry.disruption.FleetView.ProxyEviction;
 import leadferry.disruption.Outcome.Status;
 
 /**
@@ -553,10 +555,11 @@
     Collection<Target> all = all(asked.kind());
     boolean any = false;
     for (Budget b : budgets) {
-      any |= b.of() == asked.kind();
-      if (b.covers(asked)) {
-        List<Target> group = all.stream().filter(s -> b.covers(s) && b.together(s, asked)).toList();
-        bounds.add(bound("budget " + b.name(), group, b.allowed(group.size()), asked));
+      any |= b.targetType() == asked.kind();
+      if (b.selects(asked)) {
+        List<Target> group =
+            all.stream().filter(s -> b.selects(s) && b.sameGroup(s, asked)).toList();
+        bounds.add(bound("budget " + b.name(), group, b.allowedUnavailable(group.size()), asked));
       }
     }
     if (!any) {
@@ -680,20 +683,24 @@
   /**
    * What every member must know: the version, who is out by decision, and whether all is halted.
    */
-  public void view(ObjectNode to) {
-    to.put("version", version).put("halted", !halted.isEmpty());
-    ArrayNode hosts = to.putArray("hosts_out");
-    ObjectNode proxies = to.putObject("proxies_out");
+  public void view(ObjectNode json) {
+    FleetViewCodec.encode(fleetView(), json);
+  }
+
+  private FleetView fleetView() {
+    Set<String> hostsOut = new LinkedHashSet<>();
+    Map<String, ProxyEviction> proxiesOut = new LinkedHashMap<>();
     for (EvictionGrant p : permits.values()) {
       if (p.ending()) {
         continue;
       }
       if (p.of.kind() == TargetType.HOST) {
-        hosts.add(p.of.name());
+        hostsOut.add(p.of.name());
       } else {
-        proxies.putObject(p.of.name()).put("permit", p.id).put("for_ms", p.forMs);
+        proxiesOut.put(p.of.name(), new ProxyEviction(p.id, p.forMs));
       }
     }
+    return new FleetView(version, !halted.isEmpty(), hostsOut, proxiesOut);
   }
 
   /** All that staff may want to see. */
@@ -816,7 +823,7 @@
       EvictionGrant x =
           new EvictionGrant(
               p.path("id").asText(),
-              subject(p.path("of")),
+              TargetCodec.decode(p.path("of")),
               p.path("who").asText(),
               p.path("why").asText(),
               p.path("for_ms").asLong(),
@@ -852,31 +859,13 @@
     n.path("warming").properties().forEach(e -> warming.put(e.getKey(), e.getValue().asLong()));
   }
 
-  /** Hosts as a list of the log holds them. */
-  public static List<Target> subjects(JsonNode list) {
-    List<Target> out = new ArrayList<>();
-    list.forEach(s -> out.add(subject(s)));
-    return out;
+  /** Reads hosts in their stored form, see {@link TargetCodec}. */
+  public static List<Target> subjects(JsonNode array) {
+    return TargetCodec.decodeAll(array);
   }
 
-  private static Target subject(JsonNode n) {
-    TargetType kind = TargetType.of(n.path("what").asText("host"));
-    return new Target(
-        kind == null ? TargetType.HOST : kind,
-        n.path("name").asText(),
-        n.path("zone").asText(Target.NONE),
-        n.path("pod").asText(Target.NONE),
-        n.path("pool").asText(Target.NONE),
-        n.path("kind").asText(Target.NONE));
-  }
-
-  /** A subject as lists of the log hold it. */
-  public static void write(Target s, ObjectNode to) {
-    to.put("what", s.kind().word())
-        .put("name", s.name())
-        .put("zone", s.zone())
-        .put("pod", s.pod())
-        .put("pool", s.pool())
-        .put("kind", s.type());
+  /** Writes a target in its stored form, see {@link TargetCodec}. */
+  public static void write(Target target, ObjectNode json) {
+    TargetCodec.encode(target, json);
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -0,0 +1,50 @@
+package leadferry.disruption;
+
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * What each proxy must know of the agreed state: what is taken out of service by decision. {@link
+ * FleetViewCodec} is its form on the wire and in a proxy's state file.
+ *
+ * @param version version of the agreed state, {@link #NO_VERSION} where unknown
+ * @param halted whether nothing more is granted
+ * @param hostsOut hosts that get no requests, in the order of their grants
+ * @param proxiesOut evictions of proxies by the proxy's name, in the order of their grants
+ */
+record FleetView(
+    long version, boolean halted, Set<String> hostsOut, Map<String, ProxyEviction> proxiesOut) {
+  /** The version before any view was taken. */
+  static final long NO_VERSION = -1;
+
+  FleetView {
+    hostsOut = Collections.unmodifiableSet(new LinkedHashSet<>(hostsOut));
+    proxiesOut = Collections.unmodifiableMap(new LinkedHashMap<>(proxiesOut));
+  }
+
+  /** The eviction of that proxy, or {@link ProxyEviction#NONE}. */
+  ProxyEviction evictionOf(String proxy) {
+    return proxiesOut.getOrDefault(proxy, ProxyEviction.NONE);
+  }
+
+  /**
+   * An eviction grant as its holder sees it.
+   *
+   * @param grantId id of the eviction grant, "" for none
+   * @param durationMillis how long it holds from when the holder hears of it; 0 until it is undone
+   */
+  record ProxyEviction(String grantId, long durationMillis) {
+    static final ProxyEviction NONE = new ProxyEviction("", 0);
+
+    boolean isPresent() {
+      return !grantId.isEmpty();
+    }
+
+    boolean isUnlimited() {
+      return durationMillis <= 0;
+    }
+  }
+}
--- a/src/main/java/leadferry/disruption/Outcome.java
+++ b/src/main/java/leadferry/disruption/Outcome.java
@@ -4,45 +4,48 @@
 import java.util.Locale;
 
 /**
- * What became of an entry; every keeper comes to the same.
+ * The result of a command; every replica comes to the same.
  *
- * @param status see there
- * @param permit the permit that it is about, or ""
- * @param why for people: the reasons of a refusal, with the names of those who are out
- * @param number the fence or the action that it gave, 0 for none
+ * @param status the kind of result
+ * @param permit id of the eviction grant that it is about, or ""
+ * @param why reasons for people: of a refusal, with the names of those that are unavailable
+ * @param number the fence or the action number that it gave, 0 for none
  */
 public record Outcome(Status status, String permit, List<String> why, long number) {
-  /** Without a number. */
+  /** An outcome without a number. */
   public Outcome(Status status, String permit, List<String> why) {
     this(status, permit, why, 0);
   }
 
+  /** An outcome that gives a number, such as a fence. */
   public static Outcome numbered(Status status, long number) {
     return new Outcome(status, "", List.of(), number);
   }
 
-  /** The kinds of outcomes. */
+  /** The kinds of results. */
   public enum Status {
-    /** It has been done. */
+    /** The command was carried out. */
     DONE,
-    /** A permit has been granted. */
+    /** An eviction grant was given. */
     GRANTED,
-    /** A budget, or a rule that stands above all budgets, says no. */
+    /** A budget, or a rule above all budgets, forbids it. */
     REFUSED,
-    /** Nothing is granted until an operator says so. */
+    /** Nothing is granted until an operator resumes. */
     HALTED,
-    /** It names what is not known, or not any more. */
+    /** It names what is not known, or no longer. */
     UNKNOWN,
-    /** It was made against another state, or its id was used for something else. */
+    /** It was made against another version, or its id was used for another command. */
     CONFLICT,
-    /** It can't be read. */
+    /** It is not well-formed. */
     MALFORMED;
 
+    /** The word of the stored form and the wire: the name in lower case. */
     public String word() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
+  /** An outcome about no grant, with reasons for people. */
   public static Outcome of(Status status, String... why) {
     return new Outcome(status, "", List.of(why));
   }
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -2,109 +2,131 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
+import leadferry.disruption.FleetView.ProxyEviction;
 
 /**
- * What one client proxy goes by: the newest view of the ledger that it has, and what follows for
- * itself. Times are passed in (ns, monotonic).
+ * What one proxy goes by: the newest {@link FleetView} that it has, and what follows for itself.
+ * Times are passed in (ns, monotonic).
  *
- * <p>News narrow at once and whoever brings them; one thing needs a lease that holds at that
- * moment: to go out of service itself. Guards against a process that was stopped, wakes up with an
- * old grant in its socket, and goes out when its place has long been given to somebody else. Coming
- * back needs nobody's leave: while it was away, it counted as out.
+ * <p>A view is acted on at once, whoever brings it, because it only narrows. One thing needs a
+ * lease that holds at that moment: to go out of service itself. Guards against a process that was
+ * suspended, resumes with an old grant in its socket, and goes out of service when the grant has
+ * long been given to another. Coming back needs no lease: while it was out, it counted as
+ * unavailable.
  */
 public final class ProxyMemberView {
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final String name;
-  private long version = -1;
+  private long version = FleetView.NO_VERSION;
   private Set<String> hostsOut = Set.of();
-  private String permit = "";
-  private long permitEnds;
-  private boolean endless;
-  private boolean away;
-  private JsonNode held;
 
+  /** The grant that was last acted on, "" for none. */
+  private String grantId = "";
+
+  private boolean grantUnlimited;
+
+  /** When the grant expires (ns); means nothing where it is unlimited. */
+  private long grantExpiryNanos;
+
+  private boolean outOfService;
+
+  /** A view with a grant that waits for a lease that holds, or null. */
+  private FleetView pendingView;
+
+  /** A view that knows nothing yet, of the proxy of that name. */
   public ProxyMemberView(String name) {
     this.name = name;
   }
 
   /**
-   * Takes news; older ones than those that it has change nothing. True if anything is different
-   * now.
+   * Takes a view in its form on the wire, see {@link FleetViewCodec}; one older than the newest
+   * changes nothing.
+   *
+   * @param leaseHolds whether the proxy's lease holds at this moment
+   * @param nowNanos monotonic clock
+   * @return whether anything is different now
    */
-  public boolean take(JsonNode view, boolean leaseHolds, long now) {
-    long v = view.path("version").asLong(-1);
-    if (v < version) {
+  public boolean take(JsonNode view, boolean leaseHolds, long nowNanos) {
+    return take(FleetViewCodec.decode(view), leaseHolds, nowNanos);
+  }
+
+  /** Takes a view, see {@link #take(JsonNode, boolean, long)}. */
+  boolean take(FleetView view, boolean leaseHolds, long nowNanos) {
+    if (view.version() < version) {
       return false;
     }
-    Set<String> hosts = new TreeSet<>();
-    view.path("hosts_out").forEach(h -> hosts.add(h.asText()));
-    JsonNode mine = view.path("proxies_out").path(name);
-    String id = mine.path("permit").asText("");
-    boolean known = !id.isEmpty() && id.equals(permit);
-    if (!id.isEmpty() && !known && !leaseHolds) {
-      held = view; // a grant that it may not act on now
+    ProxyEviction eviction = view.evictionOf(name);
+    boolean isNewGrant = eviction.isPresent() && !eviction.grantId().equals(grantId);
+    if (isNewGrant && !leaseHolds) {
+      pendingView = view;
       return false;
     }
-    held = null;
-    boolean over = known && !endless && now - permitEnds >= 0;
-    boolean goes = !id.isEmpty() && !over;
-    if (goes && !known) {
-      long forMs = mine.path("for_ms").asLong();
-      endless = forMs <= 0;
-      permitEnds = now + forMs * 1_000_000;
+    pendingView = null;
+    if (isNewGrant) {
+      grantUnlimited = eviction.isUnlimited();
+      grantExpiryNanos = nowNanos + eviction.durationMillis() * NANOS_PER_MILLI;
     }
-    boolean changed = v != version || !hosts.equals(hostsOut) || goes != away;
-    version = v;
-    hostsOut = Set.copyOf(hosts);
-    permit = id;
-    away = goes;
+    boolean evicted = eviction.isPresent() && (isNewGrant || !grantExpired(nowNanos));
+    boolean changed =
+        view.version() != version || !view.hostsOut().equals(hostsOut) || evicted != outOfService;
+    version = view.version();
+    hostsOut = view.hostsOut();
+    grantId = eviction.grantId();
+    outOfService = evicted;
     return changed;
   }
 
   /**
-   * Takes what waited for a lease that holds; comes back where the time of its permit is over by
-   * its own clock.
+   * Takes the view that waited for a lease, if the lease holds; ends a grant that has expired by
+   * the proxy's own clock.
+   *
+   * @param leaseHolds whether the proxy's lease holds at this moment
+   * @param nowNanos monotonic clock
+   * @return whether anything is different now
    */
-  public boolean look(boolean leaseHolds, long now) {
-    if (held != null && leaseHolds) {
-      return take(held, true, now);
+  public boolean look(boolean leaseHolds, long nowNanos) {
+    if (pendingView != null && leaseHolds) {
+      return take(pendingView, true, nowNanos);
     }
-    if (away && !endless && now - permitEnds >= 0) {
-      away = false;
+    if (outOfService && grantExpired(nowNanos)) {
+      outOfService = false;
       return true;
     }
     return false;
   }
 
-  /** The ledger's version that it goes by, -1 before any. */
+  private boolean grantExpired(long nowNanos) {
+    return !grantUnlimited && nowNanos - grantExpiryNanos >= 0;
+  }
+
+  /** The version of the agreed state that it goes by, -1 before any. */
   public long version() {
     return version;
   }
 
-  /** A session begins: what the ledger says from here on is the truth, whatever came before. */
+  /** Begins a session: the next view is taken whatever its version. */
   public void forget() {
-    version = -1;
-    held = null;
+    version = FleetView.NO_VERSION;
+    pendingView = null;
   }
 
-  /** Hosts that get nothing. */
+  /** Hosts that get no requests. */
   public Set<String> hostsOut() {
     return hostsOut;
   }
 
-  /** Whether it is out of service itself, by a permit. */
+  /** Whether the proxy itself is out of service by an eviction grant. */
   public boolean away() {
-    return away;
+    return outOfService;
   }
 
-  /** What is kept on disk, for a start without keepers. */
-  public void write(ObjectNode to) {
-    to.put("version", version);
-    hostsOut.forEach(to.putArray("hosts_out")::add);
-    ObjectNode proxies = to.putObject("proxies_out");
-    if (away) {
-      proxies.putObject(name).put("permit", permit);
-    }
+  /** Writes what is kept on disk for a start without replicas. */
+  public void write(ObjectNode json) {
+    Map<String, ProxyEviction> proxiesOut =
+        outOfService ? Map.of(name, new ProxyEviction(grantId, 0)) : Map.of();
+    FleetViewCodec.encodeForRestart(new FleetView(version, false, hostsOut, proxiesOut), json);
   }
 }
--- a/src/main/java/leadferry/disruption/Target.java
+++ b/src/main/java/leadferry/disruption/Target.java
@@ -1,12 +1,21 @@
 package leadferry.disruption;
 
-/** A proxy or host with the labels by which budgets choose; a label that it lacks is "-". */
+/**
+ * A proxy or host with the labels by which budgets select.
+ *
+ * @param kind whether it is a proxy or a host
+ * @param name unique among targets of its kind
+ * @param zone label {@code zone}, {@link #NONE} where it has none; so the labels below
+ * @param pod label {@code pod}
+ * @param pool label {@code pool}
+ * @param type label {@code kind}
+ */
 public record Target(
     TargetType kind, String name, String zone, String pod, String pool, String type) {
-  /** What has no label of a kind carries this. */
+  /** The value of a label that a target lacks. */
   public static final String NONE = "-";
 
-  /** The value of a label: {@code zone}, {@code pod}, {@code pool} or {@code kind}. */
+  /** The value of {@code zone}, {@code pod}, {@code pool} or {@code kind}; NONE of others. */
   String label(String label) {
     return switch (label) {
       case "zone" -> zone;
--- /dev/null
+++ b/src/main/java/leadferry/disruption/TargetCodec.java
@@ -0,0 +1,40 @@
+package leadferry.disruption;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The stored form of a {@link Target}: {@code what} is its {@link TargetType}. */
+final class TargetCodec {
+  private TargetCodec() {}
+
+  /** Adds the target's keys to a JSON object. */
+  static void encode(Target target, ObjectNode json) {
+    json.put("what", target.kind().word())
+        .put("name", target.name())
+        .put("zone", target.zone())
+        .put("pod", target.pod())
+        .put("pool", target.pool())
+        .put("kind", target.type());
+  }
+
+  /** Reads a target; one without a known type is a host, a label that is missing is "-". */
+  static Target decode(JsonNode json) {
+    TargetType type = TargetType.of(json.path("what").asText("host"));
+    return new Target(
+        type == null ? TargetType.HOST : type,
+        json.path("name").asText(),
+        json.path("zone").asText(Target.NONE),
+        json.path("pod").asText(Target.NONE),
+        json.path("pool").asText(Target.NONE),
+        json.path("kind").asText(Target.NONE));
+  }
+
+  /** Reads the elements of a JSON array, in their order. */
+  static List<Target> decodeAll(JsonNode array) {
+    List<Target> targets = new ArrayList<>();
+    array.forEach(element -> targets.add(decode(element)));
+    return targets;
+  }
+}
--- a/src/main/java/leadferry/disruption/TargetType.java
+++ b/src/main/java/leadferry/disruption/TargetType.java
@@ -4,19 +4,23 @@
 
 /** What can be taken out of service. */
 public enum TargetType {
+  /** A client proxy of the fleet. */
   PROXY,
+
+  /** An upstream host that proxies send requests to. */
   HOST;
 
-  /** The kind's word, or null where it is none. */
+  /** The type of that stored word, or null where there is none. */
   public static TargetType of(String word) {
-    for (TargetType k : values()) {
-      if (k.word().equals(word)) {
-        return k;
+    for (TargetType type : values()) {
+      if (type.word().equals(word)) {
+        return type;
       }
     }
     return null;
   }
 
+  /** The word of the stored form: {@code proxy} or {@code host}. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
@@ -9,22 +9,22 @@
 class ProxyMemberViewTest {
   private final ProxyMemberView view = new ProxyMemberView("a");
 
-  private static ObjectNode news(long version, long forMs, String... out) {
-    ObjectNode o = JsonNodeFactory.instance.objectNode().put("version", version);
-    ObjectNode proxies = o.putObject("proxies_out");
-    for (String n : out) {
-      if (n.startsWith("h")) {
-        o.withArray("hosts_out").add(n);
+  private static ObjectNode viewOf(long version, long durationMillis, String... names) {
+    ObjectNode json = JsonNodeFactory.instance.objectNode().put("version", version);
+    ObjectNode proxies = json.putObject("proxies_out");
+    for (String name : names) {
+      if (name.startsWith("h")) {
+        json.withArray("hosts_out").add(name);
       } else {
-        proxies.putObject(n).put("permit", "7").put("for_ms", forMs);
+        proxies.putObject(name).put("permit", "7").put("for_ms", durationMillis);
       }
     }
-    return o;
+    return json;
   }
 
   @Test
   void aGrantIsNotActedOnWithoutALeaseAndIsOnceThereIsOne() {
-    view.take(news(1, 0, "a"), false, 0);
+    view.take(viewOf(1, 0, "a"), false, 0);
     assertThat(view.away()).isFalse();
     assertThat(view.look(false, 1)).isFalse();
     assertThat(view.look(true, 2)).isTrue();
@@ -33,28 +33,28 @@
 
   @Test
   void aNewSessionForgetsAGrantThatWaited() {
-    view.take(news(1, 0, "a"), false, 0);
+    view.take(viewOf(1, 0, "a"), false, 0);
     view.forget();
-    view.take(news(3, 0), true, 1);
+    view.take(viewOf(3, 0), true, 1);
     assertThat(view.look(true, 2)).isFalse();
     assertThat(view.away()).isFalse();
   }
 
   @Test
-  void hostsGoOutWithoutALeaseAndOldNewsChangeNothing() {
-    assertThat(view.take(news(5, 0, "h1"), false, 0)).isTrue();
+  void hostsGoOutWithoutALeaseAndAnOlderViewChangesNothing() {
+    assertThat(view.take(viewOf(5, 0, "h1"), false, 0)).isTrue();
     assertThat(view.hostsOut()).containsExactly("h1");
-    assertThat(view.take(news(4, 0), false, 0)).isFalse();
+    assertThat(view.take(viewOf(4, 0), false, 0)).isFalse();
     assertThat(view.hostsOut()).containsExactly("h1");
   }
 
   @Test
-  void aPermitEndsByItsHoldersOwnClockWhenNobodyCanBeAsked() {
-    view.take(news(1, 10, "a"), true, 1_000_000);
+  void aGrantExpiresByItsHoldersOwnClockWhenNoReplicaAnswers() {
+    view.take(viewOf(1, 10, "a"), true, 1_000_000);
     assertThat(view.look(false, 10_999_999)).isFalse();
     assertThat(view.look(false, 11_000_000)).isTrue();
     assertThat(view.away()).isFalse();
-    assertThat(view.take(news(1, 10, "a"), true, 12_000_000))
+    assertThat(view.take(viewOf(1, 10, "a"), true, 12_000_000))
         .as("the same grant takes it out no second time")
         .isFalse();
     assertThat(view.away()).isFalse();
