--- /dev/null
+++ b/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
@@ -0,0 +1,194 @@
+package leadferry.disruption;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import leadferry.disruption.DisruptionState.Times;
+
+/**
+ * The stored form of {@link DisruptionTables}. This class alone knows its keys; they stay as they
+ * are, because snapshots of earlier builds hold them.
+ *
+ * <pre>
+ *   permits       grants; in each:
+ *     of, who, why, for_ms, leaving   request: target, requestedBy, reason, durationMillis, leaving
+ *     since                           grantedVersion
+ *     end_since, end_why              restoringVersion, restoringReason
+ *   members       members; in each:
+ *     zone, version, joined           session: zone, version, joinedChange
+ *     alive, left, fenced, serving    state
+ *     said, seen, busy, suspects      lastReport: number, acknowledgedVersion, busyHosts, ejectedHosts
+ *     settling                        stabilizingSince
+ *   warming       warm-ups: the change at which each host came back
+ *   settle_ms, warm_ms, fence_ms      times
+ * </pre>
+ */
+final class DisruptionSnapshotCodec {
+  private DisruptionSnapshotCodec() {}
+
+  /** Adds the keys of the whole state to a JSON object. */
+  static void encode(DisruptionTables tables, Times times, ObjectNode json) {
+    json.put("version", tables.revision.version())
+        .put("change", tables.revision.change())
+        .put("next_permit", tables.grants.nextId())
+        .put("budgets_version", tables.budgets.version())
+        .put("halted", tables.haltReason())
+        .put("settle_ms", times.stabilizationMillis())
+        .put("warm_ms", times.warmUpMillis())
+        .put("fence_ms", times.fenceMillis());
+    ArrayNode budgets = json.putArray("budgets");
+    tables.budgets.all().forEach(budget -> BudgetCodec.encode(budget, budgets.addObject()));
+    ArrayNode grants = json.putArray("permits");
+    tables.grants.all().forEach(grant -> encodeGrant(grant, grants.addObject()));
+    ArrayNode members = json.putArray("members");
+    tables.members.all().forEach(member -> encodeMember(member, members.addObject()));
+    ObjectNode catalogues = json.putObject("catalogues");
+    tables
+        .catalogues
+        .byDigest()
+        .forEach((digest, hosts) -> encodeHosts(hosts, catalogues.putArray(digest)));
+    ObjectNode warmUps = json.putObject("warming");
+    tables.warmUps.sinceByHost().forEach(warmUps::put);
+  }
+
+  private static void encodeHosts(List<Target> hosts, ArrayNode array) {
+    hosts.forEach(host -> TargetCodec.encode(host, array.addObject()));
+  }
+
+  private static void encodeGrant(EvictionGrant grant, ObjectNode json) {
+    TargetCodec.encode(grant.target(), json.putObject("of"));
+    json.put("id", grant.id())
+        .put("who", grant.request().requestedBy())
+        .put("why", grant.request().reason())
+        .put("for_ms", grant.request().durationMillis())
+        .put("since", grant.grantedVersion())
+        .put("end_since", grant.restoringVersion())
+        .put("end_why", grant.restoringReason())
+        .put("leaving", grant.request().leaving());
+  }
+
+  private static void encodeMember(ProxyMember member, ObjectNode json) {
+    MemberState state = member.state();
+    ProxyReport report = member.lastReport();
+    json.put("name", member.name())
+        .put("zone", member.session().zone())
+        .put("version", member.session().version())
+        .put("joined", member.session().joinedChange())
+        .put("alive", state.isLive())
+        .put("left", state.hasLeft())
+        .put("fenced", state.isFenced())
+        .put("serving", state == MemberState.SERVING)
+        .put("seen", report.acknowledgedVersion())
+        .put("said", report.number())
+        .put("settling", member.stabilizingSince())
+        .put("catalogue", member.catalogueDigest());
+    report.busyHosts().forEach(json.putArray("busy")::add);
+    report.ejectedHosts().forEach(json.putArray("suspects")::add);
+  }
+
+  /**
+   * Takes the place of all that the tables hold.
+   *
+   * @return the times of the stored state
+   */
+  static Times decode(JsonNode json, DisruptionTables tables) {
+    tables.revision.restore(json.path("version").asLong(), json.path("change").asLong());
+    tables.setHaltReason(json.path("halted").asText(""));
+    List<Budget> budgets = new ArrayList<>();
+    json.path("budgets").forEach(budget -> budgets.add(decodeBudget(budget)));
+    tables.budgets.restore(budgets, json.path("budgets_version").asLong());
+    List<EvictionGrant> grants = new ArrayList<>();
+    json.path("permits").forEach(grant -> grants.add(decodeGrant(grant)));
+    tables.grants.restore(grants, json.path("next_permit").asLong(1));
+    List<ProxyMember> members = new ArrayList<>();
+    json.path("members").forEach(member -> members.add(decodeMember(member)));
+    tables.members.restore(members);
+    tables.catalogues.restore(decodeCatalogues(json.path("catalogues")));
+    tables.warmUps.restore(decodeWarmUps(json.path("warming")));
+    return new Times(
+        json.path("settle_ms").asLong(),
+        json.path("warm_ms").asLong(),
+        json.path("fence_ms").asLong());
+  }
+
+  /** Reads a budget, which was checked before it was stored. */
+  private static Budget decodeBudget(JsonNode json) {
+    return BudgetCodec.decode(json, new ArrayList<>());
+  }
+
+  private static EvictionGrant decodeGrant(JsonNode json) {
+    EvictionRequest request =
+        new EvictionRequest(
+            TargetCodec.decode(json.path("of")),
+            json.path("who").asText(),
+            json.path("why").asText(),
+            json.path("for_ms").asLong(),
+            json.path("leaving").asBoolean());
+    return new EvictionGrant(
+        json.path("id").asText(),
+        request,
+        json.path("since").asLong(),
+        json.path("end_since").asLong(),
+        json.path("end_why").asText());
+  }
+
+  private static ProxyMember decodeMember(JsonNode json) {
+    ProxyMember.Session session =
+        new ProxyMember.Session(
+            json.path("zone").asText(),
+            json.path("version").asText(DisruptionState.NO_VERSION),
+            json.path("joined").asLong());
+    ProxyReport report =
+        new ProxyReport(
+            json.path("said").asLong(),
+            json.path("seen").asLong(),
+            decodeNames(json.path("busy")),
+            decodeNames(json.path("suspects")));
+    return new ProxyMember(
+        json.path("name").asText(),
+        session,
+        decodeState(json),
+        report,
+        json.path("settling").asLong(),
+        json.path("catalogue").asText());
+  }
+
+  private static MemberState decodeState(JsonNode json) {
+    if (json.path("alive").asBoolean()) {
+      return json.path("serving").asBoolean() ? MemberState.SERVING : MemberState.NOT_SERVING;
+    }
+    boolean fenced = json.path("fenced").asBoolean();
+    if (json.path("left").asBoolean()) {
+      return fenced ? MemberState.LEFT_FENCED : MemberState.LEFT;
+    }
+    return fenced ? MemberState.LOST_FENCED : MemberState.LOST;
+  }
+
+  private static Set<String> decodeNames(JsonNode array) {
+    Set<String> names = new TreeSet<>();
+    array.forEach(name -> names.add(name.asText()));
+    return names;
+  }
+
+  private static Map<String, List<Target>> decodeCatalogues(JsonNode json) {
+    Map<String, List<Target>> catalogues = new TreeMap<>();
+    for (Map.Entry<String, JsonNode> catalogue : json.properties()) {
+      catalogues.put(catalogue.getKey(), TargetCodec.decodeAll(catalogue.getValue()));
+    }
+    return catalogues;
+  }
+
+  private static Map<String, Long> decodeWarmUps(JsonNode json) {
+    Map<String, Long> sinceByHost = new TreeMap<>();
+    for (Map.Entry<String, JsonNode> warmUp : json.properties()) {
+      sinceByHost.put(warmUp.getKey(), warmUp.getValue().asLong());
+    }
+    return sinceByHost;
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/disruption/DisruptionTimers.java
@@ -0,0 +1,74 @@
+package leadferry.disruption;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** Which timers run, how long each takes, and what its end changes. */
+final class DisruptionTimers {
+  private final DisruptionTables tables;
+  private final EvictionController evictions;
+
+  DisruptionTimers(DisruptionTables tables, EvictionController evictions) {
+    this.tables = tables;
+    this.evictions = evictions;
+  }
+
+  /**
+   * The timers that run by their stored names, with how long each takes from when it began (ms).
+   */
+  Map<String, Long> durationsMillis(DisruptionState.Times times) {
+    Map<String, Long> durationsMillis = new LinkedHashMap<>();
+    running(times)
+        .forEach((timer, durationMillis) -> durationsMillis.put(timer.name(), durationMillis));
+    return durationsMillis;
+  }
+
+  private Map<DisruptionTimer, Long> running(DisruptionState.Times times) {
+    Map<DisruptionTimer, Long> timers = new LinkedHashMap<>();
+    for (EvictionGrant grant : tables.grants.all()) {
+      long durationMillis = grant.request().durationMillis();
+      if (durationMillis > 0 && !grant.isRestoring()) {
+        timers.put(
+            new DisruptionTimer.GrantExpiry(grant.id()), durationMillis + times.fenceMillis());
+      }
+    }
+    for (ProxyMember member : tables.members.all()) {
+      if (member.isStabilizing() && member.state() == MemberState.SERVING) {
+        timers.put(
+            new DisruptionTimer.Stabilization(member.name(), member.stabilizingSince()),
+            times.stabilizationMillis());
+      }
+    }
+    tables
+        .warmUps
+        .sinceByHost()
+        .forEach(
+            (host, since) ->
+                timers.put(new DisruptionTimer.WarmUp(host, since), times.warmUpMillis()));
+    return timers;
+  }
+
+  /** A timer has ended; one that does not run any more changes nothing. */
+  void ended(String name, DisruptionState.Times times) {
+    for (DisruptionTimer timer : running(times).keySet()) {
+      if (timer.name().equals(name)) {
+        tables.revision.advanceChange();
+        apply(timer);
+        return;
+      }
+    }
+  }
+
+  private void apply(DisruptionTimer timer) {
+    if (timer instanceof DisruptionTimer.GrantExpiry expiry) {
+      evictions.undo(expiry.grantId(), "its time was over");
+    } else if (timer instanceof DisruptionTimer.Stabilization stabilization) {
+      tables
+          .members
+          .find(stabilization.proxy())
+          .ifPresent(member -> tables.members.put(member.stabilized()));
+    } else if (timer instanceof DisruptionTimer.WarmUp warmUp) {
+      tables.warmUps.end(warmUp.host());
+    }
+  }
+}
--- a/src/main/java/leadferry/disruption/EvictionGrant.java
+++ b/src/main/java/leadferry/disruption/EvictionGrant.java
@@ -4,43 +4,64 @@
  * The right of one proxy or host to be out of service.
  *
  * <pre>
- *   granted --(undo, its time)--> ending --(holder: "I serve again"; host: all have heard)--> gone
+ *   GRANTED --(undo, expiry)--> RESTORING --(proxy: serves again; host: all acknowledged)--> released
  * </pre>
  *
- * <p>A permit that is ending still counts: guards against a holder that hears of the grant only
- * after somebody else has been given the place.
+ * <p>A released grant is no longer in the {@link EvictionGrantTable}. A grant that is restoring
+ * still counts against budgets. Guards against a holder that hears of its grant only after another
+ * target was given the place.
+ *
+ * @param id number in decimal, unique for ever
+ * @param request what was asked for
+ * @param grantedVersion version of the agreed state that gave it
+ * @param restoringVersion version of the agreed state that began to take it back, 0 before
+ * @param restoringReason why it was taken back, for people; "" before
  */
-final class EvictionGrant {
-  final String id;
-  final Target of;
-  final String who;
-  final String why;
+record EvictionGrant(
+    String id,
+    EvictionRequest request,
+    long grantedVersion,
+    long restoringVersion,
+    String restoringReason) {
+
+  /** The states of a grant that counts. */
+  enum State {
+    /** Its target is to be out of service. */
+    GRANTED,
+    /** Its target is to be in service, and is not yet known to be. */
+    RESTORING
+  }
 
-  /** How long it holds (ms), 0 for until it is given back. */
-  final long forMs;
+  /** A grant that was just given. */
+  static EvictionGrant granted(String id, EvictionRequest request, long version) {
+    return new EvictionGrant(id, request, version, 0, "");
+  }
 
   /**
-   * The version of the ledger in which it was granted, and in which it began to end, 0 while it has
-   * not.
+   * The same grant, from here on taken back.
+   *
+   * @throws IllegalStateException if that has begun already
    */
-  final long since;
+  EvictionGrant restoring(long version, String reason) {
+    if (isRestoring()) {
+      throw new IllegalStateException("grant " + id + ": RESTORING (expected: GRANTED)");
+    }
+    return new EvictionGrant(id, request, grantedVersion, version, reason);
+  }
 
-  long endSince;
-  String endWhy = "";
+  State state() {
+    return restoringVersion > 0 ? State.RESTORING : State.GRANTED;
+  }
 
-  /** Its holder is to end for good. */
-  boolean leaving;
+  boolean isRestoring() {
+    return state() == State.RESTORING;
+  }
 
-  EvictionGrant(String id, Target of, String who, String why, long forMs, long since) {
-    this.id = id;
-    this.of = of;
-    this.who = who;
-    this.why = why;
-    this.forMs = forMs;
-    this.since = since;
+  Target target() {
+    return request.target();
   }
 
-  boolean ending() {
-    return endSince > 0;
+  boolean isOf(TargetType type) {
+    return target().kind() == type;
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/disruption/EvictionProgress.java
@@ -0,0 +1,72 @@
+package leadferry.disruption;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+
+/** Answers whether an eviction that was granted has been carried out, and whom it waits for. */
+final class EvictionProgress {
+  private final DisruptionTables tables;
+
+  EvictionProgress(DisruptionTables tables) {
+    this.tables = tables;
+  }
+
+  /**
+   * The proxies that may still send to a host that was taken out of service; empty for proxies and
+   * for grants that are not known.
+   *
+   * @return reasons by the proxy's name
+   */
+  Map<String, String> awaited(String grantId) {
+    Map<String, String> reasons = new TreeMap<>();
+    EvictionGrant grant = tables.grants.find(grantId).orElse(null);
+    if (grant == null || !grant.isOf(TargetType.HOST)) {
+      return reasons;
+    }
+    for (ProxyMember member : tables.members.all()) {
+      awaitedReason(member, grant).ifPresent(reason -> reasons.put(member.name(), reason));
+    }
+    return reasons;
+  }
+
+  private static Optional<String> awaitedReason(ProxyMember member, EvictionGrant grant) {
+    if (member.state() == MemberState.LOST) {
+      return Optional.of("lost: may go on sending there until it is back or fenced");
+    }
+    if (!member.state().isLive()) {
+      return Optional.empty();
+    }
+    if (!member.hasAcknowledged(grant.grantedVersion())) {
+      return Optional.of("has not told that it knows");
+    }
+    return member.lastReport().busyHosts().contains(grant.target().name())
+        ? Optional.of("has requests in flight there")
+        : Optional.empty();
+  }
+
+  /**
+   * Whether what the grant takes out of service is out: the proxy serves no more, or no proxy may
+   * still send to the host.
+   */
+  boolean carriedOut(String grantId) {
+    EvictionGrant grant = tables.grants.find(grantId).orElse(null);
+    if (grant == null || grant.isRestoring()) {
+      return false;
+    }
+    if (grant.isOf(TargetType.HOST)) {
+      return awaited(grantId).isEmpty();
+    }
+    return tables
+        .members
+        .find(grant.target().name())
+        .map(holder -> hasStoppedServing(holder, grant))
+        .orElse(true);
+  }
+
+  private static boolean hasStoppedServing(ProxyMember holder, EvictionGrant grant) {
+    return holder.state().isGone()
+        || (holder.state() == MemberState.NOT_SERVING
+            && holder.hasAcknowledged(grant.grantedVersion()));
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/disruption/ExplainWriter.java
@@ -0,0 +1,71 @@
+package leadferry.disruption;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.Optional;
+import leadferry.disruption.Outcome.Status;
+
+/** The explain view for operators: what a drain would come to now, and each bound that it meets. */
+final class ExplainWriter {
+  private final DisruptionTables tables;
+  private final TargetDirectory targets;
+  private final UnavailabilityEvaluator unavailability;
+  private final BudgetEvaluator budgets;
+
+  ExplainWriter(
+      DisruptionTables tables,
+      TargetDirectory targets,
+      UnavailabilityEvaluator unavailability,
+      BudgetEvaluator budgets) {
+    this.tables = tables;
+    this.targets = targets;
+    this.unavailability = unavailability;
+    this.budgets = budgets;
+  }
+
+  /**
+   * Explains a drain that nobody has asked for.
+   *
+   * @param type null where the asker named none that is known
+   */
+  void write(TargetType type, String name, ObjectNode json) {
+    Target target = type == null ? null : targets.find(type, name).orElse(null);
+    if (target == null) {
+      String word = type == null ? "kind" : type.word();
+      json.put("status", Status.UNKNOWN.word())
+          .putArray("why")
+          .add("no " + word + " '" + name + "'");
+      return;
+    }
+    Optional<EvictionGrant> held = tables.grants.heldBy(type, name);
+    List<BudgetBound> bounds = budgets.bounds(target);
+    json.put("status", Status.DONE.word())
+        .put("kind", type.word())
+        .put("name", name)
+        .put("out", unavailability.of(type, name).map(Unavailability::text).orElse(null))
+        .put("halted", tables.haltReason())
+        .put("would_be", wouldBe(held.isPresent(), bounds).word());
+    held.ifPresent(grant -> json.put("permit", grant.id()));
+    ArrayNode boundsJson = json.putArray("bounds");
+    bounds.forEach(bound -> writeBound(bound, boundsJson.addObject()));
+  }
+
+  private Status wouldBe(boolean holdsGrant, List<BudgetBound> bounds) {
+    if (holdsGrant) {
+      return Status.REFUSED;
+    }
+    if (tables.isHalted()) {
+      return Status.HALTED;
+    }
+    return bounds.stream().anyMatch(BudgetBound::isExhausted) ? Status.REFUSED : Status.GRANTED;
+  }
+
+  private static void writeBound(BudgetBound bound, ObjectNode json) {
+    json.put("bound", bound.name())
+        .put("of", bound.groupSize())
+        .put("allowed", bound.allowed())
+        .put("full", bound.isExhausted());
+    bound.unavailableOthers().forEach(json.putArray("others_out")::add);
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/disruption/HostCatalogues.java
@@ -0,0 +1,33 @@
+package leadferry.disruption;
+
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/** The lists of hosts that proxies balance over, by digest: proxies with the same list share it. */
+final class HostCatalogues {
+  private final Map<String, List<Target>> hostsByDigest = new TreeMap<>();
+
+  /** The lists in the order of their digests. */
+  Map<String, List<Target>> byDigest() {
+    return Collections.unmodifiableMap(hostsByDigest);
+  }
+
+  /** Adds a list, unless one of that digest is there. */
+  void add(String digest, List<Target> hosts) {
+    hostsByDigest.putIfAbsent(digest, List.copyOf(hosts));
+  }
+
+  /** Drops lists that nobody balances over any more. */
+  void retain(Set<String> usedDigests) {
+    hostsByDigest.keySet().retainAll(usedDigests);
+  }
+
+  /** Takes the place of all lists. */
+  void restore(Map<String, List<Target>> restored) {
+    hostsByDigest.clear();
+    hostsByDigest.putAll(restored);
+  }
+}
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -1,50 +1,96 @@
 package leadferry.disruption;
 
-import java.util.Set;
-import java.util.TreeSet;
+/**
+ * A proxy of the fleet as the agreed state knows it; immutable, replaced in the {@link MemberTable}
+ * by each transition.
+ *
+ * @param name unique in the fleet
+ * @param session what it said of itself when its newest session began
+ * @param state whether its session is live, and what became of it where it is not
+ * @param lastReport its newest report of that session
+ * @param stabilizingSince the change at which it came back and began to stabilize, 0 once it has
+ * @param catalogueDigest the {@link HostCatalogues list of hosts} that it balances over, "" before
+ *     any
+ */
+record ProxyMember(
+    String name,
+    Session session,
+    MemberState state,
+    ProxyReport lastReport,
+    long stabilizingSince,
+    String catalogueDigest) {
 
-/** A client proxy as the ledger knows it: what it has told, and whether its session lives. */
-final class ProxyMember {
-  final String name;
-  String zone = Target.NONE;
+  /**
+   * The beginning of a session.
+   *
+   * @param zone label by which budgets select
+   * @param version version of the program, {@link DisruptionState#NO_VERSION} where it told none
+   * @param joinedChange the change with which the session began
+   */
+  record Session(String zone, String version, long joinedChange) {}
 
-  /** What runs there, as it told when its session began. */
-  String version = DisruptionState.NO_VERSION;
-
-  /** The change of the ledger with which its session began. */
-  long joined;
-
-  /** Whether its session lives; false is lost, unless it {@link #left}. */
-  boolean alive;
-
-  /** It said that it ends, and had nothing in flight. */
-  boolean left;
+  /** A proxy that was never known before: while it comes, it takes nothing away. */
+  static ProxyMember joinedFirst(String name, Session session) {
+    return new ProxyMember(name, session, MemberState.NOT_SERVING, ProxyReport.NONE, 0, "");
+  }
 
-  /** An operator has declared that its process is dead. */
-  boolean fenced;
+  /** A proxy that was known: it was missed, and stabilizes first. */
+  ProxyMember rejoined(Session newSession) {
+    return new ProxyMember(
+        name,
+        newSession,
+        state.joined(),
+        ProxyReport.NONE,
+        newSession.joinedChange(),
+        catalogueDigest);
+  }
 
-  /** Whether it has told, in this session, that it serves. */
-  boolean serving;
+  /**
+   * Takes a report; the time to stabilize counts from when it serves.
+   *
+   * @param report the report, merged with the last one
+   * @param change the change that the report makes
+   */
+  ProxyMember reported(ProxyReport report, boolean serving, long change) {
+    MemberState next = state.reported(serving);
+    boolean beginsToServe = next == MemberState.SERVING && state != MemberState.SERVING;
+    long since = beginsToServe && isStabilizing() ? change : stabilizingSince;
+    return new ProxyMember(name, session, next, report, since, catalogueDigest);
+  }
 
-  /** The newest version of the ledger that it has told to go by. */
-  long seen;
+  ProxyMember sessionEnded(boolean byItself) {
+    return new ProxyMember(
+        name,
+        session,
+        state.sessionEnded(byItself),
+        lastReport.withoutHosts(),
+        stabilizingSince,
+        catalogueDigest);
+  }
 
-  /** The number of its last word in this session; an earlier one that comes late is passed over. */
-  long said;
+  ProxyMember fenced() {
+    return new ProxyMember(
+        name, session, state.fenced(), lastReport, stabilizingSince, catalogueDigest);
+  }
 
-  /** The change of the ledger with which it came back and began to settle, 0 once it has. */
-  long settling;
+  ProxyMember stabilizingFrom(long change) {
+    return new ProxyMember(name, session, state, lastReport, change, catalogueDigest);
+  }
 
-  /** Hosts that are out by permit and on which it still has requests in flight. */
-  Set<String> busy = new TreeSet<>();
+  ProxyMember stabilized() {
+    return stabilizingFrom(0);
+  }
 
-  /** Hosts that its modules have ejected. */
-  Set<String> suspects = new TreeSet<>();
+  ProxyMember withCatalogue(String digest) {
+    return new ProxyMember(name, session, state, lastReport, stabilizingSince, digest);
+  }
 
-  /** The catalogue of hosts that it balances over, by digest. */
-  String catalogue = "";
+  boolean isStabilizing() {
+    return stabilizingSince > 0;
+  }
 
-  ProxyMember(String name) {
-    this.name = name;
+  /** Whether it has reported to go by that version of the agreed state or a later one. */
+  boolean hasAcknowledged(long version) {
+    return lastReport.acknowledgedVersion() >= version;
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/disruption/TargetDirectory.java
@@ -0,0 +1,50 @@
+package leadferry.disruption;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+
+/**
+ * Which proxies and hosts there are: members, hosts that any of them knows, and holders of grants.
+ */
+final class TargetDirectory {
+  private final DisruptionTables tables;
+
+  TargetDirectory(DisruptionTables tables) {
+    this.tables = tables;
+  }
+
+  /** All targets of a type by name, made anew at each call. */
+  Map<String, Target> byName(TargetType type) {
+    return type == TargetType.PROXY ? proxies() : hosts();
+  }
+
+  Optional<Target> find(TargetType type, String name) {
+    return Optional.ofNullable(byName(type).get(name));
+  }
+
+  private Map<String, Target> proxies() {
+    Map<String, Target> proxies = new TreeMap<>();
+    for (ProxyMember member : tables.members.all()) {
+      String zone = member.session().zone();
+      proxies.put(
+          member.name(),
+          new Target(TargetType.PROXY, member.name(), zone, Target.NONE, Target.NONE, Target.NONE));
+    }
+    return proxies;
+  }
+
+  private Map<String, Target> hosts() {
+    Map<String, Target> hosts = new TreeMap<>();
+    for (List<Target> catalogue : tables.catalogues.byDigest().values()) {
+      catalogue.forEach(host -> hosts.putIfAbsent(host.name(), host));
+    }
+    for (EvictionGrant grant : tables.grants.all()) {
+      if (grant.isOf(TargetType.HOST)) {
+        hosts.putIfAbsent(grant.target().name(), grant.target());
+      }
+    }
+    return hosts;
+  }
+}
