--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -3,14 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import leadferry.disruption.DisruptionCommand.Drain;
-import leadferry.disruption.FleetView.ProxyEviction;
 import leadferry.disruption.Outcome.Status;
 
 /**
@@ -91,9 +88,7 @@
     return tables
         .members
         .find(proxy)
-        .filter(member -> member.state().isLive())
-        .filter(member -> member.lastReport().number() > 0)
-        .filter(member -> member.session().joinedChange() > afterChange)
+        .filter(member -> member.hasReportedInSessionAfter(afterChange))
         .map(member -> member.session().version())
         .orElse("");
   }
@@ -218,22 +213,7 @@
    * @param expectedVersion version of the budgets that they replace
    */
   public Outcome budgets(List<Budget> replacements, long expectedVersion) {
-    long currentVersion = tables.budgets.version();
-    if (expectedVersion != currentVersion) {
-      return Outcome.of(
-          Status.CONFLICT, "budgets are at version " + currentVersion + ", not " + expectedVersion);
-    }
-    Set<String> names = new TreeSet<>();
-    for (Budget budget : replacements) {
-      if (!names.add(budget.name())) {
-        return Outcome.of(
-            Status.MALFORMED,
-            "budget " + budget.name() + ": a second time (expected: a name of its own)");
-      }
-    }
-    tables.revision.advanceChange();
-    tables.budgets.replace(replacements);
-    return Outcome.of(Status.DONE);
+    return tables.budgets.replace(replacements, expectedVersion, tables.revision);
   }
 
   /** An operator declares a lost proxy's process dead: it can send nothing any more. */
@@ -246,15 +226,12 @@
     return memberLifecycle.forget(name);
   }
 
-  /**
-   * The timers that run, with how long each takes from when it was first named (ms). A name never
-   * comes a second time; the map is the caller's.
-   */
+  /** The timers that run, and how long each takes from when it was first named (ms). */
   public Map<String, Long> timers() {
     return timers.durationsMillis(times);
   }
 
-  /** A timer has ended; one that does not run any more changes nothing. */
+  /** A timer of {@link #timers} has ended; one that does not run any more changes nothing. */
   public void timeout(String timer) {
     timers.ended(timer, times);
   }
@@ -284,34 +261,14 @@
     return progress.awaited(grantId);
   }
 
-  /**
-   * Whether what a grant takes out of service is out: the proxy serves no more, or no proxy may
-   * still send to the host.
-   */
+  /** Whether what a grant takes out is out: see {@link EvictionProgress#carriedOut}. */
   public boolean carriedOut(String grantId) {
     return progress.carriedOut(grantId);
   }
 
   /** Writes what every member must know, see {@link FleetViewCodec}. */
   public void view(ObjectNode json) {
-    FleetViewCodec.encode(fleetView(), json);
-  }
-
-  private FleetView fleetView() {
-    Set<String> hostsOut = new LinkedHashSet<>();
-    Map<String, ProxyEviction> proxiesOut = new LinkedHashMap<>();
-    for (EvictionGrant grant : tables.grants.all()) {
-      if (grant.isRestoring()) {
-        continue;
-      }
-      String name = grant.target().name();
-      if (grant.isOf(TargetType.HOST)) {
-        hostsOut.add(name);
-      } else {
-        proxiesOut.put(name, new ProxyEviction(grant.id(), grant.request().durationMillis()));
-      }
-    }
-    return new FleetView(version(), tables.isHalted(), hostsOut, proxiesOut);
+    FleetViewCodec.encode(FleetView.of(tables), json);
   }
 
   /** Writes all that operators may want to see. */
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -25,6 +25,24 @@
     proxiesOut = Collections.unmodifiableMap(new LinkedHashMap<>(proxiesOut));
   }
 
+  /** What is taken out of service now: targets of grants that are not being taken back. */
+  static FleetView of(DisruptionTables tables) {
+    Set<String> hostsOut = new LinkedHashSet<>();
+    Map<String, ProxyEviction> proxiesOut = new LinkedHashMap<>();
+    for (EvictionGrant grant : tables.grants.all()) {
+      if (grant.isRestoring()) {
+        continue;
+      }
+      String name = grant.target().name();
+      if (grant.isOf(TargetType.HOST)) {
+        hostsOut.add(name);
+      } else {
+        proxiesOut.put(name, new ProxyEviction(grant.id(), grant.request().durationMillis()));
+      }
+    }
+    return new FleetView(tables.revision.version(), tables.isHalted(), hostsOut, proxiesOut);
+  }
+
   /** The eviction of that proxy, or {@link ProxyEviction#NONE}. */
   ProxyEviction evictionOf(String proxy) {
     return proxiesOut.getOrDefault(proxy, ProxyEviction.NONE);
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -89,6 +89,11 @@
     return stabilizingSince > 0;
   }
 
+  /** Whether its session is live, began after that change, and has brought a report. */
+  boolean hasReportedInSessionAfter(long change) {
+    return state.isLive() && lastReport.number() > 0 && session.joinedChange() > change;
+  }
+
   /** Whether it has reported to go by that version of the agreed state or a later one. */
   boolean hasAcknowledged(long version) {
     return lastReport.acknowledgedVersion() >= version;
