--- /dev/null
+++ b/src/test/java/leadferry/disruption/ProxyMemberTest.java
@@ -0,0 +1,67 @@
+package leadferry.disruption;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+class ProxyMemberTest {
+  private static final ProxyMember FIRST =
+      ProxyMember.joinedFirst("a", new ProxyMember.Session("z", "v1", 3));
+
+  private static ProxyReport report(long number, long acknowledgedVersion) {
+    return new ProxyReport(number, acknowledgedVersion, Set.of("h1"), Set.of("h2"));
+  }
+
+  private static ProxyMember rejoinedAt(long change) {
+    return FIRST.sessionEnded(false).rejoined(new ProxyMember.Session("z", "v2", change));
+  }
+
+  @Test
+  void aProxyThatIsNewDoesNotStabilize() {
+    assertThat(FIRST.reported(report(1, 0), true, 5).isStabilizing()).isFalse();
+  }
+
+  @Test
+  void aProxyThatComesBackStabilizesFromWhenItServes() {
+    ProxyMember back = rejoinedAt(10);
+
+    assertThat(back.stabilizingSince()).isEqualTo(10);
+    assertThat(back.reported(report(1, 0), false, 11).stabilizingSince()).isEqualTo(10);
+    assertThat(back.reported(report(1, 0), true, 12).stabilizingSince()).isEqualTo(12);
+  }
+
+  @Test
+  void anotherReportThatItServesDoesNotBeginTheTimeAnew() {
+    ProxyMember serving = rejoinedAt(10).reported(report(1, 0), true, 12);
+
+    assertThat(serving.reported(report(2, 0), true, 20).stabilizingSince()).isEqualTo(12);
+  }
+
+  @Test
+  void aSessionThatEndsKeepsWhatWasAcknowledgedAndDropsItsHosts() {
+    ProxyMember ended = FIRST.reported(report(1, 7), true, 5).sessionEnded(true);
+
+    assertThat(ended.hasAcknowledged(7)).isTrue();
+    assertThat(ended.lastReport().busyHosts()).isEmpty();
+    assertThat(ended.lastReport().ejectedHosts()).isEmpty();
+  }
+
+  @Test
+  void anAcknowledgedVersionNeitherGoesBackNorPassesTheAgreedOne() {
+    ProxyReport first = report(1, 4).after(ProxyReport.NONE, 5);
+
+    assertThat(first.acknowledgedVersion()).isEqualTo(4);
+    assertThat(report(2, 3).after(first, 5).acknowledgedVersion()).isEqualTo(4);
+    assertThat(report(2, 9).after(first, 5).acknowledgedVersion()).isEqualTo(5);
+  }
+
+  @Test
+  void aVersionCountsOnceItsSessionHasBroughtAReport() {
+    assertThat(FIRST.hasReportedInSessionAfter(2)).isFalse();
+    ProxyMember reported = FIRST.reported(report(1, 0), false, 5);
+    assertThat(reported.hasReportedInSessionAfter(2)).isTrue();
+    assertThat(reported.hasReportedInSessionAfter(3)).isFalse();
+    assertThat(reported.sessionEnded(true).hasReportedInSessionAfter(2)).isFalse();
+  }
+}
