--- /dev/null
+++ b/src/test/java/leadferry/disruption/DisruptionTimersTest.java
@@ -0,0 +1,76 @@
+package leadferry.disruption;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+class DisruptionTimersTest {
+  private static final DisruptionState.Times TIMES = new DisruptionState.Times(500, 700, 100);
+  private static final Target HOST =
+      new Target(TargetType.HOST, "h:1", "z", Target.NONE, "p", Target.NONE);
+
+  private final DisruptionState state = new DisruptionState(TIMES);
+
+  private void join(String name) {
+    state.joined(
+        name,
+        "z",
+        "v",
+        "digest",
+        List.of(HOST, new Target(TargetType.HOST, "h2", "z", Target.NONE, "p", Target.NONE)));
+  }
+
+  private void report(String name, long number, String... ejectedHosts) {
+    state.told(name, number, state.version(), true, Set.of(), Set.of(ejectedHosts));
+  }
+
+  @Test
+  void aGrantExpiresALittleLaterThanItsHolderThinks() {
+    join("a");
+    state.drain(TargetType.HOST, "h:1", 50, false, "operator", "disk");
+
+    assertThat(state.timers()).isEqualTo(Map.of("permit:1", 150L));
+    state.timeout("permit:1");
+    assertThat(state.out(TargetType.HOST, "h:1")).isEqualTo("permit 1, ending");
+    assertThat(state.timers()).isEmpty();
+  }
+
+  @Test
+  void aProxyThatCameBackStabilizesOnceItServes() {
+    join("a:b");
+    state.ended("a:b", false);
+    join("a:b");
+    assertThat(state.timers()).isEmpty();
+    report("a:b", 1);
+
+    assertThat(state.timers()).isEqualTo(Map.of("settle:a:b:4", 500L));
+    state.timeout("settle:a:b:4");
+    assertThat(state.out(TargetType.PROXY, "a:b")).isNull();
+  }
+
+  @Test
+  void aHostThatCameBackWarmsUp() {
+    join("a");
+    join("b");
+    report("a", 1, "h:1");
+    report("b", 1, "h:1");
+    report("a", 2);
+
+    assertThat(state.timers()).isEqualTo(Map.of("warm:h:1:5", 700L));
+    state.timeout("warm:h:1:5");
+    assertThat(state.out(TargetType.HOST, "h:1")).isNull();
+  }
+
+  @Test
+  void aTimerThatDoesNotRunChangesNothing() {
+    join("a");
+    long changes = state.changes();
+
+    state.timeout("permit:1");
+
+    assertThat(state.changes()).isEqualTo(changes);
+  }
+}
