--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -43,9 +43,9 @@
             new EvictionRequest(
                 target, drain.who(), drain.why(), drain.durationMillis(), drain.leaving()),
             tables.revision.advanceVersion());
-    if (target.kind() == TargetType.HOST) {
-      tables.warmUps.end(target.name());
-    }
+    // A proxy's grant ends the warm-up of a host without a name, as in earlier builds: replicas of
+    // two builds must not differ about one log.
+    tables.warmUps.end(target.kind() == TargetType.HOST ? target.name() : "");
     return new Outcome(Status.GRANTED, grant.id(), List.of());
   }
 
