--- a/src/main/java/leadferry/cli/DemoCommand.java
+++ b/src/main/java/leadferry/cli/DemoCommand.java
@@ -186,7 +186,7 @@
       twice += unsafe && runs > 1 ? 1 : 0;
       outside += keyed && !ledger.repeatsKept(d.id(), WINDOW_MS) ? 1 : 0;
       refusedAfterWork += unsafe && d.outcome() == Outcome.REFUSED && runs > 0 ? 1 : 0;
-      late += d.ns() > d.kind().deadlineMs() * 1_000_000L + 50_000_000L ? 1 : 0;
+      late += d.nanos() > d.kind().deadlineMs() * 1_000_000L + 50_000_000L ? 1 : 0;
     }
     long lost = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
     long afterGrace = hosts.get(0).lastArrival() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
--- a/src/main/java/leadferry/cli/OverloadTestCommand.java
+++ b/src/main/java/leadferry/cli/OverloadTestCommand.java
@@ -2,9 +2,6 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -13,29 +10,33 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import leadferry.testbed.ChildProxy;
 import leadferry.testbed.ExecutionLog;
 import leadferry.testbed.FakeUpstream;
+import leadferry.testbed.OverloadPlan;
 import leadferry.testbed.OverloadTest;
+import leadferry.testbed.OverloadTimeline;
+import leadferry.testbed.ThrottledProxy;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Runs an {@link OverloadTest} against a proxy on part of a core. */
 @Command(
     name = "overload-test",
     aliases = "storm",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts a proxy on part of a core before hosts that stay healthy, lets a storm loose on it, and tells how "
-          + "long after the storm's end as many usual clients are served as before.",
+      "Starts a proxy on part of a core before upstreams that stay healthy, overloads it, and tells how "
+          + "long after the end of the overload as many usual clients are served as before.",
       "",
-      "crowd: ten times the clients. retry: the same, asking again at once when refused. silent, trickle, heads, "
+      "crowd: ten times the clients. retry: the same, asking again at once when rejected. silent, trickle, heads, "
           + "deaf: connections that say nothing, a byte a second, a head and no body, or never read. reconnect: all "
           + "clients connect anew at once. pause: the process stands still. restart: it ends and starts again."
     },
     footer = {"", "Exit status: 0 it recovered, 1 it did not, 2 faulty arguments."})
 final class OverloadTestCommand implements Callable<Integer> {
+  /** What overloads the proxy. */
   enum Kind {
     CROWD,
     RETRY,
@@ -48,16 +49,18 @@
     RESTART
   }
 
-  enum Target {
-    PLATFORM,
-    DAEMON
-  }
+  private static final double SERVICE_MILLIS = 5;
+  private static final int CORES = 8;
+  private static final int MOST_EXECUTIONS = 1_000_000;
+  private static final int MOST_CLIENTS = 20_000;
+  private static final double MOST_SECONDS = 600;
+  private static final long END_MILLIS = 5_000;
 
   @Parameters(paramLabel = "KIND", description = "${COMPLETION-CANDIDATES}, in any case.")
   private Kind kind;
 
   @Option(names = "--proxy", defaultValue = "DAEMON", description = "${COMPLETION-CANDIDATES}.")
-  private Target target;
+  private ThrottledProxyLauncher.Kind proxyKind;
 
   @Option(
       names = "--share",
@@ -81,13 +84,13 @@
       names = "--think-ms",
       defaultValue = "200",
       description = "What a usual client waits between requests, in the mean.")
-  private double thinkMs;
+  private double thinkMillis;
 
   @Option(
       names = "--timeout-ms",
       defaultValue = "800",
       description = "How long a client waits for an answer.")
-  private long timeoutMs;
+  private long timeoutMillis;
 
   @Option(
       names = "--crowd",
@@ -101,7 +104,7 @@
       description = "Sockets that the proxy may hold.")
   private int descriptors;
 
-  @Option(names = "--calm", defaultValue = "6", description = "Seconds before the storm.")
+  @Option(names = "--calm", defaultValue = "6", description = "Seconds before the overload.")
   private double calm;
 
   @Option(names = "--trigger", defaultValue = "5", description = "Seconds that it lasts.")
@@ -120,38 +123,21 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    if (!(share > 0
-        && share <= 1
-        && clients > 0
-        && clients <= 20_000
-        && crowd >= 0
-        && crowd <= 20_000
-        && calm >= 1
-        && trigger > 0
-        && after >= 3
-        && calm + trigger + after <= 600
-        && timeoutMs > 0)) {
-      throw new CommandLine.ParameterException(
-          spec.commandLine(),
-          "expected: a share above 0 and at most 1, clients and crowd at most 20000, calm from 1, after from 3,"
-              + " 600 seconds at most");
-    }
-    Path folder = Files.createTempDirectory("leadferry-storm");
-    try (FakeUpstream a =
-            new FakeUpstream(
-                FakeUpstream.Options.quick("a").takes(5, 8), new ExecutionLog(1_000_000));
-        FakeUpstream b =
-            new FakeUpstream(
-                FakeUpstream.Options.quick("b").takes(5, 8), new ExecutionLog(1_000_000));
-        ChildProxy proxy = proxy(folder, List.of(a, b))) {
-      long from = System.nanoTime();
+    checkOptions();
+    ThrottledProxyLauncher launcher =
+        new ThrottledProxyLauncher(proxyKind, jvmFile, jvm, share, descriptors, timeoutMillis);
+    Path folder = Files.createTempDirectory("leadferry-overload");
+    try (FakeUpstream first = upstream("a");
+        FakeUpstream second = upstream("b");
+        ThrottledProxy proxy = launcher.create(folder, List.of(first, second))) {
+      long startNanos = System.nanoTime();
       proxy.start();
-      double started = proxy.awaitListening(from);
-      if (Double.isNaN(started)) {
+      double startSeconds = proxy.awaitListening(startNanos);
+      if (Double.isNaN(startSeconds)) {
         System.err.println("the proxy does not listen: " + Files.readString(folder.resolve("log")));
         return 1;
       }
-      return play(proxy, started);
+      return play(proxy, startSeconds, launcher.path());
     } finally {
       Files.deleteIfExists(folder.resolve("config"));
       Files.deleteIfExists(folder.resolve("log"));
@@ -159,212 +145,176 @@
     }
   }
 
-  private int play(ChildProxy proxy, double started) throws IOException, InterruptedException {
-    OverloadTest.Crowd does =
-        switch (kind) {
-          case RETRY -> OverloadTest.Crowd.RETRYING;
-          case SILENT -> OverloadTest.Crowd.SILENT;
-          case TRICKLE -> OverloadTest.Crowd.TRICKLING;
-          case HEADS -> OverloadTest.Crowd.HEADS;
-          case DEAF -> OverloadTest.Crowd.DEAF;
-          default -> OverloadTest.Crowd.USUAL;
-        };
-    int size = kind == Kind.RECONNECT || kind == Kind.PAUSE || kind == Kind.RESTART ? 0 : crowd;
-    String path = target == Target.PLATFORM ? "/read/x" : "/";
-    OverloadTest.Plan plan =
-        new OverloadTest.Plan(
-            List.of(proxy.address()),
-            clients,
-            thinkMs,
-            timeoutMs,
-            does,
-            size,
-            kind == Kind.RECONNECT,
-            calm,
-            trigger,
-            after,
-            path,
-            seed);
-    double[] restart = {Double.NaN};
-    Runnable begin =
-        () -> {
-          if (kind == Kind.PAUSE) {
-            proxy.pause();
-          } else if (kind == Kind.RESTART) {
-            long from = System.nanoTime();
-            proxy.end(5_000);
-            proxy.start();
-            try {
-              restart[0] = proxy.awaitListening(from);
-            } catch (InterruptedException e) {
-              Thread.currentThread().interrupt();
-            }
-          }
-        };
-    List<ChildProxy.Sample> samples = new ArrayList<>();
-    try (OverloadTest storm = new OverloadTest(plan, begin, () -> end(proxy))) {
-      Thread looks = new Thread(() -> look(proxy, samples), "looks");
-      looks.setDaemon(true);
-      looks.start();
+  private static FakeUpstream upstream(String name) {
+    return new FakeUpstream(
+        FakeUpstream.Options.quick(name).takes(SERVICE_MILLIS, CORES),
+        new ExecutionLog(MOST_EXECUTIONS));
+  }
+
+  private void checkOptions() {
+    boolean sound =
+        isAbove(share, 0, 1)
+            && isAbove(clients, 0, MOST_CLIENTS)
+            && isAbove(crowd, -1, MOST_CLIENTS)
+            && calm >= 1
+            && trigger > 0
+            && after >= 3
+            && calm + trigger + after <= MOST_SECONDS
+            && timeoutMillis > 0;
+    if (!sound) {
+      throw new CommandLine.ParameterException(
+          spec.commandLine(),
+          "expected: a share above 0 and at most 1, clients and crowd at most 20000, calm from 1, after from 3,"
+              + " 600 seconds at most");
+    }
+  }
+
+  private static boolean isAbove(double value, double bound, double most) {
+    return value > bound && value <= most;
+  }
+
+  private int play(ThrottledProxy proxy, double startSeconds, String path)
+      throws IOException, InterruptedException {
+    double[] restartSeconds = {Double.NaN};
+    List<ThrottledProxy.Sample> samples = new ArrayList<>();
+    try (OverloadTest test =
+        new OverloadTest(plan(proxy, path), () -> begin(proxy, restartSeconds), () -> end(proxy))) {
+      Thread sampling = new Thread(() -> sample(proxy, samples), "samples");
+      sampling.setDaemon(true);
+      sampling.start();
       Progress progress = new Progress();
       Thread shown =
           progress.show(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
-      storm.run();
-      looks.interrupt();
-      looks.join();
+      test.run();
+      sampling.interrupt();
+      sampling.join();
       progress.end(shown);
-      Map<String, Object> result = new LinkedHashMap<>();
-      result.put("storm", kind.name().toLowerCase(Locale.ROOT));
-      result.put("proxy", target.name().toLowerCase(Locale.ROOT));
-      result.put("share_of_core", share);
-      result.put("start_s", round(started));
-      result.put("restart_s", round(restart[0]));
-      result.put("calm_served", round(storm.calmShare()));
-      result.put("trigger_served", round(storm.triggerShare()));
-      result.put("after_served", round(storm.afterShare()));
-      result.put("recovered_after_s", round(storm.recoveredAfter()));
-      result.put("longest_gap_s", round(storm.longestGap()));
-      if (json) {
-        System.out.println(new ObjectMapper().writeValueAsString(result));
-      } else {
-        timeline(storm, samples);
-        result.forEach((k, v) -> System.out.printf(Locale.ROOT, "%-18s %s%n", k, v));
+      OverloadTimeline timeline = test.timeline();
+      print(result(timeline, startSeconds, restartSeconds[0]), timeline, samples);
+      return Double.isNaN(timeline.recoveredAfter()) ? 1 : 0;
+    }
+  }
+
+  private OverloadPlan plan(ThrottledProxy proxy, String path) {
+    OverloadPlan.Crowd crowdKind =
+        switch (kind) {
+          case RETRY -> OverloadPlan.Crowd.RETRYING;
+          case SILENT -> OverloadPlan.Crowd.SILENT;
+          case TRICKLE -> OverloadPlan.Crowd.TRICKLING;
+          case HEADS -> OverloadPlan.Crowd.HEADS;
+          case DEAF -> OverloadPlan.Crowd.DEAF;
+          default -> OverloadPlan.Crowd.USUAL;
+        };
+    boolean alone = kind == Kind.RECONNECT || kind == Kind.PAUSE || kind == Kind.RESTART;
+    return new OverloadPlan(
+        List.of(proxy.address()),
+        clients,
+        thinkMillis,
+        timeoutMillis,
+        crowdKind,
+        alone ? 0 : crowd,
+        kind == Kind.RECONNECT,
+        calm,
+        trigger,
+        after,
+        path,
+        seed);
+  }
+
+  private void begin(ThrottledProxy proxy, double[] restartSeconds) {
+    if (kind == Kind.PAUSE) {
+      proxy.pause();
+    } else if (kind == Kind.RESTART) {
+      long sinceNanos = System.nanoTime();
+      proxy.end(END_MILLIS);
+      proxy.start();
+      try {
+        restartSeconds[0] = proxy.awaitListening(sinceNanos);
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
       }
-      return Double.isNaN(storm.recoveredAfter()) ? 1 : 0;
     }
   }
 
-  private void end(ChildProxy proxy) {
+  private void end(ThrottledProxy proxy) {
     if (kind == Kind.PAUSE) {
       proxy.resume();
     }
   }
 
-  private static void look(ChildProxy proxy, List<ChildProxy.Sample> into) {
+  private static void sample(ThrottledProxy proxy, List<ThrottledProxy.Sample> samples) {
     try {
       while (true) {
         Thread.sleep(1_000);
-        into.add(proxy.sample());
+        samples.add(proxy.sample());
       }
     } catch (InterruptedException e) {
-      // the storm is over
+      // the test is over
     }
   }
 
-  private static void timeline(OverloadTest storm, List<ChildProxy.Sample> samples) {
-    System.out.println("   s  asked  served refused gave-up   cpu  waiting  open  half-closed");
-    OverloadTest.Bucket[] all = storm.buckets();
-    for (int s = 0; (s + 1) * OverloadTest.PER_SECOND <= all.length; s++) {
-      int[] n = new int[4];
-      for (int i = s * OverloadTest.PER_SECOND; i < (s + 1) * OverloadTest.PER_SECOND; i++) {
-        n[0] += all[i].asked();
-        n[1] += all[i].served();
-        n[2] += all[i].refused();
-        n[3] += all[i].gaveUp();
-      }
-      ChildProxy.Sample at =
-          s < samples.size() ? samples.get(s) : new ChildProxy.Sample(0, 0, 0, 0);
-      double cpu =
-          at.cpuSeconds() - (s > 0 && s <= samples.size() ? samples.get(s - 1).cpuSeconds() : 0);
-      System.out.printf(
-          Locale.ROOT,
-          "%4d %6d  %6d  %6d  %6d  %4.2f   %6d %5d  %6d%n",
-          s,
-          n[0],
-          n[1],
-          n[2],
-          n[3],
-          Math.max(0, cpu),
-          at.waiting(),
-          at.established(),
-          at.closeWait());
-    }
-  }
+  // --- the result
 
-  private static Double round(double d) {
-    return Double.isNaN(d) ? null : Math.round(d * 1e3) / 1e3;
+  private Map<String, Object> result(
+      OverloadTimeline timeline, double startSeconds, double restartSeconds) {
+    Map<String, Object> result = new LinkedHashMap<>();
+    result.put("storm", kind.name().toLowerCase(Locale.ROOT));
+    result.put("proxy", proxyKind.name().toLowerCase(Locale.ROOT));
+    result.put("share_of_core", share);
+    result.put("start_s", round(startSeconds));
+    result.put("restart_s", round(restartSeconds));
+    result.put("calm_served", round(timeline.calmShare()));
+    result.put("trigger_served", round(timeline.triggerShare()));
+    result.put("after_served", round(timeline.afterShare()));
+    result.put("recovered_after_s", round(timeline.recoveredAfter()));
+    result.put("longest_gap_s", round(timeline.longestGap()));
+    return result;
   }
 
-  // --- the proxy
-
-  private ChildProxy proxy(Path folder, List<FakeUpstream> hosts) throws IOException {
-    int port = freePort();
-    Path config = folder.resolve("config");
-    List<String> command = new ArrayList<>();
-    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    if (jvmFile != null) {
-      command.add("@" + jvmFile);
+  private void print(
+      Map<String, Object> result, OverloadTimeline timeline, List<ThrottledProxy.Sample> samples)
+      throws IOException {
+    if (json) {
+      System.out.println(new ObjectMapper().writeValueAsString(result));
+      return;
     }
-    command.addAll(jvm);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "leadferry.Main"));
-    Map<String, String> environment = Map.of();
-    if (target == Target.PLATFORM) {
-      Files.writeString(config, platformConfig(port, hosts));
-      command.add("proxy");
-      environment = Map.of("BALANCER_CONFIG", config.toString(), "MALLOC_ARENA_MAX", "1");
-    } else {
-      Files.writeString(config, operatorsFile(port, hosts));
-      command.addAll(List.of("daemon", "--config", config.toString()));
+    System.out.println(
+        "   s   sent  served  rejected  unanswered   cpu  waiting  open  half-closed");
+    int seconds = timeline.buckets().length / OverloadTimeline.PER_SECOND;
+    for (int second = 0; second < seconds; second++) {
+      printSecond(second, timeline.buckets(), samples);
     }
-    return new ChildProxy(
-        command,
-        environment,
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-        share,
-        folder.resolve("log"));
+    result.forEach((key, value) -> System.out.printf(Locale.ROOT, "%-18s %s%n", key, value));
   }
 
-  private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
-    }
+  private static void printSecond(
+      int second, OverloadTimeline.Bucket[] buckets, List<ThrottledProxy.Sample> samples) {
+    int from = second * OverloadTimeline.PER_SECOND;
+    List<OverloadTimeline.Bucket> tenths =
+        List.of(buckets).subList(from, from + OverloadTimeline.PER_SECOND);
+    ThrottledProxy.Sample now = sampleAt(second, samples);
+    double cpuSeconds = now.cpuSeconds() - sampleAt(second - 1, samples).cpuSeconds();
+    System.out.printf(
+        Locale.ROOT,
+        "%4d %6d  %6d    %6d      %6d  %4.2f   %6d %5d  %6d%n",
+        second,
+        tenths.stream().mapToInt(OverloadTimeline.Bucket::sent).sum(),
+        tenths.stream().mapToInt(OverloadTimeline.Bucket::served).sum(),
+        tenths.stream().mapToInt(OverloadTimeline.Bucket::rejected).sum(),
+        tenths.stream().mapToInt(OverloadTimeline.Bucket::unanswered).sum(),
+        Math.max(0, cpuSeconds),
+        now.waiting(),
+        now.established(),
+        now.closeWait());
   }
 
-  private String platformConfig(int port, List<FakeUpstream> hosts) {
-    StringBuilder servers = new StringBuilder();
-    for (FakeUpstream h : hosts) {
-      servers
-          .append(servers.isEmpty() ? "" : ",")
-          .append("{\"id\":\"")
-          .append(h.name())
-          .append("\",\"addr\":\"")
-          .append(h.place())
-          .append("\",\"zone\":\"\",\"kind\":\"\",\"cell\":1,\"state\":\"up\",")
-          .append("\"weight\":1.0,\"started_ms\":0}");
-    }
-    return "{\"name\":\"storm\",\"listen\":\"127.0.0.1:"
-        + port
-        + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\","
-        + "\"limits\":{\"memory_mb\":144,\"sockets\":"
-        + descriptors
-        + "},"
-        + "\"known\":{\"version\":1,\"full\":true,\"servers\":["
-        + servers
-        + "]},\"settings\":{\"classes\":["
-        + "{\"name\":\"read\",\"aim\":400,\"deadline\":"
-        + timeoutMs
-        + ",\"semantics\":\"idempotent\"}]}}";
+  private static ThrottledProxy.Sample sampleAt(int second, List<ThrottledProxy.Sample> samples) {
+    return second >= 0 && second < samples.size()
+        ? samples.get(second)
+        : new ThrottledProxy.Sample(0, 0, 0, 0);
   }
 
-  private String operatorsFile(int port, List<FakeUpstream> hosts) {
-    StringBuilder s =
-        new StringBuilder(
-            "[daemon]\ndescriptors = "
-                + descriptors
-                + "\n[listener.main]\naddress = \"127.0.0.1:"
-                + port
-                + "\"\n[class.read]\nrepeat = \"safe\"\naim_ms = "
-                + Math.min(400, timeoutMs)
-                + "\ndeadline_ms = "
-                + timeoutMs
-                + "\n[pool.a]\n");
-    for (FakeUpstream h : hosts) {
-      s.append("[[pool.a.member]]\nid = \"")
-          .append(h.name())
-          .append("\"\naddress = \"")
-          .append(h.place())
-          .append("\"\n");
-    }
-    return s + "[[route]]\nname = \"all\"\nprefix = \"/\"\nclass = \"read\"\npool = \"a\"\n";
+  private static Double round(double value) {
+    return Double.isNaN(value) ? null : Math.round(value * 1e3) / 1e3;
   }
 }
--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -342,7 +342,7 @@
             load,
             done -> {
               long now = System.nanoTime();
-              checker.request(proxy.getKey(), done.outcome(), now - done.ns(), now);
+              checker.request(proxy.getKey(), done.outcome(), now - done.nanos(), now);
             }));
   }
 
--- /dev/null
+++ b/src/main/java/leadferry/testbed/LoadConnection.java
@@ -0,0 +1,232 @@
+package leadferry.testbed;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+
+/**
+ * A client's connection of the load: one request at a time, whose response is read without a full
+ * decoder (see {@link HeadBytes}). Confined to the loop of its lane.
+ */
+final class LoadConnection extends ChannelInboundHandlerAdapter {
+  /** What of a response is read next. */
+  private enum ReadState {
+    HEAD,
+    SIZED_BODY,
+    CHUNK_SIZE,
+    CHUNK_DATA,
+    TRAILERS
+  }
+
+  private static final byte[] REQUEST_ID = MinimalFakeUpstream.ascii("x-request-id");
+  private static final byte[] CONTENT_LENGTH = MinimalFakeUpstream.ascii("content-length");
+  private static final byte[] TRANSFER_ENCODING = MinimalFakeUpstream.ascii("transfer-encoding");
+  private static final byte[] CONNECTION = MinimalFakeUpstream.ascii("connection");
+  private static final byte[] CLOSE = MinimalFakeUpstream.ascii("close");
+
+  /** Where the status stands in a head's first line, behind "HTTP/1.1 ". */
+  private static final int STATUS_OFFSET = 9;
+
+  private final LoadLane lane;
+  private final Channel channel;
+  private final RequestTemplate[] templates;
+  private final HeadBytes buffer = new HeadBytes();
+  private ReadState state = ReadState.HEAD;
+  private long bodyBytesLeft;
+  private LoadRequest request;
+  private byte[] id;
+  private int status;
+  private boolean idMatches;
+  private boolean keepAlive;
+
+  LoadConnection(LoadLane lane, Channel channel, RequestTemplate[] templates) {
+    this.lane = lane;
+    this.channel = channel;
+    this.templates = templates;
+  }
+
+  boolean isActive() {
+    return channel.isActive();
+  }
+
+  void close() {
+    channel.close();
+  }
+
+  /** Whether its request's deadline is over. */
+  boolean isOverdue(long nowNanos) {
+    return request != null && request.deadlineNanos() < nowNanos;
+  }
+
+  void write(LoadRequest next) {
+    request = next;
+    id = MinimalFakeUpstream.ascii(next.id());
+    ByteBuf bytes = templates[next.kind()].encode(channel, id);
+    channel.writeAndFlush(bytes, channel.voidPromise());
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    lane.connected(this);
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext context, Object message) {
+    ByteBuf read = (ByteBuf) message;
+    try {
+      while (read.isReadable()) {
+        if (isInBody()) {
+          int skipped = (int) Math.min(bodyBytesLeft, read.readableBytes());
+          read.skipBytes(skipped);
+          bodyBytesLeft -= skipped;
+        } else if (!buffer.add(read)) {
+          channel.close();
+          return;
+        }
+        while (advance()) {
+          // as far as what has come allows
+        }
+      }
+    } finally {
+      read.release();
+    }
+  }
+
+  private boolean isInBody() {
+    return state == ReadState.SIZED_BODY || state == ReadState.CHUNK_DATA;
+  }
+
+  /** Goes on in what has come; false where more has to come first. */
+  private boolean advance() {
+    if (request == null) {
+      if (buffer.to > buffer.from || bodyBytesLeft > 0) {
+        channel.close(); // more than was asked for
+      }
+      return false;
+    }
+    return switch (state) {
+      case HEAD -> readHead();
+      case SIZED_BODY, CHUNK_DATA -> skipBody();
+      case CHUNK_SIZE, TRAILERS -> readLine();
+    };
+  }
+
+  private boolean readHead() {
+    int end = buffer.headEnd();
+    if (end < 0) {
+      return false;
+    }
+    status = (int) buffer.number(buffer.from + STATUS_OFFSET, 10);
+    idMatches = true;
+    keepAlive = true;
+    bodyBytesLeft = 0;
+    state = ReadState.SIZED_BODY;
+    for (int line = buffer.nextLine(buffer.from); line < end - 2; line = buffer.nextLine(line)) {
+      readHeader(line);
+    }
+    buffer.from = end;
+    if (status < 200) {
+      state = ReadState.HEAD; // another head follows
+    } else if (templates[request.kind()].isHead() || status == 204 || status == 304) {
+      bodyBytesLeft = 0;
+      state = ReadState.SIZED_BODY;
+    }
+    return true;
+  }
+
+  private void readHeader(int line) {
+    int at = buffer.value(line, REQUEST_ID);
+    if (at > 0) {
+      idMatches = buffer.is(at, buffer.lineEnd(at), id);
+      return;
+    }
+    at = buffer.value(line, CONTENT_LENGTH);
+    if (at > 0) {
+      bodyBytesLeft = buffer.number(at, 10);
+      return;
+    }
+    if (buffer.value(line, TRANSFER_ENCODING) > 0) {
+      state = ReadState.CHUNK_SIZE;
+      return;
+    }
+    at = buffer.value(line, CONNECTION);
+    if (at > 0) {
+      keepAlive = !buffer.is(at, buffer.lineEnd(at), CLOSE);
+    }
+  }
+
+  private boolean skipBody() {
+    int skipped = (int) Math.min(bodyBytesLeft, buffer.to - buffer.from);
+    buffer.from += skipped;
+    bodyBytesLeft -= skipped;
+    if (bodyBytesLeft > 0) {
+      return false;
+    }
+    if (state == ReadState.CHUNK_DATA) {
+      state = ReadState.CHUNK_SIZE;
+    } else {
+      finish();
+    }
+    return true;
+  }
+
+  /** A line of a chunked body's own: a chunk's size, the end of its data, or a trailer. */
+  private boolean readLine() {
+    int end = lineEnd();
+    if (end < 0) {
+      return false;
+    }
+    boolean empty = end - buffer.from == 2;
+    if (state == ReadState.TRAILERS) {
+      buffer.from = end;
+      if (empty) {
+        finish();
+      }
+      return true;
+    }
+    bodyBytesLeft = empty ? 0 : buffer.number(buffer.from, 16);
+    buffer.from = end;
+    if (!empty) {
+      state = bodyBytesLeft == 0 ? ReadState.TRAILERS : ReadState.CHUNK_DATA;
+    }
+    return true;
+  }
+
+  private int lineEnd() {
+    for (int i = buffer.from; i < buffer.to; i++) {
+      if (buffer.bytes[i] == '\n') {
+        return i + 1;
+      }
+    }
+    return -1;
+  }
+
+  private void finish() {
+    LoadRequest finished = request;
+    request = null;
+    state = ReadState.HEAD;
+    lane.finished(this, finished, outcome(), keepAlive);
+  }
+
+  private LoadGenerator.Outcome outcome() {
+    if (status >= 200 && status < 300) {
+      return idMatches ? LoadGenerator.Outcome.SERVED : LoadGenerator.Outcome.WRONG;
+    }
+    return status == 429 || status == 503
+        ? LoadGenerator.Outcome.REFUSED
+        : LoadGenerator.Outcome.FAILED;
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    LoadRequest unanswered = request;
+    request = null;
+    lane.disconnected(this, unanswered);
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    channel.close();
+  }
+}
--- a/src/main/java/leadferry/testbed/ChildProxy.java
+++ b/src/main/java/leadferry/testbed/ThrottledProxy.java
@@ -1,6 +1,7 @@
 package leadferry.testbed;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -11,16 +12,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as a process of its own, held to a part of a core: it is stopped and continued by signals
- * every few milliseconds, which needs no rights and no tools of isolation. Unlike a quota it also
- * holds back what the kernel would give in bursts; figures are compared with each other, not with a
- * platform's.
+ * A proxy as a process of its own, throttled to a part of a core: it is stopped and continued by
+ * signals every few milliseconds, which needs no rights and no tools of isolation. Unlike a quota
+ * it also holds back what the kernel would give in bursts; figures are compared with each other,
+ * not with a platform's.
  */
-public final class ChildProxy implements AutoCloseable {
+public final class ThrottledProxy implements AutoCloseable {
   /** A whole turn of the throttle (ms). */
-  private static final double TURN_MS = 10;
+  private static final double TURN_MILLIS = 10;
 
-  private static final int START_MS = 30_000;
+  private static final int START_MILLIS = 30_000;
 
   private final List<String> command;
   private final Map<String, String> environment;
@@ -34,7 +35,7 @@
    * A proxy that this command starts and that listens at {@code address}; {@code share} of a core
    * above 0, 1 for all that it can get; what it tells goes to {@code log}.
    */
-  public ChildProxy(
+  public ThrottledProxy(
       List<String> command,
       Map<String, String> environment,
       InetSocketAddress address,
@@ -50,6 +51,7 @@
     this.log = log;
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return address;
   }
@@ -57,50 +59,51 @@
   /** Starts it and does not wait. */
   public void start() {
     try {
-      ProcessBuilder b =
+      ProcessBuilder builder =
           new ProcessBuilder(command)
               .redirectErrorStream(true)
               .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-      b.environment().putAll(environment);
-      process = b.start();
+      builder.environment().putAll(environment);
+      process = builder.start();
       throttle();
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     }
   }
 
   private void throttle() throws IOException {
     if (share < 1) {
-      String on = seconds(TURN_MS * share);
-      String off = seconds(TURN_MS * (1 - share));
+      String running = seconds(TURN_MILLIS * share);
+      String stopped = seconds(TURN_MILLIS * (1 - share));
       // Only builtins: a process for each signal would cost more than what is measured.
       throttle =
           new ProcessBuilder(
                   "bash",
                   "-c",
                   "exec 3<> <(:); while kill -STOP $0 2>/dev/null; do read -t "
-                      + off
+                      + stopped
                       + " -u 3; kill -CONT $0 2>/dev/null; read -t "
-                      + on
+                      + running
                       + " -u 3; done",
                   Long.toString(process.pid()))
               .start();
     }
   }
 
-  private static String seconds(double ms) {
-    return String.format(Locale.ROOT, "%.4f", ms / 1_000);
+  private static String seconds(double millis) {
+    return String.format(Locale.ROOT, "%.4f", millis / 1_000);
   }
 
   /**
-   * Waits until it accepts a connection; the seconds since {@code from} (ns), or NaN if it never
+   * Waits until it accepts a connection; the seconds since {@code sinceNanos}, or NaN if it never
    * did.
    */
-  public double awaitListening(long from) throws InterruptedException {
-    for (long until = System.nanoTime() + START_MS * 1_000_000L; System.nanoTime() < until; ) {
-      try (Socket s = new Socket()) {
-        s.connect(address, 1_000);
-        return (System.nanoTime() - from) / 1e9;
+  public double awaitListening(long sinceNanos) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + START_MILLIS * 1_000_000L;
+    while (System.nanoTime() < deadlineNanos) {
+      try (Socket socket = new Socket()) {
+        socket.connect(address, 1_000);
+        return (System.nanoTime() - sinceNanos) / 1e9;
       } catch (IOException e) {
         Thread.sleep(5);
       }
@@ -114,20 +117,21 @@
     signal("STOP");
   }
 
+  /** Lets it go on. */
   public void resume() {
     signal("CONT");
     try {
       throttle();
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     }
   }
 
   /** Asks it to end, waits for at most so long and then kills it; its exit status. */
-  public int end(long mostMs) {
+  public int end(long timeoutMillis) {
     process.destroy();
     try {
-      if (!process.waitFor(mostMs, TimeUnit.MILLISECONDS)) {
+      if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
         endThrottle();
         signal("CONT");
         process.destroyForcibly();
@@ -157,7 +161,7 @@
     try {
       new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -177,10 +181,10 @@
     String port = String.format(Locale.ROOT, ":%04X", address.getPort());
     for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
       for (String line : lines(Path.of(table))) {
-        String[] f = line.trim().split("\\s+");
-        if (f.length > 4 && f[1].endsWith(port)) {
-          switch (f[3]) {
-            case "0A" -> waiting += Integer.parseInt(f[4].split(":")[1], 16);
+        String[] fields = line.trim().split("\\s+");
+        if (fields.length > 4 && fields[1].endsWith(port)) {
+          switch (fields[3]) {
+            case "0A" -> waiting += Integer.parseInt(fields[4].split(":")[1], 16);
             case "01" -> established++;
             case "08" -> closeWait++;
             default -> {}
@@ -189,12 +193,12 @@
       }
     }
     List<String> stat = lines(Path.of("/proc/" + process.pid() + "/stat"));
-    double cpu = 0;
+    double cpuSeconds = 0;
     if (!stat.isEmpty()) {
-      String[] f = stat.get(0).substring(stat.get(0).lastIndexOf(')') + 2).split(" ");
-      cpu = (Long.parseLong(f[11]) + Long.parseLong(f[12])) / 100.0;
+      String[] fields = stat.get(0).substring(stat.get(0).lastIndexOf(')') + 2).split(" ");
+      cpuSeconds = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0;
     }
-    return new Sample(cpu, waiting, established, closeWait);
+    return new Sample(cpuSeconds, waiting, established, closeWait);
   }
 
   private static List<String> lines(Path file) {
--- a/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
+++ b/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rig by itself, before a host that is told when to fail: it must see a collapse, and one that
- * lasts.
+ * The overload test by itself, before an upstream that is told when to fail: it must see a
+ * collapse, and one that lasts.
  */
 class OverloadRecoveryTest {
-  private static OverloadTest.Plan plan(FakeUpstream host, OverloadTest.Crowd crowd, int size) {
-    String[] place = host.place().split(":");
-    return new OverloadTest.Plan(
+  private static OverloadPlan plan(FakeUpstream upstream, OverloadPlan.Crowd crowd, int size) {
+    String[] place = upstream.place().split(":");
+    return new OverloadPlan(
         List.of(new InetSocketAddress(place[0], Integer.parseInt(place[1]))),
         10,
         20,
@@ -30,33 +30,33 @@
 
   @Test
   void whatEndsWithItsTriggerHasRecoveredAndTheGapIsSeen() throws Exception {
-    try (FakeUpstream host =
+    try (FakeUpstream upstream =
             new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
-        OverloadTest storm =
+        OverloadTest test =
             new OverloadTest(
-                plan(host, OverloadTest.Crowd.SILENT, 20),
-                () -> host.misbehave(FakeUpstream.Fault.SILENT, 1),
-                () -> host.misbehave(FakeUpstream.Fault.NONE, 0))) {
-      storm.run();
-      assertThat(storm.calmShare()).isGreaterThan(0.95);
-      assertThat(storm.triggerShare()).isLessThan(0.5);
-      assertThat(storm.longestGap()).isGreaterThan(0.3);
-      assertThat(storm.recoveredAfter()).isNotNaN();
+                plan(upstream, OverloadPlan.Crowd.SILENT, 20),
+                () -> upstream.misbehave(FakeUpstream.Fault.SILENT, 1),
+                () -> upstream.misbehave(FakeUpstream.Fault.NONE, 0))) {
+      test.run();
+      assertThat(test.timeline().calmShare()).isGreaterThan(0.95);
+      assertThat(test.timeline().triggerShare()).isLessThan(0.5);
+      assertThat(test.timeline().longestGap()).isGreaterThan(0.3);
+      assertThat(test.timeline().recoveredAfter()).isNotNaN();
     }
   }
 
   @Test
   void whatGoesOnAfterItsTriggerHasNotRecovered() throws Exception {
-    try (FakeUpstream host =
+    try (FakeUpstream upstream =
             new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
-        OverloadTest storm =
+        OverloadTest test =
             new OverloadTest(
-                plan(host, OverloadTest.Crowd.USUAL, 5),
-                () -> host.misbehave(FakeUpstream.Fault.RESET_BEFORE, 1),
+                plan(upstream, OverloadPlan.Crowd.USUAL, 5),
+                () -> upstream.misbehave(FakeUpstream.Fault.RESET_BEFORE, 1),
                 () -> {})) {
-      storm.run();
-      assertThat(storm.recoveredAfter()).isNaN();
-      assertThat(storm.afterShare()).isLessThan(0.1);
+      test.run();
+      assertThat(test.timeline().recoveredAfter()).isNaN();
+      assertThat(test.timeline().afterShare()).isLessThan(0.1);
     }
   }
 }
