--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -1,328 +1,214 @@
 package leadferry.consensus;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HexFormat;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.zip.CRC32C;
-import leadferry.disruption.Budget;
+import java.util.Optional;
+import leadferry.consensus.SessionTable.Session;
+import leadferry.disruption.DisruptionCommand;
 import leadferry.disruption.DisruptionState;
 import leadferry.disruption.Outcome;
 import leadferry.disruption.Outcome.Status;
-import leadferry.disruption.Target;
 import leadferry.disruption.TargetType;
-import leadferry.release.ReleaseCommand;
-import leadferry.release.ReleaseCommandCodec;
 import leadferry.release.Releases;
 
 /**
  * The agreed state: what the log's entries, applied in their order, come to. Deterministic and
  * without I/O or time; the same entries give the same bytes of {@link #snapshot} and the same
- * outcomes on every keeper.
+ * outcomes on every replica. Callers confine it to one thread at a time.
  *
- * <p>An entry is an object with {@code schema}, {@code op}, and, of operators, {@code call} (an id
- * by which the same question may be asked again and gets the one true outcome), {@code who}, {@code
- * why} and {@code at} (the asker's wall clock, which nothing goes by). An entry of a later schema
- * is never guessed at: {@link LaterSchemaException}.
+ * <pre>
+ *   bytes -- LogEntryCodec --> seen before? -- CallHistory --> its outcome
+ *                                  | no
+ *                                  +--> dispatch on LogEntry --> outcome, AuditLog
+ * </pre>
  */
 public final class FleetStateMachine {
-  /** The form of entries and snapshots that this build reads and writes. */
-  public static final int SCHEMA = 1;
-
-  /**
-   * So many calls are remembered, the newest; a call asked again later than that is taken for a new
-   * one.
-   */
-  static final int CALLS = 4_096;
-
-  /** So many records of the audit are kept, the newest. */
-  static final int AUDIT = 2_000;
-
-  /** Texts of people are cut at so many characters. */
-  private static final int TEXT = 500;
-
-  /** The bounds of a lease (ms). */
-  public static final long LEAST_LEASE_MS = 200;
-
-  public static final long LONGEST_LEASE_MS = 600_000;
-
-  /** An entry or snapshot of a schema that only a later build knows. */
-  public static final class LaterSchemaException extends RuntimeException {
-    private static final long serialVersionUID = 1;
-
-    LaterSchemaException(int schema) {
-      super("schema " + schema + " (expected: at most " + SCHEMA + "; a later build wrote it)");
-    }
-  }
-
-  /** A member's session: who it is, and how long it lives without a sign. */
-  private record Session(String name, String incarnation, long id, long leaseMs) {
-    String timer() {
-      return "session:" + name + ":" + id;
-    }
-  }
-
-  private record Call(String digest, ObjectNode outcome) {}
+  private static final String RELEASE_TIMER_PREFIX = "release-";
 
+  private final SessionTable sessions = new SessionTable();
+  private final CallHistory calls = new CallHistory();
+  private final AuditLog audit = new AuditLog();
   private final DisruptionState disruption;
   private final Releases releases = new Releases();
-  private final Map<String, Session> sessions = new TreeMap<>();
-  private final LinkedHashMap<String, Call> calls = new LinkedHashMap<>();
-  private final ArrayDeque<ObjectNode> audit = new ArrayDeque<>();
-  private long entries;
+  private final SnapshotCodec.Parts parts;
+  private long entryCount;
 
+  /** An empty state; {@code times} count until a snapshot brings its own. */
   public FleetStateMachine(DisruptionState.Times times) {
     disruption = new DisruptionState(times);
+    parts = new SnapshotCodec.Parts(sessions, calls, audit, disruption, releases);
   }
 
-  /** The version of what members go by. */
+  /** The version of the view that members go by. */
   public long version() {
     return disruption.version();
   }
 
-  /** Applies an entry and tells what became of it; never throws for what an entry says. */
+  /**
+   * Applies an entry and tells what became of it; never throws for what an entry says.
+   *
+   * @throws LaterSchemaException if a later build wrote it
+   */
   public ObjectNode apply(byte[] bytes) {
-    entries++;
-    ObjectNode e = Json.read(bytes);
-    if (e == null) {
-      return outcome(new Outcome(Status.MALFORMED, "", List.of("not an object")));
+    entryCount++;
+    ObjectNode stored = LogEntryCodec.read(bytes);
+    if (stored == null) {
+      return OutcomeCodec.encode(Outcome.of(Status.MALFORMED, "not an object"));
     }
-    if (e.path("schema").asInt(1) > SCHEMA) {
-      throw new LaterSchemaException(e.path("schema").asInt());
+    String callId = LogEntryCodec.callId(stored);
+    if (callId.isEmpty()) {
+      return perform(stored);
     }
-    String call = text(e, "call");
-    if (call.isEmpty()) {
-      return perform(e);
+    Optional<ObjectNode> earlier = calls.find(callId, stored);
+    if (earlier.isPresent()) {
+      return earlier.get();
     }
-    String digest = digest(e);
-    Call known = calls.get(call);
-    if (known != null) {
-      return known.digest().equals(digest)
-          ? known.outcome().deepCopy().put("again", true)
-          : outcome(
-              new Outcome(
-                  Status.CONFLICT, "", List.of("id '" + call + "' was used for something else")));
-    }
-    ObjectNode o = perform(e);
-    calls.put(call, new Call(digest, o));
-    if (calls.size() > CALLS) {
-      calls.remove(calls.keySet().iterator().next());
-    }
-    return o.deepCopy();
+    ObjectNode outcome = perform(stored);
+    calls.add(callId, stored, outcome);
+    return outcome.deepCopy();
   }
 
-  /** What a call asks, without when and with which id it was asked. */
-  private static String digest(ObjectNode e) {
-    ObjectNode asked = e.deepCopy();
-    asked.remove(List.of("call", "at"));
-    CRC32C crc = new CRC32C();
-    crc.update(Json.bytes(asked));
-    return HexFormat.of().toHexDigits(crc.getValue());
-  }
-
-  private ObjectNode perform(ObjectNode e) {
-    ObjectNode o = decide(e);
+  private ObjectNode perform(ObjectNode stored) {
+    ObjectNode outcome = dispatch(LogEntryCodec.decode(stored), stored);
     releases.look(disruption);
-    return o;
+    return outcome;
   }
 
-  private ObjectNode decide(ObjectNode e) {
-    String op = text(e, "op");
-    if (ReleaseCommandCodec.DRIVER_OPERATIONS.contains(op)) {
-      Outcome o = release(op, e);
-      if (o.status() == Status.GRANTED || o.status() == Status.DONE) {
-        note(e, o); // what a budget refused is asked again until it is granted
-      }
-      return outcome(o);
+  private ObjectNode dispatch(LogEntry entry, ObjectNode stored) {
+    if (entry instanceof LogEntry.Join join) {
+      return join(join);
+    }
+    if (entry instanceof LogEntry.MemberReport report) {
+      return OutcomeCodec.encode(applyReport(report));
+    }
+    if (entry instanceof LogEntry.Leave leave) {
+      return OutcomeCodec.encode(endSession(leave.name(), leave.session(), true, stored));
+    }
+    if (entry instanceof LogEntry.SessionExpired expired) {
+      return OutcomeCodec.encode(endSession(expired.name(), expired.session(), false, stored));
+    }
+    if (entry instanceof LogEntry.TimerExpired expired) {
+      return OutcomeCodec.encode(expireTimer(expired.timer(), stored));
     }
-    switch (op) {
-      case "join":
-        return join(e);
-      case "tell":
-        return tell(e);
-      case "leave":
-      case "expire":
-        return end(e, op.equals("leave"));
-      case "timeout":
-        if (text(e, "timer").startsWith("release-")) {
-          if (timers().containsKey(text(e, "timer"))) {
-            releases.timeout(text(e, "timer"));
-            note(
-                e.deepCopy().put("who", "keepers").put("why", text(e, "timer") + " ran out"),
-                new Outcome(Status.DONE, "", List.of()));
-          }
-        } else {
-          disruption.timeout(text(e, "timer"));
-        }
-        return outcome(new Outcome(Status.DONE, "", List.of()));
-      default:
-        Outcome o =
-            ReleaseCommandCodec.OPERATOR_OPERATIONS.contains(op) ? release(op, e) : operator(op, e);
-        note(e, o);
-        return outcome(o);
+    if (entry instanceof LogEntry.Release release) {
+      return OutcomeCodec.encode(applyRelease(release, stored));
     }
+    Outcome outcome =
+        entry instanceof LogEntry.Disruption disruptionEntry
+            ? applyDisruption(disruptionEntry.command())
+            : new Outcome(Status.MALFORMED, "", ((LogEntry.Malformed) entry).reasons());
+    addToAudit(stored, outcome);
+    return OutcomeCodec.encode(outcome);
+  }
+
+  private Outcome applyRelease(LogEntry.Release entry, ObjectNode stored) {
+    Outcome outcome = releases.apply(entry.command(), disruption);
+    // What a budget refuses a driver is asked again until it is granted: only the grant is kept.
+    if (!entry.byDriver()
+        || outcome.status() == Status.GRANTED
+        || outcome.status() == Status.DONE) {
+      addToAudit(stored, outcome);
+    }
+    return outcome;
   }
 
-  private Outcome release(String operation, ObjectNode entry) {
-    List<String> faults = new ArrayList<>();
-    ReleaseCommand command = ReleaseCommandCodec.decode(operation, entry, faults);
-    return command == null
-        ? new Outcome(Status.MALFORMED, "", faults)
-        : releases.apply(command, disruption);
+  private Outcome applyDisruption(DisruptionCommand command) {
+    if (command instanceof DisruptionCommand.Undo undo) {
+      String release = releases.holder(undo.grant());
+      if (release != null) {
+        return new Outcome(
+            Status.REFUSED,
+            undo.grant(),
+            List.of("held by release " + release + ": halt it, or take it back"));
+      }
+    }
+    return disruption.apply(command);
   }
 
-  private Outcome operator(String op, ObjectNode e) {
-    String name = text(e, "name");
-    return switch (op) {
-      case "drain" -> {
-        TargetType kind = TargetType.of(text(e, "kind"));
-        yield kind == null
-            ? new Outcome(
-                Status.MALFORMED,
-                "",
-                List.of("kind: '" + text(e, "kind") + "' (expected: proxy or host)"))
-            : disruption.drain(
-                kind,
-                name,
-                e.path("for_ms").asLong(),
-                e.path("leave").asBoolean(),
-                text(e, "who"),
-                text(e, "why"));
-      }
-      case "undo" -> {
-        String holder = releases.holder(text(e, "permit"));
-        yield holder == null
-            ? disruption.undo(text(e, "permit"), text(e, "why"))
-            : new Outcome(
-                Status.REFUSED,
-                text(e, "permit"),
-                List.of("held by release " + holder + ": halt it, or take it back"));
-      }
-      case "halt" -> disruption.halt(text(e, "why"));
-      case "resume" -> disruption.resume();
-      case "fence" -> disruption.fence(name);
-      case "forget" -> disruption.forget(name);
-      case "budgets" -> budgets(e);
-      default ->
-          new Outcome(
-              Status.MALFORMED,
-              "",
-              List.of("op: '" + op + "' (expected: one that this build knows)"));
-    };
+  private Outcome expireTimer(String timer, ObjectNode stored) {
+    Outcome done = Outcome.of(Status.DONE);
+    if (!timer.startsWith(RELEASE_TIMER_PREFIX)) {
+      disruption.timeout(timer);
+    } else if (timers().containsKey(timer)) {
+      releases.timeout(timer);
+      addToAudit(
+          stored.deepCopy().put("who", AuditLog.REPLICAS).put("why", timer + " ran out"), done);
+    }
+    return done;
   }
 
-  private Outcome budgets(ObjectNode e) {
-    List<String> faults = new ArrayList<>();
-    List<Budget> budgets = new ArrayList<>();
-    e.path("budgets").forEach(b -> budgets.add(Budget.read(b, faults)));
-    return faults.isEmpty()
-        ? disruption.budgets(budgets, e.path("against").asLong())
-        : new Outcome(Status.MALFORMED, "", faults);
+  private void addToAudit(ObjectNode stored, Outcome outcome) {
+    audit.add(entryCount, version(), stored, outcome);
   }
 
   // --- sessions
 
-  private ObjectNode join(ObjectNode e) {
-    String name = text(e, "name");
-    String incarnation = text(e, "incarnation");
-    long lease = e.path("lease_ms").asLong();
-    if (!name.matches(DisruptionState.NAME)
-        || incarnation.isEmpty()
-        || lease < LEAST_LEASE_MS
-        || lease > LONGEST_LEASE_MS) {
-      return outcome(
-          new Outcome(
-              Status.MALFORMED,
-              "",
-              List.of("join: a name, an incarnation or a lease_ms that can't be")));
+  private ObjectNode join(LogEntry.Join join) {
+    if (!SessionTable.isValid(join)) {
+      return OutcomeCodec.encode(
+          Outcome.of(Status.MALFORMED, "join: a name, an incarnation or a lease_ms that can't be"));
     }
-    Session s = sessions.get(name);
-    if (s != null && !s.incarnation().equals(incarnation)) {
-      return outcome(
-          new Outcome(
+    Optional<Session> known = sessions.find(join.name());
+    if (known.isPresent() && !known.get().incarnation().equals(join.incarnation())) {
+      return OutcomeCodec.encode(
+          Outcome.of(
               Status.CONFLICT,
-              "",
-              List.of("the name " + name + " is in use by a process whose lease is not over")));
+              "the name " + join.name() + " is in use by a process whose lease is not over"));
     }
-    if (s == null) {
-      s = new Session(name, incarnation, entries, lease);
-      sessions.put(name, s);
-      disruption.joined(
-          name,
-          label(e, "zone"),
-          label(e, "runs"),
-          text(e, "digest"),
-          DisruptionState.subjects(e.path("hosts")));
-    }
-    ObjectNode o = outcome(new Outcome(Status.DONE, "", List.of())).put("session", s.id());
-    disruption.view(o.putObject("view"));
-    return o;
+    Session session = known.orElseGet(() -> openSession(join));
+    ObjectNode outcome = OutcomeCodec.encode(Outcome.of(Status.DONE)).put("session", session.id());
+    disruption.view(outcome.putObject("view"));
+    return outcome;
   }
 
-  private Session session(ObjectNode e) {
-    Session s = sessions.get(text(e, "name"));
-    return s != null && s.id() == e.path("session").asLong() ? s : null;
+  private Session openSession(LogEntry.Join join) {
+    disruption.joined(
+        join.name(), join.zone(), join.version(), join.catalog().digest(), join.catalog().hosts());
+    return sessions.open(join, entryCount);
   }
 
-  private ObjectNode tell(ObjectNode e) {
-    Session s = session(e);
-    if (s == null) {
+  private Outcome applyReport(LogEntry.MemberReport report) {
+    if (!sessions.isLive(report.name(), report.session())) {
       return noSession();
     }
-    if (e.has("hosts")) {
-      disruption.catalogued(s.name(), text(e, "digest"), DisruptionState.subjects(e.path("hosts")));
-    }
+    report
+        .catalog()
+        .ifPresent(
+            catalog -> disruption.catalogued(report.name(), catalog.digest(), catalog.hosts()));
     disruption.told(
-        s.name(),
-        e.path("number").asLong(),
-        e.path("seen").asLong(),
-        e.path("serving").asBoolean(),
-        names(e.path("busy")),
-        names(e.path("suspects")));
-    return outcome(new Outcome(Status.DONE, "", List.of()));
+        report.name(),
+        report.number(),
+        report.seenVersion(),
+        report.serving(),
+        report.busyHosts(),
+        report.suspectedHosts());
+    return Outcome.of(Status.DONE);
   }
 
-  private ObjectNode end(ObjectNode e, boolean byItself) {
-    Session s = session(e);
-    if (s == null) {
+  private Outcome endSession(String name, long session, boolean byItself, ObjectNode stored) {
+    if (!sessions.isLive(name, session)) {
       return noSession();
     }
-    sessions.remove(s.name());
-    disruption.ended(s.name(), byItself);
-    Outcome o = new Outcome(Status.DONE, "", List.of());
-    note(e, o);
-    return outcome(o);
+    sessions.close(name);
+    disruption.ended(name, byItself);
+    Outcome done = Outcome.of(Status.DONE);
+    addToAudit(stored, done);
+    return done;
   }
 
-  private static ObjectNode noSession() {
-    return outcome(new Outcome(Status.UNKNOWN, "", List.of("no such session")));
+  private static Outcome noSession() {
+    return Outcome.of(Status.UNKNOWN, "no such session");
   }
 
   /** Whether this session lives. */
   public boolean lives(String name, long session) {
-    Session s = sessions.get(name);
-    return s != null && s.id() == session;
-  }
-
-  /** The timer of a session. */
-  static String timer(String name, long session) {
-    return "session:" + name + ":" + session;
+    return sessions.isLive(name, session);
   }
 
   /** Members whose sessions live, by name, with the session. */
   public Map<String, Long> living() {
-    Map<String, Long> out = new TreeMap<>();
-    sessions.values().forEach(s -> out.put(s.name(), s.id()));
-    return out;
+    return sessions.liveIds();
   }
 
   /** Whether any release is under way, so that members' reports are wanted. */
@@ -332,50 +218,36 @@
 
   /** What runs out without an entry, and after how long (ms); see {@link LeaseTimers}. */
   public Map<String, Long> timers() {
-    Map<String, Long> out = disruption.timers();
-    releases.timers(out);
-    sessions.values().forEach(s -> out.put(s.timer(), s.leaseMs()));
-    return out;
-  }
-
-  /** The entry that tells that a timer has run out. */
-  static ObjectNode ranOut(String timer) {
-    if (!timer.startsWith("session:")) {
-      return Json.object().put("op", "timeout").put("timer", timer);
-    }
-    int cut = timer.lastIndexOf(':');
-    return Json.object()
-        .put("op", "expire")
-        .put("name", timer.substring("session:".length(), cut))
-        .put("session", Long.parseLong(timer.substring(cut + 1)))
-        .put("who", "keepers")
-        .put("why", "nothing was heard of it for a lease");
+    Map<String, Long> timers = disruption.timers();
+    releases.timers(timers);
+    sessions.addTimers(timers);
+    return timers;
   }
 
-  // --- looking
+  // --- queries
 
   /** What members go by. */
   public ObjectNode view() {
-    ObjectNode o = Json.object();
-    disruption.view(o);
-    return o;
+    ObjectNode view = Json.object();
+    disruption.view(view);
+    return view;
   }
 
   /** All that staff may want to see; with the audit where asked. */
   public ObjectNode status(boolean history) {
-    ObjectNode o = Json.object();
-    disruption.status(o);
+    ObjectNode status = Json.object();
+    disruption.status(status);
     if (history) {
-      audit.forEach(o.putArray("history")::add);
+      audit.write(status.putArray("history"));
     }
-    return o;
+    return status;
   }
 
-  /** One release whole, or all of them in short. */
+  /** One release whole, or all of them in short where {@code name} is "". */
   public ObjectNode release(String name) {
-    ObjectNode o = Json.object();
-    releases.status(name, o, disruption);
-    return o;
+    ObjectNode status = Json.object();
+    releases.status(name, status, disruption);
+    return status;
   }
 
   /** Whether a driver of a release holds its lease under this fence. */
@@ -385,136 +257,31 @@
 
   /** What would become of a drain that was asked for now. */
   public ObjectNode explain(String kind, String name) {
-    ObjectNode o = Json.object();
-    disruption.explain(TargetType.of(kind), name, o);
-    return o;
+    ObjectNode explanation = Json.object();
+    disruption.explain(TargetType.of(kind), name, explanation);
+    return explanation;
   }
 
-  /** What the drain of that permit waits for. */
+  /** What the drain of that grant waits for. */
   public ObjectNode permit(String id) {
-    ObjectNode o = Json.object().put("permit", id).put("carried_out", disruption.carriedOut(id));
-    ObjectNode w = o.putObject("awaited");
-    disruption.awaited(id).forEach(w::put);
-    return o;
-  }
-
-  private void note(ObjectNode e, Outcome o) {
-    ObjectNode n =
-        Json.object().put("n", entries).put("version", version()).put("status", o.status().word());
-    for (String key :
-        List.of(
-            "op", "kind", "name", "permit", "who", "why", "call", "release", "target", "action",
-            "fence", "found", "driver", "step", "go", "text", "what")) {
-      if (e.has(key)) {
-        n.put(key, text(e, key));
-      }
-    }
-    if (!o.permit().isEmpty()) {
-      n.put("permit", o.permit());
-    }
-    if (e.path("plan").has("name")) {
-      n.put("release", e.path("plan").path("name").asText());
-    }
-    if (e.has("at")) {
-      n.put("at", e.path("at").asLong());
-    }
-    o.why().forEach(n.putArray("reasons")::add);
-    audit.addLast(n);
-    if (audit.size() > AUDIT) {
-      audit.removeFirst();
-    }
-  }
-
-  private static ObjectNode outcome(Outcome o) {
-    ObjectNode n = Json.object().put("status", o.status().word());
-    if (!o.permit().isEmpty()) {
-      n.put("permit", o.permit());
-    }
-    if (o.number() > 0) {
-      n.put("number", o.number());
-    }
-    if (!o.why().isEmpty()) {
-      o.why().forEach(n.putArray("why")::add);
-    }
-    return n;
-  }
-
-  private static String text(ObjectNode e, String key) {
-    String t = e.path(key).asText("");
-    return t.length() > TEXT ? t.substring(0, TEXT) : t;
-  }
-
-  private static String label(ObjectNode e, String key) {
-    String t = text(e, key);
-    return t.isEmpty() ? Target.NONE : t;
+    ObjectNode status =
+        Json.object().put("permit", id).put("carried_out", disruption.carriedOut(id));
+    ObjectNode awaited = status.putObject("awaited");
+    disruption.awaited(id).forEach(awaited::put);
+    return status;
   }
 
-  private static Set<String> names(JsonNode list) {
-    Set<String> out = new TreeSet<>();
-    list.forEach(n -> out.add(n.asText()));
-    return out;
-  }
-
-  // --- snapshots
-
-  /** The whole state as bytes, the same on every keeper that has applied as much. */
+  /** The whole state as bytes, the same on every replica that has applied as much. */
   public byte[] snapshot() {
-    ObjectNode o = Json.object().put("schema", SCHEMA).put("entries", entries);
-    ArrayNode ss = o.putArray("sessions");
-    for (Session s : sessions.values()) {
-      ss.addObject()
-          .put("name", s.name())
-          .put("incarnation", s.incarnation())
-          .put("id", s.id())
-          .put("lease_ms", s.leaseMs());
-    }
-    ArrayNode cs = o.putArray("calls");
-    calls.forEach(
-        (id, c) ->
-            cs.addObject().put("call", id).put("digest", c.digest()).set("outcome", c.outcome()));
-    audit.forEach(o.putArray("audit")::add);
-    disruption.snapshot(o.putObject("disruption"));
-    releases.snapshot(o.putObject("release"));
-    return Json.bytes(o);
+    return SnapshotCodec.encode(entryCount, parts);
   }
 
-  /** Takes the place of all that is known. */
+  /**
+   * Replaces the whole state.
+   *
+   * @throws LaterSchemaException if a later build wrote the snapshot
+   */
   public void restore(byte[] bytes) {
-    ObjectNode o = Json.read(bytes);
-    if (o == null) {
-      throw new IllegalArgumentException(
-          "snapshot: not an object (expected: one that snapshot() gave)");
-    }
-    if (o.path("schema").asInt() > SCHEMA) {
-      throw new LaterSchemaException(o.path("schema").asInt());
-    }
-    entries = o.path("entries").asLong();
-    sessions.clear();
-    for (JsonNode s : o.path("sessions")) {
-      Session x =
-          new Session(
-              s.path("name").asText(),
-              s.path("incarnation").asText(),
-              s.path("id").asLong(),
-              s.path("lease_ms").asLong());
-      sessions.put(x.name(), x);
-    }
-    calls.clear();
-    for (JsonNode c : o.path("calls")) {
-      calls.put(
-          c.path("call").asText(),
-          new Call(c.path("digest").asText(), (ObjectNode) c.path("outcome")));
-    }
-    audit.clear();
-    o.path("audit").forEach(a -> audit.add((ObjectNode) a));
-    disruption.restore(o.path("disruption"));
-    releases.restore(o.path("release"));
-  }
-
-  /** For the digest of a list of hosts. */
-  public static String digest(String text) {
-    CRC32C crc = new CRC32C();
-    crc.update(text.getBytes(StandardCharsets.UTF_8));
-    return HexFormat.of().toHexDigits(crc.getValue());
+    entryCount = SnapshotCodec.decode(bytes, parts);
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -0,0 +1,286 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SortedSet;
+import java.util.TreeSet;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import leadferry.disruption.Budget;
+import leadferry.disruption.DisruptionCommand;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
+import leadferry.release.ReleaseCommand;
+import leadferry.release.ReleaseCommandCodec;
+
+/**
+ * Maps {@link LogEntry}s to and from the log's stored form: a JSON object with {@code schema},
+ * {@code op}, and, of operators, {@code call} (an id by which the same call may be repeated and
+ * gets its one outcome), {@code who}, {@code why} and {@code at} (the caller's wall clock, which
+ * nothing goes by).
+ *
+ * <p>The stored words stay as they were first written and are mapped here alone: {@code tell} is
+ * {@link LogEntry.MemberReport}, {@code expire} {@link LogEntry.SessionExpired}, {@code timeout}
+ * {@link LogEntry.TimerExpired}, {@code budgets} {@link DisruptionCommand.ReplaceBudgets}, and so
+ * on; those of releases by {@link ReleaseCommandCodec}. Operators' entries are written by the
+ * command line, so only those of members and replicas are encoded here.
+ */
+public final class LogEntryCodec {
+  /** The version of the form of entries and snapshots that this build reads and writes. */
+  public static final int SCHEMA = 1;
+
+  /** Texts of people are cut at so many characters. */
+  private static final int MAX_TEXT_CHARS = 500;
+
+  private static final String OPERATION = "op";
+
+  private static final Set<String> MEMBER_OPERATIONS = Set.of("join", "tell", "leave");
+  private static final Set<String> DISRUPTION_OPERATIONS =
+      Set.of("drain", "undo", "halt", "resume", "fence", "forget", "budgets");
+
+  /** What members, operators and drivers may put into the log; the rest is the leader's alone. */
+  private static final Set<String> SUBMITTABLE_OPERATIONS =
+      Stream.of(
+              MEMBER_OPERATIONS,
+              DISRUPTION_OPERATIONS,
+              ReleaseCommandCodec.DRIVER_OPERATIONS,
+              ReleaseCommandCodec.OPERATOR_OPERATIONS)
+          .flatMap(Set::stream)
+          .collect(Collectors.toUnmodifiableSet());
+
+  private LogEntryCodec() {}
+
+  /** Whether others than replicas may put this stored entry into the log. */
+  static boolean isSubmittable(JsonNode stored) {
+    return SUBMITTABLE_OPERATIONS.contains(stored.path(OPERATION).asText());
+  }
+
+  /** Whether this stored entry asks for a session. */
+  static boolean isJoin(JsonNode stored) {
+    return stored.path(OPERATION).asText().equals("join");
+  }
+
+  /**
+   * Reads the stored form from bytes; null where they are no object.
+   *
+   * @throws LaterSchemaException if a later build wrote it
+   */
+  static ObjectNode read(byte[] bytes) {
+    ObjectNode stored = Json.read(bytes);
+    if (stored != null) {
+      checkSchema(stored.path("schema").asInt(1));
+    }
+    return stored;
+  }
+
+  /** Guards against guessing at what a later build wrote. */
+  static void checkSchema(int schema) {
+    if (schema > SCHEMA) {
+      throw new LaterSchemaException(schema);
+    }
+  }
+
+  /** The id by which the call may be repeated, or "". */
+  static String callId(ObjectNode stored) {
+    return text(stored, "call");
+  }
+
+  /** Decodes the stored form. */
+  static LogEntry decode(ObjectNode stored) {
+    String operation = text(stored, OPERATION);
+    boolean byDriver = ReleaseCommandCodec.DRIVER_OPERATIONS.contains(operation);
+    if (byDriver || ReleaseCommandCodec.OPERATOR_OPERATIONS.contains(operation)) {
+      return decodeRelease(operation, stored, byDriver);
+    }
+    return switch (operation) {
+      case "join" -> decodeJoin(stored);
+      case "tell" -> decodeMemberReport(stored);
+      case "leave" -> new LogEntry.Leave(text(stored, "name"), session(stored));
+      case "expire" -> new LogEntry.SessionExpired(text(stored, "name"), session(stored));
+      case "timeout" -> new LogEntry.TimerExpired(text(stored, "timer"));
+      default -> decodeDisruption(operation, stored);
+    };
+  }
+
+  private static LogEntry decodeRelease(String operation, ObjectNode stored, boolean byDriver) {
+    List<String> faults = new ArrayList<>();
+    ReleaseCommand command = ReleaseCommandCodec.decode(operation, stored, faults);
+    return command == null
+        ? new LogEntry.Malformed(faults)
+        : new LogEntry.Release(command, byDriver);
+  }
+
+  private static LogEntry decodeJoin(ObjectNode stored) {
+    return new LogEntry.Join(
+        text(stored, "name"),
+        text(stored, "incarnation"),
+        stored.path("lease_ms").asLong(),
+        label(stored, "zone"),
+        label(stored, "runs"),
+        decodeCatalog(stored));
+  }
+
+  private static LogEntry decodeMemberReport(ObjectNode stored) {
+    return new LogEntry.MemberReport(
+        text(stored, "name"),
+        session(stored),
+        stored.path("number").asLong(),
+        stored.path("seen").asLong(),
+        stored.path("serving").asBoolean(),
+        names(stored.path("busy")),
+        names(stored.path("suspects")),
+        stored.has("hosts") ? Optional.of(decodeCatalog(stored)) : Optional.empty());
+  }
+
+  private static LogEntry.HostCatalog decodeCatalog(ObjectNode stored) {
+    return new LogEntry.HostCatalog(
+        text(stored, "digest"), DisruptionState.subjects(stored.path("hosts")));
+  }
+
+  private static LogEntry decodeDisruption(String operation, ObjectNode stored) {
+    String name = text(stored, "name");
+    String why = text(stored, "why");
+    return switch (operation) {
+      case "drain" -> decodeDrain(stored);
+      case "undo" ->
+          new LogEntry.Disruption(new DisruptionCommand.Undo(text(stored, "permit"), why));
+      case "halt" -> new LogEntry.Disruption(new DisruptionCommand.Halt(why));
+      case "resume" -> new LogEntry.Disruption(new DisruptionCommand.Resume());
+      case "fence" -> new LogEntry.Disruption(new DisruptionCommand.Fence(name));
+      case "forget" -> new LogEntry.Disruption(new DisruptionCommand.Forget(name));
+      case "budgets" -> decodeBudgets(stored);
+      default -> malformed("op: '" + operation + "' (expected: one that this build knows)");
+    };
+  }
+
+  private static LogEntry decodeDrain(ObjectNode stored) {
+    TargetType type = TargetType.of(text(stored, "kind"));
+    if (type == null) {
+      return malformed("kind: '" + text(stored, "kind") + "' (expected: proxy or host)");
+    }
+    return new LogEntry.Disruption(
+        new DisruptionCommand.Drain(
+            type,
+            text(stored, "name"),
+            stored.path("for_ms").asLong(),
+            stored.path("leave").asBoolean(),
+            text(stored, "who"),
+            text(stored, "why")));
+  }
+
+  private static LogEntry decodeBudgets(ObjectNode stored) {
+    List<String> faults = new ArrayList<>();
+    List<Budget> budgets = new ArrayList<>();
+    stored.path("budgets").forEach(budget -> budgets.add(Budget.read(budget, faults)));
+    return faults.isEmpty()
+        ? new LogEntry.Disruption(
+            new DisruptionCommand.ReplaceBudgets(budgets, stored.path("against").asLong()))
+        : new LogEntry.Malformed(faults);
+  }
+
+  private static LogEntry malformed(String reason) {
+    return new LogEntry.Malformed(List.of(reason));
+  }
+
+  /** The stored form of an entry of a member or replica, but for its schema. */
+  static ObjectNode encode(LogEntry entry) {
+    if (entry instanceof LogEntry.Join join) {
+      return encodeJoin(join);
+    }
+    if (entry instanceof LogEntry.MemberReport report) {
+      return encodeMemberReport(report);
+    }
+    if (entry instanceof LogEntry.Leave leave) {
+      return operation("leave").put("name", leave.name()).put("session", leave.session());
+    }
+    if (entry instanceof LogEntry.SessionExpired expired) {
+      return operation("expire")
+          .put("name", expired.name())
+          .put("session", expired.session())
+          .put("who", AuditLog.REPLICAS)
+          .put("why", "nothing was heard of it for a lease");
+    }
+    if (entry instanceof LogEntry.TimerExpired expired) {
+      return operation("timeout").put("timer", expired.timer());
+    }
+    throw new IllegalArgumentException(
+        "entry: " + entry + " (expected: one of a member or a replica)");
+  }
+
+  /** The stored form of the entry that records that a timer has run out. */
+  static ObjectNode encodeExpiry(String timer) {
+    return encode(LogEntry.ofExpiredTimer(timer));
+  }
+
+  private static ObjectNode operation(String operation) {
+    return Json.object().put(OPERATION, operation);
+  }
+
+  private static ObjectNode encodeJoin(LogEntry.Join join) {
+    ObjectNode stored =
+        operation("join")
+            .put("name", join.name())
+            .put("incarnation", join.incarnation())
+            .put("lease_ms", join.leaseMillis())
+            .put("zone", join.zone())
+            .put("runs", join.version());
+    encodeCatalog(join.catalog(), stored);
+    return stored;
+  }
+
+  private static ObjectNode encodeMemberReport(LogEntry.MemberReport report) {
+    ObjectNode stored =
+        Json.object().put("seen", report.seenVersion()).put("serving", report.serving());
+    report.busyHosts().forEach(stored.putArray("busy")::add);
+    report.suspectedHosts().forEach(stored.putArray("suspects")::add);
+    stored
+        .put(OPERATION, "tell")
+        .put("name", report.name())
+        .put("session", report.session())
+        .put("number", report.number());
+    report.catalog().ifPresent(catalog -> encodeCatalog(catalog, stored));
+    return stored;
+  }
+
+  private static void encodeCatalog(LogEntry.HostCatalog catalog, ObjectNode stored) {
+    stored.put("digest", catalog.digest()).set("hosts", encodeHosts(catalog.hosts()));
+  }
+
+  /** A catalog whose digest is that of its hosts' stored form. */
+  public static LogEntry.HostCatalog catalogOf(List<Target> hosts) {
+    return new LogEntry.HostCatalog(Json.digest(encodeHosts(hosts)), hosts);
+  }
+
+  private static ArrayNode encodeHosts(List<Target> hosts) {
+    ArrayNode list = Json.object().putArray("hosts");
+    hosts.forEach(host -> DisruptionState.write(host, list.addObject()));
+    return list;
+  }
+
+  /** A text of a stored entry, cut at the bound for texts; "" where there is none. */
+  static String text(JsonNode stored, String key) {
+    String text = stored.path(key).asText("");
+    return text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
+  }
+
+  private static String label(JsonNode stored, String key) {
+    String text = text(stored, key);
+    return text.isEmpty() ? Target.NONE : text;
+  }
+
+  private static long session(JsonNode stored) {
+    return stored.path("session").asLong();
+  }
+
+  private static SortedSet<String> names(JsonNode list) {
+    SortedSet<String> names = new TreeSet<>();
+    list.forEach(name -> names.add(name.asText()));
+    return names;
+  }
+}
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -201,7 +201,7 @@
       done.accept(elsewhere());
       return;
     }
-    byte[] bytes = Json.bytes(entry.put("schema", FleetStateMachine.SCHEMA));
+    byte[] bytes = Json.bytes(entry.put("schema", LogEntryCodec.SCHEMA));
     ask(RaftClientRequest.writeRequestType(), Message.valueOf(ByteString.copyFrom(bytes)))
         .whenComplete(
             (reply, failure) -> {
@@ -293,7 +293,7 @@
   boolean renew(String name, long session) {
     synchronized (ledger) {
       return ledger.lives(name, session)
-          && timers.renew(FleetStateMachine.timer(name, session), System.nanoTime());
+          && timers.renew(SessionTable.timer(name, session), System.nanoTime());
     }
   }
 
@@ -420,7 +420,7 @@
       }
       for (String timer : due) {
         submit(
-            FleetStateMachine.ranOut(timer),
+            LogEntryCodec.encodeExpiry(timer),
             o -> {
               if (o.has("redirect") || o.has("undecided")) {
                 synchronized (ledger) {
--- a/src/main/java/leadferry/consensus/ReplicaEndpoint.java
+++ b/src/main/java/leadferry/consensus/ReplicaEndpoint.java
@@ -23,23 +23,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
-import leadferry.release.ReleaseCommandCodec;
 
 /** Where members and operators reach a keeper: an object a line, each way, over TCP. */
 final class ReplicaEndpoint implements AutoCloseable {
-  /** What others than keepers may put into the log. */
-  private static final Set<String> OPS =
-      Stream.of(
-              Set.of(
-                  "join", "tell", "leave", "drain", "undo", "halt", "resume", "fence", "forget",
-                  "budgets"),
-              ReleaseCommandCodec.DRIVER_OPERATIONS,
-              ReleaseCommandCodec.OPERATOR_OPERATIONS)
-          .flatMap(Set::stream)
-          .collect(Collectors.toUnmodifiableSet());
-
   private static final int MOST_CONNECTIONS = 20_000;
 
   /** A connection that has said nothing for so long (s) is closed. */
@@ -214,12 +200,11 @@
     }
 
     private void submit(long id, ObjectNode q) {
-      if (!(q.path("entry") instanceof ObjectNode entry)
-          || !OPS.contains(entry.path("op").asText())) {
+      if (!(q.path("entry") instanceof ObjectNode entry) || !LogEntryCodec.isSubmittable(entry)) {
         answer(id, Json.object().put("error", "entry: one that can't be put into the log"));
         return;
       }
-      watches |= entry.path("op").asText().equals("join");
+      watches |= LogEntryCodec.isJoin(entry);
       keeper.submit(entry, o -> answer(id, o));
     }
 
--- /dev/null
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -0,0 +1,53 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import leadferry.disruption.DisruptionState;
+import leadferry.release.Releases;
+
+/**
+ * Writes and reads the whole agreed state, in the schema of {@link LogEntryCodec#SCHEMA}. Each part
+ * writes its own form; replicas that have applied the same entries write the same bytes.
+ */
+final class SnapshotCodec {
+  /** The parts of the agreed state. */
+  record Parts(
+      SessionTable sessions,
+      CallHistory calls,
+      AuditLog audit,
+      DisruptionState disruption,
+      Releases releases) {}
+
+  private SnapshotCodec() {}
+
+  static byte[] encode(long entryCount, Parts parts) {
+    ObjectNode snapshot =
+        Json.object().put("schema", LogEntryCodec.SCHEMA).put("entries", entryCount);
+    parts.sessions().write(snapshot.putArray("sessions"));
+    parts.calls().write(snapshot.putArray("calls"));
+    parts.audit().write(snapshot.putArray("audit"));
+    parts.disruption().snapshot(snapshot.putObject("disruption"));
+    parts.releases().snapshot(snapshot.putObject("release"));
+    return Json.bytes(snapshot);
+  }
+
+  /**
+   * Replaces what the parts hold.
+   *
+   * @return how many entries led to the snapshot
+   * @throws LaterSchemaException if a later build wrote it; then nothing is replaced
+   */
+  static long decode(byte[] bytes, Parts parts) {
+    ObjectNode snapshot = Json.read(bytes);
+    if (snapshot == null) {
+      throw new IllegalArgumentException(
+          "snapshot: not an object (expected: one that snapshot() gave)");
+    }
+    LogEntryCodec.checkSchema(snapshot.path("schema").asInt());
+    parts.sessions().restore(snapshot.path("sessions"));
+    parts.calls().restore(snapshot.path("calls"));
+    parts.audit().restore(snapshot.path("audit"));
+    parts.disruption().restore(snapshot.path("disruption"));
+    parts.releases().restore(snapshot.path("release"));
+    return snapshot.path("entries").asLong();
+  }
+}
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.UUID;
-import leadferry.consensus.FleetStateMachine;
 import leadferry.consensus.Json;
 import leadferry.consensus.Lease;
+import leadferry.consensus.LogEntryCodec;
 import leadferry.consensus.Pause;
 import leadferry.consensus.ReplicaClient;
 import leadferry.consensus.ReplicaClient.UnreachableException;
@@ -285,7 +285,9 @@
     ArrayNode list = Json.object().putArray("hosts");
     all.values().forEach(s -> DisruptionState.write(s, list.addObject()));
     catalogue =
-        Json.object().put("digest", FleetStateMachine.digest(Json.text(list))).set("hosts", list);
+        Json.object()
+            .put("digest", LogEntryCodec.catalogOf(java.util.List.copyOf(all.values())).digest())
+            .set("hosts", list);
     catalogued = now;
     return catalogue;
   }
--- a/src/test/java/leadferry/ArchitectureTest.java
+++ b/src/test/java/leadferry/ArchitectureTest.java
@@ -136,7 +136,9 @@
         .check(CLASSES);
     noClasses()
         .that()
-        .haveNameMatching("leadferry\\.consensus\\.(FleetStateMachine|LeaseTimers|Lease).*")
+        .haveNameMatching(
+            "leadferry\\.consensus\\.(FleetStateMachine|LogEntry|LaterSchemaException|SessionTable|CallHistory"
+                + "|AuditLog|OutcomeCodec|SnapshotCodec|LeaseTimers|Lease).*")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -158,8 +158,8 @@
                   () -> {
                     crashes++; // stopped, say: what was on its way to it stays there
                     apply(
-                        FleetStateMachine.ranOut(
-                            FleetStateMachine.timer(
+                        LogEntryCodec.encodeExpiry(
+                            SessionTable.timer(
                                 n, p.session))); // its lease is over before this is said: see
                     // LeaseTest
                   }));
@@ -168,7 +168,7 @@
           out.add(
               new Step(
                   "expire " + n,
-                  () -> apply(FleetStateMachine.ranOut(FleetStateMachine.timer(n, p.session)))));
+                  () -> apply(LogEntryCodec.encodeExpiry(SessionTable.timer(n, p.session)))));
         }
         if (!lives) {
           out.add(
@@ -204,7 +204,7 @@
       }
       for (String t : ledger.timers().keySet()) {
         if (!t.startsWith("session:")) {
-          out.add(new Step("time " + t, () -> apply(FleetStateMachine.ranOut(t))));
+          out.add(new Step("time " + t, () -> apply(LogEntryCodec.encodeExpiry(t))));
         }
       }
       return out;
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -83,7 +83,7 @@
   private void timeout(String prefix) {
     for (String t : List.copyOf(ledger.timers().keySet())) {
       if (t.startsWith(prefix)) {
-        apply(FleetStateMachine.ranOut(t));
+        apply(LogEntryCodec.encodeExpiry(t));
       }
     }
   }
@@ -218,7 +218,7 @@
   @Test
   void aLaterSchemaIsNeverGuessedAt() {
     assertThatThrownBy(() -> apply(op("halt").put("schema", 2)))
-        .isInstanceOf(FleetStateMachine.LaterSchemaException.class);
+        .isInstanceOf(LaterSchemaException.class);
     ObjectNode later = Json.read(ledger.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> ledger.restore(Json.bytes(later))).hasMessageContaining("later build");
   }
@@ -277,7 +277,7 @@
           case 5 ->
               timers.isEmpty()
                   ? op("resume")
-                  : FleetStateMachine.ranOut(timers.get(r.nextInt(timers.size())));
+                  : LogEntryCodec.encodeExpiry(timers.get(r.nextInt(timers.size())));
           default -> op(r.nextInt(4) == 0 ? "halt" : "resume");
         };
     return Json.bytes(e);
--- a/src/test/java/leadferry/consensus/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -62,7 +62,7 @@
     } else if (step.has("throws")) {
       assertThatThrownBy(() -> ledger.apply(decoded(step.path("entry"))))
           .as(where)
-          .isInstanceOf(FleetStateMachine.LaterSchemaException.class);
+          .isInstanceOf(LaterSchemaException.class);
     } else if (step.has("entry")) {
       assertThat(Json.text(ledger.apply(decoded(step.path("entry")))))
           .as(where)
--- a/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
@@ -74,7 +74,7 @@
         processes.put(p, new Process());
         join(p);
       }
-      timers().forEach(t -> apply(FleetStateMachine.ranOut(t)));
+      timers().forEach(t -> apply(LogEntryCodec.encodeExpiry(t)));
       ObjectNode plan =
           Json.object()
               .put("name", RELEASE)
@@ -318,7 +318,8 @@
         if (!t.startsWith("session:") && !t.startsWith("release-longest") && may) {
           out.add(
               new Step(
-                  "time " + t.replaceAll("[0-9]+$", ""), () -> apply(FleetStateMachine.ranOut(t))));
+                  "time " + t.replaceAll("[0-9]+$", ""),
+                  () -> apply(LogEntryCodec.encodeExpiry(t))));
         }
       }
       if (restarts < 2) {
@@ -339,7 +340,7 @@
                   () -> {
                     losses++;
                     lost.add(n);
-                    apply(FleetStateMachine.ranOut(FleetStateMachine.timer(n, p.session)));
+                    apply(LogEntryCodec.encodeExpiry(SessionTable.timer(n, p.session)));
                   }));
         }
         if (behind(n)) {
@@ -369,7 +370,7 @@
         looks(d);
       }
       processes.keySet().forEach(this::news);
-      timers().forEach(t -> apply(FleetStateMachine.ranOut(t)));
+      timers().forEach(t -> apply(LogEntryCodec.encodeExpiry(t)));
       String timer =
           ledger.timers().keySet().stream()
               .filter(t -> t.startsWith("release-driver:"))
@@ -377,7 +378,7 @@
               .orElse("");
       if (!timer.isEmpty()
           && drivers.values().stream().noneMatch(d -> d.conductor.drives(release()))) {
-        apply(FleetStateMachine.ranOut(timer));
+        apply(LogEntryCodec.encodeExpiry(timer));
       }
     }
 
