--- /dev/null
+++ b/src/main/java/leadferry/consensus/LeaderClock.java
@@ -0,0 +1,55 @@
+package leadferry.consensus;
+
+import java.util.List;
+import leadferry.release.Releases;
+
+/**
+ * The leader's {@link LeaseTimers} over what the state machine says runs out. Its state, like the
+ * state machine's, is guarded by the state machine's monitor: no entry is applied between a look at
+ * a session and its renewal.
+ */
+final class LeaderClock {
+  private static final long NO_TERM = -1;
+
+  private final FleetStateMachine stateMachine;
+  private final LeaseTimers timers = new LeaseTimers();
+  private long term = NO_TERM;
+
+  LeaderClock(FleetStateMachine stateMachine) {
+    this.stateMachine = stateMachine;
+  }
+
+  /** The timers that have run out while this replica led in that term, each once. */
+  List<String> due(long currentTerm, long nowNanos) {
+    synchronized (stateMachine) {
+      if (currentTerm != term) {
+        term = currentTerm;
+        timers.begin(nowNanos);
+      }
+      return timers.due(stateMachine.timers(), nowNanos);
+    }
+  }
+
+  /** The log did not take the end of this timer: it is due again. */
+  void retry(String timer) {
+    synchronized (stateMachine) {
+      timers.resubmit(timer);
+    }
+  }
+
+  /** Renews a session's lease; false where the session is over. */
+  boolean renewSession(String name, long session, long nowNanos) {
+    synchronized (stateMachine) {
+      return stateMachine.lives(name, session)
+          && timers.renew(SessionTable.timer(name, session), nowNanos);
+    }
+  }
+
+  /** Renews the lease of a release's driver; false where it is over. */
+  boolean renewDriver(String release, long fence, long nowNanos) {
+    synchronized (stateMachine) {
+      return stateMachine.drives(release, fence)
+          && timers.renew(Releases.timer(release, fence), nowNanos);
+    }
+  }
+}
--- a/src/main/java/leadferry/consensus/Lease.java
+++ b/src/main/java/leadferry/consensus/Lease.java
@@ -6,37 +6,40 @@
  *
  * <pre>
  *   member:  asked ------------------------ 0.9 of a lease ----------| over
- *   keeper:          heard -------------------------- a lease ---------------| may say so
+ *   leader:          heard -------------------------- a lease ---------------| may say so
  * </pre>
  *
- * <p>The member counts from before it asked and the keeper from after it heard, so the member knows
+ * <p>The member counts from before it asked and the leader from after it heard, so the member knows
  * first that its lease is over, as long as the two clocks differ by less than a tenth in speed.
  */
 public final class Lease {
-  private static final double PART = 0.9;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  private final long nanos;
-  private long until = Long.MIN_VALUE;
-  private boolean had;
+  /** How much of the lease a member counts on. */
+  private static final double MEMBER_FRACTION = 0.9;
 
-  /** A lease of so many milliseconds, as the keepers count it. */
-  public Lease(long leaseMs) {
-    this.nanos = (long) (leaseMs * 1e6 * PART);
+  private final long lengthNanos;
+  private long endNanos = Long.MIN_VALUE;
+  private boolean held;
+
+  /** A lease of so many milliseconds, as the leader counts it. */
+  public Lease(long leaseMillis) {
+    this.lengthNanos = (long) (leaseMillis * NANOS_PER_MILLI * MEMBER_FRACTION);
   }
 
-  /** A keeper has confirmed what was asked at that time. */
-  public void confirmed(long askedAt) {
-    until = had ? Math.max(until, askedAt + nanos) : askedAt + nanos;
-    had = true;
+  /** The leader has confirmed what was asked at that time (ns). */
+  public void confirmed(long askedAtNanos) {
+    endNanos = held ? Math.max(endNanos, askedAtNanos + lengthNanos) : askedAtNanos + lengthNanos;
+    held = true;
   }
 
   /** The session is gone. */
   public void lost() {
-    had = false;
+    held = false;
   }
 
   /** Whether it holds; to be asked right before each decision that needs it. */
-  public boolean holds(long now) {
-    return had && now - until < 0;
+  public boolean holds(long nowNanos) {
+    return held && nowNanos - endNanos < 0;
   }
 }
--- a/src/main/java/leadferry/consensus/LeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaseTimers.java
@@ -8,69 +8,73 @@
 import java.util.Set;
 
 /**
- * The leader's clock over leases, permits and the times in which somebody settles. Without I/O;
- * times are passed in (ns, of a monotonic clock).
+ * The leader's clock over leases, eviction grants and stabilization periods. Without I/O; times are
+ * passed in (ns, of a monotonic clock).
  *
  * <pre>
- *   leadership begins      renewed        renewed                     due: told to the log once
+ *   leadership begins      renewed        renewed                     due: submitted to the log once
  *   |---- a whole lease ----|---- a whole lease ----|---- a whole lease ----|
  * </pre>
  *
  * <p>Nothing that an earlier leader counted is believed, and nothing that this one counted before
  * it stood still itself: every time begins anew. So what runs out, runs out late, never early.
- * Guards against a keeper that was stopped, wakes up, and takes everybody for dead whom it could
+ * Guards against a leader that was stopped, wakes up, and takes every member for dead that it could
  * not hear.
  */
 public final class LeaseTimers {
-  /** A gap between two looks (ns) that tells that this process stood still. */
+  /** A gap between two looks (ns) from which on this process counts as having been stopped. */
   static final long STALL_NANOS = 400_000_000L;
 
-  private final Map<String, Long> since = new HashMap<>();
-  private final Set<String> told = new HashSet<>();
-  private long looked = Long.MIN_VALUE;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  private final Map<String, Long> startedAtNanos = new HashMap<>();
+  private final Set<String> submitted = new HashSet<>();
+  private long lastLookNanos = Long.MIN_VALUE;
 
   /** Leadership has begun: forgets all. */
-  public void begin(long now) {
-    since.clear();
-    told.clear();
-    looked = now;
+  public void begin(long nowNanos) {
+    startedAtNanos.clear();
+    submitted.clear();
+    lastLookNanos = nowNanos;
   }
 
   /**
-   * What has run out and was not returned before; {@code wanted} holds all that runs, and how long
+   * What has run out and was not returned before; {@code running} holds all that runs, and how long
    * (ms).
    */
-  public List<String> due(Map<String, Long> wanted, long now) {
-    if (looked != Long.MIN_VALUE && now - looked > STALL_NANOS) {
-      since.clear(); // what was told to the log stays told
+  public List<String> due(Map<String, Long> running, long nowNanos) {
+    if (lastLookNanos != Long.MIN_VALUE && nowNanos - lastLookNanos > STALL_NANOS) {
+      startedAtNanos.clear(); // what was submitted to the log stays submitted
     }
-    looked = now;
-    since.keySet().retainAll(wanted.keySet());
-    told.retainAll(wanted.keySet());
+    lastLookNanos = nowNanos;
+    startedAtNanos.keySet().retainAll(running.keySet());
+    submitted.retainAll(running.keySet());
     List<String> due = new ArrayList<>();
-    for (Map.Entry<String, Long> w : wanted.entrySet()) {
-      Long from = since.putIfAbsent(w.getKey(), now);
-      if (from != null && now - from >= w.getValue() * 1_000_000L && told.add(w.getKey())) {
-        due.add(w.getKey());
+    for (Map.Entry<String, Long> timer : running.entrySet()) {
+      Long from = startedAtNanos.putIfAbsent(timer.getKey(), nowNanos);
+      if (from != null
+          && nowNanos - from >= timer.getValue() * NANOS_PER_MILLI
+          && submitted.add(timer.getKey())) {
+        due.add(timer.getKey());
       }
     }
     return due;
   }
 
   /**
-   * A sign of life for a timer. False where its end has been told to the log: whoever it is about
-   * must not hear that it goes on.
+   * A sign of life for a timer. False where its end has been submitted to the log: whoever it is
+   * about must not hear that it goes on.
    */
-  public boolean renew(String timer, long now) {
-    if (told.contains(timer)) {
+  public boolean renew(String timer, long nowNanos) {
+    if (submitted.contains(timer)) {
       return false;
     }
-    since.put(timer, now);
+    startedAtNanos.put(timer, nowNanos);
     return true;
   }
 
-  /** The log did not take the end of this timer: it will be told again. */
-  public void untold(String timer) {
-    told.remove(timer);
+  /** The log did not take the end of this timer: it is due again. */
+  public void resubmit(String timer) {
+    submitted.remove(timer);
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -0,0 +1,84 @@
+package leadferry.consensus;
+
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.apache.ratis.RaftConfigKeys;
+import org.apache.ratis.conf.RaftProperties;
+import org.apache.ratis.grpc.GrpcConfigKeys;
+import org.apache.ratis.rpc.SupportedRpcType;
+import org.apache.ratis.server.RaftServerConfigKeys;
+import org.apache.ratis.server.RaftServerConfigKeys.Read;
+import org.apache.ratis.util.SizeInBytes;
+import org.apache.ratis.util.TimeDuration;
+
+/** The settings of the Raft library for a replica: addresses, elections, reads, snapshots, log. */
+final class RatisProperties {
+  /** What is sent to a follower at once, at most. */
+  private static final SizeInBytes APPEND_BATCH = SizeInBytes.valueOf("4MB");
+
+  /** The library asks for a write buffer that holds a batch and a little more. */
+  private static final long WRITE_BUFFER_MARGIN_BYTES = 64;
+
+  private static final int MIN_FIRST_ELECTION_MILLIS = 50;
+  private static final int MIN_RETRY_MILLIS = 20;
+  private static final int RETAINED_SNAPSHOTS = 2;
+
+  private RatisProperties() {}
+
+  static RaftProperties of(ReplicaConfig config) {
+    RaftProperties properties = new RaftProperties();
+    RaftServerConfigKeys.setStorageDir(
+        properties, List.of(ReplicaFolder.logFolder(config).toFile()));
+    setTransport(properties, config);
+    setElections(properties, config.electionMs());
+    setReads(properties, config.electionMs());
+    setSnapshots(properties, config.snapshotEntries());
+    setLog(properties);
+    return properties;
+  }
+
+  private static void setTransport(RaftProperties properties, ReplicaConfig config) {
+    RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
+    GrpcConfigKeys.Server.setHost(properties, config.log().getAddress().getHostAddress());
+    GrpcConfigKeys.Server.setPort(properties, config.log().getPort());
+  }
+
+  private static void setElections(RaftProperties properties, int electionMillis) {
+    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionMillis));
+    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(2 * electionMillis));
+    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
+        properties, millis(Math.max(MIN_FIRST_ELECTION_MILLIS, electionMillis / 4)));
+    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionMillis));
+    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(electionMillis));
+    RaftServerConfigKeys.Rpc.setSleepTime(
+        properties, millis(Math.max(MIN_RETRY_MILLIS, electionMillis / 8)));
+  }
+
+  private static void setReads(RaftProperties properties, int electionMillis) {
+    Read.setOption(properties, Read.Option.LINEARIZABLE);
+    Read.setLeaderLeaseEnabled(properties, false);
+    Read.setTimeout(properties, millis(2 * electionMillis));
+  }
+
+  private static void setSnapshots(RaftProperties properties, int snapshotEntries) {
+    RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
+    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshotEntries);
+    RaftServerConfigKeys.Snapshot.setCreationGap(properties, Math.max(1, snapshotEntries / 4));
+    RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, RETAINED_SNAPSHOTS);
+  }
+
+  private static void setLog(RaftProperties properties) {
+    // What a replica that is down still lacks stays in the log: a snapshot is sent only to one that
+    // lost its folder.
+    RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, false);
+    RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf("4MB"));
+    RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
+    RaftServerConfigKeys.Log.setWriteBufferSize(
+        properties, SizeInBytes.valueOf(APPEND_BATCH.getSize() + WRITE_BUFFER_MARGIN_BYTES));
+    RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, APPEND_BATCH);
+  }
+
+  private static TimeDuration millis(int millis) {
+    return TimeDuration.valueOf(millis, TimeUnit.MILLISECONDS);
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/consensus/RatisServer.java
@@ -0,0 +1,151 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.UUID;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.atomic.AtomicLong;
+import org.apache.ratis.protocol.ClientId;
+import org.apache.ratis.protocol.Message;
+import org.apache.ratis.protocol.RaftClientReply;
+import org.apache.ratis.protocol.RaftClientRequest;
+import org.apache.ratis.protocol.RaftGroup;
+import org.apache.ratis.protocol.RaftGroupId;
+import org.apache.ratis.protocol.RaftPeer;
+import org.apache.ratis.protocol.RaftPeerId;
+import org.apache.ratis.server.DivisionInfo;
+import org.apache.ratis.server.RaftServer;
+import org.apache.ratis.server.storage.RaftStorage.StartupOption;
+import org.apache.ratis.statemachine.StateMachine;
+import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
+
+/** The Raft library's server of one replica: its log, its term and role. Thread-safe. */
+final class RatisServer implements Closeable {
+  /** The term of a replica that does not lead. */
+  static final long NOT_LEADING = -1;
+
+  private final RaftServer server;
+  private final RaftGroupId group;
+  private final ClientId clientId = ClientId.randomId();
+  private final AtomicLong callIds = new AtomicLong();
+
+  /** Starts the server; throws if its folder or address can't be had. */
+  RatisServer(
+      ReplicaConfig config, RaftGroupId group, StartupOption startup, StateMachine stateMachine)
+      throws IOException {
+    this.group = group;
+    List<RaftPeer> peers = new ArrayList<>();
+    config
+        .peers()
+        .forEach(
+            (name, address) ->
+                peers.add(RaftPeer.newBuilder().setId(name).setAddress(address).build()));
+    this.server =
+        RaftServer.newBuilder()
+            .setServerId(RaftPeerId.valueOf(config.name()))
+            .setGroup(RaftGroup.valueOf(group, peers))
+            .setStateMachine(stateMachine)
+            .setProperties(RatisProperties.of(config))
+            .setOption(startup)
+            .build();
+    server.start();
+  }
+
+  /** The library's id of a fleet's log. */
+  static RaftGroupId groupOf(String fleet) {
+    return RaftGroupId.valueOf(
+        UUID.nameUUIDFromBytes(("leadferry " + fleet).getBytes(StandardCharsets.UTF_8)));
+  }
+
+  /** Appends an entry; answered once a majority has it on disk and it has been applied here. */
+  CompletableFuture<RaftClientReply> append(byte[] entry) {
+    return submit(
+        RaftClientRequest.writeRequestType(), Message.valueOf(ByteString.copyFrom(entry)));
+  }
+
+  /** A linearizable read of nothing: answered once a majority has confirmed the leader. */
+  CompletableFuture<RaftClientReply> readNothing() {
+    return submit(RaftClientRequest.readRequestType(false), Message.EMPTY);
+  }
+
+  private CompletableFuture<RaftClientReply> submit(RaftClientRequest.Type type, Message message) {
+    try {
+      return server.submitClientRequestAsync(
+          RaftClientRequest.newBuilder()
+              .setClientId(clientId)
+              .setServerId(server.getId())
+              .setGroupId(group)
+              .setCallId(callIds.incrementAndGet())
+              .setMessage(message)
+              .setType(type)
+              .build());
+    } catch (IOException e) {
+      return CompletableFuture.failedFuture(e);
+    }
+  }
+
+  /** Why a request was not carried out, for people; empty where it was. */
+  static Optional<String> failureOf(RaftClientReply reply, Throwable failure) {
+    if (failure != null) {
+      return Optional.of(failure.toString());
+    }
+    return reply.isSuccess() ? Optional.empty() : Optional.of(String.valueOf(reply.getException()));
+  }
+
+  private DivisionInfo info() throws IOException {
+    return server.getDivision(group).getInfo();
+  }
+
+  long currentTerm() throws IOException {
+    return info().getCurrentTerm();
+  }
+
+  /** The term in which this replica leads, or {@link #NOT_LEADING}. */
+  long leadingTerm() {
+    try {
+      DivisionInfo info = info();
+      long term = info.getCurrentTerm();
+      return info.isLeaderReady() && info.getCurrentTerm() == term ? term : NOT_LEADING;
+    } catch (IOException | RuntimeException e) {
+      return NOT_LEADING;
+    }
+  }
+
+  /** The name of another replica that is known to lead, or "". */
+  String otherLeader() {
+    try {
+      RaftPeerId id = info().getLeaderId();
+      return id == null || id.equals(server.getId()) ? "" : id.toString();
+    } catch (IOException | RuntimeException e) {
+      return "";
+    }
+  }
+
+  /** Adds role, term, applied index, leader and what followers have. */
+  void writeHealth(ObjectNode health) {
+    try {
+      DivisionInfo info = info();
+      health
+          .put("role", info.getCurrentRole().name().toLowerCase(Locale.ROOT))
+          .put("term", info.getCurrentTerm())
+          .put("applied", info.getLastAppliedIndex())
+          .put("leader", info.getLeaderId() == null ? "" : info.getLeaderId().toString());
+      long[] matchIndices = info.isLeader() ? info.getFollowerMatchIndices() : new long[0];
+      Arrays.stream(matchIndices).forEach(health.putArray("followers")::add);
+    } catch (IOException | RuntimeException e) {
+      health.put("role", "unknown");
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
+}
--- a/src/main/java/leadferry/consensus/RatisStateMachine.java
+++ b/src/main/java/leadferry/consensus/RatisStateMachine.java
@@ -6,8 +6,10 @@
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
 import org.apache.ratis.io.MD5Hash;
 import org.apache.ratis.proto.RaftProtos.LogEntryProto;
 import org.apache.ratis.protocol.Message;
@@ -30,18 +32,17 @@
  * restarts.
  */
 final class RatisStateMachine extends BaseStateMachine {
-  private final FleetStateMachine ledger;
+  private final FleetStateMachine stateMachine;
   private final Runnable changed;
-  private final java.util.function.Consumer<Throwable> fatal;
+  private final Consumer<Throwable> fatal;
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
   /**
-   * {@code changed} runs after each entry; {@code fatal} is told what this keeper can't go on
+   * {@code changed} runs after each entry; {@code fatal} is told what this replica can't go on
    * after.
    */
-  RatisStateMachine(
-      FleetStateMachine ledger, Runnable changed, java.util.function.Consumer<Throwable> fatal) {
-    this.ledger = ledger;
+  RatisStateMachine(FleetStateMachine stateMachine, Runnable changed, Consumer<Throwable> fatal) {
+    this.stateMachine = stateMachine;
     this.changed = changed;
     this.fatal = fatal;
   }
@@ -55,8 +56,8 @@
   }
 
   /**
-   * Before a snapshot of another keeper takes the place of what is here; without it the library
-   * gives this keeper up.
+   * Runs before another replica's snapshot takes the place of the state here. Guards against a
+   * replica that the library gives up because it was not paused.
    */
   @Override
   public void pause() {
@@ -80,8 +81,8 @@
       MD5FileUtil.verifySavedMD5(file.toFile(), expected);
     }
     try {
-      synchronized (ledger) {
-        ledger.restore(Files.readAllBytes(file));
+      synchronized (stateMachine) {
+        stateMachine.restore(Files.readAllBytes(file));
       }
     } catch (RuntimeException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
@@ -96,12 +97,12 @@
   }
 
   @Override
-  public CompletableFuture<Message> applyTransaction(TransactionContext t) {
-    LogEntryProto entry = t.getLogEntry();
+  public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
+    LogEntryProto entry = transaction.getLogEntry();
     ObjectNode outcome;
     try {
-      synchronized (ledger) {
-        outcome = ledger.apply(entry.getStateMachineLogEntry().getLogData().toByteArray());
+      synchronized (stateMachine) {
+        outcome = stateMachine.apply(entry.getStateMachineLogEntry().getLogData().toByteArray());
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       }
     } catch (RuntimeException e) {
@@ -117,28 +118,28 @@
 
   @Override
   public CompletableFuture<Message> query(Message request) {
-    return CompletableFuture.completedFuture(
-        Message.EMPTY); // reached only where this keeper has been found to lead
+    // A read confirms the leader and asks nothing: LeadershipConfirmation.
+    return CompletableFuture.completedFuture(Message.EMPTY);
   }
 
   @Override
   public long takeSnapshot() throws IOException {
-    TermIndex at;
+    TermIndex applied;
     byte[] bytes;
-    synchronized (ledger) {
-      at = getLastAppliedTermIndex();
-      bytes = ledger.snapshot();
+    synchronized (stateMachine) {
+      applied = getLastAppliedTermIndex();
+      bytes = stateMachine.snapshot();
     }
-    File file = storage.getSnapshotFile(at.getTerm(), at.getIndex());
+    File file = storage.getSnapshotFile(applied.getTerm(), applied.getIndex());
     Path part = file.toPath().resolveSibling(file.getName() + ".part");
     Files.write(part, bytes);
-    try (FileChannel c = FileChannel.open(part, StandardOpenOption.WRITE)) {
-      c.force(true);
+    try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
+      channel.force(true);
     }
-    Files.move(part, file.toPath(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+    Files.move(part, file.toPath(), StandardCopyOption.ATOMIC_MOVE);
     MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
     storage.updateLatestSnapshot(
-        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), at));
-    return at.getIndex();
+        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), applied));
+    return applied.getIndex();
   }
 }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -10,20 +10,21 @@
 import java.util.function.Consumer;
 
 /**
- * Calls keepers: goes to the one that leads, as they tell, and from one that does not answer to the
- * next. For one thread. All that is sent may be sent again: entries carry a call's id, an
+ * Calls replicas: goes to the one that leads, as they tell, and from one that does not answer to
+ * the next. For one thread. All that is sent may be sent again: entries carry a call's id, an
  * incarnation or a session with a number, by which the log takes them once.
  */
 public final class ReplicaClient implements AutoCloseable {
-  /**
-   * One keeper has so long (ms) for a connection, and for an answer, before the next one is asked.
-   */
-  private static final int CONNECT_MS = 500;
+  /** One replica has so long (ms) for a connection before the next one is asked. */
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
+
+  /** And so long (ms) for an answer. */
+  private static final int ANSWER_TIMEOUT_MILLIS = 1_500;
 
-  private static final int ANSWER_MS = 1_500;
-  private static final int PAUSE_MS = 50;
+  private static final int RETRY_DELAY_MILLIS = 50;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** No keeper that leads has answered in time. */
+  /** No replica that leads has answered in time. Asked again the call may well be answered. */
   public static final class UnreachableException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -37,120 +38,137 @@
   }
 
   private final String fleet;
-  private final Map<String, InetSocketAddress> keepers;
+  private final Map<String, InetSocketAddress> addresses;
   private final List<String> names;
-  private final Consumer<ObjectNode> pushed;
-  private ReplicaConnection wire;
-  private String at;
+  private final Consumer<ObjectNode> pushListener;
+  private ReplicaConnection connection;
+  private String current;
   private int next;
-  private long ids;
+  private long lastId;
 
-  /** Keepers by name; views that they push go to {@code pushed}. */
+  /** Replicas by name; messages that they push go to {@code pushListener}. */
   public ReplicaClient(
-      String fleet, Map<String, InetSocketAddress> keepers, Consumer<ObjectNode> pushed) {
+      String fleet, Map<String, InetSocketAddress> addresses, Consumer<ObjectNode> pushListener) {
     this.fleet = fleet;
-    this.keepers = new LinkedHashMap<>(keepers);
-    this.names = new ArrayList<>(keepers.keySet());
-    this.pushed = pushed;
+    this.addresses = new LinkedHashMap<>(addresses);
+    this.names = new ArrayList<>(addresses.keySet());
+    this.pushListener = pushListener;
+    // Clients begin at different replicas.
     this.next = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, names.size()));
   }
 
-  /** Asks until there is an answer, at most until then (ns of the JVM's clock). */
-  public ObjectNode call(ObjectNode request, long until) throws UnreachableException {
+  /**
+   * Asks until there is an answer.
+   *
+   * @param deadlineNanos by when it gives up (ns of the JVM's clock)
+   * @return the answer's message; a rejected request's has {@code error}
+   */
+  public ObjectNode call(ObjectNode request, long deadlineNanos) throws UnreachableException {
     boolean sent = false;
-    String last = "no time";
-    while (System.nanoTime() < until) {
+    String lastFailure = "no time";
+    while (System.nanoTime() < deadlineNanos) {
       try {
-        connect(until);
-        long id = ++ids;
-        wire.send(request.put("id", id).put("fleet", fleet));
+        connect(deadlineNanos);
+        long id = ++lastId;
+        connection.send(request.put("id", id).put("fleet", fleet));
         sent = true;
-        ObjectNode answer = answer(id, Math.min(until, System.nanoTime() + ANSWER_MS * 1_000_000L));
+        ObjectNode answer = awaitAnswer(id, deadlineNanos);
         if (answer == null) {
-          last = at + " did not answer";
-          leave();
-        } else if (answer.has("redirect")) {
-          last = at + " does not lead";
-          leave();
-          int led = names.indexOf(answer.path("redirect").asText());
-          if (led >= 0) {
-            next = led;
-          } else {
-            pause();
-          }
-        } else if (answer.has("undecided")) {
-          last = at + ": " + answer.path("undecided").asText();
-          leave();
-          pause();
+          lastFailure = current + " did not answer";
+          disconnect();
+          continue;
+        }
+        ReplicaResponse response = ReplicaResponse.decode(answer);
+        if (response instanceof ReplicaResponse.Redirect redirect) {
+          lastFailure = current + " does not lead";
+          follow(redirect);
+        } else if (response instanceof ReplicaResponse.Undecided undecided) {
+          lastFailure = current + ": " + undecided.reason();
+          disconnectAndWait();
         } else {
           return answer;
         }
       } catch (IOException e) {
-        last = at + ": " + e.getMessage();
-        leave();
-        pause();
+        lastFailure = current + ": " + e.getMessage();
+        disconnectAndWait();
       }
     }
-    throw new UnreachableException(sent, last);
+    throw new UnreachableException(sent, lastFailure);
   }
 
-  private ObjectNode answer(long id, long until) throws IOException {
-    ObjectNode o;
-    while ((o = wire.receive(until)) != null) {
-      if (o.has("push")) {
-        pushed.accept(o);
-      } else if (o.path("id").asLong() == id) {
-        return o;
+  private ObjectNode awaitAnswer(long id, long deadlineNanos) throws IOException {
+    long answerDeadlineNanos =
+        Math.min(deadlineNanos, System.nanoTime() + ANSWER_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+    ObjectNode message;
+    while ((message = connection.receive(answerDeadlineNanos)) != null) {
+      if (message.has("push")) {
+        pushListener.accept(message);
+      } else if (message.path("id").asLong() == id) {
+        return message;
       }
     }
     return null;
   }
 
-  /** Takes what keepers push, until then (ns) at most. */
-  public void listen(long until) {
+  /** Takes what replicas push, until then (ns of the JVM's clock) at most. */
+  public void listen(long deadlineNanos) {
     try {
-      while (wire != null) {
-        ObjectNode o = wire.receive(until);
-        if (o == null) {
+      while (connection != null) {
+        ObjectNode message = connection.receive(deadlineNanos);
+        if (message == null) {
           return;
         }
-        if (o.has("push")) {
-          pushed.accept(o);
+        if (message.has("push")) {
+          pushListener.accept(message);
         }
       }
     } catch (IOException e) {
-      leave();
+      disconnect();
     }
-    long left = (until - System.nanoTime()) / 1_000_000;
-    if (left > 0) {
-      Pause.of(Math.min(left, PAUSE_MS));
+    long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
+    if (leftMillis > 0) {
+      Pause.of(Math.min(leftMillis, RETRY_DELAY_MILLIS));
     }
   }
 
-  private void connect(long until) throws IOException {
-    if (wire == null) {
-      at = names.get(next);
-      long left = Math.max(1, (until - System.nanoTime()) / 1_000_000);
-      wire = new ReplicaConnection(keepers.get(at), (int) Math.min(left, CONNECT_MS));
+  private void connect(long deadlineNanos) throws IOException {
+    if (connection == null) {
+      current = names.get(next);
+      long leftMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
+      connection =
+          new ReplicaConnection(
+              addresses.get(current), (int) Math.min(leftMillis, CONNECT_TIMEOUT_MILLIS));
     }
   }
 
-  private void leave() {
-    if (wire != null) {
-      wire.close();
-      wire = null;
+  private void follow(ReplicaResponse.Redirect redirect) {
+    disconnect();
+    int leader = names.indexOf(redirect.leader());
+    if (leader >= 0) {
+      next = leader;
+    } else {
+      Pause.of(RETRY_DELAY_MILLIS);
     }
-    next = (names.indexOf(at) + 1) % names.size();
   }
 
-  private static void pause() {
-    Pause.of(PAUSE_MS);
+  private void disconnectAndWait() {
+    disconnect();
+    Pause.of(RETRY_DELAY_MILLIS);
+  }
+
+  /** The next call goes to the next replica. */
+  private void disconnect() {
+    if (connection != null) {
+      connection.close();
+      connection = null;
+    }
+    next = (names.indexOf(current) + 1) % names.size();
   }
 
   @Override
   public void close() {
-    if (wire != null) {
-      wire.close();
+    if (connection != null) {
+      connection.close();
     }
   }
 }
--- a/src/main/java/leadferry/consensus/ReplicaConnection.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnection.java
@@ -9,22 +9,23 @@
 import java.net.SocketTimeoutException;
 import java.util.Arrays;
 
-/** A connection to a keeper: an object a line, in UTF-8, each way. For one thread. */
+/** A caller's connection to a replica, by {@link LineProtocol}. For one thread. */
 final class ReplicaConnection implements AutoCloseable {
-  /** A longer line ends the connection (bytes). */
-  static final int MOST_BYTES = 4 << 20;
+  private static final int INITIAL_BUFFER_BYTES = 4_096;
+  private static final int MAX_READ_MILLIS = 60_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final Socket socket = new Socket();
-  private final InputStream in;
-  private byte[] held = new byte[4_096];
-  private int length;
+  private final InputStream input;
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+  private int bufferedBytes;
 
   /** Connects within that time (ms). */
-  ReplicaConnection(InetSocketAddress to, int connectMs) throws IOException {
+  ReplicaConnection(InetSocketAddress address, int connectTimeoutMillis) throws IOException {
     try {
-      socket.connect(to, connectMs);
+      socket.connect(address, connectTimeoutMillis);
       socket.setTcpNoDelay(true);
-      in = socket.getInputStream();
+      input = socket.getInputStream();
     } catch (IOException e) {
       socket.close();
       throw e;
@@ -32,46 +33,69 @@
   }
 
   void send(ObjectNode message) throws IOException {
-    byte[] bytes = Json.bytes(message);
-    byte[] line = Arrays.copyOf(bytes, bytes.length + 1);
-    line[bytes.length] = '\n';
-    socket.getOutputStream().write(line);
+    socket.getOutputStream().write(LineProtocol.encode(message));
   }
 
-  /** The next object, or null if none has come whole by then (ns of the JVM's clock). */
-  ObjectNode receive(long until) throws IOException {
+  /**
+   * The next message, or null if none has come whole by then (ns of the JVM's clock).
+   *
+   * @throws IOException if the connection ends, or a line is too long or no object
+   */
+  ObjectNode receive(long deadlineNanos) throws IOException {
     while (true) {
-      for (int i = 0; i < length; i++) {
-        if (held[i] == '\n') {
-          ObjectNode o = Json.read(Arrays.copyOf(held, i));
-          System.arraycopy(held, i + 1, held, 0, length - i - 1);
-          length -= i + 1;
-          if (o == null) {
-            throw new IOException("a line that is no object");
-          }
-          return o;
-        }
+      int delimiter = indexOfDelimiter();
+      if (delimiter >= 0) {
+        return take(delimiter);
       }
-      long left = (until - System.nanoTime()) / 1_000_000;
-      if (left <= 0) {
+      long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
+      if (leftMillis <= 0) {
         return null;
       }
-      if (length == held.length) {
-        if (length >= MOST_BYTES) {
-          throw new IOException("a line of more than " + MOST_BYTES + " bytes");
-        }
-        held = Arrays.copyOf(held, 2 * length);
+      growIfFull();
+      read((int) Math.min(leftMillis, MAX_READ_MILLIS));
+    }
+  }
+
+  private int indexOfDelimiter() {
+    for (int i = 0; i < bufferedBytes; i++) {
+      if (buffer[i] == LineProtocol.DELIMITER) {
+        return i;
       }
-      socket.setSoTimeout((int) Math.min(left, 60_000));
-      try {
-        int n = in.read(held, length, held.length - length);
-        if (n < 0) {
-          throw new EOFException("the keeper has closed");
-        }
-        length += n;
-      } catch (SocketTimeoutException e) {
-        // looked at again above
+    }
+    return -1;
+  }
+
+  /** Takes the line that ends there out of the buffer. */
+  private ObjectNode take(int delimiter) throws IOException {
+    ObjectNode message = Json.read(Arrays.copyOf(buffer, delimiter));
+    System.arraycopy(buffer, delimiter + 1, buffer, 0, bufferedBytes - delimiter - 1);
+    bufferedBytes -= delimiter + 1;
+    if (message == null) {
+      throw new IOException("a line that is no object");
+    }
+    return message;
+  }
+
+  private void growIfFull() throws IOException {
+    if (bufferedBytes < buffer.length) {
+      return;
+    }
+    if (bufferedBytes >= LineProtocol.MAX_LINE_BYTES) {
+      throw new IOException("a line of more than " + LineProtocol.MAX_LINE_BYTES + " bytes");
+    }
+    buffer = Arrays.copyOf(buffer, 2 * bufferedBytes);
+  }
+
+  private void read(int timeoutMillis) throws IOException {
+    socket.setSoTimeout(timeoutMillis);
+    try {
+      int count = input.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
+      if (count < 0) {
+        throw new EOFException("the replica has closed");
       }
+      bufferedBytes += count;
+    } catch (SocketTimeoutException e) {
+      // The caller looks at the deadline.
     }
   }
 
@@ -80,7 +104,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // nothing is left to be done with it
+      // Nothing is left to be done with it.
     }
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -0,0 +1,142 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import leadferry.disruption.Outcome;
+
+/**
+ * One caller's connection: decodes its requests, has the replica carry them out, and writes the
+ * responses in the order in which they come to be.
+ */
+final class ReplicaConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+  private static final long NO_VERSION = -1;
+
+  private final Channel channel;
+  private final String fleet;
+  private final Replica replica;
+  private final Set<ReplicaConnectionHandler> connections;
+  private volatile boolean watching;
+  private volatile long pushedVersion = NO_VERSION;
+
+  /** Enters and leaves {@code connections} with its channel. */
+  ReplicaConnectionHandler(
+      Channel channel, String fleet, Replica replica, Set<ReplicaConnectionHandler> connections) {
+    this.channel = channel;
+    this.fleet = fleet;
+    this.replica = replica;
+    this.connections = connections;
+  }
+
+  /** Whether the caller watches, was not pushed this version, and takes bytes. */
+  boolean lacks(long version) {
+    return watching && pushedVersion < version && channel.isWritable();
+  }
+
+  /** Pushes a view's line. */
+  void push(ByteBuf line, long version) {
+    pushedVersion = version;
+    channel.writeAndFlush(line);
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    connections.add(this);
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    connections.remove(this);
+  }
+
+  /** Guards against a caller that asks and never reads its answers. */
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext context) {
+    channel.config().setAutoRead(channel.isWritable());
+    context.fireChannelWritabilityChanged();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    context.close();
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
+    ObjectNode message = Json.read(ByteBufUtil.getBytes(frame));
+    if (message == null) {
+      context.close();
+      return;
+    }
+    long id = message.path("id").asLong();
+    Consumer<ReplicaResponse> responder = response -> respond(id, response);
+    if (!message.path("fleet").asText().equals(fleet)) {
+      responder.accept(new ReplicaResponse.Rejected("this is fleet " + fleet));
+      return;
+    }
+    dispatch(ReplicaRequest.decode(message), responder);
+  }
+
+  private void dispatch(ReplicaRequest request, Consumer<ReplicaResponse> responder) {
+    if (request instanceof ReplicaRequest.Submit submit) {
+      watching |= LogEntryCodec.isJoin(submit.entry());
+      replica.submit(submit.entry(), responder);
+    } else if (request instanceof ReplicaRequest.Health) {
+      responder.accept(new ReplicaResponse.Answered(replica.health()));
+    } else if (request instanceof ReplicaRequest.Invalid invalid) {
+      responder.accept(new ReplicaResponse.Rejected(invalid.reason()));
+    } else if (request instanceof ReplicaRequest.RenewSession renewal) {
+      replica.answerAsLeader(leader -> renewSession(leader, renewal), responder);
+    } else if (request instanceof ReplicaRequest.RenewDriver renewal) {
+      replica.answerAsLeader(leader -> renewDriver(leader, renewal), responder);
+    } else if (request instanceof ReplicaRequest.Reports) {
+      replica.answerAsLeader(Replica::memberReports, responder);
+    } else {
+      Function<FleetStateMachine, ObjectNode> query = queryOf(request);
+      replica.answerAsLeader(leader -> leader.query(query), responder);
+    }
+  }
+
+  private ObjectNode renewSession(Replica leader, ReplicaRequest.RenewSession renewal) {
+    watching = true;
+    boolean lives = leader.renewSession(renewal.name(), renewal.session(), renewal.report());
+    return renewed(lives).put("reports", leader.reportsWanted());
+  }
+
+  private static ObjectNode renewDriver(Replica leader, ReplicaRequest.RenewDriver renewal) {
+    return renewed(leader.renewDriver(renewal.release(), renewal.fence()));
+  }
+
+  private static ObjectNode renewed(boolean lives) {
+    Outcome.Status status = lives ? Outcome.Status.DONE : Outcome.Status.UNKNOWN;
+    return Json.object().put("status", status.word());
+  }
+
+  private static Function<FleetStateMachine, ObjectNode> queryOf(ReplicaRequest request) {
+    if (request instanceof ReplicaRequest.Status status) {
+      return stateMachine -> stateMachine.status(status.withHistory());
+    }
+    if (request instanceof ReplicaRequest.ReleaseStatus status) {
+      return stateMachine -> stateMachine.release(status.release());
+    }
+    if (request instanceof ReplicaRequest.Explain explain) {
+      return stateMachine -> stateMachine.explain(explain.kind(), explain.name());
+    }
+    if (request instanceof ReplicaRequest.PermitStatus status) {
+      return stateMachine -> stateMachine.permit(status.permit());
+    }
+    throw new IllegalArgumentException("request: " + request + " (expected: a query)");
+  }
+
+  private void respond(long id, ReplicaResponse response) {
+    byte[] line = LineProtocol.encode(response.encode().put("id", id));
+    channel.writeAndFlush(Unpooled.wrappedBuffer(line));
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/consensus/ViewPublisher.java
@@ -0,0 +1,52 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.buffer.Unpooled;
+import java.util.Set;
+import java.util.concurrent.Executor;
+import java.util.concurrent.atomic.AtomicBoolean;
+
+/** Pushes the view that members go by to each connection that watches and lacks its version. */
+final class ViewPublisher {
+  private final FleetStateMachine stateMachine;
+  private final Set<ReplicaConnectionHandler> connections;
+  private final Executor executor;
+  private final AtomicBoolean scheduled = new AtomicBoolean();
+
+  ViewPublisher(
+      FleetStateMachine stateMachine,
+      Set<ReplicaConnectionHandler> connections,
+      Executor executor) {
+    this.stateMachine = stateMachine;
+    this.connections = connections;
+    this.executor = executor;
+  }
+
+  /** The state may have changed; calls until the next round are one. */
+  void schedule() {
+    if (scheduled.compareAndSet(false, true)) {
+      executor.execute(this::publish);
+    }
+  }
+
+  private void publish() {
+    scheduled.set(false);
+    ObjectNode view = null;
+    long version;
+    synchronized (stateMachine) {
+      version = stateMachine.version();
+      if (connections.stream().anyMatch(connection -> connection.lacks(version))) {
+        view = stateMachine.view();
+      }
+    }
+    if (view == null) {
+      return;
+    }
+    byte[] line = LineProtocol.encode(Json.object().put("push", true).set("view", view));
+    for (ReplicaConnectionHandler connection : connections) {
+      if (connection.lacks(version)) {
+        connection.push(Unpooled.wrappedBuffer(line), version);
+      }
+    }
+  }
+}
--- a/src/test/java/leadferry/consensus/LeaseTest.java
+++ b/src/test/java/leadferry/consensus/LeaseTest.java
@@ -93,7 +93,7 @@
     }
     assertThat(t.due(ONE, 1_000 * MS)).containsExactly("s");
     assertThat(t.renew("s", 1_001 * MS)).isFalse();
-    t.untold("s");
+    t.resubmit("s");
     assertThat(t.renew("s", 1_002 * MS)).isTrue();
   }
 
