--- a/src/main/java/leadferry/cli/ReplicaCommand.java
+++ b/src/main/java/leadferry/cli/ReplicaCommand.java
@@ -13,31 +13,38 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** Runs one replica of the fleet's agreed state until SIGTERM. */
 @Command(
     name = "replica",
     aliases = "keeper",
     mixinStandardHelpOptions = true,
-    description = "Runs one of the keepers of the fleet's ledger by its file, until SIGTERM.",
+    description = "Runs one replica of the fleet's agreed state by its file, until SIGTERM.",
     footer = {
       "",
       "Exit status: 0 ended, 1 it could not go on (the log says why), 2 the file is faulty, or a folder or address can't be had."
     })
 final class ReplicaCommand implements Callable<Integer> {
+  private static final int ENDED = 0;
+  private static final int COULD_NOT_GO_ON = 1;
+  private static final int FAULTY_FILE_OR_PLACE = 2;
+
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
-      description = "The keeper's file.")
+      description = "The replica's file.")
   private Path file;
 
   @Option(
       names = "--new",
-      description = "This keeper never had a log: an empty folder becomes its own.")
+      description = "This replica never had a log: an empty folder becomes its own.")
   private boolean fresh;
 
   @Option(names = "--log", defaultValue = "text", description = "${COMPLETION-CANDIDATES}.")
   private LogForm form;
 
+  private final CountDownLatch broken = new CountDownLatch(1);
+
   @Override
   public Integer call() throws InterruptedException {
     ReplicaConfig config;
@@ -45,48 +52,48 @@
       config = ReplicaFile.read(file);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
-      return 2;
+      return FAULTY_FILE_OR_PLACE;
     }
     DaemonLog log = DaemonLog.onStandardError(form);
-    CountDownLatch broken = new CountDownLatch(1);
-    Replica keeper;
+    Replica replica = start(config, log);
+    if (replica == null) {
+      return FAULTY_FILE_OR_PLACE;
+    }
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> end(replica, log), "end"));
+    log.line("ready");
+    broken.await();
+    return COULD_NOT_GO_ON;
+  }
+
+  /** The replica, or null where standard error tells why it can't start. */
+  private Replica start(ReplicaConfig config, DaemonLog log) {
     try {
-      keeper =
-          new Replica(
-              config,
-              fresh,
-              log::line,
-              t -> {
-                log.failure("this keeper can't go on", t);
-                broken.countDown();
-              });
+      return new Replica(config, fresh, log::line, failure -> giveUp(failure, log));
     } catch (NoClassDefFoundError e) {
       log.close();
       System.err.println(
           "replica: "
               + e.getMessage()
               + " (expected: -cp 'target/leadferry.jar:target/lib/*' leadferry.Main replica ...)");
-      return 2;
     } catch (IOException | RuntimeException e) {
       log.close();
       System.err.println("replica " + config.name() + ": " + e.getMessage());
-      return 2;
     }
-    Runtime.getRuntime()
-        .addShutdownHook(
-            new Thread(
-                () -> {
-                  try {
-                    keeper.close();
-                  } catch (IOException e) {
-                    log.failure("the end of the keeper", e);
-                  }
-                  log.close();
-                  Runtime.getRuntime().halt(broken.getCount() == 0 ? 1 : 0);
-                },
-                "end"));
-    log.line("ready");
-    broken.await();
-    return 1;
+    return null;
+  }
+
+  private void giveUp(Throwable failure, DaemonLog log) {
+    log.failure("this replica can't go on", failure);
+    broken.countDown();
+  }
+
+  private void end(Replica replica, DaemonLog log) {
+    try {
+      replica.close();
+    } catch (IOException e) {
+      log.failure("the end of the replica", e);
+    }
+    log.close();
+    Runtime.getRuntime().halt(broken.getCount() == 0 ? COULD_NOT_GO_ON : ENDED);
   }
 }
--- a/src/main/java/leadferry/daemon/ReplicaFile.java
+++ b/src/main/java/leadferry/daemon/ReplicaFile.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,85 +17,118 @@
 import leadferry.disruption.Budget;
 import leadferry.disruption.DisruptionState;
 
-/** Reads and judges a keeper's file, and a file of budgets (TOML 1.0): {@code docs/FLEET.md}. */
+/**
+ * Reads and judges a replica's file, and a file of budgets (TOML 1.0, {@code docs/FLEET.md}). Here
+ * alone the operator's words ({@code keeper}, {@code settle_ms}, {@code warm_ms}, {@code fence_ms},
+ * {@code max_out}, {@code min_in}) meet those of the code.
+ */
 public final class ReplicaFile {
+  private static final int MAX_PERIOD_MILLIS = 3_600_000;
+  private static final int MAX_BUDGET = 1_000_000;
+
+  /** A share that binds nobody. */
+  private static final double NO_SHARE = 2;
+
+  private static final int NO_LIMIT = -1;
+
   private ReplicaFile() {}
 
   /**
-   * Reads a keeper's file.
+   * Reads a replica's file.
    *
-   * @throws FaultyFileException with every fault that was found
+   * @throws ConfigurationException with every fault that was found
    */
   public static ReplicaConfig read(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
     TomlSection root = new TomlSection(source, "", source.lines.root);
-    TomlSection k = root.table("keeper");
-    String fleet = k.text("fleet", null, "the fleet's name");
-    String name = k.text("name", null, "this keeper's name");
-    InetSocketAddress log = Names.address(k, "log_address", false);
-    InetSocketAddress api = Names.address(k, "api_address", false);
-    String folder = k.text("folder", null, "the folder of its log");
-    int election = k.integer("election_ms", 300, 50, 60_000);
-    int snapshot = k.integer("snapshot_entries", 20_000, 50, 10_000_000);
-    k.end();
-    TomlSection f = root.table("fleet");
+    TomlSection replica = root.table("keeper");
+    String fleet = replica.text("fleet", null, "the fleet's name");
+    String name = replica.text("name", null, "this replica's name");
+    InetSocketAddress logAddress = Names.address(replica, "log_address", false);
+    InetSocketAddress apiAddress = Names.address(replica, "api_address", false);
+    String folder = replica.text("folder", null, "the folder of its log");
+    int electionMillis = replica.integer("election_ms", 300, 50, 60_000);
+    int snapshotEntries = replica.integer("snapshot_entries", 20_000, 50, 10_000_000);
+    replica.end();
+    DisruptionState.Times times = times(root.table("fleet"));
+    Map<String, InetSocketAddress> peers = peers(root, name);
+    root.end();
+    end(source);
+    return new ReplicaConfig(
+        fleet,
+        name,
+        logAddress,
+        apiAddress,
+        Path.of(folder),
+        peers,
+        electionMillis,
+        snapshotEntries,
+        times);
+  }
+
+  private static DisruptionState.Times times(TomlSection fleet) {
     DisruptionState.Times times =
         new DisruptionState.Times(
-            f.integer("settle_ms", 5_000, 0, 3_600_000),
-            f.integer("warm_ms", 10_000, 0, 3_600_000),
-            f.integer("fence_ms", 1_000, 0, 3_600_000));
-    f.end();
+            fleet.integer("settle_ms", 5_000, 0, MAX_PERIOD_MILLIS),
+            fleet.integer("warm_ms", 10_000, 0, MAX_PERIOD_MILLIS),
+            fleet.integer("fence_ms", 1_000, 0, MAX_PERIOD_MILLIS));
+    fleet.end();
+    return times;
+  }
+
+  private static Map<String, InetSocketAddress> peers(TomlSection root, String ownName) {
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    for (Map.Entry<String, TomlSection> e : root.named("peer").entrySet()) {
-      Names.take(e.getValue(), e.getKey(), new java.util.HashSet<>());
-      peers.put(e.getKey(), Names.address(e.getValue(), "log_address", false));
-      e.getValue().end();
+    for (Map.Entry<String, TomlSection> peer : root.named("peer").entrySet()) {
+      Names.take(peer.getValue(), peer.getKey(), new HashSet<>());
+      peers.put(peer.getKey(), Names.address(peer.getValue(), "log_address", false));
+      peer.getValue().end();
     }
-    if (!peers.containsKey(name)) {
+    if (!peers.containsKey(ownName)) {
       root.fault(
           "peer",
-          "none named '" + name + "'",
-          "a [peer.NAME] for each keeper, this one among them");
+          "none named '" + ownName + "'",
+          "a [peer.NAME] for each replica, this one among them");
     }
     if (peers.size() % 2 == 0) {
       root.fault(
           "peer",
-          peers.size() + " keepers",
+          peers.size() + " replicas",
           "an odd number: an even one bears no more failures than one less");
     }
-    root.end();
-    end(source);
-    return new ReplicaConfig(
-        fleet, name, log, api, Path.of(folder), peers, election, snapshot, times);
+    return peers;
   }
 
   /**
-   * Reads {@code [[budget]]} tables into the form that the ledger takes.
+   * Reads {@code [[budget]]} tables into the form that the log takes.
    *
-   * @throws FaultyFileException with every fault that was found
+   * @throws ConfigurationException with every fault that was found
    */
   public static ArrayNode budgets(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
     TomlSection root = new TomlSection(source, "", source.lines.root);
-    ArrayNode out = Json.object().putArray("budgets");
-    for (TomlSection s : root.list("budget")) {
-      ObjectNode n = out.addObject();
-      n.put("name", s.text("name", null, "the budget's name"));
-      n.put("of", s.text("of", null, "proxy or host"))
-          .put("by", s.text("by", Budget.ALL, "all, zone, pod, pool or kind"));
-      n.put("max_out", s.integer("max_out", -1, 0, 1_000_000));
-      n.put("max_share", s.number("max_share", 2, 0, 1))
-          .put("min_in", s.integer("min_in", 0, 0, 1_000_000));
-      ObjectNode w = n.putObject("where");
-      s.map("where").forEach(w::put);
-      s.end();
-      List<String> faults = new ArrayList<>();
-      Budget.read(n, faults);
-      faults.forEach(f -> s.fault("", f, "a budget as docs/FLEET.md tells"));
+    ArrayNode budgets = Json.object().putArray("budgets");
+    for (TomlSection section : root.list("budget")) {
+      readBudget(section, budgets.addObject());
     }
     root.end();
     end(source);
-    return out;
+    return budgets;
+  }
+
+  private static void readBudget(TomlSection section, ObjectNode budget) {
+    budget
+        .put("name", section.text("name", null, "the budget's name"))
+        .put("of", section.text("of", null, "proxy or host"))
+        .put("by", section.text("by", Budget.ALL, "all, zone, pod, pool or kind"))
+        .put("max_out", section.integer("max_out", NO_LIMIT, 0, MAX_BUDGET))
+        .put("max_share", section.number("max_share", NO_SHARE, 0, 1))
+        .put("min_in", section.integer("min_in", 0, 0, MAX_BUDGET));
+    ObjectNode where = budget.putObject("where");
+    section.map("where").forEach(where::put);
+    section.end();
+    List<String> faults = new ArrayList<>();
+    Budget.read(budget, faults);
+    faults.forEach(fault -> section.fault("", fault, "a budget as docs/FLEET.md tells"));
   }
 
   private static void end(TomlSection.Source source) throws ConfigurationException {
