--- a/src/main/java/leadferry/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import leadferry.consensus.Json;
 import leadferry.consensus.Lease;
-import leadferry.consensus.Pause;
 import leadferry.consensus.ReplicaClient;
 import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.consensus.Sleep;
 import leadferry.release.ReleaseController;
 
 /**
@@ -103,7 +103,7 @@
           carryOut(r, next);
         }
       }
-      Pause.of(LOOK_MS);
+      Sleep.millis(LOOK_MS);
     }
     return seen;
   }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -127,7 +127,7 @@
     }
     long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
     if (leftMillis > 0) {
-      Pause.of(Math.min(leftMillis, RETRY_DELAY_MILLIS));
+      Sleep.millis(Math.min(leftMillis, RETRY_DELAY_MILLIS));
     }
   }
 
@@ -147,13 +147,13 @@
     if (leader >= 0) {
       next = leader;
     } else {
-      Pause.of(RETRY_DELAY_MILLIS);
+      Sleep.millis(RETRY_DELAY_MILLIS);
     }
   }
 
   private void disconnectAndWait() {
     disconnect();
-    Pause.of(RETRY_DELAY_MILLIS);
+    Sleep.millis(RETRY_DELAY_MILLIS);
   }
 
   /** The next call goes to the next replica. */
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -1,363 +1,292 @@
 package leadferry.daemon;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.util.Set;
-import java.util.TreeMap;
+import java.util.Optional;
+import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.UUID;
-import leadferry.consensus.Json;
-import leadferry.consensus.Lease;
-import leadferry.consensus.LogEntryCodec;
-import leadferry.consensus.Pause;
-import leadferry.consensus.ReplicaClient;
-import leadferry.consensus.ReplicaClient.UnreachableException;
-import leadferry.disruption.DisruptionState;
+import leadferry.consensus.LogEntry;
+import leadferry.consensus.SessionClient;
+import leadferry.consensus.Sleep;
 import leadferry.disruption.ProxyMemberView;
-import leadferry.disruption.Target;
-import leadferry.disruption.TargetType;
 import leadferry.engine.Log;
-import leadferry.engine.UpstreamHosts;
 
 /**
- * This daemon as a member of its fleet: one thread that keeps a session, goes by what the keepers
- * tell, and tells what it does. No request waits for it: without keepers the daemon goes on by what
- * it knows.
- *
- * <pre>
- *   begin: join, or the state file ... serving: renew, take news, tell ... leaving ... gone
- * </pre>
+ * This daemon as a member of its fleet: one thread that keeps a session, goes by the view that
+ * replicas push, and reports what the daemon does. No request waits for it: without replicas the
+ * daemon goes on by what it knows.
  */
 final class FleetAgent implements AutoCloseable {
-  /** Renewals a lease. */
-  private static final int RENEWALS = 4;
+  private static final int RENEWALS_PER_LEASE = 4;
+  private static final long POLL_MILLIS = 50;
+  private static final long LEAVE_TIMEOUT_MILLIS = 1_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private static final long LOOK_MS = 50;
-  private static final long LEAVE_MS = 1_000;
+  /** The daemon's life as the fleet is told of it; it only goes forward. */
+  private enum Phase {
+    STARTING,
+    SERVING,
+    DRAINING
+  }
+
+  /**
+   * The daemon's drain is over.
+   *
+   * @param nothingInFlight whether the session may end at once
+   */
+  private record Departure(boolean nothingInFlight, Runnable listener) {}
 
   private final DaemonConfig.Fleet config;
   private final Daemon daemon;
   private final Log log;
   private final String incarnation = UUID.randomUUID().toString();
-  private final ReplicaClient keepers;
-  private final Lease lease;
+  private final SessionClient client;
+  private final MemberSession session;
+  private final ReplicaReachability replicas;
   private final ProxyMemberView view;
+  private final FleetStateFile stateFile;
+  private final HostCatalogs catalogs = new HostCatalogs();
   private final Thread thread;
-  private long session;
-  private long number;
-  private String told = "";
-  private String toldDigest = "";
-  private boolean reachable = true;
   private boolean reportsWanted;
-  private String keptState = "";
-  private DaemonConfig catalogued;
-  private ObjectNode catalogue;
-  private volatile DaemonConfig lists;
-  private volatile boolean serving;
-  private volatile boolean leaving;
+  private volatile DaemonConfig current;
+  private volatile Phase phase = Phase.STARTING;
+  private volatile Departure departure;
   private volatile boolean closed;
-  private volatile Runnable gone;
-  private volatile boolean carriesNothing;
 
   FleetAgent(DaemonConfig.Fleet config, Daemon daemon, Log log) {
     this.config = config;
     this.daemon = daemon;
     this.log = log;
-    this.keepers = new ReplicaClient(config.fleet(), config.keepers(), m -> take(m.path("view")));
-    this.lease = new Lease(config.leaseMs());
+    this.client = new SessionClient(config.fleet(), config.keepers(), this::take);
+    this.session = new MemberSession(config.name(), config.leaseMs());
+    this.replicas = new ReplicaReachability(log);
     this.view = new ProxyMemberView(config.name());
+    this.stateFile = new FleetStateFile(config.fleet(), config.state(), log);
     this.thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
   }
 
   /**
-   * Learns what is in force before the first request: from the keepers, or as {@code
+   * Learns what is in force before the first request: from the replicas, or as {@code
    * on_unreachable} says.
    */
   void begin(DaemonConfig first) {
-    lists = first;
-    long until = System.nanoTime() + config.startWaitMs() * 1_000_000L;
-    boolean last = config.onUnreachable() == DaemonConfig.Unreachable.LAST;
-    boolean said = false;
-    while (session == 0) {
-      long now = System.nanoTime();
-      boolean answered = join(now + config.leaseMs() * 1_000_000L);
-      if (session != 0) {
+    current = first;
+    long startDeadline = System.nanoTime() + config.startWaitMs() * NANOS_PER_MILLI;
+    boolean mayUseStateFile = config.onUnreachable() == DaemonConfig.Unreachable.LAST;
+    boolean waitLogged = false;
+    while (true) {
+      boolean answered = join(System.nanoTime() + config.leaseMs() * NANOS_PER_MILLI);
+      if (session.isOpen()) {
         break;
       }
-      if (!answered && last && System.nanoTime() - until >= 0) {
-        known();
+      boolean overdue = !answered && System.nanoTime() - startDeadline >= 0;
+      if (overdue && mayUseStateFile) {
+        goByStateFile();
         break;
       }
-      if (!answered && !said && System.nanoTime() - until >= 0) {
-        said = true;
-        log.line("no keeper can be reached: waiting, as on_unreachable says");
+      if (overdue && !waitLogged) {
+        waitLogged = true;
+        log.line("no replica can be reached: waiting, as on_unreachable says");
       }
-      Pause.of(LOOK_MS);
+      Sleep.millis(POLL_MILLIS);
     }
     thread.start();
   }
 
-  /** What was in force when this process, or the one before it, last heard. */
-  private void known() {
-    log.line("no keeper can be reached: starting by what was last in force");
-    try {
-      if (config.state() != null && Files.exists(config.state())) {
-        ObjectNode o = Json.read(Files.readAllBytes(config.state()));
-        if (o != null && o.path("fleet").asText().equals(config.fleet())) {
-          view.take(o.path("view"), true, System.nanoTime());
-          daemon.agreed(view.hostsOut(), view.away());
-          view.forget();
-        } else {
-          log.line(
-              config.state() + ": not of fleet " + config.fleet() + ": nothing is taken from it");
-        }
-      }
-    } catch (IOException e) {
-      log.failure(config.state().toString(), e);
+  /** Goes by what was in force when this process, or the one before it, last heard. */
+  private void goByStateFile() {
+    log.line("no replica can be reached: starting by what was last in force");
+    Optional<JsonNode> stored = stateFile.read();
+    if (stored.isPresent()) {
+      view.take(stored.get(), true, System.nanoTime());
+      daemon.agreed(view.hostsOut(), view.away());
+      view.forget();
     }
   }
 
   /** The listeners are there. */
   void serving() {
-    serving = true;
+    advance(Phase.SERVING);
   }
 
   /** A reload has changed what is balanced over. */
   void lists(DaemonConfig next) {
-    lists = next;
+    current = next;
   }
 
-  /** SIGTERM can't be refused: it is told. */
+  /** The process was told to end: the fleet can't refuse that, and hears of it. */
   void leaving() {
-    leaving = true;
+    advance(Phase.DRAINING);
+  }
+
+  private synchronized void advance(Phase next) {
+    if (next.compareTo(phase) > 0) {
+      phase = next;
+    }
   }
 
   /**
-   * The drain is over; {@code then} runs once the keepers know, or can't be told within a second.
+   * The drain is over; {@code listener} runs once the replicas know, or can't be told within a
+   * second.
    */
-  void gone(boolean nothingInFlight, Runnable then) {
-    carriesNothing = nothingInFlight;
-    gone = then;
+  void gone(boolean nothingInFlight, Runnable listener) {
+    departure = new Departure(nothingInFlight, listener);
   }
 
-  // --- on the member's own thread
+  // --- on the agent's own thread
 
   private void run() {
+    long renewalIntervalNanos = config.leaseMs() * NANOS_PER_MILLI / RENEWALS_PER_LEASE;
     long nextRenewal = System.nanoTime();
-    long every = config.leaseMs() * 1_000_000L / RENEWALS;
     while (!closed) {
       try {
-        long now = System.nanoTime();
-        if (gone != null) {
-          leave();
+        if (departure != null) {
+          leave(departure);
           return;
         }
-        if (session == 0) {
-          join(now + every);
-          nextRenewal = System.nanoTime() + every;
-        } else if (now - nextRenewal >= 0) {
-          renew(now, now + every);
-          nextRenewal = now + every;
-        }
-        now = System.nanoTime();
-        if (view.look(lease.holds(now), now)) {
-          inForce();
+        nextRenewal = keepSession(nextRenewal, renewalIntervalNanos);
+        long now = System.nanoTime();
+        if (view.look(session.leaseHolds(now), now)) {
+          putInForce();
         }
-        if (session != 0) {
-          tell(now + every);
+        if (session.isOpen()) {
+          report(now + renewalIntervalNanos);
         }
-        keepers.listen(Math.min(nextRenewal, System.nanoTime() + LOOK_MS * 1_000_000L));
+        client.listen(Math.min(nextRenewal, System.nanoTime() + POLL_MILLIS * NANOS_PER_MILLI));
       } catch (RuntimeException e) {
-        log.failure("the fleet's member", e);
-        Pause.of(LOOK_MS);
+        log.failure("the fleet agent", e);
+        Sleep.millis(POLL_MILLIS);
       }
     }
   }
 
+  /** Joins or renews where that is due, and gives when the next renewal is (ns). */
+  private long keepSession(long nextRenewal, long renewalIntervalNanos) {
+    long now = System.nanoTime();
+    if (!session.isOpen()) {
+      join(now + renewalIntervalNanos);
+      return System.nanoTime() + renewalIntervalNanos;
+    }
+    if (now - nextRenewal < 0) {
+      return nextRenewal;
+    }
+    renew(now, now + renewalIntervalNanos);
+    return now + renewalIntervalNanos;
+  }
+
   /** Asks for a session; false if nobody answered. */
-  private boolean join(long until) {
-    ObjectNode entry =
-        Json.object().put("op", "join").put("name", config.name()).put("incarnation", incarnation);
-    entry
-        .put("lease_ms", config.leaseMs())
-        .put("zone", config.zone())
-        .put("runs", config.version());
-    entry.setAll(catalogue());
-    long asked = System.nanoTime();
-    ObjectNode o = submit(entry, until);
-    if (o == null) {
+  private boolean join(long deadline) {
+    LogEntry.HostCatalog catalog = catalogs.of(current);
+    LogEntry.Join join =
+        new LogEntry.Join(
+            config.name(), incarnation, config.leaseMs(), config.zone(), config.version(), catalog);
+    long askedAt = System.nanoTime();
+    Optional<SessionClient.Result> answer = submit(() -> client.join(join, deadline));
+    if (answer.isEmpty()) {
       return false;
     }
-    if (!o.path("status").asText().equals("done")) {
-      log.event("the fleet does not take this process in: " + o.path("why"), "name", config.name());
-      Pause.of(config.leaseMs() / RENEWALS);
-      return true;
+    if (answer.get() instanceof SessionClient.Joined joined) {
+      opened(joined, catalog, askedAt, deadline);
+    } else if (answer.get() instanceof SessionClient.Refused refused) {
+      log.event("not admitted to the fleet: " + refused.reasons(), "name", config.name());
+      waitBetweenRenewals();
     }
-    // It may be the session of before: the numbers of its words go on, or the ledger would pass
-    // them over as old.
-    session = o.path("session").asLong();
-    told = "";
-    toldDigest = entry.path("digest").asText();
+    return true;
+  }
+
+  private void opened(
+      SessionClient.Joined joined, LogEntry.HostCatalog catalog, long askedAt, long deadline) {
+    session.joined(joined.session(), catalog);
+    view.forget();
     // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
     // asks the leader anew.
-    view.forget();
-    renew(asked, until);
-    if (session != 0) {
-      take(o.path("view"));
-      log.event("member of fleet " + config.fleet(), "name", config.name(), "session", session);
+    renew(askedAt, deadline);
+    if (session.isOpen()) {
+      take(joined.view());
+      log.event(
+          "member of fleet " + config.fleet(), "name", config.name(), "session", session.id());
     }
-    return true;
   }
 
-  private void renew(long asked, long until) {
-    try {
-      ObjectNode asks =
-          Json.object().put("op", "renew").put("name", config.name()).put("session", session);
-      if (reportsWanted) {
-        asks.set("report", daemon.report());
-      }
-      ObjectNode o = keepers.call(asks, until);
-      reachable(true);
-      reportsWanted = o.path("reports").asBoolean();
-      if (o.path("status").asText().equals("done")) {
-        lease.confirmed(asked);
-      } else {
-        lease.lost();
-        session = 0;
-        log.line("the session is over: joining again");
-      }
-    } catch (UnreachableException e) {
-      reachable(false);
+  private void renew(long askedAt, long deadline) {
+    Optional<ObjectNode> loadReport =
+        reportsWanted ? Optional.of(daemon.report()) : Optional.empty();
+    Optional<SessionClient.Renewal> renewal =
+        replicas.attempt(() -> client.renew(config.name(), session.id(), loadReport, deadline));
+    if (renewal.isEmpty()) {
+      return;
+    }
+    reportsWanted = renewal.get().reportsWanted();
+    if (renewal.get().live()) {
+      session.renewed(askedAt);
+    } else {
+      session.lost();
+      log.line("the session is over: joining again");
     }
   }
 
-  private void reachable(boolean now) {
-    if (now != reachable) {
-      reachable = now;
-      log.line(
-          now
-              ? "keepers can be reached again"
-              : "no keeper can be reached: going on by what is known");
+  /** Reports what has changed of what the daemon does. */
+  private void report(long deadline) {
+    MemberSession.Activity activity = activity();
+    LogEntry.HostCatalog catalog = catalogs.of(current);
+    Optional<LogEntry.MemberReport> report = session.nextReport(activity, catalog);
+    if (report.isEmpty()) {
+      return;
+    }
+    Optional<SessionClient.Result> answer = submit(() -> client.report(report.get(), deadline));
+    if (answer.isPresent() && answer.get() instanceof SessionClient.Applied) {
+      session.reported(activity, catalog);
     }
   }
 
-  private ObjectNode submit(ObjectNode entry, long until) {
-    try {
-      ObjectNode o = keepers.call(Json.object().put("op", "submit").set("entry", entry), until);
-      reachable(true);
-      if (o.has("error")) {
-        log.line("keepers: " + o.path("error").asText());
-        Pause.of(config.leaseMs() / RENEWALS);
-        return null;
-      }
-      return o;
-    } catch (UnreachableException e) {
-      reachable(false);
-      return null;
+  private MemberSession.Activity activity() {
+    boolean serving = phase == Phase.SERVING && !view.away();
+    SortedSet<String> busy = new TreeSet<>();
+    if (!view.hostsOut().isEmpty()) {
+      busy.addAll(daemon.hosts(Worker::busyHosts));
+      busy.retainAll(view.hostsOut());
     }
+    SortedSet<String> suspected = new TreeSet<>(daemon.hosts(Worker::ejectedHosts));
+    return new MemberSession.Activity(view.version(), serving, busy, suspected);
   }
 
-  /** The hosts that it balances over, with their digest; made anew with each reload only. */
-  private ObjectNode catalogue() {
-    DaemonConfig now = lists;
-    if (now == catalogued) {
-      return catalogue;
-    }
-    TreeMap<String, Target> all = new TreeMap<>();
-    for (DaemonConfig.Pool p : now.pools().values()) {
-      for (UpstreamHosts.Member m : p.members()) {
-        all.putIfAbsent(
-            m.name(),
-            new Target(
-                TargetType.HOST,
-                m.name(),
-                m.zone(),
-                Long.toHexString(m.cell()),
-                p.name(),
-                m.kind()));
-      }
+  /** The answer, unless no replica gave one or it was rejected before it reached the log. */
+  private Optional<SessionClient.Result> submit(
+      ReplicaReachability.Call<SessionClient.Result> submission) {
+    Optional<SessionClient.Result> result = replicas.attempt(submission);
+    if (result.isPresent() && result.get() instanceof SessionClient.Rejected rejected) {
+      log.line("replicas: " + rejected.reason());
+      waitBetweenRenewals();
+      return Optional.empty();
     }
-    ArrayNode list = Json.object().putArray("hosts");
-    all.values().forEach(s -> DisruptionState.write(s, list.addObject()));
-    catalogue =
-        Json.object()
-            .put("digest", LogEntryCodec.catalogOf(java.util.List.copyOf(all.values())).digest())
-            .set("hosts", list);
-    catalogued = now;
-    return catalogue;
+    return result;
   }
 
-  private void take(com.fasterxml.jackson.databind.JsonNode news) {
-    long now = System.nanoTime();
-    if (view.take(news, lease.holds(now), now)) {
-      inForce();
-    }
+  private void waitBetweenRenewals() {
+    Sleep.millis(config.leaseMs() / RENEWALS_PER_LEASE);
   }
 
-  private void inForce() {
-    daemon.agreed(view.hostsOut(), view.away());
-    ObjectNode o = Json.object().put("fleet", config.fleet());
-    view.write(o.putObject("view"));
-    String state = Json.text(o);
-    if (config.state() != null && !state.equals(keptState)) {
-      try {
-        Path part = config.state().resolveSibling(config.state().getFileName() + ".part");
-        Files.writeString(part, state);
-        Files.move(part, config.state(), StandardCopyOption.ATOMIC_MOVE);
-        keptState = state;
-      } catch (IOException e) {
-        log.failure(config.state().toString(), e);
-      }
+  private void take(JsonNode pushed) {
+    long now = System.nanoTime();
+    if (view.take(pushed, session.leaseHolds(now), now)) {
+      putInForce();
     }
   }
 
-  /** Tells what has changed of what it does. */
-  private void tell(long until) {
-    ObjectNode now =
-        Json.object()
-            .put("seen", view.version())
-            .put("serving", serving && !leaving && !view.away());
-    Set<String> busy = new TreeSet<>();
-    if (!view.hostsOut().isEmpty()) {
-      busy.addAll(daemon.hosts(Worker::busyHosts));
-      busy.retainAll(view.hostsOut());
-    }
-    busy.forEach(now.putArray("busy")::add);
-    new TreeSet<>(daemon.hosts(Worker::ejectedHosts)).forEach(now.putArray("suspects")::add);
-    ObjectNode hosts = catalogue();
-    boolean newLists = !hosts.path("digest").asText().equals(toldDigest);
-    String text = Json.text(now);
-    if (text.equals(told) && !newLists) {
-      return;
-    }
-    now.put("op", "tell")
-        .put("name", config.name())
-        .put("session", session)
-        .put("number", ++number);
-    if (newLists) {
-      now.setAll(hosts);
-    }
-    ObjectNode o = submit(now, until);
-    if (o != null && o.path("status").asText().equals("done")) {
-      told = text;
-      toldDigest = hosts.path("digest").asText();
-    }
+  private void putInForce() {
+    daemon.agreed(view.hostsOut(), view.away());
+    stateFile.write(view);
   }
 
-  private void leave() {
-    long until = System.nanoTime() + LEAVE_MS * 1_000_000L;
-    if (session != 0 && carriesNothing) {
-      submit(
-          Json.object().put("op", "leave").put("name", config.name()).put("session", session),
-          until);
+  private void leave(Departure last) {
+    long deadline = System.nanoTime() + LEAVE_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+    if (session.isOpen() && last.nothingInFlight()) {
+      submit(() -> client.leave(new LogEntry.Leave(config.name(), session.id()), deadline));
     }
-    keepers.close();
-    gone.run();
+    client.close();
+    last.listener().run();
   }
 
   @Override
--- /dev/null
+++ b/src/main/java/leadferry/daemon/FleetStateFile.java
@@ -0,0 +1,68 @@
+package leadferry.daemon;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.Optional;
+import leadferry.consensus.Json;
+import leadferry.disruption.ProxyMemberView;
+import leadferry.engine.Log;
+
+/**
+ * The operator's {@code state_file}: the view that was last in force, for a start without replicas.
+ * Without a file nothing is read or written. Failures are logged: requests do not depend on it.
+ */
+final class FleetStateFile {
+  private final String fleet;
+  private final Path file;
+  private final Log log;
+  private String written = "";
+
+  /** {@code file} may be null. */
+  FleetStateFile(String fleet, Path file, Log log) {
+    this.fleet = fleet;
+    this.file = file;
+    this.log = log;
+  }
+
+  /** The view that was written last, by this process or the one before it. */
+  Optional<JsonNode> read() {
+    if (file == null || !Files.exists(file)) {
+      return Optional.empty();
+    }
+    try {
+      ObjectNode state = Json.read(Files.readAllBytes(file));
+      if (state != null && state.path("fleet").asText().equals(fleet)) {
+        return Optional.of(state.path("view"));
+      }
+      log.line(file + ": not of fleet " + fleet + ": nothing is taken from it");
+    } catch (IOException e) {
+      log.failure(file.toString(), e);
+    }
+    return Optional.empty();
+  }
+
+  /** Replaces the file at once, where the view has changed. */
+  void write(ProxyMemberView view) {
+    if (file == null) {
+      return;
+    }
+    ObjectNode state = Json.object().put("fleet", fleet);
+    view.write(state.putObject("view"));
+    String text = Json.text(state);
+    if (text.equals(written)) {
+      return;
+    }
+    try {
+      Path part = file.resolveSibling(file.getFileName() + ".part");
+      Files.writeString(part, text);
+      Files.move(part, file, StandardCopyOption.ATOMIC_MOVE);
+      written = text;
+    } catch (IOException e) {
+      log.failure(file.toString(), e);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/daemon/HostCatalogs.java
@@ -0,0 +1,43 @@
+package leadferry.daemon;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import leadferry.consensus.LogEntry;
+import leadferry.consensus.LogEntryCodec;
+import leadferry.disruption.Target;
+import leadferry.disruption.TargetType;
+import leadferry.engine.UpstreamHosts;
+
+/** The hosts of a configuration as the log knows them, made once for each configuration. */
+final class HostCatalogs {
+  private DaemonConfig config;
+  private LogEntry.HostCatalog catalog;
+
+  /** The hosts of all pools by name; a host of several pools counts in the first. */
+  LogEntry.HostCatalog of(DaemonConfig current) {
+    if (current != config) {
+      catalog = build(current);
+      config = current;
+    }
+    return catalog;
+  }
+
+  private static LogEntry.HostCatalog build(DaemonConfig config) {
+    Map<String, Target> byName = new TreeMap<>();
+    for (DaemonConfig.Pool pool : config.pools().values()) {
+      for (UpstreamHosts.Member host : pool.members()) {
+        byName.putIfAbsent(
+            host.name(),
+            new Target(
+                TargetType.HOST,
+                host.name(),
+                host.zone(),
+                Long.toHexString(host.cell()),
+                pool.name(),
+                host.kind()));
+      }
+    }
+    return LogEntryCodec.catalogOf(List.copyOf(byName.values()));
+  }
+}
--- a/src/test/java/leadferry/consensus/RecordedReplicaTest.java
+++ b/src/test/java/leadferry/consensus/RecordedReplicaTest.java
@@ -80,8 +80,8 @@
   }
 
   private static List<JsonNode> transcript() throws IOException {
-    try (InputStream in = resource("transcript.jsonl")) {
-      return new String(in.readAllBytes(), StandardCharsets.UTF_8)
+    try (InputStream input = resource("transcript.jsonl")) {
+      return new String(input.readAllBytes(), StandardCharsets.UTF_8)
           .lines()
           .map(line -> (JsonNode) Json.read(line.getBytes(StandardCharsets.UTF_8)))
           .toList();
@@ -119,7 +119,7 @@
       if (answer == null || (!answer.has("redirect") && !answer.has("undecided"))) {
         break;
       }
-      Pause.of(50);
+      Sleep.millis(50);
     }
     assertThat(answer).as("answer to %s", request).isNotNull();
     assertThat(Json.text(answer))
