--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -23,251 +23,283 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All interleavings of three proxies, two operators, late news, late words, lost sessions and
- * restarts, to a stated depth, in one thread: who really serves is kept beside the ledger and
- * compared with what it allows.
+ * All interleavings of three proxies, two operators, late views, late reports, lost sessions and
+ * restarts, to a stated depth, in one thread: who really serves is kept beside the state machine
+ * and compared with what it allows.
  */
 class DrainStateSpaceTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
   private static final int ALLOWED = 1;
   private static final int DEPTH = Integer.getInteger("walk.depth", 6);
 
+  private static final int LEASE_MILLIS = 1_000;
+  private static final int DRAIN_MILLIS = 50;
+  private static final int MAX_CRASHES = 1;
+
   /**
-   * A proxy's process: what it goes by, what it really does, and what it has said that is still on
-   * its way.
+   * A proxy's process: what it goes by, what it really does, and what it has reported that is still
+   * on its way.
    */
   private static final class Process {
-    boolean runs = true;
-    long session;
-    long number;
     final ProxyMemberView view;
+    final ArrayDeque<JsonNode> pushedViews = new ArrayDeque<>();
+    final ArrayDeque<byte[]> reports = new ArrayDeque<>();
+    boolean runs = true;
     boolean serves = true;
+    long session;
+    long reportNumber;
 
     Process(String name) {
       view = new ProxyMemberView(name);
     }
-
-    final ArrayDeque<JsonNode> news = new ArrayDeque<>();
-    final ArrayDeque<byte[]> words = new ArrayDeque<>();
   }
 
-  /** One state of the whole, made anew by its steps. */
+  /** One state of the whole system, rebuilt by taking its steps. */
   private final class World implements StateSpaceExplorer.World {
-    private final Predicate<World> promise;
+    private final Predicate<World> invariant;
 
-    final FleetStateMachine ledger = new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
+    final FleetStateMachine stateMachine =
+        new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
     final Map<String, Process> processes = new HashMap<>();
     final Set<String> permits = new TreeSet<>();
     int crashes;
-    long sent;
+    long pushedVersion;
 
-    World(Predicate<World> promise) {
-      this.promise = promise;
-      for (String p : PROXIES) {
-        processes.put(p, new Process(p));
-        join(p);
-        processes.get(p).news.clear();
-        tell(p);
-        ledger.apply(processes.get(p).words.remove());
+    World(Predicate<World> invariant) {
+      this.invariant = invariant;
+      for (String name : PROXIES) {
+        processes.put(name, new Process(name));
+        join(name);
+        processes.get(name).pushedViews.clear();
+        report(name);
+        stateMachine.apply(processes.get(name).reports.remove());
       }
     }
 
-    ObjectNode apply(ObjectNode e) {
-      ObjectNode o = ledger.apply(Json.bytes(e));
-      JsonNode view = ledger.view();
-      if (view.path("version").asLong() > sent) {
-        sent = view.path("version").asLong();
+    ObjectNode apply(ObjectNode entry) {
+      ObjectNode outcome = stateMachine.apply(Json.bytes(entry));
+      JsonNode view = stateMachine.view();
+      if (view.path("version").asLong() > pushedVersion) {
+        pushedVersion = view.path("version").asLong();
         processes.forEach(
-            (n, p) -> {
-              if (p.runs && p.session > 0 && ledger.lives(n, p.session)) {
-                p.news.add(view);
+            (name, process) -> {
+              if (process.runs && hasSession(name)) {
+                process.pushedViews.add(view);
               }
             });
       }
-      return o;
+      return outcome;
+    }
+
+    private boolean hasSession(String name) {
+      long session = processes.get(name).session;
+      return session > 0 && stateMachine.lives(name, session);
+    }
+
+    private void expireSession(String name) {
+      String timer = SessionTable.timer(name, processes.get(name).session);
+      apply(LogEntryCodec.encodeExpiry(timer));
     }
 
     void join(String name) {
-      Process p = processes.get(name);
-      ObjectNode o =
+      Process process = processes.get(name);
+      ObjectNode outcome =
           apply(
               Json.object()
                   .put("op", "join")
                   .put("name", name)
                   .put("incarnation", name + crashes)
-                  .put("lease_ms", 1_000));
-      if (o.path("status").asText().equals("done")) {
-        p.session = o.path("session").asLong();
-        p.number = 0;
-        p.words.clear();
-        p.news.clear();
-        p.view.forget();
-        take(name, o.path("view"));
+                  .put("lease_ms", LEASE_MILLIS));
+      if (outcome.path("status").asText().equals("done")) {
+        process.session = outcome.path("session").asLong();
+        process.reportNumber = 0;
+        process.reports.clear();
+        process.pushedViews.clear();
+        process.view.forget();
+        take(name, outcome.path("view"));
       }
     }
 
-    /** Goes by news, or by an answer to its joining, and says so. */
+    /** Goes by a pushed view, or by an answer to its joining, and reports so. */
     void take(String name, JsonNode view) {
-      Process p = processes.get(name);
-      if (p.view.take(view, ledger.lives(name, p.session), 0)) {
-        p.serves = !p.view.away();
-        tell(name);
+      Process process = processes.get(name);
+      if (process.view.take(view, stateMachine.lives(name, process.session), 0)) {
+        process.serves = !process.view.away();
+        report(name);
       }
     }
 
-    void tell(String name) {
-      Process p = processes.get(name);
-      p.words.add(
+    void report(String name) {
+      Process process = processes.get(name);
+      process.reports.add(
           Json.bytes(
               Json.object()
                   .put("op", "tell")
                   .put("name", name)
-                  .put("session", p.session)
-                  .put("number", ++p.number)
-                  .put("seen", p.view.version())
-                  .put("serving", p.serves)));
+                  .put("session", process.session)
+                  .put("number", ++process.reportNumber)
+                  .put("seen", process.view.version())
+                  .put("serving", process.serves)));
     }
 
     /** What can happen next. */
     @Override
     public List<Step> steps() {
-      List<Step> out = new ArrayList<>();
-      for (String n : PROXIES) {
-        Process p = processes.get(n);
-        boolean lives = p.session > 0 && ledger.lives(n, p.session);
-        if (p.runs && !p.news.isEmpty()) {
-          out.add(new Step("news " + n, () -> take(n, p.news.remove())));
-        }
-        if (!p.words.isEmpty()) {
-          out.add(new Step("word " + n, () -> apply(Json.read(p.words.remove()))));
-        }
-        if (p.runs && crashes < 1) {
-          out.add(
-              new Step(
-                  "crash " + n,
-                  () -> {
-                    crashes++;
-                    p.runs = false;
-                    p.serves = false;
-                    p.news.clear();
-                    p.words.clear();
-                  }));
-          out.add(
-              new Step(
-                  "cut off " + n,
-                  () -> {
-                    crashes++; // stopped, say: what was on its way to it stays there
-                    apply(
-                        LogEntryCodec.encodeExpiry(
-                            SessionTable.timer(
-                                n, p.session))); // its lease is over before this is said: see
-                    // LeaseTest
-                  }));
-        }
-        if (!p.runs && lives) {
-          out.add(
-              new Step(
-                  "expire " + n,
-                  () -> apply(LogEntryCodec.encodeExpiry(SessionTable.timer(n, p.session)))));
-        }
-        if (!lives) {
-          out.add(
-              new Step(
-                  "join " + n,
-                  () -> {
-                    p.serves &= p.runs || !p.view.away();
-                    p.runs = true;
-                    join(n);
-                  }));
+      List<Step> steps = new ArrayList<>();
+      for (String name : PROXIES) {
+        addMessageSteps(name, steps);
+        addFaultSteps(name, steps);
+        addSessionSteps(name, steps);
+      }
+      addOperatorSteps(steps);
+      for (String timer : stateMachine.timers().keySet()) {
+        if (!SessionTable.isSessionTimer(timer)) {
+          steps.add(new Step("time " + timer, () -> apply(LogEntryCodec.encodeExpiry(timer))));
         }
       }
-      for (String n : List.of("a", "b")) {
-        out.add(
+      return steps;
+    }
+
+    private void addMessageSteps(String name, List<Step> steps) {
+      Process process = processes.get(name);
+      if (process.runs && !process.pushedViews.isEmpty()) {
+        steps.add(new Step("news " + name, () -> take(name, process.pushedViews.remove())));
+      }
+      if (!process.reports.isEmpty()) {
+        steps.add(new Step("word " + name, () -> apply(Json.read(process.reports.remove()))));
+      }
+    }
+
+    private void addFaultSteps(String name, List<Step> steps) {
+      if (!processes.get(name).runs || crashes >= MAX_CRASHES) {
+        return;
+      }
+      steps.add(new Step("crash " + name, () -> crash(name)));
+      steps.add(
+          new Step(
+              "cut off " + name,
+              () -> {
+                crashes++; // stopped, say: what was on its way to it stays there
+                // Its own lease is over before this is applied: LeaseTest.
+                expireSession(name);
+              }));
+    }
+
+    private void crash(String name) {
+      Process process = processes.get(name);
+      crashes++;
+      process.runs = false;
+      process.serves = false;
+      process.pushedViews.clear();
+      process.reports.clear();
+    }
+
+    private void addSessionSteps(String name, List<Step> steps) {
+      Process process = processes.get(name);
+      boolean lives = hasSession(name);
+      if (!process.runs && lives) {
+        steps.add(new Step("expire " + name, () -> expireSession(name)));
+      }
+      if (!lives) {
+        steps.add(
             new Step(
-                "drain " + n,
+                "join " + name,
                 () -> {
-                  ObjectNode o =
-                      apply(
-                          Json.object()
-                              .put("op", "drain")
-                              .put("kind", "proxy")
-                              .put("name", n)
-                              .put("for_ms", 50));
-                  if (o.has("permit")) {
-                    permits.add(o.path("permit").asText());
-                  }
+                  process.serves &= process.runs || !process.view.away();
+                  process.runs = true;
+                  join(name);
                 }));
       }
-      for (String id : permits) {
-        out.add(
-            new Step("undo " + id, () -> apply(Json.object().put("op", "undo").put("permit", id))));
+    }
+
+    private void addOperatorSteps(List<Step> steps) {
+      for (String name : List.of("a", "b")) {
+        steps.add(new Step("drain " + name, () -> drain(name)));
+      }
+      for (String permit : permits) {
+        ObjectNode undo = Json.object().put("op", "undo").put("permit", permit);
+        steps.add(new Step("undo " + permit, () -> apply(undo)));
       }
-      for (String t : ledger.timers().keySet()) {
-        if (!t.startsWith("session:")) {
-          out.add(new Step("time " + t, () -> apply(LogEntryCodec.encodeExpiry(t))));
-        }
+    }
+
+    private void drain(String name) {
+      ObjectNode outcome =
+          apply(
+              Json.object()
+                  .put("op", "drain")
+                  .put("kind", "proxy")
+                  .put("name", name)
+                  .put("for_ms", DRAIN_MILLIS));
+      if (outcome.has("permit")) {
+        permits.add(outcome.path("permit").asText());
       }
-      return out;
     }
 
     /** Those that are out by decision, not by the walk's own crash. */
     Set<String> out() {
       Set<String> out = new TreeSet<>();
       processes.forEach(
-          (n, p) -> {
-            if (p.runs && !p.serves) {
-              out.add(n);
+          (name, process) -> {
+            if (process.runs && !process.serves) {
+              out.add(name);
             }
           });
       return out;
     }
 
     @Override
-    public String broken() {
-      return promise.test(this) ? "" : "out: " + out();
+    public String violation() {
+      return invariant.test(this) ? "" : "out: " + out();
     }
 
     /** The state but for numbers that only count up: what matters of those is their order. */
     @Override
     public String key() {
-      ObjectNode o = Json.read(ledger.snapshot());
-      o.remove(List.of("audit", "entries", "calls"));
-      StringBuilder s = new StringBuilder(Json.text(o));
+      ObjectNode snapshot = Json.read(stateMachine.snapshot());
+      snapshot.remove(List.of("audit", "entries", "calls"));
+      StringBuilder text = new StringBuilder(Json.text(snapshot));
       processes.forEach(
-          (n, p) -> {
-            s.append(n)
-                .append(p.runs)
-                .append(p.serves)
+          (name, process) -> {
+            text.append(name)
+                .append(process.runs)
+                .append(process.serves)
                 .append("\"seen\":")
-                .append(p.view.version())
+                .append(process.view.version())
                 .append("\"id\":")
-                .append(p.session);
-            p.news.forEach(v -> s.append(Json.text(v)));
-            p.words.forEach(w -> s.append(new String(w, StandardCharsets.UTF_8)));
+                .append(process.session);
+            process.pushedViews.forEach(view -> text.append(Json.text(view)));
+            process.reports.forEach(
+                report -> text.append(new String(report, StandardCharsets.UTF_8)));
           });
-      return HexFormat.of().formatHex(digest(ranked(s.append(crashes).toString())));
+      return HexFormat.of().formatHex(digest(ranked(text.append(crashes).toString())));
     }
   }
 
+  /** Replaces numbers that only count up by their ranks, so that only their order counts. */
   static String ranked(String text) {
-    String out = text;
+    String ranked = text;
     for (String names :
         List.of(
             "version|since|end_since|seen",
             "change|settling|joined|acted_at|baking",
             "said|number",
             "id|session")) {
-      Pattern counted = Pattern.compile("\"(" + names + ")\":(\\d+)");
+      Pattern counter = Pattern.compile("\"(" + names + ")\":(\\d+)");
       TreeSet<Long> values = new TreeSet<>();
-      counted.matcher(out).results().forEach(r -> values.add(Long.parseLong(r.group(2))));
+      counter
+          .matcher(ranked)
+          .results()
+          .forEach(match -> values.add(Long.parseLong(match.group(2))));
       Map<Long, Integer> ranks = new HashMap<>();
-      values.forEach(v -> ranks.put(v, v == 0 ? 0 : ranks.size() + 1));
-      out =
-          counted
-              .matcher(out)
-              .replaceAll(r -> "\"" + r.group(1) + "\":" + ranks.get(Long.parseLong(r.group(2))));
+      values.forEach(value -> ranks.put(value, value == 0 ? 0 : ranks.size() + 1));
+      ranked =
+          counter
+              .matcher(ranked)
+              .replaceAll(
+                  match ->
+                      "\"" + match.group(1) + "\":" + ranks.get(Long.parseLong(match.group(2))));
     }
-    return out;
+    return ranked;
   }
 
   private static byte[] digest(String text) {
@@ -280,25 +312,27 @@
 
   @Test
   void neverMoreProxiesAreOutByDecisionThanAllowed() {
-    StateSpaceExplorer walk =
-        new StateSpaceExplorer(() -> new World(w -> w.out().size() <= ALLOWED));
-    assertThat(walk.all(DEPTH)).isEmpty();
-    System.out.println("drains walked: " + walk.states() + " states to a depth of " + DEPTH);
-    assertThat(walk.states()).isGreaterThan(1_000);
+    StateSpaceExplorer explorer =
+        new StateSpaceExplorer(() -> new World(world -> world.out().size() <= ALLOWED));
+    assertThat(explorer.all(DEPTH)).isEmpty();
+    System.out.println("drains walked: " + explorer.states() + " states to a depth of " + DEPTH);
+    assertThat(explorer.states()).isGreaterThan(1_000);
   }
 
   @Test
   void walksAtRandomFarBeyondThatDepthKeepThePromise() {
-    StateSpaceExplorer walk =
-        new StateSpaceExplorer(() -> new World(w -> w.out().size() <= ALLOWED));
+    StateSpaceExplorer explorer =
+        new StateSpaceExplorer(() -> new World(world -> world.out().size() <= ALLOWED));
     for (long seed = 1; seed <= Integer.getInteger("walk.seeds", 300); seed++) {
-      assertThat(walk.random(seed, 60)).as("seed " + seed).isEmpty();
+      assertThat(explorer.random(seed, 60)).as("seed " + seed).isEmpty();
     }
   }
 
   @Test
   void whatARandomWalkFindsIsCutDownToWhatMatters() {
-    assertThat(new StateSpaceExplorer(() -> new World(w -> !w.out().contains("a"))).random(1, 60))
+    assertThat(
+            new StateSpaceExplorer(() -> new World(world -> !world.out().contains("a")))
+                .random(1, 60))
         .hasSize(3)
         .contains("drain a", "news a", "=> out: [a]");
   }
--- a/src/test/java/leadferry/consensus/LeaseTest.java
+++ b/src/test/java/leadferry/consensus/LeaseTest.java
@@ -8,103 +8,145 @@
 
 /** The two ends of a session's time, on clocks of the test's own. */
 class LeaseTest {
-  private static final long MS = 1_000_000;
-  private static final Map<String, Long> ONE = Map.of("s", 1_000L);
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final Map<String, Long> ONE_TIMER = Map.of("s", 1_000L);
 
   @Test
   void theMemberKnowsFirstWhateverTheDelaysAndWithClocksATenthApart() {
     Random random = new Random(5);
     for (int run = 0; run < 2_000; run++) {
-      double speed = 0.91 + 0.18 * random.nextDouble(); // the keeper's clock against the member's
-      LeaseTimers keeper = new LeaseTimers();
-      Lease lease = new Lease(1_000);
-      keeper.begin(0);
-      keeper.due(ONE, 0);
-      double now = 0;
+      double speed = 0.91 + 0.18 * random.nextDouble(); // the leader's clock against the member's
+      new Renewals(random, speed).untilTheLeaderEndsTheSession("run " + run);
+    }
+  }
+
+  /** A member and a leader, and renewals that are delayed or lost on their way. */
+  private static final class Renewals {
+    private static final int STEP_MILLIS = 10;
+    private static final int RENEWAL_MILLIS = 200;
+    private static final int MAX_DELAY_MILLIS = 600;
+    private static final int LOST_ONE_IN = 8;
+    private static final int LONGEST_RUN_MILLIS = 100_000;
+    private static final double NOT_UNDER_WAY = -1;
+
+    private final Random random;
+    private final double speed;
+    private final LeaseTimers leader = new LeaseTimers();
+    private final Lease lease = new Lease(1_000);
+    private double now;
+    private double nextRenewalAt;
+    private double heardAt = NOT_UNDER_WAY;
+    private double answeredAt = NOT_UNDER_WAY;
+    private long askedAtNanos;
+
+    Renewals(Random random, double speed) {
+      this.random = random;
+      this.speed = speed;
+      leader.begin(0);
+      leader.due(ONE_TIMER, 0);
+    }
+
+    void untilTheLeaderEndsTheSession(String description) {
       boolean over = false;
-      double nextAsk = 0;
-      double heardAt = -1;
-      double answeredAt = -1;
-      long asked = 0;
-      while (!over) {
-        now += 10;
-        if (now >= nextAsk && heardAt < 0 && answeredAt < 0) {
-          asked = (long) (now * MS);
-          heardAt = random.nextInt(8) == 0 ? Double.MAX_VALUE : now + random.nextInt(600);
-          answeredAt = heardAt + random.nextInt(600);
-        }
-        if (heardAt >= 0 && now >= heardAt) {
-          if (!keeper.renew("s", (long) (now * speed * MS))) {
-            answeredAt = Double.MAX_VALUE;
-          }
-          heardAt = -1;
-        }
-        if (heardAt < 0 && answeredAt >= 0 && now >= answeredAt) {
-          lease.confirmed(asked);
-          answeredAt = -1;
-          nextAsk = now + 200;
-        }
-        over = !keeper.due(ONE, (long) (now * speed * MS)).isEmpty();
+      while (!over && now <= LONGEST_RUN_MILLIS) {
+        now += STEP_MILLIS;
+        ask();
+        reachLeader();
+        reachMember();
+        over = !leader.due(ONE_TIMER, leaderNanos()).isEmpty();
         if (over) {
-          assertThat(lease.holds((long) (now * MS))).as("run %d", run).isFalse();
+          assertThat(lease.holds(memberNanos())).as(description).isFalse();
         }
-        if (now > 100_000) {
-          break;
+      }
+    }
+
+    private void ask() {
+      if (now >= nextRenewalAt && heardAt < 0 && answeredAt < 0) {
+        askedAtNanos = memberNanos();
+        boolean lost = random.nextInt(LOST_ONE_IN) == 0;
+        heardAt = lost ? Double.MAX_VALUE : now + random.nextInt(MAX_DELAY_MILLIS);
+        answeredAt = heardAt + random.nextInt(MAX_DELAY_MILLIS);
+      }
+    }
+
+    private void reachLeader() {
+      if (heardAt >= 0 && now >= heardAt) {
+        if (!leader.renew("s", leaderNanos())) {
+          answeredAt = Double.MAX_VALUE;
         }
+        heardAt = NOT_UNDER_WAY;
       }
     }
+
+    private void reachMember() {
+      if (heardAt < 0 && answeredAt >= 0 && now >= answeredAt) {
+        lease.confirmed(askedAtNanos);
+        answeredAt = NOT_UNDER_WAY;
+        nextRenewalAt = now + RENEWAL_MILLIS;
+      }
+    }
+
+    private long memberNanos() {
+      return (long) (now * NANOS_PER_MILLI);
+    }
+
+    private long leaderNanos() {
+      return (long) (now * speed * NANOS_PER_MILLI);
+    }
   }
 
   @Test
   void aLeaderThatStoodStillBelievesNobodyDead() {
-    LeaseTimers t = new LeaseTimers();
-    t.begin(0);
-    t.due(ONE, 0);
-    for (long ms = 50; ms <= 900; ms += 50) {
-      assertThat(t.due(ONE, ms * MS)).isEmpty();
+    LeaseTimers timers = new LeaseTimers();
+    timers.begin(0);
+    timers.due(ONE_TIMER, 0);
+    for (long millis = 50; millis <= 900; millis += 50) {
+      assertThat(timers.due(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
     }
-    assertThat(t.due(ONE, 5_000 * MS)).isEmpty();
-    for (long ms = 5_050; ms < 6_000; ms += 50) {
-      assertThat(t.due(ONE, ms * MS)).isEmpty();
+    assertThat(timers.due(ONE_TIMER, 5_000 * NANOS_PER_MILLI)).isEmpty();
+    for (long millis = 5_050; millis < 6_000; millis += 50) {
+      assertThat(timers.due(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
     }
-    assertThat(t.due(ONE, 6_000 * MS)).containsExactly("s");
+    assertThat(timers.due(ONE_TIMER, 6_000 * NANOS_PER_MILLI)).containsExactly("s");
   }
 
   @Test
   void aNewLeaderWaitsAWholeLease() {
-    LeaseTimers t = new LeaseTimers();
-    t.begin(0);
-    t.due(ONE, 0);
-    t.due(ONE, 300 * MS);
-    t.due(ONE, 600 * MS);
-    t.begin(900 * MS);
-    assertThat(t.due(ONE, 1_000 * MS)).isEmpty();
-    assertThat(t.due(ONE, 1_300 * MS)).isEmpty();
-    assertThat(t.due(ONE, 1_650 * MS)).isEmpty();
-    assertThat(t.due(ONE, 2_000 * MS)).containsExactly("s");
+    LeaseTimers timers = new LeaseTimers();
+    timers.begin(0);
+    timers.due(ONE_TIMER, 0);
+    timers.due(ONE_TIMER, 300 * NANOS_PER_MILLI);
+    timers.due(ONE_TIMER, 600 * NANOS_PER_MILLI);
+    timers.begin(900 * NANOS_PER_MILLI);
+    assertThat(timers.due(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.due(ONE_TIMER, 1_300 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.due(ONE_TIMER, 1_650 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.due(ONE_TIMER, 2_000 * NANOS_PER_MILLI)).containsExactly("s");
   }
 
   @Test
   void whatWasToldToTheLogIsNotRenewed() {
-    LeaseTimers t = new LeaseTimers();
-    t.begin(0);
-    for (long ms = 0; ms < 1_000; ms += 100) {
-      t.due(ONE, ms * MS);
+    LeaseTimers timers = new LeaseTimers();
+    timers.begin(0);
+    for (long millis = 0; millis < 1_000; millis += 100) {
+      timers.due(ONE_TIMER, millis * NANOS_PER_MILLI);
     }
-    assertThat(t.due(ONE, 1_000 * MS)).containsExactly("s");
-    assertThat(t.renew("s", 1_001 * MS)).isFalse();
-    t.resubmit("s");
-    assertThat(t.renew("s", 1_002 * MS)).isTrue();
+    assertThat(timers.due(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).containsExactly("s");
+    assertThat(timers.renew("s", 1_001 * NANOS_PER_MILLI)).isFalse();
+    timers.resubmit("s");
+    assertThat(timers.renew("s", 1_002 * NANOS_PER_MILLI)).isTrue();
   }
 
   @Test
   void aStoppedMemberFindsItsLeaseOver() {
     Lease lease = new Lease(1_000);
     assertThat(lease.holds(0)).isFalse();
-    lease.confirmed(100 * MS);
-    assertThat(lease.holds(999 * MS)).isTrue();
-    assertThat(lease.holds(1_000 * MS)).isFalse();
-    lease.confirmed(50 * MS);
-    assertThat(lease.holds(960 * MS)).as("an older answer takes nothing back").isTrue();
+    lease.confirmed(100 * NANOS_PER_MILLI);
+    assertThat(lease.holds(999 * NANOS_PER_MILLI)).isTrue();
+    assertThat(lease.holds(1_000 * NANOS_PER_MILLI)).isFalse();
+    lease.confirmed(50 * NANOS_PER_MILLI);
+    assertThat(lease.holds(960 * NANOS_PER_MILLI))
+        .as("an older answer takes nothing back")
+        .isTrue();
   }
 }
--- a/src/test/java/leadferry/consensus/RatisStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/RatisStateMachineTest.java
@@ -9,22 +9,22 @@
 
 class RatisStateMachineTest {
   /**
-   * The library pauses a keeper before it installs another's snapshot, and gives it up if it is not
-   * paused then.
+   * The library pauses a replica before it installs another's snapshot, and gives it up if it is
+   * not paused then.
    */
   @Test
-  void aKeeperIsPausedForASnapshotAndRunsAfterIt() throws Exception {
+  void aReplicaIsPausedForASnapshotAndRunsAfterIt() throws Exception {
     AtomicInteger changes = new AtomicInteger();
-    RatisStateMachine m =
+    RatisStateMachine stateMachine =
         new RatisStateMachine(
             new FleetStateMachine(new DisruptionState.Times(1, 1, 1)),
             changes::incrementAndGet,
-            t -> {});
-    m.getLifeCycle().transition(LifeCycle.State.STARTING);
-    m.getLifeCycle().transition(LifeCycle.State.RUNNING);
-    m.pause();
-    assertThat(m.getLifeCycleState()).isEqualTo(LifeCycle.State.PAUSED);
-    m.reinitialize();
-    assertThat(m.getLifeCycleState()).isEqualTo(LifeCycle.State.RUNNING);
+            failure -> {});
+    stateMachine.getLifeCycle().transition(LifeCycle.State.STARTING);
+    stateMachine.getLifeCycle().transition(LifeCycle.State.RUNNING);
+    stateMachine.pause();
+    assertThat(stateMachine.getLifeCycleState()).isEqualTo(LifeCycle.State.PAUSED);
+    stateMachine.reinitialize();
+    assertThat(stateMachine.getLifeCycleState()).isEqualTo(LifeCycle.State.RUNNING);
   }
 }
--- a/src/test/java/leadferry/consensus/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -21,7 +21,7 @@
  * snapshots, byte for byte. Replicas of two builds must never differ about one log.
  */
 class RecordedEntriesTest {
-  private FleetStateMachine ledger;
+  private FleetStateMachine stateMachine;
 
   @ParameterizedTest
   @CsvSource({"every-operation,12", "drains,4", "releases,60"})
@@ -53,18 +53,18 @@
   private void replay(JsonNode step, String where) {
     if (step.has("times")) {
       JsonNode times = step.path("times");
-      ledger =
+      stateMachine =
           new FleetStateMachine(
               new DisruptionState.Times(
                   times.path(0).asLong(), times.path(1).asLong(), times.path(2).asLong()));
     } else if (step.has("restore")) {
-      ledger.restore(decoded(step.path("restore")));
+      stateMachine.restore(decoded(step.path("restore")));
     } else if (step.has("throws")) {
-      assertThatThrownBy(() -> ledger.apply(decoded(step.path("entry"))))
+      assertThatThrownBy(() -> stateMachine.apply(decoded(step.path("entry"))))
           .as(where)
           .isInstanceOf(LaterSchemaException.class);
     } else if (step.has("entry")) {
-      assertThat(Json.text(ledger.apply(decoded(step.path("entry")))))
+      assertThat(Json.text(stateMachine.apply(decoded(step.path("entry")))))
           .as(where)
           .isEqualTo(Json.text(step.path("outcome")));
     } else {
@@ -77,17 +77,17 @@
   }
 
   private void assertSameState(JsonNode expected, String where) {
-    assertSame(ledger.view(), expected, "view", where);
-    assertSame(ledger.status(true), expected, "status", where);
-    assertSame(ledger.release(""), expected, "releases", where);
-    assertSame(ledger.release("r"), expected, "release", where);
-    assertSame(ledger.explain("proxy", "a"), expected, "explain_proxy", where);
-    assertSame(ledger.explain("host", "h1"), expected, "explain_host", where);
-    assertSame(ledger.permit("1"), expected, "permit", where);
+    assertSame(stateMachine.view(), expected, "view", where);
+    assertSame(stateMachine.status(true), expected, "status", where);
+    assertSame(stateMachine.release(""), expected, "releases", where);
+    assertSame(stateMachine.release("r"), expected, "release", where);
+    assertSame(stateMachine.explain("proxy", "a"), expected, "explain_proxy", where);
+    assertSame(stateMachine.explain("host", "h1"), expected, "explain_host", where);
+    assertSame(stateMachine.permit("1"), expected, "permit", where);
     ObjectNode timers = Json.object();
-    new TreeMap<>(ledger.timers()).forEach(timers::put);
+    new TreeMap<>(stateMachine.timers()).forEach(timers::put);
     assertSame(timers, expected, "timers", where);
-    assertThat(new String(ledger.snapshot(), StandardCharsets.UTF_8))
+    assertThat(new String(stateMachine.snapshot(), StandardCharsets.UTF_8))
         .as(where + ": snapshot")
         .isEqualTo(expected.path("snapshot").asText());
   }
--- /dev/null
+++ b/src/test/java/leadferry/consensus/ReleaseWorld.java
@@ -0,0 +1,395 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import leadferry.consensus.StateSpaceExplorer.Step;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.ProxyMemberView;
+import leadferry.release.ReleaseController;
+
+/**
+ * A release of two proxies of three, one allowed out, with two drivers: the real state machine,
+ * members' views and controllers. Who serves, and what was run, is kept beside them and compared.
+ * {@link ReleaseWorldSteps} tells what can happen next.
+ */
+final class ReleaseWorld implements StateSpaceExplorer.World {
+  static final List<String> PROXIES = List.of("a", "b", "c");
+  static final String RELEASE = "r";
+  static final String OLD_VERSION = "v1";
+
+  private static final String NEW_VERSION = "v2";
+  private static final int MAX_OUT = 1;
+  private static final int LEASE_MILLIS = 1_000;
+
+  /** How much later a driver looks again: longer than its renewal interval. */
+  private static final long LOOK_NANOS = 600_000_000L;
+
+  /** A proxy's process, and the supervisor's memory of its fence. */
+  static final class Process {
+    String version = OLD_VERSION;
+    long session;
+    int incarnation;
+    long reportNumber;
+    ProxyMemberView view;
+    boolean runs = true;
+    long fence;
+
+    boolean serves() {
+      return runs && !view.away();
+    }
+  }
+
+  /** A driver's process: its controller, and what that wants done. */
+  static final class Driver {
+    ReleaseController controller;
+    int incarnation;
+    boolean stalled;
+    final List<ReleaseController.Next> pending = new ArrayList<>();
+  }
+
+  /** A command on its way: it lands whatever becomes of its driver. */
+  record Flight(ReleaseController sender, ReleaseController.Next command) {}
+
+  final Map<String, Process> processes = new TreeMap<>();
+  final Map<String, Driver> drivers = new TreeMap<>();
+  final List<Flight> flights = new ArrayList<>();
+  final Set<String> executed = new HashSet<>();
+  final Set<String> lost = new TreeSet<>();
+  FleetStateMachine stateMachine = newStateMachine();
+  String violation = "";
+  int crashes;
+  int stalls;
+  int losses;
+  int orders;
+  int restarts;
+  private long nowNanos;
+  private long leavingBefore;
+  private ObjectNode cachedRelease;
+
+  /**
+   * A release under way.
+   *
+   * @param checks whether the plan has a check command
+   * @param undisturbedSteps so many steps of an undisturbed release by X have been taken
+   */
+  ReleaseWorld(boolean checks, int undisturbedSteps) {
+    for (String name : PROXIES) {
+      processes.put(name, new Process());
+      join(name);
+    }
+    memberTimers().forEach(this::expire);
+    ObjectNode start = Json.object().put("op", "release_start").set("plan", plan(checks));
+    if (!apply(start).path("status").asText().equals("done")) {
+      throw new IllegalStateException();
+    }
+    for (String name : List.of("X", "Y")) {
+      drivers.put(name, new Driver());
+      startDriver(name);
+    }
+    Driver undisturbed = drivers.get("X");
+    for (int i = 0; i < undisturbedSteps; i++) {
+      look(undisturbed);
+      while (!undisturbed.pending.isEmpty()) {
+        act(undisturbed);
+      }
+      processes.keySet().forEach(this::pushView);
+    }
+  }
+
+  private static FleetStateMachine newStateMachine() {
+    return new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
+  }
+
+  private static ObjectNode plan(boolean checks) {
+    ObjectNode plan =
+        Json.object()
+            .put("name", RELEASE)
+            .put("of", "proxy")
+            .put("version", NEW_VERSION)
+            .put("from", OLD_VERSION)
+            .put("halt_lost", 0);
+    plan.putArray("steps")
+        .addObject()
+        .put("name", "all")
+        .put("at_once", 2)
+        .putArray("targets")
+        .add("a")
+        .add("b");
+    ObjectNode carry = plan.putObject("carry").put("by", "command");
+    carry.putArray("command").add("restart");
+    if (checks) {
+      carry.putArray("check").add("check");
+    }
+    return plan;
+  }
+
+  // --- the log
+
+  ObjectNode apply(ObjectNode entry) {
+    boolean stopped = isInState("halted") || isInState("paused");
+    ObjectNode outcome = applyUnchecked(entry);
+    long leaving = targetsInPhase("leaving");
+    if (stopped
+        && entry.path("op").asText().equals("release_intend")
+        && outcome.path("status").asText().equals("granted")
+        && leaving > leavingBefore) {
+      violation = "granted after the halt: " + entry;
+    }
+    leavingBefore = leaving;
+    Set<String> out = out();
+    if (out.size() > MAX_OUT) {
+      violation = "out at once: " + out;
+    }
+    return outcome;
+  }
+
+  private ObjectNode applyUnchecked(ObjectNode entry) {
+    ObjectNode outcome = stateMachine.apply(Json.bytes(entry));
+    cachedRelease = null;
+    return outcome;
+  }
+
+  private Set<String> out() {
+    Set<String> out = new TreeSet<>();
+    processes.forEach(
+        (name, process) -> {
+          if (!process.serves() && !lost.contains(name)) {
+            out.add(name);
+          }
+        });
+    return out;
+  }
+
+  void expire(String timer) {
+    apply(LogEntryCodec.encodeExpiry(timer));
+  }
+
+  /** Timers of drains and of members that come back. */
+  List<String> memberTimers() {
+    return stateMachine.timers().keySet().stream()
+        .filter(timer -> !SessionTable.isSessionTimer(timer) && !timer.startsWith("release-"))
+        .toList();
+  }
+
+  ObjectNode release() {
+    if (cachedRelease == null) {
+      cachedRelease = stateMachine.release(RELEASE);
+    }
+    return cachedRelease;
+  }
+
+  boolean isInState(String state) {
+    return release().path("state").asText().equals(state);
+  }
+
+  private long targetsInPhase(String phase) {
+    long count = 0;
+    for (JsonNode target : release().path("targets")) {
+      count += target.path("phase").asText().equals(phase) ? 1 : 0;
+    }
+    return count;
+  }
+
+  /** All replicas start anew from a snapshot. */
+  void restartReplicas() {
+    restarts++;
+    byte[] before = stateMachine.snapshot();
+    stateMachine = newStateMachine();
+    stateMachine.restore(before);
+    cachedRelease = null;
+    if (!Arrays.equals(before, stateMachine.snapshot())) {
+      violation = "another state after a snapshot";
+    }
+  }
+
+  void order(String operation, String why) {
+    apply(Json.object().put("op", operation).put("release", RELEASE).put("why", why));
+  }
+
+  // --- members
+
+  boolean hasSession(String name) {
+    return stateMachine.lives(name, processes.get(name).session);
+  }
+
+  void join(String name) {
+    Process process = processes.get(name);
+    process.runs = true;
+    process.view = new ProxyMemberView(name);
+    process.reportNumber = 0;
+    process.incarnation++;
+    ObjectNode outcome =
+        applyUnchecked(
+            Json.object()
+                .put("op", "join")
+                .put("name", name)
+                .put("incarnation", name + process.incarnation)
+                .put("lease_ms", LEASE_MILLIS)
+                .put("runs", process.version));
+    process.session = outcome.path("session").asLong();
+    process.view.take(outcome.path("view"), true, nowNanos);
+    report(name);
+  }
+
+  private void report(String name) {
+    Process process = processes.get(name);
+    process.reportNumber++;
+    apply(
+        Json.object()
+            .put("op", "tell")
+            .put("name", name)
+            .put("session", process.session)
+            .put("number", process.reportNumber)
+            .put("seen", process.view.version())
+            .put("serving", process.serves()));
+  }
+
+  /** The view reaches a proxy, which goes by it and reports so. */
+  void pushView(String name) {
+    Process process = processes.get(name);
+    if (process.runs
+        && hasSession(name)
+        && process.view.take(stateMachine.view(), true, nowNanos)) {
+      report(name);
+    }
+  }
+
+  boolean lacksView(String name) {
+    Process process = processes.get(name);
+    return process.runs && hasSession(name) && process.view.version() < stateMachine.version();
+  }
+
+  /** A process ends and comes back with that version. */
+  private void restart(String name, String version) {
+    Process process = processes.get(name);
+    process.runs = false;
+    if (hasSession(name)) {
+      apply(Json.object().put("op", "leave").put("name", name).put("session", process.session));
+    }
+    process.version = version;
+    join(name);
+  }
+
+  void lose(String name) {
+    losses++;
+    lost.add(name);
+    expire(SessionTable.timer(name, processes.get(name).session));
+  }
+
+  void find(String name) {
+    lost.remove(name);
+    if (!hasSession(name)) {
+      join(name);
+    }
+  }
+
+  // --- drivers
+
+  void startDriver(String name) {
+    Driver driver = drivers.get(name);
+    driver.incarnation++;
+    driver.controller = new ReleaseController(name + driver.incarnation, LEASE_MILLIS);
+    driver.pending.clear();
+  }
+
+  boolean holdsLease(Driver driver) {
+    return driver.controller.drives(release());
+  }
+
+  void look(Driver driver) {
+    nowNanos += LOOK_NANOS;
+    driver.pending.addAll(driver.controller.next(release(), null, !driver.stalled, nowNanos));
+  }
+
+  void act(Driver driver) {
+    ReleaseController.Next next = driver.pending.remove(0);
+    if (next instanceof ReleaseController.Submit submit) {
+      ObjectNode entry = Json.object().put("op", submit.op()).put("release", RELEASE);
+      submit.with().forEach((key, value) -> entry.putPOJO(key, value));
+      apply(Json.read(Json.bytes(entry)));
+    } else {
+      flights.add(new Flight(driver.controller, next));
+    }
+  }
+
+  void land(Flight flight) {
+    flights.remove(flight);
+    if (flight.command() instanceof ReleaseController.Run run) {
+      land(run, flight.sender());
+    } else if (flight.command() instanceof ReleaseController.Look look) {
+      Process process = processes.get(look.target());
+      process.fence = Math.max(process.fence, look.fence());
+      ReleaseController.Seen seen =
+          look.fence() < process.fence ? null : new ReleaseController.Seen(process.version);
+      flight.sender().seen(look, seen);
+    }
+  }
+
+  private void land(ReleaseController.Run run, ReleaseController sender) {
+    Process process = processes.get(run.target());
+    if (run.fence() < process.fence) {
+      sender.ended(run, new ReleaseController.Ended(false, "fence"));
+      return;
+    }
+    process.fence = run.fence();
+    if (process.serves()) {
+      violation = run + " landed while its target was in service";
+    } else if (!executed.add(run.action() + "/" + run.tries())) {
+      violation = run + " ran twice";
+    }
+    restart(run.target(), run.version());
+    sender.ended(run, new ReleaseController.Ended(true, ""));
+  }
+
+  // --- for the explorer
+
+  @Override
+  public List<Step> steps() {
+    return ReleaseWorldSteps.of(this);
+  }
+
+  @Override
+  public String key() {
+    ObjectNode snapshot = Json.read(stateMachine.snapshot());
+    snapshot.remove(List.of("audit", "calls", "entries"));
+    StringBuilder text = new StringBuilder(DrainStateSpaceTest.ranked(Json.text(snapshot)));
+    processes.forEach(
+        (name, process) ->
+            text.append(name)
+                .append(process.version)
+                .append(process.runs)
+                .append(process.view.away())
+                .append(process.fence));
+    drivers.forEach(
+        (name, driver) -> text.append(name).append(driver.stalled).append(driver.pending));
+    flights.forEach(flight -> text.append(flight.command()));
+    return text.append(crashes)
+        .append(stalls)
+        .append(losses)
+        .append(orders)
+        .append(lost)
+        .toString();
+  }
+
+  @Override
+  public boolean likely(String step) {
+    return step.contains("does")
+        || step.contains("looks")
+        || step.contains("lands")
+        || step.startsWith("time settle")
+        || step.startsWith("news");
+  }
+
+  @Override
+  public String violation() {
+    return violation;
+  }
+}
--- /dev/null
+++ b/src/test/java/leadferry/consensus/ReleaseWorldEnding.java
@@ -0,0 +1,93 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import leadferry.consensus.ReleaseWorld.Driver;
+
+/**
+ * Brings a {@link ReleaseWorld} to its end: everything works from here on, the release is rolled
+ * back, and all must serve the old version.
+ */
+final class ReleaseWorldEnding {
+  private static final int ROUNDS_AFTER_HALT = 40;
+  private static final int ROUNDS_OF_ROLLBACK = 300;
+  private static final String WHY = "the end";
+
+  private final ReleaseWorld world;
+
+  private ReleaseWorldEnding(ReleaseWorld world) {
+    this.world = world;
+  }
+
+  static void bringAbout(ReleaseWorld world) {
+    ReleaseWorldEnding ending = new ReleaseWorldEnding(world);
+    new ArrayList<>(world.lost).forEach(world::find);
+    world.drivers.values().forEach(driver -> driver.stalled = false);
+    if (world.isInState("halted")) {
+      ending.checkHaltedTargetsComeBack();
+    }
+    ending.rollBack();
+    ending.checkAllServeTheOldVersion();
+  }
+
+  private boolean holds() {
+    return world.violation.isEmpty();
+  }
+
+  private void checkHaltedTargetsComeBack() {
+    for (int i = 0; i < ROUNDS_AFTER_HALT && holds(); i++) {
+      playRound();
+    }
+    for (JsonNode target : world.release().path("targets")) {
+      if (holds()
+          && world.isInState("halted")
+          && !target.path("phase").asText().equals("in")
+          && !target.path("at").asText().equals("unknown")) {
+        world.violation = "halted, and not given back: " + target;
+      }
+    }
+  }
+
+  private void rollBack() {
+    if (!world.isInState("returned")) {
+      world.order("release_back", WHY);
+    }
+    for (int i = 0; i < ROUNDS_OF_ROLLBACK && holds() && !world.isInState("returned"); i++) {
+      if (world.isInState("halted")) {
+        world.order("release_resume", WHY);
+      }
+      playRound();
+    }
+  }
+
+  private void checkAllServeTheOldVersion() {
+    world.processes.forEach(
+        (name, process) -> {
+          if (holds()
+              && (!world.isInState("returned")
+                  || !process.version.equals(ReleaseWorld.OLD_VERSION)
+                  || !process.serves())) {
+            world.violation = "not taken back: " + world.release();
+          }
+        });
+  }
+
+  /** All commands land, all drivers act and look, all views arrive, all timers run out. */
+  private void playRound() {
+    List.copyOf(world.flights).forEach(world::land);
+    for (Driver driver : world.drivers.values()) {
+      while (!driver.pending.isEmpty()) {
+        world.act(driver);
+      }
+      world.look(driver);
+    }
+    world.processes.keySet().forEach(world::pushView);
+    world.memberTimers().forEach(world::expire);
+    world.stateMachine.timers().keySet().stream()
+        .filter(timer -> timer.startsWith("release-driver:"))
+        .findFirst()
+        .filter(timer -> world.drivers.values().stream().noneMatch(world::holdsLease))
+        .ifPresent(world::expire);
+  }
+}
--- /dev/null
+++ b/src/test/java/leadferry/consensus/ReleaseWorldSteps.java
@@ -0,0 +1,121 @@
+package leadferry.consensus;
+
+import java.util.ArrayList;
+import java.util.List;
+import leadferry.consensus.ReleaseWorld.Driver;
+import leadferry.consensus.ReleaseWorld.Flight;
+import leadferry.consensus.ReleaseWorld.Process;
+import leadferry.consensus.StateSpaceExplorer.Step;
+
+/**
+ * What can happen next to a {@link ReleaseWorld}: drivers look, act, crash and stand still,
+ * commands come late, timers run out, replicas restart, operators give orders, a member is lost.
+ */
+final class ReleaseWorldSteps {
+  private static final int MAX_CRASHES = 2;
+  private static final int MAX_STALLS = 2;
+  private static final int MAX_RESTARTS = 2;
+  private static final int MAX_ORDERS = 4;
+  private static final int MAX_LOSSES = 1;
+
+  private final ReleaseWorld world;
+  private final List<Step> steps = new ArrayList<>();
+
+  private ReleaseWorldSteps(ReleaseWorld world) {
+    this.world = world;
+  }
+
+  static List<Step> of(ReleaseWorld world) {
+    ReleaseWorldSteps next = new ReleaseWorldSteps(world);
+    world.drivers.forEach(next::addDriver);
+    next.addFlights();
+    world.stateMachine.timers().keySet().forEach(next::addTimer);
+    next.addOrders();
+    ReleaseWorld.PROXIES.forEach(next::addMember);
+    return next.steps;
+  }
+
+  private void add(String name, Runnable action) {
+    steps.add(new Step(name, action));
+  }
+
+  private void addDriver(String name, Driver driver) {
+    boolean holdsLease = world.holdsLease(driver);
+    if (driver.pending.isEmpty()) {
+      add(name + " looks", () -> world.look(driver));
+    } else {
+      add(name + " does", () -> world.act(driver));
+    }
+    if (world.crashes < MAX_CRASHES) {
+      add(
+          name + " crashes",
+          () -> {
+            world.crashes++;
+            world.startDriver(name);
+          });
+    }
+    if (!driver.stalled && world.stalls < MAX_STALLS) {
+      add(
+          name + " stands still",
+          () -> {
+            world.stalls++;
+            driver.stalled = true;
+          });
+    }
+    if (driver.stalled && !holdsLease) {
+      add(name + " wakes", () -> driver.stalled = false);
+    }
+  }
+
+  private void addFlights() {
+    for (int i = 0; i < world.flights.size(); i++) {
+      Flight flight = world.flights.get(i);
+      add("lands " + i, () -> world.land(flight));
+    }
+  }
+
+  private void addTimer(String timer) {
+    if (SessionTable.isSessionTimer(timer) || timer.startsWith("release-longest")) {
+      return;
+    }
+    // The lease of a driver that renews it does not run out.
+    boolean renewed =
+        timer.startsWith("release-driver:")
+            && world.drivers.values().stream()
+                .anyMatch(driver -> world.holdsLease(driver) && !driver.stalled);
+    if (!renewed) {
+      add("time " + timer.replaceAll("[0-9]+$", ""), () -> world.expire(timer));
+    }
+  }
+
+  private void addOrders() {
+    if (world.restarts < MAX_RESTARTS) {
+      add("replicas restart", world::restartReplicas);
+    }
+    if (world.orders >= MAX_ORDERS) {
+      return;
+    }
+    for (String operation :
+        List.of("release_halt", "release_resume", "release_back", "release_pause")) {
+      add(
+          operation,
+          () -> {
+            world.orders++;
+            world.order(operation, "walk");
+          });
+    }
+  }
+
+  private void addMember(String name) {
+    Process process = world.processes.get(name);
+    if (world.losses < MAX_LOSSES && process.runs && !world.lost.contains(name)) {
+      add("lost " + name, () -> world.lose(name));
+    }
+    if (world.lacksView(name)) {
+      add("news " + name, () -> world.pushView(name));
+    }
+    if (world.lost.contains(name)) {
+      add("found " + name, () -> world.find(name));
+    }
+  }
+}
--- a/src/test/java/leadferry/consensus/StateSpaceExplorer.java
+++ b/src/test/java/leadferry/consensus/StateSpaceExplorer.java
@@ -5,148 +5,162 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
- * Walks all interleavings of what can happen next to a stated depth, or far beyond it at random;
- * cuts down what it finds.
+ * Explores all interleavings of what can happen next to a stated depth, or single ones far beyond
+ * it at random; a violation that a random walk finds is shrunk to the steps that it needs.
  */
 final class StateSpaceExplorer {
-  /** Something that can happen; its name is its own in its state. */
-  record Step(String name, Runnable what) {}
+  /** One step in so many of a random walk is any that can happen, the others are likely ones. */
+  private static final int UNLIKELY_ONE_IN = 4;
 
-  /** One state of the whole, made anew by its steps. */
+  /** Something that can happen; no two steps of one state have the same name. */
+  record Step(String name, Runnable action) {}
+
+  /** One state of the whole system, rebuilt by taking its steps. */
   interface World {
     List<Step> steps();
 
     /** What tells states apart. */
     String key();
 
-    /** Whether a walk at random should rather take this one, so that it gets anywhere. */
+    /** Whether a random walk should rather take this step, so that it gets anywhere. */
     default boolean likely(String step) {
       return false;
     }
 
-    /** What promise is broken, or "". */
-    String broken();
+    /** What invariant is violated, or "". */
+    String violation();
   }
 
-  private final Supplier<World> start;
-  private int states;
+  private final Supplier<World> initialWorld;
+  private int stateCount;
 
-  StateSpaceExplorer(Supplier<World> start) {
-    this.start = start;
+  StateSpaceExplorer(Supplier<World> initialWorld) {
+    this.initialWorld = initialWorld;
   }
 
-  /** States that were met. */
+  /** How many states were met. */
   int states() {
-    return states;
+    return stateCount;
   }
 
-  /** The shortest steps to a broken promise within that depth; empty where there are none. */
+  /** The shortest steps to a violation within that depth; empty where there is none. */
   List<String> all(int depth) {
-    Set<String> seen = new HashSet<>();
-    record Path(List<Integer> taken, int steps) {}
-    List<Path> front = List.of(new Path(List.of(), start.get().steps().size()));
-    for (int d = 0; d < depth; d++) {
-      List<Path> next = new ArrayList<>();
-      for (Path path : front) {
-        for (int i = 0; i < path.steps(); i++) {
+    Set<String> seenKeys = new HashSet<>();
+    record Path(List<Integer> taken, int nextSteps) {}
+    List<Path> frontier = List.of(new Path(List.of(), initialWorld.get().steps().size()));
+    for (int level = 0; level < depth; level++) {
+      List<Path> nextFrontier = new ArrayList<>();
+      for (Path path : frontier) {
+        for (int next = 0; next < path.nextSteps(); next++) {
           List<Integer> longer = new ArrayList<>(path.taken());
-          longer.add(i);
+          longer.add(next);
           List<String> names = new ArrayList<>();
-          World w = start.get();
-          for (int at : longer) {
-            Step s = w.steps().get(at);
-            names.add(s.name());
-            s.what().run();
-          }
-          if (!w.broken().isEmpty()) {
-            return found(names, w);
+          World world = replay(longer, names);
+          if (!world.violation().isEmpty()) {
+            return withViolation(names, world);
           }
-          if (seen.add(w.key())) {
-            next.add(new Path(longer, w.steps().size()));
+          if (seenKeys.add(world.key())) {
+            nextFrontier.add(new Path(longer, world.steps().size()));
           }
         }
       }
-      front = next;
-      states = seen.size();
+      frontier = nextFrontier;
+      stateCount = seenKeys.size();
     }
     return List.of();
   }
 
-  private static List<String> found(List<String> names, World w) {
-    List<String> out = new ArrayList<>(names);
-    out.add("=> " + w.broken());
-    return out;
+  /** Takes steps by their places, and adds their names. */
+  private World replay(List<Integer> places, List<String> names) {
+    World world = initialWorld.get();
+    for (int place : places) {
+      Step step = world.steps().get(place);
+      names.add(step.name());
+      step.action().run();
+    }
+    return world;
+  }
+
+  private static List<String> withViolation(List<String> names, World world) {
+    List<String> steps = new ArrayList<>(names);
+    steps.add("=> " + world.violation());
+    return steps;
   }
 
   /**
-   * A walk at random of so many steps: those that it needs to break a promise, and which; empty
-   * where none breaks.
+   * A random walk of so many steps: those that it needs for a violation, and which; empty where
+   * there is none.
    */
   List<String> random(long seed, int length) {
-    return random(seed, length, w -> {});
+    return random(seed, length, world -> {});
   }
 
   /**
-   * The same; {@code end} brings the state that the walk came to to its end, and may break a
-   * promise on the way.
+   * The same; {@code ending} brings the state that the walk came to to its end, and may meet a
+   * violation on the way.
    */
-  List<String> random(long seed, int length, java.util.function.Consumer<World> end) {
+  List<String> random(long seed, int length, Consumer<World> ending) {
     SplittableRandom random = new SplittableRandom(seed);
-    World w = start.get();
+    World world = initialWorld.get();
     List<String> taken = new ArrayList<>();
-    while (taken.size() < length && w.broken().isEmpty()) {
-      List<Step> steps = w.steps();
+    while (taken.size() < length && world.violation().isEmpty()) {
+      List<Step> steps = world.steps();
       if (steps.isEmpty()) {
         break;
       }
-      World now = w;
-      List<Step> likely =
-          random.nextInt(4) == 0
-              ? List.of()
-              : steps.stream().filter(x -> now.likely(x.name())).toList();
-      List<Step> from = likely.isEmpty() ? steps : likely;
-      Step s = from.get(random.nextInt(from.size()));
-      taken.add(s.name());
-      s.what().run();
+      Step step = choose(steps, world, random);
+      taken.add(step.name());
+      step.action().run();
     }
-    if (w.broken().isEmpty()) {
-      end.accept(w);
+    if (world.violation().isEmpty()) {
+      ending.accept(world);
     }
-    return w.broken().isEmpty() ? List.of() : shrink(taken, end);
+    return world.violation().isEmpty() ? List.of() : shrink(taken, ending);
+  }
+
+  private static Step choose(List<Step> steps, World world, SplittableRandom random) {
+    List<Step> likely =
+        random.nextInt(UNLIKELY_ONE_IN) == 0
+            ? List.of()
+            : steps.stream().filter(step -> world.likely(step.name())).toList();
+    List<Step> candidates = likely.isEmpty() ? steps : likely;
+    return candidates.get(random.nextInt(candidates.size()));
   }
 
-  private List<String> shrink(List<String> found, java.util.function.Consumer<World> end) {
-    List<String> now = found;
-    for (int size = Math.max(1, now.size() / 2); size > 0; size /= 2) {
-      for (int at = 0; at + size <= now.size(); ) {
-        List<String> without = new ArrayList<>(now);
-        without.subList(at, at + size).clear();
-        if (!again(without, end).broken().isEmpty()) {
-          now = without;
+  /** Leaves out ever smaller runs of steps, as long as there is a violation without them. */
+  private List<String> shrink(List<String> found, Consumer<World> ending) {
+    List<String> shortest = found;
+    for (int size = Math.max(1, shortest.size() / 2); size > 0; size /= 2) {
+      for (int start = 0; start + size <= shortest.size(); ) {
+        List<String> without = new ArrayList<>(shortest);
+        without.subList(start, start + size).clear();
+        if (!replayByName(without, ending).violation().isEmpty()) {
+          shortest = without;
         } else {
-          at++;
+          start++;
         }
       }
     }
-    return found(now, again(now, end));
+    return withViolation(shortest, replayByName(shortest, ending));
   }
 
   /** Takes steps by their names and passes over those that can't happen. */
-  private World again(List<String> steps, java.util.function.Consumer<World> end) {
-    World w = start.get();
-    for (String name : steps) {
-      w.steps().stream()
-          .filter(s -> s.name().equals(name))
+  private World replayByName(List<String> names, Consumer<World> ending) {
+    World world = initialWorld.get();
+    for (String name : names) {
+      world.steps().stream()
+          .filter(step -> step.name().equals(name))
           .findFirst()
-          .ifPresent(s -> s.what().run());
-      if (!w.broken().isEmpty()) {
-        return w;
+          .ifPresent(step -> step.action().run());
+      if (!world.violation().isEmpty()) {
+        return world;
       }
     }
-    end.accept(w);
-    return w;
+    ending.accept(world);
+    return world;
   }
 }
