--- a/src/test/java/leadferry/consensus/ReleaseWorld.java
+++ b/src/test/java/leadferry/consensus/ReleaseWorld.java
@@ -1,9 +1,7 @@
 package leadferry.consensus;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +9,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import leadferry.consensus.StateSpaceExplorer.Step;
-import leadferry.disruption.DisruptionState;
 import leadferry.disruption.ProxyMemberView;
 import leadferry.release.ReleaseController;
 
@@ -22,11 +19,9 @@
  */
 final class ReleaseWorld implements StateSpaceExplorer.World {
   static final List<String> PROXIES = List.of("a", "b", "c");
-  static final String RELEASE = "r";
   static final String OLD_VERSION = "v1";
 
   private static final String NEW_VERSION = "v2";
-  private static final int MAX_OUT = 1;
   private static final int LEASE_MILLIS = 1_000;
 
   /** How much later a driver looks again: longer than its renewal interval. */
@@ -63,16 +58,13 @@
   final List<Flight> flights = new ArrayList<>();
   final Set<String> executed = new HashSet<>();
   final Set<String> lost = new TreeSet<>();
-  FleetStateMachine stateMachine = newStateMachine();
-  String violation = "";
+  final ReleaseWorldLog log = new ReleaseWorldLog(this::out);
   int crashes;
   int stalls;
   int losses;
   int orders;
   int restarts;
   private long nowNanos;
-  private long leavingBefore;
-  private ObjectNode cachedRelease;
 
   /**
    * A release under way.
@@ -85,9 +77,9 @@
       processes.put(name, new Process());
       join(name);
     }
-    memberTimers().forEach(this::expire);
+    log.memberTimers().forEach(log::expire);
     ObjectNode start = Json.object().put("op", "release_start").set("plan", plan(checks));
-    if (!apply(start).path("status").asText().equals("done")) {
+    if (!log.apply(start).path("status").asText().equals("done")) {
       throw new IllegalStateException();
     }
     for (String name : List.of("X", "Y")) {
@@ -104,14 +96,10 @@
     }
   }
 
-  private static FleetStateMachine newStateMachine() {
-    return new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
-  }
-
   private static ObjectNode plan(boolean checks) {
     ObjectNode plan =
         Json.object()
-            .put("name", RELEASE)
+            .put("name", ReleaseWorldLog.RELEASE)
             .put("of", "proxy")
             .put("version", NEW_VERSION)
             .put("from", OLD_VERSION)
@@ -131,32 +119,6 @@
     return plan;
   }
 
-  // --- the log
-
-  ObjectNode apply(ObjectNode entry) {
-    boolean stopped = isInState("halted") || isInState("paused");
-    ObjectNode outcome = applyUnchecked(entry);
-    long leaving = targetsInPhase("leaving");
-    if (stopped
-        && entry.path("op").asText().equals("release_intend")
-        && outcome.path("status").asText().equals("granted")
-        && leaving > leavingBefore) {
-      violation = "granted after the halt: " + entry;
-    }
-    leavingBefore = leaving;
-    Set<String> out = out();
-    if (out.size() > MAX_OUT) {
-      violation = "out at once: " + out;
-    }
-    return outcome;
-  }
-
-  private ObjectNode applyUnchecked(ObjectNode entry) {
-    ObjectNode outcome = stateMachine.apply(Json.bytes(entry));
-    cachedRelease = null;
-    return outcome;
-  }
-
   private Set<String> out() {
     Set<String> out = new TreeSet<>();
     processes.forEach(
@@ -168,56 +130,10 @@
     return out;
   }
 
-  void expire(String timer) {
-    apply(LogEntryCodec.encodeExpiry(timer));
-  }
-
-  /** Timers of drains and of members that come back. */
-  List<String> memberTimers() {
-    return stateMachine.timers().keySet().stream()
-        .filter(timer -> !SessionTable.isSessionTimer(timer) && !timer.startsWith("release-"))
-        .toList();
-  }
-
-  ObjectNode release() {
-    if (cachedRelease == null) {
-      cachedRelease = stateMachine.release(RELEASE);
-    }
-    return cachedRelease;
-  }
-
-  boolean isInState(String state) {
-    return release().path("state").asText().equals(state);
-  }
-
-  private long targetsInPhase(String phase) {
-    long count = 0;
-    for (JsonNode target : release().path("targets")) {
-      count += target.path("phase").asText().equals(phase) ? 1 : 0;
-    }
-    return count;
-  }
-
-  /** All replicas start anew from a snapshot. */
-  void restartReplicas() {
-    restarts++;
-    byte[] before = stateMachine.snapshot();
-    stateMachine = newStateMachine();
-    stateMachine.restore(before);
-    cachedRelease = null;
-    if (!Arrays.equals(before, stateMachine.snapshot())) {
-      violation = "another state after a snapshot";
-    }
-  }
-
-  void order(String operation, String why) {
-    apply(Json.object().put("op", operation).put("release", RELEASE).put("why", why));
-  }
-
   // --- members
 
   boolean hasSession(String name) {
-    return stateMachine.lives(name, processes.get(name).session);
+    return log.stateMachine().lives(name, processes.get(name).session);
   }
 
   void join(String name) {
@@ -227,7 +143,7 @@
     process.reportNumber = 0;
     process.incarnation++;
     ObjectNode outcome =
-        applyUnchecked(
+        log.applyUnchecked(
             Json.object()
                 .put("op", "join")
                 .put("name", name)
@@ -242,7 +158,7 @@
   private void report(String name) {
     Process process = processes.get(name);
     process.reportNumber++;
-    apply(
+    log.apply(
         Json.object()
             .put("op", "tell")
             .put("name", name)
@@ -257,14 +173,16 @@
     Process process = processes.get(name);
     if (process.runs
         && hasSession(name)
-        && process.view.take(stateMachine.view(), true, nowNanos)) {
+        && process.view.take(log.stateMachine().view(), true, nowNanos)) {
       report(name);
     }
   }
 
   boolean lacksView(String name) {
     Process process = processes.get(name);
-    return process.runs && hasSession(name) && process.view.version() < stateMachine.version();
+    return process.runs
+        && hasSession(name)
+        && process.view.version() < log.stateMachine().version();
   }
 
   /** A process ends and comes back with that version. */
@@ -272,7 +190,7 @@
     Process process = processes.get(name);
     process.runs = false;
     if (hasSession(name)) {
-      apply(Json.object().put("op", "leave").put("name", name).put("session", process.session));
+      log.apply(Json.object().put("op", "leave").put("name", name).put("session", process.session));
     }
     process.version = version;
     join(name);
@@ -281,7 +199,7 @@
   void lose(String name) {
     losses++;
     lost.add(name);
-    expire(SessionTable.timer(name, processes.get(name).session));
+    log.expire(SessionTable.timer(name, processes.get(name).session));
   }
 
   void find(String name) {
@@ -301,20 +219,21 @@
   }
 
   boolean holdsLease(Driver driver) {
-    return driver.controller.drives(release());
+    return driver.controller.drives(log.release());
   }
 
   void look(Driver driver) {
     nowNanos += LOOK_NANOS;
-    driver.pending.addAll(driver.controller.next(release(), null, !driver.stalled, nowNanos));
+    driver.pending.addAll(driver.controller.next(log.release(), null, !driver.stalled, nowNanos));
   }
 
   void act(Driver driver) {
     ReleaseController.Next next = driver.pending.remove(0);
     if (next instanceof ReleaseController.Submit submit) {
-      ObjectNode entry = Json.object().put("op", submit.op()).put("release", RELEASE);
+      ObjectNode entry =
+          Json.object().put("op", submit.op()).put("release", ReleaseWorldLog.RELEASE);
       submit.with().forEach((key, value) -> entry.putPOJO(key, value));
-      apply(Json.read(Json.bytes(entry)));
+      log.apply(Json.read(Json.bytes(entry)));
     } else {
       flights.add(new Flight(driver.controller, next));
     }
@@ -341,9 +260,9 @@
     }
     process.fence = run.fence();
     if (process.serves()) {
-      violation = run + " landed while its target was in service";
+      log.violate(run + " landed while its target was in service");
     } else if (!executed.add(run.action() + "/" + run.tries())) {
-      violation = run + " ran twice";
+      log.violate(run + " ran twice");
     }
     restart(run.target(), run.version());
     sender.ended(run, new ReleaseController.Ended(true, ""));
@@ -358,7 +277,7 @@
 
   @Override
   public String key() {
-    ObjectNode snapshot = Json.read(stateMachine.snapshot());
+    ObjectNode snapshot = Json.read(log.stateMachine().snapshot());
     snapshot.remove(List.of("audit", "calls", "entries"));
     StringBuilder text = new StringBuilder(DrainStateSpaceTest.ranked(Json.text(snapshot)));
     processes.forEach(
@@ -390,6 +309,6 @@
 
   @Override
   public String violation() {
-    return violation;
+    return log.violation();
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseWorldEnding.java
+++ b/src/test/java/leadferry/consensus/ReleaseWorldEnding.java
@@ -24,7 +24,7 @@
     ReleaseWorldEnding ending = new ReleaseWorldEnding(world);
     new ArrayList<>(world.lost).forEach(world::find);
     world.drivers.values().forEach(driver -> driver.stalled = false);
-    if (world.isInState("halted")) {
+    if (world.log.isInState("halted")) {
       ending.checkHaltedTargetsComeBack();
     }
     ending.rollBack();
@@ -32,30 +32,30 @@
   }
 
   private boolean holds() {
-    return world.violation.isEmpty();
+    return world.violation().isEmpty();
   }
 
   private void checkHaltedTargetsComeBack() {
     for (int i = 0; i < ROUNDS_AFTER_HALT && holds(); i++) {
       playRound();
     }
-    for (JsonNode target : world.release().path("targets")) {
+    for (JsonNode target : world.log.release().path("targets")) {
       if (holds()
-          && world.isInState("halted")
+          && world.log.isInState("halted")
           && !target.path("phase").asText().equals("in")
           && !target.path("at").asText().equals("unknown")) {
-        world.violation = "halted, and not given back: " + target;
+        world.log.violate("halted, and not given back: " + target);
       }
     }
   }
 
   private void rollBack() {
-    if (!world.isInState("returned")) {
-      world.order("release_back", WHY);
+    if (!world.log.isInState("returned")) {
+      world.log.order("release_back", WHY);
     }
-    for (int i = 0; i < ROUNDS_OF_ROLLBACK && holds() && !world.isInState("returned"); i++) {
-      if (world.isInState("halted")) {
-        world.order("release_resume", WHY);
+    for (int i = 0; i < ROUNDS_OF_ROLLBACK && holds() && !world.log.isInState("returned"); i++) {
+      if (world.log.isInState("halted")) {
+        world.log.order("release_resume", WHY);
       }
       playRound();
     }
@@ -65,10 +65,10 @@
     world.processes.forEach(
         (name, process) -> {
           if (holds()
-              && (!world.isInState("returned")
+              && (!world.log.isInState("returned")
                   || !process.version.equals(ReleaseWorld.OLD_VERSION)
                   || !process.serves())) {
-            world.violation = "not taken back: " + world.release();
+            world.log.violate("not taken back: " + world.log.release());
           }
         });
   }
@@ -83,11 +83,11 @@
       world.look(driver);
     }
     world.processes.keySet().forEach(world::pushView);
-    world.memberTimers().forEach(world::expire);
-    world.stateMachine.timers().keySet().stream()
+    world.log.memberTimers().forEach(world.log::expire);
+    world.log.timers().stream()
         .filter(timer -> timer.startsWith("release-driver:"))
         .findFirst()
         .filter(timer -> world.drivers.values().stream().noneMatch(world::holdsLease))
-        .ifPresent(world::expire);
+        .ifPresent(world.log::expire);
   }
 }
--- /dev/null
+++ b/src/test/java/leadferry/consensus/ReleaseWorldLog.java
@@ -0,0 +1,120 @@
+package leadferry.consensus;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Supplier;
+import leadferry.disruption.DisruptionState;
+
+/**
+ * The log of a {@link ReleaseWorld} and the state machine behind it. Checks after each entry that
+ * no more are out than allowed, and that nothing is granted once the release was stopped.
+ */
+final class ReleaseWorldLog {
+  static final String RELEASE = "r";
+
+  private static final int MAX_OUT = 1;
+
+  private final Supplier<Set<String>> outOfService;
+  private FleetStateMachine stateMachine = newStateMachine();
+  private String violation = "";
+  private long leavingBefore;
+  private ObjectNode cachedRelease;
+
+  /** {@code outOfService} tells who really does not serve. */
+  ReleaseWorldLog(Supplier<Set<String>> outOfService) {
+    this.outOfService = outOfService;
+  }
+
+  private static FleetStateMachine newStateMachine() {
+    return new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
+  }
+
+  FleetStateMachine stateMachine() {
+    return stateMachine;
+  }
+
+  /** What invariant is violated, or "". */
+  String violation() {
+    return violation;
+  }
+
+  void violate(String invariant) {
+    violation = invariant;
+  }
+
+  ObjectNode apply(ObjectNode entry) {
+    boolean stopped = isInState("halted") || isInState("paused");
+    ObjectNode outcome = applyUnchecked(entry);
+    long leaving = targetsInPhase("leaving");
+    if (stopped
+        && entry.path("op").asText().equals("release_intend")
+        && outcome.path("status").asText().equals("granted")
+        && leaving > leavingBefore) {
+      violate("granted after the halt: " + entry);
+    }
+    leavingBefore = leaving;
+    Set<String> out = outOfService.get();
+    if (out.size() > MAX_OUT) {
+      violate("out at once: " + out);
+    }
+    return outcome;
+  }
+
+  ObjectNode applyUnchecked(ObjectNode entry) {
+    ObjectNode outcome = stateMachine.apply(Json.bytes(entry));
+    cachedRelease = null;
+    return outcome;
+  }
+
+  void expire(String timer) {
+    apply(LogEntryCodec.encodeExpiry(timer));
+  }
+
+  void order(String operation, String why) {
+    apply(Json.object().put("op", operation).put("release", RELEASE).put("why", why));
+  }
+
+  Set<String> timers() {
+    return stateMachine.timers().keySet();
+  }
+
+  /** Timers of drains and of members that come back. */
+  List<String> memberTimers() {
+    return timers().stream()
+        .filter(timer -> !SessionTable.isSessionTimer(timer) && !timer.startsWith("release-"))
+        .toList();
+  }
+
+  ObjectNode release() {
+    if (cachedRelease == null) {
+      cachedRelease = stateMachine.release(RELEASE);
+    }
+    return cachedRelease;
+  }
+
+  boolean isInState(String state) {
+    return release().path("state").asText().equals(state);
+  }
+
+  private long targetsInPhase(String phase) {
+    long count = 0;
+    for (JsonNode target : release().path("targets")) {
+      count += target.path("phase").asText().equals(phase) ? 1 : 0;
+    }
+    return count;
+  }
+
+  /** All replicas start anew from a snapshot. */
+  void restartReplicas() {
+    byte[] before = stateMachine.snapshot();
+    stateMachine = newStateMachine();
+    stateMachine.restore(before);
+    cachedRelease = null;
+    if (!Arrays.equals(before, stateMachine.snapshot())) {
+      violate("another state after a snapshot");
+    }
+  }
+}
--- a/src/test/java/leadferry/consensus/ReleaseWorldSteps.java
+++ b/src/test/java/leadferry/consensus/ReleaseWorldSteps.java
@@ -29,7 +29,7 @@
     ReleaseWorldSteps next = new ReleaseWorldSteps(world);
     world.drivers.forEach(next::addDriver);
     next.addFlights();
-    world.stateMachine.timers().keySet().forEach(next::addTimer);
+    world.log.timers().forEach(next::addTimer);
     next.addOrders();
     ReleaseWorld.PROXIES.forEach(next::addMember);
     return next.steps;
@@ -84,13 +84,18 @@
             && world.drivers.values().stream()
                 .anyMatch(driver -> world.holdsLease(driver) && !driver.stalled);
     if (!renewed) {
-      add("time " + timer.replaceAll("[0-9]+$", ""), () -> world.expire(timer));
+      add("time " + timer.replaceAll("[0-9]+$", ""), () -> world.log.expire(timer));
     }
   }
 
   private void addOrders() {
     if (world.restarts < MAX_RESTARTS) {
-      add("replicas restart", world::restartReplicas);
+      add(
+          "replicas restart",
+          () -> {
+            world.restarts++;
+            world.log.restartReplicas();
+          });
     }
     if (world.orders >= MAX_ORDERS) {
       return;
@@ -101,7 +106,7 @@
           operation,
           () -> {
             world.orders++;
-            world.order(operation, "walk");
+            world.log.order(operation, "walk");
           });
     }
   }
