--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -87,17 +87,17 @@
             "k.toml:8: keeper.colour",
             "peer.k3.log_address",
             "none named 'k2'",
-            "2 keepers");
+            "2 replicas");
     Path lost = folder.resolve("lost");
     Path sound = Files.writeString(folder.resolve("s.toml"), keeper("k1", lost.toString(), ""));
     Run empty = run("keeper", "--config", sound.toString());
     assertThat(empty.status()).isEqualTo(2);
-    assertThat(empty.err()).contains("no keeper's log", "--new");
+    assertThat(empty.err()).contains("no replica's log", "--new");
     Files.createDirectories(lost);
     Files.writeString(lost.resolve("keeper"), "f/k7\n");
     Run other = run("keeper", "--config", sound.toString(), "--new");
     assertThat(other.status()).isEqualTo(2);
-    assertThat(other.err()).contains("of keeper f/k7 (expected: of f/k1)");
+    assertThat(other.err()).contains("of replica f/k7 (expected: of f/k1)");
   }
 
   @Test
