--- a/src/main/java/leadferry/testbed/LoadConnection.java
+++ b/src/main/java/leadferry/testbed/LoadConnection.java
@@ -136,23 +136,23 @@
   }
 
   private void readHeader(int line) {
-    int at = buffer.value(line, REQUEST_ID);
-    if (at > 0) {
-      idMatches = buffer.is(at, buffer.lineEnd(at), id);
+    int valueAt = buffer.value(line, REQUEST_ID);
+    if (valueAt > 0) {
+      idMatches = buffer.is(valueAt, buffer.lineEnd(valueAt), id);
       return;
     }
-    at = buffer.value(line, CONTENT_LENGTH);
-    if (at > 0) {
-      bodyBytesLeft = buffer.number(at, 10);
+    valueAt = buffer.value(line, CONTENT_LENGTH);
+    if (valueAt > 0) {
+      bodyBytesLeft = buffer.number(valueAt, 10);
       return;
     }
     if (buffer.value(line, TRANSFER_ENCODING) > 0) {
       state = ReadState.CHUNK_SIZE;
       return;
     }
-    at = buffer.value(line, CONNECTION);
-    if (at > 0) {
-      keepAlive = !buffer.is(at, buffer.lineEnd(at), CLOSE);
+    valueAt = buffer.value(line, CONNECTION);
+    if (valueAt > 0) {
+      keepAlive = !buffer.is(valueAt, buffer.lineEnd(valueAt), CLOSE);
     }
   }
 
--- a/src/main/java/leadferry/testbed/OverloadTimeline.java
+++ b/src/main/java/leadferry/testbed/OverloadTimeline.java
@@ -96,10 +96,10 @@
    * Share of the requests of usual clients that were served, of those sent from one second to
    * another.
    */
-  public double share(double from, double to) {
+  public double share(double from, double until) {
     int sent = 0;
     int served = 0;
-    int end = Math.min(buckets.length, (int) (to * PER_SECOND));
+    int end = Math.min(buckets.length, (int) (until * PER_SECOND));
     for (int i = (int) (from * PER_SECOND); i < end; i++) {
       sent += buckets[i].sent;
       served += buckets[i].served;
