--- a/src/main/java/leadferry/daemon/ReleaseFile.java
+++ b/src/main/java/leadferry/daemon/ReleaseFile.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import leadferry.consensus.Json;
 import leadferry.disruption.Budget;
-import leadferry.release.ReleasePlan;
+import leadferry.release.ReleasePlanCodec;
 
 /**
  * Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what
@@ -80,7 +80,7 @@
     root.end();
     if (source.faults.isEmpty()) {
       List<String> faults = new ArrayList<>();
-      ReleasePlan.read(plan, faults);
+      ReleasePlanCodec.read(plan, faults);
       faults.forEach(f -> r.fault("", f, "a plan as docs/RELEASES.md tells"));
     }
     if (!source.faults.isEmpty()) {
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -1,176 +1,156 @@
 package leadferry.release;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Whether the new is as good as the old, by what was served in the same time and zones. Of each
- * class the share of bad ends (failed, refused or late) among the new is held against that among
- * the old: the test of two proportions, pooled (Fleiss, Levin and Paik, Statistical Methods for
- * Rates and Proportions, chapter 3), for a difference above {@code max_worse}.
+ * Whether the new version does as well as the previous one, by requests that both served in the
+ * same time and zones. For each request class, and for all classes together, the share of bad
+ * outcomes (failed, rejected or late) among the new is compared with that among the previous: the
+ * pooled test of two proportions (Fleiss, Levin and Paik, Statistical Methods for Rates and
+ * Proportions, chapter 3) for a difference above {@code maxWorse}.
  *
- * <p>Never a verdict from too few requests, and none that comes from silence: it waits and says for
- * what. How often it halts what is sound, and how often it lets through what is not, is measured in
- * {@code CanaryAnalysisTest} and told in {@code docs/design/release.md}.
+ * <pre>
+ *   against the new, if   share(new) - (share(previous) + maxWorse)  &gt;  sigmas * error
+ *   error = sqrt(p * (1 - p) * (1 / total(new) + 1 / total(previous)))
+ *   p     = (bad(new) + bad(previous) + 1) / (total(new) + total(previous) + 2)
+ * </pre>
+ *
+ * <p>Where there is next to nothing to compare with, {@code maxBad} takes the place of {@code
+ * share(previous) + maxWorse}, and the terms of the previous version are left out.
+ *
+ * <p>Too few requests or a missing report never give a verdict: the analysis waits and says for
+ * what. Its rates of false alarms and misses are measured in {@code CanaryAnalysisTest} and told in
+ * {@code docs/design/release.md}.
  */
 public final class CanaryAnalysis {
+  /**
+   * A verdict against the new version needs this part of {@link Bounds#minRequests}: what is
+   * plainly bad should not bake on.
+   */
+  private static final int EARLY_VERDICT_DIVISOR = 10;
+
   /**
    * Bounds of a verdict.
    *
-   * @param leastRequests of the new, and of the old where there are any, before a verdict; 0 for no
-   *     guard at all
-   * @param maxWorse the share of bad ends that the new may have over the old, 0 to 1
-   * @param maxBad where nothing old is left to hold it against: the share of bad ends that the new
-   *     may have, 0 to 1
+   * @param minRequests of the new version, and of the previous one where there are any, before a
+   *     verdict; 0 for no analysis at all
+   * @param maxWorse the share of bad outcomes that the new may have above the previous, 0 to 1
+   * @param maxBad the share of bad outcomes that the new may have where there is nothing to compare
+   *     it with, 0 to 1
    * @param sigmas how many standard errors beyond that make a verdict against it
-   * @param waitMs so long after its baking time a step waits for enough requests; then it halts
+   * @param waitMillis how long after its baking time a step waits for enough requests
    */
   public record Bounds(
-      int leastRequests, double maxWorse, double maxBad, double sigmas, long waitMs) {
-    void write(ObjectNode to) {
-      to.put("least_requests", leastRequests)
-          .put("max_worse", maxWorse)
-          .put("max_bad", maxBad)
-          .put("sigmas", sigmas)
-          .put("wait_ms", waitMs);
-    }
-
-    static Bounds read(JsonNode n, List<String> faults) {
-      int least = n.path("least_requests").asInt(0);
-      double worse = n.path("max_worse").asDouble(0.02);
-      double bad = n.path("max_bad").asDouble(0.05);
-      double sigmas = n.path("sigmas").asDouble(3);
-      long wait = n.path("wait_ms").asLong(60_000);
-      if (least < 0
-          || worse < 0
-          || worse > 1
-          || bad < 0
-          || bad > 1
-          || !(sigmas >= 0.5 && sigmas <= 10)
-          || wait < 0) {
-        faults.add(
-            "guard: "
-                + n
-                + " (expected: least_requests and wait_ms of 0 or more, max_worse and max_bad from 0 to 1, sigmas from 0.5 to 10)");
-      }
-      return new Bounds(least, worse, bad, sigmas, wait);
-    }
-  }
-
-  /** How many ends there were, and how many of them were bad. */
-  public record Count(long all, long bad) {
-    public static final Count NONE = new Count(0, 0);
-
-    public Count plus(Count other) {
-      return new Count(all + other.all, bad + other.bad);
-    }
-
-    /** What has come since; a count that went back began anew. */
-    public Count since(Count before) {
-      return all < before.all || bad < before.bad
-          ? this
-          : new Count(all - before.all, bad - before.bad);
-    }
-
-    double share() {
-      return all == 0 ? 0 : (double) bad / all;
-    }
-  }
+      int minRequests, double maxWorse, double maxBad, double sigmas, long waitMillis) {}
 
   /** What a verdict says. */
-  public enum Word {
-    GO,
+  public enum Decision {
+    /** The step passes. */
+    PROCEED,
+    /** The new version is worse. */
     HALT,
+    /** There is too little to go by yet. */
     WAIT
   }
 
   /** A verdict with its evidence, for people. */
-  public record Verdict(Word word, String why) {}
+  public record Verdict(Decision decision, String evidence) {}
 
   private final Bounds bounds;
 
+  /** An analysis within these bounds. */
   public CanaryAnalysis(Bounds bounds) {
     this.bounds = bounds;
   }
 
   /**
-   * Judges.
+   * Judges the new version.
    *
-   * @param fresh what became of requests at the new, by class
-   * @param old at the old, in the same time; empty where nothing old is left
-   * @param missing who owes a report, and so keeps the verdict waiting
+   * @param canary outcomes of requests at the new version, by request class
+   * @param baseline the same at the previous version, in the same time; empty where none is left
+   * @param missing members without a fresh report; any of them keeps a passing verdict waiting
    */
-  public Verdict judge(Map<String, Count> fresh, Map<String, Count> old, List<String> missing) {
-    if (bounds.leastRequests() == 0) {
-      return new Verdict(Word.GO, "no guard is asked for");
+  public Verdict judge(
+      Map<String, OutcomeCount> canary, Map<String, OutcomeCount> baseline, List<String> missing) {
+    if (bounds.minRequests() == 0) {
+      return new Verdict(Decision.PROCEED, "no guard is asked for");
     }
-    Count freshAll = sum(fresh);
-    Count oldAll = sum(old);
-    for (Map.Entry<String, Count> c : new TreeMap<>(fresh).entrySet()) {
-      String against = against(c.getValue(), old.getOrDefault(c.getKey(), Count.NONE));
-      if (against != null) {
-        return new Verdict(Word.HALT, "class " + c.getKey() + ": " + against);
+    for (Map.Entry<String, OutcomeCount> byClass : new TreeMap<>(canary).entrySet()) {
+      String requestClass = byClass.getKey();
+      OutcomeCount compared = baseline.getOrDefault(requestClass, OutcomeCount.NONE);
+      if (isWorse(byClass.getValue(), compared)) {
+        String evidence = evidenceAgainst(byClass.getValue(), compared);
+        return new Verdict(Decision.HALT, "class " + requestClass + ": " + evidence);
       }
     }
-    String against = against(freshAll, oldAll);
-    if (against != null) {
-      return new Verdict(Word.HALT, against);
+    OutcomeCount canaryTotal = sum(canary);
+    OutcomeCount baselineTotal = sum(baseline);
+    if (isWorse(canaryTotal, baselineTotal)) {
+      return new Verdict(Decision.HALT, evidenceAgainst(canaryTotal, baselineTotal));
     }
     if (!missing.isEmpty()) {
-      return new Verdict(Word.WAIT, "no fresh report of " + String.join(", ", missing));
+      return new Verdict(Decision.WAIT, "no fresh report of " + String.join(", ", missing));
     }
-    if (freshAll.all() < bounds.leastRequests()
-        || (!old.isEmpty() && oldAll.all() < bounds.leastRequests())) {
-      return new Verdict(
-          Word.WAIT,
-          "too few requests: new "
-              + freshAll.all()
-              + ", old "
-              + oldAll.all()
-              + " (expected: "
-              + bounds.leastRequests()
-              + ")");
+    if (canaryTotal.total() < bounds.minRequests()
+        || (!baseline.isEmpty() && baselineTotal.total() < bounds.minRequests())) {
+      return new Verdict(Decision.WAIT, tooFewRequests(canaryTotal, baselineTotal));
     }
-    return new Verdict(Word.GO, text(freshAll, oldAll));
+    return new Verdict(Decision.PROCEED, evidence(canaryTotal, baselineTotal));
   }
 
-  /** Why this is worse than it may be beyond chance, or null. */
-  private String against(Count fresh, Count old) {
-    // A tenth of what a verdict for the new needs is enough for one against it: what is plainly bad
-    // should not bake on.
-    if (fresh.all() * 10 < bounds.leastRequests()) {
-      return null;
+  /** Whether the new version is worse than it may be, beyond chance. */
+  private boolean isWorse(OutcomeCount canary, OutcomeCount baseline) {
+    if (isTooFew(canary)) {
+      return false;
     }
-    boolean alone = old.all() * 10 < bounds.leastRequests();
-    double may = alone ? bounds.maxBad() : old.share() + bounds.maxWorse();
-    // Laplace's estimate: with no bad end at all on either side there would be no error to measure
-    // by.
-    double p =
-        (fresh.bad() + (alone ? 0 : old.bad()) + 1.0)
-            / (fresh.all() + (alone ? 0 : old.all()) + 2.0);
-    double error = Math.sqrt(p * (1 - p) * (1.0 / fresh.all() + (alone ? 0 : 1.0 / old.all())));
-    return fresh.share() - may > bounds.sigmas() * error
-        ? text(fresh, alone ? Count.NONE : old)
-        : null;
+    OutcomeCount compared = isTooFew(baseline) ? OutcomeCount.NONE : baseline;
+    boolean alone = compared.total() == 0;
+    double allowed = alone ? bounds.maxBad() : compared.badShare() + bounds.maxWorse();
+    return canary.badShare() - allowed > bounds.sigmas() * standardError(canary, compared, alone);
+  }
+
+  private static double standardError(OutcomeCount canary, OutcomeCount compared, boolean alone) {
+    // Laplace's estimate: without any bad outcome there would be no error to measure by.
+    double pooled =
+        (canary.bad() + compared.bad() + 1.0) / (canary.total() + compared.total() + 2.0);
+    double comparedTerm = alone ? 0 : 1.0 / compared.total();
+    return Math.sqrt(pooled * (1 - pooled) * (1.0 / canary.total() + comparedTerm));
   }
 
-  private static String text(Count fresh, Count old) {
+  private boolean isTooFew(OutcomeCount count) {
+    return count.total() * EARLY_VERDICT_DIVISOR < bounds.minRequests();
+  }
+
+  private String evidenceAgainst(OutcomeCount canary, OutcomeCount baseline) {
+    return evidence(canary, isTooFew(baseline) ? OutcomeCount.NONE : baseline);
+  }
+
+  private static String evidence(OutcomeCount canary, OutcomeCount baseline) {
     return String.format(
         Locale.ROOT,
         "new %d of %d bad (%.3f), old %d of %d (%.3f)",
-        fresh.bad(),
-        fresh.all(),
-        fresh.share(),
-        old.bad(),
-        old.all(),
-        old.share());
+        canary.bad(),
+        canary.total(),
+        canary.badShare(),
+        baseline.bad(),
+        baseline.total(),
+        baseline.badShare());
+  }
+
+  private String tooFewRequests(OutcomeCount canary, OutcomeCount baseline) {
+    return "too few requests: new "
+        + canary.total()
+        + ", old "
+        + baseline.total()
+        + " (expected: "
+        + bounds.minRequests()
+        + ")";
   }
 
-  private static Count sum(Map<String, Count> by) {
-    return by.values().stream().reduce(Count.NONE, Count::plus);
+  private static OutcomeCount sum(Map<String, OutcomeCount> byClass) {
+    return byClass.values().stream().reduce(OutcomeCount.NONE, OutcomeCount::plus);
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -0,0 +1,246 @@
+package leadferry.release;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Function;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.Outcome;
+import leadferry.disruption.Outcome.Status;
+
+/**
+ * Applies drivers' and agents' entries to one release: which target goes out, what is done to it,
+ * what was observed of it, and the verdict on a step.
+ *
+ * <p>Invariant: but for an agent's report, an entry changes something only under the fence of the
+ * lease that is held.
+ */
+final class DriverCommands {
+  private static final String NOTHING_FOUND = "nothing that tells its version";
+
+  private final Release release;
+  private final ReleasePlan plan;
+  private final DisruptionState disruption;
+
+  DriverCommands(Release release, DisruptionState disruption) {
+    this.release = release;
+    this.plan = release.plan;
+    this.disruption = disruption;
+  }
+
+  /** A driver asks for the lease; {@code nextFence} is the fence that it would get. */
+  Outcome acquireLease(ReleaseCommand.AcquireLease command, long nextFence) {
+    DriverLease lease = release.lease;
+    if (release.state.isOver()) {
+      return Outcome.of(Status.REFUSED, release.describe());
+    }
+    if (lease.isHeldBy(command.driver())) {
+      return Outcome.numbered(Status.DONE, lease.fence);
+    }
+    if (lease.isHeld()) {
+      return Outcome.of(Status.REFUSED, "driven by " + lease.driver);
+    }
+    if (release.isRunning()) {
+      release.haltPolicy.reasonAtTakeover(lease).ifPresent(release::halt);
+    }
+    lease.acquire(command.driver(), command.leaseMillis(), nextFence);
+    return Outcome.numbered(Status.DONE, lease.fence);
+  }
+
+  /** A driver wants to take a target out; {@code nextAction} is the number that it would get. */
+  Outcome intendChange(ReleaseCommand.IntendChange command, long nextAction) {
+    Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
+    if (rejection.isPresent()) {
+      return rejection.get();
+    }
+    ReleaseTarget target = release.target(command.target());
+    if (target == null) {
+      return Outcome.of(Status.UNKNOWN, "no target '" + command.target() + "'");
+    }
+    boolean askedAgain =
+        !target.isInService() && target.fence == command.fence() && target.attempts == 0;
+    if (askedAgain) {
+      return new Outcome(Status.GRANTED, target.grant, List.of(), target.action);
+    }
+    return rejectionWhileNotRunning(true)
+        .or(() -> rejectionOfTurn(target))
+        .orElseGet(() -> takeOut(target, nextAction, command.fence()));
+  }
+
+  private Optional<Outcome> rejectionWhileNotRunning(boolean withReason) {
+    if (release.isRunning()) {
+      return Optional.empty();
+    }
+    Status status = release.state == ReleaseState.HALTED ? Status.HALTED : Status.REFUSED;
+    String reason = withReason && !release.stateReason.isEmpty() ? ": " + release.stateReason : "";
+    return Optional.of(Outcome.of(status, release.describe() + reason));
+  }
+
+  /** Why it is not this target's turn, if it is not. */
+  private Optional<Outcome> rejectionOfTurn(ReleaseTarget target) {
+    boolean stuckInRollback =
+        target.phase == TargetPhase.RESTORING && !release.progress.isForward();
+    if ((!target.isInService() && !stuckInRollback)
+        || release.progress.isAsWanted(target)
+        || target.gone) {
+      return Optional.of(Outcome.of(Status.REFUSED, target.name + " is not to be changed now"));
+    }
+    long underWay =
+        release.targets().stream().filter(other -> other != target && !other.isInService()).count();
+    int atOnce = plan.steps().get(target.step).atOnce();
+    return underWay >= atOnce
+        ? Optional.of(
+            Outcome.of(Status.REFUSED, underWay + " of " + atOnce + " at once are under way"))
+        : Optional.empty();
+  }
+
+  private Outcome takeOut(ReleaseTarget target, long action, long fence) {
+    String requester = "release " + plan.name();
+    String unavailable = disruption.out(plan.targetType(), target.name);
+    if (unavailable != null) {
+      // A rollback does not wait for a lost target, lost by the new version perhaps: it counts as
+      // unavailable already.
+      String grant =
+          release.progress.isForward()
+              ? ""
+              : disruption.hold(plan.targetType(), target.name, requester, "the way back");
+      return grant.isEmpty()
+          ? Outcome.of(Status.REFUSED, target.name + " is out: " + unavailable)
+          : granted(target, grant, action, fence);
+    }
+    String reason = plan.version() + ", step " + plan.steps().get(target.step).name();
+    Outcome drained = disruption.drain(plan.targetType(), target.name, 0, false, requester, reason);
+    return drained.status() == Status.GRANTED
+        ? granted(target, drained.permit(), action, fence)
+        : drained;
+  }
+
+  private static Outcome granted(ReleaseTarget target, String grant, long action, long fence) {
+    target.drain(grant, action, fence);
+    return new Outcome(Status.GRANTED, grant, List.of(), action);
+  }
+
+  /** The command that changes a target is about to run. */
+  Outcome beginChange(ReleaseCommand.BeginChange command) {
+    Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
+    if (rejection.isPresent()) {
+      return rejection.get();
+    }
+    ReleaseTarget target = release.target(command.target());
+    if (target == null
+        || target.action != command.action()
+        || (target.phase != TargetPhase.DRAINING && target.phase != TargetPhase.CHANGING)) {
+      return notThisAction(command.target(), command.action());
+    }
+    return rejectionWhileNotRunning(false)
+        .or(() -> rejectionOfChange(target, command.fence()))
+        .orElseGet(
+            () -> {
+              target.beginChange(command.fence(), disruption.changes());
+              return Outcome.numbered(Status.DONE, command.action());
+            });
+  }
+
+  private Optional<Outcome> rejectionOfChange(ReleaseTarget target, long fence) {
+    if (!disruption.carriedOut(target.grant)) {
+      return Optional.of(Outcome.of(Status.REFUSED, target.name + " is not out everywhere yet"));
+    }
+    if (release.progress.isAsWanted(target)) {
+      return Optional.of(Outcome.of(Status.REFUSED, target.name + " is what it is to be"));
+    }
+    // After the loss of its driver the next may begin it anew: that raises the fence by which old
+    // commands are rejected.
+    boolean notLookedAt =
+        target.phase == TargetPhase.CHANGING && target.found.isEmpty() && target.fence == fence;
+    if (notLookedAt) {
+      return Optional.of(
+          Outcome.of(Status.REFUSED, target.name + " was acted on and not looked at since"));
+    }
+    Optional<String> haltReason = release.haltPolicy.reasonBeforeAttempt(target);
+    haltReason.ifPresent(release::halt);
+    return haltReason.map(reason -> Outcome.of(Status.HALTED, reason));
+  }
+
+  /** A driver has looked at a target, after its action or before any. */
+  Outcome recordObservation(ReleaseCommand.RecordObservation command) {
+    Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
+    if (rejection.isPresent()) {
+      return rejection.get();
+    }
+    ReleaseTarget target = release.target(command.target());
+    if (target == null || target.action != command.action()) {
+      return notThisAction(command.target(), command.action());
+    }
+    boolean toldAgain = target.phase == TargetPhase.RESTORING || target.isInService();
+    if (!toldAgain) {
+      observe(target, command);
+    }
+    return Outcome.numbered(Status.DONE, command.action());
+  }
+
+  private void observe(ReleaseTarget target, ReleaseCommand.RecordObservation command) {
+    String found = command.found().isEmpty() ? NOTHING_FOUND : command.found();
+    target.observe(command.fence(), plan.classify(command.found()), found);
+    boolean mayServeAsItIs =
+        target.version != TargetVersion.UNKNOWN && !release.isRunning() && !target.held;
+    if (release.progress.isAsWanted(target) || mayServeAsItIs) {
+      boolean untouched = target.phase == TargetPhase.DRAINING;
+      String reason = untouched ? "given back untouched" : target.found;
+      disruption.undo(target.grant, "release " + plan.name() + ": " + reason);
+      target.restore();
+    } else if (release.isRunning()) {
+      release.haltPolicy.reasonAfterObservation(target, command.text()).ifPresent(release::halt);
+    }
+  }
+
+  /** An agent reports what its target runs after the action that it was given. */
+  Outcome recordReport(ReleaseCommand.RecordReport command) {
+    ReleaseTarget target = release.target(command.target());
+    if (target == null
+        || target.phase != TargetPhase.CHANGING
+        || target.action != command.action()
+        || target.attempts != command.attempt()) {
+      Function<ReleaseTarget, String> expected =
+          known -> " (expected: " + known.action + ", " + known.attempts + ")";
+      return Outcome.of(
+          Status.CONFLICT,
+          command.target()
+              + ": action "
+              + command.action()
+              + ", try "
+              + command.attempt()
+              + " is not under way"
+              + Optional.ofNullable(target).map(expected).orElse(""));
+    }
+    target.report(command.found());
+    return Outcome.of(Status.DONE);
+  }
+
+  /** The canary analysis of the step that has baked. */
+  Outcome recordVerdict(ReleaseCommand.RecordVerdict command) {
+    Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
+    if (rejection.isPresent()) {
+      return rejection.get();
+    }
+    ReleaseProgress progress = release.progress;
+    int step = command.step();
+    if (!release.isRunning() || !progress.isForward() || step != progress.currentStep()) {
+      return Outcome.of(Status.CONFLICT, "step " + step + " is not the one that is to be judged");
+    }
+    if (!command.proceed()) {
+      release.halt(release.haltPolicy.reasonByVerdict(step, command.evidence()));
+      if (plan.policies().rollBackOnVerdict()) {
+        release.rollBack(0, "by verdict: " + command.evidence());
+      }
+      return Outcome.of(Status.DONE);
+    }
+    if (!progress.baked) {
+      return Outcome.of(Status.REFUSED, "step " + plan.steps().get(step).name() + " has not baked");
+    }
+    release.advance(command.evidence());
+    return Outcome.of(Status.DONE);
+  }
+
+  private static Outcome notThisAction(String target, long action) {
+    return Outcome.of(Status.CONFLICT, target + ": not action " + action);
+  }
+}
--- a/src/main/java/leadferry/release/ReleaseCommandCodec.java
+++ b/src/main/java/leadferry/release/ReleaseCommandCodec.java
@@ -49,7 +49,7 @@
     String why = entry.path("why").asText();
     return switch (operation) {
       case START -> {
-        ReleasePlan plan = ReleasePlan.read(entry.path("plan"), faults);
+        ReleasePlan plan = ReleasePlanCodec.read(entry.path("plan"), faults);
         yield plan == null
             ? null
             : new ReleaseCommand.StartRelease(plan, entry.path("who").asText(), why);
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -62,7 +62,7 @@
 
   private long baking;
   private long bakedAt = Long.MIN_VALUE;
-  private Map<String, Map<String, CanaryAnalysis.Count>> baseline = Map.of();
+  private Map<String, Map<String, OutcomeCount>> baseline = Map.of();
 
   /**
    * A driver of that name, its own among all processes that ever drive, with a lease of that
@@ -331,17 +331,16 @@
     if (reports == null) {
       return;
     }
-    Map<String, Map<String, CanaryAnalysis.Count>> counts = counts(release, reports);
+    Map<String, Map<String, OutcomeCount>> counts = counts(release, reports);
     if (baking != since) {
       baking = since;
       baseline = counts;
       bakedAt = Long.MIN_VALUE;
       return;
     }
-    CanaryAnalysis.Bounds bounds =
-        CanaryAnalysis.Bounds.read(release.path("guard"), new ArrayList<>());
-    Map<String, CanaryAnalysis.Count> fresh = new TreeMap<>();
-    Map<String, CanaryAnalysis.Count> old = new TreeMap<>();
+    CanaryAnalysis.Bounds bounds = CanaryBoundsCodec.read(release.path("guard"), new ArrayList<>());
+    Map<String, OutcomeCount> fresh = new TreeMap<>();
+    Map<String, OutcomeCount> old = new TreeMap<>();
     difference(counts, "new ", fresh);
     difference(counts, "old ", old);
     if (old.isEmpty()) {
@@ -368,12 +367,12 @@
     }
     boolean waitedInVain =
         baked
-            && v.word() == CanaryAnalysis.Word.WAIT
-            && now - bakedAt > bounds.waitMs() * 1_000_000L;
-    if (v.word() == CanaryAnalysis.Word.HALT
+            && v.decision() == CanaryAnalysis.Decision.WAIT
+            && now - bakedAt > bounds.waitMillis() * 1_000_000L;
+    if (v.decision() == CanaryAnalysis.Decision.HALT
         || waitedInVain
-        || (baked && v.word() == CanaryAnalysis.Word.GO)) {
-      boolean go = v.word() == CanaryAnalysis.Word.GO;
+        || (baked && v.decision() == CanaryAnalysis.Decision.PROCEED)) {
+      boolean go = v.decision() == CanaryAnalysis.Decision.PROCEED;
       out.add(
           submit(
               "release_verdict",
@@ -385,26 +384,22 @@
                   "go",
                   go,
                   "text",
-                  waitedInVain ? "waited in vain: " + v.why() : v.why())));
+                  waitedInVain ? "waited in vain: " + v.evidence() : v.evidence())));
     }
   }
 
   /** What was counted since the baseline by all whose key begins so. */
   private void difference(
-      Map<String, Map<String, CanaryAnalysis.Count>> counts,
-      String of,
-      Map<String, CanaryAnalysis.Count> to) {
+      Map<String, Map<String, OutcomeCount>> counts, String of, Map<String, OutcomeCount> to) {
     counts.forEach(
         (key, byClass) -> {
           if (key.startsWith(of)) {
-            Map<String, CanaryAnalysis.Count> before =
+            Map<String, OutcomeCount> before =
                 baseline.getOrDefault(key, baseline.isEmpty() ? Map.of() : byClass);
             byClass.forEach(
                 (c, n) ->
                     to.merge(
-                        c,
-                        n.since(before.getOrDefault(c, CanaryAnalysis.Count.NONE)),
-                        CanaryAnalysis.Count::plus));
+                        c, n.since(before.getOrDefault(c, OutcomeCount.NONE)), OutcomeCount::plus));
           }
         });
   }
@@ -414,8 +409,7 @@
    * session and, of hosts, the host; by class. What is out, cold or settling is in neither; the old
    * only count in zones in which there is something new, like held against like.
    */
-  private static Map<String, Map<String, CanaryAnalysis.Count>> counts(
-      JsonNode release, JsonNode reports) {
+  private static Map<String, Map<String, OutcomeCount>> counts(JsonNode release, JsonNode reports) {
     Map<String, JsonNode> targets = new HashMap<>();
     Map<String, Boolean> zones = new HashMap<>();
     for (JsonNode t : release.path("targets")) {
@@ -424,7 +418,7 @@
         zones.put(t.path("zone").asText(), true);
       }
     }
-    Map<String, Map<String, CanaryAnalysis.Count>> out = new TreeMap<>();
+    Map<String, Map<String, OutcomeCount>> out = new TreeMap<>();
     int step = release.path("goal").asInt() - 1;
     boolean hosts = release.path("of").asText().equals("host");
     for (Map.Entry<String, JsonNode> r : reports.path("reports").properties()) {
@@ -454,7 +448,7 @@
   }
 
   private static void put(
-      Map<String, Map<String, CanaryAnalysis.Count>> out,
+      Map<String, Map<String, OutcomeCount>> out,
       JsonNode target,
       Map<String, Boolean> zones,
       int step,
@@ -471,14 +465,14 @@
         at.equals("new")
             ? at + (target.path("step").asInt() == step ? " now " : " before ") + of
             : at + " " + of;
-    Map<String, CanaryAnalysis.Count> counts = out.computeIfAbsent(key, k -> new TreeMap<>());
+    Map<String, OutcomeCount> counts = out.computeIfAbsent(key, k -> new TreeMap<>());
     byClass
         .properties()
         .forEach(
             c ->
                 counts.put(
                     c.getKey(),
-                    new CanaryAnalysis.Count(
+                    new OutcomeCount(
                         c.getValue().path(0).asLong(), c.getValue().path(1).asLong())));
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/release/ReleasePlanCodec.java
@@ -0,0 +1,202 @@
+package leadferry.release;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import leadferry.disruption.DisruptionState;
+import leadferry.disruption.TargetType;
+
+/**
+ * Maps a {@link ReleasePlan} to and from the JSON form of entries, status views and snapshots. The
+ * stored keys are older than the names in the code: {@code of} is the target type, {@code from} the
+ * previous version, {@code guard} the bounds of the canary analysis, {@code carry} the commands
+ * that change a target.
+ */
+public final class ReleasePlanCodec {
+  /** A plan with more targets is rejected. */
+  private static final int MAX_TARGETS = 20_000;
+
+  private static final int MAX_AT_ONCE = 100_000;
+  private static final int MAX_LOST_TARGETS = 100_000;
+  private static final int DEFAULT_LOST_TARGETS = 2;
+  private static final long MIN_LIMIT_MILLIS = 100;
+  private static final long MAX_LIMIT_MILLIS = 30L * 24 * 3_600_000;
+  private static final long DEFAULT_ACTION_MILLIS = 300_000;
+  private static final long DEFAULT_RELEASE_MILLIS = 24 * 3_600_000L;
+
+  private final List<String> faults;
+
+  private ReleasePlanCodec(List<String> faults) {
+    this.faults = faults;
+  }
+
+  /** Writes a plan as the log holds it. */
+  public static void write(ReleasePlan plan, ObjectNode json) {
+    ReleasePlan.Limits limits = plan.limits();
+    ReleasePlan.Policies policies = plan.policies();
+    json.put("name", plan.name())
+        .put("of", plan.targetType().word())
+        .put("version", plan.version())
+        .put("from", plan.previousVersion())
+        .put("action_ms", limits.actionMillis())
+        .put("longest_ms", limits.releaseMillis())
+        .put("halt_lost", limits.lostTargets())
+        .put("on_takeover", policies.haltOnTakeover() ? "halt" : "go")
+        .put("on_missing", policies.skipLostTargets() ? "skip" : "wait")
+        .put("on_wrong", policies.holdWrongVersions() ? "hold" : "queue")
+        .put("on_verdict", policies.rollBackOnVerdict() ? "back" : "halt");
+    CanaryBoundsCodec.write(plan.canaryBounds(), json.putObject("guard"));
+    json.set("carry", plan.changeCommands());
+    ArrayNode steps = json.putArray("steps");
+    for (ReleasePlan.Step step : plan.steps()) {
+      ObjectNode stepJson =
+          steps
+              .addObject()
+              .put("name", step.name())
+              .put("at_once", step.atOnce())
+              .put("bake_ms", step.bakeMillis());
+      step.targets().forEach(stepJson.putArray("targets")::add);
+    }
+  }
+
+  /**
+   * Reads a plan.
+   *
+   * @param faults gets everything that is wrong with it
+   * @return the plan, or null where there was a fault
+   */
+  public static ReleasePlan read(JsonNode json, List<String> faults) {
+    int before = faults.size();
+    ReleasePlan plan = new ReleasePlanCodec(faults).plan(json);
+    return faults.size() > before ? null : plan;
+  }
+
+  private ReleasePlan plan(JsonNode json) {
+    String name = text(json, "name", ReleasePlan.NAME_PATTERN);
+    String version = text(json, "version", DisruptionState.NAME);
+    String previousVersion = text(json, "from", DisruptionState.NAME);
+    if (version.equals(previousVersion) && !version.isEmpty()) {
+      faults.add("from: '" + previousVersion + "' (expected: another than version)");
+    }
+    TargetType targetType = TargetType.of(json.path("of").asText(""));
+    if (targetType == null) {
+      faults.add("of: '" + json.path("of").asText("") + "' (expected: proxy or host)");
+    }
+    // Faults are told in the order of these reads, so each has a line of its own.
+    List<ReleasePlan.Step> steps = steps(json.path("steps"));
+    CanaryAnalysis.Bounds canaryBounds = CanaryBoundsCodec.read(json.path("guard"), faults);
+    ReleasePlan.Limits limits = limits(json);
+    ReleasePlan.Policies policies = policies(json);
+    return new ReleasePlan(
+        name,
+        targetType,
+        version,
+        previousVersion,
+        steps,
+        limits,
+        policies,
+        canaryBounds,
+        json.path("carry").deepCopy());
+  }
+
+  private List<ReleasePlan.Step> steps(JsonNode json) {
+    List<ReleasePlan.Step> steps = new ArrayList<>();
+    Map<String, String> stepByTarget = new HashMap<>();
+    Set<String> names = new HashSet<>();
+    for (JsonNode stepJson : json) {
+      String name = text(stepJson, "name", ReleasePlan.NAME_PATTERN);
+      if (!names.add(name)) {
+        faults.add("step " + name + ": a second time (expected: a name of its own)");
+      }
+      List<String> targets = targets(stepJson, name, stepByTarget);
+      int atOnce = (int) number(stepJson, "at_once", 1, 1, MAX_AT_ONCE);
+      long bakeMillis = number(stepJson, "bake_ms", 0, 0, MAX_LIMIT_MILLIS);
+      steps.add(new ReleasePlan.Step(name, targets, atOnce, bakeMillis));
+    }
+    if (steps.isEmpty() || stepByTarget.size() > MAX_TARGETS) {
+      faults.add(
+          "steps: "
+              + steps.size()
+              + " with "
+              + stepByTarget.size()
+              + " targets (expected: one or more, and at most "
+              + MAX_TARGETS
+              + " targets)");
+    }
+    return steps;
+  }
+
+  private List<String> targets(JsonNode stepJson, String step, Map<String, String> stepByTarget) {
+    List<String> targets = new ArrayList<>();
+    for (JsonNode targetJson : stepJson.path("targets")) {
+      String target = targetJson.asText();
+      String other = stepByTarget.putIfAbsent(target, step);
+      if (other != null) {
+        faults.add(
+            "step "
+                + step
+                + ", targets: "
+                + target
+                + " stands in step "
+                + other
+                + " already (expected: once)");
+      }
+      targets.add(target);
+    }
+    if (targets.isEmpty()) {
+      faults.add("step " + step + ": no targets (expected: one or more)");
+    }
+    return targets;
+  }
+
+  private ReleasePlan.Limits limits(JsonNode json) {
+    return new ReleasePlan.Limits(
+        number(json, "action_ms", DEFAULT_ACTION_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
+        number(json, "longest_ms", DEFAULT_RELEASE_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
+        (int) number(json, "halt_lost", DEFAULT_LOST_TARGETS, 0, MAX_LOST_TARGETS));
+  }
+
+  private ReleasePlan.Policies policies(JsonNode json) {
+    return new ReleasePlan.Policies(
+        isSecond(json, "on_takeover", "go", "halt"),
+        isSecond(json, "on_missing", "wait", "skip"),
+        isSecond(json, "on_wrong", "queue", "hold"),
+        isSecond(json, "on_verdict", "halt", "back"));
+  }
+
+  private String text(JsonNode json, String key, String pattern) {
+    String text = json.path(key).asText("");
+    if (!text.matches(pattern)) {
+      faults.add(key + ": '" + text + "' (expected: letters, digits, _, - and ., at most 64)");
+    }
+    return text;
+  }
+
+  private long number(JsonNode json, String key, long otherwise, long min, long max) {
+    JsonNode value = json.path(key);
+    if (value.isMissingNode()) {
+      return otherwise;
+    }
+    if (!value.canConvertToLong() || value.asLong() < min || value.asLong() > max) {
+      faults.add(key + ": " + value + " (expected: " + min + " to " + max + ")");
+      return otherwise;
+    }
+    return value.asLong();
+  }
+
+  /** Whether a choice of two is the second one; the first is the default. */
+  private boolean isSecond(JsonNode json, String key, String first, String second) {
+    String text = json.path(key).asText(first).toLowerCase(Locale.ROOT);
+    if (!text.equals(first) && !text.equals(second)) {
+      faults.add(key + ": '" + text + "' (expected: " + first + " or " + second + ")");
+    }
+    return text.equals(second);
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
@@ -0,0 +1,128 @@
+package leadferry.release;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Locale;
+
+/**
+ * Maps a {@link Release} to and from its part of a snapshot. This is the one class that knows the
+ * stored keys and the stored names of the enums; both are older than the names in the code and
+ * stay, since snapshots outlive versions:
+ *
+ * <ul>
+ *   <li>{@code items}, {@code at}, {@code permit}, {@code tries}, {@code late}: the targets, and a
+ *       target's version, grant, attempts and whether it is overdue;
+ *   <li>{@code forgiven}, {@code lost_driver}, {@code longest_over}, {@code orders}: acknowledged
+ *       losses, whether the lease's holder was lost, whether the time limit passed, the count of
+ *       returns;
+ *   <li>enums by their {@link StoredWord} in upper case: {@code IN}, {@code LEAVING}, {@code
+ *       ACTING} and {@code COMING} are the phases, {@code OLD} is the previous version, {@code
+ *       DONE}, {@code RETURNED} and {@code ENDED} are {@link ReleaseState#COMPLETED}, {@link
+ *       ReleaseState#ROLLED_BACK} and {@link ReleaseState#ABANDONED}.
+ * </ul>
+ */
+final class ReleaseSnapshotCodec {
+  private ReleaseSnapshotCodec() {}
+
+  static void write(Release release, ObjectNode json) {
+    ReleasePlanCodec.write(release.plan, json.putObject("plan"));
+    json.put("number", release.number)
+        .put("who", release.who)
+        .put("why", release.why)
+        .put("state", storedName(release.state))
+        .put("state_why", release.stateReason)
+        .put("forward", release.progress.isForward())
+        .put("goal", release.progress.goal)
+        .put("driver", release.lease.driver)
+        .put("driver_lease_ms", release.lease.leaseMillis)
+        .put("fence", release.lease.fence)
+        .put("baking", release.progress.bakingSince)
+        .put("baked", release.progress.baked)
+        .put("longest_over", release.timeLimitPassed)
+        .put("lost_driver", release.lease.holderWasLost)
+        .put("orders", release.returns);
+    release.haltPolicy.acknowledgedLost().forEach(json.putArray("forgiven")::add);
+    ArrayNode targets = json.putArray("items");
+    release.targets().forEach(target -> writeTarget(target, targets.addObject()));
+  }
+
+  private static void writeTarget(ReleaseTarget target, ObjectNode json) {
+    json.put("name", target.name)
+        .put("phase", storedName(target.phase))
+        .put("at", storedName(target.version))
+        .put("permit", target.grant)
+        .put("action", target.action)
+        .put("fence", target.fence)
+        .put("acted_at", target.changedAt)
+        .put("tries", target.attempts)
+        .put("found", target.found)
+        .put("reported", target.reported)
+        .put("late", target.overdue)
+        .put("held", target.held)
+        .put("gone", target.gone)
+        .put("order", target.returnOrder);
+  }
+
+  static Release read(JsonNode json) {
+    Release release =
+        new Release(
+            ReleasePlanCodec.read(json.path("plan"), new ArrayList<>()),
+            json.path("number").asLong(),
+            json.path("who").asText(),
+            json.path("why").asText());
+    release.state = parse(ReleaseState.class, json.path("state"));
+    release.stateReason = json.path("state_why").asText();
+    release.timeLimitPassed = json.path("longest_over").asBoolean();
+    release.returns = json.path("orders").asLong();
+    readProgress(json, release.progress);
+    readLease(json, release.lease);
+    for (JsonNode member : json.path("forgiven")) {
+      release.haltPolicy.acknowledgedLost().add(member.asText());
+    }
+    for (JsonNode targetJson : json.path("items")) {
+      readTarget(targetJson, release.target(targetJson.path("name").asText()));
+    }
+    return release;
+  }
+
+  private static void readProgress(JsonNode json, ReleaseProgress progress) {
+    progress.direction =
+        json.path("forward").asBoolean() ? ReleaseDirection.FORWARD : ReleaseDirection.ROLLBACK;
+    progress.goal = json.path("goal").asInt();
+    progress.bakingSince = json.path("baking").asLong();
+    progress.baked = json.path("baked").asBoolean();
+  }
+
+  private static void readLease(JsonNode json, DriverLease lease) {
+    lease.driver = json.path("driver").asText();
+    lease.leaseMillis = json.path("driver_lease_ms").asLong();
+    lease.fence = json.path("fence").asLong();
+    lease.holderWasLost = json.path("lost_driver").asBoolean();
+  }
+
+  private static void readTarget(JsonNode json, ReleaseTarget target) {
+    target.phase = parse(TargetPhase.class, json.path("phase"));
+    target.version = parse(TargetVersion.class, json.path("at"));
+    target.grant = json.path("permit").asText();
+    target.action = json.path("action").asLong();
+    target.fence = json.path("fence").asLong();
+    target.changedAt = json.path("acted_at").asLong();
+    target.attempts = json.path("tries").asInt();
+    target.found = json.path("found").asText();
+    target.reported = json.path("reported").asText();
+    target.overdue = json.path("late").asBoolean();
+    target.held = json.path("held").asBoolean();
+    target.gone = json.path("gone").asBoolean();
+    target.returnOrder = json.path("order").asLong();
+  }
+
+  private static String storedName(StoredWord constant) {
+    return constant.word().toUpperCase(Locale.ROOT);
+  }
+
+  private static <E extends Enum<E> & StoredWord> E parse(Class<E> type, JsonNode storedName) {
+    return StoredWord.parse(type, storedName.asText().toLowerCase(Locale.ROOT));
+  }
+}
--- a/src/main/java/leadferry/release/ReleaseTarget.java
+++ b/src/main/java/leadferry/release/ReleaseTarget.java
@@ -1,74 +1,139 @@
 package leadferry.release;
 
 /**
- * One target of a release.
+ * One target of a release: the state machine of its phase. All transitions stand here; nothing else
+ * writes the fields but {@link ReleaseSnapshotCodec}, which restores them.
  *
  * <pre>
- *   IN --intended--> LEAVING --out everywhere, acting--> ACTING --observed--> COMING --what it was: warm, settled--> IN
- *                    LEAVING --given back untouched------------------------> COMING
+ *   IN_SERVICE --drain--> DRAINING --beginChange--> CHANGING --restore--> RESTORING --returnToService--> IN_SERVICE
+ *   IN_SERVICE --holdOut--> DRAINING
+ *                         DRAINING --restore, untouched-----------------> RESTORING
+ *                                                           RESTORING --drain, in a rollback--> DRAINING
  * </pre>
+ *
+ * <p>Invariant: a target holds a grant exactly in the phases other than {@link
+ * TargetPhase#IN_SERVICE}.
  */
 final class ReleaseTarget {
-  /** Where it stands. */
-  enum Phase {
-    IN,
-    /** It holds a permit and is on its way out. */
-    LEAVING,
-    /** It is out, and what changes it may have been begun. */
-    ACTING,
-    /** Its permit is ending: it counts as out until it is what it was. */
-    COMING
-  }
-
-  /** What it is, as far as that has been seen. */
-  enum At {
-    OLD,
-    NEW,
-    /** Changed, or being changed, and not seen since. */
-    UNKNOWN
-  }
-
   final String name;
+
+  /** The index of its step in the plan. */
   final int step;
-  Phase phase = Phase.IN;
-  At at = At.OLD;
-  String permit = "";
 
-  /** The number of what is done to it, one of the ledger's own; from its grant on. */
+  TargetPhase phase = TargetPhase.IN_SERVICE;
+  TargetVersion version = TargetVersion.PREVIOUS;
+
+  /** The eviction grant that it is out by, or "". */
+  String grant = "";
+
+  /** The number of the action on it, unique in the fleet; given with its grant. */
   long action;
 
   /** The fence of the driver that last took its action up. */
   long fence;
 
-  /** The change of the ledger with which its action began to be carried out. */
-  long actedAt;
+  /** The change number of the fleet's state at which its action began to be carried out. */
+  long changedAt;
 
   /** How often its action was begun. */
-  int tries;
+  int attempts;
 
   /** What was last observed of it, for people. */
   String found = "";
 
-  /** What an agent told of its action; "" before. */
+  /** The version that an agent reported after its action; "" before. */
   String reported = "";
 
-  /** Its action's time is over. */
-  boolean late;
+  /** Whether its action took longer than the plan allows. */
+  boolean overdue;
 
-  /** Held out of service since it came back with another version. */
+  /** Whether it is kept out of service since it came back with another version. */
   boolean held;
 
-  /** The fleet does not know it any more. */
+  /** Whether the fleet does not know it any more. */
   boolean gone;
 
-  /**
-   * When it last came back into service, in the release's own count; the way back begins with the
-   * highest.
-   */
-  long order;
+  /** Its place in the order of returns to service; a rollback begins with the highest. */
+  long returnOrder;
 
   ReleaseTarget(String name, int step) {
     this.name = name;
     this.step = step;
   }
+
+  boolean isInService() {
+    return phase == TargetPhase.IN_SERVICE;
+  }
+
+  /** A grant takes it out of service, to be changed. */
+  void drain(String newGrant, long newAction, long driverFence) {
+    phase = TargetPhase.DRAINING;
+    grant = newGrant;
+    action = newAction;
+    fence = driverFence;
+    attempts = 0;
+    overdue = false;
+    found = "";
+  }
+
+  /** It came back with a version that it was not given, and is kept out; no driver has it yet. */
+  void holdOut(String newGrant, long newAction, String foundVersion) {
+    drain(newGrant, newAction, 0);
+    found = foundVersion;
+    held = true;
+  }
+
+  /** From here on the command that changes it may have run. */
+  void beginChange(long driverFence, long changeNumber) {
+    phase = TargetPhase.CHANGING;
+    version = TargetVersion.UNKNOWN;
+    fence = driverFence;
+    found = "";
+    reported = "";
+    attempts++;
+    changedAt = changeNumber;
+  }
+
+  /** A driver has looked at it. */
+  void observe(long driverFence, TargetVersion seen, String text) {
+    fence = driverFence;
+    found = text;
+    version = seen;
+  }
+
+  /** It tells by itself, in service, that it runs another version. */
+  void changeVersion(TargetVersion told, String text) {
+    version = told;
+    found = text;
+  }
+
+  /** An agent reports the version after its action. */
+  void report(String reportedVersion) {
+    reported = reportedVersion;
+  }
+
+  /** Its grant has been given back. */
+  void restore() {
+    phase = TargetPhase.RESTORING;
+    held = false;
+  }
+
+  /** It serves as before. */
+  void returnToService(long order) {
+    phase = TargetPhase.IN_SERVICE;
+    grant = "";
+    overdue = false;
+    returnOrder = order;
+  }
+
+  /** Its action took too long. */
+  void markOverdue() {
+    overdue = true;
+  }
+
+  /** Its action has its time anew, and at least one attempt of {@code maxAttempts} left. */
+  void allowAnotherAttempt(int maxAttempts) {
+    overdue = false;
+    attempts = Math.min(attempts, maxAttempts - 1);
+  }
 }
--- a/src/main/java/leadferry/release/Releases.java
+++ b/src/main/java/leadferry/release/Releases.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -13,20 +14,22 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * All releases of a fleet, as the log's entries have brought them about; those that are over are
- * kept for a while. Two that want one target are never under way at once: the one that comes later
- * in the log is refused.
+ * The registry of all releases of a fleet, as the log's entries have brought them about; those that
+ * are over are kept for a while.
+ *
+ * <p>Invariant: no two releases that are under way have a target in common; the one that comes
+ * later in the log is rejected.
  */
 public final class Releases {
-  /** So many are under way at most, and so many that are over are remembered. */
-  private static final int MOST_ACTIVE = 32;
+  /** How many releases are under way at most. */
+  private static final int MAX_ACTIVE = 32;
 
-  private static final int REMEMBERED = 50;
+  /** How many releases that are over are remembered. */
+  private static final int MAX_REMEMBERED = 50;
 
-  /** The bounds of a driver's lease (ms). */
-  private static final long LEAST_LEASE_MS = 200;
-
-  private static final long LONGEST_LEASE_MS = 600_000;
+  private static final int MAX_DRIVER_NAME_CHARACTERS = 128;
+  private static final long MIN_LEASE_MILLIS = 200;
+  private static final long MAX_LEASE_MILLIS = 600_000;
 
   private final Map<String, Release> releases = new TreeMap<>();
   private long numbers;
@@ -42,230 +45,219 @@
     if (release == null) {
       return Outcome.of(Status.UNKNOWN, "no release '" + command.release() + "'");
     }
-    return applyTo(release, command, disruption);
+    return applyDriverCommand(release, command, disruption);
   }
 
-  private Outcome applyTo(Release release, ReleaseCommand command, DisruptionState disruption) {
+  private Outcome applyDriverCommand(
+      Release release, ReleaseCommand command, DisruptionState disruption) {
+    DriverCommands driver = new DriverCommands(release, disruption);
     if (command instanceof ReleaseCommand.AcquireLease lease) {
-      return drive(release, lease);
+      return acquireLease(driver, lease);
     }
     if (command instanceof ReleaseCommand.YieldLease lease) {
-      release.undriven(lease.fence(), true);
+      release.lease.yield(lease.fence());
       return Outcome.of(Status.DONE);
     }
     if (command instanceof ReleaseCommand.IntendChange intent) {
-      Outcome outcome = release.intend(intent.fence(), intent.target(), actions + 1, disruption);
+      Outcome outcome = driver.intendChange(intent, actions + 1);
       actions = Math.max(actions, outcome.number());
       return outcome;
     }
     if (command instanceof ReleaseCommand.BeginChange change) {
-      return release.acting(change.fence(), change.target(), change.action(), disruption);
+      return driver.beginChange(change);
     }
-    if (command instanceof ReleaseCommand.RecordObservation seen) {
-      return release.observed(
-          seen.fence(), seen.target(), seen.action(), seen.found(), seen.text(), disruption);
+    if (command instanceof ReleaseCommand.RecordObservation observation) {
+      return driver.recordObservation(observation);
     }
     if (command instanceof ReleaseCommand.RecordReport report) {
-      return release.reported(report.target(), report.action(), report.attempt(), report.found());
+      return driver.recordReport(report);
     }
     if (command instanceof ReleaseCommand.RecordVerdict verdict) {
-      return release.verdict(
-          verdict.fence(), verdict.step(), verdict.proceed(), verdict.evidence());
+      return driver.recordVerdict(verdict);
     }
-    return operator(release, command, disruption);
+    return applyOperatorCommand(release, command, disruption);
   }
 
-  private Outcome operator(Release release, ReleaseCommand command, DisruptionState disruption) {
+  private Outcome applyOperatorCommand(
+      Release release, ReleaseCommand command, DisruptionState disruption) {
+    OperatorCommands operator = new OperatorCommands(release, disruption);
     if (command instanceof ReleaseCommand.PauseRelease pause) {
-      return release.pause(pause.why());
+      return operator.pause(pause);
     }
     if (command instanceof ReleaseCommand.ResumeRelease resume) {
-      return release.resume(resume.why());
+      return operator.resume(resume);
     }
     if (command instanceof ReleaseCommand.HaltRelease halt) {
-      return release.halted(halt.why());
+      return operator.halt(halt);
     }
     if (command instanceof ReleaseCommand.RollBack rollback) {
-      return back(release, rollback);
+      return rollBack(release, operator, rollback);
     }
     if (command instanceof ReleaseCommand.OverrideCheck override) {
-      return release.override(override.check(), override.why(), disruption);
+      return operator.override(override);
     }
     if (command instanceof ReleaseCommand.EndRelease end) {
-      return release.end(end.why());
+      return operator.end(end);
     }
     throw new IllegalArgumentException("command: " + command + " (expected: one of a release)");
   }
 
   private Outcome start(ReleaseCommand.StartRelease command, DisruptionState disruption) {
-    ReleasePlan plan = command.plan();
+    List<String> faults = faultsOfStart(command.plan(), disruption);
+    if (!faults.isEmpty()) {
+      return new Outcome(Status.REFUSED, "", faults);
+    }
+    Release release = new Release(command.plan(), ++numbers, command.who(), command.why());
+    releases.put(command.plan().name(), release);
+    while (releases.size() - activeCount() > MAX_REMEMBERED) {
+      releases.values().stream()
+          .filter(other -> other.state.isOver())
+          .min(Comparator.comparingLong(other -> other.number))
+          .ifPresent(oldest -> releases.remove(oldest.plan.name()));
+    }
+    return Outcome.of(Status.DONE);
+  }
+
+  private List<String> faultsOfStart(ReleasePlan plan, DisruptionState disruption) {
     List<String> faults = new ArrayList<>();
-    Set<String> names = disruption.byName(plan.of()).keySet();
-    for (String t : plan.targets()) {
-      if (!names.contains(t)) {
-        faults.add("no " + plan.of().word() + " '" + t + "'");
+    Set<String> known = disruption.byName(plan.targetType()).keySet();
+    for (String target : plan.targets()) {
+      if (!known.contains(target)) {
+        faults.add("no " + plan.targetType().word() + " '" + target + "'");
       }
     }
-    Release known = releases.get(plan.name());
-    if (known != null) {
+    if (releases.containsKey(plan.name())) {
       faults.add("the name " + plan.name() + " was used before");
     }
-    for (Release r : releases.values()) {
-      if (!r.state.over() && r.shares(plan)) {
-        faults.add(
-            "release "
-                + r.plan.name()
-                + " is "
-                + r.state.word()
-                + " and has some of these targets");
+    for (Release other : releases.values()) {
+      if (!other.state.isOver() && other.sharesTargets(plan)) {
+        faults.add(other.describe() + " and has some of these targets");
       }
     }
-    if (active() >= MOST_ACTIVE) {
-      faults.add(active() + " releases are under way (expected: fewer)");
-    }
-    if (!faults.isEmpty()) {
-      return new Outcome(Status.REFUSED, "", faults);
-    }
-    releases.put(plan.name(), new Release(plan, ++numbers, command.who(), command.why()));
-    while (releases.size() - active() > REMEMBERED) {
-      releases.values().stream()
-          .filter(r -> r.state.over())
-          .min(java.util.Comparator.comparingLong(r -> r.number))
-          .ifPresent(r -> releases.remove(r.plan.name()));
+    if (activeCount() >= MAX_ACTIVE) {
+      faults.add(activeCount() + " releases are under way (expected: fewer)");
     }
-    return Outcome.of(Status.DONE);
+    return faults;
   }
 
   /** Whether any release is not over. */
   public boolean underWay() {
-    return active() > 0;
+    return activeCount() > 0;
   }
 
-  private long active() {
-    return releases.values().stream().filter(r -> !r.state.over()).count();
+  private long activeCount() {
+    return releases.values().stream().filter(release -> !release.state.isOver()).count();
   }
 
-  private Outcome drive(Release r, ReleaseCommand.AcquireLease command) {
-    String driver = command.driver();
-    long lease = command.leaseMillis();
-    if (driver.isEmpty()
-        || driver.length() > 128
-        || lease < LEAST_LEASE_MS
-        || lease > LONGEST_LEASE_MS) {
+  private Outcome acquireLease(DriverCommands driver, ReleaseCommand.AcquireLease command) {
+    String name = command.driver();
+    long leaseMillis = command.leaseMillis();
+    boolean valid =
+        !name.isEmpty()
+            && name.length() <= MAX_DRIVER_NAME_CHARACTERS
+            && leaseMillis >= MIN_LEASE_MILLIS
+            && leaseMillis <= MAX_LEASE_MILLIS;
+    if (!valid) {
       return Outcome.of(Status.MALFORMED, "driver: a name or a lease_ms that can't be");
     }
-    Outcome o = r.drive(driver, lease, fences + 1);
-    fences = Math.max(fences, o.number());
-    return o;
+    Outcome outcome = driver.acquireLease(command, fences + 1);
+    fences = Math.max(fences, outcome.number());
+    return outcome;
   }
 
-  /** A release that is done may be taken back as long as no other has its targets. */
-  private Outcome back(Release r, ReleaseCommand.RollBack command) {
-    for (Release other : releases.values()) {
-      if (r.state.over() && other != r && !other.state.over() && other.shares(r.plan)) {
-        return Outcome.of(
-            Status.REFUSED,
-            "release "
-                + other.plan.name()
-                + " is "
-                + other.state.word()
-                + " and has some of its targets");
+  /** A completed release may be rolled back as long as no other has its targets. */
+  private Outcome rollBack(
+      Release release, OperatorCommands operator, ReleaseCommand.RollBack command) {
+    if (release.state.isOver()) {
+      for (Release other : releases.values()) {
+        if (other != release && !other.state.isOver() && other.sharesTargets(release.plan)) {
+          return Outcome.of(Status.REFUSED, other.describe() + " and has some of its targets");
+        }
       }
     }
-    return r.back(command.toStep(), command.why());
+    return operator.rollBack(command);
   }
 
   /** Takes note of what the last entry has changed in the fleet; to be called after each. */
   public void look(DisruptionState disruption) {
-    for (Release r : releases.values()) {
-      boolean newest =
-          r.state != Release.State.DONE
-              || releases.values().stream().noneMatch(x -> x.number > r.number && x.shares(r.plan));
-      r.look(disruption, () -> ++actions, newest);
+    for (Release release : releases.values()) {
+      boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
+      release.observeFleet(disruption, () -> ++actions, newest);
     }
   }
 
-  /** Which release's permit this is, or null: nobody else gives it back. */
-  public String holder(String permit) {
+  private boolean isNewest(Release release) {
     return releases.values().stream()
-        .filter(r -> r.holds(permit))
-        .map(r -> r.plan.name())
+        .noneMatch(other -> other.number > release.number && other.sharesTargets(release.plan));
+  }
+
+  /** Which release holds this eviction grant, or null: nobody else gives it back. */
+  public String holder(String grant) {
+    return releases.values().stream()
+        .filter(release -> release.holds(grant))
+        .map(release -> release.plan.name())
         .findFirst()
         .orElse(null);
   }
 
-  /** Whether a driver's lease goes on under this fence. */
-  public boolean drives(String release, long fence) {
-    Release r = releases.get(release);
-    return r != null && !r.driver.isEmpty() && r.fence == fence;
+  /** Whether a driver holds the release's lease under this fence. */
+  public boolean drives(String name, long fence) {
+    Release release = releases.get(name);
+    return release != null && release.lease.isHeld() && release.lease.fence == fence;
   }
 
-  /** The timer of a driver's lease. */
+  /** The name of the timer of a driver's lease. */
   public static String timer(String release, long fence) {
-    return "release-driver:" + release + ":" + fence;
+    return new ReleaseTimer(ReleaseTimer.Kind.DRIVER_LEASE, release, fence).name();
   }
 
-  /** What runs out, and after how long (ms). */
-  public void timers(Map<String, Long> to) {
-    releases.values().forEach(r -> r.timers(to));
+  /** Puts what runs out, by name, and after how long (ms). */
+  public void timers(Map<String, Long> timers) {
+    releases.values().forEach(release -> release.timers(timers));
   }
 
-  /** A timer of a release has run out. */
-  public void timeout(String timer) {
-    String[] parts = timer.split(":");
-    Release r = releases.get(parts[1]);
-    if (r != null) {
-      r.timeout(parts[0], Long.parseLong(parts[2]));
+  /** A timer of a release, by its name, has run out. */
+  public void timeout(String timerName) {
+    ReleaseTimer timer = ReleaseTimer.parse(timerName);
+    Release release = releases.get(timer.release());
+    if (release != null) {
+      release.timeout(timer);
     }
   }
 
-  /** One release whole, or all in a line each where {@code name} is empty. */
-  public void status(String name, ObjectNode to, DisruptionState disruption) {
+  /** Writes one release whole, or all in a line each where {@code name} is empty. */
+  public void status(String name, ObjectNode json, DisruptionState disruption) {
     if (name.isEmpty()) {
-      ArrayNode all = to.putArray("releases");
+      ArrayNode all = json.putArray("releases");
       releases.values().stream()
-          .sorted(java.util.Comparator.comparingLong(r -> r.number))
-          .forEach(
-              r ->
-                  all.addObject()
-                      .put("name", r.plan.name())
-                      .put("number", r.number)
-                      .put("of", r.plan.of().word())
-                      .put("version", r.plan.version())
-                      .put("state", r.state.word())
-                      .put("state_why", r.stateWhy)
-                      .put("direction", r.forward ? "forward" : "back")
-                      .put("driver", r.driver)
-                      .put("goal", r.goal)
-                      .put("steps", r.plan.steps().size()));
+          .sorted(Comparator.comparingLong(release -> release.number))
+          .forEach(release -> ReleaseStatusView.writeSummary(release, all.addObject()));
       return;
     }
-    Release r = releases.get(name);
-    if (r == null) {
-      to.put("status", Status.UNKNOWN.word()).putArray("why").add("no release '" + name + "'");
+    Release release = releases.get(name);
+    if (release == null) {
+      json.put("status", Status.UNKNOWN.word()).putArray("why").add("no release '" + name + "'");
     } else {
-      r.status(to, disruption);
+      new ReleaseStatusView(release, disruption).write(json);
     }
   }
 
-  /** The whole state; {@link #restore} of it gives the same state. */
-  public void snapshot(ObjectNode to) {
-    to.put("numbers", numbers).put("fences", fences).put("actions", actions);
-    ArrayNode rs = to.putArray("releases");
-    releases.values().forEach(r -> r.snapshot(rs.addObject()));
+  /** Writes the whole state; {@link #restore} of it gives the same state. */
+  public void snapshot(ObjectNode json) {
+    json.put("numbers", numbers).put("fences", fences).put("actions", actions);
+    ArrayNode all = json.putArray("releases");
+    releases.values().forEach(release -> ReleaseSnapshotCodec.write(release, all.addObject()));
   }
 
-  /** Takes the place of all that is known. */
-  public void restore(JsonNode n) {
-    numbers = n.path("numbers").asLong();
-    fences = n.path("fences").asLong();
-    actions = n.path("actions").asLong();
+  /** Takes the state from a snapshot, in place of all that is known. */
+  public void restore(JsonNode json) {
+    numbers = json.path("numbers").asLong();
+    fences = json.path("fences").asLong();
+    actions = json.path("actions").asLong();
     releases.clear();
-    n.path("releases")
-        .forEach(
-            x -> {
-              Release r = Release.restore(x);
-              releases.put(r.plan.name(), r);
-            });
+    for (JsonNode releaseJson : json.path("releases")) {
+      Release release = ReleaseSnapshotCodec.read(releaseJson);
+      releases.put(release.plan.name(), release);
+    }
   }
 }
--- a/src/test/java/leadferry/release/CanaryAnalysisTest.java
+++ b/src/test/java/leadferry/release/CanaryAnalysisTest.java
@@ -7,8 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import leadferry.release.CanaryAnalysis.Bounds;
-import leadferry.release.CanaryAnalysis.Count;
-import leadferry.release.CanaryAnalysis.Word;
+import leadferry.release.CanaryAnalysis.Decision;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -39,21 +38,23 @@
       double oldPart = share < 1 ? 1 - share : before;
       double oldWorse = share < 1 ? 0 : worse;
       before = share;
-      Map<String, Count> fresh = new TreeMap<>();
-      Map<String, Count> old = new TreeMap<>();
+      Map<String, OutcomeCount> fresh = new TreeMap<>();
+      Map<String, OutcomeCount> old = new TreeMap<>();
       for (int look = 0; ; look++) {
         // What befalls all alike, a surge say, is no fault of the new.
         double surge = random.nextInt(20) == 0 ? 0.2 : 0;
         for (String c : List.of("claim", "list")) {
           int all = c.equals("claim") ? PER_LOOK / 5 : PER_LOOK * 4 / 5;
-          fresh.merge(c, count(random, (int) (all * freshPart), base + surge + worse), Count::plus);
-          old.merge(c, count(random, (int) (all * oldPart), base + surge + oldWorse), Count::plus);
+          fresh.merge(
+              c, count(random, (int) (all * freshPart), base + surge + worse), OutcomeCount::plus);
+          old.merge(
+              c, count(random, (int) (all * oldPart), base + surge + oldWorse), OutcomeCount::plus);
         }
-        Word w = guard.judge(fresh, old, List.of()).word();
-        if (w == Word.HALT) {
+        Decision w = guard.judge(fresh, old, List.of()).decision();
+        if (w == Decision.HALT) {
           return share;
         }
-        if (look >= LOOKS && w == Word.GO) {
+        if (look >= LOOKS && w == Decision.PROCEED) {
           break;
         }
         if (look > 4 * LOOKS) {
@@ -64,12 +65,12 @@
     return 2;
   }
 
-  private static Count count(SplittableRandom random, int all, double bad) {
+  private static OutcomeCount count(SplittableRandom random, int all, double bad) {
     int n = 0;
     for (int i = 0; i < all; i++) {
       n += random.nextDouble() < bad ? 1 : 0;
     }
-    return new Count(all, n);
+    return new OutcomeCount(all, n);
   }
 
   @Test
@@ -94,35 +95,38 @@
 
   @Test
   void oneBadClassIsFoundAmongSoundOnes() {
-    Map<String, Count> fresh = Map.of("claim", new Count(60, 20), "list", new Count(5_000, 10));
-    Map<String, Count> old = Map.of("claim", new Count(600, 6), "list", new Count(50_000, 100));
+    Map<String, OutcomeCount> fresh =
+        Map.of("claim", new OutcomeCount(60, 20), "list", new OutcomeCount(5_000, 10));
+    Map<String, OutcomeCount> old =
+        Map.of("claim", new OutcomeCount(600, 6), "list", new OutcomeCount(50_000, 100));
     assertThat(new CanaryAnalysis(BOUNDS).judge(fresh, old, List.of()))
         .satisfies(
             v -> {
-              assertThat(v.word()).isEqualTo(Word.HALT);
-              assertThat(v.why()).contains("class claim").contains("20 of 60");
+              assertThat(v.decision()).isEqualTo(Decision.HALT);
+              assertThat(v.evidence()).contains("class claim").contains("20 of 60");
             });
   }
 
   @Test
   void itWaitsForReportsThatAreMissingAndForRequests() {
     CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
-    Map<String, Count> well = Map.of("list", new Count(5_000, 10));
+    Map<String, OutcomeCount> well = Map.of("list", new OutcomeCount(5_000, 10));
     assertThat(g.judge(well, well, List.of("p3")))
-        .isEqualTo(new CanaryAnalysis.Verdict(Word.WAIT, "no fresh report of p3"));
-    assertThat(g.judge(Map.of("list", new Count(399, 0)), well, List.of()).word())
-        .isEqualTo(Word.WAIT);
-    assertThat(g.judge(well, Map.of("list", new Count(10, 0)), List.of()).word())
-        .isEqualTo(Word.WAIT);
-    assertThat(g.judge(well, well, List.of()).word()).isEqualTo(Word.GO);
+        .isEqualTo(new CanaryAnalysis.Verdict(Decision.WAIT, "no fresh report of p3"));
+    assertThat(g.judge(Map.of("list", new OutcomeCount(399, 0)), well, List.of()).decision())
+        .isEqualTo(Decision.WAIT);
+    assertThat(g.judge(well, Map.of("list", new OutcomeCount(10, 0)), List.of()).decision())
+        .isEqualTo(Decision.WAIT);
+    assertThat(g.judge(well, well, List.of()).decision()).isEqualTo(Decision.PROCEED);
   }
 
   @Test
   void whereNothingOldIsLeftTheNewIsHeldAgainstABound() {
     CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
-    assertThat(g.judge(Map.of("list", new Count(1_000, 20)), Map.of(), List.of()).word())
-        .isEqualTo(Word.GO);
-    assertThat(g.judge(Map.of("list", new Count(1_000, 120)), Map.of(), List.of()).word())
-        .isEqualTo(Word.HALT);
+    assertThat(g.judge(Map.of("list", new OutcomeCount(1_000, 20)), Map.of(), List.of()).decision())
+        .isEqualTo(Decision.PROCEED);
+    assertThat(
+            g.judge(Map.of("list", new OutcomeCount(1_000, 120)), Map.of(), List.of()).decision())
+        .isEqualTo(Decision.HALT);
   }
 }
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -354,7 +354,7 @@
     plan.put("version", "v1").put("on_wrong", "maybe").put("action_ms", 5);
     step("first", 0, "a");
     List<String> faults = new ArrayList<>();
-    assertThat(ReleasePlan.read(plan, faults)).isNull();
+    assertThat(ReleasePlanCodec.read(plan, faults)).isNull();
     assertThat(String.join("\n", faults))
         .contains(
             "from:",
