--- a/src/main/java/leadferry/cli/FleetCommand.java
+++ b/src/main/java/leadferry/cli/FleetCommand.java
@@ -43,7 +43,7 @@
       FleetCommand.Explain.class,
       FleetCommand.History.class,
       FleetCommand.Health.class,
-      ReleaseCommand.class
+      ReleaseCliCommand.class
     },
     footer = {
       "",
--- /dev/null
+++ b/src/main/java/leadferry/cli/ReleasePlanCommand.java
@@ -0,0 +1,122 @@
+package leadferry.cli;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import leadferry.cli.FleetCommand.Target;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.disruption.Outcome.Status;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Parameters;
+
+/** Judges a plan without starting it: its steps, and targets that no budget would ever let go. */
+@Command(
+    name = "plan",
+    mixinStandardHelpOptions = true,
+    description = "Judges a plan against the fleet as it is and prints its steps; changes nothing.")
+final class ReleasePlanCommand implements Callable<Integer> {
+  @Mixin private Target target;
+
+  @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
+  private Path file;
+
+  @Override
+  public Integer call() {
+    ReleasePlanReader.Result result = ReleasePlanReader.read(target, file);
+    return result.plan().map(this::judge).orElse(result.exitStatus());
+  }
+
+  private int judge(ObjectNode plan) {
+    ObjectNode response = Json.object().put("status", Status.DONE.word());
+    response.set("plan", plan);
+    try {
+      List<String> neverAllowed = neverAllowed(plan);
+      if (!neverAllowed.isEmpty()) {
+        response.put("status", Status.REFUSED.word());
+        neverAllowed.forEach(response.putArray("why")::add);
+      }
+    } catch (UnreachableException e) {
+      return ReleasePlanReader.unreachable(e);
+    }
+    return target.told(response, ReleasePlanCommand::print);
+  }
+
+  /** The bounds that would never let a target go, each in a line. */
+  private List<String> neverAllowed(ObjectNode plan) throws UnreachableException {
+    List<String> lines = new ArrayList<>();
+    try (ReplicaClient client = target.client()) {
+      for (JsonNode step : plan.path("steps")) {
+        for (JsonNode name : step.path("targets")) {
+          ObjectNode request =
+              Json.object()
+                  .put("op", "explain")
+                  .put("kind", plan.path("of").asText())
+                  .put("name", name.asText());
+          addNeverAllowed(name.asText(), client.call(request, target.until()), lines);
+        }
+      }
+    }
+    return lines;
+  }
+
+  private static void addNeverAllowed(String name, JsonNode explanation, List<String> lines) {
+    for (JsonNode bound : explanation.path("bounds")) {
+      int allowed = bound.path("allowed").asInt();
+      if (allowed < 1) {
+        lines.add(
+            name
+                + ": "
+                + bound.path("bound").asText()
+                + " allows "
+                + allowed
+                + " of "
+                + bound.path("of").asInt());
+      }
+    }
+  }
+
+  private static void print(ObjectNode response) {
+    JsonNode plan = response.path("plan");
+    System.out.println(
+        plan.path("name").asText()
+            + ": "
+            + plan.path("of").asText()
+            + "s from "
+            + plan.path("from").asText()
+            + " to "
+            + plan.path("version").asText());
+    int index = 0;
+    for (JsonNode step : plan.path("steps")) {
+      printStep(index, step);
+      index++;
+    }
+    if (response.has("why")) {
+      System.out.println("no budget would ever allow:");
+      response.path("why").forEach(line -> System.out.println("  " + line.asText()));
+    }
+  }
+
+  private static void printStep(int index, JsonNode step) {
+    List<String> targets = new ArrayList<>();
+    step.path("targets").forEach(name -> targets.add(name.asText()));
+    System.out.println(
+        "  step "
+            + index
+            + " "
+            + step.path("name").asText()
+            + ": "
+            + step.path("at_once").asInt()
+            + " at once of "
+            + targets.size()
+            + ", bakes "
+            + step.path("bake_ms").asLong()
+            + " ms: "
+            + String.join(" ", targets));
+  }
+}
--- /dev/null
+++ b/src/main/java/leadferry/cli/ReleasePlanReader.java
@@ -0,0 +1,42 @@
+package leadferry.cli;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.file.Path;
+import java.util.Optional;
+import leadferry.cli.FleetCommand.Target;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import leadferry.daemon.ConfigurationException;
+import leadferry.daemon.ReleaseFile;
+
+/** Reads the file of a plan against the fleet as it is, and tells faults on standard error. */
+final class ReleasePlanReader {
+  /**
+   * A plan, or why there is none.
+   *
+   * @param plan in its JSON form; empty after a fault
+   * @param exitStatus the command's exit status after a fault
+   */
+  record Result(Optional<ObjectNode> plan, int exitStatus) {}
+
+  private ReleasePlanReader() {}
+
+  static Result read(Target target, Path file) {
+    try (ReplicaClient client = target.client()) {
+      ObjectNode status = client.call(Json.object().put("op", "status"), target.until());
+      return new Result(Optional.of(ReleaseFile.read(file, status)), ReleaseCliCommand.EXIT_DONE);
+    } catch (ConfigurationException e) {
+      System.err.println(e.getMessage());
+      return new Result(Optional.empty(), ReleaseCliCommand.EXIT_FAULTY);
+    } catch (UnreachableException e) {
+      return new Result(Optional.empty(), unreachable(e));
+    }
+  }
+
+  /** Tells that no replica can be reached; gives the exit status for it. */
+  static int unreachable(UnreachableException cause) {
+    System.err.println("no keeper can be reached: " + cause.getMessage());
+    return FleetCommand.UNREACHABLE;
+  }
+}
--- a/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
@@ -1,13 +1,139 @@
 package leadferry.cli;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.Locale;
+import java.util.Map;
+import leadferry.cli.FleetCommand.Change;
 import leadferry.release.ReleaseDirection;
+import leadferry.release.ReleaseTargetView;
+import leadferry.release.ReleaseView;
+import leadferry.release.ReleaseViewCodec;
+import leadferry.release.TargetVersion;
 
 /** Prints the status of releases for people. */
 final class ReleaseStatusPrinter {
+  private static final int MAX_BAR_CHARACTERS = 40;
+
   private ReleaseStatusPrinter() {}
 
   /** The direction in the words of the command line. */
   static String name(ReleaseDirection direction) {
     return direction == ReleaseDirection.FORWARD ? "forward" : "rollback";
   }
+
+  /** Prints one release with its targets, a list of releases, or why there is neither. */
+  static void print(ObjectNode response) {
+    if (ReleaseViewCodec.isRelease(response)) {
+      print(ReleaseViewCodec.read(response));
+    } else if (response.has("why")) {
+      Change.print(response);
+    } else {
+      response.path("releases").forEach(ReleaseStatusPrinter::printSummary);
+    }
+  }
+
+  private static void printSummary(JsonNode json) {
+    ReleaseDirection direction = ReleaseViewCodec.readDirection(json);
+    System.out.println(
+        json.path("number").asLong()
+            + " "
+            + json.path("name").asText()
+            + ": "
+            + json.path("of").asText()
+            + "s to "
+            + json.path("version").asText()
+            + ", "
+            + json.path("state").asText()
+            + " "
+            + name(direction)
+            + ", step "
+            + json.path("goal").asInt()
+            + " of "
+            + json.path("steps").asInt()
+            + inParentheses(json.path("state_why").asText()));
+  }
+
+  private static void print(ReleaseView release) {
+    String driver =
+        release.isDriven()
+            ? "; driven by " + release.driver() + ", fence " + release.fence()
+            : "; no driver";
+    System.out.println(
+        release.name()
+            + " is "
+            + release.state().word()
+            + ", "
+            + name(release.progress().direction())
+            + inParentheses(release.stateReason())
+            + driver);
+    Map<String, ZoneProgress> zones = new LinkedHashMap<>();
+    for (ReleaseTargetView target : release.targets()) {
+      zones.computeIfAbsent(target.availability().zone(), zone -> new ZoneProgress()).count(target);
+    }
+    zones.forEach(
+        (zone, progress) ->
+            System.out.printf(
+                Locale.ROOT,
+                "  zone %-8s [%s] %d of %d%n",
+                zone,
+                progress.bar(),
+                progress.updated,
+                progress.total));
+    release.targets().stream()
+        .filter(ReleaseStatusPrinter::isNotable)
+        .forEach(ReleaseStatusPrinter::printTarget);
+  }
+
+  private static String inParentheses(String reason) {
+    return reason.isEmpty() ? "" : " (" + reason + ")";
+  }
+
+  private static boolean isNotable(ReleaseTargetView target) {
+    return !target.isInService() || target.availability().lost() || target.overdue();
+  }
+
+  private static void printTarget(ReleaseTargetView target) {
+    System.out.println(
+        "  "
+            + target.name()
+            + " "
+            + target.phase().word()
+            + ", "
+            + target.version().word()
+            + target.availability().unavailableBecause().map(reason -> ", " + reason).orElse("")
+            + (target.found().isEmpty() ? "" : ", found " + target.found())
+            + (target.overdue() ? ", LATE" : ""));
+    target
+        .availability()
+        .awaited()
+        .forEach((member, reason) -> System.out.println("    awaits " + member + ": " + reason));
+  }
+
+  /** How many targets of a zone run the new version, and how many are under way. */
+  private static final class ZoneProgress {
+    private int updated;
+    private int underWay;
+    private int total;
+
+    void count(ReleaseTargetView target) {
+      total++;
+      if (!target.isInService()) {
+        underWay++;
+      } else if (target.version() == TargetVersion.NEW) {
+        updated++;
+      }
+    }
+
+    /** New as #, under way as ~, previous as a dot. */
+    String bar() {
+      int width = Math.min(MAX_BAR_CHARACTERS, total);
+      int updatedWidth = width * updated / total;
+      int underWayWidth = underWay == 0 ? 0 : Math.max(1, width * underWay / total);
+      return "#".repeat(updatedWidth)
+          + "~".repeat(Math.min(underWayWidth, width - updatedWidth))
+          + ".".repeat(Math.max(0, width - updatedWidth - underWayWidth));
+    }
+  }
 }
--- a/src/main/java/leadferry/daemon/ReleaseFile.java
+++ b/src/main/java/leadferry/daemon/ReleaseFile.java
@@ -1,87 +1,71 @@
 package leadferry.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import leadferry.consensus.Json;
-import leadferry.disruption.Budget;
 import leadferry.release.ReleasePlanCodec;
 
 /**
  * Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what
- * the fleet is now.
+ * the fleet is now. The result is the plan's JSON form, which {@link ReleasePlanCodec} reads.
  */
 public final class ReleaseFile {
-  private enum By {
-    COMMAND,
-    AGENT
+  private static final int DEFAULT_LIMIT_MILLIS = 300_000;
+  private static final int MIN_LIMIT_MILLIS = 100;
+  private static final int DEFAULT_LOST_TARGETS = 2;
+  private static final int MAX_LOST_TARGETS = 100_000;
+  private static final int MAX_MIN_REQUESTS = 1_000_000_000;
+  private static final double DEFAULT_MAX_WORSE = 0.02;
+  private static final double DEFAULT_MAX_BAD = 0.05;
+  private static final double DEFAULT_SIGMAS = 3;
+  private static final double MIN_SIGMAS = 0.5;
+  private static final double MAX_SIGMAS = 10;
+  private static final int DEFAULT_WAIT_MILLIS = 60_000;
+  private static final int DEFAULT_COMMAND_MILLIS = 60_000;
+  private static final int MIN_COMMAND_MILLIS = 100;
+  private static final int MAX_COMMAND_MILLIS = 3_600_000;
+
+  /** Who changes targets; the file has the words in lower case. */
+  private enum Executor {
+    COMMAND("command"),
+    AGENT("agent");
+
+    private final String word;
+
+    Executor(String word) {
+      this.word = word;
+    }
   }
 
   private ReleaseFile() {}
 
   /**
-   * Reads a plan into the form that the ledger takes.
+   * Reads a plan into its JSON form.
    *
-   * @param status the fleet as the ledger tells of it: proxies and hosts with their labels
-   * @throws FaultyFileException with every fault that was found
+   * @param status the fleet as the replicas tell of it: proxies and hosts with their labels
+   * @throws ConfigurationException with every fault that was found
    */
   public static ObjectNode read(Path file, JsonNode status) throws ConfigurationException {
-    String text;
-    try {
-      text = Files.readString(file);
-    } catch (IOException e) {
-      throw new ConfigurationException(
-          List.of(
-              new ConfigurationError(
-                  file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
-    }
     TomlSection.Source source =
-        new TomlSection.Source(file.toString(), TomlTree.of(file.toString(), text));
+        new TomlSection.Source(file.toString(), TomlTree.of(file.toString(), text(file)));
     TomlSection root = new TomlSection(source, "", source.lines.root);
-    TomlSection r = root.table("release");
+    TomlSection release = root.table("release");
     ObjectNode plan = Json.object();
-    plan.put("name", r.text("name", null, "the release's own name in the fleet"));
-    String of = r.text("of", null, "proxy or host");
-    plan.put("of", of);
-    plan.put("version", r.text("version", null, "what its targets are once it is done"));
-    plan.put("from", r.text("from", null, "what they were, and are again by the way back"));
-    for (String key : List.of("action_ms", "longest_ms")) {
-      if (r.has(key)) {
-        plan.put(key, r.integer(key, 300_000, 100, Integer.MAX_VALUE));
-      }
-    }
-    plan.put("halt_lost", r.integer("halt_lost", 2, 0, 100_000));
-    for (String key : List.of("on_takeover", "on_missing", "on_wrong", "on_verdict")) {
-      if (r.has(key)) {
-        plan.put(key, r.text(key, null, "a word as docs/RELEASES.md tells"));
-      }
-    }
-    TomlSection g = r.table("guard");
-    plan.putObject("guard")
-        .put("least_requests", g.integer("least_requests", 0, 0, 1_000_000_000))
-        .put("max_worse", g.number("max_worse", 0.02, 0, 1))
-        .put("max_bad", g.number("max_bad", 0.05, 0, 1))
-        .put("sigmas", g.number("sigmas", 3, 0.5, 10))
-        .put("wait_ms", g.integer("wait_ms", 60_000, 0, Integer.MAX_VALUE));
-    g.end();
-    carry(r.table("carry"), plan.putObject("carry"));
-    steps(r, of, status, plan.putArray("steps"));
-    r.end();
+    readIdentity(release, plan);
+    readLimitsAndPolicies(release, plan);
+    readGuard(release.table("guard"), plan.putObject("guard"));
+    readCommands(release.table("carry"), plan.putObject("carry"));
+    new ReleaseFileSteps(plan.path("of").asText(), status).read(release, plan.putArray("steps"));
+    release.end();
     root.end();
     if (source.faults.isEmpty()) {
-      List<String> faults = new ArrayList<>();
-      ReleasePlanCodec.read(plan, faults);
-      faults.forEach(f -> r.fault("", f, "a plan as docs/RELEASES.md tells"));
+      addFaultsOfPlan(plan, release);
     }
     if (!source.faults.isEmpty()) {
       source.faults.sort(Comparator.comparingInt(ConfigurationError::line));
@@ -90,84 +74,75 @@
     return plan;
   }
 
-  private static void carry(TomlSection c, ObjectNode to) {
-    By by = c.word("by", By.COMMAND, By.class);
-    to.put("by", by == By.COMMAND ? "command" : "agent");
-    for (String key : List.of("command", "check")) {
-      List<String> words = c.texts(key);
-      if (!words.isEmpty()) {
-        words.forEach(to.putArray(key)::add);
-      } else if (key.equals("command") && by == By.COMMAND) {
-        c.fault(
-            "command",
-            "missing",
-            "the program that changes a target, with its arguments; {target} and {version} stand for these");
-      }
+  private static String text(Path file) throws ConfigurationException {
+    try {
+      return Files.readString(file);
+    } catch (IOException e) {
+      throw new ConfigurationException(
+          List.of(
+              new ConfigurationError(
+                  file.toString(), 0, "", "can't be read: " + e, "TOML in UTF-8")));
     }
-    to.put("timeout_ms", c.integer("timeout_ms", 60_000, 100, 3_600_000));
-    c.end();
   }
 
-  /**
-   * Each step takes of what is left those that it names, or that carry its labels, or a share of
-   * these.
-   */
-  private static void steps(TomlSection r, String of, JsonNode status, ArrayNode to) {
-    Map<String, JsonNode> all = new LinkedHashMap<>();
-    status
-        .path(of.equals("proxy") ? "proxies" : "hosts")
-        .forEach(n -> all.put(n.path("name").asText(), n));
-    Map<String, String> overall = labels(r);
-    Set<String> taken = new LinkedHashSet<>();
-    for (TomlSection s : r.list("step")) {
-      ObjectNode step = to.addObject().put("name", s.text("name", null, "the step's name"));
-      step.put("at_once", s.integer("at_once", 1, 1, 100_000))
-          .put("bake_ms", s.integer("bake_ms", 0, 0, Integer.MAX_VALUE));
-      Map<String, String> where = labels(s);
-      double share = s.number("share", 1, 0, 1);
-      List<String> targets = new ArrayList<>(s.texts("targets"));
-      for (int i = 0; i < targets.size(); i++) {
-        s.known("targets[" + i + "]", targets.get(i), all.keySet(), of);
-        if (!taken.add(targets.get(i))) {
-          s.fault(
-              "targets[" + i + "]",
-              "'" + targets.get(i) + "', in a step before",
-              "a target that no step before has");
-        }
+  private static void readIdentity(TomlSection release, ObjectNode plan) {
+    plan.put("name", release.text("name", null, "the release's own name in the fleet"));
+    plan.put("of", release.text("of", null, "proxy or host"));
+    plan.put("version", release.text("version", null, "what its targets are once it is done"));
+    plan.put("from", release.text("from", null, "what they were, and are again after a rollback"));
+  }
+
+  /** What the file leaves out gets its default where the plan is read. */
+  private static void readLimitsAndPolicies(TomlSection release, ObjectNode plan) {
+    for (String key : List.of("action_ms", "longest_ms")) {
+      if (release.has(key)) {
+        plan.put(
+            key, release.integer(key, DEFAULT_LIMIT_MILLIS, MIN_LIMIT_MILLIS, Integer.MAX_VALUE));
       }
-      if (targets.isEmpty()) {
-        List<String> left =
-            all.entrySet().stream()
-                .filter(
-                    e ->
-                        !taken.contains(e.getKey())
-                            && fits(e.getValue(), overall)
-                            && fits(e.getValue(), where))
-                .map(Map.Entry::getKey)
-                .toList();
-        targets.addAll(left.subList(0, (int) Math.ceil(share * left.size())));
-        taken.addAll(targets);
-        if (targets.isEmpty()) {
-          s.fault("", "no " + of + " is left for it", "a step with targets");
-        }
+    }
+    plan.put("halt_lost", release.integer("halt_lost", DEFAULT_LOST_TARGETS, 0, MAX_LOST_TARGETS));
+    for (String key : List.of("on_takeover", "on_missing", "on_wrong", "on_verdict")) {
+      if (release.has(key)) {
+        plan.put(key, release.text(key, null, "a word as docs/RELEASES.md tells"));
       }
-      s.end();
-      targets.forEach(step.putArray("targets")::add);
     }
   }
 
-  private static boolean fits(JsonNode subject, Map<String, String> labels) {
-    return labels.entrySet().stream()
-        .allMatch(l -> subject.path(l.getKey()).asText("-").equals(l.getValue()));
+  private static void readGuard(TomlSection guard, ObjectNode json) {
+    json.put("least_requests", guard.integer("least_requests", 0, 0, MAX_MIN_REQUESTS))
+        .put("max_worse", guard.number("max_worse", DEFAULT_MAX_WORSE, 0, 1))
+        .put("max_bad", guard.number("max_bad", DEFAULT_MAX_BAD, 0, 1))
+        .put("sigmas", guard.number("sigmas", DEFAULT_SIGMAS, MIN_SIGMAS, MAX_SIGMAS))
+        .put("wait_ms", guard.integer("wait_ms", DEFAULT_WAIT_MILLIS, 0, Integer.MAX_VALUE));
+    guard.end();
   }
 
-  private static Map<String, String> labels(TomlSection s) {
-    Map<String, String> where = s.map("where");
-    for (String label : where.keySet()) {
-      if (!Budget.LABELS.contains(label)) {
-        s.fault("where." + label, "'" + label + "'", "zone, pod, pool or kind");
-      }
+  private static void readCommands(TomlSection commands, ObjectNode json) {
+    Executor executor = commands.word("by", Executor.COMMAND, Executor.class);
+    json.put("by", executor.word);
+    List<String> change = commands.texts("command");
+    if (!change.isEmpty()) {
+      change.forEach(json.putArray("command")::add);
+    } else if (executor == Executor.COMMAND) {
+      commands.fault(
+          "command",
+          "missing",
+          "the program that changes a target, with its arguments; {target} and {version} stand for these");
+    }
+    List<String> check = commands.texts("check");
+    if (!check.isEmpty()) {
+      check.forEach(json.putArray("check")::add);
     }
-    return where;
+    json.put(
+        "timeout_ms",
+        commands.integer(
+            "timeout_ms", DEFAULT_COMMAND_MILLIS, MIN_COMMAND_MILLIS, MAX_COMMAND_MILLIS));
+    commands.end();
+  }
+
+  private static void addFaultsOfPlan(ObjectNode plan, TomlSection release) {
+    List<String> faults = new ArrayList<>();
+    ReleasePlanCodec.read(plan, faults);
+    faults.forEach(fault -> release.fault("", fault, "a plan as docs/RELEASES.md tells"));
   }
 }
--- a/src/main/java/leadferry/release/ReleaseViewCodec.java
+++ b/src/main/java/leadferry/release/ReleaseViewCodec.java
@@ -35,7 +35,7 @@
         StoredWord.parse(ReleaseState.class, json.path("state").asText()),
         json.path("state_why").asText(),
         new ReleaseView.Progress(
-            StoredWord.parse(ReleaseDirection.class, json.path("direction").asText()),
+            readDirection(json),
             json.path("goal").asInt(),
             json.path("baking").asLong(),
             json.path("baked").asBoolean()),
@@ -44,6 +44,11 @@
         targets);
   }
 
+  /** Reads the direction from the status of a release, or from its line in a list. */
+  public static ReleaseDirection readDirection(JsonNode json) {
+    return StoredWord.parse(ReleaseDirection.class, json.path("direction").asText());
+  }
+
   private static ReleaseTargetView readTarget(JsonNode json) {
     return new ReleaseTargetView(
         json.path("name").asText(),
