--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -3,14 +3,11 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Set;
-import java.util.function.LongSupplier;
 import leadferry.disruption.DisruptionState;
-import leadferry.disruption.TargetType;
 
 /**
  * One release, as the log's entries have brought it about: its parts, the transitions of its state,
- * its timers, and what follows from a change in the fleet.
+ * and its timers.
  *
  * <pre>
  *   start --> RUNNING (forward) --last step judged--> COMPLETED --roll back--> RUNNING (rollback) --> ROLLED_BACK
@@ -20,11 +17,11 @@
  *               PAUSED, HALTED ---------------------------------------------------+---- HALTED, PAUSED
  * </pre>
  *
- * <p>{@link DriverCommands} and {@link OperatorCommands} apply entries to it. Who may be
- * unavailable is not decided here: each target goes out by a grant of {@link DisruptionState},
- * under all budgets, forward and in a rollback alike. What is done to a target is written to the
- * log before it is done and after it was observed; an action whose driver was lost is looked at by
- * the next driver, never assumed.
+ * <p>{@link DriverCommands} and {@link OperatorCommands} apply entries to it, and {@link
+ * FleetChangeObserver} what they change in the fleet. Who may be unavailable is not decided here:
+ * each target goes out by a grant of {@link DisruptionState}, under all budgets, forward and in a
+ * rollback alike. What is done to a target is written to the log before it is done and after it was
+ * observed; an action whose driver was lost is looked at by the next driver, never assumed.
  */
 final class Release {
   final ReleasePlan plan;
@@ -129,7 +126,8 @@
     retryActions();
   }
 
-  private void finishRollback() {
+  /** Every target runs the version that the rollback was to bring. */
+  void finishRollback() {
     if (progress.goal == 0) {
       become(ReleaseState.ROLLED_BACK, stateReason);
     } else {
@@ -188,115 +186,4 @@
       }
     }
   }
-
-  // What follows from a change in the fleet.
-
-  /**
-   * Takes note of what the last entry has changed in the fleet.
-   *
-   * @param actions gives numbers of actions
-   * @param newest whether no later release has any of its targets: only then a completed one still
-   *     counts
-   */
-  void observeFleet(DisruptionState disruption, LongSupplier actions, boolean newest) {
-    boolean settled =
-        state == ReleaseState.ABANDONED
-            || state == ReleaseState.ROLLED_BACK
-            || (state == ReleaseState.COMPLETED && !newest);
-    if (settled) {
-      return;
-    }
-    Set<String> known = disruption.byName(plan.targetType()).keySet();
-    for (ReleaseTarget target : targets()) {
-      if (target.phase == TargetPhase.RESTORING && isAvailable(target, disruption)) {
-        target.returnToService(++returns);
-      }
-      target.gone = target.isInService() && !known.contains(target.name);
-      noteOwnVersion(target, disruption, actions);
-    }
-    if (state == ReleaseState.COMPLETED) {
-      reopenForWrongVersion();
-    }
-    haltPolicy.forgetRecovered(disruption);
-    if (isRunning()) {
-      haltPolicy.reasonInFleet(targets(), progress, disruption).ifPresent(this::halt);
-    }
-    if (isRunning()) {
-      followProgress(disruption);
-    }
-  }
-
-  /** A completed release takes up a target that came back with another version. */
-  private void reopenForWrongVersion() {
-    targets().stream()
-        .filter(target -> !target.gone && target.version != TargetVersion.NEW)
-        .findFirst()
-        .ifPresent(
-            target ->
-                become(ReleaseState.RUNNING, target.name + " came back with " + target.found));
-  }
-
-  /**
-   * A proxy in service that tells another version than it was given was down while it was changed,
-   * or was changed by somebody else.
-   */
-  private void noteOwnVersion(
-      ReleaseTarget target, DisruptionState disruption, LongSupplier actions) {
-    if (plan.targetType() != TargetType.PROXY || !target.isInService()) {
-      return;
-    }
-    String told = disruption.version(target.name, -1);
-    TargetVersion version = plan.classify(told);
-    if (told.isEmpty() || told.equals(DisruptionState.NO_VERSION) || version == target.version) {
-      return;
-    }
-    target.changeVersion(version, told);
-    if (plan.policies().holdWrongVersions() && !progress.isAsWanted(target)) {
-      String grant =
-          disruption.hold(
-              plan.targetType(), target.name, "release " + plan.name(), "came back with " + told);
-      if (!grant.isEmpty()) {
-        target.holdOut(grant, actions.getAsLong(), told);
-      }
-    }
-  }
-
-  private void followProgress(DisruptionState disruption) {
-    boolean complete = isCurrentGoalReached(disruption);
-    if (progress.isForward()) {
-      if (!complete) {
-        progress.resetBaking();
-      } else if (progress.bakingSince == 0) {
-        progress.beginBaking(disruption.changes() + 1);
-      }
-    } else if (complete
-        && targets().stream().allMatch(target -> target.gone || progress.isAsWanted(target))) {
-      finishRollback();
-    }
-  }
-
-  /**
-   * Whether every target of the goal's steps, and in a rollback every target, runs what it should
-   * and serves.
-   */
-  private boolean isCurrentGoalReached(DisruptionState disruption) {
-    Set<String> lost = disruption.lost();
-    return targets().stream()
-        .filter(target -> !target.gone)
-        .filter(target -> !progress.isForward() || target.step < progress.goal)
-        .filter(
-            target ->
-                !plan.policies().skipLostTargets()
-                    || !target.isInService()
-                    || !lost.contains(target.name))
-        .allMatch(
-            target ->
-                target.isInService()
-                    && progress.isAsWanted(target)
-                    && isAvailable(target, disruption));
-  }
-
-  private boolean isAvailable(ReleaseTarget target, DisruptionState disruption) {
-    return disruption.out(plan.targetType(), target.name) == null;
-  }
 }
--- a/src/main/java/leadferry/release/Releases.java
+++ b/src/main/java/leadferry/release/Releases.java
@@ -182,7 +182,7 @@
   public void look(DisruptionState disruption) {
     for (Release release : releases.values()) {
       boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
-      release.observeFleet(disruption, () -> ++actions, newest);
+      new FleetChangeObserver(release, disruption, () -> ++actions).observe(newest);
     }
   }
 
--- a/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
@@ -27,8 +27,8 @@
 
 /**
  * A release of two proxies of three, one allowed out: two drivers of which one crashes and one
- * stands still, commands that come late, a member lost, a halt, a way back. The real ledger,
- * members and conductors; who serves, and what was run, is kept beside them.
+ * stands still, commands that come late, a member lost, a halt, a rollback. The real ledger,
+ * members and controllers; who serves, and what was run, is kept beside them.
  */
 class ReleaseStateSpaceTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
@@ -50,7 +50,7 @@
   }
 
   private static final class Driver {
-    ReleaseController conductor;
+    ReleaseController controller;
     int lives;
     boolean stalled;
     final List<DriverAction> todo = new ArrayList<>();
@@ -121,7 +121,7 @@
 
     private void born(String d) {
       Driver x = drivers.get(d);
-      x.conductor = new ReleaseController(d + ++x.lives, 1_000);
+      x.controller = new ReleaseController(d + ++x.lives, 1_000);
       x.todo.clear();
     }
 
@@ -265,7 +265,7 @@
 
     void looks(Driver d) {
       now += 600_000_000L;
-      d.todo.addAll(d.conductor.next(view(), Optional.empty(), !d.stalled, now));
+      d.todo.addAll(d.controller.next(view(), Optional.empty(), !d.stalled, now));
     }
 
     void does(Driver d) {
@@ -273,7 +273,7 @@
       if (next instanceof DriverAction.SubmitCommand submission) {
         apply(ReleaseCommandCodec.encode(submission.command()));
       } else {
-        flights.add(new Flight(d.conductor, next));
+        flights.add(new Flight(d.controller, next));
       }
     }
 
@@ -287,7 +287,7 @@
       List<Step> out = new ArrayList<>();
       drivers.forEach(
           (n, d) -> {
-            boolean holds = d.conductor.drives(view());
+            boolean holds = d.controller.drives(view());
             if (!d.todo.isEmpty()) {
               out.add(new Step(n + " does", () -> does(d)));
             } else {
@@ -324,7 +324,7 @@
         boolean may =
             !driver
                 || drivers.values().stream()
-                    .noneMatch(d -> d.conductor.drives(view()) && !d.stalled);
+                    .noneMatch(d -> d.controller.drives(view()) && !d.stalled);
         if (!t.startsWith("session:") && !t.startsWith("release-longest") && may) {
           out.add(
               new Step(
@@ -386,7 +386,7 @@
               .findFirst()
               .orElse("");
       if (!timer.isEmpty()
-          && drivers.values().stream().noneMatch(d -> d.conductor.drives(view()))) {
+          && drivers.values().stream().noneMatch(d -> d.controller.drives(view()))) {
         apply(FleetStateMachine.ranOut(timer));
       }
     }
--- a/src/test/java/leadferry/daemon/ReleaseFileTest.java
+++ b/src/test/java/leadferry/daemon/ReleaseFileTest.java
@@ -22,8 +22,8 @@
   @TempDir private Path folder;
 
   private static ObjectNode fleet() {
-    ObjectNode o = Json.object();
-    ArrayNode hosts = o.putArray("hosts");
+    ObjectNode fleet = Json.object();
+    ArrayNode hosts = fleet.putArray("hosts");
     for (int i = 1; i <= 6; i++) {
       hosts
           .addObject()
@@ -33,7 +33,7 @@
           .put("kind", "-")
           .put("pod", "-");
     }
-    return o;
+    return fleet;
   }
 
   private JsonNode read(String text) throws IOException, ConfigurationException {
@@ -58,7 +58,7 @@
 
   @Test
   void everyFaultIsToldWithItsLineAndKey() {
-    ConfigurationException e =
+    ConfigurationException exception =
         catchThrowableOfType(
             ConfigurationException.class,
             () ->
@@ -66,7 +66,7 @@
                     HEAD
                         + "halt_losst = 1\n[release.guard]\nmax_worse = 2\n[[release.step]]\nname = \"x\"\ntargets = [\"h2\", \"h9\"]\n[[release.step]]\nname = \"y\"\ntargets = [\"h2\"]\n"
                         + "[[release.step]]\nname = \"z\"\nwhere = { zone = \"c\" }\n"));
-    assertThat(e.faults())
+    assertThat(exception.faults())
         .extracting(ConfigurationError::key)
         .contains(
             "release.halt_losst",
@@ -75,15 +75,16 @@
             "release.step[0].targets[1]",
             "release.step[1].targets[0]",
             "release.step[2]");
-    assertThat(e.faults()).allMatch(f -> f.line() > 0 || f.key().equals("release.carry.command"));
+    assertThat(exception.faults())
+        .allMatch(f -> f.line() > 0 || f.key().equals("release.carry.command"));
   }
 
   @Test
   void whatThePlanItselfMustNotSayIsAFaultOfTheFile() {
-    ConfigurationException e =
+    ConfigurationException exception =
         catchThrowableOfType(
             ConfigurationException.class,
             () -> read(HEAD.replace("v1", "v2") + CARRY + "[[release.step]]\nname = \"all\"\n"));
-    assertThat(e.getMessage()).contains("from: 'v2' (expected: another than version)");
+    assertThat(exception.getMessage()).contains("from: 'v2' (expected: another than version)");
   }
 }
--- a/src/test/java/leadferry/release/CanaryAnalysisTest.java
+++ b/src/test/java/leadferry/release/CanaryAnalysisTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How often the guard halts what is sound, and what it lets through; and that it says nothing from
- * too little.
+ * How often the analysis halts what is sound, and what it lets through; and that it says nothing
+ * from too little.
  */
 class CanaryAnalysisTest {
   private static final Bounds BOUNDS = new Bounds(400, 0.02, 0.05, 3, 60_000);
@@ -29,11 +29,11 @@
   private static double release(long seed, double worse) {
     SplittableRandom random = new SplittableRandom(seed);
     double base = random.nextDouble() * 0.05;
-    CanaryAnalysis guard = new CanaryAnalysis(BOUNDS);
+    CanaryAnalysis analysis = new CanaryAnalysis(BOUNDS);
     double before = 0;
     for (double share : STEPS) {
-      // With nothing old left, as the conductor does: the step's own against those that were judged
-      // before, new as well.
+      // With nothing old left, as the controller does: this step's own against those that were
+      // judged before, new as well.
       double freshPart = share < 1 ? share : 1 - before;
       double oldPart = share < 1 ? 1 - share : before;
       double oldWorse = share < 1 ? 0 : worse;
@@ -43,18 +43,15 @@
       for (int look = 0; ; look++) {
         // What befalls all alike, a surge say, is no fault of the new.
         double surge = random.nextInt(20) == 0 ? 0.2 : 0;
-        for (String c : List.of("claim", "list")) {
-          int all = c.equals("claim") ? PER_LOOK / 5 : PER_LOOK * 4 / 5;
-          fresh.merge(
-              c, count(random, (int) (all * freshPart), base + surge + worse), OutcomeCount::plus);
-          old.merge(
-              c, count(random, (int) (all * oldPart), base + surge + oldWorse), OutcomeCount::plus);
-        }
-        Decision w = guard.judge(fresh, old, List.of()).decision();
-        if (w == Decision.HALT) {
+        serve(
+            random,
+            new Side(freshPart, base + surge + worse, fresh),
+            new Side(oldPart, base + surge + oldWorse, old));
+        Decision decision = analysis.judge(fresh, old, List.of()).decision();
+        if (decision == Decision.HALT) {
           return share;
         }
-        if (look >= LOOKS && w == Decision.PROCEED) {
+        if (look >= LOOKS && decision == Decision.PROCEED) {
           break;
         }
         if (look > 4 * LOOKS) {
@@ -65,12 +62,26 @@
     return 2;
   }
 
+  /** One version's part of the requests, its share of bad outcomes, and what was counted of it. */
+  private record Side(double part, double badShare, Map<String, OutcomeCount> counts) {}
+
+  /** Both versions serve the requests of one look. */
+  private static void serve(SplittableRandom random, Side fresh, Side old) {
+    for (String requestClass : List.of("claim", "list")) {
+      int all = requestClass.equals("claim") ? PER_LOOK / 5 : PER_LOOK * 4 / 5;
+      for (Side side : List.of(fresh, old)) {
+        OutcomeCount served = count(random, (int) (all * side.part()), side.badShare());
+        side.counts().merge(requestClass, served, OutcomeCount::plus);
+      }
+    }
+  }
+
   private static OutcomeCount count(SplittableRandom random, int all, double bad) {
-    int n = 0;
+    int badCount = 0;
     for (int i = 0; i < all; i++) {
-      n += random.nextDouble() < bad ? 1 : 0;
+      badCount += random.nextDouble() < bad ? 1 : 0;
     }
-    return new OutcomeCount(all, n);
+    return new OutcomeCount(all, badCount);
   }
 
   @Test
@@ -101,32 +112,37 @@
         Map.of("claim", new OutcomeCount(600, 6), "list", new OutcomeCount(50_000, 100));
     assertThat(new CanaryAnalysis(BOUNDS).judge(fresh, old, List.of()))
         .satisfies(
-            v -> {
-              assertThat(v.decision()).isEqualTo(Decision.HALT);
-              assertThat(v.evidence()).contains("class claim").contains("20 of 60");
+            verdict -> {
+              assertThat(verdict.decision()).isEqualTo(Decision.HALT);
+              assertThat(verdict.evidence()).contains("class claim").contains("20 of 60");
             });
   }
 
   @Test
   void itWaitsForReportsThatAreMissingAndForRequests() {
-    CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
+    CanaryAnalysis analysis = new CanaryAnalysis(BOUNDS);
     Map<String, OutcomeCount> well = Map.of("list", new OutcomeCount(5_000, 10));
-    assertThat(g.judge(well, well, List.of("p3")))
+    assertThat(analysis.judge(well, well, List.of("p3")))
         .isEqualTo(new CanaryAnalysis.Verdict(Decision.WAIT, "no fresh report of p3"));
-    assertThat(g.judge(Map.of("list", new OutcomeCount(399, 0)), well, List.of()).decision())
+    assertThat(analysis.judge(Map.of("list", new OutcomeCount(399, 0)), well, List.of()).decision())
         .isEqualTo(Decision.WAIT);
-    assertThat(g.judge(well, Map.of("list", new OutcomeCount(10, 0)), List.of()).decision())
+    assertThat(analysis.judge(well, Map.of("list", new OutcomeCount(10, 0)), List.of()).decision())
         .isEqualTo(Decision.WAIT);
-    assertThat(g.judge(well, well, List.of()).decision()).isEqualTo(Decision.PROCEED);
+    assertThat(analysis.judge(well, well, List.of()).decision()).isEqualTo(Decision.PROCEED);
   }
 
   @Test
   void whereNothingOldIsLeftTheNewIsHeldAgainstABound() {
-    CanaryAnalysis g = new CanaryAnalysis(BOUNDS);
-    assertThat(g.judge(Map.of("list", new OutcomeCount(1_000, 20)), Map.of(), List.of()).decision())
+    CanaryAnalysis analysis = new CanaryAnalysis(BOUNDS);
+    assertThat(
+            analysis
+                .judge(Map.of("list", new OutcomeCount(1_000, 20)), Map.of(), List.of())
+                .decision())
         .isEqualTo(Decision.PROCEED);
     assertThat(
-            g.judge(Map.of("list", new OutcomeCount(1_000, 120)), Map.of(), List.of()).decision())
+            analysis
+                .judge(Map.of("list", new OutcomeCount(1_000, 120)), Map.of(), List.of())
+                .decision())
         .isEqualTo(Decision.HALT);
   }
 }
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -32,8 +32,8 @@
 
   @BeforeEach
   void fleet() {
-    for (String p : List.of("a", "b", "c", "d")) {
-      join(p, "v1");
+    for (String proxy : List.of("a", "b", "c", "d")) {
+      join(proxy, "v1");
     }
     List<String> faults = new ArrayList<>();
     JsonNode budget =
@@ -52,8 +52,8 @@
   }
 
   private void step(String name, int atOnce, String... targets) {
-    ObjectNode s = plan.withArray("steps").addObject().put("name", name).put("at_once", atOnce);
-    List.of(targets).forEach(s.putArray("targets")::add);
+    ObjectNode step = plan.withArray("steps").addObject().put("name", name).put("at_once", atOnce);
+    List.of(targets).forEach(step.putArray("targets")::add);
   }
 
   private void join(String name, String version) {
@@ -74,15 +74,15 @@
     List.copyOf(disruption.timers().keySet()).forEach(disruption::timeout);
   }
 
-  private Outcome apply(String op, Object... with) {
-    ObjectNode e =
+  private Outcome apply(String operation, Object... with) {
+    ObjectNode entry =
         MAPPER.createObjectNode().put("release", "r").put("why", "test").put("fence", fence);
     for (int i = 0; i < with.length; i += 2) {
-      e.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
+      entry.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
     }
-    Outcome o = apply("release_" + op, e);
+    Outcome outcome = apply("release_" + operation, entry);
     releases.look(disruption);
-    return o;
+    return outcome;
   }
 
   private Outcome apply(String operation, ObjectNode entry) {
@@ -99,15 +99,15 @@
   }
 
   private void drive(String name) {
-    Outcome o = apply("drive", "driver", name, "lease_ms", 1_000);
-    assertThat(o.status()).isEqualTo(Status.DONE);
-    fence = o.number();
+    Outcome outcome = apply("drive", "driver", name, "lease_ms", 1_000);
+    assertThat(outcome.status()).isEqualTo(Status.DONE);
+    fence = outcome.number();
   }
 
   private ObjectNode status() {
-    ObjectNode o = MAPPER.createObjectNode();
-    releases.status("r", o, disruption);
-    return o;
+    ObjectNode status = MAPPER.createObjectNode();
+    releases.status("r", status, disruption);
+    return status;
   }
 
   private String state() {
@@ -115,9 +115,9 @@
   }
 
   private JsonNode target(String name) {
-    for (JsonNode t : status().path("targets")) {
-      if (t.path("name").asText().equals(name)) {
-        return t;
+    for (JsonNode target : status().path("targets")) {
+      if (target.path("name").asText().equals(name)) {
+        return target;
       }
     }
     throw new IllegalArgumentException(name);
@@ -125,10 +125,10 @@
 
   /** Goes out, as the grant says, and says so. */
   private long out(String name) {
-    Outcome o = apply("intend", "target", name);
-    assertThat(o.status()).as(o.toString()).isEqualTo(Status.GRANTED);
+    Outcome outcome = apply("intend", "target", name);
+    assertThat(outcome.status()).as(outcome.toString()).isEqualTo(Status.GRANTED);
     says(name, false);
-    return o.number();
+    return outcome.number();
   }
 
   /** Takes a target to that version and back into service. */
@@ -188,14 +188,14 @@
     out("b");
     assertThat(apply("intend", "target", "c"))
         .satisfies(
-            o -> {
-              assertThat(o.status()).isEqualTo(Status.REFUSED);
-              assertThat(o.why().toString()).contains("budget proxies", "d (permit");
+            outcome -> {
+              assertThat(outcome.status()).isEqualTo(Status.REFUSED);
+              assertThat(outcome.why().toString()).contains("budget proxies", "d (permit");
             });
   }
 
   @Test
-  void aDriverWhoseLeaseIsOverIsTurnedAwayByItsFence() {
+  void aDriverWhoseLeaseIsOverIsRejectedByItsFence() {
     begin();
     long old = fence;
     long action = out("a");
@@ -205,16 +205,18 @@
     time("release-driver");
     drive("y");
     assertThat(fence).isGreaterThan(old);
-    for (String op : List.of("intend", "acting", "observed")) {
-      assertThat(apply(op, "fence", old, "target", "a", "action", action, "found", "v1").status())
-          .as(op)
+    for (String operation : List.of("intend", "acting", "observed")) {
+      assertThat(
+              apply(operation, "fence", old, "target", "a", "action", action, "found", "v1")
+                  .status())
+          .as(operation)
           .isEqualTo(Status.CONFLICT);
     }
     assertThat(apply("acting", "target", "a", "action", action).status()).isEqualTo(Status.DONE);
   }
 
   @Test
-  void itHaltsWhereTooManyAreLostAndGoesOnByAnOperatorsWord() {
+  void itHaltsWhereTooManyAreLostAndResumesByAnOperatorsOverride() {
     begin();
     disruption.ended("c", false);
     releases.look(disruption);
@@ -231,7 +233,7 @@
   }
 
   @Test
-  void whatIsNewAndLostHaltsIt() {
+  void aLostTargetWithTheNewVersionHaltsIt() {
     begin();
     change("a", "v2");
     disruption.ended("a", false);
@@ -240,7 +242,7 @@
   }
 
   @Test
-  void anActionAndTheWholeHaveTheirTimes() {
+  void anActionAndTheWholeReleaseHaveTimeLimits() {
     begin();
     out("a");
     time("release-action");
@@ -261,7 +263,7 @@
   }
 
   @Test
-  void theWayBackTakesTheNewestFirstAndMayStopAtAStep() {
+  void aRollbackTakesTheNewestFirstAndMayStopAtAStep() {
     begin();
     change("a", "v2");
     judged(0);
@@ -269,8 +271,8 @@
     change("c", "v2");
     judged(1);
     apply("back", "to_step", 1);
-    ReleaseController x = new ReleaseController("x", 1_000);
-    assertThat(x.next(ReleaseViewCodec.read(status()), Optional.empty(), true, 0))
+    ReleaseController controller = new ReleaseController("x", 1_000);
+    assertThat(controller.next(ReleaseViewCodec.read(status()), Optional.empty(), true, 0))
         .containsExactly(
             new DriverAction.SubmitCommand(new ReleaseCommand.IntendChange("r", fence, "c")));
     change("c", "v1");
@@ -283,15 +285,16 @@
   }
 
   @Test
-  void whoComesBackWithAnotherVersionGoesBackIntoTheQueueOrIsHeldOut() {
+  void aTargetThatComesBackWithAnotherVersionIsQueuedOrHeldOut() {
     for (String rule : List.of("queue", "hold")) {
       plan.put("name", "r").put("on_wrong", rule);
       if (rule.equals("hold")) {
         apply("end");
         plan.put("name", "r2");
       }
-      Outcome o = apply("release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan));
-      assertThat(o.status()).as(o.toString()).isEqualTo(Status.DONE);
+      Outcome outcome =
+          apply("release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan));
+      assertThat(outcome.status()).as(outcome.toString()).isEqualTo(Status.DONE);
       if (rule.equals("queue")) {
         drive("x");
         change("a", "v2");
@@ -300,21 +303,21 @@
       join("a", rule.equals("queue") ? "v1" : "v7");
       ObjectNode now = MAPPER.createObjectNode();
       releases.status(plan.path("name").asText(), now, disruption);
-      JsonNode a = now.path("targets").path(0);
+      JsonNode target = now.path("targets").path(0);
       if (rule.equals("queue")) {
-        assertThat(a.path("phase").asText()).isEqualTo("in");
-        assertThat(a.path("at").asText()).isEqualTo("old");
+        assertThat(target.path("phase").asText()).isEqualTo("in");
+        assertThat(target.path("at").asText()).isEqualTo("old");
       } else {
-        assertThat(a.path("at").asText()).isEqualTo("unknown");
-        assertThat(a.path("phase").asText()).isEqualTo("leaving");
-        assertThat(a.path("held").asBoolean()).isTrue();
+        assertThat(target.path("at").asText()).isEqualTo("unknown");
+        assertThat(target.path("phase").asText()).isEqualTo("leaving");
+        assertThat(target.path("held").asBoolean()).isTrue();
         assertThat(disruption.out(TargetType.PROXY, "a")).startsWith("permit");
       }
     }
   }
 
   @Test
-  void aDoneReleaseTakesUpWhoComesBackOldUnlessALaterOneHasIt() {
+  void aCompletedReleaseTakesUpATargetThatComesBackWithThePreviousVersion() {
     begin();
     change("a", "v2");
     judged(0);
@@ -328,7 +331,7 @@
   }
 
   @Test
-  void aReleaseInWhichSomebodyIsOutIsNotGivenUpNorItsPermitGivenBackByOthers() {
+  void aReleaseWithATargetOutIsNotEndedNorItsGrantGivenBackByOthers() {
     begin();
     out("a");
     assertThat(apply("end").status()).isEqualTo(Status.REFUSED);
@@ -336,7 +339,7 @@
   }
 
   @Test
-  void anAgentsWordCountsForTheTryThatItWasGivenOnly() {
+  void anAgentsReportCountsForTheAttemptThatItWasGivenOnly() {
     begin();
     long action = out("a");
     apply("acting", "target", "a", "action", action);
