--- a/src/main/java/leadferry/cli/DaemonCommand.java
+++ b/src/main/java/leadferry/cli/DaemonCommand.java
@@ -27,9 +27,9 @@
   private Path file;
 
   @Option(
-      names = "--new-keeper",
+      names = {"--new-replica", "--new-keeper"},
       description =
-          "The keeper that the file names never had a log: an empty folder becomes its own.")
+          "The replica that the file names never had a log: an empty folder becomes its own.")
   private boolean freshKeeper;
 
   private DaemonLog log;
--- a/src/main/java/leadferry/daemon/Daemon.java
+++ b/src/main/java/leadferry/daemon/Daemon.java
@@ -63,7 +63,7 @@
   private final CountDownLatch ended = new CountDownLatch(1);
   private ConfigurationSnapshot version;
   private final FleetAgent member;
-  private final AutoCloseable keeper;
+  private final AutoCloseable replica;
   private Set<String> hostsOut = Set.of();
   private boolean away;
   private boolean draining;
@@ -81,16 +81,16 @@
   }
 
   /**
-   * As {@link #Daemon(Path, Function)}; {@code freshKeeper}: the keeper that its file names never
+   * As {@link #Daemon(Path, Function)}; {@code newReplica}: the replica that its file names never
    * had a log.
    */
-  public Daemon(Path file, boolean freshKeeper, Function<LogForm, Log> logs)
+  public Daemon(Path file, boolean newReplica, Function<LogForm, Log> logs)
       throws ConfigurationException {
-    this(file, OperatorFile.read(file), freshKeeper, logs, System.nanoTime());
+    this(file, OperatorFile.read(file), newReplica, logs, System.nanoTime());
   }
 
   private Daemon(
-      Path file, DaemonConfig config, boolean freshKeeper, Function<LogForm, Log> logs, long seed)
+      Path file, DaemonConfig config, boolean newReplica, Function<LogForm, Log> logs, long seed)
       throws ConfigurationException {
     this.file = file;
     this.log = logs.apply(config.process().log());
@@ -108,10 +108,10 @@
       workers.put(
           loop, new Worker(loop, transport, i, config.process(), seed + 1_000_003L * i, log));
     }
-    this.keeper =
-        config.fleet() == null || config.fleet().keeper() == null
+    this.replica =
+        config.fleet() == null || config.fleet().replica() == null
             ? null
-            : keeper(config, freshKeeper);
+            : startReplica(config, newReplica);
     this.member = config.fleet() == null ? null : new FleetAgent(config.fleet(), this, log);
     if (member != null) {
       member.begin(config); // what the fleet has taken out is known before the first request
@@ -127,15 +127,18 @@
     }
   }
 
-  /** The keeper beside the workers. Where it can't go on it ends alone: requests do not need it. */
-  private AutoCloseable keeper(DaemonConfig config, boolean fresh) throws ConfigurationException {
+  /**
+   * The replica beside the workers. Where it can't go on it ends alone: requests do not need it.
+   */
+  private AutoCloseable startReplica(DaemonConfig config, boolean fresh)
+      throws ConfigurationException {
     String no;
     try {
       return new leadferry.consensus.Replica(
-          config.fleet().keeper(),
+          config.fleet().replica(),
           fresh,
           log::line,
-          t -> log.failure("the keeper in this process can't go on", t));
+          t -> log.failure("the replica in this process can't go on", t));
     } catch (NoClassDefFoundError e) {
       no = "the log's library is missing: " + e.getMessage();
     } catch (java.io.IOException | RuntimeException e) {
@@ -145,7 +148,7 @@
     throw new ConfigurationException(
         List.of(
             new ConfigurationError(
-                file.toString(), 0, "fleet.keeper_file", no, "a keeper that can start")));
+                file.toString(), 0, "fleet.keeper_file", no, "a replica that can start")));
   }
 
   /**
@@ -405,7 +408,7 @@
                 if (member == null) {
                   ended.countDown();
                 } else {
-                  // Its keeper goes last: the member's own word may need it.
+                  // Its replica goes last: the member's own word may need it.
                   member.gone(!any, this::ended);
                 }
               }
@@ -418,11 +421,11 @@
   }
 
   private void ended() {
-    if (keeper != null) {
+    if (replica != null) {
       try {
-        keeper.close();
+        replica.close();
       } catch (Exception e) {
-        log.failure("the end of the keeper", e);
+        log.failure("the end of the replica", e);
       }
     }
     ended.countDown();
--- a/src/main/java/leadferry/daemon/DaemonConfig.java
+++ b/src/main/java/leadferry/daemon/DaemonConfig.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
+import leadferry.consensus.ReplicaConfig;
 import leadferry.engine.UpstreamHosts;
 import leadferry.http.Forwarding;
 import leadferry.limits.Limit;
@@ -37,7 +38,7 @@
       Sockets transport,
       LogForm log) {}
 
-  /** What a start does where no keeper can be reached: goes by what it last knew, or waits. */
+  /** What a start does where no replica can be reached: goes by what it last knew, or waits. */
   enum Unreachable {
     LAST,
     WAIT
@@ -50,11 +51,11 @@
    * @param name this process's name, its own in the fleet
    * @param zone its zone, or "-"
    * @param leaseMs after so long without a word the fleet takes it for lost
-   * @param startWaitMs how long a start asks keepers before it takes them for unreachable
+   * @param startWaitMs how long a start asks replicas before it takes them for unreachable
    * @param state the file in which it keeps what it goes by, or null
    * @param version what runs here, as releases call it, or "-"
-   * @param keepers where they are, by name
-   * @param keeper the keeper that runs in this process as well, or null
+   * @param replicas where they are, by name
+   * @param replica the replica that runs in this process as well, or null
    */
   record Fleet(
       String fleet,
@@ -65,8 +66,8 @@
       Unreachable onUnreachable,
       java.nio.file.Path state,
       String version,
-      Map<String, InetSocketAddress> keepers,
-      leadferry.consensus.ReplicaConfig keeper) {}
+      Map<String, InetSocketAddress> replicas,
+      ReplicaConfig replica) {}
 
   /** The kind of sockets: the best that is there, or a certain one. */
   enum Sockets {
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -58,7 +58,7 @@
     this.config = config;
     this.daemon = daemon;
     this.log = log;
-    this.client = new SessionClient(config.fleet(), config.keepers(), this::take);
+    this.client = new SessionClient(config.fleet(), config.replicas(), this::take);
     this.session = new MemberSession(config.name(), config.leaseMs());
     this.replicas = new ReplicaReachability(log);
     this.view = new ProxyMemberView(config.name());
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -9,11 +9,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import leadferry.consensus.ReplicaConfig;
+import leadferry.disruption.DisruptionState;
 import leadferry.http.Forwarding;
 import leadferry.http.Networks;
 import leadferry.limits.Limit;
@@ -25,6 +28,9 @@
  * returned is sound as a whole. {@code docs/OPERATING.md} is the page for those who write it.
  */
 final class OperatorFile {
+  /** What an operator writes, or leaves out, for nothing. */
+  private static final String NONE = "-";
+
   /** A longer file is none of ours (bytes). */
   private static final long MOST_BYTES = 64L << 20;
 
@@ -116,72 +122,83 @@
   }
 
   private DaemonConfig.Fleet fleet() {
-    TomlSection f = root.table("fleet");
+    TomlSection section = root.table("fleet");
     if (!root.has("fleet")) {
       return null;
     }
-    String name = f.text("name", null, "this process's name in the fleet");
+    String name = section.text("name", null, "this process's name in the fleet");
     if (!name.isEmpty()) {
-      Names.take(f, name, new java.util.HashSet<>());
-    }
-    Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
-    TomlSection k = f.table("keepers");
-    for (String keeper : k.keys()) {
-      keepers.put(keeper, Names.address(k, keeper, false));
+      Names.take(section, name, new HashSet<>());
     }
-    if (keepers.isEmpty()) {
-      f.fault("keepers", "none", "keepers by name, as in [fleet.keepers] k1 = \"IP:port\"");
-    }
-    String state =
-        f.text(
+    Map<String, InetSocketAddress> replicas = replicaAddresses(section);
+    String stateFile =
+        section.text(
             "state_file",
-            "-",
-            "a file, for what is in force when no keeper can be reached at a start");
-    DaemonConfig.Unreachable un =
-        f.word("on_unreachable", DaemonConfig.Unreachable.WAIT, DaemonConfig.Unreachable.class);
-    if (un == DaemonConfig.Unreachable.LAST && state.equals("-")) {
-      f.fault("state_file", "missing", "a file, where on_unreachable is 'last'");
+            NONE,
+            "a file, for what is in force when no replica can be reached at a start");
+    DaemonConfig.Unreachable onUnreachable =
+        section.word(
+            "on_unreachable", DaemonConfig.Unreachable.WAIT, DaemonConfig.Unreachable.class);
+    if (onUnreachable == DaemonConfig.Unreachable.LAST && stateFile.equals(NONE)) {
+      section.fault("state_file", "missing", "a file, where on_unreachable is 'last'");
     }
-    String fleet = f.text("fleet", null, "the fleet's name");
-    String version = f.text("version", "-", "what runs here, as releases call it");
-    if (!version.matches(leadferry.disruption.DisruptionState.NAME) && !version.equals("-")) {
-      f.fault(
+    String fleet = section.text("fleet", null, "the fleet's name");
+    String version = section.text("version", NONE, "what runs here, as releases call it");
+    if (!version.matches(DisruptionState.NAME) && !version.equals(NONE)) {
+      section.fault(
           "version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
     }
-    DaemonConfig.Fleet out =
+    DaemonConfig.Fleet result =
         new DaemonConfig.Fleet(
             fleet,
             name,
-            f.text("zone", "-", "the zone's name"),
-            f.integer("lease_ms", 3_000, 200, 600_000),
-            f.integer("start_wait_ms", 5_000, 0, 600_000),
-            un,
-            state.equals("-") ? null : java.nio.file.Path.of(state),
+            section.text("zone", NONE, "the zone's name"),
+            section.integer("lease_ms", 3_000, 200, 600_000),
+            section.integer("start_wait_ms", 5_000, 0, 600_000),
+            onUnreachable,
+            stateFile.equals(NONE) ? null : Path.of(stateFile),
             version,
-            keepers,
-            keeper(f, fleet));
-    f.end();
-    return out;
+            replicas,
+            ownReplica(section, fleet));
+    section.end();
+    return result;
+  }
+
+  /** Where the replicas are, by name; the operator's word for them is keepers. */
+  private static Map<String, InetSocketAddress> replicaAddresses(TomlSection fleet) {
+    Map<String, InetSocketAddress> replicas = new LinkedHashMap<>();
+    TomlSection section = fleet.table("keepers");
+    for (String name : section.keys()) {
+      replicas.put(name, Names.address(section, name, false));
+    }
+    if (replicas.isEmpty()) {
+      fleet.fault("keepers", "none", "replicas by name, as in [fleet.keepers] k1 = \"IP:port\"");
+    }
+    return replicas;
   }
 
   /**
-   * The keeper that this daemon runs as well, by a file of its own; null where none is named, or
+   * The replica that this daemon runs as well, by a file of its own; null where none is named, or
    * where it is faulty.
    */
-  private static leadferry.consensus.ReplicaConfig keeper(TomlSection f, String fleet) {
+  private static ReplicaConfig ownReplica(TomlSection section, String fleet) {
     String file =
-        f.text("keeper_file", "-", "the file of the keeper that runs in this process as well");
-    if (file.equals("-")) {
+        section.text(
+            "keeper_file", NONE, "the file of the replica that runs in this process as well");
+    if (file.equals(NONE)) {
       return null;
     }
     try {
-      leadferry.consensus.ReplicaConfig k = ReplicaFile.read(java.nio.file.Path.of(file));
-      if (!k.fleet().equals(fleet)) {
-        f.fault("keeper_file", file + ", of fleet " + k.fleet(), "a keeper of fleet " + fleet);
+      ReplicaConfig replica = ReplicaFile.read(Path.of(file));
+      if (!replica.fleet().equals(fleet)) {
+        section.fault(
+            "keeper_file", file + ", of fleet " + replica.fleet(), "a replica of fleet " + fleet);
       }
-      return k;
+      return replica;
     } catch (ConfigurationException e) {
-      e.faults().forEach(x -> f.fault("keeper_file", x.toString(), "a sound keeper's file"));
+      e.faults()
+          .forEach(
+              error -> section.fault("keeper_file", error.toString(), "a sound replica's file"));
       return null;
     }
   }
