--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -1,133 +1,82 @@
 package leadferry.loadbalancer;
 
-import java.util.HashMap;
-import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Own rate and load, and early refusal when the aim can't be met. */
+/**
+ * Admit a new request, or shed it?
+ *
+ * <p>Shed is what cannot be answered in time: by chance as pressure rises, those of the lowest
+ * priority weight first, and always where even the endpoint chosen has a queue longer than the
+ * request is useful. Late work would take the place of work that still can be in time.
+ *
+ * <p>Asked in two steps, as chance is drawn before the endpoint is: {@link #onArrival}, then {@link
+ * #admits} with the endpoint.
+ */
 final class AdmissionController {
-  /** The part of recent requests that came from a tenant. */
-  private static final class Share {
-    final double portion;
-    double count;
-    double at;
+  /** The most of a mean class that is shed: the rest finds out when the overload is over. */
+  private static final double MOST_SHED_SHARE = 0.9;
 
-    Share(double portion) {
-      this.portion = portion;
-    }
-  }
+  /** Least priority weight against the mean: what is worth little is not all shed at once. */
+  private static final double LEAST_RELATIVE_WEIGHT = 0.2;
+
+  /** Smoothing of the mean value of a request: about the last fifty. */
+  private static final double VALUE_SMOOTHING = 0.02;
 
+  private final PressureEstimate pressure;
+  private final TenantQuotas quotas;
+  private final ArrivalRate arrivals;
+  private final LoadReportEstimate loadReports;
+  private final QueueDelayEstimate queueDelay;
   private final SplittableRandom random;
   private final LoadBalancerActions actions;
-  private final LiveSettings settings;
-  private final Map<String, Share> shares = new HashMap<>();
-  private double sum;
-  private double servedPart = 1;
-  private double rate;
-  private double rateAt;
-  private double peak;
-  private double peakAt;
-  private int open;
-  private double pressure;
-  private double pressureAt;
   private double meanValue;
-  private boolean overloaded;
-
-  AdmissionController(LiveSettings settings, SplittableRandom random, LoadBalancerActions actions) {
-    this.settings = settings;
-    this.random = random;
-    this.actions = actions;
+  private boolean overloadLogged;
+
+  AdmissionController(LoadBalancerContext context, TenantQuotas quotas) {
+    this.pressure = context.pressure;
+    this.quotas = quotas;
+    this.arrivals = context.arrivals;
+    this.loadReports = context.loadReports;
+    this.queueDelay = context.queueDelay;
+    this.random = context.random;
+    this.actions = context.actions;
   }
 
-  /** Takes the tenants of the settings in force; their shares are counted anew. */
-  void tenants() {
-    shares.clear();
-    for (Settings.Tenant t : settings.now().tenants()) {
-      shares.put(t.name(), new Share(t.portion()));
-    }
+  /** Counts a request that has come, weighs it and draws whether pressure sheds it. */
+  void onArrival(RequestState request, String tenant, double nowMillis) {
+    quotas.onArrival(tenant, nowMillis);
+    arrivals.onArrival(nowMillis);
+    meanValue += VALUE_SMOOTHING * (request.rules().value() - meanValue);
+    request.priorityWeight = quotas.priorityWeight(tenant);
+    request.drawnForShedding = shedsByPressure(request, nowMillis);
   }
 
-  void arrived(double now, Settings.RequestClass rules, String tenant) {
-    Share s = shares.get(tenant);
-    double fade = Math.exp(-(now - rateAt) / Tuning.SHARE_MEMORY);
-    sum = sum * fade + 1;
-    if (s != null) {
-      s.count = s.count * Math.exp(-(now - s.at) / Tuning.SHARE_MEMORY) + 1;
-      s.at = now;
+  /** Whether the request may begin at the endpoint that was chosen for it, null where none was. */
+  boolean admits(RequestState request, Endpoint endpoint, double nowMillis) {
+    if (request.drawnForShedding) {
+      // Guards against an overload that only memory holds up: known room at the endpoint admits.
+      boolean admitted = endpoint != null && loadReports.isIdle(endpoint, nowMillis);
+      if (!admitted) {
+        arrivals.onOutcome(false);
+      }
+      return admitted;
     }
-    rate = rate(now) + 1 / Tuning.RATE_MEMORY;
-    rateAt = now;
-    meanValue += 0.02 * (rules.value() - meanValue);
-  }
-
-  /**
-   * Worth of a tenant's request, 1 within its share. Guards against a burst of one tenant that is
-   * worth little and would take the place of the others' requests.
-   */
-  double standing(String tenant) {
-    Share s = shares.get(tenant);
-    if (s == null || s.portion <= 0) {
-      return 1;
-    }
-    double part = (s.count + Tuning.SHARE_PRIOR * s.portion) / (sum + Tuning.SHARE_PRIOR);
-    return Math.min(1, Math.max(settings.now().overShareWorth(), s.portion / part));
-  }
-
-  /** Notes whether an attempt, or a request refused for its lateness, was of use. */
-  void ended(boolean served) {
-    servedPart += Tuning.LATENCY_ALPHA * ((served ? 1 : 0) - servedPart);
-  }
-
-  /** Own requests per ms that get served: in a jam far fewer than those that come. */
-  double servedRate(double now) {
-    return rate(now) * Math.max(Tuning.LEAST_SERVED, servedPart);
-  }
-
-  /** Own requests per ms. */
-  double rate(double now) {
-    return rate * Math.exp(-(now - rateAt) / Tuning.RATE_MEMORY);
-  }
-
-  void inFlight(double now, int change) {
-    open += change;
-    peak = Math.max(open, peak(now));
-    peakAt = now;
-  }
-
-  /** The recent peak of own attempts in flight. */
-  double peak(double now) {
-    return Math.max(open, peak * Math.exp(-(now - peakAt) / Tuning.PEAK_MEMORY));
-  }
-
-  /** Notes an answer (or the lack of one by then) against the aim of its class. */
-  void answered(double now, double elapsed, double aim) {
-    double gap = now - pressureAt;
-    pressure = pressure(now);
-    // A proxy with few requests weighs each one more, or it would learn of a jam after its end.
-    double weight =
-        Math.min(
-            0.3, Math.max(Tuning.LATENCY_ALPHA, gap / (Tuning.PRESSURE_MEMORY * settings.pace())));
-    pressure += weight * (Math.min(2, elapsed / aim) - pressure);
-    pressureAt = now;
-  }
-
-  /** Recent answer time as part of the aim, 0 to 2. */
-  double pressure(double now) {
-    return pressure * Math.exp(-(now - pressureAt) / (Tuning.PRESSURE_FADE * settings.pace()));
+    return endpoint != null && !queueDelay.isTooLong(request, endpoint, nowMillis);
   }
 
-  /** Whether to refuse on arrival: as answers near the aim, ever more, the least worth first. */
-  boolean refuses(double now, Settings.RequestClass rules, double standing) {
-    double over = (pressure(now) - Tuning.REFUSE_FROM) / Tuning.REFUSE_SPAN;
-    boolean turned = overloaded ? pressure(now) < Tuning.REFUSE_FROM / 2 : over > 0.5;
+  private boolean shedsByPressure(RequestState request, double nowMillis) {
+    double excess = pressure.shedExcess(nowMillis);
+    boolean turned =
+        overloadLogged ? pressure.recovered(nowMillis) : PressureEstimate.isOverload(excess);
     if (turned) {
-      overloaded = !overloaded;
-      actions.log(overloaded ? "overload: refusing early" : "overload over");
+      overloadLogged = !overloadLogged;
+      actions.log(overloadLogged ? "overload: refusing early" : "overload over");
     }
-    if (over <= 0) {
+    if (excess <= 0) {
       return false;
     }
-    double relative = meanValue > 0 ? Math.max(0.2, standing * rules.value() / meanValue) : 1;
-    return random.nextDouble() < Math.min(Tuning.REFUSE_MOST, over / relative);
+    double value = request.priorityWeight * request.rules().value();
+    double relativeWeight = meanValue > 0 ? Math.max(LEAST_RELATIVE_WEIGHT, value / meanValue) : 1;
+    return random.nextDouble() < Math.min(MOST_SHED_SHARE, excess / relativeWeight);
   }
 }
--- a/src/main/java/leadferry/loadbalancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -3,8 +3,8 @@
 /** The settings in force. They change as a whole, between two events. */
 final class LiveSettings {
   private Settings now;
-  private double pace;
-  private double keepIdle;
+  private double shortestAimMillis;
+  private double idleTimeoutMillis;
 
   LiveSettings(Settings first) {
     set(first);
@@ -12,8 +12,8 @@
 
   void set(Settings next) {
     now = next;
-    pace = next.pace();
-    keepIdle = next.keepIdle(Double.POSITIVE_INFINITY);
+    shortestAimMillis = next.pace();
+    idleTimeoutMillis = next.keepIdle(Double.POSITIVE_INFINITY);
   }
 
   Settings now() {
@@ -21,12 +21,12 @@
   }
 
   /** {@link Settings#pace()} of those in force. */
-  double pace() {
-    return pace;
+  double shortestAimMillis() {
+    return shortestAimMillis;
   }
 
   /** {@link Settings#keepIdle} of those in force. */
-  double keepIdle() {
-    return keepIdle;
+  double idleTimeoutMillis() {
+    return idleTimeoutMillis;
   }
 }
--- /dev/null
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -0,0 +1,124 @@
+package leadferry.loadbalancer;
+
+/**
+ * What the outcome of an attempt tells each estimate. Times spent are the endpoint's alone;
+ * pressure goes by all of the time, as this process, too, may be what has no room.
+ */
+final class OutcomeObserver {
+  /** An endpoint that turns work away as full counts as a response after so many aims. */
+  private static final double FULL_PRESSURE_AIMS = 2;
+
+  private final PendingResponseTracker pendingResponses;
+  private final OutlierDetector outliers;
+  private final ClassEjections classEjections;
+  private final ArrivalRate arrivals;
+  private final PressureEstimate pressure;
+  private final ResponseTimeEstimate responseTimes;
+  private final LoadReportEstimate loadReports;
+  private final QueueDelayEstimate queueDelay;
+  private final LoadBalancerActions actions;
+
+  OutcomeObserver(
+      LoadBalancerContext context, OutlierDetector outliers, ClassEjections classEjections) {
+    this.pendingResponses = context.pendingResponses;
+    this.outliers = outliers;
+    this.classEjections = classEjections;
+    this.arrivals = context.arrivals;
+    this.pressure = context.pressure;
+    this.responseTimes = context.responseTimes;
+    this.loadReports = context.loadReports;
+    this.queueDelay = context.queueDelay;
+    this.actions = context.actions;
+  }
+
+  /** The attempt has ended so, or its response has begun, after so long. */
+  void onOutcome(
+      AttemptState attempt, AttemptOutcome outcome, double elapsedMillis, double nowMillis) {
+    if (attempt.request.streamingAttempt == attempt && outcome == AttemptOutcome.CANCELLED) {
+      return; // it waited for its client
+    }
+    // What came may have stood here unread for a while.
+    double spentMillis = Math.max(0, elapsedMillis - pendingResponses.readLagMillis(nowMillis));
+    arrivals.onOutcome(outcome == AttemptOutcome.OK);
+    switch (outcome) {
+      case OK -> onSuccess(attempt, spentMillis, nowMillis);
+      case ERROR -> onError(attempt, nowMillis);
+      case FULL -> onFull(attempt, nowMillis);
+      case TIMEOUT -> onTimeout(attempt, spentMillis, nowMillis);
+      case RESET -> outliers.onFailure(attempt.endpoint, nowMillis);
+      case CONNECT_FAILED -> onNoResponse(attempt, nowMillis);
+      case CANCELLED -> onCancelled(attempt, nowMillis);
+      case MOOT -> {} // the endpoint had no part in it
+    }
+  }
+
+  private void onSuccess(AttemptState attempt, double spentMillis, double nowMillis) {
+    RequestState request = attempt.request;
+    Endpoint endpoint = attempt.endpoint;
+    pendingResponses.onResponse(endpoint, nowMillis);
+    outliers.onSuccess(endpoint);
+    classEjections.onSuccess(endpoint, request.rules(), nowMillis);
+    if (request.isStreaming()) {
+      return; // its response time was taken at the first byte
+    }
+    double meanMillis = request.latency.meanMillis();
+    request.latency.onResponse(spentMillis);
+    responseTimes.onResponse(endpoint, spentMillis, meanMillis, nowMillis);
+    queueDelay.onResponse(endpoint, attempt.ownBefore, spentMillis);
+    addPressure(request, spentMillis, nowMillis);
+  }
+
+  private void onError(AttemptState attempt, double nowMillis) {
+    pendingResponses.onResponse(attempt.endpoint, nowMillis);
+    outliers.onFailure(attempt.endpoint, nowMillis);
+  }
+
+  // Guards against an overload that spreads: a full endpoint is busy, not broken, and the worst
+  // pressure.
+  private void onFull(AttemptState attempt, double nowMillis) {
+    Endpoint endpoint = attempt.endpoint;
+    Settings.RequestClass rules = attempt.request.rules();
+    pendingResponses.onResponse(endpoint, nowMillis);
+    if (loadReports.isIdle(endpoint, nowMillis)) {
+      classEjections.eject(endpoint, rules, nowMillis);
+    } else {
+      outliers.onOverloaded(endpoint, nowMillis);
+      pressure.onResponse(FULL_PRESSURE_AIMS * rules.aim(), rules.aim(), nowMillis);
+    }
+  }
+
+  private void onTimeout(AttemptState attempt, double spentMillis, double nowMillis) {
+    RequestState request = attempt.request;
+    Endpoint endpoint = attempt.endpoint;
+    // Guards against responses lost on the way that look like an overload.
+    boolean hasRoom = loadReports.hasRoom(endpoint, nowMillis);
+    if (!request.isStreaming() && !hasRoom) {
+      addPressure(request, spentMillis, nowMillis);
+    }
+    // An endpoint that has answered others since is busy, or lost this one; a silent one is broken.
+    if (endpoint.lastResponseMillis <= attempt.sentAtMillis) {
+      onNoResponse(attempt, nowMillis);
+      if (hasRoom) {
+        classEjections.eject(endpoint, request.rules(), nowMillis);
+      }
+    }
+  }
+
+  // Guards against clients that give up before their time-out would tell of a silent endpoint.
+  private void onCancelled(AttemptState attempt, double nowMillis) {
+    double allowedMillis = attempt.request.latency.silentAfterMillis();
+    if (pendingResponses.isUnanswered(attempt.endpoint, allowedMillis, nowMillis)) {
+      onNoResponse(attempt, nowMillis);
+    }
+  }
+
+  private void onNoResponse(AttemptState attempt, double nowMillis) {
+    outliers.onFailure(attempt.endpoint, nowMillis);
+    actions.silent(attempt.endpoint.id, nowMillis, attempt.sentAtMillis);
+  }
+
+  private void addPressure(RequestState request, double spentMillis, double nowMillis) {
+    double elapsedMillis = spentMillis + pendingResponses.readLagMillis(nowMillis);
+    pressure.onResponse(elapsedMillis, request.rules().aim(), nowMillis);
+  }
+}
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -1,149 +1,122 @@
 package leadferry.loadbalancer;
 
+import java.util.List;
 import java.util.SplittableRandom;
 
-/** Outlier detection: silence, failures, ejection with growing back-off, half-open trials. */
+/**
+ * Is an endpoint an outlier, to be ejected? It is after too large a share of failures. It stays out
+ * for a growing time, then is half-open: one request at a time until one is answered.
+ */
 final class OutlierDetector {
-  private final EndpointTable fleet;
+  /** Smoothed share of failures that ejects: three in a row, or half of the last few. */
+  private static final double EJECT_FAILURE_SHARE = 0.48;
+
+  /** Smoothing of that share: about the last five outcomes. */
+  private static final double FAILURE_SMOOTHING = 0.2;
+
+  /** Share of the endpoints that may be ejected at once: about what breaks together. */
+  private static final double MOST_EJECTED_SHARE = 0.4;
+
+  /** The longest ejection. */
+  private static final double LONGEST_EJECTION_AIMS = 20;
+
+  private final LiveSettings settings;
+  private final EndpointTable endpoints;
+  private final PendingResponseTracker pendingResponses;
+  private final FailurePenalty penalty;
   private final SplittableRandom random;
   private final LoadBalancerActions actions;
 
-  OutlierDetector(EndpointTable fleet, SplittableRandom random, LoadBalancerActions actions) {
-    this.fleet = fleet;
-    this.random = random;
-    this.actions = actions;
-  }
-
-  /** Whether the host may be a candidate; half-open hosts get one request at a time. */
-  boolean available(EndpointTable.Host h, double now, double overdue) {
-    if (now < h.ejected.until) {
-      return false;
-    }
-    if (h.ejected.trial) {
-      return h.inFlight == 0;
-    }
-    return !silent(h, now, overdue);
+  OutlierDetector(LoadBalancerContext context) {
+    this.settings = context.settings;
+    this.endpoints = context.endpoints;
+    this.pendingResponses = context.pendingResponses;
+    this.penalty = context.penalty;
+    this.random = context.random;
+    this.actions = context.actions;
   }
 
   /**
-   * Guards against hosts that take work and answer nothing, hung or behind a queue of requests that
-   * nobody waits for any more: time-outs tell of them too late. Such a host gets one request at a
-   * time, and silence lasts from the first send without an answer since, however that one ended. It
-   * can hurt where single answers regularly take longer than the aim.
+   * Whether the endpoint may get a request: not while ejected, one at a time on trial, and not
+   * while silent for longer than {@code allowedMillis}.
    */
-  boolean silent(EndpointTable.Host h, double now, double overdue) {
-    return h.inFlight > 0 && unanswered(h, now, overdue);
-  }
-
-  /** Whether the host has answered nothing for so long since something was sent to it. */
-  boolean unanswered(EndpointTable.Host h, double now, double overdue) {
-    return Math.min(now, fleet.heard) - h.waitsSince
-        > Math.max(Tuning.SILENCE_FLOOR, overdue * Math.max(1, h.slowness));
-  }
-
-  /** The host has got a request, or given a sign of life, with requests of ours still there. */
-  void waits(EndpointTable.Host h, double now, boolean answered) {
-    if (answered) {
-      h.lastAnswer = now;
-      h.waitsSince = h.inFlight > 0 ? now : Double.POSITIVE_INFINITY;
-    } else {
-      h.waitsSince = Math.min(h.waitsSince, now);
+  boolean isAvailable(Endpoint endpoint, double allowedMillis, double nowMillis) {
+    if (nowMillis < endpoint.ejection.untilMillis) {
+      return false;
     }
-  }
-
-  /** The extra count that failures charge to a host: an empty failing host must not attract. */
-  double charge(EndpointTable.Host h, double now) {
-    return h.charge < 0.05
-        ? 0
-        : h.charge * Math.exp(-(now - h.chargeAt) / (fleet.settings.pace() * Tuning.CHARGE_FADE));
-  }
-
-  void succeeded(EndpointTable.Host h, double now) {
-    waits(h, now, true);
-    h.failShare -= Tuning.FAILURE_ALPHA * h.failShare;
-    if (h.ejected.trial) {
-      h.failShare = 0;
-      readmit(h);
+    if (endpoint.ejection.onTrial) {
+      return endpoint.inFlight == 0;
     }
+    return !pendingResponses.isSilent(endpoint, allowedMillis, nowMillis);
   }
 
-  void failed(EndpointTable.Host h, double now, boolean answered) {
-    if (answered) {
-      waits(h, now, true);
-    }
-    h.failShare += Tuning.FAILURE_ALPHA * (1 - h.failShare);
-    h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
-    h.chargeAt = now;
-    if (now >= h.ejected.until
-        && (h.ejected.trial || h.failShare >= Tuning.FAILURE_SHARE)
-        && fleet.spares(now)) {
-      eject(h, now);
+  /** The endpoint has served a request. */
+  void onSuccess(Endpoint endpoint) {
+    endpoint.failureShare -= FAILURE_SMOOTHING * endpoint.failureShare;
+    if (endpoint.ejection.onTrial) {
+      endpoint.failureShare = 0;
+      readmit(endpoint);
     }
   }
 
-  /** The host turned work away as full: it is charged for it, but not held to be failing. */
-  void crowded(EndpointTable.Host h, double now) {
-    waits(h, now, true);
-    h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
-    h.chargeAt = now;
-    if (h.ejected.trial) {
-      readmit(h);
+  /** The endpoint has failed a request, or never answered it. */
+  void onFailure(Endpoint endpoint, double nowMillis) {
+    endpoint.failureShare += FAILURE_SMOOTHING * (1 - endpoint.failureShare);
+    penalty.onFailure(endpoint, nowMillis);
+    if (nowMillis >= endpoint.ejection.untilMillis
+        && (endpoint.ejection.onTrial || endpoint.failureShare >= EJECT_FAILURE_SHARE)
+        && mayEjectAnother(nowMillis)) {
+      eject(endpoint, nowMillis);
     }
   }
 
-  /**
-   * The host turned work of a class away, or never answered it, with room to spare. Guards against
-   * hosts that limit or lose one class: without it they lose those that they serve as well, and the
-   * others are pushed over.
-   */
-  void closed(EndpointTable.Host h, Attempts.ClassState type, double now) {
-    EndpointTable.Backoff b =
-        h.closed.computeIfAbsent(type.rules.name(), x -> new EndpointTable.Backoff());
-    if (!b.trial) {
-      actions.log("host " + h.id + " closed to " + type.rules.name());
+  /** The endpoint turned a request away as full: it is penalized, but not held to be failing. */
+  void onOverloaded(Endpoint endpoint, double nowMillis) {
+    penalty.onFailure(endpoint, nowMillis);
+    if (endpoint.ejection.onTrial) {
+      readmit(endpoint);
     }
-    b.begin(now, fleet.settings.pace(), Tuning.CLOSED_MAX, random);
   }
 
   /**
-   * Whether the host may be tried with the class: not while that is closed there, then once in an
-   * aim.
+   * Other proxies found the endpoint silent: it is left out for so long. With 0 they found that it
+   * answers: it is taken back as if it had answered here.
    */
-  boolean takes(EndpointTable.Host h, Attempts.ClassState type, double now) {
-    return !h.closed.containsKey(type.rules.name()) || now >= h.closed.get(type.rules.name()).until;
-  }
-
-  /** A request of the class goes to the host, or, {@code served}, has been answered there. */
-  void tried(EndpointTable.Host h, Attempts.ClassState type, double now, boolean served) {
-    EndpointTable.Backoff b = h.closed.get(type.rules.name());
-    if (b != null && b.trial) {
-      b.trial = !served;
-      b.until = served ? now : now + type.rules.aim();
+  void onGossip(Endpoint endpoint, double ejectionMillis, double nowMillis) {
+    boolean heeded = ejectionMillis > 0 ? mayEjectAnother(nowMillis) : endpoint.ejection.onTrial;
+    if (!heeded) {
+      return;
+    }
+    EjectionBackoff ejection = endpoint.ejection;
+    ejection.untilMillis =
+        ejectionMillis > 0 ? Math.max(ejection.untilMillis, nowMillis + ejectionMillis) : nowMillis;
+    ejection.onTrial = true;
+    if (ejectionMillis == 0) {
+      endpoint.failureShare = 0;
+      penalty.clear(endpoint);
+      readmit(endpoint);
     }
   }
 
-  /**
-   * Leaves the host out for so long on the word of others, or, with 0, takes it back as if it had
-   * answered here.
-   */
-  void hinted(EndpointTable.Host h, double now, double length) {
-    h.ejected.until = length > 0 ? Math.max(h.ejected.until, now + length) : now;
-    h.ejected.trial = true;
-    if (length == 0) {
-      h.failShare = h.charge = 0;
-      readmit(h);
+  // Guards against an overload that is taken for outliers: the few left would get all the load.
+  private boolean mayEjectAnother(double nowMillis) {
+    List<Endpoint> ready = endpoints.ready();
+    int ejected = 0;
+    for (int i = 0; i < ready.size(); i++) {
+      ejected += nowMillis < ready.get(i).ejection.untilMillis ? 1 : 0;
     }
+    return 1 + ejected <= Math.max(1, MOST_EJECTED_SHARE * ready.size());
   }
 
-  private void readmit(EndpointTable.Host h) {
-    h.ejected.trial = false;
-    actions.log("host " + h.id + " readmitted");
+  private void readmit(Endpoint endpoint) {
+    endpoint.ejection.onTrial = false;
+    actions.log("host " + endpoint.id + " readmitted");
   }
 
-  private void eject(EndpointTable.Host h, double now) {
-    if (!h.ejected.trial) {
-      actions.log("host " + h.id + " ejected");
+  private void eject(Endpoint endpoint, double nowMillis) {
+    if (!endpoint.ejection.onTrial) {
+      actions.log("host " + endpoint.id + " ejected");
     }
-    h.ejected.begin(now, fleet.settings.pace(), Tuning.EJECT_MAX, random);
+    endpoint.ejection.begin(nowMillis, settings.shortestAimMillis(), LONGEST_EJECTION_AIMS, random);
   }
 }
