--- a/src/main/java/leadferry/adapter/Adapter.java
+++ b/src/main/java/leadferry/adapter/Adapter.java
@@ -115,13 +115,13 @@
       LoadBalancer b = instance();
       long host = line.number("host");
       if (b != null) {
-        b.onReport(now, host, load());
+        b.onLoadReport(now, host, load());
       }
     } else if (line.named("gone")) {
       LoadBalancer b = instance();
       long id = line.number("txn");
       if (b != null) {
-        b.onClientGone(now, id);
+        b.onClientDisconnect(now, id);
       }
     } else if (line.named("first_byte")) {
       LoadBalancer b = instance();
@@ -164,7 +164,7 @@
       talking.put(
           who,
           new SuspicionProtocol(
-              settings.zone(), settings.balancers(), settings.pace(), seed, wire));
+              settings.zone(), settings.balancers(), settings.shortestAimMillis(), seed, wire));
     }
     b.onStart(now);
   }
@@ -274,7 +274,7 @@
         throw line.malformed("no ledger with this number has come");
       }
     }
-    b.onMembership(now, how, entries);
+    b.onEndpointList(now, how, entries);
     SuspicionProtocol talks = talking.get(line.number("who"));
     if (talks != null) {
       talks.members(how, entries);
@@ -323,10 +323,10 @@
     }
 
     @Override
-    public void refuse(long request, double coolDown) {
+    public void reject(long request, double retryAfterMillis) {
       start("shed").word(" txn=").number(request);
-      if (coolDown > 0) {
-        reply.word(" coolDown=").time(coolDown);
+      if (retryAfterMillis > 0) {
+        reply.word(" coolDown=").time(retryAfterMillis);
       }
       reply.end();
     }
@@ -348,7 +348,7 @@
     }
 
     @Override
-    public void silent(long host, double at, double sentAt) {
+    public void onNoResponse(long host, double at, double sentAt) {
       SuspicionProtocol talks = talking.get(who);
       if (talks != null) {
         talks.silent(at, host, sentAt);
@@ -365,12 +365,12 @@
 
     @Override
     public void leaveOut(long host, double length, boolean again) {
-      after.add(() -> instances.get(who).onHint(now, host, length));
+      after.add(() -> instances.get(who).onGossip(now, host, length));
     }
 
     @Override
     public void takeBack(long host) {
-      after.add(() -> instances.get(who).onHint(now, host, 0));
+      after.add(() -> instances.get(who).onGossip(now, host, 0));
     }
 
     @Override
@@ -379,7 +379,7 @@
     }
 
     @Override
-    public void follow() {
+    public void watchEndpoints() {
       start("follow").word(" active=1").end();
     }
 
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -116,7 +116,7 @@
         new SuspicionProtocol(
             settings.zone(),
             settings.balancers(),
-            settings.pace(),
+            settings.shortestAimMillis(),
             seed,
             new SuspicionProtocol.Actions() {
               @Override
@@ -129,13 +129,13 @@
                 if (!again) {
                   Dispatcher.this.log("host " + host + " silent to several proxies");
                 }
-                deliver(null, () -> balancer.onHint(now(), host, length));
+                deliver(null, () -> balancer.onGossip(now(), host, length));
               }
 
               @Override
               public void takeBack(long host) {
                 Dispatcher.this.log("host " + host + " answers another proxy");
-                deliver(null, () -> balancer.onHint(now(), host, 0));
+                deliver(null, () -> balancer.onGossip(now(), host, 0));
               }
 
               @Override
@@ -235,7 +235,7 @@
   public void membership(leadferry.loadbalancer.EndpointListEvent kind, UpstreamHosts.News news) {
     UpstreamHosts.Change change = hosts.apply(news, now());
     List<EndpointUpdate> entries = change.entries();
-    deliver(null, () -> balancer.onMembership(now(), kind, entries));
+    deliver(null, () -> balancer.onEndpointList(now(), kind, entries));
     if (suspicions != null) {
       change.cut().forEach(h -> suspicions.forget(h.id));
       suspicions.members(kind, entries);
@@ -257,7 +257,7 @@
   public void settings(Settings next) {
     settings = next;
     if (suspicions != null) {
-      suspicions.pace(next.pace());
+      suspicions.pace(next.shortestAimMillis());
     }
     deliver(null, () -> balancer.onSettings(next));
   }
@@ -271,7 +271,8 @@
   public void followFailed() {
     deliver(
         null,
-        () -> balancer.onMembership(now(), leadferry.loadbalancer.EndpointListEvent.FAILED, null));
+        () ->
+            balancer.onEndpointList(now(), leadferry.loadbalancer.EndpointListEvent.FAILED, null));
   }
 
   /**
@@ -330,7 +331,7 @@
   }
 
   void clientGone(Exchange e) {
-    deliver(e, () -> balancer.onClientGone(now(), e.id));
+    deliver(e, () -> balancer.onClientDisconnect(now(), e.id));
   }
 
   private void deliver(Exchange about, Runnable what) {
@@ -351,7 +352,7 @@
 
   private void handle(Event e) {
     try {
-      balancer.onHeard(now() - ReadHorizon.behind() / 1e6);
+      balancer.onReadUntil(now() - ReadHorizon.behind() / 1e6);
       e.what().run();
     } catch (RuntimeException x) {
       // Guards against one event that ends the process: it costs its own request only.
@@ -395,10 +396,10 @@
   }
 
   @Override
-  public void refuse(long request, double coolDown) {
+  public void reject(long request, double retryAfterMillis) {
     Exchange e = exchanges.get(request);
     if (e != null) {
-      e.refuse(coolDown);
+      e.refuse(retryAfterMillis);
     }
   }
 
@@ -430,14 +431,14 @@
   }
 
   @Override
-  public void silent(long host, double now, double sentAt) {
+  public void onNoResponse(long host, double now, double sentAt) {
     if (suspicions != null) {
       suspicions.silent(now, host, sentAt);
     }
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     follow.run();
   }
 
--- a/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
@@ -2,13 +2,21 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
+  /** The endpoint served it. */
   OK(false),
+  /** The endpoint answered with an error of its own. */
   ERROR(false),
+  /** The endpoint turned it away as overloaded, before any effect. */
   FULL(true),
+  /** No response came before the deadline. */
   TIMEOUT(false),
+  /** No connection came about. */
   CONNECT_FAILED(true),
+  /** The connection broke. */
   RESET(false),
+  /** This proxy stopped waiting. */
   CANCELLED(false),
+  /** It was never sent, for no fault of the endpoint. */
   MOOT(true);
 
   private final boolean neverRan;
@@ -17,12 +25,12 @@
     this.neverRan = neverRan;
   }
 
-  /** Whether the host has given an answer of its own making to the request: a sign of life. */
+  /** Whether the endpoint has given an answer of its own making: a sign of life. */
   public boolean answered() {
     return this == OK || this == ERROR;
   }
 
-  /** Whether this result proves that the attempt had no effect. */
+  /** Whether this outcome proves that the attempt had no effect. */
   public boolean neverRan() {
     return neverRan;
   }
--- a/src/main/java/leadferry/loadbalancer/EndpointListEvent.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointListEvent.java
@@ -1,13 +1,13 @@
 package leadferry.loadbalancer;
 
-/** The kind of a membership event. */
+/** What kind of list discovery has sent, if any. */
 public enum EndpointListEvent {
   /** Only the changed entries. */
   DELTA,
-  /** The whole list; hosts not in it are gone. */
+  /** The complete list; endpoints not in it are gone. */
   FULL,
-  /** The whole list as last known, possibly old. */
+  /** The complete list as last known, possibly old. */
   CACHED,
-  /** A call to discovery failed or the subscription broke. */
+  /** A call to discovery failed, or the watch broke. */
   FAILED
 }
--- a/src/main/java/leadferry/loadbalancer/EndpointUpdate.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointUpdate.java
@@ -1,6 +1,17 @@
 package leadferry.loadbalancer;
 
-/** One entry of a host list; {@code onlineSince} 0 means long ago. */
+/**
+ * One entry of an endpoint list.
+ *
+ * @param id the number of the endpoint in its pool
+ * @param zone where it runs; null or empty where that is not told
+ * @param kind its kind of machine, as a prior for its speed
+ * @param cell the group of endpoints that share the memory of deduplicated requests
+ * @param condition whether it may get requests
+ * @param capacityHint its capacity against others, not used in decisions
+ * @param onlineSince when its process came up, by the module's clock in milliseconds; 0 means long
+ *     ago
+ */
 public record EndpointUpdate(
     long id,
     String zone,
@@ -9,7 +20,7 @@
     Condition condition,
     double capacityHint,
     double onlineSince) {
-  /** What discovery says of the host. */
+  /** What discovery says of the endpoint. */
   public enum Condition {
     READY,
     TERMINATING,
--- a/src/main/java/leadferry/loadbalancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -12,20 +12,20 @@
 
   void set(Settings next) {
     now = next;
-    shortestAimMillis = next.pace();
-    idleTimeoutMillis = next.keepIdle(Double.POSITIVE_INFINITY);
+    shortestAimMillis = next.shortestAimMillis();
+    idleTimeoutMillis = next.idleTimeoutMillis(Double.POSITIVE_INFINITY);
   }
 
   Settings now() {
     return now;
   }
 
-  /** {@link Settings#pace()} of those in force. */
+  /** {@link Settings#shortestAimMillis} of those in force. */
   double shortestAimMillis() {
     return shortestAimMillis;
   }
 
-  /** {@link Settings#keepIdle} of those in force. */
+  /** {@link Settings#idleTimeoutMillis} of those in force. */
   double idleTimeoutMillis() {
     return idleTimeoutMillis;
   }
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -93,12 +93,12 @@
   /** Called once after creation, when actions may be taken. */
   public void onStart(double nowMillis) {
     if (settings.now().mustFollow()) {
-      actions.follow();
+      actions.watchEndpoints();
     }
   }
 
   /** Discovery has sent a list of endpoints or changes to it, or has failed. */
-  public void onMembership(
+  public void onEndpointList(
       double nowMillis, EndpointListEvent event, List<EndpointUpdate> updates) {
     endpoints.apply(event, updates, nowMillis, random);
     switch (event) {
@@ -116,7 +116,7 @@
    * All that came by then has been told; what came since may still stand in this process, and no
    * endpoint is blamed for it.
    */
-  public void onHeard(double untilMillis) {
+  public void onReadUntil(double untilMillis) {
     pendingResponses.onReadUntil(untilMillis);
   }
 
@@ -199,7 +199,7 @@
   }
 
   /** The client has disconnected; attempts that are out still get their outcome. */
-  public void onClientGone(double nowMillis, long id) {
+  public void onClientDisconnect(double nowMillis, long id) {
     RequestState request = requests.get(id);
     if (request != null && !request.ended) {
       request.ended = true;
@@ -209,7 +209,7 @@
   }
 
   /** An endpoint has told its load outside of an attempt. */
-  public void onReport(double nowMillis, long endpoint, LoadReport report) {
+  public void onLoadReport(double nowMillis, long endpoint, LoadReport report) {
     loadReports.onReport(endpoints.get(endpoint), report, nowMillis);
   }
 
@@ -217,7 +217,7 @@
    * Gossip among proxies: the endpoint is silent, and should get nothing for so long, or, with 0,
    * it answers. A hint, no more.
    */
-  public void onHint(double nowMillis, long id, double ejectionMillis) {
+  public void onGossip(double nowMillis, long id, double ejectionMillis) {
     Endpoint endpoint = endpoints.get(id);
     if (endpoint != null) {
       outliers.onGossip(endpoint, ejectionMillis, nowMillis);
@@ -228,7 +228,7 @@
   public void onTimer(double nowMillis, long token) {
     if (token == DISCOVERY_TIMER) {
       watchBackoff.onTimer();
-      actions.follow();
+      actions.watchEndpoints();
       return;
     }
     RequestState request = requests.get(token);
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -114,7 +114,7 @@
 
   private void onNoResponse(AttemptState attempt, double nowMillis) {
     outliers.onFailure(attempt.endpoint, nowMillis);
-    actions.silent(attempt.endpoint.id, nowMillis, attempt.sentAtMillis);
+    actions.onNoResponse(attempt.endpoint.id, nowMillis, attempt.sentAtMillis);
   }
 
   private void addPressure(RequestState request, double spentMillis, double nowMillis) {
--- a/src/main/java/leadferry/loadbalancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -52,29 +52,27 @@
         worthByWork);
   }
 
-  /**
-   * How long (in aims) a connection that carries nothing is worth the place that it takes up at a
-   * host.
-   */
-  private static final double KEEP_IDLE = 2;
+  /** A connection that carries nothing is worth its place at an endpoint for so long. */
+  private static final double IDLE_TIMEOUT_AIMS = 2;
 
-  /**
-   * And at the least (ms): where aims are shorter, peaks come and go within it, and each would cost
-   * handshakes.
-   */
-  private static final double KEEP_IDLE_LEAST = 1_000;
+  /** Where aims are short, peaks come and go within them, and each would cost handshakes. */
+  private static final double LEAST_IDLE_TIMEOUT_MILLIS = 1_000;
+
+  /** What the shortest aim is taken for where there is no class. */
+  private static final double DEFAULT_AIM_MILLIS = 400;
 
   /**
-   * How long (ms) a connection to a host is kept that carries nothing: {@code most} where that is
-   * less.
+   * How long (ms) a connection to an endpoint is kept that carries nothing: {@code most} where that
+   * is less.
    */
-  public double keepIdle(double most) {
-    return Math.min(most, Math.max(KEEP_IDLE_LEAST, KEEP_IDLE * pace()));
+  public double idleTimeoutMillis(double most) {
+    return Math.min(
+        most, Math.max(LEAST_IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_AIMS * shortestAimMillis()));
   }
 
-  /** The shortest aim: the pace of the deployment, by which the module's times are measured. */
-  public double pace() {
-    return classes.stream().mapToDouble(RequestClass::aim).min().orElse(400);
+  /** The shortest latency objective (aim) of all classes, by which the module's times go. */
+  public double shortestAimMillis() {
+    return classes.stream().mapToDouble(RequestClass::aim).min().orElse(DEFAULT_AIM_MILLIS);
   }
 
   /** What may be repeated. */
--- a/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
@@ -23,7 +23,7 @@
   void terminate(RequestState request, double nowMillis) {
     if (idempotency.mayReject(request, nowMillis)) {
       boolean advises = settings.now().limits().retryAfter();
-      actions.refuse(request.id, advises ? RETRY_AFTER_AIM_SHARE * request.rules().aim() : 0);
+      actions.reject(request.id, advises ? RETRY_AFTER_AIM_SHARE * request.rules().aim() : 0);
     } else {
       actions.fail(request.id);
     }
--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -164,7 +164,7 @@
 
   /** What holds for connections to hosts. */
   PoolBounds bounds() {
-    return PoolBounds.unbounded(settings.keepIdle(connIdle), connectTimeout);
+    return PoolBounds.unbounded(settings.idleTimeoutMillis(connIdle), connectTimeout);
   }
 
   /** Where operators call, or null where none is told. */
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -59,7 +59,8 @@
      * platform's proxy.
      */
     public static Plan of(int proxies, int hosts, double load, long seed) {
-      return new Plan(proxies, hosts, load, 20, 0.4, settings(proxies, 0).keepIdle(60_000), seed);
+      return new Plan(
+          proxies, hosts, load, 20, 0.4, settings(proxies, 0).idleTimeoutMillis(60_000), seed);
     }
   }
 
@@ -212,7 +213,7 @@
         if (j != null) {
           j.end(AttemptOutcome.TIMEOUT, true, false);
         } else {
-          module.onClientGone(now, id);
+          module.onClientDisconnect(now, id);
           answered(id, false);
         }
       }
@@ -297,7 +298,7 @@
     }
 
     @Override
-    public void refuse(long request, double coolDown) {
+    public void reject(long request, double retryAfterMillis) {
       refused++;
       at(0, () -> answered(request, false));
     }
@@ -321,7 +322,7 @@
     }
 
     @Override
-    public void silent(long host, double at, double sentAt) {
+    public void onNoResponse(long host, double at, double sentAt) {
       if (talk) {
         suspicions.silent(at, host, sentAt);
       }
@@ -340,12 +341,12 @@
 
     @Override
     public void leaveOut(long host, double length, boolean again) {
-      FleetModel.this.at(0, () -> module.onHint(now, host, length));
+      FleetModel.this.at(0, () -> module.onGossip(now, host, length));
     }
 
     @Override
     public void takeBack(long host) {
-      FleetModel.this.at(0, () -> module.onHint(now, host, 0));
+      FleetModel.this.at(0, () -> module.onGossip(now, host, 0));
     }
 
     @Override
@@ -354,7 +355,7 @@
     }
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
@@ -415,7 +416,7 @@
       Proxy p = new Proxy(i);
       proxies.add(p);
       p.module.onStart(now);
-      p.module.onMembership(now, EndpointListEvent.CACHED, entries);
+      p.module.onEndpointList(now, EndpointListEvent.CACHED, entries);
       p.suspicions.members(EndpointListEvent.CACHED, entries);
     }
     arrive();
@@ -506,7 +507,7 @@
           late * random.nextDouble(),
           () -> {
             p.suspicions.members(EndpointListEvent.DELTA, news);
-            p.module.onMembership(now, EndpointListEvent.DELTA, news);
+            p.module.onEndpointList(now, EndpointListEvent.DELTA, news);
           });
     }
   }
--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -38,7 +38,7 @@
   private static LoadBalancer balancer() {
     LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.Nothing());
     b.onStart(1e6);
-    b.onMembership(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
+    b.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
     return b;
   }
 
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -69,7 +69,7 @@
     public void send(long request, long host, double apart) {}
 
     @Override
-    public void refuse(long request, double coolDown) {}
+    public void reject(long request, double retryAfterMillis) {}
 
     @Override
     public void fail(long request) {}
@@ -81,7 +81,7 @@
     public void schedule(double delay, long token) {}
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
@@ -91,7 +91,7 @@
   public void build() {
     balancer = new LoadBalancer(settings(), 1, new Nothing());
     balancer.onStart(now);
-    balancer.onMembership(now, EndpointListEvent.FULL, entries(hosts));
+    balancer.onEndpointList(now, EndpointListEvent.FULL, entries(hosts));
     for (int i = 0; i < OPEN; i++) {
       balancer.onRequest(now, new RequestArrival(id++, "c", null, 800, Double.NaN, false));
     }
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -71,12 +71,12 @@
                 }
 
                 @Override
-                public void refuse(long request, double coolDown) {
+                public void reject(long request, double retryAfterMillis) {
                   refused[0]++;
                 }
               });
       modules[w].onStart(now[0]);
-      modules[w].onMembership(now[0], EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
+      modules[w].onEndpointList(now[0], EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
     }
     double rate = load * HOSTS * CORES / SERVICE;
     double[] times = new double[REQUESTS];
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public void refuse(long request, double coolDown) {
+  public void reject(long request, double retryAfterMillis) {
     refused.add(request);
   }
 
@@ -104,7 +104,7 @@
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     follows++;
   }
 
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -216,7 +216,7 @@
     }
 
     @Override
-    public void refuse(long id, double coolDown) {
+    public void reject(long id, double retryAfterMillis) {
       Req r = reqs.get(id);
       for (Try t : r.tries) {
         if (t.mayHaveRun()
@@ -255,8 +255,8 @@
     }
 
     @Override
-    public void follow() {
-      at(50, () -> balancer.onMembership(now, EndpointListEvent.FAILED, List.of()));
+    public void watchEndpoints() {
+      at(50, () -> balancer.onEndpointList(now, EndpointListEvent.FAILED, List.of()));
     }
 
     @Override
@@ -275,7 +275,7 @@
       EndpointUpdate e = LoadBalancerFixture.host(id, c, since);
       list.put(id, e);
       if (random.nextInt(4) > 0) {
-        balancer.onMembership(now, EndpointListEvent.DELTA, List.of(e));
+        balancer.onEndpointList(now, EndpointListEvent.DELTA, List.of(e));
         return;
       }
       List<EndpointUpdate> all = new ArrayList<>();
@@ -290,7 +290,7 @@
           all.add(h);
         }
       }
-      balancer.onMembership(now, EndpointListEvent.FULL, all);
+      balancer.onEndpointList(now, EndpointListEvent.FULL, all);
     }
 
     void run(int hosts, double length) {
@@ -299,7 +299,7 @@
         list.put(e.id(), e);
       }
       balancer.onStart(now);
-      balancer.onMembership(now, EndpointListEvent.CACHED, new ArrayList<>(list.values()));
+      balancer.onEndpointList(now, EndpointListEvent.CACHED, new ArrayList<>(list.values()));
       double stop = now + length;
       arrive(stop);
       for (double t = 100; t < length; t += 100 + random.nextInt(400)) {
@@ -310,7 +310,7 @@
       for (double t = 50; t < length; t += 1 + random.nextInt(200)) {
         long id = random.nextInt(hosts + 1);
         double out = random.nextInt(3) == 0 ? 0 : random.nextInt(8_000);
-        at(t, () -> balancer.onHint(now, id, out));
+        at(t, () -> balancer.onGossip(now, id, out));
       }
       while (!due.isEmpty()) {
         int first = 0;
@@ -355,7 +355,7 @@
             () -> {
               if (!r.ended) {
                 r.ended = true;
-                balancer.onClientGone(now, id);
+                balancer.onClientDisconnect(now, id);
               }
             });
       }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
@@ -18,7 +18,7 @@
   private LoadBalancer balancer(Settings settings, List<EndpointUpdate> hosts) {
     LoadBalancer b = new LoadBalancer(settings, 7, bench);
     b.onStart(bench.now);
-    b.onMembership(bench.now, EndpointListEvent.CACHED, hosts);
+    b.onEndpointList(bench.now, EndpointListEvent.CACHED, hosts);
     return b;
   }
 
@@ -138,7 +138,7 @@
   @Test
   void sendsNothingToDrainingHost() {
     LoadBalancer b = safe(3);
-    b.onMembership(
+    b.onEndpointList(
         bench.now,
         EndpointListEvent.DELTA,
         List.of(LoadBalancerFixture.host(1, Condition.TERMINATING, 0)));
@@ -154,7 +154,7 @@
     for (int i = 0; i < 1_000; i++) {
       serve(b, i, 4);
     }
-    b.onMembership(
+    b.onEndpointList(
         bench.now,
         EndpointListEvent.DELTA,
         List.of(LoadBalancerFixture.host(3, Condition.READY, bench.now)));
@@ -235,7 +235,7 @@
     assertThat(bench.follows).isEqualTo(1);
     double last = 0;
     for (int i = 0; i < 6; i++) {
-      b.onMembership(bench.now, EndpointListEvent.FAILED, List.of());
+      b.onEndpointList(bench.now, EndpointListEvent.FAILED, List.of());
       Map.Entry<Double, List<Long>> timer = bench.timers.pollFirstEntry();
       last = timer.getKey() - bench.now;
       bench.now = timer.getKey();
@@ -255,7 +255,7 @@
                   LoadBalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
               3,
               each);
-      b.onMembership(each.now, EndpointListEvent.FULL, LoadBalancerFixture.hosts(9));
+      b.onEndpointList(each.now, EndpointListEvent.FULL, LoadBalancerFixture.hosts(9));
       for (int i = 0; i < 100; i++) {
         b.onRequest(each.now, LoadBalancerFixture.request(i, SAFE, 800));
       }
@@ -279,7 +279,7 @@
     int refused = bench.refused.size();
     bench.now += 15_000; // pressure fades
     for (long h = 0; h < 3; h++) {
-      b.onReport(bench.now, h, held(25));
+      b.onLoadReport(bench.now, h, held(25));
     }
     b.onRequest(bench.now, LoadBalancerFixture.request(900, SAFE, 800));
     assertThat(bench.refused).hasSize(refused);
@@ -323,7 +323,7 @@
     for (int i = 0; i < 4_000; i++) {
       bench.now += 1;
       if (i == 2_000) {
-        b.onMembership(
+        b.onEndpointList(
             bench.now,
             EndpointListEvent.DELTA,
             List.of(LoadBalancerFixture.host(3, EndpointUpdate.Condition.READY, bench.now)));
@@ -555,7 +555,7 @@
     assertThat(bench.logs).containsExactly("host 0 ejected");
     for (EndpointUpdate.Condition c :
         List.of(EndpointUpdate.Condition.GONE, EndpointUpdate.Condition.READY)) {
-      b.onMembership(
+      b.onEndpointList(
           bench.now, EndpointListEvent.DELTA, List.of(LoadBalancerFixture.host(0, c, 0)));
     }
     int before = bench.sends.size();
@@ -610,12 +610,12 @@
     bench.sends.clear();
     for (int n = 0; n < 400; n++) {
       int i = told ? n : 1_000 + n; // an id is one request's
-      b.onHeard(bench.now);
+      b.onReadUntil(bench.now);
       b.onRequest(bench.now, LoadBalancerFixture.request(i, SAFE, 800));
       LoadBalancerFixture.Send s = bench.last();
       double unread = s.host() == 0 ? 40 : 0;
       bench.now += 10 + unread;
-      b.onHeard(bench.now - (told ? unread : 0));
+      b.onReadUntil(bench.now - (told ? unread : 0));
       b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, 10 + unread, true, null);
     }
     return (int) bench.sends.stream().filter(s -> s.host() == 0).count();
@@ -635,7 +635,7 @@
     }
     b.onRequest(bench.now, LoadBalancerFixture.request(1_000, SAFE, 800));
     long busy = bench.last().host();
-    b.onHeard(bench.now + 1);
+    b.onReadUntil(bench.now + 1);
     bench.now += 150;
     Map<Long, Integer> counts = new HashMap<>();
     for (int i = 2_000; i < 2_020; i++) {
@@ -643,7 +643,7 @@
       counts.merge(bench.last().host(), 1, Integer::sum);
     }
     assertThat(counts.get(busy)).isGreaterThan(5); // its answer may stand here
-    b.onHeard(bench.now); // and now it is known that none has come
+    b.onReadUntil(bench.now); // and now it is known that none has come
     b.onRequest(bench.now, LoadBalancerFixture.request(3_000, SAFE, 800));
     assertThat(bench.last().host()).isNotEqualTo(busy);
   }
