--- a/src/main/java/leadferry/adapter/Adapter.java
+++ b/src/main/java/leadferry/adapter/Adapter.java
@@ -136,7 +136,7 @@
     } else if (line.named("heard")) {
       SuspicionProtocol s = talking.get(line.number("who"));
       if (s != null) {
-        s.heard(now, (int) line.number("from"), raw());
+        s.onMessage(now, (int) line.number("from"), raw());
       }
     } else if (line.named("new_instance")) {
       start(line.number("who"), SettingsReader.parse(line.string("conf")), line.number("prng"));
@@ -182,7 +182,7 @@
     boolean over = line.flag("terminal");
     SuspicionProtocol talks = talking.get(line.number("who"));
     if (talks != null && result != null && result.answered()) {
-      talks.answered(now, line.number("host"));
+      talks.onResponse(now, line.number("host"));
     }
     if (b != null) {
       // A reason that is not known proves nothing: as an error, it may have run.
@@ -215,7 +215,7 @@
     SuspicionProtocol talks = talking.get(line.number("who"));
     if (token == TALK_TIMER) {
       if (talks != null) {
-        talks.due(now);
+        talks.onTimer(now);
       }
     } else if (b != null) {
       b.onTimer(now, token);
@@ -277,7 +277,7 @@
     b.onEndpointList(now, how, entries);
     SuspicionProtocol talks = talking.get(line.number("who"));
     if (talks != null) {
-      talks.members(how, entries);
+      talks.onEndpointList(how, entries);
     }
   }
 
@@ -316,7 +316,7 @@
     public void send(long request, long host, double apart) {
       SuspicionProtocol talks = talking.get(who);
       if (talks != null) {
-        talks.attempted();
+        talks.onAttempt();
       }
       start("transmit").word(" txn=").number(request).word(" host=").number(host);
       reply.end();
@@ -351,12 +351,12 @@
     public void onNoResponse(long host, double at, double sentAt) {
       SuspicionProtocol talks = talking.get(who);
       if (talks != null) {
-        talks.silent(at, host, sentAt);
+        talks.onNoResponse(at, host, sentAt);
       }
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
       start("memo_to")
           .word(" recipient=all raw=")
           .word(Base64.getEncoder().encodeToString(message))
@@ -364,18 +364,18 @@
     }
 
     @Override
-    public void leaveOut(long host, double length, boolean again) {
-      after.add(() -> instances.get(who).onGossip(now, host, length));
+    public void eject(long host, double lengthMillis, boolean again) {
+      after.add(() -> instances.get(who).onGossip(now, host, lengthMillis));
     }
 
     @Override
-    public void takeBack(long host) {
+    public void readmit(long host) {
       after.add(() -> instances.get(who).onGossip(now, host, 0));
     }
 
     @Override
-    public void later(double delay) {
-      schedule(delay, TALK_TIMER);
+    public void scheduleTimer(double delayMillis) {
+      schedule(delayMillis, TALK_TIMER);
     }
 
     @Override
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -120,35 +120,37 @@
             seed,
             new SuspicionProtocol.Actions() {
               @Override
-              public void tell(byte[] message) {
+              public void broadcast(byte[] message) {
                 tell.accept(message);
               }
 
               @Override
-              public void leaveOut(long host, double length, boolean again) {
+              public void eject(long host, double lengthMillis, boolean again) {
                 if (!again) {
                   Dispatcher.this.log("host " + host + " silent to several proxies");
                 }
-                deliver(null, () -> balancer.onGossip(now(), host, length));
+                deliver(null, () -> balancer.onGossip(now(), host, lengthMillis));
               }
 
               @Override
-              public void takeBack(long host) {
+              public void readmit(long host) {
                 Dispatcher.this.log("host " + host + " answers another proxy");
                 deliver(null, () -> balancer.onGossip(now(), host, 0));
               }
 
               @Override
-              public void later(double delay) {
+              public void scheduleTimer(double delayMillis) {
                 loop.schedule(
-                    () -> suspicions.due(now()), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
+                    () -> suspicions.onTimer(now()),
+                    (long) (delayMillis * 1e6),
+                    TimeUnit.NANOSECONDS);
               }
             });
   }
 
   /** A message of the proxy of that number, for a pool that has joined. */
   public void heard(byte[] message, int from) {
-    suspicions.heard(now(), from, message);
+    suspicions.onMessage(now(), from, message);
   }
 
   /** Hosts on which attempts of this pool are in flight, or wait to be. */
@@ -238,7 +240,7 @@
     deliver(null, () -> balancer.onEndpointList(now(), kind, entries));
     if (suspicions != null) {
       change.cut().forEach(h -> suspicions.forget(h.id));
-      suspicions.members(kind, entries);
+      suspicions.onEndpointList(kind, entries);
     }
     // Guards against a send to a host that drains or has moved while its connection comes up. All
     // are taken back before the
@@ -257,7 +259,7 @@
   public void settings(Settings next) {
     settings = next;
     if (suspicions != null) {
-      suspicions.pace(next.shortestAimMillis());
+      suspicions.onSettings(next.shortestAimMillis());
     }
     deliver(null, () -> balancer.onSettings(next));
   }
@@ -299,7 +301,7 @@
       Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
     int number = a.number();
     if (suspicions != null && result.answered()) {
-      suspicions.answered(now(), a.host.id);
+      suspicions.onResponse(now(), a.host.id);
     }
     if (tally != null && result != AttemptOutcome.CANCELLED && result != AttemptOutcome.MOOT) {
       tally.attempt(
@@ -387,7 +389,7 @@
     UpstreamHost h = hosts.get(host);
     if (e != null && h != null) {
       if (suspicions != null) {
-        suspicions.attempted();
+        suspicions.onAttempt();
       }
       e.send(h, apart);
     } else {
@@ -433,7 +435,7 @@
   @Override
   public void onNoResponse(long host, double now, double sentAt) {
     if (suspicions != null) {
-      suspicions.silent(now, host, sentAt);
+      suspicions.onNoResponse(now, host, sentAt);
     }
   }
 
--- a/src/main/java/leadferry/gossip/Suspicion.java
+++ b/src/main/java/leadferry/gossip/Suspicion.java
@@ -3,26 +3,26 @@
 import java.nio.ByteBuffer;
 
 /**
- * One message between proxies: a host has said nothing to the sender for so long, or has answered
- * so long ago. Fixed size, as a receiver pays for each byte.
+ * One message between proxies: an endpoint has said nothing to the sender for so long, or has
+ * answered so long ago. Fixed size, as a receiver pays for each byte.
  *
  * <pre>
- *   0      1      2              10         12
- *   | 0xA7 | zone | host, 8 bytes | age, ms |      the top bit of the age: the host answers
+ *   0      1      2                  10        12
+ *   | 0xA7 | zone | endpoint, 8 bytes | age, ms |      the top bit of the age: the endpoint answers
  * </pre>
  *
  * @param zone a byte that the senders of one zone share; 0 where there are no zones
- * @param host the number by which all proxies of the tier know the host
- * @param age how long ago (ms, at most {@link #MOST_AGE}) the unanswered request went out, or the
- *     answer came
- * @param answers whether the host answers
+ * @param endpoint the number by which all proxies of the tier know the endpoint
+ * @param ageMillis how long ago (at most {@link #MOST_AGE_MILLIS}) the unanswered request went out,
+ *     or the response came
+ * @param answers whether the endpoint answers
  */
-public record Suspicion(byte zone, long host, int age, boolean answers) {
+public record Suspicion(byte zone, long endpoint, int ageMillis, boolean answers) {
   /** Bytes of a message. */
   public static final int BYTES = 12;
 
   /** The longest age (ms) that a message can tell; older ones are told as this. */
-  public static final int MOST_AGE = 0x7fff;
+  public static final int MOST_AGE_MILLIS = 0x7fff;
 
   private static final byte FORM = (byte) 0xA7;
   private static final int ANSWERS = 0x8000;
@@ -34,11 +34,11 @@
 
   /** The message as it travels. */
   public byte[] bytes() {
-    int told = Math.max(0, Math.min(MOST_AGE, age)) | (answers ? ANSWERS : 0);
+    int told = Math.max(0, Math.min(MOST_AGE_MILLIS, ageMillis)) | (answers ? ANSWERS : 0);
     return ByteBuffer.allocate(BYTES)
         .put(FORM)
         .put(zone)
-        .putLong(host)
+        .putLong(endpoint)
         .putShort((short) told)
         .array();
   }
@@ -48,10 +48,10 @@
     if (bytes.length != BYTES || bytes[0] != FORM) {
       return null;
     }
-    ByteBuffer b = ByteBuffer.wrap(bytes, 1, BYTES - 1);
-    byte zone = b.get();
-    long host = b.getLong();
-    int told = b.getShort() & 0xffff;
-    return new Suspicion(zone, host, told & MOST_AGE, (told & ANSWERS) != 0);
+    ByteBuffer buffer = ByteBuffer.wrap(bytes, 1, BYTES - 1);
+    byte zone = buffer.get();
+    long endpoint = buffer.getLong();
+    int told = buffer.getShort() & 0xffff;
+    return new Suspicion(zone, endpoint, told & MOST_AGE_MILLIS, (told & ANSWERS) != 0);
   }
 }
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -234,7 +234,7 @@
     void outcome(Job j, AttemptOutcome result, boolean over, LoadReport load) {
       open.remove(j.request, j);
       if (talk && result.answered()) {
-        suspicions.answered(now, j.host.id);
+        suspicions.onResponse(now, j.host.id);
       }
       module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
       if (over) {
@@ -271,7 +271,7 @@
               asks.get(request).type);
       open.put(request, j);
       sends++;
-      suspicions.attempted();
+      suspicions.onAttempt();
       hung += host.hangs ? 1 : 0;
       host.sends++;
       host.sent.add(now);
@@ -324,34 +324,34 @@
     @Override
     public void onNoResponse(long host, double at, double sentAt) {
       if (talk) {
-        suspicions.silent(at, host, sentAt);
+        suspicions.onNoResponse(at, host, sentAt);
       }
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
       told += message.length * (long) (proxies.size() - 1);
       for (Proxy p : proxies) {
         if (p != this && random.nextDouble() > 0.02) {
           FleetModel.this.at(
-              3 + 25 * random.nextDouble(), () -> p.suspicions.heard(now, position, message));
+              3 + 25 * random.nextDouble(), () -> p.suspicions.onMessage(now, position, message));
         }
       }
     }
 
     @Override
-    public void leaveOut(long host, double length, boolean again) {
-      FleetModel.this.at(0, () -> module.onGossip(now, host, length));
+    public void eject(long host, double lengthMillis, boolean again) {
+      FleetModel.this.at(0, () -> module.onGossip(now, host, lengthMillis));
     }
 
     @Override
-    public void takeBack(long host) {
+    public void readmit(long host) {
       FleetModel.this.at(0, () -> module.onGossip(now, host, 0));
     }
 
     @Override
-    public void later(double delay) {
-      FleetModel.this.at(delay, () -> suspicions.due(now));
+    public void scheduleTimer(double delayMillis) {
+      FleetModel.this.at(delayMillis, () -> suspicions.onTimer(now));
     }
 
     @Override
@@ -417,7 +417,7 @@
       proxies.add(p);
       p.module.onStart(now);
       p.module.onEndpointList(now, EndpointListEvent.CACHED, entries);
-      p.suspicions.members(EndpointListEvent.CACHED, entries);
+      p.suspicions.onEndpointList(EndpointListEvent.CACHED, entries);
     }
     arrive();
   }
@@ -506,7 +506,7 @@
       at(
           late * random.nextDouble(),
           () -> {
-            p.suspicions.members(EndpointListEvent.DELTA, news);
+            p.suspicions.onEndpointList(EndpointListEvent.DELTA, news);
             p.module.onEndpointList(now, EndpointListEvent.DELTA, news);
           });
     }
@@ -514,7 +514,7 @@
 
   /** The share of the proxies that leave the host out on the word of several. */
   public double leftOutBy(Host h) {
-    return proxies.stream().filter(p -> p.suspicions.leavesOut(h.id)).count()
+    return proxies.stream().filter(p -> p.suspicions.isEjected(h.id)).count()
         / (double) proxies.size();
   }
 
--- a/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
+++ b/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
@@ -12,277 +12,286 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a proxy says of silent hosts, and on whose word it leaves one out or takes it back. */
+/** What a proxy says of silent endpoints, and on whose word it ejects or readmits one. */
 class SuspicionProtocolTest {
-  private static final long HOST = 77;
-  private static final double AIM = 500;
+  private static final long ENDPOINT = 77;
+  private static final double AIM_MILLIS = 500;
 
-  private static final class Ear implements SuspicionProtocol.Actions {
+  private static final class RecordedActions implements SuspicionProtocol.Actions {
     final List<Suspicion> told = new ArrayList<>();
-    final List<String> did = new ArrayList<>();
-    final List<Double> waits = new ArrayList<>();
+    final List<String> commands = new ArrayList<>();
+    final List<Double> delaysMillis = new ArrayList<>();
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
       told.add(Suspicion.read(message));
     }
 
     @Override
-    public void leaveOut(long host, double length, boolean again) {
-      did.add((again ? "out again " : "out ") + host);
-      assertThat(length).isBetween(AIM, 21 * AIM);
+    public void eject(long endpoint, double lengthMillis, boolean again) {
+      commands.add((again ? "eject again " : "eject ") + endpoint);
+      assertThat(lengthMillis).isBetween(AIM_MILLIS, 21 * AIM_MILLIS);
     }
 
     @Override
-    public void takeBack(long host) {
-      did.add("back " + host);
+    public void readmit(long endpoint) {
+      commands.add("readmit " + endpoint);
     }
 
     @Override
-    public void later(double delay) {
-      waits.add(delay);
+    public void scheduleTimer(double delayMillis) {
+      delaysMillis.add(delayMillis);
     }
   }
 
-  private final Ear ear = new Ear();
-  private final SuspicionProtocol one = new SuspicionProtocol("a", 100, AIM, 5, ear);
+  private final RecordedActions actions = new RecordedActions();
+  private final SuspicionProtocol protocol =
+      new SuspicionProtocol("a", 100, AIM_MILLIS, 5, actions);
 
   SuspicionProtocolTest() {
-    one.members(EndpointListEvent.FULL, List.of(host(0, EndpointUpdate.Condition.READY)));
+    protocol.onEndpointList(
+        EndpointListEvent.FULL, List.of(endpoint(0, EndpointUpdate.Condition.READY)));
   }
 
-  private static EndpointUpdate host(double since, EndpointUpdate.Condition condition) {
-    return new EndpointUpdate(HOST, "a", "k", 1, condition, 1, since);
+  private static EndpointUpdate endpoint(
+      double onlineSinceMillis, EndpointUpdate.Condition condition) {
+    return new EndpointUpdate(ENDPOINT, "a", "k", 1, condition, 1, onlineSinceMillis);
   }
 
-  private static byte[] silence(String zone, int age) {
-    return new Suspicion(Suspicion.zoneByte(zone), HOST, age, false).bytes();
+  private static byte[] silence(String zone, int ageMillis) {
+    return new Suspicion(Suspicion.zoneByte(zone), ENDPOINT, ageMillis, false).bytes();
   }
 
-  private static byte[] answer(String zone, int age) {
-    return new Suspicion(Suspicion.zoneByte(zone), HOST, age, true).bytes();
+  private static byte[] answer(String zone, int ageMillis) {
+    return new Suspicion(Suspicion.zoneByte(zone), ENDPOINT, ageMillis, true).bytes();
   }
 
   /** The time in which two witnesses could be refuted goes by. */
-  private void decide(double from) {
-    one.due(from + 0.4 * AIM);
+  private void decide(double fromMillis) {
+    protocol.onTimer(fromMillis + 0.4 * AIM_MILLIS);
   }
 
   @Test
   void aMessageKeepsWhatItSays() {
     for (boolean answers : new boolean[] {true, false}) {
-      Suspicion s = new Suspicion((byte) -3, Long.MAX_VALUE - 5, 1_234, answers);
-      assertThat(Suspicion.read(s.bytes())).isEqualTo(s);
-      assertThat(s.bytes()).hasSize(Suspicion.BYTES);
+      Suspicion suspicion = new Suspicion((byte) -3, Long.MAX_VALUE - 5, 1_234, answers);
+      assertThat(Suspicion.read(suspicion.bytes())).isEqualTo(suspicion);
+      assertThat(suspicion.bytes()).hasSize(Suspicion.BYTES);
     }
-    assertThat(Suspicion.read(new Suspicion((byte) 1, 2, 99_999, false).bytes()).age())
-        .isEqualTo(Suspicion.MOST_AGE);
+    assertThat(Suspicion.read(new Suspicion((byte) 1, 2, 99_999, false).bytes()).ageMillis())
+        .isEqualTo(Suspicion.MOST_AGE_MILLIS);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 11, 13, 256})
   void whatIsNoMessageIsPassedOver(int length) {
-    one.heard(1_000, 3, new byte[length]);
-    one.heard(1_000, 4, new byte[length]);
-    assertThat(ear.did).isEmpty();
+    protocol.onMessage(1_000, 3, new byte[length]);
+    protocol.onMessage(1_000, 4, new byte[length]);
+    assertThat(actions.commands).isEmpty();
   }
 
   @Test
   void anOwnSilenceIsToldAndOneMoreWitnessIsEnough() {
-    one.silent(1_000, HOST, 500);
-    assertThat(ear.told).containsExactly(new Suspicion(Suspicion.zoneByte("a"), HOST, 500, false));
-    assertThat(ear.did).isEmpty();
-    one.heard(1_020, 3, silence("a", 450));
-    assertThat(ear.did).isEmpty();
+    protocol.onNoResponse(1_000, ENDPOINT, 500);
+    assertThat(actions.told)
+        .containsExactly(new Suspicion(Suspicion.zoneByte("a"), ENDPOINT, 500, false));
+    assertThat(actions.commands).isEmpty();
+    protocol.onMessage(1_020, 3, silence("a", 450));
+    assertThat(actions.commands).isEmpty();
     decide(1_020);
-    assertThat(ear.did).containsExactly("out 77");
+    assertThat(actions.commands).containsExactly("eject 77");
   }
 
   @Test
   void oneWitnessIsNotEnoughHoweverOftenItSaysSo() {
     for (int i = 0; i < 5; i++) {
-      one.heard(1_000 + i, 3, silence("a", 450));
+      protocol.onMessage(1_000 + i, 3, silence("a", 450));
     }
     decide(1_005);
-    assertThat(ear.did).isEmpty();
+    assertThat(actions.commands).isEmpty();
   }
 
   @Test
   void twoLossesOfItsOwnAreOneWitness() {
-    one.silent(1_000, HOST, 500);
-    one.silent(1_100, HOST, 600);
+    protocol.onNoResponse(1_000, ENDPOINT, 500);
+    protocol.onNoResponse(1_100, ENDPOINT, 600);
     decide(1_100);
-    assertThat(ear.did).isEmpty();
+    assertThat(actions.commands).isEmpty();
   }
 
   @Test
   void anAnswerSinceThenRefutesItAfterAMoment() {
-    one.answered(1_000, HOST);
-    one.heard(1_100, 3, silence("a", 450));
-    one.heard(1_110, 4, silence("a", 450));
-    assertThat(ear.did).isEmpty();
-    assertThat(ear.waits).hasSize(1);
-    assertThat(ear.waits.get(0)).isBetween(0.0, AIM / 4);
-    one.due(1_100 + ear.waits.get(0));
-    assertThat(ear.told).hasSize(1);
-    assertThat(ear.told.get(0).answers()).isTrue();
+    protocol.onResponse(1_000, ENDPOINT);
+    protocol.onMessage(1_100, 3, silence("a", 450));
+    protocol.onMessage(1_110, 4, silence("a", 450));
+    assertThat(actions.commands).isEmpty();
+    assertThat(actions.delaysMillis).hasSize(1);
+    assertThat(actions.delaysMillis.get(0)).isBetween(0.0, AIM_MILLIS / 4);
+    protocol.onTimer(1_100 + actions.delaysMillis.get(0));
+    assertThat(actions.told).hasSize(1);
+    assertThat(actions.told.get(0).answers()).isTrue();
   }
 
   @Test
   void whoeverHearsAnotherRefuteItStaysStill() {
-    one.answered(1_000, HOST);
-    one.heard(1_100, 3, silence("a", 450));
-    one.heard(1_105, 4, answer("a", 20));
-    one.due(1_500);
-    assertThat(ear.told).isEmpty();
+    protocol.onResponse(1_000, ENDPOINT);
+    protocol.onMessage(1_100, 3, silence("a", 450));
+    protocol.onMessage(1_105, 4, answer("a", 20));
+    protocol.onTimer(1_500);
+    assertThat(actions.told).isEmpty();
   }
 
   @Test
   void anAnswerBeforeTheSilenceBeganRefutesNothing() {
-    one.answered(1_000, HOST);
-    one.heard(1_600, 3, silence("a", 500));
-    one.heard(1_610, 4, silence("a", 500));
+    protocol.onResponse(1_000, ENDPOINT);
+    protocol.onMessage(1_600, 3, silence("a", 500));
+    protocol.onMessage(1_610, 4, silence("a", 500));
     decide(1_610);
-    assertThat(ear.did).containsExactly("out 77");
+    assertThat(actions.commands).containsExactly("eject 77");
   }
 
   @Test
   void aRefutationForgetsTheWitnesses() {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 5, answer("a", 5));
-    one.heard(1_020, 4, silence("a", 450));
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 5, answer("a", 5));
+    protocol.onMessage(1_020, 4, silence("a", 450));
     decide(1_020);
-    assertThat(ear.did).isEmpty();
+    assertThat(actions.commands).isEmpty();
   }
 
   /**
-   * What an overload looks like: two lost a request each, and the host serves others all the while.
+   * What an overload looks like: two lost a request each, and the endpoint serves others all the
+   * while.
    */
   @Test
   void twoWitnessesThatAreRefutedAMomentLaterMoveNothing() {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 4, silence("a", 450));
-    one.heard(1_100, 5, answer("a", 5));
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 4, silence("a", 450));
+    protocol.onMessage(1_100, 5, answer("a", 5));
     decide(1_010);
-    assertThat(ear.did).isEmpty();
+    assertThat(actions.commands).isEmpty();
   }
 
   @Test
   void aZoneHearsItselfOnly() {
-    one.heard(1_000, 3, silence("b", 450));
-    one.heard(1_010, 4, silence(null, 450));
+    protocol.onMessage(1_000, 3, silence("b", 450));
+    protocol.onMessage(1_010, 4, silence(null, 450));
     decide(1_010);
-    assertThat(ear.did).isEmpty();
-    one.heard(1_020, 5, silence("a", 450));
-    one.heard(1_030, 6, silence("a", 450));
+    assertThat(actions.commands).isEmpty();
+    protocol.onMessage(1_020, 5, silence("a", 450));
+    protocol.onMessage(1_030, 6, silence("a", 450));
     decide(1_030);
-    one.heard(1_200, 7, answer("b", 0)); // what the cut-off zone itself hears
-    assertThat(ear.did).containsExactly("out 77");
+    protocol.onMessage(1_200, 7, answer("b", 0)); // what the cut-off zone itself hears
+    assertThat(actions.commands).containsExactly("eject 77");
   }
 
   @Test
   void witnessesOfLongAgoAreForgotten() {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_000 + 5 * AIM, 4, silence("a", 450));
-    decide(1_000 + 5 * AIM);
-    assertThat(ear.did).isEmpty();
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_000 + 5 * AIM_MILLIS, 4, silence("a", 450));
+    decide(1_000 + 5 * AIM_MILLIS);
+    assertThat(actions.commands).isEmpty();
   }
 
   @Test
   void aTrialThatIsLostIsToldAndTheOthersWaitOn() {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 4, silence("a", 450));
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 4, silence("a", 450));
     decide(1_010);
-    one.silent(1_300, HOST, 900); // was on its way before: news to nobody
-    assertThat(ear.told).isEmpty();
-    one.silent(2_300, HOST, 1_800);
-    assertThat(ear.told).hasSize(1);
-    one.heard(3_000, 9, silence("a", 500));
-    assertThat(ear.did).containsExactly("out 77", "out again 77", "out again 77");
+    protocol.onNoResponse(1_300, ENDPOINT, 900); // was on its way before: news to nobody
+    assertThat(actions.told).isEmpty();
+    protocol.onNoResponse(2_300, ENDPOINT, 1_800);
+    assertThat(actions.told).hasSize(1);
+    protocol.onMessage(3_000, 9, silence("a", 500));
+    assertThat(actions.commands).containsExactly("eject 77", "eject again 77", "eject again 77");
   }
 
   @Test
   void theFirstTrialThatIsAnsweredBringsItBackEverywhere() {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 4, silence("a", 450));
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 4, silence("a", 450));
     decide(1_010);
-    one.heard(1_220, 5, answer("a", 400)); // from before: it was silent since
-    assertThat(one.leavesOut(HOST)).isTrue();
-    one.heard(4_000, 5, answer("a", 0));
-    assertThat(ear.did).containsExactly("out 77", "back 77");
-    assertThat(one.leavesOut(HOST)).isFalse();
-
-    one.heard(5_000, 3, silence("a", 450));
-    one.heard(5_010, 4, silence("a", 450));
+    protocol.onMessage(1_220, 5, answer("a", 400)); // from before: it was silent since
+    assertThat(protocol.isEjected(ENDPOINT)).isTrue();
+    protocol.onMessage(4_000, 5, answer("a", 0));
+    assertThat(actions.commands).containsExactly("eject 77", "readmit 77");
+    assertThat(protocol.isEjected(ENDPOINT)).isFalse();
+
+    protocol.onMessage(5_000, 3, silence("a", 450));
+    protocol.onMessage(5_010, 4, silence("a", 450));
     decide(5_010);
-    one.answered(7_000, HOST);
-    assertThat(ear.told).containsExactly(new Suspicion(Suspicion.zoneByte("a"), HOST, 0, true));
+    protocol.onResponse(7_000, ENDPOINT);
+    assertThat(actions.told)
+        .containsExactly(new Suspicion(Suspicion.zoneByte("a"), ENDPOINT, 0, true));
   }
 
   @Test
-  void aHostThatIsNotInTheListIsNoSubject() {
-    one.forget(HOST);
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 4, silence("a", 450));
-    one.silent(1_020, HOST, 500);
+  void anEndpointThatIsNotInTheListIsNoSubject() {
+    protocol.forget(ENDPOINT);
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 4, silence("a", 450));
+    protocol.onNoResponse(1_020, ENDPOINT, 500);
     decide(1_020);
-    assertThat(ear.did).isEmpty();
-    assertThat(ear.told).isEmpty();
+    assertThat(actions.commands).isEmpty();
+    assertThat(actions.told).isEmpty();
   }
 
   @ParameterizedTest
   @EnumSource(Change.class)
-  void whatIsKnownOfAHostEndsWithItsProcess(Change change) {
-    one.heard(1_000, 3, silence("a", 450));
-    one.heard(1_010, 4, silence("a", 450));
+  void whatIsKnownOfAnEndpointEndsWithItsProcess(Change change) {
+    protocol.onMessage(1_000, 3, silence("a", 450));
+    protocol.onMessage(1_010, 4, silence("a", 450));
     decide(1_010);
-    one.members(EndpointListEvent.FAILED, List.of());
-    one.members(EndpointListEvent.DELTA, List.of());
-    one.members(EndpointListEvent.DELTA, List.of(host(0, EndpointUpdate.Condition.READY)));
-    assertThat(one.leavesOut(HOST)).isTrue();
-    change.to.accept(one);
-    assertThat(one.leavesOut(HOST)).isFalse();
+    protocol.onEndpointList(EndpointListEvent.FAILED, List.of());
+    protocol.onEndpointList(EndpointListEvent.DELTA, List.of());
+    protocol.onEndpointList(
+        EndpointListEvent.DELTA, List.of(endpoint(0, EndpointUpdate.Condition.READY)));
+    assertThat(protocol.isEjected(ENDPOINT)).isTrue();
+    change.change.accept(protocol);
+    assertThat(protocol.isEjected(ENDPOINT)).isFalse();
   }
 
   private enum Change {
     DRAINS(
-        s ->
-            s.members(
-                EndpointListEvent.DELTA, List.of(host(0, EndpointUpdate.Condition.TERMINATING)))),
+        protocol ->
+            protocol.onEndpointList(
+                EndpointListEvent.DELTA,
+                List.of(endpoint(0, EndpointUpdate.Condition.TERMINATING)))),
     STARTS_ANEW(
-        s ->
-            s.members(EndpointListEvent.DELTA, List.of(host(900, EndpointUpdate.Condition.READY)))),
-    IS_NOT_IN_A_WHOLE_LIST(s -> s.members(EndpointListEvent.FULL, List.of())),
-    IS_ELSEWHERE(s -> s.forget(HOST));
+        protocol ->
+            protocol.onEndpointList(
+                EndpointListEvent.DELTA, List.of(endpoint(900, EndpointUpdate.Condition.READY)))),
+    IS_NOT_IN_A_WHOLE_LIST(protocol -> protocol.onEndpointList(EndpointListEvent.FULL, List.of())),
+    IS_ELSEWHERE(protocol -> protocol.forget(ENDPOINT));
 
-    private final Consumer<SuspicionProtocol> to;
+    private final Consumer<SuspicionProtocol> change;
 
-    Change(Consumer<SuspicionProtocol> to) {
-      this.to = to;
+    Change(Consumer<SuspicionProtocol> change) {
+      this.change = change;
     }
   }
 
   @Test
   void itSaysNoMoreThanItsAttemptsEarn() {
     for (int i = 0; i < 200; i++) {
-      one.silent(10_000 + i * AIM, HOST, 10_000 + i * AIM - 400);
+      protocol.onNoResponse(10_000 + i * AIM_MILLIS, ENDPOINT, 10_000 + i * AIM_MILLIS - 400);
     }
-    assertThat(ear.told.size()).isLessThanOrEqualTo(20);
-    one.attempted();
-    one.silent(1e6, HOST, 1e6 - 400);
-    assertThat(ear.told.size()).isLessThanOrEqualTo(21);
+    assertThat(actions.told.size()).isLessThanOrEqualTo(20);
+    protocol.onAttempt();
+    protocol.onNoResponse(1e6, ENDPOINT, 1e6 - 400);
+    assertThat(actions.told.size()).isLessThanOrEqualTo(21);
   }
 
   @Test
   void whoIsRefutedEachTimeSaysLess() {
     int told = 0;
     for (int i = 0; i < 200; i++) {
-      double now = 10_000 + i * 10 * AIM;
-      one.attempted();
-      one.silent(now, HOST, now - 400);
-      one.heard(now + 50, 3, answer("a", 10));
+      double nowMillis = 10_000 + i * 10 * AIM_MILLIS;
+      protocol.onAttempt();
+      protocol.onNoResponse(nowMillis, ENDPOINT, nowMillis - 400);
+      protocol.onMessage(nowMillis + 50, 3, answer("a", 10));
     }
-    told = ear.told.size();
+    told = actions.told.size();
     assertThat(told).isBetween(20, 100);
   }
 }
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -106,12 +106,12 @@
       run(w, silent, log);
       Suspicion said = loseOne(w, silent);
       assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
-      say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
+      say(peer, new Suspicion(said.zone(), said.endpoint(), 100, false).bytes());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
                   .contains("h" + silent.port() + " silent to several proxies"));
-      say(peer, new Suspicion(said.zone(), said.host(), 0, true).bytes());
+      say(peer, new Suspicion(said.zone(), said.endpoint(), 0, true).bytes());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
@@ -126,7 +126,7 @@
       ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
       Suspicion said = loseOne(w, silent);
-      byte[] silence = new Suspicion(said.zone(), said.host(), 100, false).bytes();
+      byte[] silence = new Suspicion(said.zone(), said.endpoint(), 100, false).bytes();
       try (DatagramSocket stranger = new DatagramSocket(0, LOOPBACK)) {
         for (int i = 0; i < 50; i++) {
           say(stranger, silence);
@@ -162,7 +162,7 @@
       holder.close();
       ProxyFixture.await(this::taken);
       Suspicion said = loseOne(w, silent);
-      say(peer, new Suspicion(said.zone(), said.host(), 100, false).bytes());
+      say(peer, new Suspicion(said.zone(), said.endpoint(), 100, false).bytes());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
