--- /dev/null
+++ b/src/main/java/leadferry/adapter/Instance.java
@@ -0,0 +1,176 @@
+package leadferry.adapter;
+
+import java.util.ArrayList;
+import java.util.List;
+import leadferry.gossip.SuspicionProtocol;
+import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.LoadBalancer;
+import leadferry.loadbalancer.LoadBalancerActions;
+import leadferry.loadbalancer.LoadReport;
+import leadferry.loadbalancer.RequestArrival;
+import leadferry.loadbalancer.Settings;
+
+/** One proxy of the simulated tier: its load balancer and, where permitted, its gossip. */
+final class Instance implements LoadBalancerActions, SuspicionProtocol.Actions {
+  /** A token that the load balancer does not use: its own are ids of requests, and -1. */
+  private static final long GOSSIP_TIMER = -2;
+
+  /** An endpoint to be ejected for so long, or, with 0, readmitted. */
+  private record Hint(long endpoint, double ejectionMillis) {}
+
+  private final CommandWriter commands;
+  private final LoadBalancer loadBalancer;
+
+  /** Null where the deployment permits no messages between proxies. */
+  private final SuspicionProtocol gossip;
+
+  /** What gossip made of an event while the load balancer was still about it. */
+  private final List<Hint> hints = new ArrayList<>();
+
+  Instance(Settings settings, boolean gossips, long seed, CommandWriter commands) {
+    this.commands = commands;
+    this.loadBalancer = new LoadBalancer(settings, seed, this);
+    this.gossip =
+        gossips
+            ? new SuspicionProtocol(
+                settings.zone(), settings.balancers(), settings.shortestAimMillis(), seed, this)
+            : null;
+  }
+
+  void start(double nowMillis) {
+    loadBalancer.onStart(nowMillis);
+  }
+
+  boolean gossips() {
+    return gossip != null;
+  }
+
+  void onRequest(double nowMillis, RequestArrival arrival) {
+    loadBalancer.onRequest(nowMillis, arrival);
+  }
+
+  /** The endpoint has answered an attempt; to be called before its outcome is told. */
+  void onResponse(double nowMillis, long endpoint) {
+    gossip.onResponse(nowMillis, endpoint);
+  }
+
+  void onOutcome(
+      double nowMillis,
+      long request,
+      int attempt,
+      AttemptOutcome outcome,
+      double spentMillis,
+      boolean over,
+      LoadReport report) {
+    loadBalancer.onOutcome(nowMillis, request, attempt, outcome, spentMillis, over, report);
+    deliverHints(nowMillis);
+  }
+
+  void onFirstByte(double nowMillis, long request, int attempt, double spentMillis) {
+    loadBalancer.onFirstByte(nowMillis, request, attempt, spentMillis);
+  }
+
+  void onClientDisconnect(double nowMillis, long request) {
+    loadBalancer.onClientDisconnect(nowMillis, request);
+  }
+
+  void onLoadReport(double nowMillis, long endpoint, LoadReport report) {
+    loadBalancer.onLoadReport(nowMillis, endpoint, report);
+  }
+
+  void onEndpointList(double nowMillis, EndpointListEvent event, List<EndpointUpdate> updates) {
+    loadBalancer.onEndpointList(nowMillis, event, updates);
+    if (gossip != null) {
+      gossip.onEndpointList(event, updates);
+    }
+  }
+
+  void onTimer(double nowMillis, long token) {
+    if (token != GOSSIP_TIMER) {
+      loadBalancer.onTimer(nowMillis, token);
+    } else if (gossip != null) {
+      gossip.onTimer(nowMillis);
+      deliverHints(nowMillis);
+    }
+  }
+
+  void onMessage(double nowMillis, int sender, byte[] message) {
+    gossip.onMessage(nowMillis, sender, message);
+    deliverHints(nowMillis);
+  }
+
+  private void deliverHints(double nowMillis) {
+    for (int i = 0; i < hints.size(); i++) {
+      Hint hint = hints.get(i);
+      loadBalancer.onGossip(nowMillis, hint.endpoint(), hint.ejectionMillis());
+    }
+    hints.clear();
+  }
+
+  @Override
+  public void send(long request, long endpoint, double windowMillis) {
+    if (gossip != null) {
+      gossip.onAttempt();
+    }
+    commands.send(request, endpoint);
+  }
+
+  @Override
+  public void reject(long request, double retryAfterMillis) {
+    commands.reject(request, retryAfterMillis);
+  }
+
+  @Override
+  public void fail(long request) {
+    commands.fail(request);
+  }
+
+  @Override
+  public void cancel(long request, int attempt) {
+    commands.cancel(request, attempt);
+  }
+
+  @Override
+  public void schedule(double delayMillis, long token) {
+    commands.schedule(delayMillis, token);
+  }
+
+  @Override
+  public void watchEndpoints() {
+    commands.watchEndpoints();
+  }
+
+  @Override
+  public void onNoResponse(long endpoint, double nowMillis, double sentAtMillis) {
+    if (gossip != null) {
+      gossip.onNoResponse(nowMillis, endpoint, sentAtMillis);
+    }
+  }
+
+  @Override
+  public void log(String text) {
+    commands.log(text);
+  }
+
+  @Override
+  public void broadcast(byte[] message) {
+    commands.broadcast(message);
+  }
+
+  @Override
+  public void eject(long endpoint, double lengthMillis, boolean again) {
+    hints.add(new Hint(endpoint, lengthMillis));
+  }
+
+  @Override
+  public void readmit(long endpoint) {
+    hints.add(new Hint(endpoint, 0));
+  }
+
+  @Override
+  public void scheduleTimer(double delayMillis) {
+    commands.schedule(delayMillis, GOSSIP_TIMER);
+  }
+}
--- a/src/main/java/leadferry/adapter/Line.java
+++ b/src/main/java/leadferry/adapter/Line.java
@@ -5,65 +5,83 @@
 
 /** One line of the wire, taken apart in place: a name and name=value fields. */
 final class Line {
-  private static final int MAX_TEXT = 60;
+  /** How much of a malformed line is shown. */
+  private static final int MOST_SHOWN_BYTES = 60;
 
-  private byte[] buf = {};
+  /** Digits that a whole number, or a decimal read without the slow way, may have. */
+  private static final int MOST_WHOLE_DIGITS = 18;
+
+  private static final int MOST_DECIMAL_DIGITS = 16;
+
+  private byte[] buffer = {};
   private int start;
   private int end;
   private int nameEnd;
-  private int count;
+  private int fields;
   private int[] keyStart = new int[16];
   private int[] keyEnd = new int[16];
   private int[] valueEnd = new int[16];
 
-  /** Points this at {@code buf[start, end)} and finds the fields; {@code conf} runs to the end. */
-  void parse(byte[] buf, int start, int end) {
-    this.buf = buf;
-    this.start = start;
-    this.end = end;
-    count = 0;
-    int i = start;
-    while (i < end && buf[i] != ' ') {
-      i++;
-    }
-    nameEnd = i;
+  /**
+   * Points this at {@code bytes[from, limit)} and finds the fields; {@code conf} runs to the end.
+   */
+  void parse(byte[] bytes, int from, int limit) {
+    buffer = bytes;
+    start = from;
+    end = limit;
+    fields = 0;
+    nameEnd = indexOf(' ', start, end);
     if (nameEnd == start) {
       throw malformed("a line without a name");
     }
-    while (i < end) {
-      int key = ++i;
-      while (i < end && buf[i] != '=' && buf[i] != ' ') {
-        i++;
-      }
-      if (i >= end || buf[i] != '=' || i == key) {
-        throw malformed("a field is not name=value");
-      }
-      int equals = i;
-      boolean text = matches(key, equals, "conf") || matches(key, equals, "text");
-      while (i < end && (text || buf[i] != ' ')) {
-        i++;
-      }
-      add(key, equals, i);
+    int index = nameEnd;
+    while (index < end) {
+      index = parseField(index + 1);
+    }
+  }
+
+  /** Finds the field that begins at {@code key} and gives its end. */
+  private int parseField(int key) {
+    int equals = key;
+    while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
+      equals++;
+    }
+    if (equals >= end || buffer[equals] != '=' || equals == key) {
+      throw malformed("a field is not name=value");
     }
+    boolean runsToTheEnd = matches(key, equals, "conf") || matches(key, equals, "text");
+    int stop = runsToTheEnd ? end : indexOf(' ', equals, end);
+    add(key, equals, stop);
+    return stop;
   }
 
-  private void add(int key, int equals, int valEnd) {
-    if (count == keyStart.length) {
-      keyStart = Arrays.copyOf(keyStart, 2 * count);
-      keyEnd = Arrays.copyOf(keyEnd, 2 * count);
-      valueEnd = Arrays.copyOf(valueEnd, 2 * count);
+  private void add(int key, int equals, int stop) {
+    if (fields == keyStart.length) {
+      keyStart = Arrays.copyOf(keyStart, 2 * fields);
+      keyEnd = Arrays.copyOf(keyEnd, 2 * fields);
+      valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
     }
-    keyStart[count] = key;
-    keyEnd[count] = equals;
-    valueEnd[count++] = valEnd;
+    keyStart[fields] = key;
+    keyEnd[fields] = equals;
+    valueEnd[fields] = stop;
+    fields++;
   }
 
-  private boolean matches(int from, int to, String s) {
-    if (to - from != s.length()) {
+  /** Where the byte first stands in that range; {@code limit} where it does not. */
+  private int indexOf(char wanted, int from, int limit) {
+    int index = from;
+    while (index < limit && buffer[index] != wanted) {
+      index++;
+    }
+    return index;
+  }
+
+  private boolean matches(int from, int limit, String text) {
+    if (limit - from != text.length()) {
       return false;
     }
-    for (int i = 0; i < s.length(); i++) {
-      if (buf[from + i] != s.charAt(i)) {
+    for (int i = 0; i < text.length(); i++) {
+      if (buffer[from + i] != text.charAt(i)) {
         return false;
       }
     }
@@ -79,7 +97,7 @@
   }
 
   private int find(String key) {
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < fields; i++) {
       if (matches(keyStart[i], keyEnd[i], key)) {
         return i;
       }
@@ -87,137 +105,143 @@
     return -1;
   }
 
-  private int need(String key) {
-    int i = find(key);
-    if (i < 0) {
+  private int require(String key) {
+    int field = find(key);
+    if (field < 0) {
       throw malformed("field '" + key + "' is missing");
     }
-    return i;
+    return field;
   }
 
   long number(String key) {
-    int i = need(key);
-    return integer(keyEnd[i] + 1, valueEnd[i], key);
+    int field = require(key);
+    return integer(keyEnd[field] + 1, valueEnd[field], key);
   }
 
   long number(String key, long absent) {
-    int i = find(key);
-    return i < 0 ? absent : integer(keyEnd[i] + 1, valueEnd[i], key);
+    int field = find(key);
+    return field < 0 ? absent : integer(keyEnd[field] + 1, valueEnd[field], key);
   }
 
-  private long integer(int from, int to, String key) {
-    boolean minus = from < to && buf[from] == '-';
-    long v = 0;
-    int i = minus ? from + 1 : from;
-    if (i >= to || to - i > 18) {
+  private long integer(int from, int limit, String key) {
+    boolean negative = from < limit && buffer[from] == '-';
+    int first = negative ? from + 1 : from;
+    if (first >= limit || limit - first > MOST_WHOLE_DIGITS) {
       throw malformed("field '" + key + "' is not a whole number");
     }
-    for (; i < to; i++) {
-      int digit = buf[i] - '0';
+    long value = 0;
+    for (int i = first; i < limit; i++) {
+      int digit = buffer[i] - '0';
       if (digit < 0 || digit > 9) {
         throw malformed("field '" + key + "' is not a whole number");
       }
-      v = 10 * v + digit;
+      value = 10 * value + digit;
     }
-    return minus ? -v : v;
+    return negative ? -value : value;
   }
 
   double decimal(String key) {
-    int i = need(key);
-    return decimal(keyEnd[i] + 1, valueEnd[i], key);
+    int field = require(key);
+    return decimal(keyEnd[field] + 1, valueEnd[field], key);
   }
 
   double decimal(String key, double absent) {
-    int i = find(key);
-    return i < 0 ? absent : decimal(keyEnd[i] + 1, valueEnd[i], key);
+    int field = find(key);
+    return field < 0 ? absent : decimal(keyEnd[field] + 1, valueEnd[field], key);
   }
 
-  private double decimal(int from, int to, String key) {
-    // Plain digits with a fraction are the rule; anything else goes the slow way.
+  /** Plain digits with a fraction are the rule; anything else goes the slow way. */
+  private double decimal(int from, int limit, String key) {
+    if (from >= limit) {
+      throw notNumber(key);
+    }
     long whole = 0;
     double scale = 1;
     boolean fraction = false;
-    if (from >= to) {
-      throw malformed("field '" + key + "' is not a number");
-    }
-    for (int i = from; i < to; i++) {
-      int b = buf[i];
-      if (b == '.' && !fraction && to - from > 1) {
+    for (int i = from; i < limit; i++) {
+      int digit = buffer[i];
+      if (digit == '.' && !fraction && limit - from > 1) {
         fraction = true;
-      } else if (b >= '0' && b <= '9' && to - from < 17) {
-        whole = 10 * whole + (b - '0');
-        if (fraction) {
-          scale *= 10;
-        }
+      } else if (digit >= '0' && digit <= '9' && limit - from <= MOST_DECIMAL_DIGITS) {
+        whole = 10 * whole + (digit - '0');
+        scale = fraction ? 10 * scale : scale;
       } else {
-        try {
-          double v = Double.parseDouble(text(from, to));
-          if (!Double.isFinite(v)) {
-            throw malformed("field '" + key + "' is not a number");
-          }
-          return v;
-        } catch (NumberFormatException e) {
-          throw malformed("field '" + key + "' is not a number");
-        }
+        return anyDecimal(from, limit, key);
       }
     }
     return whole / scale;
   }
 
+  private double anyDecimal(int from, int limit, String key) {
+    double value;
+    try {
+      value = Double.parseDouble(text(from, limit));
+    } catch (NumberFormatException e) {
+      throw notNumber(key);
+    }
+    if (!Double.isFinite(value)) {
+      throw notNumber(key);
+    }
+    return value;
+  }
+
+  private MalformedInputException notNumber(String key) {
+    return malformed("field '" + key + "' is not a number");
+  }
+
   boolean flag(String key) {
-    int i = find(key);
-    return i >= 0 && valueEnd[i] == keyEnd[i] + 2 && buf[keyEnd[i] + 1] == '1';
+    int field = find(key);
+    return field >= 0 && valueEnd[field] == keyEnd[field] + 2 && buffer[keyEnd[field] + 1] == '1';
   }
 
   String string(String key) {
-    int i = need(key);
-    return text(keyEnd[i] + 1, valueEnd[i]);
+    int field = require(key);
+    return text(keyEnd[field] + 1, valueEnd[field]);
   }
 
   String string(String key, String absent) {
-    int i = find(key);
-    return i < 0 ? absent : text(keyEnd[i] + 1, valueEnd[i]);
+    int field = find(key);
+    return field < 0 ? absent : text(keyEnd[field] + 1, valueEnd[field]);
   }
 
   /** The figures of a report field, by the order of {@code names}; null if there is none. */
   double[] report(String key, String... names) {
-    int f = find(key);
-    if (f < 0) {
+    int field = find(key);
+    if (field < 0) {
       return null;
     }
-    double[] values = new double[names.length];
-    Arrays.fill(values, Double.NaN);
-    int i = keyEnd[f] + 1;
-    int stop = valueEnd[f];
-    while (i < stop) {
-      int colon = i;
-      while (colon < stop && buf[colon] != ':' && buf[colon] != ',') {
-        colon++;
-      }
-      int comma = colon;
-      while (comma < stop && buf[comma] != ',') {
-        comma++;
-      }
-      if (colon < comma) {
-        for (int k = 0; k < names.length; k++) {
-          if (matches(i, colon, names[k])) {
-            values[k] = decimal(colon + 1, comma, key);
-          }
+    double[] figures = new double[names.length];
+    Arrays.fill(figures, Double.NaN);
+    int stop = valueEnd[field];
+    int index = keyEnd[field] + 1;
+    while (index < stop) {
+      int comma = indexOf(',', index, stop);
+      readFigure(index, comma, key, names, figures);
+      index = comma + 1;
+    }
+    return figures;
+  }
+
+  /** Reads one name:value of a report; a name that is not known is skipped, and so is "-". */
+  private void readFigure(int from, int limit, String key, String[] names, double[] figures) {
+    int colon = indexOf(':', from, limit);
+    if (colon < limit) {
+      for (int i = 0; i < names.length; i++) {
+        if (matches(from, colon, names[i])) {
+          figures[i] = decimal(colon + 1, limit, key);
         }
-      } else if (comma > i && !matches(i, comma, "-")) {
-        throw malformed("field '" + key + "' is not name:value pairs");
       }
-      i = comma + 1;
+    } else if (limit > from && !matches(from, limit, "-")) {
+      throw malformed("field '" + key + "' is not name:value pairs");
     }
-    return values;
   }
 
-  private String text(int from, int to) {
-    return new String(buf, from, to - from, StandardCharsets.UTF_8);
+  private String text(int from, int limit) {
+    return new String(buffer, from, limit - from, StandardCharsets.UTF_8);
   }
 
   MalformedInputException malformed(String why) {
-    String shown = text(start, Math.min(end, start + MAX_TEXT));
+    String shown = text(start, Math.min(end, start + MOST_SHOWN_BYTES));
     return new MalformedInputException("malformed line: " + why + ": " + shown);
   }
 }
--- a/src/main/java/leadferry/adapter/LineReader.java
+++ b/src/main/java/leadferry/adapter/LineReader.java
@@ -6,44 +6,44 @@
 
 /** Cuts a stream into lines without copying them; a line is valid until the next call. */
 final class LineReader {
-  private final InputStream in;
-  private byte[] buf = new byte[1 << 16];
-  private int from;
-  private int to;
+  private final InputStream input;
+  private byte[] buffer = new byte[1 << 16];
+  private int position;
+  private int limit;
 
-  LineReader(InputStream in) {
-    this.in = in;
+  LineReader(InputStream input) {
+    this.input = input;
   }
 
   /** Points {@code line} at the next line; false at the end of the input. */
   boolean next(Line line) throws IOException {
-    int scanned = from;
+    int scanned = position;
     while (true) {
-      for (int i = scanned; i < to; i++) {
-        if (buf[i] == '\n') {
-          int start = from;
-          from = i + 1;
-          line.parse(buf, start, i > start && buf[i - 1] == '\r' ? i - 1 : i);
+      for (int i = scanned; i < limit; i++) {
+        if (buffer[i] == '\n') {
+          int start = position;
+          position = i + 1;
+          line.parse(buffer, start, i > start && buffer[i - 1] == '\r' ? i - 1 : i);
           return true;
         }
       }
-      int pending = to - from;
-      if (from > 0) {
-        System.arraycopy(buf, from, buf, 0, pending);
-        from = 0;
-        to = pending;
-      } else if (to == buf.length) {
-        buf = Arrays.copyOf(buf, 2 * buf.length);
+      int pending = limit - position;
+      if (position > 0) {
+        System.arraycopy(buffer, position, buffer, 0, pending);
+        position = 0;
+        limit = pending;
+      } else if (limit == buffer.length) {
+        buffer = Arrays.copyOf(buffer, 2 * buffer.length);
       }
-      scanned = to;
-      int n = in.read(buf, to, buf.length - to);
-      if (n < 0) {
-        if (to > from) {
+      scanned = limit;
+      int count = input.read(buffer, limit, buffer.length - limit);
+      if (count < 0) {
+        if (limit > position) {
           throw new MalformedInputException("the input ends in the middle of a line");
         }
         return false;
       }
-      to += n;
+      limit += count;
     }
   }
 }
--- a/src/main/java/leadferry/adapter/ReplyWriter.java
+++ b/src/main/java/leadferry/adapter/ReplyWriter.java
@@ -7,78 +7,78 @@
 
 /** Collects the lines of one reply as bytes. */
 final class ReplyWriter {
-  private byte[] buf = new byte[1 << 14];
+  private byte[] buffer = new byte[1 << 14];
   private int size;
 
-  ReplyWriter word(String s) {
-    int n = s.length();
-    room(n);
-    for (int i = 0; i < n; i++) {
-      buf[size++] = (byte) s.charAt(i);
+  ReplyWriter word(String word) {
+    int count = word.length();
+    ensureRoom(count);
+    for (int i = 0; i < count; i++) {
+      buffer[size++] = (byte) word.charAt(i);
     }
     return this;
   }
 
-  ReplyWriter number(long v) {
-    room(20);
-    if (v < 0) {
-      buf[size++] = '-';
-      v = -v;
+  ReplyWriter number(long value) {
+    ensureRoom(20);
+    if (value < 0) {
+      buffer[size++] = '-';
+      value = -value;
     }
     int first = size;
     do {
-      buf[size++] = (byte) ('0' + v % 10);
-      v /= 10;
-    } while (v > 0);
+      buffer[size++] = (byte) ('0' + value % 10);
+      value /= 10;
+    } while (value > 0);
     for (int i = first, j = size - 1; i < j; i++, j--) {
-      byte b = buf[i];
-      buf[i] = buf[j];
-      buf[j] = b;
+      byte digit = buffer[i];
+      buffer[i] = buffer[j];
+      buffer[j] = digit;
     }
     return this;
   }
 
   /** A time in ms with microseconds. */
-  ReplyWriter time(double ms) {
-    long us = Math.round(ms * 1000);
-    if (us < 0) {
+  ReplyWriter time(double millis) {
+    long micros = Math.round(millis * 1000);
+    if (micros < 0) {
       word("-");
-      us = -us;
+      micros = -micros;
     }
-    number(us / 1000);
-    long rest = us % 1000;
+    number(micros / 1000);
+    long rest = micros % 1000;
     if (rest > 0) {
-      room(4);
-      buf[size++] = '.';
-      buf[size++] = (byte) ('0' + rest / 100);
-      buf[size++] = (byte) ('0' + rest / 10 % 10);
-      buf[size++] = (byte) ('0' + rest % 10);
+      ensureRoom(4);
+      buffer[size++] = '.';
+      buffer[size++] = (byte) ('0' + rest / 100);
+      buffer[size++] = (byte) ('0' + rest / 10 % 10);
+      buffer[size++] = (byte) ('0' + rest % 10);
     }
     return this;
   }
 
   /** Free text, kept to one line. */
-  ReplyWriter text(String s) {
-    byte[] b = s.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
-    room(b.length);
-    System.arraycopy(b, 0, buf, size, b.length);
-    size += b.length;
+  ReplyWriter text(String text) {
+    byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
+    ensureRoom(bytes.length);
+    System.arraycopy(bytes, 0, buffer, size, bytes.length);
+    size += bytes.length;
     return this;
   }
 
   void end() {
-    room(1);
-    buf[size++] = '\n';
+    ensureRoom(1);
+    buffer[size++] = '\n';
   }
 
-  private void room(int n) {
-    if (size + n > buf.length) {
-      buf = Arrays.copyOf(buf, Math.max(2 * buf.length, size + n));
+  private void ensureRoom(int count) {
+    if (size + count > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + count));
     }
   }
 
   void flush(OutputStream out) throws IOException {
-    out.write(buf, 0, size);
+    out.write(buffer, 0, size);
     out.flush();
     size = 0;
   }
--- a/src/main/java/leadferry/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -7,7 +7,11 @@
 import java.util.List;
 import leadferry.loadbalancer.Settings;
 
-/** Reads the settings of an instance; what is not known is skipped, what is absent is harmless. */
+/**
+ * Reads the settings of an instance; what is not known is skipped, what is absent is harmless. The
+ * one place that maps the keys of the simulator's configuration to {@link Settings}: {@code conf}
+ * is the wire's JSON.
+ */
 public final class SettingsReader {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -36,37 +40,12 @@
     if (root == null || !root.isObject()) {
       throw new MalformedInputException("malformed conf: not a JSON object");
     }
-    List<Settings.RequestClass> classes = new ArrayList<>();
-    for (JsonNode c : root.path("classes")) {
-      classes.add(requestClass(c));
-    }
-    List<Settings.Tenant> tenants = new ArrayList<>();
-    for (JsonNode t : root.path("tenants")) {
-      tenants.add(
-          new Settings.Tenant(
-              t.path("name").asText(),
-              t.path("quotaPerS").asDouble(0),
-              t.path("portion").asDouble(0)));
-    }
-    JsonNode limits = root.path("limits");
-    JsonNode rules = root.path("rules");
     JsonNode zone = root.path("zone");
     return new Settings(
-        classes,
-        tenants,
-        new Settings.Limits(
-            limits.path("cancel").asBoolean(false),
-            limits.path("retryAfter").asBoolean(false),
-            limits.path("parallelTries").asBoolean(false),
-            limits.path("maxAttempts").asInt(1),
-            limits.path("maxRetryAfter").asDouble(0),
-            limits.path("streamsPerConn").asInt(1)),
-        new Settings.Rules(
-            rules.path("cold").asDouble(0),
-            rules.path("startCapacity").asDouble(1),
-            rules.path("fall").asDouble(0),
-            rules.path("fallMultiple").asDouble(1),
-            rules.path("askWithin").asDouble(0)),
+        requestClasses(root.path("classes")),
+        tenants(root.path("tenants")),
+        limits(root.path("limits")),
+        rules(root.path("rules")),
         root.path("membershipMode").asText("automatic").equals("subscribe"),
         zone.isTextual() ? zone.asText() : null,
         root.path("position").asInt(0),
@@ -75,28 +54,67 @@
         root.path("worthBy").asText("request").equals("work"));
   }
 
-  private static Settings.RequestClass requestClass(JsonNode c) {
-    double deadline = c.path("deadline").asDouble(1000);
+  private static List<Settings.RequestClass> requestClasses(JsonNode nodes) {
+    List<Settings.RequestClass> classes = new ArrayList<>();
+    for (JsonNode node : nodes) {
+      classes.add(requestClass(node));
+    }
+    return classes;
+  }
+
+  private static List<Settings.Tenant> tenants(JsonNode nodes) {
+    List<Settings.Tenant> tenants = new ArrayList<>();
+    for (JsonNode node : nodes) {
+      tenants.add(
+          new Settings.Tenant(
+              node.path("name").asText(),
+              node.path("quotaPerS").asDouble(0),
+              node.path("portion").asDouble(0)));
+    }
+    return tenants;
+  }
+
+  private static Settings.Limits limits(JsonNode node) {
+    return new Settings.Limits(
+        node.path("cancel").asBoolean(false),
+        node.path("retryAfter").asBoolean(false),
+        node.path("parallelTries").asBoolean(false),
+        node.path("maxAttempts").asInt(1),
+        node.path("maxRetryAfter").asDouble(0),
+        node.path("streamsPerConn").asInt(1));
+  }
+
+  private static Settings.Rules rules(JsonNode node) {
+    return new Settings.Rules(
+        node.path("cold").asDouble(0),
+        node.path("startCapacity").asDouble(1),
+        node.path("fall").asDouble(0),
+        node.path("fallMultiple").asDouble(1),
+        node.path("askWithin").asDouble(0));
+  }
+
+  private static Settings.RequestClass requestClass(JsonNode node) {
+    double deadline = node.path("deadline").asDouble(1000);
     Settings.Semantics semantics =
-        switch (c.path("semantics").asText()) {
+        switch (node.path("semantics").asText()) {
           case "idempotent" -> Settings.Semantics.IDEMPOTENT;
           case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
           default -> Settings.Semantics.AT_MOST_ONCE; // the strictest, where a name is new
         };
     Settings.Scope scope =
-        switch (c.path("keyScope").asText()) {
+        switch (node.path("keyScope").asText()) {
           case "all" -> Settings.Scope.ALL;
           case "zone" -> Settings.Scope.ZONE;
           default -> Settings.Scope.CELL;
         };
     return new Settings.RequestClass(
-        c.path("name").asText(),
-        Math.max(1, c.path("aim").asDouble(deadline)),
+        node.path("name").asText(),
+        Math.max(1, node.path("aim").asDouble(deadline)),
         deadline,
         semantics,
         scope,
-        c.path("repeatWindow").asDouble(0),
-        c.path("value").asDouble(1),
-        c.path("lateWorth").asDouble(0));
+        node.path("repeatWindow").asDouble(0),
+        node.path("value").asDouble(1),
+        node.path("lateWorth").asDouble(0));
   }
 }
