--- /dev/null
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
@@ -0,0 +1,303 @@
+package leadferry.loadbalancer;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayDeque;
+import java.util.List;
+import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.Semantics;
+import org.junit.jupiter.api.Test;
+
+/** What is admitted and what is shed, as load, its reports and its tenants come and go. */
+class LoadBalancerAdmissionTest {
+  private final LoadBalancerFixture fixture = new LoadBalancerFixture();
+
+  @Test
+  void rejectsAtOnceWithoutEndpoints() {
+    LoadBalancer balancer = fixture.safe(0);
+    balancer.onRequest(
+        fixture.nowMillis, LoadBalancerFixture.request(1, LoadBalancerFixture.SAFE, 800));
+    assertThat(fixture.rejected).containsExactly(1L);
+  }
+
+  @Test
+  void rejectsEarlyInOverloadAndRecovers() {
+    LoadBalancer balancer = fixture.safe(4);
+    for (int i = 0; i < 60; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+    }
+    fixture.nowMillis += 790;
+    for (int i = 0; i < 60; i++) {
+      balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.OK, 790, true, null);
+    }
+    int sent = fixture.sends.size();
+    for (int i = 1_000; i < 1_050; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+    }
+    assertThat(fixture.rejected).hasSizeGreaterThan(20);
+    assertThat(fixture.sends).hasSizeGreaterThan(sent);
+    fixture.nowMillis += 60_000;
+    int rejected = fixture.rejected.size();
+    for (int i = 2_000; i < 2_050; i++) {
+      fixture.serve(balancer, i, 10);
+    }
+    assertThat(fixture.rejected).hasSize(rejected);
+  }
+
+  /** Between two time-outs of a light proxy an overload must not be forgotten. */
+  @Test
+  void overloadIsRememberedBetweenTimeouts() {
+    LoadBalancer balancer = fixture.safe(4);
+    for (int i = 0; i < 60; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+    }
+    fixture.nowMillis += 790;
+    for (int i = 0; i < 60; i++) {
+      balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.OK, 790, true, null);
+    }
+    fixture.nowMillis += 3_000;
+    for (int i = 1_000; i < 1_100; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+    }
+    assertThat(fixture.rejected).hasSizeGreaterThan(60);
+  }
+
+  /** Guards against a few heavy requests that make every queue look too long to begin. */
+  @Test
+  void heavyAnswersDoNotMakeQueuesLookLong() {
+    LoadBalancer balancer = fixture.safe(3);
+    for (int i = 0; i < 120; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+      LoadBalancerFixture.Send send = fixture.last();
+      double spentMillis = i % 10 == 9 ? 780 : 60;
+      fixture.nowMillis += spentMillis;
+      balancer.onOutcome(
+          fixture.nowMillis,
+          i,
+          send.number(),
+          AttemptOutcome.OK,
+          spentMillis,
+          true,
+          LoadBalancerFixture.reportOfHeld(10));
+    }
+    // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does
+    // not.
+    int rejected = fixture.rejected.size();
+    fixture.nowMillis += 15_000; // pressure fades
+    for (long id = 0; id < 3; id++) {
+      balancer.onLoadReport(fixture.nowMillis, id, LoadBalancerFixture.reportOfHeld(25));
+    }
+    balancer.onRequest(
+        fixture.nowMillis, LoadBalancerFixture.request(900, LoadBalancerFixture.SAFE, 800));
+    assertThat(fixture.rejected).hasSize(rejected);
+  }
+
+  /** Guards against a tenant's burst that takes the place of requests within their share. */
+  @Test
+  void rejectsATenantOverItsShareFirst() {
+    LoadBalancer balancer =
+        fixture.balancer(
+            LoadBalancerFixture.settings(
+                List.of(new Settings.Tenant("x", 10, 0.5), new Settings.Tenant("y", 10, 0.5)),
+                LoadBalancerFixture.requestClass(
+                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            LoadBalancerFixture.endpoints(4));
+    for (int i = 0; i < 90; i++) {
+      balancer.onRequest(
+          fixture.nowMillis,
+          new RequestArrival(
+              i, LoadBalancerFixture.SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
+    }
+    fixture.nowMillis += 790;
+    for (int i = 0; i < 90; i++) {
+      balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.OK, 300, true, null);
+    }
+    int[] rejected = new int[2];
+    for (int i = 0; i < 180; i++) {
+      int before = fixture.rejected.size();
+      boolean within = i % 9 == 0;
+      balancer.onRequest(
+          fixture.nowMillis,
+          new RequestArrival(
+              1_000 + i, LoadBalancerFixture.SAFE, within ? "y" : "x", 800, Double.NaN, false));
+      rejected[within ? 1 : 0] += fixture.rejected.size() - before;
+    }
+    // 160 of x, 20 of y
+    assertThat(rejected[0] / 160.0).isGreaterThan(1.3 * rejected[1] / 20.0);
+  }
+
+  /**
+   * One crowded endpoint among idle ones costs no request, and its old report is not believed long.
+   */
+  @Test
+  void aCrowdedEndpointIsPassedOverAndTriedAgain() {
+    LoadBalancer balancer = fixture.safe(3);
+    int id = 0;
+    for (; id < 300; id++) {
+      fixture.report(balancer, id, fixture.nowMillis, 1);
+    }
+    // Host 1 tells of a queue far past the aim; nothing is sent to it while others have room.
+    boolean told = false;
+    for (; id < 600; id++) {
+      boolean first = fixture.request(balancer, id) == 1 && !told;
+      told |= first;
+      balancer.onOutcome(
+          fixture.nowMillis,
+          id,
+          0,
+          AttemptOutcome.OK,
+          100,
+          true,
+          LoadBalancerFixture.reportOfHeld(first ? 60 : 1));
+    }
+    assertThat(told).isTrue();
+    assertThat(fixture.rejected).isEmpty();
+    fixture.nowMillis += 20_000;
+    int before = fixture.sends.size();
+    for (; id < 660; id++) {
+      fixture.report(balancer, id, fixture.nowMillis, 1);
+    }
+    assertThat(fixture.rejected).isEmpty();
+    assertThat(fixture.sends.subList(before, fixture.sends.size()))
+        .anyMatch(send -> send.endpoint() == 1);
+  }
+
+  /**
+   * Time-outs of an endpoint that answers nothing at all say nothing of how busy the others are.
+   */
+  @Test
+  void aSilentEndpointIsNoReasonToShedWhileOthersHaveRoom() {
+    LoadBalancer balancer = fixture.safe(6);
+    for (int i = 0; i < 400; i++) {
+      fixture.nowMillis += 5;
+      if (fixture.request(balancer, i) == 2) {
+        balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.TIMEOUT, 800, true, null);
+      } else {
+        balancer.onOutcome(
+            fixture.nowMillis,
+            i,
+            0,
+            AttemptOutcome.OK,
+            100,
+            true,
+            LoadBalancerFixture.reportOfHeld(1));
+      }
+    }
+    assertThat(fixture.rejected).isEmpty();
+  }
+
+  /**
+   * Answers that get lost on the way, from endpoints that tell of room, are no overload: nothing is
+   * rejected for them.
+   */
+  @Test
+  void anAnswerLostOnTheWayIsNoOverload() {
+    LoadBalancer balancer = fixture.safe(4);
+    double[] lost = new double[4];
+    for (int i = 0; i < 600; i++) {
+      fixture.nowMillis += 10;
+      int endpoint = (int) fixture.request(balancer, i);
+      if (i % 3 == 0 && lost[endpoint] == 0) {
+        lost[endpoint] = i + 1;
+      } else {
+        balancer.onOutcome(
+            fixture.nowMillis,
+            i,
+            0,
+            AttemptOutcome.OK,
+            100,
+            true,
+            LoadBalancerFixture.reportOfHeld(1));
+        if (lost[endpoint] > 0) {
+          balancer.onOutcome(
+              fixture.nowMillis,
+              (long) lost[endpoint] - 1,
+              0,
+              AttemptOutcome.TIMEOUT,
+              800,
+              true,
+              null);
+          lost[endpoint] = 0;
+        }
+      }
+    }
+    assertThat(fixture.rejected).isEmpty();
+  }
+
+  /** Our own requests in flight are at the endpoint, whatever its report, which is late, says. */
+  @Test
+  void anOldReportDoesNotHideOurOwnRequests() {
+    LoadBalancer balancer = fixture.safe(1);
+    for (int i = 0; i < 200; i++) {
+      fixture.nowMillis += 1;
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+      if (fixture.last().request() == i) {
+        balancer.onOutcome(
+            fixture.nowMillis,
+            i,
+            0,
+            AttemptOutcome.OK,
+            160,
+            true,
+            LoadBalancerFixture.reportOfHeld(7)); // 20 ms for each held
+      }
+    }
+    ArrayDeque<Long> open = new ArrayDeque<>();
+    int most = 0;
+    for (long i = 200; i < 400; i++) {
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+      if (fixture.last().request() == i) {
+        open.add(i);
+      }
+      most = Math.max(most, open.size());
+      if (i % 2 == 1) {
+        double spentMillis = 20 * open.size();
+        balancer.onOutcome(
+            fixture.nowMillis,
+            open.remove(),
+            0,
+            AttemptOutcome.OK,
+            spentMillis,
+            true,
+            LoadBalancerFixture.reportOfHeld(0));
+      }
+    }
+    assertThat(most).isBetween(2, 30);
+  }
+
+  @Test
+  void clientsThatReadNothingOfLongAnswersCostOthersNothing() {
+    Settings.RequestClass stream =
+        new Settings.RequestClass("stream", 400, 4_000, Semantics.IDEMPOTENT, Scope.ALL, 300, 1, 0);
+    LoadBalancer balancer =
+        fixture.balancer(
+            LoadBalancerFixture.settings(
+                stream,
+                LoadBalancerFixture.requestClass(
+                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+            LoadBalancerFixture.endpoints(1));
+    for (int i = 0; i < 30; i++) {
+      balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(i, "stream", 4_000));
+      fixture.nowMillis += 10;
+      balancer.onFirstByte(fixture.nowMillis, i, 0, 10);
+    }
+    for (int i = 1_000; i < 1_400; i++) {
+      fixture.serve(balancer, i, 10);
+    }
+    for (int i = 0; i < 30; i++) {
+      balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.CANCELLED, 4_000, true, null);
+    }
+    for (int i = 2_000; i < 2_400; i++) {
+      fixture.serve(balancer, i, 10);
+    }
+    assertThat(fixture.rejected).isEmpty();
+    assertThat(fixture.logs).isEmpty(); // nobody is ejected either
+  }
+}
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -1,32 +1,38 @@
 package leadferry.loadbalancer;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
 
-/** Builds settings and hosts for tests, and records what a balancer asks for. */
+/** Builds settings and endpoints for tests, and records what a load balancer asks for. */
 final class LoadBalancerFixture implements LoadBalancerActions {
-  record Send(long request, int number, long host, double at) {}
+  static final String SAFE = "safe";
 
-  double now = 1_000;
+  record Send(long request, int number, long endpoint, double atMillis) {}
+
+  double nowMillis = 1_000;
   final List<Send> sends = new ArrayList<>();
-  final List<Long> refused = new ArrayList<>();
+  final List<Long> rejected = new ArrayList<>();
   final List<Long> failed = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
   final List<Long> cancelled = new ArrayList<>();
-  final java.util.TreeMap<Double, List<Long>> timers = new java.util.TreeMap<>();
-  int follows;
-  private final java.util.Map<Long, Integer> numbers = new java.util.HashMap<>();
+  final TreeMap<Double, List<Long>> timers = new TreeMap<>();
+  int watches;
+  private final Map<Long, Integer> numbers = new HashMap<>();
 
-  static Settings.RequestClass type(String name, Settings.Semantics s, Settings.Scope scope) {
-    return new Settings.RequestClass(name, 400, 800, s, scope, 300, 1, 0);
+  static Settings.RequestClass requestClass(
+      String name, Settings.Semantics semantics, Settings.Scope scope) {
+    return new Settings.RequestClass(name, 400, 800, semantics, scope, 300, 1, 0);
   }
 
   static Settings settings(Settings.RequestClass... classes) {
     return settings(true, 4, false, classes);
   }
 
-  static Settings settings(List<Settings.Tenant> tenants, Settings.RequestClass type) {
-    return settings(tenants, true, 4, false, type);
+  static Settings settings(List<Settings.Tenant> tenants, Settings.RequestClass requestClass) {
+    return settings(tenants, true, 4, false, requestClass);
   }
 
   static Settings settings(
@@ -53,25 +59,65 @@
         false);
   }
 
-  static EndpointUpdate host(long id) {
-    return host(id, EndpointUpdate.Condition.READY, 0);
+  static EndpointUpdate endpoint(long id) {
+    return endpoint(id, EndpointUpdate.Condition.READY, 0);
   }
 
-  static EndpointUpdate host(long id, EndpointUpdate.Condition condition, double since) {
+  static EndpointUpdate endpoint(
+      long id, EndpointUpdate.Condition condition, double onlineSinceMillis) {
     return new EndpointUpdate(
-        id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
+        id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, onlineSinceMillis);
   }
 
-  static List<EndpointUpdate> hosts(int n) {
+  static List<EndpointUpdate> endpoints(int count) {
     List<EndpointUpdate> all = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      all.add(host(i));
+    for (int i = 0; i < count; i++) {
+      all.add(endpoint(i));
     }
     return all;
   }
 
-  static RequestArrival request(long id, String type, double budget) {
-    return new RequestArrival(id, type, null, budget, Double.NaN, false);
+  static RequestArrival request(long id, String className, double budgetMillis) {
+    return new RequestArrival(id, className, null, budgetMillis, Double.NaN, false);
+  }
+
+  /** A load balancer that knows these endpoints and acts on this fixture. */
+  LoadBalancer balancer(Settings settings, List<EndpointUpdate> endpoints) {
+    LoadBalancer balancer = new LoadBalancer(settings, 7, this);
+    balancer.onStart(nowMillis);
+    balancer.onEndpointList(nowMillis, EndpointListEvent.CACHED, endpoints);
+    return balancer;
+  }
+
+  /** The same with so many endpoints and one idempotent class, {@link #SAFE}. */
+  LoadBalancer safe(int endpoints) {
+    return balancer(
+        settings(requestClass(SAFE, Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
+        endpoints(endpoints));
+  }
+
+  /** Serves a request in so long. */
+  void serve(LoadBalancer balancer, long id, double spentMillis) {
+    balancer.onRequest(nowMillis, request(id, SAFE, 800));
+    Send send = last();
+    nowMillis += spentMillis;
+    balancer.onOutcome(nowMillis, id, send.number(), AttemptOutcome.OK, spentMillis, true, null);
+  }
+
+  /** Sends a request and gives the endpoint that was picked last. */
+  long request(LoadBalancer balancer, int id) {
+    balancer.onRequest(nowMillis, request(id, SAFE, 800));
+    return last().endpoint();
+  }
+
+  /** Serves a request in 100 ms; the endpoint reports so many held. */
+  void report(LoadBalancer balancer, int id, double atMillis, double held) {
+    request(balancer, id);
+    balancer.onOutcome(atMillis, id, 0, AttemptOutcome.OK, 100, true, reportOfHeld(held));
+  }
+
+  static LoadReport reportOfHeld(double requests) {
+    return new LoadReport(requests, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
   }
 
   Send last() {
@@ -79,13 +125,13 @@
   }
 
   @Override
-  public void send(long request, long host, double apart) {
-    sends.add(new Send(request, numbers.merge(request, 1, Integer::sum) - 1, host, now));
+  public void send(long request, long endpoint, double windowMillis) {
+    sends.add(new Send(request, numbers.merge(request, 1, Integer::sum) - 1, endpoint, nowMillis));
   }
 
   @Override
   public void reject(long request, double retryAfterMillis) {
-    refused.add(request);
+    rejected.add(request);
   }
 
   @Override
@@ -99,13 +145,13 @@
   }
 
   @Override
-  public void schedule(double delay, long token) {
-    timers.computeIfAbsent(now + delay, x -> new ArrayList<>()).add(token);
+  public void schedule(double delayMillis, long token) {
+    timers.computeIfAbsent(nowMillis + delayMillis, time -> new ArrayList<>()).add(token);
   }
 
   @Override
   public void watchEndpoints() {
-    follows++;
+    watches++;
   }
 
   @Override
