--- a/src/main/java/leadferry/gossip/package-info.java
+++ b/src/main/java/leadferry/gossip/package-info.java
@@ -4,8 +4,8 @@
  * and when what they tell is enough to act on.
  *
  * <p>Decides without I/O: time is passed in, messages are bytes, sockets stand beside the caller.
- * Needs the JDK alone. What comes out of it are hints to the module of decisions, which may leave a
- * host out for a while and never widens what may be sent; no rule rests on them, and any message
+ * Needs the JDK alone. What comes out of it are hints to the decision module, which may eject an
+ * endpoint for a while and never widens what may be sent; no rule rests on them, and any message
  * may be late, lost or made up.
  */
 package leadferry.gossip;
--- a/src/main/java/leadferry/loadbalancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -82,7 +82,7 @@
     AT_MOST_ONCE
   }
 
-  /** The hosts that share the memory of a deduplicated request. */
+  /** The endpoints that share the memory of a deduplicated request. */
   public enum Scope {
     ALL,
     ZONE,
@@ -141,7 +141,7 @@
       double maxRetryAfter,
       int streamsPerConnection) {}
 
-  /** The figures of the drain and cold-host rules. */
+  /** The figures of the drain and slow-start rules. */
   public record Rules(
       double cold, double startCapacity, double fall, double fallMultiple, double askWithin) {}
 }
--- a/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
+++ b/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Events that an earlier build was given, and the commands it answered: the same draws from the
- * same seed, byte for byte. {@link AdapterScenario} made the events.
+ * same seed, byte for byte. {@link AdapterRecorder} made them.
  */
 class RecordedAdapterRunTest {
   @ParameterizedTest
@@ -36,10 +36,10 @@
   }
 
   private static byte[] recording(String name) throws IOException {
-    try (GZIPInputStream in =
+    try (GZIPInputStream unzipped =
         new GZIPInputStream(
             RecordedAdapterRunTest.class.getResourceAsStream("/fixtures/adapter/" + name))) {
-      return in.readAllBytes();
+      return unzipped.readAllBytes();
     }
   }
 }
--- /dev/null
+++ b/src/test/java/leadferry/adapter/SimulatedServer.java
@@ -0,0 +1,64 @@
+package leadferry.adapter;
+
+/** A server of the simulated deployment. */
+final class SimulatedServer {
+  /** A mean response time that tells: answers nothing. */
+  static final double SILENT = 1e9;
+
+  /** A mean response time that tells: answers with errors. */
+  static final double FAILING = -1;
+
+  /** A mean response time that tells: no connection comes up. */
+  static final double UNREACHABLE = -2;
+
+  /** Requests that it holds at most; more are turned away. */
+  private static final int MOST_HELD = 6;
+
+  private static final double WARM_UP_MILLIS = 2_000;
+
+  long id;
+  String zone;
+  long cell;
+  double onlineSinceMillis;
+  String condition = "Ready";
+  double meanMillis;
+  int held;
+
+  /** How much longer than warm it takes. */
+  double slowness(double nowMillis) {
+    return onlineSinceMillis > 0 && nowMillis - onlineSinceMillis < WARM_UP_MILLIS ? 2 : 1;
+  }
+
+  boolean isFull() {
+    return held > MOST_HELD;
+  }
+
+  /** Its entry in an endpoint list, on the wire. */
+  String entry() {
+    return "host host="
+        + id
+        + " hall="
+        + zone
+        + " model=m"
+        + id % 2
+        + " group="
+        + cell
+        + " condition="
+        + condition
+        + " capacityHint=1"
+        + (onlineSinceMillis > 0 ? " onlineSince=" + onlineSinceMillis : "");
+  }
+
+  /** Its report of load, on the wire. */
+  String loadReport() {
+    return "rif:"
+        + held
+        + ",q:"
+        + Math.max(0, held - 3)
+        + ",busy:0."
+        + Math.min(9, held)
+        + ",lat_ms:"
+        + (meanMillis > 0 && meanMillis < 1e6 ? Math.round(meanMillis) : 5)
+        + ",rate:40,fail_rate:0.5";
+  }
+}
