--- a/src/test/java/leadferry/adapter/AdapterRecorder.java
+++ b/src/test/java/leadferry/adapter/AdapterRecorder.java
@@ -11,7 +11,7 @@
   private AdapterRecorder() {}
 
   /** Writes the transcripts of seeds 1 to 5 into the folder that is named. */
-  public static void main(String[] args) throws IOException, InterruptedException {
+  public static void main(String[] args) throws IOException {
     for (int seed = 1; seed <= 5; seed++) {
       StringBuilder input = new StringBuilder();
       StringBuilder output = new StringBuilder();
--- a/src/test/java/leadferry/adapter/AdapterScenario.java
+++ b/src/test/java/leadferry/adapter/AdapterScenario.java
@@ -1,21 +1,12 @@
 package leadferry.adapter;
 
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
-import java.io.OutputStream;
-import java.io.PipedInputStream;
-import java.io.PipedOutputStream;
-import java.io.PrintStream;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
 
@@ -39,38 +30,15 @@
   private static final int RESET = 6;
   private static final int CANCELLED = 7;
 
-  private static final class Attempt {
-    int who;
-    long request;
-    int number;
-    SimulatedServer server;
-    double sentAtMillis;
-    boolean ended;
-  }
-
-  private static final class Request {
-    long id;
-    double deadlineMillis;
-    boolean over;
-    boolean streamed;
-    final List<Attempt> attempts = new ArrayList<>();
-  }
-
-  private record Event(double atMillis, long order, Runnable what) {}
-
   private final long seed;
   private final Random random;
   private final List<SimulatedServer> servers = new ArrayList<>();
-  private final Map<Long, Request> requests = new HashMap<>();
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>(
-          Comparator.comparingDouble(Event::atMillis).thenComparingLong(Event::order));
+  private final Map<Long, ScenarioRequest> requests = new HashMap<>();
+  private final VirtualTime time = new VirtualTime(1_000);
   private final StringBuilder batch = new StringBuilder();
   private final Set<Integer> alive = new HashSet<>();
   private final boolean subscribes;
   private final boolean parallel;
-  private double nowMillis = 1_000;
-  private long order;
   private long nextId = 100;
   private int stamp = 1;
 
@@ -85,62 +53,33 @@
    * Runs the adapter through the scenario; the events go to {@code input}, its answers to {@code
    * output}.
    */
-  void run(StringBuilder input, StringBuilder output) throws IOException, InterruptedException {
-    PipedOutputStream toAdapter = new PipedOutputStream();
-    PipedInputStream fromAdapter = new PipedInputStream(1 << 16);
-    Thread adapter = startAdapter(toAdapter, fromAdapter);
-    BufferedReader answers =
-        new BufferedReader(new InputStreamReader(fromAdapter, StandardCharsets.UTF_8));
-    start();
-    while (nowMillis < END_MILLIS + 1_000) {
-      while (!events.isEmpty() && events.peek().atMillis() <= nowMillis) {
-        events.poll().what().run();
-      }
-      if (batch.length() > 0) {
-        String text = String.format(Locale.ROOT, "sync wall=%.3f%n", nowMillis) + batch + "eob\n";
-        batch.setLength(0);
-        input.append(text);
-        toAdapter.write(text.getBytes(StandardCharsets.UTF_8));
-        toAdapter.flush();
-        readAnswer(answers, output);
+  void run(StringBuilder input, StringBuilder output) throws IOException {
+    try (AdapterThread adapter = new AdapterThread()) {
+      start();
+      while (nowMillis() < END_MILLIS + 1_000) {
+        time.runDue();
+        if (batch.length() > 0) {
+          String text =
+              String.format(Locale.ROOT, "sync wall=%.3f%n", nowMillis()) + batch + "eob\n";
+          batch.setLength(0);
+          input.append(text);
+          for (String line : adapter.answer(text)) {
+            output.append(line).append('\n');
+            command(new WireCommand(line));
+          }
+          output.append("ok\n");
+        }
+        time.advance(BATCH_MILLIS);
       }
-      nowMillis += BATCH_MILLIS;
     }
-    toAdapter.close();
-    adapter.join();
   }
 
-  private static Thread startAdapter(PipedOutputStream events, PipedInputStream commands)
-      throws IOException {
-    PipedInputStream input = new PipedInputStream(events, 1 << 16);
-    OutputStream output = new PipedOutputStream(commands);
-    PrintStream errors = new PrintStream(System.err, true, StandardCharsets.UTF_8);
-    Thread adapter =
-        new Thread(
-            () -> {
-              try {
-                new Adapter(input, output, errors).run();
-                output.close();
-              } catch (IOException e) {
-                throw new IllegalStateException(e);
-              }
-            },
-            "adapter");
-    adapter.start();
-    return adapter;
-  }
-
-  private void readAnswer(BufferedReader answers, StringBuilder output) throws IOException {
-    String line;
-    while (!(line = answers.readLine()).equals("ok")) {
-      output.append(line).append('\n');
-      command(line);
-    }
-    output.append("ok\n");
+  private double nowMillis() {
+    return time.nowMillis();
   }
 
   private void at(double whenMillis, Runnable what) {
-    events.add(new Event(whenMillis, order++, what));
+    time.at(whenMillis, what);
   }
 
   private void event(String format, Object... args) {
@@ -148,17 +87,10 @@
   }
 
   private void start() {
-    for (int i = 0; i < 14; i++) {
-      SimulatedServer server = new SimulatedServer();
-      server.id = 7_000 + 13L * i;
-      server.zone = i % 2 == 0 ? "z1" : "z2";
-      server.cell = i / 4;
-      server.meanMillis = 8 + 4 * (i % 3);
-      servers.add(server);
-    }
+    servers.addAll(SimulatedServer.initial());
     for (int who = 0; who < INSTANCES; who++) {
       int instance = who;
-      at(nowMillis, () -> startInstance(instance));
+      at(nowMillis(), () -> startInstance(instance));
       arrivals(instance);
     }
     scheduleFaults();
@@ -176,7 +108,7 @@
     at(
         4_800,
         () -> {
-          servers.get(5).onlineSinceMillis = nowMillis;
+          servers.get(5).onlineSinceMillis = nowMillis();
           tellAll("full");
         });
     at(
@@ -190,22 +122,8 @@
   }
 
   private void scheduleOverload() {
-    at(
-        6_000,
-        () ->
-            servers.forEach(
-                server ->
-                    server.meanMillis =
-                        server.meanMillis > 0 ? 6 * server.meanMillis : server.meanMillis));
-    at(
-        7_200,
-        () ->
-            servers.forEach(
-                server ->
-                    server.meanMillis =
-                        server.meanMillis > 0 && server.meanMillis < SimulatedServer.SILENT
-                            ? server.meanMillis / 6
-                            : 10));
+    at(6_000, () -> servers.forEach(SimulatedServer::overload));
+    at(7_200, () -> servers.forEach(SimulatedServer::recover));
   }
 
   private void scheduleProbes() {
@@ -226,7 +144,7 @@
     event(
         "new_instance who=%d prng=%d conf=%s",
         who,
-        1_000 * seed + who + (long) nowMillis,
+        1_000 * seed + who + (long) nowMillis(),
         ScenarioSettings.json(seed, INSTANCES, who, subscribes, parallel));
     alive.add(who);
     ledger(servers);
@@ -256,7 +174,7 @@
       event("membership who=%d buffer=0 how=delta stamp=%d", who, stamp);
     }
     at(
-        nowMillis + 1_500,
+        nowMillis() + 1_500,
         () -> {
           server.condition = "Gone";
           ledger(List.of(server));
@@ -268,19 +186,13 @@
   }
 
   private void join() {
-    SimulatedServer server = new SimulatedServer();
-    server.id = 9_001;
-    server.zone = "z1";
-    server.cell = 9;
-    server.onlineSinceMillis = nowMillis;
-    server.meanMillis = 9;
-    servers.add(server);
+    servers.add(SimulatedServer.joined(nowMillis()));
     tellAll("full");
   }
 
   private void arrivals(int who) {
     double gapMillis = -Math.log(1 - random.nextDouble()) * 28;
-    arrive(who, nowMillis + 50 + gapMillis);
+    arrive(who, nowMillis() + 50 + gapMillis);
   }
 
   private void arrive(int who, double whenMillis) {
@@ -295,18 +207,18 @@
               who,
               whenMillis
                   - Math.log(1 - random.nextDouble())
-                      * (nowMillis > 6_000 && nowMillis < 7_000 ? 9 : 28));
+                      * (nowMillis() > 6_000 && nowMillis() < 7_000 ? 9 : 28));
         });
   }
 
   private void request(int who) {
-    Request request = new Request();
+    ScenarioRequest request = new ScenarioRequest();
     request.id = nextId++;
     String type =
         List.of("read", "read", "log", "zonal", "key", "claim", "stream", "novel")
             .get(random.nextInt(8));
     double budgetMillis = type.equals("claim") ? 500 : random.nextInt(6) == 0 ? 90 : 400;
-    request.deadlineMillis = nowMillis + budgetMillis;
+    request.deadlineMillis = nowMillis() + budgetMillis;
     request.streamed = type.equals("stream");
     if (!alive.contains(who)) {
       return;
@@ -322,7 +234,7 @@
         random.nextBoolean() ? " estimate=12.0" : "");
     if (random.nextInt(12) == 0) {
       at(
-          nowMillis + 10 + random.nextInt(60),
+          nowMillis() + 10 + random.nextInt(60),
           () -> {
             if (!request.over && alive.contains(who)) {
               request.over = true;
@@ -332,42 +244,29 @@
     }
   }
 
-  private static String field(String line, String key) {
-    for (String part : line.split(" ")) {
-      if (part.startsWith(key + "=")) {
-        return part.substring(key.length() + 1);
-      }
-    }
-    return "";
-  }
-
-  private void command(String line) {
-    int who = Integer.parseInt(field(line, "who"));
-    switch (line.substring(0, line.indexOf(' '))) {
-      case "transmit" ->
-          transmit(who, Long.parseLong(field(line, "txn")), Long.parseLong(field(line, "host")));
-      case "shed", "abort" -> requests.get(Long.parseLong(field(line, "txn"))).over = true;
-      case "cancel" -> cancel(line);
-      case "set_timer" -> setTimer(who, line);
-      case "memo_to" -> broadcast(who, field(line, "raw"));
+  private void command(WireCommand command) {
+    int who = (int) command.number("who");
+    switch (command.name()) {
+      case "transmit" -> transmit(who, command.number("txn"), command.number("host"));
+      case "shed", "abort" -> requests.get(command.number("txn")).over = true;
+      case "cancel" -> cancel(command);
+      case "set_timer" -> setTimer(who, command);
+      case "memo_to" -> broadcast(who, command.field("raw"));
       case "follow" -> watchEndpoints(who);
       default -> {}
     }
   }
 
-  private void cancel(String line) {
-    Attempt attempt =
-        requests
-            .get(Long.parseLong(field(line, "txn")))
-            .attempts
-            .get(Integer.parseInt(field(line, "sendNo")));
-    at(nowMillis + BATCH_MILLIS, () -> end(attempt, CANCELLED));
+  private void cancel(WireCommand command) {
+    ScenarioRequest.Attempt attempt =
+        requests.get(command.number("txn")).attempts.get((int) command.number("sendNo"));
+    at(nowMillis() + BATCH_MILLIS, () -> end(attempt, CANCELLED));
   }
 
-  private void setTimer(int who, String line) {
-    String token = field(line, "token");
+  private void setTimer(int who, WireCommand command) {
+    String token = command.field("token");
     at(
-        nowMillis + Math.max(BATCH_MILLIS, Double.parseDouble(field(line, "sleepFor"))),
+        nowMillis() + Math.max(BATCH_MILLIS, Double.parseDouble(command.field("sleepFor"))),
         () -> {
           if (alive.contains(who)) {
             event("wake who=%d token=%s", who, token);
@@ -379,7 +278,7 @@
     for (int other : List.copyOf(alive)) {
       if (other != who && random.nextInt(10) > 0) {
         at(
-            nowMillis + BATCH_MILLIS,
+            nowMillis() + BATCH_MILLIS,
             () -> event("heard who=%d from=%d raw=%s", other, who, message));
       }
     }
@@ -388,7 +287,7 @@
   private void watchEndpoints(int who) {
     boolean fails = random.nextInt(2) == 0;
     at(
-        nowMillis + BATCH_MILLIS,
+        nowMillis() + BATCH_MILLIS,
         () -> {
           if (!fails) {
             ledger(servers);
@@ -399,29 +298,29 @@
   }
 
   private void transmit(int who, long requestId, long endpoint) {
-    Request request = requests.get(requestId);
-    Attempt attempt = new Attempt();
+    ScenarioRequest request = requests.get(requestId);
+    ScenarioRequest.Attempt attempt = new ScenarioRequest.Attempt();
     attempt.who = who;
     attempt.request = requestId;
     attempt.number = request.attempts.size();
     attempt.server =
         servers.stream().filter(server -> server.id == endpoint).findFirst().orElse(null);
-    attempt.sentAtMillis = nowMillis;
+    attempt.sentAtMillis = nowMillis();
     request.attempts.add(attempt);
     if (attempt.server == null) {
-      at(nowMillis + BATCH_MILLIS, () -> end(attempt, CONNECT_FAILED));
+      at(nowMillis() + BATCH_MILLIS, () -> end(attempt, CONNECT_FAILED));
     } else {
       serve(request, attempt);
     }
   }
 
-  private void serve(Request request, Attempt attempt) {
+  private void serve(ScenarioRequest request, ScenarioRequest.Attempt attempt) {
     SimulatedServer server = attempt.server;
     double servedMillis =
         Math.max(
             1,
             server.meanMillis
-                * server.slowness(nowMillis)
+                * server.slowness(nowMillis())
                 * (0.3 - Math.log(1 - random.nextDouble()))
                 * (1 + server.held / 4.0));
     server.held++;
@@ -433,11 +332,11 @@
           case FULL -> 1;
           default -> servedMillis;
         };
-    double leftMillis = request.deadlineMillis - nowMillis;
+    double leftMillis = request.deadlineMillis - nowMillis();
     int inTime = takenMillis < leftMillis ? reason : TIMEOUT;
-    double endMillis = nowMillis + Math.min(takenMillis, Math.max(1, leftMillis));
+    double endMillis = nowMillis() + Math.min(takenMillis, Math.max(1, leftMillis));
     if (request.streamed && inTime == OK && !request.over) {
-      at(nowMillis + takenMillis / 2, () -> firstByte(request, attempt));
+      at(nowMillis() + takenMillis / 2, () -> firstByte(request, attempt));
     }
     at(endMillis, () -> end(attempt, inTime));
   }
@@ -455,7 +354,7 @@
     return random.nextInt(60) == 0 ? RESET : OK;
   }
 
-  private void firstByte(Request request, Attempt attempt) {
+  private void firstByte(ScenarioRequest request, ScenarioRequest.Attempt attempt) {
     if (!attempt.ended && !request.over && alive.contains(attempt.who)) {
       event(
           "first_byte who=%d txn=%d sendNo=%d host=%d spent=%.1f",
@@ -463,11 +362,11 @@
           request.id,
           attempt.number,
           attempt.server.id,
-          nowMillis - attempt.sentAtMillis);
+          nowMillis() - attempt.sentAtMillis);
     }
   }
 
-  private void end(Attempt attempt, int reason) {
+  private void end(ScenarioRequest.Attempt attempt, int reason) {
     if (attempt.ended) {
       return;
     }
@@ -478,7 +377,7 @@
     if (!alive.contains(attempt.who)) {
       return;
     }
-    Request request = requests.get(attempt.request);
+    ScenarioRequest request = requests.get(attempt.request);
     boolean over = request.over || reason == OK;
     request.over = over;
     event(
@@ -488,7 +387,7 @@
         attempt.number,
         attempt.server == null ? 0 : attempt.server.id,
         reason,
-        nowMillis - attempt.sentAtMillis,
+        nowMillis() - attempt.sentAtMillis,
         over ? " terminal=1" : "",
         reason <= ERROR && attempt.server != null ? " load=" + attempt.server.loadReport() : "");
   }
--- /dev/null
+++ b/src/test/java/leadferry/adapter/AdapterThread.java
@@ -0,0 +1,61 @@
+package leadferry.adapter;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.io.PipedInputStream;
+import java.io.PipedOutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/** An adapter in a thread of its own, which ends when this is closed. */
+final class AdapterThread implements AutoCloseable {
+  private static final int PIPE_BYTES = 1 << 16;
+
+  private final PipedOutputStream events = new PipedOutputStream();
+  private final BufferedReader commands;
+  private final Thread thread;
+
+  AdapterThread() throws IOException {
+    PipedInputStream input = new PipedInputStream(events, PIPE_BYTES);
+    PipedInputStream answers = new PipedInputStream(PIPE_BYTES);
+    OutputStream output = new PipedOutputStream(answers);
+    commands = new BufferedReader(new InputStreamReader(answers, StandardCharsets.UTF_8));
+    thread = new Thread(() -> run(input, output), "adapter");
+    thread.start();
+  }
+
+  private static void run(PipedInputStream input, OutputStream output) {
+    try {
+      new Adapter(input, output, new PrintStream(System.err, true, StandardCharsets.UTF_8)).run();
+      output.close();
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /** Has the adapter answer a batch, and gives the commands. */
+  List<String> answer(String batch) throws IOException {
+    events.write(batch.getBytes(StandardCharsets.UTF_8));
+    events.flush();
+    List<String> answer = new ArrayList<>();
+    String line;
+    while (!(line = commands.readLine()).equals("ok")) {
+      answer.add(line);
+    }
+    return answer;
+  }
+
+  @Override
+  public void close() throws IOException {
+    events.close();
+    try {
+      thread.join();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+}
--- a/src/test/java/leadferry/adapter/SimulatedServer.java
+++ b/src/test/java/leadferry/adapter/SimulatedServer.java
@@ -1,5 +1,8 @@
 package leadferry.adapter;
 
+import java.util.ArrayList;
+import java.util.List;
+
 /** A server of the simulated deployment. */
 final class SimulatedServer {
   /** A mean response time that tells: answers nothing. */
@@ -16,14 +19,48 @@
 
   private static final double WARM_UP_MILLIS = 2_000;
 
-  long id;
-  String zone;
-  long cell;
+  final long id;
+  final String zone;
+  final long cell;
   double onlineSinceMillis;
   String condition = "Ready";
   double meanMillis;
   int held;
 
+  private SimulatedServer(long id, String zone, long cell, double meanMillis) {
+    this.id = id;
+    this.zone = zone;
+    this.cell = cell;
+    this.meanMillis = meanMillis;
+  }
+
+  /** The servers at the beginning, of two zones and four cells. */
+  static List<SimulatedServer> initial() {
+    List<SimulatedServer> servers = new ArrayList<>();
+    for (int i = 0; i < 14; i++) {
+      servers.add(
+          new SimulatedServer(7_000 + 13L * i, i % 2 == 0 ? "z1" : "z2", i / 4, 8 + 4 * (i % 3)));
+    }
+    return servers;
+  }
+
+  /** One that has just come up. */
+  static SimulatedServer joined(double nowMillis) {
+    SimulatedServer server = new SimulatedServer(9_001, "z1", 9, 9);
+    server.onlineSinceMillis = nowMillis;
+    return server;
+  }
+
+  /** From now on it takes six times as long, if it serves at all. */
+  void overload() {
+    meanMillis = meanMillis > 0 ? 6 * meanMillis : meanMillis;
+  }
+
+  /** The overload is over, and so is what was wrong with it. */
+  void recover() {
+    meanMillis = meanMillis > 0 && meanMillis < SILENT ? meanMillis / 6 : 10;
+  }
+
   /** How much longer than warm it takes. */
   double slowness(double nowMillis) {
     return onlineSinceMillis > 0 && nowMillis - onlineSinceMillis < WARM_UP_MILLIS ? 2 : 1;
