--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -70,24 +70,6 @@
   /** Witnesses have to stand so long: refutations come within the above, and travel. */
   private static final double DECIDE_AFTER_AIMS = 0.35;
 
-  /** The most that an endpoint is ejected on others' word; the load balancer's own longest time. */
-  private static final double MOST_SPREAD_AIMS = 20;
-
-  /** It begins with one trial in two aims where one proxy in so many sends to an endpoint. */
-  private static final double PROXIES_PER_SPREAD_AIM = 10;
-
-  /**
-   * How many proxies send to an endpoint is known to none, so the spread is found: lost trials that
-   * come this close to each other were too many, and everybody, having heard the same, waits
-   * longer.
-   */
-  private static final double TRIALS_CLOSE_AIMS = 2;
-
-  /** Trials further apart than this were too few, and everybody waits less long. */
-  private static final double TRIALS_FAR_AIMS = 4;
-
-  private static final double SPREAD_STEP = 1.5;
-
   /**
    * Where responses get lost at chance, most of what a proxy says is refuted and paid for all the
    * same: it says ever less of it, down to this share. Of an endpoint that hangs, so many proxies
@@ -101,7 +83,7 @@
   private static final int SELF = -1;
 
   private final byte zone;
-  private final double initialSpreadAims;
+  private final TrialSpread trialSpread;
   private final SplittableRandom random;
   private final Actions actions;
   private final Map<Long, EndpointSuspicion> suspicions = new HashMap<>();
@@ -120,8 +102,7 @@
    */
   public SuspicionProtocol(String zone, int proxies, double aimMillis, long seed, Actions actions) {
     this.zone = Suspicion.zoneByte(zone);
-    this.initialSpreadAims =
-        Math.max(1, Math.min(MOST_SPREAD_AIMS, proxies / PROXIES_PER_SPREAD_AIM));
+    this.trialSpread = new TrialSpread(proxies);
     this.aimMillis = aimMillis;
     this.random = new SplittableRandom(seed);
     this.actions = actions;
@@ -295,26 +276,16 @@
       tellShare = Math.min(1, tellShare + TELL_SHARE_STEP);
     }
     boolean again = suspicion.isEjected();
-    suspicion.trialSpreadAims = nextSpreadAims(suspicion, nowMillis);
+    suspicion.trialSpreadAims =
+        again
+            ? trialSpread.nextAims(
+                suspicion.trialSpreadAims, suspicion.ejectedForMillis(nowMillis) / aimMillis)
+            : trialSpread.initialAims();
     suspicion.eject(nowMillis);
     double lengthMillis = aimMillis * (1 + random.nextDouble() * suspicion.trialSpreadAims);
     actions.eject(endpoint, lengthMillis, again);
   }
 
-  private double nextSpreadAims(EndpointSuspicion suspicion, double nowMillis) {
-    if (!suspicion.isEjected()) {
-      return initialSpreadAims;
-    }
-    double sinceTrialAims = suspicion.ejectedForMillis(nowMillis) / aimMillis;
-    if (sinceTrialAims < TRIALS_CLOSE_AIMS) {
-      return Math.min(MOST_SPREAD_AIMS, suspicion.trialSpreadAims * SPREAD_STEP);
-    }
-    if (sinceTrialAims > TRIALS_FAR_AIMS) {
-      return Math.max(1, suspicion.trialSpreadAims / SPREAD_STEP);
-    }
-    return suspicion.trialSpreadAims;
-  }
-
   private void tell(long endpoint, double ageMillis, boolean answers) {
     if (savedMessages >= 1) {
       savedMessages--;
