--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -116,39 +116,41 @@
         new SuspicionProtocol(
             settings.zone(),
             settings.balancers(),
-            settings.pace(),
+            settings.shortestAimMillis(),
             seed,
             new SuspicionProtocol.Actions() {
               @Override
-              public void tell(byte[] message) {
+              public void broadcast(byte[] message) {
                 tell.accept(message);
               }
 
               @Override
-              public void leaveOut(long host, double length, boolean again) {
+              public void eject(long host, double lengthMillis, boolean again) {
                 if (!again) {
                   Dispatcher.this.log("host " + host + " silent to several proxies");
                 }
-                deliver(null, () -> balancer.onHint(now(), host, length));
+                deliver(null, () -> balancer.onGossip(now(), host, lengthMillis));
               }
 
               @Override
-              public void takeBack(long host) {
+              public void readmit(long host) {
                 Dispatcher.this.log("host " + host + " answers another proxy");
-                deliver(null, () -> balancer.onHint(now(), host, 0));
+                deliver(null, () -> balancer.onGossip(now(), host, 0));
               }
 
               @Override
-              public void later(double delay) {
+              public void scheduleTimer(double delayMillis) {
                 loop.schedule(
-                    () -> suspicions.due(now()), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
+                    () -> suspicions.onTimer(now()),
+                    (long) (delayMillis * 1e6),
+                    TimeUnit.NANOSECONDS);
               }
             });
   }
 
   /** A message of the proxy of that number, for a pool that has joined. */
   public void heard(byte[] message, int from) {
-    suspicions.heard(now(), from, message);
+    suspicions.onMessage(now(), from, message);
   }
 
   /** Hosts on which attempts of this pool are in flight, or wait to be. */
@@ -235,10 +237,10 @@
   public void membership(leadferry.loadbalancer.EndpointListEvent kind, UpstreamHosts.News news) {
     UpstreamHosts.Change change = hosts.apply(news, now());
     List<EndpointUpdate> entries = change.entries();
-    deliver(null, () -> balancer.onMembership(now(), kind, entries));
+    deliver(null, () -> balancer.onEndpointList(now(), kind, entries));
     if (suspicions != null) {
       change.cut().forEach(h -> suspicions.forget(h.id));
-      suspicions.members(kind, entries);
+      suspicions.onEndpointList(kind, entries);
     }
     // Guards against a send to a host that drains or has moved while its connection comes up. All
     // are taken back before the
@@ -257,7 +259,7 @@
   public void settings(Settings next) {
     settings = next;
     if (suspicions != null) {
-      suspicions.pace(next.pace());
+      suspicions.onSettings(next.shortestAimMillis());
     }
     deliver(null, () -> balancer.onSettings(next));
   }
@@ -271,7 +273,8 @@
   public void followFailed() {
     deliver(
         null,
-        () -> balancer.onMembership(now(), leadferry.loadbalancer.EndpointListEvent.FAILED, null));
+        () ->
+            balancer.onEndpointList(now(), leadferry.loadbalancer.EndpointListEvent.FAILED, null));
   }
 
   /**
@@ -298,7 +301,7 @@
       Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
     int number = a.number();
     if (suspicions != null && result.answered()) {
-      suspicions.answered(now(), a.host.id);
+      suspicions.onResponse(now(), a.host.id);
     }
     if (tally != null && result != AttemptOutcome.CANCELLED && result != AttemptOutcome.MOOT) {
       tally.attempt(
@@ -330,7 +333,7 @@
   }
 
   void clientGone(Exchange e) {
-    deliver(e, () -> balancer.onClientGone(now(), e.id));
+    deliver(e, () -> balancer.onClientDisconnect(now(), e.id));
   }
 
   private void deliver(Exchange about, Runnable what) {
@@ -351,7 +354,7 @@
 
   private void handle(Event e) {
     try {
-      balancer.onHeard(now() - ReadHorizon.behind() / 1e6);
+      balancer.onReadUntil(now() - ReadHorizon.behind() / 1e6);
       e.what().run();
     } catch (RuntimeException x) {
       // Guards against one event that ends the process: it costs its own request only.
@@ -386,7 +389,7 @@
     UpstreamHost h = hosts.get(host);
     if (e != null && h != null) {
       if (suspicions != null) {
-        suspicions.attempted();
+        suspicions.onAttempt();
       }
       e.send(h, apart);
     } else {
@@ -395,10 +398,10 @@
   }
 
   @Override
-  public void refuse(long request, double coolDown) {
+  public void reject(long request, double retryAfterMillis) {
     Exchange e = exchanges.get(request);
     if (e != null) {
-      e.refuse(coolDown);
+      e.refuse(retryAfterMillis);
     }
   }
 
@@ -430,14 +433,14 @@
   }
 
   @Override
-  public void silent(long host, double now, double sentAt) {
+  public void onNoResponse(long host, double now, double sentAt) {
     if (suspicions != null) {
-      suspicions.silent(now, host, sentAt);
+      suspicions.onNoResponse(now, host, sentAt);
     }
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     follow.run();
   }
 
--- a/src/main/java/leadferry/loadbalancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -3,8 +3,8 @@
 /** The settings in force. They change as a whole, between two events. */
 final class LiveSettings {
   private Settings now;
-  private double pace;
-  private double keepIdle;
+  private double shortestAimMillis;
+  private double idleTimeoutMillis;
 
   LiveSettings(Settings first) {
     set(first);
@@ -12,21 +12,21 @@
 
   void set(Settings next) {
     now = next;
-    pace = next.pace();
-    keepIdle = next.keepIdle(Double.POSITIVE_INFINITY);
+    shortestAimMillis = next.shortestAimMillis();
+    idleTimeoutMillis = next.idleTimeoutMillis(Double.POSITIVE_INFINITY);
   }
 
   Settings now() {
     return now;
   }
 
-  /** {@link Settings#pace()} of those in force. */
-  double pace() {
-    return pace;
+  /** {@link Settings#shortestAimMillis} of those in force. */
+  double shortestAimMillis() {
+    return shortestAimMillis;
   }
 
-  /** {@link Settings#keepIdle} of those in force. */
-  double keepIdle() {
-    return keepIdle;
+  /** {@link Settings#idleTimeoutMillis} of those in force. */
+  double idleTimeoutMillis() {
+    return idleTimeoutMillis;
   }
 }
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -59,7 +59,8 @@
      * platform's proxy.
      */
     public static Plan of(int proxies, int hosts, double load, long seed) {
-      return new Plan(proxies, hosts, load, 20, 0.4, settings(proxies, 0).keepIdle(60_000), seed);
+      return new Plan(
+          proxies, hosts, load, 20, 0.4, settings(proxies, 0).idleTimeoutMillis(60_000), seed);
     }
   }
 
@@ -212,7 +213,7 @@
         if (j != null) {
           j.end(AttemptOutcome.TIMEOUT, true, false);
         } else {
-          module.onClientGone(now, id);
+          module.onClientDisconnect(now, id);
           answered(id, false);
         }
       }
@@ -233,7 +234,7 @@
     void outcome(Job j, AttemptOutcome result, boolean over, LoadReport load) {
       open.remove(j.request, j);
       if (talk && result.answered()) {
-        suspicions.answered(now, j.host.id);
+        suspicions.onResponse(now, j.host.id);
       }
       module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
       if (over) {
@@ -270,7 +271,7 @@
               asks.get(request).type);
       open.put(request, j);
       sends++;
-      suspicions.attempted();
+      suspicions.onAttempt();
       hung += host.hangs ? 1 : 0;
       host.sends++;
       host.sent.add(now);
@@ -297,7 +298,7 @@
     }
 
     @Override
-    public void refuse(long request, double coolDown) {
+    public void reject(long request, double retryAfterMillis) {
       refused++;
       at(0, () -> answered(request, false));
     }
@@ -321,40 +322,40 @@
     }
 
     @Override
-    public void silent(long host, double at, double sentAt) {
+    public void onNoResponse(long host, double at, double sentAt) {
       if (talk) {
-        suspicions.silent(at, host, sentAt);
+        suspicions.onNoResponse(at, host, sentAt);
       }
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
       told += message.length * (long) (proxies.size() - 1);
       for (Proxy p : proxies) {
         if (p != this && random.nextDouble() > 0.02) {
           FleetModel.this.at(
-              3 + 25 * random.nextDouble(), () -> p.suspicions.heard(now, position, message));
+              3 + 25 * random.nextDouble(), () -> p.suspicions.onMessage(now, position, message));
         }
       }
     }
 
     @Override
-    public void leaveOut(long host, double length, boolean again) {
-      FleetModel.this.at(0, () -> module.onHint(now, host, length));
+    public void eject(long host, double lengthMillis, boolean again) {
+      FleetModel.this.at(0, () -> module.onGossip(now, host, lengthMillis));
     }
 
     @Override
-    public void takeBack(long host) {
-      FleetModel.this.at(0, () -> module.onHint(now, host, 0));
+    public void readmit(long host) {
+      FleetModel.this.at(0, () -> module.onGossip(now, host, 0));
     }
 
     @Override
-    public void later(double delay) {
-      FleetModel.this.at(delay, () -> suspicions.due(now));
+    public void scheduleTimer(double delayMillis) {
+      FleetModel.this.at(delayMillis, () -> suspicions.onTimer(now));
     }
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
@@ -415,8 +416,8 @@
       Proxy p = new Proxy(i);
       proxies.add(p);
       p.module.onStart(now);
-      p.module.onMembership(now, EndpointListEvent.CACHED, entries);
-      p.suspicions.members(EndpointListEvent.CACHED, entries);
+      p.module.onEndpointList(now, EndpointListEvent.CACHED, entries);
+      p.suspicions.onEndpointList(EndpointListEvent.CACHED, entries);
     }
     arrive();
   }
@@ -505,15 +506,15 @@
       at(
           late * random.nextDouble(),
           () -> {
-            p.suspicions.members(EndpointListEvent.DELTA, news);
-            p.module.onMembership(now, EndpointListEvent.DELTA, news);
+            p.suspicions.onEndpointList(EndpointListEvent.DELTA, news);
+            p.module.onEndpointList(now, EndpointListEvent.DELTA, news);
           });
     }
   }
 
   /** The share of the proxies that leave the host out on the word of several. */
   public double leftOutBy(Host h) {
-    return proxies.stream().filter(p -> p.suspicions.leavesOut(h.id)).count()
+    return proxies.stream().filter(p -> p.suspicions.isEjected(h.id)).count()
         / (double) proxies.size();
   }
 
