--- a/src/test/java/leadferry/gossip/RecordedDatagramTest.java
+++ b/src/test/java/leadferry/gossip/RecordedDatagramTest.java
@@ -71,6 +71,12 @@
   private static String show(Suspicion datagram) {
     return datagram == null
         ? "none"
-        : datagram.zone() + " " + datagram.host() + " " + datagram.age() + " " + datagram.answers();
+        : datagram.zone()
+            + " "
+            + datagram.endpoint()
+            + " "
+            + datagram.ageMillis()
+            + " "
+            + datagram.answers();
   }
 }
