--- a/src/main/java/leadferry/engine/UpstreamHost.java
+++ b/src/main/java/leadferry/engine/UpstreamHost.java
@@ -38,20 +38,17 @@
    */
   double startedUnixMs;
 
-  /** Connections that carry nothing and may carry again, the longest idle first. */
-  final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
-
-  /** Those that have just carried and rest for a moment, the longest idle first. */
-  final ArrayDeque<UpstreamConnection> resting = new ArrayDeque<>(2);
+  /** Connections that carry nothing. */
+  final IdleConnections idle = new IdleConnections();
 
   /** Attempts that wait for a connection, the oldest first. */
   final ArrayDeque<Attempt> pending = new ArrayDeque<>(2);
 
-  /** Whether a look at {@link #pending} is due when a rest ends. */
-  boolean pumping;
+  /** Whether a look at {@link #pending} is scheduled for the end of a rest. */
+  boolean dispatchScheduled;
 
   /** This host's part in the places that workers share, or null. */
-  UpstreamConnectionPool.HostMember member;
+  HostPlaces member;
 
   /** Whether, and when (ns) last, bytes came behind an answer that belong to none. */
   boolean surplusSeen;
