--- a/src/main/java/leadferry/engine/AcceptBackoff.java
+++ b/src/main/java/leadferry/engine/AcceptBackoff.java
@@ -9,20 +9,16 @@
 
 /**
  * Keeps a listener accepting while accept(2) fails. It stands ahead of netty's own acceptor, which
- * stops for a whole second at each failure: longer than many requests have.
- *
- * <pre>
- *   accepts | fails | 5 ms | fails | 10 ms | ... 100 ms at most | accepts, and the next wait is 5 ms again
- * </pre>
+ * stops for a whole second at each failure: longer than many requests have. How long it waits says
+ * {@link AcceptRetryPolicy}.
  */
 public final class AcceptBackoff extends ChannelInboundHandlerAdapter {
-  private static final long FIRST_WAIT_MS = 5;
-  private static final long LONGEST_WAIT_MS = 100;
-  private static final int LOGGED_EACH = 100;
+  /** Of failures one in so many has a line in the log. */
+  private static final int FAILURES_PER_LINE = 100;
 
   private final Consumer<String> log;
   private final Runnable resumed;
-  private long nextWaitMs = FIRST_WAIT_MS;
+  private final AcceptRetryPolicy retryPolicy = new AcceptRetryPolicy();
   private long failures;
 
   /**
@@ -41,7 +37,7 @@
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object accepted) {
-    nextWaitMs = FIRST_WAIT_MS;
+    retryPolicy.accepted();
     context.fireChannelRead(accepted);
   }
 
@@ -51,22 +47,23 @@
       context.fireExceptionCaught(cause);
       return;
     }
-    if (failures++ % LOGGED_EACH == 0) {
+    if (failures++ % FAILURES_PER_LINE == 0) {
       log.accept("accept failed: " + cause.getMessage() + ", " + failures + " so far");
     }
-    Channel listener = context.channel();
+    pause(context.channel());
+  }
+
+  private void pause(Channel listener) {
     listener.config().setAutoRead(false);
     listener
         .eventLoop()
-        .schedule(
-            () -> {
-              if (listener.isOpen()) {
-                listener.config().setAutoRead(true);
-                resumed.run();
-              }
-            },
-            nextWaitMs,
-            TimeUnit.MILLISECONDS);
-    nextWaitMs = Math.min(2 * nextWaitMs, LONGEST_WAIT_MS);
+        .schedule(() -> resume(listener), retryPolicy.backoffMillis(), TimeUnit.MILLISECONDS);
+  }
+
+  private void resume(Channel listener) {
+    if (listener.isOpen()) {
+      listener.config().setAutoRead(true);
+      resumed.run();
+    }
   }
 }
--- a/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
@@ -8,28 +8,25 @@
 import java.util.List;
 
 /**
- * A listening socket of the JDK's on which a failed accept(2) costs one connection at most. Linux
- * reports there what befell the connection that was next (ECONNABORTED, EPROTO, ENETDOWN ...), and
- * shortages of its own (EMFILE, ENFILE, ENOBUFS, ENOMEM); neither says anything of those that stand
- * behind it. A failure that lasts is thrown, for {@link AcceptBackoff}.
+ * A listening socket of the JDK's on which a failed accept(2) costs one connection at most, by
+ * {@link AcceptRetryPolicy}. A failure that lasts is thrown, for {@link AcceptBackoff}.
  */
 public class RetryingServerSocketChannel extends NioServerSocketChannel {
-  private static final int TRIES = 4;
-
   /**
    * The next connection of the backlog, or null if nobody waits there.
    *
-   * @throws IOException if accept fails {@value #TRIES} times in a row
+   * @throws IOException if accept fails {@value AcceptRetryPolicy#IMMEDIATE_ATTEMPTS} times in a
+   *     row
    */
   protected SocketChannel acceptNext() throws IOException {
     IOException failure = null;
-    for (int i = 0; i < TRIES; i++) {
+    for (int failures = 0; AcceptRetryPolicy.retriesAtOnce(failures); failures++) {
       try {
         return javaChannel().accept();
-      } catch (ClosedChannelException e) {
-        throw e;
-      } catch (IOException e) {
-        failure = e;
+      } catch (ClosedChannelException closed) {
+        throw closed;
+      } catch (IOException failed) {
+        failure = failed;
       }
     }
     throw failure;
--- /dev/null
+++ b/src/test/java/leadferry/engine/AcceptRetryPolicyTest.java
@@ -0,0 +1,47 @@
+package leadferry.engine;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.stream.IntStream;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+
+class AcceptRetryPolicyTest {
+  private final AcceptRetryPolicy policy = new AcceptRetryPolicy();
+
+  private long[] backoffs(int count) {
+    return LongStream.generate(policy::backoffMillis).limit(count).toArray();
+  }
+
+  @Test
+  void backoffDoublesUpToItsBound() {
+    assertThat(backoffs(7)).containsExactly(5, 10, 20, 40, 80, 100, 100);
+  }
+
+  @Test
+  void backoffBeginsAnewAfterAnAccept() {
+    backoffs(3);
+
+    policy.accepted();
+
+    assertThat(backoffs(2)).containsExactly(5, 10);
+  }
+
+  @Test
+  void acceptIsAttemptedFourTimesAtOnce() {
+    int attempts = 1;
+    while (AcceptRetryPolicy.retriesAtOnce(attempts)) {
+      attempts++;
+    }
+
+    assertThat(attempts).isEqualTo(4);
+  }
+
+  @Test
+  void listenerThatIsToBeClosedLooksAgainFortyTimes() {
+    long retries =
+        IntStream.rangeClosed(1, 100).filter(AcceptRetryPolicy::retriesBeforeClose).count();
+
+    assertThat(retries).isEqualTo(40);
+  }
+}
