--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -17,6 +17,8 @@
    */
   protected static final long STILL_MS = 400;
 
+  private static final double NANOS_PER_MILLI = 1e6;
+
   protected final Exchange exchange;
   final UpstreamHost host;
   private final Dispatcher dispatcher;
@@ -25,11 +27,9 @@
   private boolean answering;
   private double apart;
   private double wroteAt;
-  private boolean ran;
+  private AttemptPhase phase = AttemptPhase.CREATED;
   private Channel connecting;
-  private boolean queued;
   private UpstreamConnection connection;
-  private boolean over;
 
   /** {@code sentAt} is the module's clock. */
   protected Attempt(Exchange exchange, UpstreamHost host, int number, double sentAt) {
@@ -64,7 +64,7 @@
    * over.
    */
   final boolean mayRun() {
-    return over ? ran : connection != null;
+    return phase.mayRun();
   }
 
   /** Ends it before anything was done for it. */
@@ -74,11 +74,11 @@
   }
 
   final boolean open() {
-    return !over;
+    return !phase.over();
   }
 
   protected final boolean over() {
-    return over;
+    return phase.over();
   }
 
   final int number() {
@@ -113,25 +113,27 @@
   // --- its connection
 
   final void connecting(Channel channel) {
+    phase = phase.connecting();
     connecting = channel;
   }
 
   /** Whether its connection had to come up first, or to become free. */
   final boolean waited() {
-    return connecting != null || queued;
+    return phase.waited();
   }
 
   /** It stands in a queue for a connection. */
   final void queued() {
-    queued = true;
+    phase = phase.pending();
   }
 
-  final void attached(UpstreamConnection to) {
-    if (connecting != null) {
-      sentAt += ReadHorizon.behind() / 1e6; // it had come up before this was heard of
+  final void attached(UpstreamConnection carrier) {
+    if (phase == AttemptPhase.CONNECTING) {
+      sentAt += ReadHorizon.behind() / NANOS_PER_MILLI; // it had come up before this was heard of
     }
+    phase = phase.attached();
     connecting = null;
-    connection = to;
+    connection = carrier;
     wroteAt = dispatcher.now();
   }
 
@@ -145,7 +147,14 @@
    * host takes it.
    */
   final boolean unfinished() {
-    return !over && connection != null && !connection.written();
+    return phase == AttemptPhase.ATTACHED && !connection.written();
+  }
+
+  /** Ends it, unless its last byte has gone out or it is over. */
+  final void withdrawUnfinished() {
+    if (unfinished()) {
+      moot();
+    }
   }
 
   protected final UpstreamConnection connection() {
@@ -218,10 +227,11 @@
 
   /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
   final void timeUp() {
-    finish(
-        !mayHaveRun()
-            ? AttemptOutcome.MOOT
-            : waitsForClient() ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT);
+    if (!mayHaveRun()) {
+      finish(AttemptOutcome.MOOT);
+    } else {
+      finish(waitsForClient() ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT);
+    }
   }
 
   final void cancel() {
@@ -234,15 +244,14 @@
   }
 
   /** Ends it with this outcome; harmless if it is over. */
-  protected final void finish(AttemptOutcome result) {
-    if (over) {
+  protected final void finish(AttemptOutcome outcome) {
+    if (phase.over()) {
       return;
     }
-    over = true;
-    ran = !result.neverRan();
+    phase = phase.ended(outcome);
     host.calls--;
     release();
     dispatcher.upstreams().end(this);
-    exchange.attemptEnded(this, result, dispatcher.now() - sentAt, report());
+    exchange.attemptEnded(this, outcome, dispatcher.now() - sentAt, report());
   }
 }
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -15,6 +15,8 @@
  * in place of answering, if {@link FallbackPools} names one and nothing that was sent may have run.
  */
 public final class Exchange {
+  private static final double NANOS_PER_MILLI = 1e6;
+
   final long id;
   final String className;
   final double takenAt;
@@ -22,15 +24,12 @@
   private final ClientCall call;
   private double deadlineAt;
   private final FallbackPools fallback;
-  private final List<Attempt> attempts = new ArrayList<>(2);
+  private final ExchangeAttempts attempts = new ExchangeAttempts();
   private final List<Future<?>> timers = new ArrayList<>(2);
-  private int open;
-  private boolean answered;
-  private boolean mayHaveRun;
-  private boolean moved;
+  private ExchangeState state = ExchangeState.WAITING;
 
-  /** Its end has been counted, or is nobody's to count. */
-  private boolean tallied;
+  /** Whether an attempt has ended that may have run. */
+  private boolean mayHaveRun;
 
   /** {@code deadlineAt} is on the dispatcher's clock. */
   Exchange(
@@ -56,22 +55,23 @@
   }
 
   /**
-   * The request has come whole, and its time counts from now on; it must have had more until then.
+   * The request has come whole, and its time (ms) counts from now on; it must have had more until
+   * then.
    */
-  public void timed(double budget) {
-    deadlineAt = dispatcher.now() + budget;
-    later(budget, this::timeUp);
+  public void timed(double budgetMillis) {
+    deadlineAt = dispatcher.now() + budgetMillis;
+    later(budgetMillis, this::timeUp);
   }
 
-  /** Runs something later unless the request and its attempts are all over by then. */
-  void later(double delay, Runnable what) {
-    long nanos = Math.max(0, (long) (delay * 1e6));
-    timers.add(dispatcher.loop().schedule(what, nanos, TimeUnit.NANOSECONDS));
+  /** Runs something so much later (ms) unless the request and its attempts are all over by then. */
+  void later(double delayMillis, Runnable task) {
+    long nanos = Math.max(0, (long) (delayMillis * NANOS_PER_MILLI));
+    timers.add(dispatcher.loop().schedule(task, nanos, TimeUnit.NANOSECONDS));
   }
 
   /** Whether the final answer has been given, or nobody waits for one. */
   public boolean answered() {
-    return answered;
+    return state.answered();
   }
 
   /** How long (ms) the client still waits; at least 1. */
@@ -96,26 +96,30 @@
 
   /** The server of the last of them, or null. */
   public String server() {
-    return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).host.name;
+    return attempts.size() == 0 ? null : attempts.get(attempts.size() - 1).host.name;
   }
 
   // --- attempts
 
+  /** Makes a further attempt, and starts it where one may still be made. */
   void send(UpstreamHost host, double apart) {
-    Attempt a = call.attempt(this, host, attempts.size(), dispatcher.now());
-    attempts.add(a);
-    open++;
-    if (!call.replayable()
-        || attempts.size() > dispatcher.maxAttempts()
-        || (attempts.size() > 1 && !dispatcher.retryAllowed())) {
-      a.withhold();
+    Attempt attempt = call.attempt(this, host, attempts.size(), dispatcher.now());
+    attempts.add(attempt);
+    if (lastMayStart()) {
+      attempt.start(apart);
     } else {
-      a.start(apart);
+      attempt.withhold();
     }
   }
 
+  private boolean lastMayStart() {
+    return call.replayable()
+        && attempts.size() <= dispatcher.maxAttempts()
+        && (attempts.size() == 1 || dispatcher.retryAllowed());
+  }
+
   void cancel(int number) {
-    if (!answered && call.comes()) {
+    if (!state.answered() && call.comes()) {
       // Guards against a host that is called silent while it waits for the rest of the request
       // itself.
       return;
@@ -123,43 +127,34 @@
     attempts.get(number).cancel();
   }
 
-  void attemptEnded(Attempt a, AttemptOutcome result, double spent, LoadReport report) {
-    open--;
-    mayHaveRun |= !result.neverRan();
-    if (answered && !result.neverRan() && result != AttemptOutcome.CANCELLED) {
-      tally(
-          result
-              == AttemptOutcome
-                  .OK); // its answer is the one that the client has had, or has had a part of
+  /** An attempt has ended with this outcome, {@code spent} ms after it was sent. */
+  void attemptEnded(Attempt attempt, AttemptOutcome outcome, double spent, LoadReport report) {
+    attempts.ended();
+    mayHaveRun |= !outcome.neverRan();
+    if (state.answered() && !outcome.neverRan() && outcome != AttemptOutcome.CANCELLED) {
+      // Its response is the one that the client has had, or has had a part of.
+      count(outcome == AttemptOutcome.OK);
     }
-    dispatcher.outcome(this, a, result, spent, answered && !answering(), report);
+    // Guards a response that is going to the client against the end of another attempt.
+    boolean over = state.answered() && !attempts.anyAnswering();
+    dispatcher.outcome(this, attempt, outcome, spent, over, report);
     forgetIfDone();
   }
 
   /** The answer of this attempt goes to the client while it comes. */
   void answerBegun(int number, double spent) {
     dispatcher.firstByte(this, number, spent);
-    withdrawUnsent();
-  }
-
-  /** Whether an answer is going to the client. Guards it against the end of another attempt. */
-  private boolean answering() {
-    for (int i = 0; i < attempts.size(); i++) {
-      if (attempts.get(i).open() && attempts.get(i).answering()) {
-        return true;
-      }
-    }
-    return false;
+    attempts.withdrawUnsent();
   }
 
   // --- the one final answer
 
   void refuse(double coolDown) {
-    if (!answered && move()) {
+    if (!state.answered() && move()) {
       return;
     }
     if (claim()) {
-      tally(false);
+      count(false);
       call.refused(coolDown);
       forgetIfDone();
     }
@@ -168,23 +163,24 @@
   /** Fails the request unless it has been answered. */
   public void fail() {
     if (claim()) {
-      tally(false);
+      count(false);
       call.failed(dispatcher.now() >= deadlineAt);
       forgetIfDone();
     }
   }
 
-  private void tally(boolean well) {
-    if (!tallied) {
-      tallied = true;
+  /** Counts how the request ended, unless that is counted, or is nobody's to count. */
+  private void count(boolean well) {
+    if (state == ExchangeState.ANSWERED) {
+      state = state.counted();
       dispatcher.ended(this, well);
     }
   }
 
   /** Whether the caller may give the final answer now; true once. */
   public boolean claim() {
-    boolean first = !answered;
-    answered = true;
+    boolean first = !state.answered();
+    state = state.claimed();
     return first;
   }
 
@@ -199,9 +195,7 @@
     if (next == null || left <= 0) {
       return false;
     }
-    answered = true;
-    tallied = true;
-    moved = true;
+    state = state.moved();
     forgetIfDone();
     next.dispatcher().take(call, next.arrival().within(left), next.fallback());
     return true;
@@ -211,18 +205,15 @@
 
   /** The client has gone before its answer. */
   public void clientGone() {
-    if (answered && open == 0) {
+    if (state.answered() && attempts.allEnded()) {
       return;
     }
-    boolean began = answered;
-    answered = true;
-    tallied |= !began;
+    boolean began = state.answered();
+    state = state.clientGone();
     dispatcher.clientGone(this);
-    // What is out without an answer is the module's to call off, where the deployment lets it. One
-    // whose
-    // answer streams, or whose request has failed on its client's side, has nobody to go to; one
-    // whose request
-    // never comes whole would wait at its host for the rest.
+    // What is out without a response is the module's to call off, where the deployment lets it. One
+    // whose response streams, or whose request has failed on its client's side, has nobody to go
+    // to; one whose request never comes whole would wait at its host for the rest.
     for (int i = 0; (began || call.comes()) && i < attempts.size(); i++) {
       if (attempts.get(i).open()) {
         attempts.get(i).cancel();
@@ -242,40 +233,42 @@
 
   private void timeUp() {
     for (int i = 0; i < attempts.size(); i++) {
-      Attempt a = attempts.get(i);
-      if (a.open() && !(a.answering() && call.timedToFirstByte() && a.goesOn())) {
-        a.timeUp();
-      } else if (a.open()) {
-        // Not one of the timers that are kept: a long answer would add one to them each time.
+      Attempt attempt = attempts.get(i);
+      if (!attempt.open()) {
+        continue;
+      }
+      if (goesOnPastDeadline(attempt)) {
+        // Not one of the timers that are kept: a long response would add one to them each time.
         // Harmless once it is over.
         dispatcher.loop().schedule(this::timeUp, Attempt.STILL_MS, TimeUnit.MILLISECONDS);
+      } else {
+        attempt.timeUp();
       }
     }
-    if (!answered) {
+    if (!state.answered()) {
       fail(); // the module holds it still: the client's time is up all the same
       dispatcher.clientGone(this);
     }
   }
 
+  private boolean goesOnPastDeadline(Attempt attempt) {
+    return attempt.answering() && call.timedToFirstByte() && attempt.goesOn();
+  }
+
   /**
    * Whether bytes of the attempt may go out now. What was true at the decision may not be when its
    * connection is up.
    */
-  boolean maySend(Attempt a) {
+  boolean maySend(Attempt attempt) {
     double now = dispatcher.now();
-    if (answered || !a.host.sendable || now >= deadlineAt) {
+    if (state.answered() || !attempt.host.sendable || now >= deadlineAt) {
       return false;
     }
-    // Guards rule 2: the window was judged when the wait began, and what was sent meanwhile was not
-    // judged at all.
-    for (int i = 0; i < attempts.size(); i++) {
-      Attempt other = attempts.get(i);
-      if (other != a && other.mayRun() && now - other.wroteAt() >= a.apart()) {
-        return false;
-      }
+    if (attempts.anyBeyondWindowOf(attempt, now)) {
+      return false;
     }
     // Guards a client that left in the turn in which the connection came up, and was read after it.
-    if ((attempts.size() > 1 || a.waited()) && call.abandoned()) {
+    if ((attempts.size() > 1 || attempt.waited()) && call.abandoned()) {
       clientGone();
       return false;
     }
@@ -289,52 +282,24 @@
    */
   void begun() {
     for (int i = 0; attempts.size() > 1 && i < attempts.size(); i++) {
-      Attempt a = attempts.get(i);
-      if (!a.unfinished()) {
-        continue;
-      }
-      double left = deadlineAt - dispatcher.now();
-      for (int k = 0; k < attempts.size(); k++) {
-        Attempt other = attempts.get(k);
-        left =
-            k != i && other.mayRun()
-                ? Math.min(left, other.wroteAt() + a.apart() - dispatcher.now())
-                : left;
-      }
-      later(
-          left,
-          () -> {
-            if (a.unfinished()) {
-              a.moot();
-            }
-          });
-    }
-  }
-
-  /**
-   * Ends what is out for nobody and of which the last byte is not: it never ran. Guards rule 1
-   * where the module may not cancel, and so does not: a connection that comes up late would carry
-   * it on after its end.
-   */
-  private void withdrawUnsent() {
-    for (int i = 0; i < attempts.size(); i++) {
-      Attempt a = attempts.get(i);
-      if (a.open() && !a.mayHaveRun()) {
-        a.moot();
+      Attempt attempt = attempts.get(i);
+      if (attempt.unfinished()) {
+        double left = attempts.lastByteBy(attempt, deadlineAt) - dispatcher.now();
+        later(left, attempt::withdrawUnfinished);
       }
     }
   }
 
   private void forgetIfDone() {
-    if (answered && open > 0) {
-      withdrawUnsent();
+    if (state.answered() && !attempts.allEnded()) {
+      attempts.withdrawUnsent();
     }
-    if (answered && open == 0) {
+    if (state.answered() && attempts.allEnded()) {
       for (int i = 0; i < timers.size(); i++) {
         timers.get(i).cancel(false);
       }
       timers.clear();
-      if (!moved) {
+      if (state != ExchangeState.MOVED) {
         call.free();
       }
       dispatcher.forget(this);
--- /dev/null
+++ b/src/test/java/leadferry/engine/ExchangeStateTest.java
@@ -0,0 +1,55 @@
+package leadferry.engine;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.function.UnaryOperator;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+class ExchangeStateTest {
+  private static Stream<UnaryOperator<ExchangeState>> events() {
+    return Stream.of(
+        ExchangeState::claimed,
+        ExchangeState::counted,
+        ExchangeState::moved,
+        ExchangeState::clientGone);
+  }
+
+  @Test
+  void finalAnswerIsClaimedAndThenCounted() {
+    ExchangeState claimed = ExchangeState.WAITING.claimed();
+
+    assertThat(claimed).isEqualTo(ExchangeState.ANSWERED);
+    assertThat(claimed.counted()).isEqualTo(ExchangeState.COUNTED);
+  }
+
+  @Test
+  void waitingRequestMayMoveOrLoseItsClient() {
+    assertThat(ExchangeState.WAITING.moved()).isEqualTo(ExchangeState.MOVED);
+    assertThat(ExchangeState.WAITING.clientGone()).isEqualTo(ExchangeState.CLIENT_GONE);
+  }
+
+  @Test
+  void nothingIsCountedBeforeItIsClaimed() {
+    assertThat(ExchangeState.WAITING.counted()).isEqualTo(ExchangeState.WAITING);
+  }
+
+  @ParameterizedTest
+  @EnumSource(value = ExchangeState.class, names = "WAITING", mode = EnumSource.Mode.EXCLUDE)
+  void noEventMakesAnAnsweredRequestWaitAgain(ExchangeState state) {
+    assertThat(events().map(event -> event.apply(state))).allMatch(ExchangeState::answered);
+  }
+
+  @ParameterizedTest
+  @EnumSource(names = {"COUNTED", "MOVED", "CLIENT_GONE"})
+  void finalStatesStay(ExchangeState state) {
+    assertThat(events().map(event -> event.apply(state))).containsOnly(state);
+  }
+
+  @Test
+  void clientThatLeavesAfterTheAnswerLeavesItToBeCounted() {
+    assertThat(ExchangeState.ANSWERED.clientGone()).isEqualTo(ExchangeState.ANSWERED);
+  }
+}
