--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -4,18 +4,16 @@
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import leadferry.gossip.SuspicionProtocol;
 import leadferry.loadbalancer.AttemptOutcome;
+import leadferry.loadbalancer.EndpointListEvent;
 import leadferry.loadbalancer.EndpointUpdate;
 import leadferry.loadbalancer.LoadBalancer;
 import leadferry.loadbalancer.LoadBalancerActions;
@@ -32,15 +30,6 @@
   /** The module's clock begins here, so that a host that started before this process has a time. */
   private static final double CLOCK_START = 1e9;
 
-  /** Ends of attempts that are told one by one. */
-  private static final Set<AttemptOutcome> FAILURES =
-      EnumSet.of(
-          AttemptOutcome.ERROR,
-          AttemptOutcome.FULL,
-          AttemptOutcome.TIMEOUT,
-          AttemptOutcome.CONNECT_FAILED,
-          AttemptOutcome.RESET);
-
   private record Event(Exchange about, Runnable what) {}
 
   private final String name;
@@ -59,10 +48,10 @@
   private long nextId;
   private Runnable follow = () -> {};
   private BooleanSupplier retries = () -> true;
-  private SuspicionProtocol suspicions;
+  private final OutcomeReporter reporter;
 
-  /** Null where nobody counts, and so in the platform's process. */
-  private OutcomeCounter tally;
+  /** Null where the pool has not joined the other proxies of its tier. */
+  private SharedSuspicions suspicions;
 
   /**
    * A pool of hosts on this loop, with a module of its own that is seeded so; it may have no name.
@@ -81,6 +70,7 @@
     this.settings = settings;
     this.upstreams = upstreams;
     this.budget = budget;
+    this.reporter = new OutcomeReporter(log, settings);
     this.hosts = new UpstreamHosts(new ServerStartClock(System::currentTimeMillis, now()));
     this.balancer = new LoadBalancer(settings, seed, this);
   }
@@ -95,6 +85,7 @@
     return name;
   }
 
+  /** The loop to which the pool and its requests are confined. */
   public EventLoop loop() {
     return loop;
   }
@@ -103,6 +94,7 @@
     return upstreams;
   }
 
+  /** The bound over the bodies that the pool's requests hold in memory. */
   public BodyBudget budget() {
     return budget;
   }
@@ -112,59 +104,27 @@
    * all of them goes to {@code tell}. To be called before {@link #start}.
    */
   public void join(long seed, Consumer<byte[]> tell) {
-    suspicions =
-        new SuspicionProtocol(
-            settings.zone(),
-            settings.balancers(),
-            settings.pace(),
-            seed,
-            new SuspicionProtocol.Actions() {
-              @Override
-              public void tell(byte[] message) {
-                tell.accept(message);
-              }
-
-              @Override
-              public void leaveOut(long host, double length, boolean again) {
-                if (!again) {
-                  Dispatcher.this.log("host " + host + " silent to several proxies");
-                }
-                deliver(null, () -> balancer.onHint(now(), host, length));
-              }
-
-              @Override
-              public void takeBack(long host) {
-                Dispatcher.this.log("host " + host + " answers another proxy");
-                deliver(null, () -> balancer.onHint(now(), host, 0));
-              }
-
-              @Override
-              public void later(double delay) {
-                loop.schedule(
-                    () -> suspicions.due(now()), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
-              }
-            });
+    suspicions = new SharedSuspicions(this, settings, seed, tell);
   }
 
   /** A message of the proxy of that number, for a pool that has joined. */
   public void heard(byte[] message, int from) {
-    suspicions.heard(now(), from, message);
+    suspicions.heard(message, from);
+  }
+
+  /** The load balancer is to leave the host out for so long (ms); 0 takes it back. */
+  void hint(long host, double length) {
+    deliver(null, () -> balancer.onHint(now(), host, length));
   }
 
   /** Hosts on which attempts of this pool are in flight, or wait to be. */
   public Set<String> busyHosts() {
-    Set<String> busy = new HashSet<>();
-    for (UpstreamHost h : hosts.all()) {
-      if (h.calls > 0) {
-        busy.add(h.name);
-      }
-    }
-    return busy;
+    return hosts.busy();
   }
 
   /** Whether the host of that name is listed and may get work. */
   public boolean sends(String host) {
-    return hosts.all().stream().anyMatch(h -> h.sendable && h.name.equals(host));
+    return hosts.isSendable(host);
   }
 
   /** Hosts that the module has ejected and not readmitted. */
@@ -179,24 +139,12 @@
 
   /** Has attempts and requests counted there. */
   public void tally(OutcomeCounter counter) {
-    tally = counter;
-  }
-
-  /** The aim (ms) of a class; none for one that was not declared. */
-  private double aim(String className) {
-    for (Settings.RequestClass c : settings.classes()) {
-      if (c.name().equals(className)) {
-        return c.aim();
-      }
-    }
-    return Double.MAX_VALUE;
+    reporter.counter(counter);
   }
 
   /** A request has had its final answer from here. */
-  void ended(Exchange e, boolean well) {
-    if (tally != null) {
-      tally.request(e.className, !well || now() - e.takenAt > aim(e.className));
-    }
+  void ended(Exchange exchange, boolean well) {
+    reporter.requestEnded(exchange, well, now() - exchange.takenAt);
   }
 
   /** Lets these bounds over further attempts say no to what the module asks for. */
@@ -228,34 +176,39 @@
   public void start(UpstreamHosts.News known, Runnable follow) {
     this.follow = follow;
     deliver(null, () -> balancer.onStart(now()));
-    membership(leadferry.loadbalancer.EndpointListEvent.CACHED, known);
+    membership(EndpointListEvent.CACHED, known);
   }
 
   /** A list, or changes to it, that has been checked whole. */
-  public void membership(leadferry.loadbalancer.EndpointListEvent kind, UpstreamHosts.News news) {
+  public void membership(EndpointListEvent kind, UpstreamHosts.News news) {
     UpstreamHosts.Change change = hosts.apply(news, now());
     List<EndpointUpdate> entries = change.entries();
     deliver(null, () -> balancer.onMembership(now(), kind, entries));
     if (suspicions != null) {
-      change.cut().forEach(h -> suspicions.forget(h.id));
-      suspicions.members(kind, entries);
+      suspicions.listed(kind, entries, change.cut());
     }
-    // Guards against a send to a host that drains or has moved while its connection comes up. All
-    // are taken back before the
-    // first goes on: it may go to a host that is new in this list, and is not to be taken back from
-    // there.
+    withdrawUnsentTo(change.cut());
+    hosts.forgetGone();
+  }
+
+  /**
+   * Guards against a send to a host that drains or has moved while its connection comes up. All are
+   * taken back before the first goes on: it may go to a host that is new in this list, and is not
+   * to be taken back from there.
+   */
+  private void withdrawUnsentTo(Set<UpstreamHost> cut) {
     List<Attempt> unsent = new ArrayList<>();
-    for (UpstreamHost h : change.cut()) {
-      ejected.remove(h.name);
-      unsent.addAll(upstreams.cut(h));
+    for (UpstreamHost host : cut) {
+      ejected.remove(host.name);
+      unsent.addAll(upstreams.cut(host));
     }
     unsent.forEach(Attempt::moot);
-    hosts.forgetGone();
   }
 
   /** Other settings hold from the next event on; what is open goes on by those it came under. */
   public void settings(Settings next) {
     settings = next;
+    reporter.settings(next);
     if (suspicions != null) {
       suspicions.pace(next.pace());
     }
@@ -300,31 +253,10 @@
     if (suspicions != null && result.answered()) {
       suspicions.answered(now(), a.host.id);
     }
-    if (tally != null && result != AttemptOutcome.CANCELLED && result != AttemptOutcome.MOOT) {
-      tally.attempt(
-          a.host.name, e.className, result != AttemptOutcome.OK || spent > aim(e.className));
-    }
-    if (FAILURES.contains(result) && log.details()) {
-      log.detail(
-          "attempt",
-          "outcome",
-          word(result),
-          "server",
-          a.host.name,
-          "attempt",
-          number + 1,
-          "ms",
-          Math.round(spent),
-          "id",
-          e.requestId());
-    }
+    reporter.attemptEnded(e, a, result, spent);
     deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
   }
 
-  private static String word(AttemptOutcome r) {
-    return r.name().toLowerCase(Locale.ROOT).replace('_', '-');
-  }
-
   void firstByte(Exchange e, int number, double spent) {
     deliver(e, () -> balancer.onFirstByte(now(), e.id, number, spent));
   }
--- a/src/main/java/leadferry/engine/UpstreamHosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -35,6 +35,11 @@
    */
   record Change(List<EndpointUpdate> entries, Set<UpstreamHost> cut) {}
 
+  /** Constants of the 64-bit FNV-1a hash (draft-eastlake-fnv). */
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
+  private static final long FNV_PRIME = 0x100000001b3L;
+
   private final Map<String, UpstreamHost> byName = new HashMap<>();
   private final Map<Long, UpstreamHost> byId = new HashMap<>();
   private final ServerStartClock clock;
@@ -52,58 +57,103 @@
   }
 
   boolean anySendable() {
-    for (UpstreamHost h : byId.values()) {
-      if (h.sendable) {
+    for (UpstreamHost host : byId.values()) {
+      if (host.sendable) {
         return true;
       }
     }
     return false;
   }
 
+  /** Whether the host of that name is listed and may get work. */
+  boolean isSendable(String name) {
+    return byId.values().stream().anyMatch(host -> host.sendable && host.name.equals(name));
+  }
+
+  /** Names of the hosts on which attempts are in flight, or wait to be. */
+  Set<String> busy() {
+    Set<String> busy = new HashSet<>();
+    for (UpstreamHost host : byId.values()) {
+      if (host.calls > 0) {
+        busy.add(host.name);
+      }
+    }
+    return busy;
+  }
+
   /** Applies a list that came at {@code now} (ms) on the module's clock. */
   Change apply(News news, double now) {
     List<EndpointUpdate> entries = new ArrayList<>(news.members().size());
     Set<UpstreamHost> cut = new LinkedHashSet<>();
     Set<UpstreamHost> named = new HashSet<>();
-    for (Member m : news.members()) {
-      UpstreamHost h = byName.get(m.name());
-      if (h == null) {
-        h = new UpstreamHost(m.name(), number(m.name()));
-        byName.put(h.name, h);
-        byId.put(h.id, h);
-      }
-      double started = started(h, m.startedUnixMs(), now);
-      entries.add(
-          new EndpointUpdate(
-              h.id, m.zone(), m.kind(), m.cell(), m.condition(), m.weight(), started));
-      named.add(h);
-      h.listed = m.condition() != EndpointUpdate.Condition.GONE;
-      h.sendable = m.condition() == EndpointUpdate.Condition.READY;
-      boolean elsewhere = h.cell != m.cell() || !h.zone.equals(m.zone());
-      if (!h.sendable || elsewhere || !m.address().equals(h.address) || h.started != started) {
-        cut.add(h);
-      }
-      h.started = started;
-      h.startedUnixMs = m.startedUnixMs();
-      h.zone = m.zone();
-      h.cell = m.cell();
-      if (m.address() != null) {
-        h.address = m.address();
+    for (Member member : news.members()) {
+      UpstreamHost host = hostOf(member.name());
+      named.add(host);
+      double started = started(host, member.startedUnixMs(), now);
+      entries.add(entry(host, member, started));
+      if (update(host, member, started)) {
+        cut.add(host);
       }
     }
     if (news.full()) {
-      for (UpstreamHost h : byId.values()) {
-        if (!named.contains(h)) {
-          h.listed = false;
-          h.sendable = false;
-          cut.add(h);
-        }
-      }
+      cutUnnamed(named, cut);
     }
     clock.upToDate(now);
     return new Change(entries, cut);
   }
 
+  private UpstreamHost hostOf(String name) {
+    UpstreamHost known = byName.get(name);
+    if (known != null) {
+      return known;
+    }
+    UpstreamHost added = new UpstreamHost(name, number(name));
+    byName.put(added.name, added);
+    byId.put(added.id, added);
+    return added;
+  }
+
+  private static EndpointUpdate entry(UpstreamHost host, Member member, double started) {
+    return new EndpointUpdate(
+        host.id,
+        member.zone(),
+        member.kind(),
+        member.cell(),
+        member.condition(),
+        member.weight(),
+        started);
+  }
+
+  /** Takes over what the list says of a host; true if it may get nothing as it was. */
+  private static boolean update(UpstreamHost host, Member member, double started) {
+    host.listed = member.condition() != EndpointUpdate.Condition.GONE;
+    host.sendable = member.condition() == EndpointUpdate.Condition.READY;
+    boolean elsewhere = host.cell != member.cell() || !host.zone.equals(member.zone());
+    boolean cut =
+        !host.sendable
+            || elsewhere
+            || !member.address().equals(host.address)
+            || host.started != started;
+    host.started = started;
+    host.startedUnixMs = member.startedUnixMs();
+    host.zone = member.zone();
+    host.cell = member.cell();
+    if (member.address() != null) {
+      host.address = member.address();
+    }
+    return cut;
+  }
+
+  private void cutUnnamed(Set<UpstreamHost> named, Set<UpstreamHost> cut) {
+    for (UpstreamHost host : byId.values()) {
+      if (!named.contains(host)) {
+        host.listed = false;
+        host.sendable = false;
+        cut.add(host);
+      }
+    }
+  }
+
   /**
    * The instant of a start never moves once it has been told, whatever becomes of the wall clock.
    */
@@ -123,7 +173,8 @@
    * Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed.
    */
   void forgetGone() {
-    byId.values().removeIf(h -> !h.listed && h.calls == 0 && byName.remove(h.name) != null);
+    byId.values()
+        .removeIf(host -> !host.listed && host.calls == 0 && byName.remove(host.name) != null);
   }
 
   /**
@@ -131,14 +182,14 @@
    * order in every client proxy and after a restart; two names that collide move on by one.
    */
   private long number(String name) {
-    long h = 0xcbf29ce484222325L;
+    long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
-      h = (h ^ name.charAt(i)) * 0x100000001b3L;
+      hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
-    h &= Long.MAX_VALUE;
-    while (byId.containsKey(h)) {
-      h = (h + 1) & Long.MAX_VALUE;
+    long number = hash & Long.MAX_VALUE;
+    while (byId.containsKey(number)) {
+      number = (number + 1) & Long.MAX_VALUE;
     }
-    return h;
+    return number;
   }
 }
