--- a/src/main/java/leadferry/engine/Addresses.java
+++ b/src/main/java/leadferry/engine/Addresses.java
@@ -10,15 +10,15 @@
   private Addresses() {}
 
   /** An {@code IP:port}, or null if it is none; names are not looked up. */
-  public static InetSocketAddress parse(String s) {
-    int colon = s.lastIndexOf(':');
+  public static InetSocketAddress parse(String text) {
+    int colon = text.lastIndexOf(':');
     byte[] ip =
-        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
+        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     if (ip == null) {
       return null;
     }
     try {
-      int port = Integer.parseInt(s.substring(colon + 1));
+      int port = Integer.parseInt(text.substring(colon + 1));
       return port < 0 || port > 65_535
           ? null
           : new InetSocketAddress(InetAddress.getByAddress(ip), port);
--- a/src/main/java/leadferry/engine/Body.java
+++ b/src/main/java/leadferry/engine/Body.java
@@ -10,8 +10,11 @@
  * whole read buffers alive for a few bytes each when a body comes slowly.
  */
 public final class Body {
-  private static final int BLOCK = 64 * 1024;
-  private static final int FIRST = 512;
+  /** Capacity (bytes) of a block at most. */
+  private static final int BLOCK_BYTES = 64 * 1024;
+
+  /** Capacity (bytes) of a block at least, where no length was announced. */
+  private static final int SMALLEST_BLOCK_BYTES = 512;
 
   private final BodyBudget budget;
   private final ByteBufAllocator allocator;
@@ -30,26 +33,30 @@
     this.partial = partial;
   }
 
+  /** Copies all bytes that can be read, and charges the budget for them. */
   public void append(ByteBuf bytes) {
-    int n = bytes.readableBytes();
-    budget.charge(n, partial);
-    size += n;
+    int added = bytes.readableBytes();
+    budget.charge(added, partial);
+    size += added;
     while (bytes.isReadable()) {
       ByteBuf last = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
       if (last == null || last.maxWritableBytes() == 0) {
-        long rest = expected < 0 ? FIRST : expected - (size - bytes.readableBytes());
-        int capacity = (int) Math.max(1, Math.min(BLOCK, Math.max(rest, bytes.readableBytes())));
-        last = allocator.directBuffer(capacity, BLOCK);
+        long rest = expected < 0 ? SMALLEST_BLOCK_BYTES : expected - (size - bytes.readableBytes());
+        int capacity =
+            (int) Math.max(1, Math.min(BLOCK_BYTES, Math.max(rest, bytes.readableBytes())));
+        last = allocator.directBuffer(capacity, BLOCK_BYTES);
         blocks.add(last);
       }
       last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
     }
   }
 
+  /** Bytes that are held. */
   public long size() {
     return size;
   }
 
+  /** The request has come whole: its bytes are freed at its deadline at last. */
   public void completed() {
     if (partial) {
       partial = false;
@@ -59,17 +66,17 @@
 
   /** The blocks, each retained for one write. */
   public List<ByteBuf> retained() {
-    List<ByteBuf> out = new ArrayList<>(blocks.size());
-    for (ByteBuf b : blocks) {
-      out.add(b.retainedDuplicate());
+    List<ByteBuf> duplicates = new ArrayList<>(blocks.size());
+    for (ByteBuf block : blocks) {
+      duplicates.add(block.retainedDuplicate());
     }
-    return out;
+    return duplicates;
   }
 
   /** Gives the bytes back; harmless if done before. */
   public void free() {
-    for (ByteBuf b : blocks) {
-      b.release();
+    for (ByteBuf block : blocks) {
+      block.release();
     }
     blocks.clear();
     long freed = size;
--- a/src/main/java/leadferry/engine/BodyBudget.java
+++ b/src/main/java/leadferry/engine/BodyBudget.java
@@ -9,12 +9,12 @@
  */
 public final class BodyBudget {
   /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
-  static final int SMALL = 64 * 1024;
+  static final int SMALL_BYTES = 64 * 1024;
 
   private static final double LARGE_PART = 0.85;
 
   /** A larger body streams where it can; a smaller one too once so much of the budget is used. */
-  private static final int AMPLE = 1 << 20;
+  private static final int AMPLE_BYTES = 1 << 20;
 
   private static final double AMPLE_PART = 0.4;
 
@@ -23,6 +23,7 @@
   private long used;
   private long incomplete;
 
+  /** A budget of so many bytes. */
   public BodyBudget(long limit) {
     this.limit = limit;
   }
@@ -33,7 +34,7 @@
   }
 
   private long limitFor(long size) {
-    return size <= SMALL ? limit : (long) (LARGE_PART * limit);
+    return size <= SMALL_BYTES ? limit : (long) (LARGE_PART * limit);
   }
 
   /** Counts bytes that were read; {@code partial} ones belong to a request that still comes. */
@@ -53,8 +54,8 @@
     if (!waiting.isEmpty() && used < limitFor(Long.MAX_VALUE)) {
       Runnable[] resumed = waiting.toArray(Runnable[]::new);
       waiting.clear();
-      for (Runnable r : resumed) {
-        r.run();
+      for (Runnable resume : resumed) {
+        resume.run();
       }
     }
   }
@@ -69,7 +70,7 @@
    * stream.
    */
   public boolean ample(long size) {
-    return size <= AMPLE && used < AMPLE_PART * limit;
+    return size <= AMPLE_BYTES && used < AMPLE_PART * limit;
   }
 
   /** Whether waiting would never end: requests that still come hold all that they may. */
@@ -82,6 +83,7 @@
     waiting.add(resume);
   }
 
+  /** Takes back an {@link #await} that has not run; harmless if it has. */
   public void forget(Runnable resume) {
     waiting.remove(resume);
   }
--- a/src/main/java/leadferry/engine/ConnectionLimits.java
+++ b/src/main/java/leadferry/engine/ConnectionLimits.java
@@ -41,24 +41,24 @@
     private final Queue<Member> waiting = new ConcurrentLinkedQueue<>();
     private final Set<Member> members = ConcurrentHashMap.newKeySet();
 
-    void join(Member m) {
-      members.add(m);
+    void join(Member member) {
+      members.add(member);
     }
 
-    void leave(Member m) {
-      members.remove(m);
-      waiting.remove(m);
+    void leave(Member member) {
+      members.remove(member);
+      waiting.remove(member);
     }
 
     /** Takes a place; false where all are taken. */
     boolean take() {
-      int n;
+      int before;
       do {
-        n = taken.get();
-        if (n >= most) {
+        before = taken.get();
+        if (before >= most) {
           return false;
         }
-      } while (!taken.compareAndSet(n, n + 1));
+      } while (!taken.compareAndSet(before, before + 1));
       return true;
     }
 
@@ -78,12 +78,12 @@
     }
 
     /** Waits for a place and asks the other workers for one that they don't use. */
-    void await(Member m) {
-      if (!waiting.contains(m)) {
-        waiting.add(m);
+    void await(Member member) {
+      if (!waiting.contains(member)) {
+        waiting.add(member);
       }
       for (Member other : members) {
-        if (other != m) {
+        if (other != member) {
           other.yieldIdle();
         }
       }
--- a/src/main/java/leadferry/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -37,13 +37,13 @@
   @Override
   public synchronized void event(String what, Object... fields) {
     if (admits()) {
-      StringBuilder s = new StringBuilder("leadferry: ").append(what);
+      StringBuilder text = new StringBuilder("leadferry: ").append(what);
       for (int i = 0; i + 1 < fields.length; i += 2) {
         if (fields[i + 1] != null) {
-          s.append(' ').append(fields[i]).append('=').append(fields[i + 1]);
+          text.append(' ').append(fields[i]).append('=').append(fields[i + 1]);
         }
       }
-      line(s.toString().replace('\n', ' ').replace('\r', ' '), "");
+      line(text.toString().replace('\n', ' ').replace('\r', ' '), "");
     }
   }
 
--- a/src/main/java/leadferry/engine/Log.java
+++ b/src/main/java/leadferry/engine/Log.java
@@ -25,7 +25,7 @@
   }
 
   /** A failure of our own code, with its stack. */
-  void failure(String what, Throwable t);
+  void failure(String what, Throwable cause);
 
   /** The same log, with a field more in all that comes through this one. */
   default Log with(String field, String value) {
--- a/src/main/java/leadferry/engine/NativeTransport.java
+++ b/src/main/java/leadferry/engine/NativeTransport.java
@@ -73,10 +73,10 @@
 
   @Override
   public End end(Channel client) {
-    if (!(client instanceof EpollSocketChannel c) || !c.isOpen()) {
+    if (!(client instanceof EpollSocketChannel socket) || !socket.isOpen()) {
       return End.NONE;
     }
-    int state = c.tcpInfo().state();
+    int state = socket.tcpInfo().state();
     return state == CLOSE_WAIT || state == CLOSED ? End.ENDED : End.NONE;
   }
 
@@ -87,11 +87,11 @@
 
   @Override
   public boolean quiet(Channel connection) {
-    FileDescriptor fd = ((UnixChannel) connection).fd();
+    FileDescriptor descriptor = ((UnixChannel) connection).fd();
     ByteBuffer one = ONE.get();
     try {
       one.clear();
-      return fd.read(one, 0, 1) == 0;
+      return descriptor.read(one, 0, 1) == 0;
     } catch (IOException e) {
       return false;
     }
--- a/src/main/java/leadferry/engine/NioTransport.java
+++ b/src/main/java/leadferry/engine/NioTransport.java
@@ -33,8 +33,11 @@
     private End end() {
       try {
         one.clear();
-        int n = readNow(one);
-        return n < 0 ? End.ENDED : n == 0 ? End.NONE : End.LOST_BYTE;
+        int count = readNow(one);
+        if (count < 0) {
+          return End.ENDED;
+        }
+        return count == 0 ? End.NONE : End.LOST_BYTE;
       } catch (IOException e) {
         return End.ENDED;
       }
@@ -43,11 +46,13 @@
     private End endBehind() {
       ByteBuffer some = ByteBuffer.allocate(BEHIND_CHUNK);
       try {
-        int n = 0;
-        for (int seen = 0; seen < BEHIND_BYTES && (n = readNow(some.clear())) > 0; seen += n) {
+        int count = 0;
+        for (int seen = 0;
+            seen < BEHIND_BYTES && (count = readNow(some.clear())) > 0;
+            seen += count) {
           // thrown away
         }
-        return n < 0 ? End.ENDED : End.NONE;
+        return count < 0 ? End.ENDED : End.NONE;
       } catch (IOException e) {
         return End.ENDED;
       }
@@ -84,12 +89,12 @@
 
   @Override
   public End end(Channel client) {
-    return client instanceof Connection c ? c.end() : End.NONE;
+    return client instanceof Connection connection ? connection.end() : End.NONE;
   }
 
   @Override
   public End endBehind(Channel client) {
-    return client instanceof Connection c ? c.endBehind() : End.NONE;
+    return client instanceof Connection connection ? connection.endBehind() : End.NONE;
   }
 
   @Override
--- a/src/main/java/leadferry/engine/ReadHorizon.java
+++ b/src/main/java/leadferry/engine/ReadHorizon.java
@@ -68,14 +68,14 @@
 
   /** How long (ns) ago the present loop had read all that had come; 0 off a loop. */
   public static long behind() {
-    ReadHorizon h = HERE.get();
-    return h == null ? 0 : Math.max(0, System.nanoTime() - h.until);
+    ReadHorizon horizon = HERE.get();
+    return horizon == null ? 0 : Math.max(0, System.nanoTime() - horizon.until);
   }
 
   /** How many turns the present loop has begun, its polls included; 0 off a loop. */
   public static long turns() {
-    ReadHorizon h = HERE.get();
-    return h == null ? 0 : h.turns;
+    ReadHorizon horizon = HERE.get();
+    return horizon == null ? 0 : horizon.turns;
   }
 
   @Override
--- a/src/main/java/leadferry/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -159,8 +159,8 @@
    * EPIPE and ECONNRESET, for which the JDK has no type of their own in a write; in another
    * language it takes longer.
    */
-  private static boolean peerGone(IOException e) {
-    String message = String.valueOf(e.getMessage());
+  private static boolean peerGone(IOException failure) {
+    String message = String.valueOf(failure.getMessage());
     return message.startsWith("Broken pipe") || message.startsWith("Connection reset");
   }
 }
--- a/src/main/java/leadferry/engine/Sockets.java
+++ b/src/main/java/leadferry/engine/Sockets.java
@@ -38,6 +38,7 @@
   private int clients;
   private int upstreams;
 
+  /** A bound for a process that may open so many descriptors, at first all for itself. */
   public Sockets(int descriptors) {
     this.descriptors = descriptors;
     alone();
@@ -117,10 +118,12 @@
     return carried < limit;
   }
 
+  /** A client's connection has been accepted. */
   public void clientOpened() {
     clients++;
   }
 
+  /** A client's connection has closed. */
   public void clientClosed() {
     clients--;
   }
@@ -133,11 +136,11 @@
     upstreams--;
   }
 
-  void upstreamIdle(Idle c, boolean idle) {
+  void upstreamIdle(Idle connection, boolean idle) {
     if (idle) {
-      idleUpstreams.add(c);
+      idleUpstreams.add(connection);
     } else {
-      idleUpstreams.remove(c);
+      idleUpstreams.remove(connection);
     }
   }
 }
--- a/src/main/java/leadferry/engine/UpstreamConnection.java
+++ b/src/main/java/leadferry/engine/UpstreamConnection.java
@@ -38,6 +38,7 @@
     this.channel = channel;
   }
 
+  /** The socket that it stands on. */
   public final Channel channel() {
     return channel;
   }
@@ -151,19 +152,19 @@
 
   /** Ends the connection, and with it the attempt that it carries. */
   protected final void lost() {
-    Attempt a = attempt;
+    Attempt ended = attempt;
     boolean sent = written;
     attempt = null;
     channel.close();
-    if (a != null) {
+    if (ended != null) {
       long now = System.nanoTime();
       if (idleFor > 0 && !heard() && now - writtenAt < AT_ONCE_NANOS) {
         host.deadAfter(idleFor, now);
       }
       if (sent) {
-        a.broken();
+        ended.broken();
       } else {
-        a.notSent();
+        ended.notSent();
       }
     }
   }
--- a/src/test/java/leadferry/engine/DescriptorsTest.java
+++ b/src/test/java/leadferry/engine/DescriptorsTest.java
@@ -93,12 +93,12 @@
     int held =
         pool.onLoop(
             () -> {
-              int n = 0;
+              int opened = 0;
               while (pool.sockets.roomForUpstream()) {
                 pool.sockets.upstreamOpened();
-                n++;
+                opened++;
               }
-              return n;
+              return opened;
             });
     for (int i = 0; i < 40; i++) {
       assertThat(pool.ask()).isEqualTo("refused");
--- a/src/test/java/leadferry/engine/Pool.java
+++ b/src/test/java/leadferry/engine/Pool.java
@@ -90,26 +90,26 @@
     dispatcher =
         onLoop(
             () -> {
-              Dispatcher d =
+              Dispatcher started =
                   new Dispatcher(null, loop, settings, 7, upstreams, new BodyBudget(1 << 20), log);
-              d.start(new UpstreamHosts.News(1, true, members), () -> {});
-              return d;
+              started.start(new UpstreamHosts.News(1, true, members), () -> {});
+              return started;
             });
   }
 
   private void accept(ServerSocket host) throws IOException {
     while (true) {
-      Socket s = host.accept();
-      accepted.add(s);
+      Socket socket = host.accept();
+      accepted.add(socket);
       ProxyFixture.spawn(
           () -> {
-            int b;
-            while ((b = s.getInputStream().read()) >= 0) {
+            int request;
+            while ((request = socket.getInputStream().read()) >= 0) {
               if (answer) {
-                s.getOutputStream().write(b);
+                socket.getOutputStream().write(request);
               }
             }
-            ended.add(s);
+            ended.add(socket);
           });
     }
   }
@@ -198,9 +198,9 @@
 
   private UpstreamConnection connection(
       UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
-    UpstreamConnection c = new Answered(pool, host, channel);
-    channel.pipeline().addLast(c);
-    return c;
+    UpstreamConnection opened = new Answered(pool, host, channel);
+    channel.pipeline().addLast(opened);
+    return opened;
   }
 
   private final class Answered extends UpstreamConnection {
@@ -219,12 +219,12 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
       ReferenceCountUtil.release(msg);
-      Attempt a = attempt();
-      if (a.exchange.claim()) {
+      Attempt answered = attempt();
+      if (answered.exchange.claim()) {
         answers.add("served");
       }
       finished(true);
-      a.finish(AttemptOutcome.OK);
+      answered.finish(AttemptOutcome.OK);
     }
   }
 }
--- a/src/test/java/leadferry/engine/ReadHorizonTest.java
+++ b/src/test/java/leadferry/engine/ReadHorizonTest.java
@@ -36,12 +36,12 @@
         : Stream.of(new NioTransport());
   }
 
-  private void open(Transport t) throws Exception {
-    group = new MultiThreadIoEventLoopGroup(1, t.loops());
+  private void open(Transport transport) throws Exception {
+    group = new MultiThreadIoEventLoopGroup(1, transport.loops());
     listener =
         new ServerBootstrap()
             .group(group)
-            .channel(t.listener())
+            .channel(transport.listener())
             .childHandler(
                 new ChannelInboundHandlerAdapter() {
                   @Override
@@ -70,15 +70,15 @@
   }
 
   private long read() throws Exception {
-    Long n = behind.poll(20, TimeUnit.SECONDS);
-    assertThat(n).as("read").isNotNull();
-    return n;
+    Long nanos = behind.poll(20, TimeUnit.SECONDS);
+    assertThat(nanos).as("read").isNotNull();
+    return nanos;
   }
 
   @ParameterizedTest
   @MethodSource("transports")
-  void whatCameWhileTheLoopWasBusyIsAsOldAsThat(Transport t) throws Exception {
-    open(t);
+  void whatCameWhileTheLoopWasBusyIsAsOldAsThat(Transport transport) throws Exception {
+    open(transport);
     peer.getOutputStream().write(1);
     read();
     EventLoop loop = group.next();
@@ -102,8 +102,8 @@
 
   @ParameterizedTest
   @MethodSource("transports")
-  void whatEndsAWaitIsNew(Transport t) throws Exception {
-    open(t);
+  void whatEndsAWaitIsNew(Transport transport) throws Exception {
+    open(transport);
     long least = Long.MAX_VALUE;
     for (int i = 0; i < 20 && least > TimeUnit.MILLISECONDS.toNanos(10); i++) {
       Thread.sleep(30); // the loop waits
@@ -115,8 +115,8 @@
 
   @ParameterizedTest
   @MethodSource("transports")
-  void offALoopNothingIsBehind(Transport t) throws Exception {
-    open(t);
+  void offALoopNothingIsBehind(Transport transport) throws Exception {
+    open(transport);
     assertThat(ReadHorizon.behind()).isZero();
   }
 }
--- a/src/test/java/leadferry/engine/SocketsTest.java
+++ b/src/test/java/leadferry/engine/SocketsTest.java
@@ -13,12 +13,12 @@
   private int asked;
 
   private int clientsUntilFull() {
-    int n = 0;
+    int opened = 0;
     while (sockets.roomForClient()) {
       sockets.clientOpened();
-      n++;
+      opened++;
     }
-    return n;
+    return opened;
   }
 
   @Test
