--- /dev/null
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -0,0 +1,98 @@
+package leadferry.engine;
+
+import io.netty.channel.EventLoop;
+import java.util.Collection;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import leadferry.gossip.SuspicionProtocol;
+import leadferry.loadbalancer.EndpointListEvent;
+import leadferry.loadbalancer.EndpointUpdate;
+import leadferry.loadbalancer.Settings;
+
+/**
+ * What one pool and the other proxies of its tier tell each other of silent hosts: runs {@link
+ * SuspicionProtocol} on the pool's loop, to which it is confined, and gives the load balancer its
+ * hints. Times are those of the dispatcher's clock (ms).
+ */
+final class SharedSuspicions implements SuspicionProtocol.Actions {
+  private static final double NANOS_PER_MILLI = 1e6;
+
+  private final Dispatcher dispatcher;
+  private final EventLoop loop;
+  private final Consumer<byte[]> peers;
+  private final SuspicionProtocol protocol;
+
+  /** {@code peers} gets each message that is for all other proxies. */
+  SharedSuspicions(Dispatcher dispatcher, Settings settings, long seed, Consumer<byte[]> peers) {
+    this.dispatcher = dispatcher;
+    this.loop = dispatcher.loop();
+    this.peers = peers;
+    this.protocol =
+        new SuspicionProtocol(
+            settings.zone(), settings.balancers(), settings.shortestAimMillis(), seed, this);
+  }
+
+  // --- what this pool has seen
+
+  /** An attempt goes out. */
+  void onAttempt() {
+    protocol.onAttempt();
+  }
+
+  /** A host has responded. */
+  void onResponse(double nowMillis, long host) {
+    protocol.onResponse(nowMillis, host);
+  }
+
+  /** A host has been silent to an attempt that was sent at {@code sentAtMillis}. */
+  void onNoResponse(double nowMillis, long host, double sentAtMillis) {
+    protocol.onNoResponse(nowMillis, host, sentAtMillis);
+  }
+
+  /** A list has come: what was known of the hosts that it cut off is of no account any more. */
+  void onEndpointList(
+      EndpointListEvent kind, List<EndpointUpdate> entries, Collection<UpstreamHost> cut) {
+    cut.forEach(host -> protocol.forget(host.id));
+    protocol.onEndpointList(kind, entries);
+  }
+
+  /** The shortest latency objective of the classes has changed. */
+  void onSettings(double shortestAimMillis) {
+    protocol.onSettings(shortestAimMillis);
+  }
+
+  /** A message of the proxy of that number. */
+  void onMessage(byte[] message, int from) {
+    protocol.onMessage(dispatcher.now(), from, message);
+  }
+
+  // --- what the protocol asks for
+
+  @Override
+  public void broadcast(byte[] message) {
+    peers.accept(message);
+  }
+
+  @Override
+  public void eject(long host, double lengthMillis, boolean again) {
+    if (!again) {
+      dispatcher.log("host " + host + " silent to several proxies");
+    }
+    dispatcher.hint(host, lengthMillis);
+  }
+
+  @Override
+  public void readmit(long host) {
+    dispatcher.log("host " + host + " answers another proxy");
+    dispatcher.hint(host, 0);
+  }
+
+  @Override
+  public void scheduleTimer(double delayMillis) {
+    loop.schedule(
+        () -> protocol.onTimer(dispatcher.now()),
+        (long) (delayMillis * NANOS_PER_MILLI),
+        TimeUnit.NANOSECONDS);
+  }
+}
