--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -1,105 +1,82 @@
 package leadferry.http;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import leadferry.engine.SocketSlack;
-import leadferry.engine.Transport;
 
 /**
- * A connection of the application's, from its opening to its end: which request it is at, what was
- * sent ahead of an answer, when it has to go. {@link RequestIntake} reads requests, {@link
- * ResponseWriter} writes answers.
+ * A client's connection, from its opening to its end. It owns the present request and the state of
+ * the connection, and gives what it reads to the one whose turn it is: {@link RequestIntake} reads
+ * requests, {@link PipelineQueue} keeps those that come ahead of a response, {@link
+ * DisconnectDetector} notices that the client has gone, {@link ConnectionTimeouts} tells what takes
+ * too long, {@link ResponseWriter} writes responses.
+ *
+ * <p>Used on the connection's event loop alone.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-  /** Part of a request that came while another was open, and when (ns). */
-  private record Held(HttpObject part, long at) {}
-
-  /** Ages (ns) from which those that have sent nothing, or not all, may have to make room. */
-  private static final long SILENT_NANOS = 50_000_000L;
-
-  private static final long PARTIAL_NANOS = 500_000_000L;
-
   /** How long (ms) the end of a rejected message is awaited, so that its client sees its answer. */
-  private static final long LINGER_MS = 500;
-
-  /** What is thrown away (bytes) between two sweeps of what a client sends ahead of its answer. */
-  private static final int AHEAD_BYTES = 1 << 20;
-
-  /** Clients that are sent away: how long (ns) a request that was on its way may take to come. */
-  private static final long AWAY_NANOS = 500_000_000L;
-
-  private static final long AWAY_SILENT_NANOS = 1_500_000_000L;
+  private static final long LINGER_MILLIS = 500;
 
-  private final HttpServer front;
+  private final HttpServer server;
   private final SocketChannel channel;
   private final RequestDecoder decoder;
-  private final ResponseWriter answers;
+  private final ResponseWriter responses;
   private final RequestIntake intake;
+  private final ConnectionTimeouts timeouts;
+  private final PipelineQueue pipeline;
+  private final DisconnectDetector disconnects;
   private final RequestLog log;
-  private final long openedAt = System.nanoTime();
-  private final long letInAt;
-  private final long slowNanos;
-  private final ArrayDeque<Held> held = new ArrayDeque<>(0);
-  private int heldRequests;
-  private boolean drainsHeld;
+  private ConnectionState state = ConnectionState.OPEN;
   private HttpCall call;
-  private boolean spoken;
-  private boolean closing;
-  private boolean ahead;
-  private int aheadBytes;
-  private boolean rejected;
-  private boolean over;
-  private boolean told;
-  private long idleSince;
+  private boolean rejectionLogged;
 
   /**
-   * {@code letInAt} (ns) is the earliest at which it can have been let in: its client may have
+   * {@code acceptedAtNanos} is the earliest at which it can have been accepted: its client may have
    * written since then.
    */
-  ClientConnection(HttpServer front, SocketChannel channel, RequestDecoder decoder, long letInAt) {
-    this.front = front;
-    this.letInAt = letInAt;
+  ClientConnection(
+      HttpServer server, SocketChannel channel, RequestDecoder decoder, long acceptedAtNanos) {
+    this.server = server;
     this.channel = channel;
     this.decoder = decoder;
-    this.log = new RequestLog(front.log(), channel);
-    this.answers = new ResponseWriter(this, front, channel);
-    this.intake = new RequestIntake(this, front, channel, decoder, answers);
-    this.slowNanos = front.settings().slowMs() * 1_000_000L;
+    this.log = new RequestLog(server.log(), channel);
+    this.timeouts = new ConnectionTimeouts(server, decoder, acceptedAtNanos);
+    this.responses = new ResponseWriter(this, server, channel);
+    this.disconnects = new DisconnectDetector(this, server, channel);
+    this.intake = new RequestIntake(this, server, channel, decoder, responses);
+    int maxQueuedRequests = server.settings().pipeline() - 1;
+    this.pipeline = new PipelineQueue(this, channel, decoder, intake, maxQueuedRequests);
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    front.opened(this);
+    server.opened(this);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    HttpCall c = call;
-    if (c != null && !c.exchange().answered()) {
-      tell("client-gone", null);
+    HttpCall unfinished = call;
+    if (unfinished != null && !unfinished.exchange().answered()) {
+      logOutcome("client-gone", null);
     }
-    letGo();
+    endCall();
     intake.close();
-    dropHeld();
-    front.closed(this);
-    if (c != null) {
-      c.exchange().clientGone();
+    pipeline.clear();
+    server.closed(this);
+    if (unfinished != null) {
+      unfinished.exchange().clientGone();
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      front.log().failure("a client's connection failed", cause);
+      server.log().failure("a client's connection failed", cause);
       if (call != null) {
         call.exchange().abandon();
       }
@@ -109,181 +86,78 @@
     channel.close();
   }
 
-  // --- reading
-
-  /**
-   * When (ns) what is read now can have come at the earliest, less what every time limit is longer
-   * by. Guards against a late loop: a request's time counts from its last byte, and one that stood
-   * in the kernel for longer than its client waits is not sent on, nor answered when all of its
-   * time has gone by once more. It does harm where a stop was shorter than it looks, by a refusal.
-   */
-  private long cameAt() {
-    long earliest =
-        decoder.firstLook()
-            ? Math.min(HttpServer.heard(), letInAt)
-            : Math.max(HttpServer.heard(), idleSince);
-    return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
-  }
-
   @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) {
+  public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
-      if (rejected || over) {
-        intake.discard(msg);
-      } else if (ahead) {
-        passOver(msg);
+      if (!state.takesRequests()) {
+        intake.discard(message);
+      } else if (disconnects.discardsSentAhead()) {
+        disconnects.discard(message);
       } else if (intake.skipping()) {
-        idleSince = System.nanoTime();
-        intake.skip((HttpObject) msg);
-      } else if (intake.upload() != null || (call == null && held.isEmpty())) {
-        intake.take((HttpObject) msg, cameAt());
-      } else if (front.settings().pipeline() > 1) {
-        hold((HttpObject) msg);
+        timeouts.markUsed();
+        intake.skip((HttpObject) message);
+      } else if (intake.upload() != null || (call == null && pipeline.isEmpty())) {
+        intake.take((HttpObject) message, timeouts.receivedAtNanos());
+      } else if (server.settings().pipeline() > 1) {
+        pipeline.add((HttpObject) message, timeouts.receivedAtNanos());
       } else {
-        sentAhead();
+        disconnects.startDiscarding();
       }
     } finally {
-      ReferenceCountUtil.release(msg);
-    }
-  }
-
-  /**
-   * Keeps part of a request that was sent ahead of an answer. Requests of one connection are taken
-   * one after the other, so their answers go out in order by themselves; what is held is bounded by
-   * number, and in bytes by one read, since none follows until it is worked off.
-   */
-  private void hold(HttpObject part) {
-    channel.config().setAutoRead(false);
-    held.add(new Held(ReferenceCountUtil.retain(part), cameAt()));
-    if (part instanceof LastHttpContent && ++heldRequests >= front.settings().pipeline() - 1) {
-      decoder.hold();
-    }
-  }
-
-  /** The answer has gone: takes up what was sent ahead, on the loop's next turn. */
-  private void workOffHeld() {
-    if (!drainsHeld && (!held.isEmpty() || decoder.holds() || !channel.config().isAutoRead())) {
-      drainsHeld = true;
-      channel.eventLoop().execute(this::takeHeld);
-    }
-  }
-
-  private void takeHeld() {
-    drainsHeld = false;
-    Held next;
-    while (call == null && takes() && (next = held.poll()) != null) {
-      if (next.part() instanceof LastHttpContent) {
-        heldRequests--;
-      }
-      try {
-        intake.take(next.part(), next.at());
-      } finally {
-        ReferenceCountUtil.release(next.part());
-      }
-    }
-    if (call == null && held.isEmpty() && takes() && channel.isActive()) {
-      if (decoder.active()) {
-        try {
-          decoder.resume(channel.pipeline().context(decoder));
-        } catch (Exception e) {
-          exceptionCaught(channel.pipeline().context(this), e);
-        }
-      }
-      if (call == null && held.isEmpty() && !intake.paused()) {
-        channel.config().setAutoRead(true);
-      }
+      ReferenceCountUtil.release(message);
     }
   }
 
-  private void dropHeld() {
-    Held next;
-    while ((next = held.poll()) != null) {
-      ReferenceCountUtil.release(next.part());
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    if (call != null && channel.isWritable()) {
+      responses.writable();
+      call.writable();
     }
-    heldRequests = 0;
   }
 
-  // --- the present request, as told by those that read it and answer it
+  // --- the present request
 
-  /** Whether requests are taken still. */
-  boolean takes() {
-    return !rejected && !over;
+  /** Whether requests are still taken. */
+  boolean takesRequests() {
+    return state.takesRequests();
   }
 
-  /** The head of a request has come; {@code last} tells that its client wants no other after it. */
-  void began(boolean last) {
-    closing = last;
+  /** The present request's response is to be the connection's last. */
+  void endWithPresentResponse() {
+    state = state.advance(ConnectionState.LAST_RESPONSE);
   }
 
   /**
    * The client has sent a request, or as much of one as it takes to believe it; whether it is the
    * first.
    */
-  boolean spoke() {
-    boolean first = !spoken;
-    spoken = true;
-    return first;
+  boolean markRequestSeen() {
+    return timeouts.markRequestSeen();
   }
 
   /**
-   * More has come than the present request. Guards against floods of requests sent at once: clients
-   * send one at a time, so what comes ahead of an answer is thrown away, and the connection ends
-   * with that answer. It is read all the same, at a bounded rate: where nobody reads, nobody sees
-   * that the client has gone, and its request would be sent on.
+   * Whether the client has gone, of whom a whole request has come; its connection is closed then.
    */
-  void sentAhead() {
-    closing = true;
-    ahead = true;
-    undecoded();
-  }
-
-  private void passOver(Object msg) {
-    aheadBytes += msg instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-    if (aheadBytes > AHEAD_BYTES) {
-      aheadBytes = 0;
-      channel.config().setAutoRead(false); // until the next sweep
-    }
+  boolean closeIfGone() {
+    return disconnects.closeIfGone();
   }
 
-  /**
-   * Whether the client has gone already, of whom a whole request has come; then its connection ends
-   * here. Guards against a queue of requests that nobody waits for any more: after a pause, or in a
-   * crowd, those that were given up stand ahead of those that can still be answered, and what is
-   * done for them makes the others late. It costs a look at the socket.
-   */
-  boolean endsUnread() {
-    Transport.End end =
-        ahead ? front.transport().endBehind(channel) : front.transport().end(channel);
-    if (end == Transport.End.LOST_BYTE) {
-      sentAhead();
-      end = front.transport().endBehind(channel); // it may have sent much at once and gone
-    }
-    if (end != Transport.End.ENDED) {
-      return false;
-    }
-    tell("client-gone", null);
-    channel.close();
-    return true;
-  }
-
-  /**
-   * The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of
-   * the next.
-   */
-  boolean abandoned() {
-    return (!front.settings().daemon() || front.transport().looksOnly()) && endsUnread();
+  /** The same, at any time at which the look at the socket does no harm. */
+  boolean closeIfGoneBetweenRequests() {
+    return disconnects.closeIfGoneBetweenRequests();
   }
 
   /** The engine is about to take the request. */
-  void carries(HttpCall next) {
+  void beginCall(HttpCall next) {
     call = next;
-    front.carries();
+    server.carries();
   }
 
-  private void letGo() {
+  private void endCall() {
     if (call != null) {
       call = null;
-      front.carried();
+      server.carried();
     }
   }
 
@@ -292,238 +166,209 @@
     return call;
   }
 
+  /** Whether the present request is one of HTTP/1.0. */
   boolean oldVersion() {
     return intake.oldVersion();
   }
 
-  /** Decides whether the answer that is about to go out is the connection's last. */
-  boolean endsWithThisAnswer() {
+  // --- the end of a response, and of the connection
+
+  /** Decides whether the response that is about to go out is the connection's last. */
+  boolean decideLastResponse() {
     // What a client has sent ahead is answered before it is asked to leave; what has not come whole
-    // by
-    // the time of an answer can't be told from the next request.
-    closing |=
-        ((front.draining() || front.crowded()) && heldRequests == 0)
-            || (intake.upload() != null && !intake.skips());
-    return closing;
+    // by the time of a response can't be told from the next request.
+    if (((server.draining() || server.crowded()) && !pipeline.hasWholeRequest())
+        || (intake.upload() != null && !intake.skips())) {
+      endWithPresentResponse();
+    }
+    return state.closing();
   }
 
   /**
-   * The answer is on its way; true if the connection stays, and nothing of the request comes any
+   * The response is on its way; true if the connection stays, and nothing of the request comes any
    * more.
    */
-  boolean answered(ChannelFuture written) {
-    letGo();
+  boolean responded(ChannelFuture written) {
+    endCall();
     intake.answered();
-    idleSince = System.nanoTime();
+    timeouts.markUsed();
     if (intake.skipping()) {
       channel.config().setAutoRead(true);
       return false;
     }
-    if (closing) {
-      over = true;
-      dropHeld();
+    if (state.closing()) {
+      finish();
+      pipeline.clear();
       channel.config().setAutoRead(true);
       written.addListener(f -> linger());
       return false;
     }
-    workOffHeld();
+    pipeline.scheduleDrain();
     return true;
   }
 
   /** The rest of a request that was answered early has come. */
-  void skipped() {
-    if (closing) {
-      over = true;
+  void restDiscarded() {
+    if (state.closing()) {
+      finish();
       linger();
     }
   }
 
   /** Nothing more is taken, and nothing more is written. */
-  void ended() {
-    over = true;
+  void finish() {
+    state = state.advance(ConnectionState.FINISHED);
   }
 
   /** Answers what can't be a request and ends the connection. */
   void reject(int status) {
-    tell(status);
-    told = true;
+    logOwnResponse(status);
+    rejectionLogged = true;
     intake.drop();
-    dropHeld();
-    closing = true;
+    pipeline.clear();
+    endWithPresentResponse();
     if (call != null) {
       call.exchange().abandon(); // its body can't be read to its end; this answers, once
       if (call != null) {
-        answers.cut(); // an answer that has begun
+        responses.cut(); // a response that has begun
       } else {
-        stopDecoding();
+        discardInput();
       }
       return;
     }
-    stopDecoding();
-    answers.answer(status, 0);
+    discardInput();
+    responses.answer(status, 0);
   }
 
   /** From here on whatever comes is thrown away unread: it may be much, or no HTTP at all. */
-  private void stopDecoding() {
-    rejected = true;
-    undecoded();
+  private void discardInput() {
+    state = state.advance(ConnectionState.DISCARDING);
+    removeDecoder();
     channel.config().setAutoRead(true);
   }
 
-  private void undecoded() {
+  /** No more requests are decoded. */
+  void removeDecoder() {
     if (decoder.active()) {
       channel.pipeline().remove(decoder);
     }
   }
 
   /**
-   * Closes after an answer. Guards against a reset that overtakes it: a close while bytes are
+   * Closes after a response. Guards against a reset that overtakes it: a close while bytes are
    * unread would be one, so the sending ends first and what still comes is thrown away.
    */
   private void linger() {
     if (!channel.isActive()) {
       return;
     }
-    stopDecoding();
+    discardInput();
     channel.shutdownOutput();
-    channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+    channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  @Override
-  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (call != null && channel.isWritable()) {
-      answers.writable();
-      call.writable();
+  /** Closes it at once, for a reason that the log tells. */
+  void close(CloseReason reason) {
+    log.closed(reason, call);
+    channel.close();
+  }
+
+  /** There is no more time: what is open is answered now, and what still comes is rejected. */
+  void terminate() {
+    if (call != null) {
+      endWithPresentResponse();
+      call.exchange().abandon();
+    } else if (takesRequests() && decoder.receiving()) {
+      reject(503);
     }
   }
 
   // --- the log
 
   /**
-   * An answer of our own is about to go out: tells why, unless it is the answer to a question of
-   * health.
+   * A response of our own is about to go out: logs why, unless it is the answer to a health check.
    */
-  void tell(int status) {
-    FilterResult v = intake.verdict();
-    boolean health = v != null && v.status() == status && v.origin() == null && !v.closes();
-    if (!health && !told) {
-      tell(RequestLog.outcome(status), status);
+  void logOwnResponse(int status) {
+    FilterResult verdict = intake.verdict();
+    boolean healthCheck =
+        verdict != null
+            && verdict.status() == status
+            && verdict.origin() == null
+            && !verdict.closes();
+    if (!healthCheck && !rejectionLogged) {
+      logOutcome(RequestLog.outcome(status), status);
     }
   }
 
-  /**
-   * Tells what became of the present request, where it was not served; {@code status} may be null.
-   */
-  void tell(String outcome, Integer status) {
-    FilterResult v = intake.verdict();
-    log.request(outcome, status, call, v, v == null ? decoder.since() : intake.since());
+  /** Logs what became of the present request, if not served; {@code status} may be null. */
+  void logOutcome(String outcome, Integer status) {
+    FilterResult verdict = intake.verdict();
+    long since = verdict == null ? decoder.since() : intake.since();
+    log.request(outcome, status, call, verdict, since);
   }
 
-  // --- upkeep
+  // --- housekeeping
 
-  /** Whether it carries a request, or part of one, or an answer that is not written yet. */
+  /** Whether it carries a request, or part of one, or a response that is not written yet. */
   boolean busy() {
-    return call != null || !held.isEmpty() || decoder.receiving() || answers.writing() || closing;
+    return call != null
+        || !pipeline.isEmpty()
+        || decoder.receiving()
+        || responses.writing()
+        || state.closing();
   }
 
-  /** Whether a request may be on its way that was sent before the client could know of a drain. */
-  boolean fresh() {
-    return !spoken && System.nanoTime() - openedAt < slowNanos;
+  /** Whether it can be closed as a drain begins: a first request that is under way is awaited. */
+  boolean closableAtDrain() {
+    return !busy() && !timeouts.firstRequestMayBeUnderWay();
   }
 
   /**
-   * Whether it can be closed where no more is expected: it carries nothing, and who is new had time
-   * to speak.
+   * Whether it can be closed where no more is expected: it carries nothing, and a new client had
+   * time to send a request.
    */
-  boolean clearable(long now) {
-    return !busy() && (spoken || now - openedAt > SILENT_NANOS);
+  boolean closable(long nowNanos) {
+    return !busy() && timeouts.hadTimeForRequest(nowNanos);
   }
 
-  /** There is no more time: what is open has its answer now, and what comes still is none. */
-  void giveUp() {
-    if (call != null) {
-      closing = true;
-      call.exchange().abandon();
-    } else if (takes() && decoder.receiving()) {
-      reject(503);
+  /** How readily it makes room for another connection. */
+  EvictionOrder evictionOrder(long nowNanos) {
+    if (call != null || responses.writing() || !channel.isOpen()) {
+      return EvictionOrder.NEVER; // in use, or closed already and not yet taken off the list
     }
+    return state == ConnectionState.DISCARDING
+        ? EvictionOrder.RESPONDED
+        : timeouts.evictionOrder(nowNanos);
   }
 
-  /** Closes it at once, for a reason that the log tells. */
-  void close(CloseReason reason) {
-    log.closed(reason, call);
-    channel.close();
-  }
-
-  /**
-   * How readily it makes room for another, 0 first, or -1 if it may not. What was answered and only
-   * lingers goes first, then what has never spoken: usual clients speak as soon as they connect.
-   */
-  int dispensable(long now) {
-    if (call != null || answers.writing() || !channel.isOpen()) {
-      return -1; // in use, or closed already and only not yet taken off the list
-    }
-    if (rejected) {
-      return 0;
-    }
-    if (decoder.receiving()) {
-      return now - receivingSince() > PARTIAL_NANOS ? 3 : -1;
-    }
-    if (!spoken) {
-      return now - openedAt > SILENT_NANOS ? 1 : -1;
-    }
-    return now - idleSince > front.settings().idleLeastMs() * 1_000_000L ? 2 : -1;
-  }
-
-  /**
-   * Whether its client is sent away and has had time to use it once more. The daemon closes none
-   * for that: its next answer asks to leave, and a request that crosses a close would be lost.
-   */
-  private boolean away(long now) {
-    long since = front.settings().daemon() ? 0 : front.awaySince();
-    return since != 0
-        && (spoken
-            ? now - Math.max(idleSince, since) > AWAY_NANOS
-            : now - Math.max(openedAt, since) > AWAY_SILENT_NANOS);
-  }
-
-  /** What the body that comes may take besides: who sends it slowly but steadily is in time. */
-  private long bodyNanos() {
-    int rate = front.settings().bodyRate();
-    return rate == 0 ? 0 : intake.bodySize() * 1_000_000_000L / rate;
-  }
-
-  private long receivingSince() {
-    return spoken ? decoder.since() : openedAt;
-  }
-
-  /** Ends what has come to nothing; a few times a second. */
-  void sweep(long now) {
-    if (ahead && !over) {
+  /** Ends what takes too long; called a few times a second. */
+  void enforceTimeouts(long nowNanos) {
+    if (disconnects.discardsSentAhead() && takesRequests()) {
       channel.config().setAutoRead(true);
     }
-    if (call != null && intake.upload() != null && intake.upload().stalled(now, slowNanos)) {
+    if (call != null
+        && intake.upload() != null
+        && intake.upload().stalled(nowNanos, timeouts.slowNanos())) {
       call.exchange().abandon(); // a body that does not come
-    } else if (answers.still(now)) {
-      answers.cut();
-    } else if (!rejected && call == null) {
-      sweepIdle(now);
+    } else if (responses.still(nowNanos)) {
+      responses.cut();
+    } else if (state != ConnectionState.DISCARDING && call == null) {
+      enforceTimeoutsWithoutCall(nowNanos);
     }
   }
 
-  private void sweepIdle(long now) {
+  private void enforceTimeoutsWithoutCall(long nowNanos) {
     if (intake.skipping()) {
-      closeIf(now - idleSince > slowNanos, CloseReason.SLOW);
-    } else if (answers.writing()) {
-      closeIf(answers.stalled(now), CloseReason.STALLED);
+      closeIf(timeouts.restTooSlow(nowNanos), CloseReason.SLOW);
+    } else if (responses.writing()) {
+      closeIf(responses.stalled(nowNanos), CloseReason.STALLED);
     } else if (decoder.receiving()) {
-      if (now - receivingSince() > slowNanos + bodyNanos()) {
+      if (timeouts.requestTooSlow(nowNanos, intake.bodySize())) {
         reject(intake.paused() ? 503 : 408);
       }
     } else {
-      long idleNanos = front.settings().idleMostMs() * 1_000_000L;
-      closeIf(away(now), CloseReason.DRAINING);
-      closeIf(spoken ? now - idleSince > idleNanos : now - openedAt > slowNanos, CloseReason.IDLE);
+      CloseReason reason = timeouts.idleCloseReason(nowNanos);
+      closeIf(reason != null, reason);
     }
   }
 
--- /dev/null
+++ b/src/main/java/leadferry/http/DisconnectDetector.java
@@ -0,0 +1,87 @@
+package leadferry.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.socket.SocketChannel;
+import leadferry.engine.Transport;
+
+/**
+ * Notices that a client has disconnected while its request is still unanswered, also behind bytes
+ * that it sent ahead of the response.
+ *
+ * <p>Used on the connection's event loop alone.
+ */
+final class DisconnectDetector {
+  /** What is thrown away (bytes) between two sweeps of what a client sends ahead. */
+  private static final int MAX_DISCARDED_BYTES_PER_SWEEP = 1 << 20;
+
+  private final ClientConnection connection;
+  private final SocketChannel channel;
+  private final Transport transport;
+
+  /** Whether a look between two requests of one connection may be made at all. */
+  private final boolean mayLookBetweenRequests;
+
+  private boolean discardsSentAhead;
+  private int discardedBytes;
+
+  DisconnectDetector(ClientConnection connection, HttpServer server, SocketChannel channel) {
+    this.connection = connection;
+    this.channel = channel;
+    this.transport = server.transport();
+    this.mayLookBetweenRequests = !server.settings().daemon() || transport.looksOnly();
+  }
+
+  /** Whether what is sent ahead of the response is thrown away. */
+  boolean discardsSentAhead() {
+    return discardsSentAhead;
+  }
+
+  /**
+   * More has come than the present request. Guards against floods of requests sent at once: clients
+   * send one at a time, so what comes ahead of a response is thrown away, and the connection ends
+   * with that response. It is read all the same, at a bounded rate: where nobody reads, nobody sees
+   * that the client has gone, and its request would be forwarded.
+   */
+  void startDiscarding() {
+    connection.endWithPresentResponse();
+    discardsSentAhead = true;
+    connection.removeDecoder();
+  }
+
+  /** Throws away what was sent ahead; past the bound, reading stops until the next sweep. */
+  void discard(Object message) {
+    discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+    if (discardedBytes > MAX_DISCARDED_BYTES_PER_SWEEP) {
+      discardedBytes = 0;
+      channel.config().setAutoRead(false);
+    }
+  }
+
+  /**
+   * Closes the connection if its client, of whom a whole request has come, has gone already; true
+   * if it has. Guards against a queue of requests that nobody waits for any more: after a pause, or
+   * in a crowd, they stand ahead of those that can still be answered, and make them late. It costs
+   * a look at the socket.
+   */
+  boolean closeIfGone() {
+    Transport.End end = discardsSentAhead ? transport.endBehind(channel) : transport.end(channel);
+    if (end == Transport.End.LOST_BYTE) {
+      startDiscarding();
+      end = transport.endBehind(channel); // it may have sent much at once and gone
+    }
+    if (end != Transport.End.ENDED) {
+      return false;
+    }
+    connection.logOutcome("client-gone", null);
+    channel.close();
+    return true;
+  }
+
+  /**
+   * The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of
+   * the next.
+   */
+  boolean closeIfGoneBetweenRequests() {
+    return mayLookBetweenRequests && closeIfGone();
+  }
+}
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -211,12 +211,12 @@
     long now = heard();
     int left = looks;
     ClientConnection found = null;
-    int least = Integer.MAX_VALUE;
+    EvictionOrder least = EvictionOrder.NEVER;
     for (ClientConnection c : connections) {
-      int d = c.dispensable(now);
-      if (d >= 0 && d < least) {
+      EvictionOrder order = c.evictionOrder(now);
+      if (order.compareTo(least) < 0) {
         found = c;
-        least = d;
+        least = order;
       }
       if (--left <= 0) {
         break;
@@ -270,7 +270,7 @@
   public void drain() {
     draining = true;
     for (ClientConnection c : new ArrayList<>(connections)) {
-      if (!c.busy() && !c.fresh()) {
+      if (c.closableAtDrain()) {
         c.close(CloseReason.DRAINING);
       }
     }
@@ -283,7 +283,7 @@
   public boolean clear() {
     boolean any = false;
     for (ClientConnection c : new ArrayList<>(connections)) {
-      if (c.clearable(heard())) {
+      if (c.closable(heard())) {
         c.close(CloseReason.DRAINING);
         any = true;
       }
@@ -297,7 +297,7 @@
    */
   public void giveUp() {
     for (ClientConnection c : new ArrayList<>(connections)) {
-      c.giveUp();
+      c.terminate();
     }
   }
 
@@ -324,7 +324,7 @@
   public void sweep() {
     long now = heard();
     for (ClientConnection c : new ArrayList<>(connections)) {
-      c.sweep(now);
+      c.enforceTimeouts(now);
     }
   }
 
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -139,7 +139,7 @@
       skipping = false;
       discarded = 0;
       decoder.completed(); // its client has its answer, so what comes behind is in order
-      client.skipped();
+      client.restDiscarded();
     }
   }
 
@@ -156,16 +156,16 @@
     if (part instanceof HttpRequest request) {
       begin(request, at);
     }
-    if (upload != null && part instanceof LastHttpContent && client.abandoned()) {
+    if (upload != null && part instanceof LastHttpContent && client.closeIfGoneBetweenRequests()) {
       return; // the last byte is not sent on: its client left while a connection was waited for,
       // and its end was not read
     }
-    if (part instanceof HttpContent content && client.takes()) {
+    if (part instanceof HttpContent content && client.takesRequests()) {
       ByteBuf bytes = content.content();
       if (bytes.isReadable()) {
         append(bytes);
       }
-      if (part instanceof LastHttpContent last && client.takes()) {
+      if (part instanceof LastHttpContent last && client.takesRequests()) {
         complete(last.trailingHeaders(), at);
       }
     }
@@ -174,7 +174,9 @@
   private void begin(HttpRequest request, long at) {
     head = request;
     since = at;
-    client.began(!HttpUtil.isKeepAlive(request));
+    if (!HttpUtil.isKeepAlive(request)) {
+      client.endWithPresentResponse();
+    }
     oldVersion = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
     int fault = Framing.fault(request, front.gate().judgesBy(), front.settings().daemon());
     verdict =
@@ -191,7 +193,7 @@
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
-    if (client.takes()
+    if (client.takesRequests()
         && verdict.status() == 0
         && verdict.streaming() == Streaming.ALWAYS
         && (length > 0 || HttpUtil.isTransferEncodingChunked(request))) {
@@ -208,7 +210,7 @@
 
   /** The body goes on while it comes: the request enters the engine ahead of its last byte. */
   private void stream() {
-    client.spoke();
+    client.markRequestSeen();
     Dispatcher d = verdict.target();
     if (full(d)) {
       client.reject(503);
@@ -225,7 +227,7 @@
         new HttpCall(
             answers, head, null, upload, Headers.NONE, verdict.streaming(), large ? a.budget() : 0);
     head = null;
-    client.carries(call);
+    client.beginCall(call);
     d.take(call, large ? a.within(a.budget() + UPLOAD_MS) : a, verdict.fallback());
   }
 
@@ -335,7 +337,7 @@
       whole.end(trailers);
       return;
     }
-    boolean first = client.spoke();
+    boolean first = client.markRequestSeen();
     front.budget().forget(resume);
     if (paused) {
       resumeReading();
@@ -353,7 +355,7 @@
       answers.answer(verdict.status(), verdict.retryAfterMs());
       return;
     }
-    if ((first || !front.settings().daemon()) && client.endsUnread()) {
+    if ((first || !front.settings().daemon()) && client.closeIfGone()) {
       free(whole);
       return;
     }
@@ -374,7 +376,7 @@
       return;
     }
     HttpCall call = new HttpCall(answers, request, whole, null, trailers, verdict.streaming(), 0);
-    client.carries(call);
+    client.beginCall(call);
     d.take(call, verdict.arrival().within(left), verdict.fallback());
   }
 
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -39,7 +39,7 @@
 
   /** An answer of our own. */
   void answer(int status, double coolDownMs) {
-    client.tell(status);
+    client.logOwnResponse(status);
     DefaultFullHttpResponse r =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
@@ -82,13 +82,13 @@
 
   /** A host's error that ends the request. */
   void error(HttpResponse reply, HttpResponseStatus as, Body whole, HttpHeaders trailers) {
-    client.tell("server-error", as.code());
+    client.logOutcome("server-error", as.code());
     answer(reply, as, whole, trailers);
   }
 
   /** Whether the client has left, and has not been read. */
   boolean abandoned() {
-    return client.abandoned();
+    return client.closeIfGoneBetweenRequests();
   }
 
   private static ByteBuf joined(Body whole) {
@@ -97,7 +97,7 @@
   }
 
   private void markClose(HttpResponse r) {
-    if (client.endsWithThisAnswer()) {
+    if (client.decideLastResponse()) {
       r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (client.oldVersion()) {
       r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
@@ -106,7 +106,7 @@
 
   private void answered(ChannelFuture written) {
     movedAt = 0;
-    if (client.answered(written) && !written.isDone()) {
+    if (client.responded(written) && !written.isDone()) {
       writingSince = System.nanoTime();
       written.addListener(f -> writingSince = 0);
     }
@@ -150,8 +150,8 @@
    * tell.
    */
   void cut() {
-    client.tell("cut", null);
-    client.ended();
+    client.logOutcome("cut", null);
+    client.finish();
     if (channel.isOpen()) { // it may be its client's end that cuts it
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
