--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -27,6 +27,7 @@
   private final RequestDecoder decoder;
   private final ResponseWriter responses;
   private final RequestIntake intake;
+  private final DiscardedInput discarded;
   private final ConnectionTimeouts timeouts;
   private final PipelineQueue pipeline;
   private final DisconnectDetector disconnects;
@@ -49,6 +50,7 @@
     this.responses = new ResponseWriter(this, server, channel);
     this.disconnects = new DisconnectDetector(this, server, channel);
     this.intake = new RequestIntake(this, server, channel, decoder, responses);
+    this.discarded = intake.discardedInput();
     int maxQueuedRequests = server.settings().pipeline() - 1;
     this.pipeline = new PipelineQueue(this, channel, decoder, intake, maxQueuedRequests);
   }
@@ -90,12 +92,12 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (!state.takesRequests()) {
-        intake.discard(message);
+        discarded.discard(message);
       } else if (disconnects.discardsSentAhead()) {
         disconnects.discard(message);
-      } else if (intake.skipping()) {
+      } else if (discarded.skipping()) {
         timeouts.markUsed();
-        intake.skip((HttpObject) message);
+        discarded.skip((HttpObject) message);
       } else if (intake.upload() != null || (call == null && pipeline.isEmpty())) {
         intake.take((HttpObject) message, timeouts.receivedAtNanos());
       } else if (server.settings().pipeline() > 1) {
@@ -192,7 +194,7 @@
     endCall();
     intake.answered();
     timeouts.markUsed();
-    if (intake.skipping()) {
+    if (discarded.skipping()) {
       channel.config().setAutoRead(true);
       return false;
     }
@@ -289,7 +291,7 @@
    * A response of our own is about to go out: logs why, unless it is the answer to a health check.
    */
   void logOwnResponse(int status) {
-    FilterResult verdict = intake.verdict();
+    FilterResult verdict = intake.filterResult();
     boolean healthCheck =
         verdict != null
             && verdict.status() == status
@@ -302,8 +304,8 @@
 
   /** Logs what became of the present request, if not served; {@code status} may be null. */
   void logOutcome(String outcome, Integer status) {
-    FilterResult verdict = intake.verdict();
-    long since = verdict == null ? decoder.since() : intake.since();
+    FilterResult verdict = intake.filterResult();
+    long since = verdict == null ? decoder.since() : intake.headReceivedAtNanos();
     log.request(outcome, status, call, verdict, since);
   }
 
@@ -358,7 +360,7 @@
   }
 
   private void enforceTimeoutsWithoutCall(long nowNanos) {
-    if (intake.skipping()) {
+    if (discarded.skipping()) {
       closeIf(timeouts.restTooSlow(nowNanos), CloseReason.SLOW);
     } else if (responses.writing()) {
       closeIf(responses.stalled(nowNanos), CloseReason.STALLED);
