--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -57,7 +57,7 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    server.opened(this);
+    server.connections().add(this);
   }
 
   @Override
@@ -69,7 +69,7 @@
     endCall();
     intake.close();
     pipeline.clear();
-    server.closed(this);
+    server.connections().remove(this);
     if (unfinished != null) {
       unfinished.exchange().clientGone();
     }
@@ -153,13 +153,13 @@
   /** The engine is about to take the request. */
   void beginCall(HttpCall next) {
     call = next;
-    server.carries();
+    server.callBegan();
   }
 
   private void endCall() {
     if (call != null) {
       call = null;
-      server.carried();
+      server.callEnded();
     }
   }
 
@@ -352,7 +352,7 @@
         && intake.upload() != null
         && intake.upload().stalled(nowNanos, timeouts.slowNanos())) {
       call.exchange().abandon(); // a body that does not come
-    } else if (responses.still(nowNanos)) {
+    } else if (responses.streamStalled(nowNanos)) {
       responses.cut();
     } else if (state != ConnectionState.DISCARDING && call == null) {
       enforceTimeoutsWithoutCall(nowNanos);
--- a/src/main/java/leadferry/http/ConnectionTimeouts.java
+++ b/src/main/java/leadferry/http/ConnectionTimeouts.java
@@ -72,8 +72,8 @@
   long receivedAtNanos() {
     long earliest =
         decoder.firstLook()
-            ? Math.min(HttpServer.heard(), acceptedAtNanos)
-            : Math.max(HttpServer.heard(), idleSinceNanos);
+            ? Math.min(HttpServer.readUntilNanos(), acceptedAtNanos)
+            : Math.max(HttpServer.readUntilNanos(), idleSinceNanos);
     return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
   }
 
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -35,7 +35,7 @@
   private final RequestBodyUpload upload;
   private final HttpHeaders trailers;
   private final Streaming streaming;
-  private final double budget;
+  private final double announcedMillis;
   private final boolean chunked;
   private Exchange exchange;
   private HttpAttempt answering;
@@ -45,8 +45,8 @@
 
   /**
    * A request whose body has come whole, or comes as {@code upload}; {@code streaming} tells
-   * whether its answer may go on while it comes, {@code budget} (ms) what hosts are told of its
-   * time, 0 for what is left.
+   * whether its answer may go on while it comes, {@code announcedMillis} (ms) what hosts are told
+   * of its time, 0 for what is left.
    */
   HttpCall(
       ResponseWriter client,
@@ -55,31 +55,32 @@
       RequestBodyUpload upload,
       HttpHeaders trailers,
       Streaming streaming,
-      double budget) {
+      double announcedMillis) {
     this.client = client;
     this.head = head;
     this.body = body;
     this.upload = upload;
     this.trailers = trailers;
     this.streaming = streaming;
-    this.budget = budget;
-    HttpHeaders h = head.headers();
-    boolean takesTrailers = h.containsValue(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS, true);
+    this.announcedMillis = announcedMillis;
+    HttpHeaders headers = head.headers();
+    boolean takesTrailers =
+        headers.containsValue(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS, true);
     this.chunked =
-        upload != null ? !h.contains(HttpHeaderNames.CONTENT_LENGTH) : !trailers.isEmpty();
-    Headers.dropHopByHop(h);
+        upload != null ? !headers.contains(HttpHeaderNames.CONTENT_LENGTH) : !trailers.isEmpty();
+    Headers.dropHopByHop(headers);
     if (chunked) {
-      h.remove(HttpHeaderNames.CONTENT_LENGTH);
-      h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      headers.remove(HttpHeaderNames.CONTENT_LENGTH);
+      headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (body != null) {
-      h.set(HttpHeaderNames.CONTENT_LENGTH, body.size());
+      headers.set(HttpHeaderNames.CONTENT_LENGTH, body.size());
     }
     if (takesTrailers) {
       // Ours to this host: trailers are passed on.
-      h.set(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS);
-      h.set(HttpHeaderNames.CONNECTION, HttpHeaderNames.TE);
+      headers.set(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS);
+      headers.set(HttpHeaderNames.CONNECTION, HttpHeaderNames.TE);
     }
-    h.remove(HttpHeaderNames.EXPECT);
+    headers.remove(HttpHeaderNames.EXPECT);
   }
 
   @Override
@@ -132,19 +133,21 @@
 
   /** The body has come whole. */
   void whole() {
-    if (budget > 0) {
-      exchange.timed(budget);
+    if (announcedMillis > 0) {
+      exchange.timed(announcedMillis);
     }
   }
 
   ChannelFuture writeTo(Channel channel, long remainingMs) {
-    HttpHeaders h = head.headers();
-    h.set(
+    HttpHeaders headers = head.headers();
+    headers.set(
         TIMEOUT,
-        budget > 0 && comes() ? (long) budget : remainingMs); // a host counts from the last byte
+        announcedMillis > 0 && comes()
+            ? (long) announcedMillis
+            : remainingMs); // a host counts from the last byte
     if (upload != null) {
       return channel.writeAndFlush(
-          new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
+          new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
     }
     if (!chunked && (body == null || body.size() == 0)) {
       return channel.writeAndFlush(
@@ -153,18 +156,23 @@
               head.method(),
               head.uri(),
               Unpooled.EMPTY_BUFFER,
-              h,
+              headers,
               Headers.NONE));
     }
     List<ByteBuf> blocks = body == null ? List.of() : body.retained();
     if (blocks.size() == 1 && !chunked) {
       return channel.writeAndFlush(
           new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1, head.method(), head.uri(), blocks.get(0), h, Headers.NONE));
+              HttpVersion.HTTP_1_1,
+              head.method(),
+              head.uri(),
+              blocks.get(0),
+              headers,
+              Headers.NONE));
     }
-    channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
-    for (ByteBuf b : blocks) {
-      channel.write(new DefaultHttpContent(b));
+    channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
+    for (ByteBuf block : blocks) {
+      channel.write(new DefaultHttpContent(block));
     }
     return channel.writeAndFlush(last(trailers));
   }
@@ -176,19 +184,20 @@
         : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
   }
 
-  void served(HttpResponse reply, Body whole, HttpHeaders with) {
-    client.answer(reply, reply.status(), whole, Headers.passable(with));
+  void served(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
+    client.answer(response, response.status(), whole, Headers.passable(responseTrailers));
   }
 
   // --- an answer that streams
 
   /**
    * Whether an answer goes on while it comes whose length is this (-1 for not told), and of which
-   * more than {@code held} bytes can't be held.
+   * more than {@code maxHeldBytes} can't be held.
    */
-  boolean streams(long length, int held) {
-    return client.canStream(length)
-        && (streaming == Streaming.ALWAYS || (streaming == Streaming.LARGE && length > held));
+  boolean streams(long lengthBytes, int maxHeldBytes) {
+    return client.canStream(lengthBytes)
+        && (streaming == Streaming.ALWAYS
+            || (streaming == Streaming.LARGE && lengthBytes > maxHeldBytes));
   }
 
   /** Whether an answer of no told length goes on while it comes once it is too long to be held. */
@@ -196,18 +205,18 @@
     return streaming == Streaming.LARGE && client.canStream(-1);
   }
 
-  void begin(HttpAttempt by, HttpResponse reply, long length) {
-    answering = by;
-    client.begin(reply, length);
+  void begin(HttpAttempt attempt, HttpResponse response, long lengthBytes) {
+    answering = attempt;
+    client.begin(response, lengthBytes);
   }
 
   boolean pass(ByteBuf bytes) {
     return client.pass(bytes);
   }
 
-  void finish(HttpHeaders with) {
+  void finish(HttpHeaders responseTrailers) {
     answering = null;
-    client.finish(Headers.passable(with));
+    client.finish(Headers.passable(responseTrailers));
   }
 
   void cut() {
@@ -224,10 +233,10 @@
 
   // --- an error of a host's that may end the request
 
-  void keepError(HttpResponse reply, Body whole, HttpHeaders with) {
-    error = reply;
+  void keepError(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
+    error = response;
     errorBody = whole;
-    errorTrailers = with;
+    errorTrailers = responseTrailers;
   }
 
   private void forgetError() {
@@ -243,13 +252,15 @@
    * again is harmless, which holds only where the class may be repeated or nothing has run.
    */
   private void passError(boolean refused) {
-    HttpResponse reply = error;
+    HttpResponse response = error;
     Body whole = errorBody;
     error = null;
     errorBody = null;
-    HttpResponseStatus as =
-        reply.status().code() == 503 && !refused ? HttpResponseStatus.BAD_GATEWAY : reply.status();
-    client.error(reply, as, whole, Headers.passable(errorTrailers));
+    HttpResponseStatus status =
+        response.status().code() == 503 && !refused
+            ? HttpResponseStatus.BAD_GATEWAY
+            : response.status();
+    client.error(response, status, whole, Headers.passable(errorTrailers));
   }
 
   void answer(int status) {
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -1,8 +1,6 @@
 package leadferry.http;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.ServerChannelRecvByteBufAllocator;
@@ -11,9 +9,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import leadferry.engine.AcceptBackoff;
@@ -27,16 +23,16 @@
 /** The side that faces the application: listens, and knows all of its connections. */
 public final class HttpServer {
   /** Connections taken in one go; more might pass the limit before it is looked at. */
-  private static final int ACCEPTS = 4;
+  private static final int ACCEPTS_PER_READ = 4;
 
   /**
    * Connections looked at for one accept where another listens. Guards against a crowd of thousands
    * whose every connect costs a look at all of them, until nobody reads that they have gone.
    */
-  private static final int LOOKS = 32;
+  private static final int MAX_EVICTION_LOOKS = 32;
 
   /** How long (ms) the listener rests where nothing can make room yet. */
-  private static final long REST_MS = 20;
+  private static final long ACCEPT_PAUSE_MILLIS = 20;
 
   private final Transport transport;
   private final Sockets sockets;
@@ -44,16 +40,16 @@
   private final Log log;
   private final HttpServerSettings settings;
   private RequestFilter gate;
-  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+  private final ClientConnections connections = new ClientConnections();
   private final Set<String> openIds = new HashSet<>();
   private Listener listener;
   private boolean draining;
-  private int carried;
+  private int openCalls;
   private long awaySince;
   private long refusedForMemory;
   private long refusedForSockets;
 
-  /** A front of one loop; it listens itself, or is given what another has accepted. */
+  /** A server of one loop; it listens itself, or is given what another has accepted. */
   public HttpServer(
       HttpServerSettings settings,
       RequestFilter gate,
@@ -67,38 +63,27 @@
     this.sockets = sockets;
     this.budget = budget;
     this.log = log;
-    sockets.onWanted(this::yieldOne);
+    sockets.onWanted(this::evictForUpstream);
   }
 
   /** Listens, beside other processes that do; throws what the bind throws. */
   public void listen(EventLoopGroup loop, InetSocketAddress address) throws Exception {
+    AcceptBackoff backoff = new AcceptBackoff(log::line, this::acceptsAgain);
     listener =
         (Listener)
-            new ServerBootstrap()
-                .group(loop)
-                .channel(Listener.class)
+            ServerSockets.bootstrap(loop, Listener.class, Listener.BACKLOG, backoff, this::accepted)
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-                .option(ChannelOption.SO_BACKLOG, Listener.BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true)
                 .option(
                     ChannelOption.RECVBUF_ALLOCATOR,
-                    new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
-                .handler(new AcceptBackoff(log::line, this::acceptsAgain))
-                .childOption(ChannelOption.TCP_NODELAY, true)
+                    new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_PER_READ))
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
-                .childHandler(
-                    new ChannelInitializer<SocketChannel>() {
-                      @Override
-                      protected void initChannel(SocketChannel ch) {
-                        accepted(ch);
-                      }
-                    })
                 .bind(address)
                 .sync()
                 .channel();
   }
 
+  /** The listening socket, or null if connections are given to this server. */
   public Channel listener() {
     return listener;
   }
@@ -131,33 +116,28 @@
   }
 
   /** Takes a connection that has been accepted; called on its loop. */
-  public void accepted(SocketChannel ch) {
+  public void accepted(SocketChannel channel) {
     RequestDecoder decoder = new RequestDecoder();
     sockets.clientOpened();
     // Not with the handlers: they never hear of a connection that was reset before its turn.
-    ch.closeFuture().addListener(f -> sockets.clientClosed());
-    ch.pipeline()
-        .addLast(
-            decoder, new HttpResponseEncoder(), new ClientConnection(this, ch, decoder, letInAt()));
+    channel.closeFuture().addListener(f -> sockets.clientClosed());
+    ClientConnection connection =
+        new ClientConnection(this, channel, decoder, earliestAcceptNanos());
+    channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
     if (listener != null) {
       makeRoom();
-    } else if (!sockets.roomForClient()) {
+    } else if (!sockets.roomForClient() && !connections.evictOne(MAX_EVICTION_LOOKS)) {
       // Another accepts for many: what can make no room of its own is the newcomer.
-      ClientConnection c = mostDispensable(LOOKS);
-      if (c == null) {
-        ch.close();
-      } else {
-        c.close(CloseReason.MAKE_ROOM);
-      }
+      channel.close();
     }
   }
 
   /**
    * The earliest (ns) at which the connection that is accepted now can have been let in, where this
-   * front listens itself.
+   * server listens itself.
    */
-  private long letInAt() {
-    return listener == null ? heard() : listener.since();
+  private long earliestAcceptNanos() {
+    return listener == null ? readUntilNanos() : listener.earliestAcceptNanos();
   }
 
   /**
@@ -168,93 +148,67 @@
    */
   private void makeRoom() {
     while (!sockets.roomForClient()) {
-      ClientConnection c = mostDispensable(Integer.MAX_VALUE);
-      if (c == null) {
-        if (listener.config().isAutoRead()) {
-          listener.config().setAutoRead(false);
-          listener.eventLoop().schedule(this::rested, REST_MS, TimeUnit.MILLISECONDS);
-        }
+      if (!connections.evictOne(Integer.MAX_VALUE)) {
+        pauseAccepting();
         return;
       }
-      c.close(CloseReason.MAKE_ROOM);
     }
   }
 
-  /** A host's connection needs the place of a client that can be spared; false if there is none. */
-  private boolean yieldOne() {
-    ClientConnection c = mostDispensable(listener == null ? LOOKS : Integer.MAX_VALUE);
-    if (c != null) {
-      c.close(CloseReason.MAKE_ROOM);
+  private void pauseAccepting() {
+    if (listener.config().isAutoRead()) {
+      listener.config().setAutoRead(false);
+      listener
+          .eventLoop()
+          .schedule(this::resumeAccepting, ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
-    return c != null;
   }
 
-  /**
-   * The listener had to wait for the system; the first connections may come before it is known
-   * here.
-   */
+  /** An upstream connection needs the place of a client that can be spared; false if none can. */
+  private boolean evictForUpstream() {
+    return connections.evictOne(listener == null ? MAX_EVICTION_LOOKS : Integer.MAX_VALUE);
+  }
+
+  /** The listener had to wait for the system; it may accept before it is known here. */
   private void acceptsAgain() {
     if (listener != null) {
       makeRoom();
     }
   }
 
-  private void rested() {
+  private void resumeAccepting() {
     if (listener.isOpen()) {
       listener.config().setAutoRead(true);
       makeRoom();
     }
   }
 
-  /** Of the oldest connections, so many of them, the one that makes room most readily, or null. */
-  private ClientConnection mostDispensable(int looks) {
-    long now = heard();
-    int left = looks;
-    ClientConnection found = null;
-    EvictionOrder least = EvictionOrder.NEVER;
-    for (ClientConnection c : connections) {
-      EvictionOrder order = c.evictionOrder(now);
-      if (order.compareTo(least) < 0) {
-        found = c;
-        least = order;
-      }
-      if (--left <= 0) {
-        break;
-      }
-    }
-    return found;
-  }
-
   /**
    * Until when (ns) all that clients have sent has been read. Guards against the end of one whose
    * request stands in the kernel while the loop is behind: it looks silent for as long as nobody
    * reads.
    */
-  static long heard() {
+  static long readUntilNanos() {
     return System.nanoTime() - ReadHorizon.behind();
   }
 
-  void opened(ClientConnection c) {
-    connections.add(c);
-  }
-
-  void closed(ClientConnection c) {
-    connections.remove(c);
+  ClientConnections connections() {
+    return connections;
   }
 
   /** A request has been given to the engine. */
-  void carries() {
-    carried++;
+  void callBegan() {
+    openCalls++;
   }
 
   /** Such a request has its answer, or its client has gone. */
-  void carried() {
-    carried--;
+  void callEnded() {
+    openCalls--;
   }
 
   /** Whether there is a connection to a host to be had for one more. */
   boolean roomForRequest() {
-    return sockets.roomForRequest(carried);
+    return sockets.roomForRequest(openCalls);
   }
 
   /** Takes the id of a request; false if a request that is open has it. */
@@ -269,11 +223,7 @@
   /** The client proxy goes: answers tell clients to move off, and idle connections are closed. */
   public void drain() {
     draining = true;
-    for (ClientConnection c : new ArrayList<>(connections)) {
-      if (c.closableAtDrain()) {
-        c.close(CloseReason.DRAINING);
-      }
-    }
+    connections.closeAtDrain();
   }
 
   /**
@@ -281,14 +231,7 @@
    * A request that crosses that close comes again, on a new connection. True if any was closed.
    */
   public boolean clear() {
-    boolean any = false;
-    for (ClientConnection c : new ArrayList<>(connections)) {
-      if (c.closable(heard())) {
-        c.close(CloseReason.DRAINING);
-        any = true;
-      }
-    }
-    return any;
+    return connections.closeClosable();
   }
 
   /**
@@ -296,11 +239,10 @@
    * turned away.
    */
   public void giveUp() {
-    for (ClientConnection c : new ArrayList<>(connections)) {
-      c.terminate();
-    }
+    connections.terminate();
   }
 
+  /** Whether responses ask their clients to leave. */
   public boolean draining() {
     return draining;
   }
@@ -312,20 +254,12 @@
 
   /** Whether anything that was taken, or is being taken, has no answer yet. */
   public boolean busy() {
-    for (ClientConnection c : connections) {
-      if (c.busy()) {
-        return true;
-      }
-    }
-    return false;
+    return connections.busy();
   }
 
-  /** Upkeep, a few times a second. */
+  /** Ends what takes too long; to be called a few times a second. */
   public void sweep() {
-    long now = heard();
-    for (ClientConnection c : new ArrayList<>(connections)) {
-      c.enforceTimeouts(now);
-    }
+    connections.enforceTimeouts();
   }
 
   Transport transport() {
@@ -340,6 +274,7 @@
     log.line("out of sockets: " + ++refusedForSockets + " requests refused unsent");
   }
 
+  /** The bounds of its connections. */
   public HttpServerSettings settings() {
     return settings;
   }
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -18,19 +18,17 @@
   /** Clients that may stand in the kernel's queue at once. */
   static final int BACKLOG = 1_024;
 
-  /**
-   * Where accept fails while the socket is to be closed, it is tried again so often, so far (ms)
-   * apart.
-   */
-  private static final int LAST_TRIES = 40;
+  /** How often accept is tried again where it fails while the socket is to be closed. */
+  private static final int MAX_FINAL_ACCEPTS = 40;
 
-  private static final long LAST_TRIES_MS = 5;
+  /** Time (ms) between these. */
+  private static final long FINAL_ACCEPT_PAUSE_MILLIS = 5;
 
-  private long turn;
-  private boolean more;
-  private int taken;
-  private long since = System.nanoTime();
-  private long began;
+  private long lastTurn;
+  private boolean queueMayHoldMore;
+  private int acceptedSinceLook;
+  private long queueEmptyAtNanos = System.nanoTime();
+  private long lookBeganNanos;
   private boolean closing;
 
   /**
@@ -41,30 +39,30 @@
    *
    * <pre>
    *   poll: nobody   poll: clients   poll: clients   poll: clients
-   *   since               accepts 4       accepts 4       accepts 2, none left
+   *   queue empty         accepts 4       accepts 4       accepts 2, none left
    * </pre>
    */
-  long since() {
-    return since;
+  long earliestAcceptNanos() {
+    return queueEmptyAtNanos;
   }
 
   /** Begins a look at the queue, unless this turn has begun one. */
   private void look() {
-    long now = ReadHorizon.turns();
-    if (now == turn && now != 0) {
+    long turn = ReadHorizon.turns();
+    if (turn == lastTurn && turn != 0) {
       return;
     }
-    if (!more || now != turn + 1 || now == 0) {
-      since = System.nanoTime() - ReadHorizon.behind();
-      began = System.nanoTime();
-      taken = 0;
-    } else if (taken > BACKLOG) {
-      since = began; // all that stood there then have been taken
-      began = System.nanoTime();
-      taken = 0;
+    if (!queueMayHoldMore || turn != lastTurn + 1 || turn == 0) {
+      queueEmptyAtNanos = System.nanoTime() - ReadHorizon.behind();
+      lookBeganNanos = System.nanoTime();
+      acceptedSinceLook = 0;
+    } else if (acceptedSinceLook > BACKLOG) {
+      queueEmptyAtNanos = lookBeganNanos; // all that stood there then have been taken
+      lookBeganNanos = System.nanoTime();
+      acceptedSinceLook = 0;
     }
-    turn = now;
-    more = true;
+    lastTurn = turn;
+    queueMayHoldMore = true;
   }
 
   @Override
@@ -72,9 +70,9 @@
     look();
     SocketChannel next = super.acceptNext();
     if (next == null) {
-      more = false;
+      queueMayHoldMore = false;
     } else {
-      taken++;
+      acceptedSinceLook++;
     }
     return next;
   }
@@ -93,7 +91,7 @@
   void takeRestAndClose() {
     if (!closing) {
       closing = true;
-      takeRest(LAST_TRIES);
+      takeRest(MAX_FINAL_ACCEPTS);
     }
   }
 
@@ -108,7 +106,9 @@
     if (all || triesLeft == 0) {
       close();
     } else {
-      eventLoop().schedule(() -> takeRest(triesLeft - 1), LAST_TRIES_MS, TimeUnit.MILLISECONDS);
+      eventLoop()
+          .schedule(
+              () -> takeRest(triesLeft - 1), FINAL_ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -17,63 +17,70 @@
 import java.util.Locale;
 import leadferry.engine.Body;
 
-/** The way out of a client's connection: writes its answers, and knows how far they have got. */
+/**
+ * The way out of a client's connection: writes its responses, and knows how far they have got.
+ *
+ * <p>Used on the connection's event loop alone.
+ */
 final class ResponseWriter {
   /** A client that takes nothing of its answer for so long (ns) has gone. */
-  private static final long STALL_NANOS = 5_000_000_000L;
+  private static final long CLIENT_STALLED_NANOS = 5_000_000_000L;
 
   /** An answer that streams and of which nothing moves for so long (ns) never ends. */
-  private static final long STILL_NANOS = 30_000_000_000L;
+  private static final long STREAM_STALLED_NANOS = 30_000_000_000L;
+
+  private static final double MILLIS_PER_SECOND = 1_000;
 
   private final ClientConnection client;
-  private final HttpServer front;
+  private final HttpServer server;
   private final SocketChannel channel;
-  private long writingSince;
-  private long movedAt;
+  private long writingSinceNanos;
+  private long movedAtNanos;
 
-  ResponseWriter(ClientConnection client, HttpServer front, SocketChannel channel) {
+  ResponseWriter(ClientConnection client, HttpServer server, SocketChannel channel) {
     this.client = client;
-    this.front = front;
+    this.server = server;
     this.channel = channel;
   }
 
   /** An answer of our own. */
-  void answer(int status, double coolDownMs) {
+  void answer(int status, double retryAfterMillis) {
     client.logOwnResponse(status);
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
-    r.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    if (coolDownMs > 0) {
-      r.headers()
+    message.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    if (retryAfterMillis > 0) {
+      message
+          .headers()
           .set(
               HttpHeaderNames.RETRY_AFTER,
-              front.settings().daemon()
-                  ? Long.toString((long) Math.ceil(coolDownMs / 1_000))
-                  : String.format(Locale.ROOT, "%.3f", coolDownMs / 1_000));
+              server.settings().daemon()
+                  ? Long.toString((long) Math.ceil(retryAfterMillis / MILLIS_PER_SECOND))
+                  : String.format(Locale.ROOT, "%.3f", retryAfterMillis / MILLIS_PER_SECOND));
     }
-    markClose(r);
-    answered(channel.writeAndFlush(r));
+    markClose(message);
+    answered(channel.writeAndFlush(message));
   }
 
-  /** A host's answer that has come whole; {@code as} is the status that its client is told. */
-  void answer(HttpResponse reply, HttpResponseStatus as, Body whole, HttpHeaders trailers) {
-    HttpHeaders h = reply.headers();
-    Headers.dropHopByHop(h);
+  /** A host's answer that has come whole; {@code status} is the status that its client is told. */
+  void answer(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+    HttpHeaders headers = response.headers();
+    Headers.dropHopByHop(headers);
     boolean isHead = client.call().isHead();
     boolean trails = !trailers.isEmpty() && !client.oldVersion() && !isHead;
     if (trails) {
-      h.remove(HttpHeaderNames.CONTENT_LENGTH);
-      h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      headers.remove(HttpHeaderNames.CONTENT_LENGTH);
+      headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (!isHead) {
-      h.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
+      headers.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
     }
     ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse message =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, as, bytes, h, trails ? trailers : Headers.NONE);
-    markClose(r);
-    ChannelFuture written = channel.writeAndFlush(r);
+            HttpVersion.HTTP_1_1, status, bytes, headers, trails ? trailers : Headers.NONE);
+    markClose(message);
+    ChannelFuture written = channel.writeAndFlush(message);
     if (whole != null) {
       written.addListener(f -> whole.free());
     }
@@ -81,9 +88,9 @@
   }
 
   /** A host's error that ends the request. */
-  void error(HttpResponse reply, HttpResponseStatus as, Body whole, HttpHeaders trailers) {
-    client.logOutcome("server-error", as.code());
-    answer(reply, as, whole, trailers);
+  void error(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+    client.logOutcome("server-error", status.code());
+    answer(response, status, whole, trailers);
   }
 
   /** Whether the client has left, and has not been read. */
@@ -96,46 +103,47 @@
     return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
   }
 
-  private void markClose(HttpResponse r) {
+  private void markClose(HttpResponse message) {
     if (client.decideLastResponse()) {
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (client.oldVersion()) {
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
+      message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
   }
 
   private void answered(ChannelFuture written) {
-    movedAt = 0;
+    movedAtNanos = 0;
     if (client.responded(written) && !written.isDone()) {
-      writingSince = System.nanoTime();
-      written.addListener(f -> writingSince = 0);
+      writingSinceNanos = System.nanoTime();
+      written.addListener(f -> writingSinceNanos = 0);
     }
   }
 
   // --- an answer that streams
 
   /** Whether an answer of this length, -1 for not told, can go on while it comes. */
-  boolean canStream(long length) {
-    return length >= 0
+  boolean canStream(long lengthBytes) {
+    return lengthBytes >= 0
         || !client.oldVersion(); // to HTTP/1.0 the end of such a one can't be told from a cut
   }
 
   /** The head of an answer whose body goes on while it comes. */
-  void begin(HttpResponse reply, long length) {
-    HttpHeaders h = reply.headers();
-    Headers.dropHopByHop(h);
-    if (length < 0) {
-      h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+  void begin(HttpResponse response, long lengthBytes) {
+    HttpHeaders headers = response.headers();
+    Headers.dropHopByHop(headers);
+    if (lengthBytes < 0) {
+      headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
-    HttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, reply.status(), h);
-    markClose(r);
-    movedAt = System.nanoTime();
-    channel.writeAndFlush(r);
+    HttpResponse message =
+        new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers);
+    markClose(message);
+    movedAtNanos = System.nanoTime();
+    channel.writeAndFlush(message);
   }
 
   /** Part of its body; false if no more should come until {@link HttpCall#writable}. */
   boolean pass(ByteBuf bytes) {
-    movedAt = System.nanoTime();
+    movedAtNanos = System.nanoTime();
     channel.writeAndFlush(new DefaultHttpContent(bytes));
     return channel.isWritable();
   }
@@ -160,23 +168,23 @@
 
   /** The client takes more. */
   void writable() {
-    movedAt = movedAt == 0 ? 0 : System.nanoTime();
+    movedAtNanos = movedAtNanos == 0 ? 0 : System.nanoTime();
   }
 
   // --- upkeep
 
   /** Whether an answer is not written yet to its last byte. */
   boolean writing() {
-    return writingSince != 0;
+    return writingSinceNanos != 0;
   }
 
   /** Whether the client takes no more of an answer that was given whole. */
-  boolean stalled(long now) {
-    return now - writingSince > STALL_NANOS;
+  boolean stalled(long nowNanos) {
+    return nowNanos - writingSinceNanos > CLIENT_STALLED_NANOS;
   }
 
   /** Whether a host, or a client, has stopped in the middle of an answer that streams. */
-  boolean still(long now) {
-    return movedAt != 0 && now - movedAt > STILL_NANOS;
+  boolean streamStalled(long nowNanos) {
+    return movedAtNanos != 0 && nowNanos - movedAtNanos > STREAM_STALLED_NANOS;
   }
 }
