--- a/src/main/java/leadferry/http/Forwarding.java
+++ b/src/main/java/leadferry/http/Forwarding.java
@@ -54,17 +54,19 @@
   private final Mode mode;
   private final Networks trusted;
 
+  /** Tells hosts of clients in this mode; {@code trusted} are hops whose headers are believed. */
   public Forwarding(Mode mode, Networks trusted) {
     this.mode = mode;
     this.trusted = trusted;
   }
 
   /** The caller of a request that came from {@code peer}. */
-  public InetAddress caller(HttpHeaders h, InetAddress peer) {
+  public InetAddress caller(HttpHeaders headers, InetAddress peer) {
     if (mode == Mode.OFF || !trusted.hold(peer)) {
       return peer;
     }
-    List<String> chain = h.contains(FORWARDED) ? forwarded(h) : list(h, FORWARDED_FOR);
+    List<String> chain =
+        headers.contains(FORWARDED) ? forwarded(headers) : list(headers, FORWARDED_FOR);
     InetAddress caller = peer;
     for (int i = chain.size() - 1; i >= 0; i--) {
       InetAddress hop = node(chain.get(i));
@@ -80,66 +82,66 @@
   }
 
   /** Writes what the host is to know into the request's headers. */
-  public void tell(HttpHeaders h, InetAddress peer, InetAddress caller) {
+  public void tell(HttpHeaders headers, InetAddress peer, InetAddress caller) {
     if (mode == Mode.OFF) {
       return;
     }
     boolean keep = mode == Mode.APPEND && trusted.hold(peer);
     if (!keep) {
       for (AsciiString name : CLAIMS) {
-        h.remove(name);
+        headers.remove(name);
       }
     }
     InetAddress told = mode == Mode.APPEND ? peer : caller;
-    String host = h.get(HttpHeaderNames.HOST, "");
+    String host = headers.get(HttpHeaderNames.HOST, "");
     String address = told.getHostAddress();
     String element =
         "for="
             + (told instanceof Inet6Address ? "\"[" + address + "]\"" : address)
             + (host.isEmpty() ? "" : ";host=\"" + host + "\"")
             + ";proto=http";
-    append(h, FORWARDED, element);
-    append(h, FORWARDED_FOR, address);
-    if (!host.isEmpty() && !h.contains(FORWARDED_HOST)) {
-      h.add(FORWARDED_HOST, host);
+    append(headers, FORWARDED, element);
+    append(headers, FORWARDED_FOR, address);
+    if (!host.isEmpty() && !headers.contains(FORWARDED_HOST)) {
+      headers.add(FORWARDED_HOST, host);
     }
-    if (!h.contains(FORWARDED_PROTO)) {
-      h.add(FORWARDED_PROTO, "http");
+    if (!headers.contains(FORWARDED_PROTO)) {
+      headers.add(FORWARDED_PROTO, "http");
     }
-    append(h, HttpHeaderNames.VIA, VIA);
+    append(headers, HttpHeaderNames.VIA, VIA);
   }
 
-  private static void append(HttpHeaders h, CharSequence name, String value) {
-    if (h.contains(name)) {
-      h.set(name, String.join(", ", h.getAll(name)) + ", " + value);
+  private static void append(HttpHeaders headers, CharSequence name, String value) {
+    if (headers.contains(name)) {
+      headers.set(name, String.join(", ", headers.getAll(name)) + ", " + value);
     } else {
-      h.add(name, value);
+      headers.add(name, value);
     }
   }
 
-  private static List<String> list(HttpHeaders h, CharSequence name) {
+  private static List<String> list(HttpHeaders headers, CharSequence name) {
     List<String> out = new ArrayList<>();
-    for (String line : h.getAll(name)) {
-      for (String s : line.split(",")) {
-        out.add(s.strip());
+    for (String line : headers.getAll(name)) {
+      for (String element : line.split(",")) {
+        out.add(element.strip());
       }
     }
     return out;
   }
 
   /** The {@code for} of each element, an empty text where it has none (RFC 7239, 4). */
-  private static List<String> forwarded(HttpHeaders h) {
+  private static List<String> forwarded(HttpHeaders headers) {
     List<String> out = new ArrayList<>();
-    for (String line : h.getAll(FORWARDED)) {
+    for (String line : headers.getAll(FORWARDED)) {
       boolean quoted = false;
       int from = 0;
       String node = "";
       for (int i = 0; i <= line.length(); i++) {
-        char c = i == line.length() ? ',' : line.charAt(i);
-        if (c == '"') {
+        char character = i == line.length() ? ',' : line.charAt(i);
+        if (character == '"') {
           quoted = !quoted;
         }
-        if (i < line.length() && (quoted || (c != ',' && c != ';'))) {
+        if (i < line.length() && (quoted || (character != ',' && character != ';'))) {
           continue;
         }
         String pair = line.substring(from, i).strip();
@@ -147,7 +149,7 @@
         if (pair.toLowerCase(Locale.ROOT).startsWith("for=")) {
           node = pair.substring(4).replace("\"", "");
         }
-        if (c == ',') {
+        if (character == ',') {
           out.add(node);
           node = "";
         }
@@ -160,13 +162,13 @@
    * An address with a port or none, IPv6 in brackets or plain; null for any other name of a node.
    */
   private static InetAddress node(String text) {
-    String s = text;
-    if (s.startsWith("[")) {
-      int end = s.indexOf(']');
-      s = end < 0 ? "" : s.substring(1, end);
-    } else if (s.indexOf(':') >= 0 && s.indexOf(':') == s.lastIndexOf(':')) {
-      s = s.substring(0, s.indexOf(':'));
+    String address = text;
+    if (address.startsWith("[")) {
+      int end = address.indexOf(']');
+      address = end < 0 ? "" : address.substring(1, end);
+    } else if (address.indexOf(':') >= 0 && address.indexOf(':') == address.lastIndexOf(':')) {
+      address = address.substring(0, address.indexOf(':'));
     }
-    return Networks.address(s);
+    return Networks.address(address);
   }
 }
--- a/src/main/java/leadferry/http/Framing.java
+++ b/src/main/java/leadferry/http/Framing.java
@@ -22,39 +22,46 @@
    * {@code old} tells whether HTTP/1.0 is spoken.
    */
   static int fault(HttpRequest request, Set<String> judged, boolean old) {
-    HttpHeaders h = request.headers();
+    HttpHeaders headers = request.headers();
     boolean is10 = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
     if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1) && !(is10 && old)) {
       return 505;
     }
-    boolean encoded = h.contains(HttpHeaderNames.TRANSFER_ENCODING);
-    if (h.getAll(HttpHeaderNames.HOST).size() > 1
-        || (encoded && (is10 || h.contains(HttpHeaderNames.CONTENT_LENGTH)))
-        || (encoded
-            && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
-                String.valueOf(single(h, HttpHeaderNames.TRANSFER_ENCODING))))
-        || !Headers.soundOptions(h, judged)) {
+    if (headers.getAll(HttpHeaderNames.HOST).size() > 1
+        || !soundTransferEncoding(headers, is10)
+        || !Headers.soundOptions(headers, judged)) {
       return 400;
     }
-    if (h.contains(HttpHeaderNames.EXPECT)
+    if (headers.contains(HttpHeaderNames.EXPECT)
         && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(
-            String.valueOf(single(h, HttpHeaderNames.EXPECT)))) {
+            String.valueOf(single(headers, HttpHeaderNames.EXPECT)))) {
       return 417;
     }
     return 0;
   }
 
+  /** Whether there is none, or {@code chunked} alone, not in HTTP/1.0 and without a length. */
+  private static boolean soundTransferEncoding(HttpHeaders headers, boolean is10) {
+    if (!headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
+      return true;
+    }
+    return !is10
+        && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+        && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
+            String.valueOf(single(headers, HttpHeaderNames.TRANSFER_ENCODING)));
+  }
+
   /** The one value of a header, or null where it has none or several. */
-  public static String single(HttpHeaders h, CharSequence name) {
-    List<String> all = h.getAll(name);
+  public static String single(HttpHeaders headers, CharSequence name) {
+    List<String> all = headers.getAll(name);
     return all.size() == 1 ? all.get(0).trim() : null;
   }
 
   /** A whole number that is not negative, or NaN; what does not fit is more than anyone waits. */
-  public static double whole(String s) {
-    if (s == null || s.isEmpty() || !s.chars().allMatch(c -> c >= '0' && c <= '9')) {
+  public static double whole(String text) {
+    if (text == null || text.isEmpty() || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
       return Double.NaN;
     }
-    return s.length() > MAX_DIGITS ? Double.MAX_VALUE : Integer.parseInt(s);
+    return text.length() > MAX_DIGITS ? Double.MAX_VALUE : Integer.parseInt(text);
   }
 }
--- a/src/main/java/leadferry/http/HeadScanner.java
+++ b/src/main/java/leadferry/http/HeadScanner.java
@@ -69,13 +69,13 @@
   }
 
   /** Whether this text is a token (RFC 9110, 5.6.2). */
-  static boolean token(String s) {
-    for (int i = 0; i < s.length(); i++) {
-      if (s.charAt(i) >= 128 || !TOKEN[s.charAt(i)]) {
+  static boolean token(String text) {
+    for (int i = 0; i < text.length(); i++) {
+      if (text.charAt(i) >= 128 || !TOKEN[text.charAt(i)]) {
         return false;
       }
     }
-    return !s.isEmpty();
+    return !text.isEmpty();
   }
 
   /** Takes a byte; false once the head has ended or is faulty. */
@@ -116,10 +116,11 @@
   }
 
   /** Another octet of a name; {@code length} counts those that fit {@link #LENGTH}, or is -1. */
-  private State name(byte b) {
-    boolean fits = length >= 0 && length < LENGTH.length() && (b | 0x20) == LENGTH.charAt(length);
+  private State name(byte octet) {
+    boolean fits =
+        length >= 0 && length < LENGTH.length() && (octet | 0x20) == LENGTH.charAt(length);
     length = fits ? length + 1 : -1;
-    return part(b, State.NAME);
+    return part(octet, State.NAME);
   }
 
   private State value() {
@@ -127,8 +128,8 @@
     return inLength && lengths++ > 0 ? State.FAULTY : State.VALUE;
   }
 
-  private static State part(byte b, State of) {
-    return b >= 0 && TOKEN[b] ? of : State.FAULTY;
+  private static State part(byte octet, State next) {
+    return octet >= 0 && TOKEN[octet] ? next : State.FAULTY;
   }
 
   private State begin(State next) {
@@ -136,12 +137,12 @@
     return next;
   }
 
-  private State version(byte b) {
+  private State version(byte octet) {
     if (length == VERSION.length()) {
-      return b == '\r' ? State.LINE_END : State.FAULTY;
+      return octet == '\r' ? State.LINE_END : State.FAULTY;
     }
     char expected = VERSION.charAt(length++);
-    boolean fits = expected == 'd' ? b >= '0' && b <= '9' : b == expected;
+    boolean fits = expected == 'd' ? octet >= '0' && octet <= '9' : octet == expected;
     return fits ? State.VERSION : State.FAULTY;
   }
 }
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -5,7 +5,6 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
@@ -19,22 +18,22 @@
 /** One send of an HTTP request to a host, and how its answer is read. */
 final class HttpAttempt extends Attempt {
   /**
-   * An answer of no told length may be a long one, whose first bytes are awaited: it streams, where
-   * it may, once it has been coming for so long (ms).
+   * A response of no told length may be a long one, whose first bytes are awaited: it streams,
+   * where it may, once it has been coming for so long (ms).
    */
-  private static final double EARLY_MS = 50;
+  private static final double STREAM_AFTER_MILLIS = 50;
 
   private final HttpCall call;
   private final Runnable resume = this::resumeReading;
   private LoadReport report;
   private HttpResponse head;
   private Body body;
-  private long length;
+  private long lengthBytes;
   private boolean uploaded;
   private boolean streaming;
-  private long streamed;
-  private double headAt;
-  private double cameAt;
+  private long streamedBytes;
+  private double headAtMillis;
+  private double receivedAtMillis;
   private boolean error;
 
   HttpAttempt(HttpCall call, Exchange exchange, UpstreamHost host, int number, double now) {
@@ -69,6 +68,7 @@
     }
   }
 
+  /** The end of that body, with its trailers. */
   void uploadEnds(HttpHeaders trailers) {
     if (!over() && connection() != null) {
       connection()
@@ -111,60 +111,77 @@
     return report;
   }
 
-  /** The head of the final answer. */
-  void head(HttpResponse reply) {
-    report = LoadReportHeaders.read(reply.headers().get(LoadReportHeaders.HEADER));
-    int status = reply.status().code();
-    HttpProtocol protocol = wire().protocol;
-    if (status == 200 || (protocol.passAll() && status < 500)) {
-      if (!mayHaveRun()) {
-        finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
-      } else if (!framed(reply)) {
-        broken();
-      } else {
-        collect(reply);
-      }
+  /** The head of the final response. */
+  void head(HttpResponse response) {
+    report = LoadReportHeaders.read(response.headers().get(LoadReportHeaders.HEADER));
+    int status = response.status().code();
+    if (status == 200 || (wire().protocol.passAll() && status < 500)) {
+      serve(response);
       return;
     }
-    boolean turnedAway =
-        (status == 503 || status == 504) && "1".equals(reply.headers().get("X-Not-Processed"));
-    if (status >= 500
-        && protocol.passErrors()
-        && !turnedAway
-        && mayHaveRun()
-        && framed(reply)
-        && HttpUtil.getContentLength(reply, 0L) <= protocol.maxAnswer()) {
+    boolean notProcessed =
+        (status == 503 || status == 504) && "1".equals(response.headers().get("X-Not-Processed"));
+    if (status >= 500 && !notProcessed && passesError(response)) {
       error = true; // its body may be what the client gets; the module hears of it with its end
-      head = reply;
-      length = HttpUtil.getContentLength(reply, -1L);
+      head = response;
+      lengthBytes = HttpUtil.getContentLength(response, -1L);
       return;
     }
     wire().discardRest();
     if (status >= 400 && status < 500) {
-      // A host found fault with the request itself. Guards against a client's mistake that counts
-      // against the host, or is carried on to the next one: the answer is the client's.
-      if (exchange.claim()) {
-        call.answer(status);
-      }
-      finish(AttemptOutcome.CANCELLED);
+      answerClientError(status);
     } else {
-      finish(
-          turnedAway
-              ? AttemptOutcome.FULL
-              : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
+      finish(outcomeOfError(notProcessed));
+    }
+  }
+
+  private void serve(HttpResponse response) {
+    if (!mayHaveRun()) {
+      finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
+    } else if (!wire().framed(response)) {
+      broken();
+    } else {
+      collect(response);
+    }
+  }
+
+  /** Whether a server's error may be passed on to the client, with its body. */
+  private boolean passesError(HttpResponse response) {
+    return wire().protocol.passErrors()
+        && mayHaveRun()
+        && wire().framed(response)
+        && HttpUtil.getContentLength(response, 0L) <= wire().protocol.maxAnswer();
+  }
+
+  /**
+   * A host found fault with the request itself. Guards against a client's mistake that counts
+   * against the host, or is carried on to the next one: the response is the client's.
+   */
+  private void answerClientError(int status) {
+    if (exchange.claim()) {
+      call.answer(status);
+    }
+    finish(AttemptOutcome.CANCELLED);
+  }
+
+  private AttemptOutcome outcomeOfError(boolean notProcessed) {
+    if (notProcessed) {
+      return AttemptOutcome.FULL;
     }
+    return mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
   }
 
   /** An answer that is served: passed on while it comes, or kept until it is whole. */
-  private void collect(HttpResponse reply) {
-    head = reply;
-    headAt = dispatcher().now();
-    length = HttpUtil.getContentLength(reply, -1L);
-    if (length > wire().protocol.maxStreamed()) {
+  private void collect(HttpResponse response) {
+    head = response;
+    headAtMillis = dispatcher().now();
+    lengthBytes = HttpUtil.getContentLength(response, -1L);
+    if (lengthBytes > wire().protocol.maxStreamed()) {
       broken(); // no answer is so long
-    } else if (!bodiless(reply) && call.streams(length, wire().protocol.maxAnswer())) {
+    } else if (!wire().bodiless(response)
+        && call.streams(lengthBytes, wire().protocol.maxAnswer())) {
       stream();
-    } else if (length > wire().protocol.maxAnswer()) {
+    } else if (lengthBytes > wire().protocol.maxAnswer()) {
       broken(); // no answer is so long
     }
   }
@@ -179,7 +196,7 @@
       return false;
     }
     streaming = true;
-    call.begin(this, head, length);
+    call.begin(this, head, lengthBytes);
     if (body != null) {
       body.retained().forEach(this::pass);
       body.free();
@@ -190,61 +207,55 @@
   }
 
   private void pass(ByteBuf bytes) {
-    streamed += bytes.readableBytes();
+    streamedBytes += bytes.readableBytes();
     if (!call.pass(bytes) && connection() != null) {
       connection().channel().config().setAutoRead(false);
     }
   }
 
-  private boolean bodiless(HttpResponse reply) {
-    int status = reply.status().code();
-    return wire().expectsNoBody() || status == 204 || status == 304;
-  }
-
-  /** Whether the end of the answer can be told from its connection's. */
-  private boolean framed(HttpResponse reply) {
-    HttpHeaders h = reply.headers();
-    if (bodiless(reply)) {
-      return true;
-    }
-    boolean chunked = h.contains(HttpHeaderNames.TRANSFER_ENCODING);
-    boolean sized = h.contains(HttpHeaderNames.CONTENT_LENGTH);
-    if (!chunked && !sized && wire().protocol.untilClose() && !HttpUtil.isKeepAlive(reply)) {
-      wire().endsWithConnection();
-      return true;
-    }
-    return chunked != sized && (!chunked || HttpUtil.isTransferEncodingChunked(reply));
-  }
-
-  /** Part of the answer's body. */
+  /** Part of the response's body. */
   void content(HttpContent part) {
-    int n = part.content().readableBytes();
-    if (n == 0) {
+    int partBytes = part.content().readableBytes();
+    if (partBytes == 0) {
       return;
     }
-    cameAt = dispatcher().now();
+    receivedAtMillis = dispatcher().now();
     if (streaming) {
-      if (streamed + n > wire().protocol.maxStreamed()) {
+      if (streamedBytes + partBytes > wire().protocol.maxStreamed()) {
         broken(); // it would never end
       } else {
         pass(part.content().retain());
       }
-      return;
+    } else if (streamsByTime()) {
+      streamWith(part);
+    } else {
+      hold(part, partBytes);
     }
-    if (!error && length < 0 && dispatcher().now() - headAt > EARLY_MS && call.overflows()) {
-      if (stream()) {
-        pass(part.content().retain());
-      }
-      return;
+  }
+
+  /** Whether a response of no told length has been coming for long enough to be passed on. */
+  private boolean streamsByTime() {
+    return !error
+        && lengthBytes < 0
+        && dispatcher().now() - headAtMillis > STREAM_AFTER_MILLIS
+        && call.overflows();
+  }
+
+  private void streamWith(HttpContent part) {
+    if (stream()) {
+      pass(part.content().retain());
     }
+  }
+
+  private void hold(HttpContent part, int partBytes) {
     if (body == null) {
-      body = dispatcher().newBody(length, false);
+      body = dispatcher().newBody(lengthBytes, false);
     }
-    if (body.size() + n > wire().protocol.maxAnswer()) {
+    if (body.size() + partBytes > wire().protocol.maxAnswer()) {
       if (error || !call.overflows()) {
-        broken(); // no answer is so long: this one would never end
-      } else if (stream()) {
-        pass(part.content().retain());
+        broken(); // no response is so long: this one would never end
+      } else {
+        streamWith(part);
       }
       return;
     }
@@ -297,10 +308,10 @@
    */
   @Override
   protected boolean goesOn() {
-    return length > wire().protocol.maxAnswer()
-        || streamed > wire().protocol.maxAnswer()
+    return lengthBytes > wire().protocol.maxAnswer()
+        || streamedBytes > wire().protocol.maxAnswer()
         || waitsForClient()
-        || dispatcher().now() - cameAt < STILL_MS;
+        || dispatcher().now() - receivedAtMillis < STILL_MS;
   }
 
   /** A spoilt answer: a failed attempt that may have run, and whose report is as good as it is. */
--- a/src/main/java/leadferry/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -38,8 +38,9 @@
   @Override
   public UpstreamConnection open(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     HttpUpstreamConnection.Decoder decoder = new HttpUpstreamConnection.Decoder(DECODER);
-    HttpUpstreamConnection c = new HttpUpstreamConnection(pool, host, channel, decoder, this);
-    channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
-    return c;
+    HttpUpstreamConnection connection =
+        new HttpUpstreamConnection(pool, host, channel, decoder, this);
+    channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
+    return connection;
   }
 }
--- a/src/main/java/leadferry/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -4,6 +4,8 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpDecoderConfig;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
@@ -98,12 +100,29 @@
   }
 
   /** The present answer ends with the connection, if that ends in order. */
-  void endsWithConnection() {
+  private void endsWithConnection() {
     untilClose = true;
   }
 
-  boolean expectsNoBody() {
-    return decoder.bodiless;
+  /** Whether this response to the present request has no body, whatever its head says. */
+  boolean bodiless(HttpResponse response) {
+    int status = response.status().code();
+    return decoder.bodiless || status == 204 || status == 304;
+  }
+
+  /** Whether the end of the response can be told from its connection's. */
+  boolean framed(HttpResponse response) {
+    HttpHeaders headers = response.headers();
+    if (bodiless(response)) {
+      return true;
+    }
+    boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
+    boolean sized = headers.contains(HttpHeaderNames.CONTENT_LENGTH);
+    if (!chunked && !sized && protocol.untilClose() && !HttpUtil.isKeepAlive(response)) {
+      endsWithConnection();
+      return true;
+    }
+    return chunked != sized && (!chunked || HttpUtil.isTransferEncodingChunked(response));
   }
 
   @Override
@@ -153,14 +172,14 @@
       return;
     }
     int major = head.protocolVersion().majorVersion();
-    HttpAttempt a = (HttpAttempt) attempt();
-    if (major != 1 || (reply != Reply.NONE && reply != Reply.INTERIM) || a == null) {
+    HttpAttempt attempt = (HttpAttempt) attempt();
+    if (major != 1 || (reply != Reply.NONE && reply != Reply.INTERIM) || attempt == null) {
       lost(); // no HTTP of ours, or a second answer, which belongs to no attempt
       return;
     }
     reply = Reply.BODY;
     keep = HttpUtil.isKeepAlive(head);
-    a.head(head);
+    attempt.head(head);
   }
 
   private void content(HttpContent part) {
@@ -169,14 +188,14 @@
       reply = last ? Reply.NONE : reply;
       return;
     }
-    HttpAttempt a = (HttpAttempt) attempt();
-    if (a != null) {
-      a.content(part);
-      if (last && attempt() == a) {
+    HttpAttempt attempt = (HttpAttempt) attempt();
+    if (attempt != null) {
+      attempt.content(part);
+      if (last && attempt() == attempt) {
         // An answer ahead of the request's last byte leaves a half-sent request behind it.
-        keep &= a.sentWhole();
+        keep &= attempt.sentWhole();
         ended();
-        a.end(((LastHttpContent) part).trailingHeaders());
+        attempt.end(((LastHttpContent) part).trailingHeaders());
       }
     } else {
       unwanted += part.content().readableBytes();
--- a/src/main/java/leadferry/http/LoadReportHeaders.java
+++ b/src/main/java/leadferry/http/LoadReportHeaders.java
@@ -7,7 +7,13 @@
   static final String HEADER = "X-Server-Load";
 
   /** No host holds or does more; guards against a figure that would drown all means. */
-  private static final double MOST = 1e6;
+  private static final double MAX_FIGURE = 1e6;
+
+  /** Figures of a report. */
+  private static final int FIELDS = 6;
+
+  /** Pairs that are looked at. */
+  private static final int MAX_PAIRS = 16;
 
   private LoadReportHeaders() {}
 
@@ -16,26 +22,28 @@
     if (text == null) {
       return null;
     }
-    double[] v = new double[6];
-    java.util.Arrays.fill(v, Double.NaN);
+    double[] figures = new double[FIELDS];
+    java.util.Arrays.fill(figures, Double.NaN);
     boolean any = false;
-    for (String pair : text.split(",", 16)) {
+    for (String pair : text.split(",", MAX_PAIRS)) {
       int equals = pair.indexOf('=');
       int field = equals < 0 ? -1 : field(pair.substring(0, equals).trim());
       if (field >= 0) {
         try {
-          double d = Double.parseDouble(pair.substring(equals + 1).trim());
-          if (!(d >= 0 && d <= MOST)) {
+          double figure = Double.parseDouble(pair.substring(equals + 1).trim());
+          if (!(figure >= 0 && figure <= MAX_FIGURE)) {
             return null;
           }
-          v[field] = d;
+          figures[field] = figure;
           any = true;
         } catch (NumberFormatException e) {
           return null; // who spoils one figure can't be trusted with the others
         }
       }
     }
-    return any ? new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]) : null;
+    return any
+        ? new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5])
+        : null;
   }
 
   private static int field(String name) {
--- a/src/main/java/leadferry/http/Networks.java
+++ b/src/main/java/leadferry/http/Networks.java
@@ -34,12 +34,12 @@
    * @throws IllegalArgumentException if a text is none, see {@link #fault}
    */
   public Networks(List<String> texts) {
-    for (String t : texts) {
-      Network n = parse(t);
-      if (n == null) {
-        throw new IllegalArgumentException("network: " + t + " (expected: address/bits)");
+    for (String text : texts) {
+      Network network = parse(text);
+      if (network == null) {
+        throw new IllegalArgumentException("network: " + text + " (expected: address/bits)");
       }
-      networks.add(n);
+      networks.add(network);
     }
   }
 
@@ -55,9 +55,9 @@
     if (address == null) {
       return null;
     }
-    int most = address.length * 8;
-    double bits = slash < 0 ? most : Framing.whole(text.substring(slash + 1));
-    return bits >= 0 && bits <= most ? new Network(address, (int) bits) : null;
+    int maxBits = address.length * 8;
+    double bits = slash < 0 ? maxBits : Framing.whole(text.substring(slash + 1));
+    return bits >= 0 && bits <= maxBits ? new Network(address, (int) bits) : null;
   }
 
   /** Whether one of them holds the address. */
