--- /dev/null
+++ b/src/main/java/leadferry/cli/FleetDrainCommands.java
@@ -0,0 +1,145 @@
+package leadferry.cli;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import leadferry.consensus.Json;
+import leadferry.consensus.ReplicaClient;
+import leadferry.consensus.ReplicaClient.UnreachableException;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** The commands that take a proxy or host out of service, and may wait until that is so. */
+final class FleetDrainCommands {
+  private static final long LOOK_NANOS = 50_000_000L;
+
+  private FleetDrainCommands() {}
+
+  /** Asks for a grant and waits until it is carried out everywhere. */
+  abstract static class Waiting extends FleetChangeCommand {
+    int submitAndAwait(ObjectNode entry) {
+      ObjectNode request = submission(entry);
+      try (ReplicaClient client = fleet.client()) {
+        ObjectNode granted = client.call(request, fleet.deadlineNanos());
+        if (!granted.path("status").asText().equals("granted")) {
+          return fleet.print(granted, FleetChangeCommand::print);
+        }
+        return await(client, granted);
+      } catch (UnreachableException e) {
+        return fleet.printUnreachable(e, request);
+      }
+    }
+
+    private int await(ReplicaClient client, ObjectNode granted) {
+      ObjectNode progress = granted;
+      while (System.nanoTime() < fleet.deadlineNanos()) {
+        try {
+          progress = client.call(progressRequest(granted), fleet.deadlineNanos());
+        } catch (UnreachableException e) {
+          break; // it stays granted, and somebody may be awaited
+        }
+        if (progress.path("carried_out").asBoolean()) {
+          return fleet.print(granted.put("carried_out", true), Waiting::printCarriedOut);
+        }
+        client.listen(System.nanoTime() + LOOK_NANOS);
+      }
+      granted.put("carried_out", false).set("awaited", progress.path("awaited"));
+      fleet.print(granted, Waiting::printAwaited);
+      return FleetExitStatus.AWAITED;
+    }
+
+    private static ObjectNode progressRequest(ObjectNode granted) {
+      return Json.object().put("op", "permit").put("permit", granted.path("permit").asText());
+    }
+
+    private static void printCarriedOut(ObjectNode granted) {
+      System.out.println("out of service, grant " + granted.path("permit").asText());
+    }
+
+    private static void printAwaited(ObjectNode granted) {
+      System.out.println(
+          "granted, grant "
+              + granted.path("permit").asText()
+              + ", and not out of service everywhere yet:");
+      granted
+          .path("awaited")
+          .properties()
+          .forEach(
+              awaited ->
+                  System.out.println("  " + awaited.getKey() + " " + awaited.getValue().asText()));
+    }
+  }
+
+  /** Takes a proxy out for good. */
+  @Command(
+      name = "leave",
+      mixinStandardHelpOptions = true,
+      description = {
+        "Before a proxy is stopped for good: takes it out where budgets allow it, and waits until it is. End its process after exit status 0;",
+        "it is forgotten as soon as it has told that it ends."
+      })
+  static final class Leave extends Waiting {
+    @Parameters(paramLabel = "PROXY", description = "Which.")
+    private String name;
+
+    @Override
+    public Integer call() {
+      return submitAndAwait(
+          entry("drain").put("kind", "proxy").put("name", name).put("leave", true));
+    }
+  }
+
+  /** Takes a proxy or host out for a time, or until undo. */
+  @Command(
+      name = "drain",
+      mixinStandardHelpOptions = true,
+      description = "Takes a proxy or a host out of service, where budgets allow it.")
+  static final class Drain extends Waiting {
+    private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
+
+    @Parameters(index = "0", paramLabel = "proxy|host", description = "What it is.")
+    private String kind;
+
+    @Parameters(index = "1", paramLabel = "NAME", description = "Which.")
+    private String name;
+
+    @Option(
+        names = "--for",
+        paramLabel = "TIME",
+        description = "Ends by itself after 30s, 10m or 2h; without it, with undo.")
+    private String duration;
+
+    @Option(
+        names = "--wait",
+        description = "Waits until it is out everywhere, at most --timeout-s.")
+    private boolean wait;
+
+    @Override
+    public Integer call() {
+      ObjectNode entry =
+          entry("drain").put("kind", kind).put("name", name).put("for_ms", durationMillis());
+      return wait ? submitAndAwait(entry) : submit(entry);
+    }
+
+    private long durationMillis() {
+      if (duration == null) {
+        return 0;
+      }
+      Matcher matcher = DURATION.matcher(duration);
+      if (!matcher.matches()) {
+        throw new CommandLine.ParameterException(
+            fleet.commandLine(), "--for " + duration + " (expected: as 500ms, 30s, 10m or 2h)");
+      }
+      long unitMillis =
+          switch (matcher.group(2)) {
+            case "ms" -> 1;
+            case "s" -> 1_000;
+            case "m" -> 60_000;
+            default -> 3_600_000;
+          };
+      return Long.parseLong(matcher.group(1)) * unitMillis;
+    }
+  }
+}
--- a/src/main/java/leadferry/cli/ReleaseAgentCommands.java
+++ b/src/main/java/leadferry/cli/ReleaseAgentCommands.java
@@ -3,8 +3,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import leadferry.cli.FleetCommand.Change;
-import leadferry.cli.FleetCommand.Target;
 import leadferry.consensus.Json;
 import leadferry.consensus.ReplicaClient;
 import leadferry.consensus.ReplicaClient.UnreachableException;
@@ -30,7 +28,7 @@
       mixinStandardHelpOptions = true,
       description = "For an agent: what is to be done to this target now.")
   static final class Next implements Callable<Integer> {
-    @Mixin private Target target;
+    @Mixin private FleetOptions fleet;
 
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     private String name;
@@ -41,14 +39,14 @@
     @Override
     public Integer call() {
       ObjectNode response;
-      try (ReplicaClient client = target.client()) {
+      try (ReplicaClient client = fleet.client()) {
         ObjectNode request = Json.object().put("op", "release").put("release", name);
-        response = client.call(request, target.until());
+        response = client.call(request, fleet.deadlineNanos());
       } catch (UnreachableException e) {
         return ReleasePlanReader.unreachable(e);
       }
       if (!ReleaseViewCodec.isRelease(response)) {
-        return target.told(response, Change::print);
+        return fleet.print(response, FleetChangeCommand::print);
       }
       ReleaseView release = ReleaseViewCodec.read(response);
       Optional<ObjectNode> task =
@@ -56,7 +54,7 @@
               .filter(view -> view.name().equals(targetName) && isWaitingForAgent(view))
               .findFirst()
               .map(view -> task(release, view));
-      return task.map(json -> target.told(json, Next::print))
+      return task.map(json -> fleet.print(json, Next::print))
           .orElse(ReleaseCliCommand.EXIT_NOTHING_TO_DO);
     }
 
@@ -92,7 +90,7 @@
       mixinStandardHelpOptions = true,
       description = "For an agent: what its target runs now, after an action that it was given.")
   static final class Report implements Callable<Integer> {
-    @Mixin private Target target;
+    @Mixin private FleetOptions fleet;
 
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     private String name;
@@ -114,7 +112,8 @@
       ObjectNode entry =
           ReleaseCommandCodec.encode(
               new ReleaseCommand.RecordReport(name, targetName, action, attempt, found));
-      return target.ask(Json.object().put("op", "submit").set("entry", entry), Change::print);
+      return fleet.ask(
+          Json.object().put("op", "submit").set("entry", entry), FleetChangeCommand::print);
     }
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseCliCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseCliCommand.java
@@ -5,8 +5,6 @@
 import java.time.Instant;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import leadferry.cli.FleetCommand.Change;
-import leadferry.cli.FleetCommand.Target;
 import leadferry.consensus.Json;
 import leadferry.consensus.ReplicaClient;
 import leadferry.release.ReleaseCommand;
@@ -67,19 +65,19 @@
       name = "start",
       mixinStandardHelpOptions = true,
       description = "Puts a plan into the replicated log; drivers carry it out.")
-  static final class Start extends Change {
+  static final class Start extends FleetChangeCommand {
     @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
     private Path file;
 
     @Override
     public Integer call() {
-      ReleasePlanReader.Result result = ReleasePlanReader.read(target, file);
+      ReleasePlanReader.Result result = ReleasePlanReader.read(fleet, file);
       return result.plan().map(this::start).orElse(result.exitStatus());
     }
 
     private int start(ObjectNode plan) {
       ObjectNode encoded = ReleaseCommandCodec.encodeStart(plan);
-      return change(entry(encoded.path("op").asText()).setAll(encoded));
+      return submit(entry(encoded.path("op").asText()).setAll(encoded));
     }
   }
 
@@ -94,7 +92,7 @@
     private static final long MAX_LEASE_MILLIS = 600_000;
     private static final int MAX_NAME_CHARACTERS = 64;
 
-    @Mixin private Target target;
+    @Mixin private FleetOptions fleet;
 
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     private String name;
@@ -111,7 +109,7 @@
     @Override
     public Integer call() {
       validate();
-      try (ReplicaClient client = target.client();
+      try (ReplicaClient client = fleet.client();
           ReleaseDriver driver =
               new ReleaseDriver(
                   client,
@@ -128,7 +126,7 @@
       boolean nameValid = !driverName.isBlank() && driverName.length() <= MAX_NAME_CHARACTERS;
       if (!leaseValid || !nameValid) {
         throw new CommandLine.ParameterException(
-            target.commandLine(),
+            fleet.commandLine(),
             "--lease-ms "
                 + leaseMillis
                 + ", --as '"
@@ -141,19 +139,21 @@
       boolean done =
           state.isPresent()
               && (state.get() == ReleaseState.COMPLETED || state.get() == ReleaseState.ROLLED_BACK);
-      return done ? EXIT_DONE : FleetCommand.REFUSED;
+      return done ? EXIT_DONE : FleetExitStatus.REFUSED;
     }
   }
 
   /** What an operator asks of one release. */
-  abstract static class OfOneRelease extends Change {
+  abstract static class OfOneRelease extends FleetChangeCommand {
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     String name;
 
     /** Submits a command with who asks, when, and the call's id. */
     int submit(ReleaseCommand command) {
       ObjectNode encoded = ReleaseCommandCodec.encode(command);
-      return change(entry(encoded.path("op").asText()).setAll(encoded));
+      ObjectNode entry = entry(encoded.path("op").asText());
+      entry.setAll(encoded);
+      return submit(entry);
     }
   }
 
@@ -249,14 +249,14 @@
       mixinStandardHelpOptions = true,
       description = "What was done and decided, and by whom; the newest last.")
   static final class History implements Callable<Integer> {
-    @Mixin private Target target;
+    @Mixin private FleetOptions fleet;
 
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     private String name;
 
     @Override
     public Integer call() {
-      return target.ask(Json.object().put("op", "status").put("history", true), this::print);
+      return fleet.ask(Json.object().put("op", "status").put("history", true), this::print);
     }
 
     private void print(ObjectNode response) {
--- a/src/main/java/leadferry/cli/ReleasePlanCommand.java
+++ b/src/main/java/leadferry/cli/ReleasePlanCommand.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import leadferry.cli.FleetCommand.Target;
 import leadferry.consensus.Json;
 import leadferry.consensus.ReplicaClient;
 import leadferry.consensus.ReplicaClient.UnreachableException;
@@ -21,14 +20,14 @@
     mixinStandardHelpOptions = true,
     description = "Judges a plan against the fleet as it is and prints its steps; changes nothing.")
 final class ReleasePlanCommand implements Callable<Integer> {
-  @Mixin private Target target;
+  @Mixin private FleetOptions fleet;
 
   @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
   private Path file;
 
   @Override
   public Integer call() {
-    ReleasePlanReader.Result result = ReleasePlanReader.read(target, file);
+    ReleasePlanReader.Result result = ReleasePlanReader.read(fleet, file);
     return result.plan().map(this::judge).orElse(result.exitStatus());
   }
 
@@ -44,13 +43,13 @@
     } catch (UnreachableException e) {
       return ReleasePlanReader.unreachable(e);
     }
-    return target.told(response, ReleasePlanCommand::print);
+    return fleet.print(response, ReleasePlanCommand::print);
   }
 
   /** The bounds that would never let a target go, each in a line. */
   private List<String> neverAllowed(ObjectNode plan) throws UnreachableException {
     List<String> lines = new ArrayList<>();
-    try (ReplicaClient client = target.client()) {
+    try (ReplicaClient client = fleet.client()) {
       for (JsonNode step : plan.path("steps")) {
         for (JsonNode name : step.path("targets")) {
           ObjectNode request =
@@ -58,7 +57,7 @@
                   .put("op", "explain")
                   .put("kind", plan.path("of").asText())
                   .put("name", name.asText());
-          addNeverAllowed(name.asText(), client.call(request, target.until()), lines);
+          addNeverAllowed(name.asText(), client.call(request, fleet.deadlineNanos()), lines);
         }
       }
     }
--- a/src/main/java/leadferry/cli/ReleasePlanReader.java
+++ b/src/main/java/leadferry/cli/ReleasePlanReader.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 import java.util.Optional;
-import leadferry.cli.FleetCommand.Target;
 import leadferry.consensus.Json;
 import leadferry.consensus.ReplicaClient;
 import leadferry.consensus.ReplicaClient.UnreachableException;
@@ -22,9 +21,9 @@
 
   private ReleasePlanReader() {}
 
-  static Result read(Target target, Path file) {
-    try (ReplicaClient client = target.client()) {
-      ObjectNode status = client.call(Json.object().put("op", "status"), target.until());
+  static Result read(FleetOptions fleet, Path file) {
+    try (ReplicaClient client = fleet.client()) {
+      ObjectNode status = client.call(Json.object().put("op", "status"), fleet.deadlineNanos());
       return new Result(Optional.of(ReleaseFile.read(file, status)), ReleaseCliCommand.EXIT_DONE);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
@@ -36,7 +35,7 @@
 
   /** Tells that no replica can be reached; gives the exit status for it. */
   static int unreachable(UnreachableException cause) {
-    System.err.println("no keeper can be reached: " + cause.getMessage());
-    return FleetCommand.UNREACHABLE;
+    System.err.println("no replica can be reached: " + cause.getMessage());
+    return FleetExitStatus.UNREACHABLE;
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseStatusCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusCommand.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.concurrent.Callable;
-import leadferry.cli.FleetCommand.Target;
 import leadferry.consensus.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -15,7 +14,7 @@
     mixinStandardHelpOptions = true,
     description = "Where a release stands, or all of them in a line each.")
 final class ReleaseStatusCommand implements Callable<Integer> {
-  @Mixin private Target target;
+  @Mixin private FleetOptions fleet;
 
   @Parameters(
       paramLabel = "RELEASE",
@@ -33,7 +32,7 @@
   public Integer call() throws InterruptedException {
     ObjectNode request = Json.object().put("op", "release").put("release", name);
     return watch
-        ? target.watch(request, ReleaseStatusPrinter::print)
-        : target.ask(request, ReleaseStatusPrinter::print);
+        ? fleet.watch(request, ReleaseStatusPrinter::print)
+        : fleet.ask(request, ReleaseStatusPrinter::print);
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import leadferry.cli.FleetCommand.Change;
 import leadferry.release.ReleaseDirection;
 import leadferry.release.ReleaseTargetView;
 import leadferry.release.ReleaseView;
@@ -28,7 +27,7 @@
     if (ReleaseViewCodec.isRelease(response)) {
       print(ReleaseViewCodec.read(response));
     } else if (response.has("why")) {
-      Change.print(response);
+      FleetChangeCommand.print(response);
     } else {
       response.path("releases").forEach(ReleaseStatusPrinter::printSummary);
     }
