--- /dev/null
+++ b/src/main/java/leadferry/proxy/DiscoveryConnection.java
@@ -0,0 +1,153 @@
+package leadferry.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
+import java.net.InetSocketAddress;
+
+/**
+ * One HTTP connection to discovery: writes requests, and reads the endpoint lists of the responses.
+ * What they mean is decided by {@link Discovery}, and only while this is its present connection.
+ * Confined to the event loop.
+ */
+final class DiscoveryConnection extends ChannelInboundHandlerAdapter {
+  private static final String LIST_PATH = "/catalog/members";
+  private static final String CHANGES_QUERY = "?follow=1&since=";
+
+  private final Discovery discovery;
+  private final InetSocketAddress address;
+  private final Channel channel;
+  private final EndpointListFramer framer = new EndpointListFramer();
+  private long lastReadNanos = System.nanoTime();
+  private boolean followsChanges;
+
+  DiscoveryConnection(Discovery discovery, InetSocketAddress address, Channel channel) {
+    this.discovery = discovery;
+    this.address = address;
+    this.channel = channel;
+  }
+
+  /** Installs the HTTP codec, once the channel is connected. */
+  void open() {
+    channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
+  }
+
+  void close() {
+    channel.close();
+  }
+
+  /** Requests the whole list, once. */
+  void requestList() {
+    followsChanges = false;
+    request(LIST_PATH);
+  }
+
+  /** Requests all changes after {@code version}, in a response that goes on. */
+  void requestChangesSince(long version) {
+    followsChanges = true;
+    request(LIST_PATH + CHANGES_QUERY + version);
+  }
+
+  private void request(String uri) {
+    DefaultFullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
+    request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+    channel.writeAndFlush(request);
+  }
+
+  /** When the last part of a response was read, or this connection was made. */
+  long lastReadNanos() {
+    return lastReadNanos;
+  }
+
+  /** Whether a list began more than {@code timeoutNanos} ago and has not ended. */
+  boolean isListStalled(long nowNanos, long timeoutNanos) {
+    return framer.isStalled(nowNanos, timeoutNanos);
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext context, Object message) {
+    try {
+      if (discovery.isCurrent(this)) {
+        readPart((HttpObject) message);
+      }
+    } finally {
+      ReferenceCountUtil.release(message);
+    }
+  }
+
+  private void readPart(HttpObject part) {
+    lastReadNanos = System.nanoTime();
+    discovery.onResponsePart();
+    if (part.decoderResult().isFailure()) {
+      fail("malformed answer");
+    } else if (part instanceof HttpResponse head
+        && head.status().code() != HttpResponseStatus.OK.code()) {
+      fail("answered " + head.status().code());
+    } else if (part instanceof HttpContent content) {
+      readContent(content.content());
+      if (part instanceof LastHttpContent && discovery.isCurrent(this)) {
+        endResponse();
+      }
+    }
+  }
+
+  private void readContent(ByteBuf bytes) {
+    while (bytes.isReadable() && discovery.isCurrent(this)) {
+      switch (framer.read(bytes)) {
+        case INCOMPLETE -> {}
+        case EMPTY_LINE -> discovery.onUnchanged();
+        case LIST -> readList();
+        case TRUNCATED_LIST -> fail("can't be understood: a list that is cut");
+        case TOO_LONG -> fail("a list without an end");
+      }
+    }
+  }
+
+  private void readList() {
+    try {
+      discovery.onList(framer.takeList());
+    } catch (MalformedEndpointListException e) {
+      // The last good list stays in force; the changes of this one are requested again.
+      fail("can't be understood: " + e.getMessage());
+    }
+  }
+
+  private void endResponse() {
+    if (!followsChanges && !framer.isEmpty()) {
+      readList(); // the last line of a whole list may be without its end
+    }
+    if (discovery.isCurrent(this)) {
+      discovery.onResponseEnd(followsChanges);
+    }
+  }
+
+  private void fail(String reason) {
+    discovery.onFailure(this, reason);
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    fail("closed");
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    discovery.onException(this, cause);
+  }
+}
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -303,7 +303,7 @@
   private void awaitList() throws Exception {
     double most = shared ? TOLD_MS : Math.min(TOLD_MS, TOLD_PART * config.drainGrace());
     long until = System.nanoTime() + (long) (most * 1e6);
-    while (!loop.submit(discovery::told).get() && System.nanoTime() < until) {
+    while (!loop.submit(discovery::isConfirmed).get() && System.nanoTime() < until) {
       Thread.sleep(POLL_MS);
     }
   }
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -474,7 +474,7 @@
                     return w;
                   })
               .get();
-      ProxyFixture.await(() -> loop.submit(watch::told).syncUninterruptibly().getNow());
+      ProxyFixture.await(() -> loop.submit(watch::isConfirmed).syncUninterruptibly().getNow());
       assertThat(scarce).isNegative();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
