--- a/src/main/java/leadferry/Main.java
+++ b/src/main/java/leadferry/Main.java
@@ -4,7 +4,7 @@
 import leadferry.adapter.Adapter;
 import leadferry.adapter.MalformedInputException;
 import leadferry.proxy.ConfigException;
-import leadferry.proxy.Proxy;
+import leadferry.proxy.ProxyProcess;
 
 /** Entry point of the jar. */
 public final class Main {
@@ -20,8 +20,8 @@
     String command = args.length == 1 ? args[0] : "";
     try {
       switch (command) {
-        case "proxy" -> Proxy.run(System.getenv());
-        case "warm-up", "rehearse" -> Proxy.warmUp();
+        case "proxy" -> ProxyProcess.run(System.getenv());
+        case "warm-up", "rehearse" -> ProxyProcess.warmUp();
         case "adapter" -> new Adapter(System.in, System.out, System.err).run();
         default -> System.exit(CommandLineStart.run(args));
       }
--- /dev/null
+++ b/src/main/java/leadferry/proxy/GracefulShutdown.java
@@ -0,0 +1,128 @@
+package leadferry.proxy;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+import leadferry.engine.Log;
+import leadferry.engine.SocketSlack;
+import leadferry.http.HttpServer;
+import leadferry.loadbalancer.Settings;
+
+/**
+ * The drain after SIGTERM: all that was taken is answered, then the process may end.
+ *
+ * <pre>
+ *   SIGTERM           new connections end         longest deadline       given up   cut short   SIGKILL
+ *   |-- accepts, answers ask to leave --|-- nobody may stay; -----------------|---------|----------|
+ *   0                                 0.8 s   once all are gone, ends      + 0.5 s   + 0.6 s    + 0.7 s
+ * </pre>
+ *
+ * <p>It ends with no connection open. Guards against a request that is written to one between the
+ * last check and the end. Confined to the event loop.
+ */
+final class GracefulShutdown {
+  /** After SIGTERM new connections come for 0.4 s at most; they are accepted for longer. */
+  private static final long ACCEPT_MILLIS = 800;
+
+  /** SIGKILL comes 0.7 s after the longest deadline, of which no more than this counts. */
+  private static final double MAX_DEADLINE_MILLIS = 3_000;
+
+  /** Past the longest deadline, requests are given up: their answers are out before SIGKILL. */
+  private static final long GIVE_UP_MILLIS = 500;
+
+  /** Past the longest deadline, what is not written has nobody who reads it. */
+  private static final long CUT_SHORT_MILLIS = 600;
+
+  private static final long POLL_MILLIS = 10;
+  private static final double NANOS_PER_MILLI = 1e6;
+
+  private final EventLoop loop;
+  private final HttpServer httpServer;
+  private final Log log;
+  private final Runnable onEnd;
+  private final long giveUpAtNanos;
+  private final long cutShortAtNanos;
+  private long acceptUntilNanos;
+  private boolean takenOver;
+
+  /** Its time counts from now on; {@code onEnd} runs once the drain is over. */
+  GracefulShutdown(
+      EventLoop loop, HttpServer httpServer, Settings settings, Log log, Runnable onEnd) {
+    this.loop = loop;
+    this.httpServer = httpServer;
+    this.log = log;
+    this.onEnd = onEnd;
+    double longestMillis = longestDeadlineMillis(settings);
+    long now = System.nanoTime();
+    giveUpAtNanos = now + (long) ((longestMillis + GIVE_UP_MILLIS) * NANOS_PER_MILLI);
+    cutShortAtNanos = now + (long) ((longestMillis + CUT_SHORT_MILLIS) * NANOS_PER_MILLI);
+    acceptUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS);
+  }
+
+  /** Waits for the last client; where another process listens, this one no longer has to. */
+  void awaitClients(boolean anotherListens) {
+    takenOver = anotherListens;
+    if (takenOver) {
+      acceptUntilNanos = System.nanoTime();
+    }
+    poll();
+  }
+
+  private static double longestDeadlineMillis(Settings settings) {
+    double longest = 0;
+    for (Settings.RequestClass requestClass : settings.classes()) {
+      longest = Math.max(longest, requestClass.deadline());
+    }
+    return Math.min(longest, MAX_DEADLINE_MILLIS);
+  }
+
+  /** Guards against an end that never comes, as one step of it failed. */
+  private void poll() {
+    try {
+      step(System.nanoTime());
+    } catch (RuntimeException e) {
+      log.failure("a step of the drain failed", e);
+      if (System.nanoTime() < cutShortAtNanos) {
+        schedulePoll();
+      } else {
+        onEnd.run();
+      }
+    }
+  }
+
+  private void step(long now) {
+    if (now >= giveUpAtNanos) {
+      // A class may have a longer deadline than SIGKILL leaves, or be one that a reload dropped.
+      httpServer.giveUp();
+    }
+    if (!takenOver && now >= acceptUntilNanos) {
+      stopListeningOnceIdle(now);
+    }
+    boolean drained = now >= acceptUntilNanos && httpServer.empty() && !isListening();
+    if (drained || now >= cutShortAtNanos) {
+      log.line(drained ? "drained" : "drain cut short by its time");
+      httpServer.listener().close();
+      onEnd.run();
+    } else {
+      schedulePoll();
+    }
+  }
+
+  private void stopListeningOnceIdle(long now) {
+    if (httpServer.clear()) {
+      // Guards a request that crossed such a close: its client sends it again, on a new connection.
+      acceptUntilNanos = Math.min(giveUpAtNanos, now + SocketSlack.NANOS);
+    }
+    boolean idle = httpServer.empty() && now >= acceptUntilNanos;
+    if (isListening() && (idle || now >= giveUpAtNanos)) {
+      httpServer.leaveListening(); // clients in its backlog are waited for, too
+    }
+  }
+
+  private boolean isListening() {
+    return httpServer.listener().isOpen();
+  }
+
+  private void schedulePoll() {
+    loop.schedule(this::poll, POLL_MILLIS, TimeUnit.MILLISECONDS);
+  }
+}
--- a/src/main/java/leadferry/proxy/package-info.java
+++ b/src/main/java/leadferry/proxy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The platform's process: its configuration, its gate, its discovery, the rehearsal before it
- * listens. Begin with {@link leadferry.proxy.Proxy}. Loads nothing of the daemon.
+ * The platform's process: its configuration, request filter, discovery and management, the warm-up
+ * before it listens, and the graceful shutdown. Begin with {@link leadferry.proxy.ProxyProcess},
+ * which runs one {@code Proxy}. Loads nothing of the daemon, the command line or consensus.
  */
 package leadferry.proxy;
--- a/src/test/java/leadferry/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -333,7 +333,7 @@
             });
     clients.start();
     old.drain();
-    ProxyFixture.await(() -> !old.listening());
+    ProxyFixture.await(() -> !old.isListening());
     assertThat(ProxyFixture.ends(kept)).isTrue();
     old.awaitEnd(); // nobody is left there
     over.set(true);
