--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -18,20 +18,34 @@
 import leadferry.engine.PoolBounds;
 import leadferry.loadbalancer.Settings;
 
-/** What the platform tells one client proxy; times are milliseconds. */
+/**
+ * The configuration of one client proxy, as its file and environment variables have it. What a file
+ * that replaces another must hold is checked by {@link ConfigCheck}.
+ */
 record Config(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     InetSocketAddress management,
     long seed,
-    int memoryMb,
+    int memoryMegabytes,
     int sockets,
     JsonNode root,
     Settings settings,
-    double connIdle,
-    double connectTimeout,
+    double connectionIdleMillis,
+    double connectTimeoutMillis,
     int maxOpen) {
+  /** The variable that names the configuration's file. */
+  static final String FILE_VARIABLE = "BALANCER_CONFIG";
+
+  private static final int DEFAULT_MEMORY_MEGABYTES = 128;
+  private static final int DEFAULT_SOCKETS = 1_024;
+  private static final double DEFAULT_CONNECTION_IDLE_MILLIS = 15_000;
+  private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
+  private static final double DEFAULT_DRAIN_GRACE_MILLIS = 500;
+
+  private static final int EXAMPLE_SOCKETS = 256;
+
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** A configuration of no deployment, with a class of each kind. */
@@ -48,12 +62,12 @@
           any,
           null,
           1,
-          128,
-          256,
+          DEFAULT_MEMORY_MEGABYTES,
+          EXAMPLE_SOCKETS,
           JSON.createObjectNode(),
           SettingsReader.read(settings),
-          15_000,
-          250,
+          DEFAULT_CONNECTION_IDLE_MILLIS,
+          DEFAULT_CONNECT_TIMEOUT_MILLIS,
           Integer.MAX_VALUE);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
@@ -61,11 +75,31 @@
   }
 
   /** Reads the file that {@code BALANCER_CONFIG} names; the other variables win over it. */
-  static Config load(Map<String, String> env) throws ConfigException {
-    String file = env.get("BALANCER_CONFIG");
+  static Config load(Map<String, String> environment) throws ConfigException {
+    String file = environment.get(FILE_VARIABLE);
     if (file == null || file.isEmpty()) {
-      throw new ConfigException("BALANCER_CONFIG is not set");
+      throw new ConfigException(FILE_VARIABLE + " is not set");
     }
+    JsonNode root = readRoot(file);
+    Settings settings = readSettings(file, root);
+    JsonNode limits = root.path("limits");
+    JsonNode settingsLimits = root.path("settings").path("limits");
+    return new Config(
+        text(environment, "BALANCER_NAME", root, "name"),
+        address(text(environment, "BALANCER_LISTEN", root, "listen"), "listen"),
+        address(text(environment, "BALANCER_DISCOVERY", root, "discovery"), "discovery"),
+        managementAddress(text(environment, "BALANCER_MANAGEMENT", root, "management")),
+        seed(root.path("seed").asText()),
+        limits.path("memory_mb").asInt(DEFAULT_MEMORY_MEGABYTES),
+        limits.path("sockets").asInt(DEFAULT_SOCKETS),
+        root,
+        settings,
+        settingsLimits.path("connIdle").asDouble(DEFAULT_CONNECTION_IDLE_MILLIS),
+        settingsLimits.path("connectTimeout").asDouble(DEFAULT_CONNECT_TIMEOUT_MILLIS),
+        settingsLimits.path("maxOpen").asInt(Integer.MAX_VALUE));
+  }
+
+  private static JsonNode readRoot(String file) throws ConfigException {
     JsonNode root;
     try {
       root = JSON.readTree(Files.readAllBytes(Path.of(file)));
@@ -77,27 +111,15 @@
     if (root == null || !root.isObject()) {
       throw new ConfigException(file + ": not a JSON object");
     }
-    Settings settings;
+    return root;
+  }
+
+  private static Settings readSettings(String file, JsonNode root) throws ConfigException {
     try {
-      settings = SettingsReader.read(root.path("settings"));
+      return SettingsReader.read(root.path("settings"));
     } catch (MalformedInputException e) {
       throw new ConfigException(file + ": settings: " + e.getMessage());
     }
-    JsonNode limits = root.path("limits");
-    JsonNode allowed = root.path("settings").path("limits");
-    return new Config(
-        told(env, "BALANCER_NAME", root, "name"),
-        address(told(env, "BALANCER_LISTEN", root, "listen"), "listen"),
-        address(told(env, "BALANCER_DISCOVERY", root, "discovery"), "discovery"),
-        management(told(env, "BALANCER_MANAGEMENT", root, "management")),
-        seed(root.path("seed").asText()),
-        limits.path("memory_mb").asInt(128),
-        limits.path("sockets").asInt(1024),
-        root,
-        settings,
-        allowed.path("connIdle").asDouble(15_000),
-        allowed.path("connectTimeout").asDouble(250),
-        allowed.path("maxOpen").asInt(Integer.MAX_VALUE));
   }
 
   /**
@@ -105,29 +127,32 @@
    * addresses are not told.
    */
   PeerAddresses peers() {
-    JsonNode named = root.path("peers");
+    JsonNode peers = root.path("peers");
     InetSocketAddress listen = Addresses.parse(root.path("peer_listen").asText(""));
     InetSocketAddress all = Addresses.parse(root.path("peers_all").asText(""));
     if (!SettingsReader.peers(root.path("settings")) || listen == null || all == null) {
       return null;
     }
     Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    for (int i = 0; i < named.size(); i++) {
-      InetSocketAddress a = Addresses.parse(named.path(i).asText(""));
-      if (a != null && i != settings.position()) {
-        numbers.put(a, i);
+    for (int i = 0; i < peers.size(); i++) {
+      InetSocketAddress peer = Addresses.parse(peers.path(i).asText(""));
+      if (peer != null && i != settings.position()) {
+        numbers.put(peer, i);
       }
     }
     return new PeerAddresses(listen, all, numbers);
   }
 
-  /** How long (ms) after it was told of a drain a client proxy may still send there. */
-  double drainGrace() {
-    return root.path("settings").path("rules").path("drainGrace").asDouble(500);
+  /** How long a proxy may still send to an endpoint once it was notified of its drain. */
+  double drainGraceMillis() {
+    return root.path("settings")
+        .path("rules")
+        .path("drainGrace")
+        .asDouble(DEFAULT_DRAIN_GRACE_MILLIS);
   }
 
-  /** The list of hosts as this client proxy last had it, in discovery's form. */
-  JsonNode known() {
+  /** The endpoint list as this proxy last had it, in discovery's form. */
+  JsonNode knownList() {
     return root.path("known");
   }
 
@@ -137,7 +162,7 @@
    * @throws ConfigException if anything of it is faulty, with every fault in its message
    */
   Config next(Path file) throws ConfigException {
-    Config next = load(Map.of("BALANCER_CONFIG", file.toString()));
+    Config next = load(Map.of(FILE_VARIABLE, file.toString()));
     List<String> faults = ConfigCheck.faults(root, next.root);
     if (!faults.isEmpty()) {
       throw new ConfigException(file + ": " + String.join("; ", faults));
@@ -153,43 +178,45 @@
         next.discovery,
         management,
         seed,
-        memoryMb,
+        memoryMegabytes,
         sockets,
         next.root,
         next.settings,
-        next.connIdle,
-        next.connectTimeout,
+        next.connectionIdleMillis,
+        next.connectTimeoutMillis,
         maxOpen);
   }
 
-  /** What holds for connections to hosts. */
+  /** The bounds of connections to upstreams. */
   PoolBounds bounds() {
-    return PoolBounds.unbounded(settings.keepIdle(connIdle), connectTimeout);
+    return PoolBounds.unbounded(settings.keepIdle(connectionIdleMillis), connectTimeoutMillis);
   }
 
   /** Where operators call, or null where none is told. */
-  private static InetSocketAddress management(String s) throws ConfigException {
-    return s.isEmpty() ? null : address(s, "management");
+  private static InetSocketAddress managementAddress(String text) throws ConfigException {
+    return text.isEmpty() ? null : address(text, "management");
   }
 
-  private static String told(Map<String, String> env, String variable, JsonNode root, String key) {
-    String s = env.get(variable);
-    return s == null || s.isEmpty() ? root.path(key).asText("") : s;
+  private static String text(
+      Map<String, String> environment, String variable, JsonNode root, String key) {
+    String value = environment.get(variable);
+    return value == null || value.isEmpty() ? root.path(key).asText("") : value;
   }
 
-  private static long seed(String s) {
+  private static long seed(String hexadecimal) {
     try {
-      return Long.parseUnsignedLong(s, 16);
+      return Long.parseUnsignedLong(hexadecimal, 16);
     } catch (NumberFormatException e) {
-      return s.hashCode() ^ System.nanoTime(); // any will do, as long as no two starts share it
+      return hexadecimal.hashCode()
+          ^ System.nanoTime(); // any will do, as long as no two starts share it
     }
   }
 
-  private static InetSocketAddress address(String s, String what) throws ConfigException {
-    InetSocketAddress a = Addresses.parse(s);
-    if (a == null) {
-      throw new ConfigException(what + " is not IP:port: '" + s + "'");
+  private static InetSocketAddress address(String text, String key) throws ConfigException {
+    InetSocketAddress address = Addresses.parse(text);
+    if (address == null) {
+      throw new ConfigException(key + " is not IP:port: '" + text + "'");
     }
-    return a;
+    return address;
   }
 }
--- a/src/main/java/leadferry/proxy/ConfigCheck.java
+++ b/src/main/java/leadferry/proxy/ConfigCheck.java
@@ -9,18 +9,19 @@
 import java.util.Set;
 
 /**
- * Judges a configuration that comes while another is in force. What starts a process may leave out
- * what has a harmless default; what replaces a configuration comes from the same hand as the one
- * before it, so a key that has gone is a file that is broken, and a default in its place would be a
- * rule that nobody chose.
+ * Validates a configuration that is to replace the one in force. At a start, keys with a harmless
+ * default may be absent; a replacement has the same author as the configuration before it, so an
+ * absent key is a broken file, and a default in its place would be a rule that nobody chose.
  */
 final class ConfigCheck {
   private static final Set<String> SEMANTICS = Set.of("idempotent", "deduplicated", "at_most_once");
 
-  /** Keys that the wire's page lets be absent. */
+  /** Keys that the platform's protocol lets be absent. */
   private static final Set<String> OPTIONAL =
       Set.of("aimStretch", "passesDeadline", "warmKeys", "fleet");
 
+  private static final String KNOWN_LIST = "known";
+
   private final List<String> faults = new ArrayList<>();
 
   private ConfigCheck() {}
@@ -31,80 +32,85 @@
    */
   static List<String> faults(JsonNode inForce, JsonNode next) {
     ConfigCheck check = new ConfigCheck();
-    check.keys("", inForce, next);
+    check.requireSameKeys("", inForce, next);
     JsonNode settings = next.path("settings");
-    check.above0("settings.limits.maxAttempts", settings.path("limits").path("maxAttempts"));
-    check.classes(inForce.path("settings").path("classes"), settings.path("classes"));
+    check.requirePositive(
+        "settings.limits.maxAttempts", settings.path("limits").path("maxAttempts"));
+    check.requireClasses(inForce.path("settings").path("classes"), settings.path("classes"));
     return check.faults;
   }
 
-  /**
-   * What is there must be there again, of the same kind; which hosts are known is another matter.
-   */
-  private void keys(String at, JsonNode had, JsonNode has) {
-    for (Iterator<Map.Entry<String, JsonNode>> i = had.fields(); i.hasNext(); ) {
-      Map.Entry<String, JsonNode> e = i.next();
-      String key = at + e.getKey();
-      JsonNode is = has.path(e.getKey());
-      if (is.isMissingNode() && !OPTIONAL.contains(e.getKey())) {
+  /** Requires each key in force, with a value of its type; not within the known endpoint list. */
+  private void requireSameKeys(String prefix, JsonNode inForce, JsonNode next) {
+    Iterator<Map.Entry<String, JsonNode>> fields = inForce.fields();
+    while (fields.hasNext()) {
+      Map.Entry<String, JsonNode> field = fields.next();
+      String key = prefix + field.getKey();
+      JsonNode oldValue = field.getValue();
+      JsonNode newValue = next.path(field.getKey());
+      boolean missing = newValue.isMissingNode();
+      boolean sameType = oldValue.isNull() || newValue.getNodeType() == oldValue.getNodeType();
+      if (missing && !OPTIONAL.contains(field.getKey())) {
         faults.add(key + ": missing");
-      } else if (!is.isMissingNode()
-          && !e.getValue().isNull()
-          && is.getNodeType() != e.getValue().getNodeType()) {
-        faults.add(key + ": expected " + e.getValue().getNodeType());
-      } else if (is.isObject() && !key.equals("known")) {
-        keys(key + ".", e.getValue(), is);
+      } else if (!missing && !sameType) {
+        faults.add(key + ": expected " + oldValue.getNodeType());
+      } else if (newValue.isObject() && !key.equals(KNOWN_LIST)) {
+        requireSameKeys(key + ".", oldValue, newValue);
       }
     }
   }
 
-  private void classes(JsonNode had, JsonNode has) {
-    if (has.isEmpty()) {
+  private void requireClasses(JsonNode inForce, JsonNode next) {
+    if (next.isEmpty()) {
       faults.add("settings.classes: expected one at least");
     }
+    Set<String> requiredKeys = commonKeys(inForce);
     Set<String> names = new HashSet<>();
-    for (int i = 0; i < has.size(); i++) {
-      JsonNode c = has.get(i);
-      String at = "settings.classes[" + i + "].";
-      for (String key : shared(had)) {
-        if (c.path(key).isMissingNode()) {
-          faults.add(at + key + ": missing");
-        }
-      }
-      String name = c.path("name").asText("");
-      if (name.isEmpty() || !names.add(name)) {
-        faults.add(at + "name: expected one that no other class has");
-      }
-      if (!SEMANTICS.contains(c.path("semantics").asText(""))) {
-        faults.add(at + "semantics: expected one of " + SEMANTICS);
-      }
-      above0(at + "deadline", c.path("deadline"));
-      above0(at + "aim", c.path("aim"));
-      if (c.path("repeatWindow").asDouble(0) < 0) {
-        faults.add(at + "repeatWindow: expected 0 or more");
+    for (int i = 0; i < next.size(); i++) {
+      requireClass("settings.classes[" + i + "].", next.get(i), requiredKeys, names);
+    }
+  }
+
+  private void requireClass(
+      String prefix, JsonNode requestClass, Set<String> requiredKeys, Set<String> names) {
+    for (String key : requiredKeys) {
+      if (requestClass.path(key).isMissingNode()) {
+        faults.add(prefix + key + ": missing");
       }
     }
+    String name = requestClass.path("name").asText("");
+    if (name.isEmpty() || !names.add(name)) {
+      faults.add(prefix + "name: expected one that no other class has");
+    }
+    if (!SEMANTICS.contains(requestClass.path("semantics").asText(""))) {
+      faults.add(prefix + "semantics: expected one of " + SEMANTICS);
+    }
+    requirePositive(prefix + "deadline", requestClass.path("deadline"));
+    requirePositive(prefix + "aim", requestClass.path("aim"));
+    if (requestClass.path("repeatWindow").asDouble(0) < 0) {
+      faults.add(prefix + "repeatWindow: expected 0 or more");
+    }
   }
 
   /** Keys that each class of the configuration in force has. */
-  private static Set<String> shared(JsonNode classes) {
-    Set<String> all = null;
-    for (JsonNode c : classes) {
+  private static Set<String> commonKeys(JsonNode classes) {
+    Set<String> common = null;
+    for (JsonNode requestClass : classes) {
       Set<String> keys = new HashSet<>();
-      c.fieldNames().forEachRemaining(keys::add);
-      if (all == null) {
-        all = keys;
+      requestClass.fieldNames().forEachRemaining(keys::add);
+      if (common == null) {
+        common = keys;
       } else {
-        all.retainAll(keys);
+        common.retainAll(keys);
       }
     }
-    Set<String> shared = all == null ? new HashSet<>() : all;
-    shared.removeAll(OPTIONAL);
-    return shared;
+    Set<String> required = common == null ? new HashSet<>() : common;
+    required.removeAll(OPTIONAL);
+    return required;
   }
 
-  private void above0(String key, JsonNode n) {
-    if (!n.isNumber() || !(n.asDouble() > 0)) {
+  private void requirePositive(String key, JsonNode value) {
+    if (!value.isNumber() || !(value.asDouble() > 0)) {
       faults.add(key + ": expected a number above 0");
     }
   }
--- a/src/main/java/leadferry/proxy/ConfigReload.java
+++ b/src/main/java/leadferry/proxy/ConfigReload.java
@@ -103,6 +103,7 @@
       scheduledSettle.cancel(false);
     }
     scheduledSettle =
-        loop.schedule(requestFilter::settled, SettingsReload.OLD_FORM_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+            requestFilter::settled, SettingsReload.OLD_FORM_MILLIS, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/leadferry/proxy/Discovery.java
+++ b/src/main/java/leadferry/proxy/Discovery.java
@@ -85,7 +85,7 @@
     this.log = log;
     this.address = config.discovery();
     this.polled = config.settings().mustFollow();
-    this.backoff = new ReconnectBackoff(config.drainGrace());
+    this.backoff = new ReconnectBackoff(config.drainGraceMillis());
     this.bootstrap =
         new Bootstrap()
             .group(loop)
--- a/src/main/java/leadferry/proxy/HotRestart.java
+++ b/src/main/java/leadferry/proxy/HotRestart.java
@@ -28,8 +28,11 @@
   /** Kept from earlier builds: during an upgrade one of them may run beside this one. */
   private static final String PREFIX = "corkproxy-";
 
-  private static final int TRIES = 3;
-  private static final int SIZE = 17;
+  private static final String SUFFIX = ".lock";
+  private static final int JOIN_ATTEMPTS = 3;
+
+  /** One byte for {@code listens}, two ints and a long. */
+  private static final int RECORD_BYTES = 1 + 2 * Integer.BYTES + Long.BYTES;
 
   /**
    * How a process stands.
@@ -40,14 +43,25 @@
   record Standing(boolean listens, int clients, int upstreams, long bodies) {
     static final Standing NONE = new Standing(false, 0, 0, 0);
 
-    private Standing plus(Standing s) {
-      return s == null
-          ? this
-          : new Standing(
-              listens || s.listens,
-              clients + s.clients,
-              upstreams + s.upstreams,
-              bodies + s.bodies);
+    private Standing plus(Standing other) {
+      return new Standing(
+          listens || other.listens,
+          clients + other.clients,
+          upstreams + other.upstreams,
+          bodies + other.bodies);
+    }
+
+    private ByteBuffer encode() {
+      return ByteBuffer.allocate(RECORD_BYTES)
+          .put((byte) (listens ? 1 : 0))
+          .putInt(clients)
+          .putInt(upstreams)
+          .putLong(bodies)
+          .flip();
+    }
+
+    private static Standing decode(ByteBuffer bytes) {
+      return new Standing(bytes.get() != 0, bytes.getInt(), bytes.getInt(), bytes.getLong());
     }
   }
 
@@ -63,15 +77,15 @@
 
   /** Joins those in the folder, or nobody where it is null or can't be used. */
   static HotRestart join(String folder) {
-    for (int i = 0; i < TRIES && folder != null && !folder.isEmpty(); i++) {
+    for (int i = 0; i < JOIN_ATTEMPTS && folder != null && !folder.isEmpty(); i++) {
       try {
-        Path own = Files.createTempFile(Path.of(folder), PREFIX, ".lock");
-        FileChannel c = FileChannel.open(own, StandardOpenOption.WRITE);
-        c.lock();
+        Path own = Files.createTempFile(Path.of(folder), PREFIX, SUFFIX);
+        FileChannel channel = FileChannel.open(own, StandardOpenOption.WRITE);
+        channel.lock();
         if (Files.exists(own)) {
-          return new HotRestart(Path.of(folder), own, c);
+          return new HotRestart(Path.of(folder), own, channel);
         }
-        c.close(); // another process took it for a dead one's, before it was locked
+        channel.close(); // another process removed it as a dead one's, before it was locked
       } catch (IOException | RuntimeException e) {
         break;
       }
@@ -85,15 +99,13 @@
   }
 
   /** Tells the others how this process stands; harmless where it can't be told. */
-  void tell(Standing own) {
+  void tell(Standing standing) {
     try {
       if (channel != null) {
-        ByteBuffer b = ByteBuffer.allocate(SIZE);
-        b.put((byte) (own.listens() ? 1 : 0)).putInt(own.clients()).putInt(own.upstreams());
-        channel.write(b.putLong(own.bodies()).flip(), 0);
+        channel.write(standing.encode(), 0);
       }
     } catch (IOException e) {
-      // they go by what was told before
+      // They go by what was told before.
     }
   }
 
@@ -103,10 +115,12 @@
       return null;
     }
     Standing sum = null;
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, PREFIX + "*.lock")) {
-      for (Path p : all) {
-        Standing s = p.equals(own) ? null : read(p);
-        sum = s == null ? sum : s.plus(sum);
+    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
+      for (Path file : files) {
+        Standing standing = file.equals(own) ? null : read(file);
+        if (standing != null) {
+          sum = sum == null ? standing : standing.plus(sum);
+        }
       }
     } catch (IOException | DirectoryIteratorException e) {
       return sum;
@@ -116,20 +130,19 @@
 
   /** How the process of this file stands; null if it is dead, and its file goes. */
   private static Standing read(Path file) throws IOException {
-    try (FileChannel c =
+    try (FileChannel channel =
         FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      try (FileLock l = c.tryLock()) {
-        if (l != null) {
+      try (FileLock lock = channel.tryLock()) {
+        if (lock != null) {
           Files.deleteIfExists(file);
           return null;
         }
       } catch (OverlappingFileLockException e) {
-        // it lives, in this process
+        // Its process lives: it is this one.
       }
-      ByteBuffer b = ByteBuffer.allocate(SIZE);
-      return c.read(b, 0) < SIZE
-          ? Standing.NONE
-          : new Standing(b.flip().get() != 0, b.getInt(), b.getInt(), b.getLong());
+      ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES);
+      boolean told = channel.read(bytes, 0) == RECORD_BYTES;
+      return told ? Standing.decode(bytes.flip()) : Standing.NONE;
     } catch (NoSuchFileException e) {
       return null;
     }
@@ -143,7 +156,7 @@
         channel.close();
       }
     } catch (IOException e) {
-      // the kernel drops the lock with the process
+      // The kernel drops the lock with the process.
     }
   }
 }
--- a/src/main/java/leadferry/proxy/Management.java
+++ b/src/main/java/leadferry/proxy/Management.java
@@ -36,38 +36,39 @@
 import leadferry.engine.RetryingServerSocketChannel;
 
 /**
- * Where operators call: one call a connection, answered with 200 or an error. It has a thread of
- * its own. Guards operators against a client proxy that does not hear them when it is busiest; what
- * it reads and sets of the rest must be safe for use by another thread.
+ * The HTTP server for operators: one request a connection, answered with 200 or an error status. It
+ * has a thread of its own. Guards operators against a client proxy that does not answer them when
+ * it is busiest; what it reads and sets of the rest must be safe for use by another thread.
  */
 final class Management implements AutoCloseable {
-  /**
-   * Connections kept at once; the oldest makes room. Guards descriptors against callers that say
-   * nothing.
-   */
-  static final int MOST = 12;
+  /** Past it, the oldest is closed. Guards descriptors against callers that send nothing. */
+  static final int MAX_CONNECTIONS = 12;
 
-  /**
-   * How long (ms) a call may take to come; callers may be slow, but not as slow as those that stay.
-   */
-  private static final long SLOW_MS = 5_000;
+  /** How long a connection may stay open: time enough for a slow caller's request. */
+  private static final long CONNECTION_TIMEOUT_MILLIS = 5_000;
 
   private static final int BACKLOG = 128;
+  private static final int MAX_REQUEST_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 4_096;
+  private static final int INITIAL_BUFFER_BYTES = 256;
+  private static final String READY_PATH = "/v1/readyz";
+  private static final String DRAIN_PATH = "/v1/client-proxy/drain";
+  private static final String ACTIVATE_PATH = "/v1/client-proxy/activate";
   private static final HttpDecoderConfig DECODER =
       new HttpDecoderConfig()
-          .setMaxInitialLineLength(1_024)
-          .setMaxHeaderSize(4_096)
-          .setInitialBufferSize(256);
+          .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+          .setMaxHeaderSize(MAX_HEADER_BYTES)
+          .setInitialBufferSize(INITIAL_BUFFER_BYTES);
 
-  /** What one path does. */
-  private record Operation(HttpMethod method, BooleanSupplier what) {}
+  /** What one path does; {@code action} returns whether it could be done. */
+  private record Operation(HttpMethod method, BooleanSupplier action) {}
 
   private final Map<String, Operation> operations;
   private final Log log;
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
           1, new DefaultThreadFactory("management", true), NioIoHandler.newFactory());
-  private final ArrayDeque<Channel> open = new ArrayDeque<>();
+  private final ArrayDeque<Channel> connections = new ArrayDeque<>();
   private Channel listener;
 
   /**
@@ -78,14 +79,14 @@
     this.log = log;
     this.operations =
         Map.of(
-            "/v1/readyz", new Operation(HttpMethod.GET, ready),
-            "/v1/client-proxy/drain", new Operation(HttpMethod.PUT, done(drain)),
-            "/v1/client-proxy/activate", new Operation(HttpMethod.PUT, done(activate)));
+            READY_PATH, new Operation(HttpMethod.GET, ready),
+            DRAIN_PATH, new Operation(HttpMethod.PUT, alwaysDone(drain)),
+            ACTIVATE_PATH, new Operation(HttpMethod.PUT, alwaysDone(activate)));
   }
 
-  private static BooleanSupplier done(Runnable what) {
+  private static BooleanSupplier alwaysDone(Runnable action) {
     return () -> {
-      what.run();
+      action.run();
       return true;
     };
   }
@@ -109,8 +110,8 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel ch) {
-                    accepted(ch);
+                  protected void initChannel(SocketChannel channel) {
+                    accept(channel);
                   }
                 })
             .bind(address)
@@ -122,64 +123,67 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void accepted(SocketChannel ch) {
-    open.add(ch);
-    ch.closeFuture().addListener(f -> open.remove(ch));
-    if (open.size() > MOST) {
-      open.peekFirst().close();
+  private void accept(SocketChannel channel) {
+    connections.add(channel);
+    channel.closeFuture().addListener(closed -> connections.remove(channel));
+    if (connections.size() > MAX_CONNECTIONS) {
+      connections.peekFirst().close();
     }
-    ch.pipeline().addLast(new HttpServerCodec(DECODER), new Call());
-    ch.eventLoop().schedule(() -> ch.close(), SLOW_MS, TimeUnit.MILLISECONDS);
+    channel.pipeline().addLast(new HttpServerCodec(DECODER), new RequestHandler());
+    channel
+        .eventLoop()
+        .schedule(() -> channel.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private HttpResponseStatus carryOut(HttpRequest call) {
-    Operation o = operations.get(call.uri());
-    if (o == null) {
+  private HttpResponseStatus carryOut(HttpRequest request) {
+    Operation operation = operations.get(request.uri());
+    if (operation == null) {
       return HttpResponseStatus.NOT_FOUND;
     }
-    if (!call.method().equals(o.method())) {
+    if (!request.method().equals(operation.method())) {
       return HttpResponseStatus.METHOD_NOT_ALLOWED;
     }
-    return o.what().getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+    boolean done = operation.action().getAsBoolean();
+    return done ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
-  /** One call; what is not one is answered with 400. */
-  private final class Call extends SimpleChannelInboundHandler<HttpObject> {
-    private HttpRequest head;
-    private boolean answered;
+  /** The one request of a connection; a malformed one is answered with 400. */
+  private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
+    private HttpRequest request;
+    private boolean responded;
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-      if (answered) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+      if (responded) {
         return;
       }
       if (part.decoderResult().isFailure()) {
-        answer(ctx, HttpResponseStatus.BAD_REQUEST);
+        respond(context, HttpResponseStatus.BAD_REQUEST);
         return;
       }
-      if (part instanceof HttpRequest h) {
-        head = h;
+      if (part instanceof HttpRequest head) {
+        request = head;
       }
-      if (part instanceof LastHttpContent && head != null) {
-        answer(ctx, carryOut(head));
+      if (part instanceof LastHttpContent && request != null) {
+        respond(context, carryOut(request));
       }
     }
 
-    private void answer(ChannelHandlerContext ctx, HttpResponseStatus status) {
-      answered = true;
-      FullHttpResponse r =
+    private void respond(ChannelHandlerContext context, HttpResponseStatus status) {
+      responded = true;
+      FullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-      r.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-      ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (!(cause instanceof IOException)) {
         log.failure("an operator's call failed", cause);
       }
-      ctx.close();
+      context.close();
     }
   }
 
--- a/src/main/java/leadferry/proxy/OperatorState.java
+++ b/src/main/java/leadferry/proxy/OperatorState.java
@@ -5,36 +5,36 @@
  * threads.
  */
 final class OperatorState {
-  private volatile boolean serves;
-  private volatile boolean sentAway;
-  private volatile Runnable changed = () -> {};
+  private volatile boolean ready;
+  private volatile boolean draining;
+  private volatile Runnable listener = () -> {};
 
-  /** {@code then} runs, on the caller's thread, whenever clients are sent away or taken back. */
-  void onChange(Runnable then) {
-    changed = then;
+  /** {@code listener} runs, on the caller's thread, at each call of drain or activate. */
+  void onChange(Runnable listener) {
+    this.listener = listener;
   }
 
   /** Whether this process can serve. */
-  boolean serves() {
-    return serves;
+  boolean isReady() {
+    return ready;
   }
 
-  void serves(boolean now) {
-    serves = now;
+  void setReady(boolean ready) {
+    this.ready = ready;
   }
 
-  /** Whether clients are to be elsewhere. */
-  boolean sentAway() {
-    return sentAway;
+  /** Whether operators want clients to be sent away. */
+  boolean isDraining() {
+    return draining;
   }
 
-  void sendAway() {
-    sentAway = true;
-    changed.run();
+  void drain() {
+    draining = true;
+    listener.run();
   }
 
-  void takeBack() {
-    sentAway = false;
-    changed.run();
+  void activate() {
+    draining = false;
+    listener.run();
   }
 }
--- a/src/main/java/leadferry/proxy/Peers.java
+++ b/src/main/java/leadferry/proxy/Peers.java
@@ -21,21 +21,21 @@
  * over. On one loop, its proxy's.
  */
 final class Peers extends SimpleChannelInboundHandler<DatagramPacket> {
-  /** The platform's bound on a datagram (bytes). */
-  private static final int MOST = 256;
+  /** The platform's bound on a datagram. */
+  private static final int MAX_MESSAGE_BYTES = 256;
 
-  private static final long RESTART_MS = 500;
+  private static final long RETRY_MILLIS = 500;
 
   private final PeerAddresses addresses;
-  private final ObjIntConsumer<byte[]> heard;
+  private final ObjIntConsumer<byte[]> onMessage;
   private final Log log;
   private Channel channel;
   private boolean failed;
 
-  /** {@code heard} gets each message with its sender's number. */
-  Peers(PeerAddresses addresses, ObjIntConsumer<byte[]> heard, Log log) {
+  /** {@code onMessage} gets each message with its sender's number. */
+  Peers(PeerAddresses addresses, ObjIntConsumer<byte[]> onMessage, Log log) {
     this.addresses = addresses;
-    this.heard = heard;
+    this.onMessage = onMessage;
     this.log = log;
   }
 
@@ -47,30 +47,29 @@
     new Bootstrap()
         .group(loop)
         .channel(NioDatagramChannel.class)
-        .option(
-            ChannelOption.SO_REUSEADDR,
-            true) // a second process takes over from the first at the same address
+        // During an upgrade two processes have the same address.
+        .option(ChannelOption.SO_REUSEADDR, true)
         .handler(this)
         .bind(addresses.listen())
         .addListener(
-            f -> {
-              if (!f.isSuccess()) {
-                if (!failed) {
-                  log.line(
-                      "peers can't be heard at "
-                          + addresses.listen()
-                          + ": "
-                          + f.cause().getMessage());
-                }
-                failed = true;
-                startLater(loop);
+            bound -> {
+              if (!bound.isSuccess()) {
+                onBindFailure(loop, bound.cause());
               }
             });
   }
 
+  private void onBindFailure(EventLoop loop, Throwable cause) {
+    if (!failed) {
+      log.line("peers can't be heard at " + addresses.listen() + ": " + cause.getMessage());
+    }
+    failed = true;
+    startLater(loop);
+  }
+
   private void startLater(EventLoop loop) {
     if (!loop.isShuttingDown()) {
-      loop.schedule(() -> start(loop), RESTART_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> start(loop), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -104,16 +103,15 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-    Integer from = addresses.numbers().get(packet.sender());
+    Integer sender = addresses.numbers().get(packet.sender());
     ByteBuf bytes = packet.content();
-    if (from != null && bytes.readableBytes() <= MOST) {
-      heard.accept(ByteBufUtil.getBytes(bytes), from);
+    if (sender != null && bytes.readableBytes() <= MAX_MESSAGE_BYTES) {
+      onMessage.accept(ByteBufUtil.getBytes(bytes), sender);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // Guards against what a cut link or an unreachable peer brings back on a socket that goes on: a
-    // hint is lost.
+    // Guards against the close of the socket by an unreachable peer: only a hint is lost.
   }
 }
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -14,35 +14,44 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * What has to hold of a request of the platform's before anything of it is taken. Guards hosts
- * against what is of no use to them, and the module against names that clients make up. It does
- * harm to a client that strays from the protocol without need: it gets an error of its own.
+ * Validates a request of the platform's protocol before anything of it is taken. Guards upstreams
+ * against requests that are of no use to them, and the load balancer against names that clients
+ * make up. A client that strays from the protocol without need gets an error of its own.
  */
 final class PlatformRequestFilter implements RequestFilter {
-  private static final int MAX_ID = 128;
-  private static final String HEALTH = "/_health";
+  private static final int MAX_ID_CHARACTERS = 128;
+  private static final String HEALTH_PATH = "/_health";
+  private static final double MICROS_PER_MILLI = 1_000;
+
+  private static final String REQUEST_ID = "X-Request-ID";
+  private static final String PRIORITY_CLASS = "X-Priority-Class";
+  private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+  private static final String TIMEOUT_MILLIS = "X-Timeout-Ms";
+  private static final String TENANT_ID = "X-Tenant-Id";
+  private static final String COST_MICROS = "X-Cost";
+  private static final String RETRIED = "X-Retried";
 
   private final Dispatcher pool;
-  private final SettingsReload types;
+  private final SettingsReload classes;
   private final OperatorState operators;
   private boolean draining;
 
   PlatformRequestFilter(Dispatcher pool, Settings settings, OperatorState operators) {
     this.pool = pool;
     this.operators = operators;
-    this.types = new SettingsReload(settings);
+    this.classes = new SettingsReload(settings);
   }
 
   /** Other settings hold for what comes from now on; {@link #settled} ends their grace. */
   void settings(Settings next) {
-    pool.settings(types.change(next));
+    pool.settings(classes.change(next));
   }
 
-  /** What the settings before last still allowed is over. */
+  /** Requests of the form before the last change of settings are no longer taken. */
   void settled() {
-    Settings s = types.settled();
-    if (s != null) {
-      pool.settings(s);
+    Settings settled = classes.settled();
+    if (settled != null) {
+      pool.settings(settled);
     }
   }
 
@@ -57,57 +66,74 @@
 
   @Override
   public boolean ready() {
-    return !draining && !operators.sentAway() && pool.anySendable();
+    return !draining && !operators.isDraining() && pool.anySendable();
   }
 
   @Override
   public FilterResult judge(HttpRequest request, InetSocketAddress client) {
-    if (request.uri().equals(HEALTH)) {
+    if (request.uri().equals(HEALTH_PATH)) {
       return request.method().equals(HttpMethod.GET)
           ? FilterResult.answer(ready() ? 200 : 503, 0)
           : FilterResult.reject(405);
     }
-    HttpHeaders h = request.headers();
-    String id = Framing.single(h, "X-Request-ID");
-    if (id == null || id.isBlank() || id.length() > MAX_ID) {
-      return FilterResult.reject(400);
-    }
+    HttpHeaders headers = request.headers();
     String name = className(request.uri());
-    if (h.contains("X-Priority-Class") && !name.equals(Framing.single(h, "X-Priority-Class"))) {
+    if (!hasValidId(headers) || !hasClass(headers, name)) {
       return FilterResult.reject(400);
     }
-    String key = Framing.single(h, "Idempotency-Key");
+    String key = Framing.single(headers, IDEMPOTENCY_KEY);
     boolean keyed = key != null && !key.isBlank();
-    Settings.RequestClass type = types.of(name, request.method(), keyed);
-    if (type == null) {
+    Settings.RequestClass requestClass = classes.of(name, request.method(), keyed);
+    if (requestClass == null) {
       return FilterResult.reject(404);
     }
-    if (!SettingsReload.fits(type, request.method(), keyed)) {
-      return FilterResult.reject(SettingsReload.fits(type, request.method(), true) ? 400 : 405);
+    if (!SettingsReload.fits(requestClass, request.method(), keyed)) {
+      boolean onlyKeyMissing = SettingsReload.fits(requestClass, request.method(), true);
+      return FilterResult.reject(onlyKeyMissing ? 400 : 405);
     }
-    double timeout = type.deadline();
-    if (h.contains("X-Timeout-Ms")) {
-      timeout = Math.min(timeout, Framing.whole(Framing.single(h, "X-Timeout-Ms")));
-    }
-    if (Double.isNaN(timeout)) {
+    double timeoutMillis = timeoutMillis(headers, requestClass);
+    if (Double.isNaN(timeoutMillis)) {
       return FilterResult.reject(400);
     }
-    RequestArrival arrival =
-        new RequestArrival(
-            0,
-            type.name(),
-            h.get("X-Tenant-Id"),
-            timeout,
-            estimate(h.get("X-Cost")),
-            "1".equals(h.get("X-Retried")));
+    RequestArrival arrival = arrival(headers, requestClass, timeoutMillis);
     return FilterResult.take(pool, arrival, null, Streaming.LARGE, null, null);
   }
 
-  /** The work expected, which clients state in microseconds and the module takes in ms. */
-  private static double estimate(String s) {
+  private static boolean hasValidId(HttpHeaders headers) {
+    String id = Framing.single(headers, REQUEST_ID);
+    return id != null && !id.isBlank() && id.length() <= MAX_ID_CHARACTERS;
+  }
+
+  /** Whether the header that names the class is absent, or agrees with the path. */
+  private static boolean hasClass(HttpHeaders headers, String name) {
+    return !headers.contains(PRIORITY_CLASS)
+        || name.equals(Framing.single(headers, PRIORITY_CLASS));
+  }
+
+  /** The deadline of the class or of the request, the shorter; NaN for a malformed header. */
+  private static double timeoutMillis(HttpHeaders headers, Settings.RequestClass requestClass) {
+    double deadlineMillis = requestClass.deadline();
+    return headers.contains(TIMEOUT_MILLIS)
+        ? Math.min(deadlineMillis, Framing.whole(Framing.single(headers, TIMEOUT_MILLIS)))
+        : deadlineMillis;
+  }
+
+  private static RequestArrival arrival(
+      HttpHeaders headers, Settings.RequestClass requestClass, double timeoutMillis) {
+    return new RequestArrival(
+        0,
+        requestClass.name(),
+        headers.get(TENANT_ID),
+        timeoutMillis,
+        costMillis(headers.get(COST_MICROS)),
+        "1".equals(headers.get(RETRIED)));
+  }
+
+  /** The expected work, which clients state in microseconds; NaN where it is not stated. */
+  private static double costMillis(String text) {
     try {
-      double us = s == null ? Double.NaN : Double.parseDouble(s.trim());
-      return us >= 0 && Double.isFinite(us) ? us / 1_000 : Double.NaN;
+      double micros = text == null ? Double.NaN : Double.parseDouble(text.trim());
+      return micros >= 0 && Double.isFinite(micros) ? micros / MICROS_PER_MILLI : Double.NaN;
     } catch (NumberFormatException e) {
       return Double.NaN;
     }
@@ -115,11 +141,11 @@
 
   /** The first part of the path. */
   private static String className(String path) {
-    int from = path.startsWith("/") ? 1 : 0;
-    int to = from;
-    while (to < path.length() && path.charAt(to) != '/' && path.charAt(to) != '?') {
-      to++;
+    int start = path.startsWith("/") ? 1 : 0;
+    int end = start;
+    while (end < path.length() && path.charAt(end) != '/' && path.charAt(end) != '?') {
+      end++;
     }
-    return path.substring(from, to);
+    return path.substring(start, end);
   }
 }
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -71,9 +71,10 @@
             1, new DefaultThreadFactory("loop", true), TRANSPORT.loops());
     this.loop = (EventLoop) group.next();
     this.sockets =
-        new Sockets(config.sockets() - (config.management() == null ? 0 : Management.MOST));
+        new Sockets(
+            config.sockets() - (config.management() == null ? 0 : Management.MAX_CONNECTIONS));
     BodyBudget budget = new BodyBudget(0);
-    this.limits = new SharedLimits(hotRestart, config.memoryMb(), sockets, budget, log);
+    this.limits = new SharedLimits(hotRestart, config.memoryMegabytes(), sockets, budget, log);
     this.upstreams =
         new UpstreamConnectionPool(
             loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), sockets, log);
@@ -106,7 +107,7 @@
   /** Starts the watch, and listens once discovery has told its list or was waited for. */
   void start() throws ConfigException {
     try {
-      loop.submit(() -> discovery.start(initialConfig.known())).sync();
+      loop.submit(() -> discovery.start(initialConfig.knownList())).sync();
       if (peers != null) {
         peers.start(loop);
       }
@@ -137,7 +138,7 @@
    * drains already has no grace left. Where discovery is down it makes the start longer by as much.
    */
   private void awaitList() throws Exception {
-    double graceMillis = LIST_TIMEOUT_PART_OF_GRACE * initialConfig.drainGrace();
+    double graceMillis = LIST_TIMEOUT_PART_OF_GRACE * initialConfig.drainGraceMillis();
     double timeoutMillis =
         limits.isShared() ? LIST_TIMEOUT_MILLIS : Math.min(LIST_TIMEOUT_MILLIS, graceMillis);
     long untilNanos = System.nanoTime() + (long) (timeoutMillis * NANOS_PER_MILLI);
@@ -176,7 +177,7 @@
   }
 
   private void followOperators() {
-    if (operators.sentAway() != sendingAway && !lifecycle.isShuttingDown()) {
+    if (operators.isDraining() != sendingAway && !lifecycle.isShuttingDown()) {
       sendingAway = !sendingAway;
       log.line(sendingAway ? "clients are sent away" : "clients are taken back");
       httpServer.sendAway(sendingAway);
@@ -186,7 +187,7 @@
   private void keepHouse() {
     try {
       if (!lifecycle.isShuttingDown() && dispatcher.anySendable()) {
-        operators.serves(true);
+        operators.setReady(true);
       }
       dispatcher.sweep();
       httpServer.sweep();
@@ -222,7 +223,7 @@
               new GracefulShutdown(
                   loop, httpServer, configReload.config().settings(), log, this::onDrained);
           lifecycle.advance(ProxyLifecycle.State.DRAINING);
-          operators.serves(false);
+          operators.setReady(false);
           boolean takenOver = limits.anotherListens();
           if (takenOver) {
             // The other process has the clients; who is still here leaves with its next answer.
--- a/src/main/java/leadferry/proxy/ProxyProcess.java
+++ b/src/main/java/leadferry/proxy/ProxyProcess.java
@@ -10,8 +10,6 @@
 
 /** The platform's process: one proxy, its log, its management address and its signals. */
 public final class ProxyProcess {
-  private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
-
   /** Logs each request and attempt that failed and each connection closed, where it is 1. */
   private static final String LOG_DETAILS_VARIABLE = "BALANCER_LOG_DETAILS";
 
@@ -40,7 +38,7 @@
     }
     WarmUp.run(config, hotRestart.others() != null, log);
     Proxy proxy = new Proxy(config, operators, hotRestart, log);
-    reloadOnHangup(proxy, environment.get(CONFIG_VARIABLE), log);
+    reloadOnHangup(proxy, environment.get(Config.FILE_VARIABLE), log);
     // Guards what is taken in the first moment: a SIGTERM without a hook ends the process at once.
     Runtime.getRuntime().addShutdownHook(new Thread(() -> terminate(proxy, writer), "drain"));
     proxy.start();
@@ -61,7 +59,7 @@
   private static void listenForOperators(Config config, OperatorState operators, Log log)
       throws ConfigException {
     Management management =
-        new Management(operators::serves, operators::sendAway, operators::takeBack, log);
+        new Management(operators::isReady, operators::drain, operators::activate, log);
     try {
       management.listen(config.management());
     } catch (Exception e) {
--- a/src/main/java/leadferry/proxy/SettingsReload.java
+++ b/src/main/java/leadferry/proxy/SettingsReload.java
@@ -22,37 +22,37 @@
  * the module, so that nothing of the old rules reaches a request of the new form.
  */
 final class SettingsReload {
-  /** How long (ms) requests of the old form are taken. */
-  static final long OLD_FORM_MS = 2_500;
+  /** How long requests of the old form are taken. */
+  static final long OLD_FORM_MILLIS = 2_500;
 
   /** No class of the platform's can be named so: it can't stand in a path. */
-  private static final String FORMER = " (before)";
+  private static final String FORMER_SUFFIX = " (before)";
 
   private Settings settings;
-  private Map<String, Settings.RequestClass> types = Map.of();
-  private Map<String, Settings.RequestClass> former = Map.of();
+  private Map<String, Settings.RequestClass> classes;
+  private Map<String, Settings.RequestClass> formerClasses = Map.of();
 
   SettingsReload(Settings first) {
     settings = first;
-    types = byName(first);
+    classes = byName(first);
   }
 
   /** Takes other settings; returns those for the module, which know the former classes too. */
   Settings change(Settings next) {
-    Map<String, Settings.RequestClass> were = types;
-    Map<String, Settings.RequestClass> left = new HashMap<>();
+    Map<String, Settings.RequestClass> replaced = classes;
+    Map<String, Settings.RequestClass> former = new HashMap<>();
     settings = next;
-    types = byName(next);
+    classes = byName(next);
     List<Settings.RequestClass> all = new ArrayList<>(next.classes());
-    for (Settings.RequestClass c : were.values()) {
-      Settings.RequestClass now = types.get(c.name());
-      if (now == null || now.semantics() != c.semantics()) {
-        Settings.RequestClass old = c.named(c.name() + FORMER);
-        left.put(c.name(), old);
-        all.add(old);
+    for (Settings.RequestClass old : replaced.values()) {
+      Settings.RequestClass current = classes.get(old.name());
+      if (current == null || current.semantics() != old.semantics()) {
+        Settings.RequestClass renamed = old.named(old.name() + FORMER_SUFFIX);
+        former.put(old.name(), renamed);
+        all.add(renamed);
       }
     }
-    former = left;
+    formerClasses = former;
     return next.with(all);
   }
 
@@ -61,10 +61,10 @@
    * same.
    */
   Settings settled() {
-    if (former.isEmpty()) {
+    if (formerClasses.isEmpty()) {
       return null;
     }
-    former = Map.of();
+    formerClasses = Map.of();
     return settings;
   }
 
@@ -72,26 +72,31 @@
    * The class that a request of this name, method and key falls under; null where there is none.
    */
   Settings.RequestClass of(String name, HttpMethod method, boolean keyed) {
-    Settings.RequestClass now = types.get(name);
-    Settings.RequestClass was = former.get(name);
-    return was == null
-            || (now != null && fits(now, method, keyed))
-            || (now != null && !fits(was, method, keyed))
-        ? now
-        : was;
+    Settings.RequestClass current = classes.get(name);
+    Settings.RequestClass former = formerClasses.get(name);
+    if (former == null) {
+      return current;
+    }
+    if (current == null) {
+      return former;
+    }
+    boolean oldForm = fits(former, method, keyed) && !fits(current, method, keyed);
+    return oldForm ? former : current;
   }
 
   /** Whether a request of a class comes by this method, with its key where it needs one. */
-  static boolean fits(Settings.RequestClass c, HttpMethod method, boolean keyed) {
-    return method.equals(
-            c.semantics() == Settings.Semantics.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST)
-        && (keyed || c.semantics() != Settings.Semantics.DEDUPLICATED);
+  static boolean fits(Settings.RequestClass requestClass, HttpMethod method, boolean keyed) {
+    Settings.Semantics semantics = requestClass.semantics();
+    HttpMethod expected =
+        semantics == Settings.Semantics.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+    boolean keyMissing = semantics == Settings.Semantics.DEDUPLICATED && !keyed;
+    return method.equals(expected) && !keyMissing;
   }
 
-  private static Map<String, Settings.RequestClass> byName(Settings s) {
+  private static Map<String, Settings.RequestClass> byName(Settings settings) {
     Map<String, Settings.RequestClass> all = new HashMap<>();
-    for (Settings.RequestClass c : s.classes()) {
-      all.put(c.name(), c);
+    for (Settings.RequestClass requestClass : settings.classes()) {
+      all.put(requestClass.name(), requestClass);
     }
     return all;
   }
--- a/src/main/java/leadferry/proxy/WatchedFile.java
+++ b/src/main/java/leadferry/proxy/WatchedFile.java
@@ -6,37 +6,38 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * A file whose time and size are looked at now and then, for a process that no signal reaches. One
- * look is one call to the system. A file that is being written shows as several changes; whoever
- * reads it must bear half a file.
+ * A file whose time and size are polled, for a process that no signal reaches. A poll is one system
+ * call. A file that is being written shows as several changes; its reader must expect half a file.
  */
 final class WatchedFile {
+  private static final String MISSING = "none";
+
   private final Path file;
-  private Object seen;
+  private String lastAttributes;
 
   WatchedFile(Path file) {
     this.file = file;
-    this.seen = look();
+    this.lastAttributes = readAttributes();
   }
 
   Path file() {
     return file;
   }
 
-  /** Whether it is another than at the last look, or has come or gone since. */
+  /** Whether it has changed, appeared or gone since the last call. */
   boolean changed() {
-    Object now = look();
-    boolean other = !now.equals(seen);
-    seen = now;
-    return other;
+    String attributes = readAttributes();
+    boolean changed = !attributes.equals(lastAttributes);
+    lastAttributes = attributes;
+    return changed;
   }
 
-  private Object look() {
+  private String readAttributes() {
     try {
-      BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-      return a.lastModifiedTime() + " " + a.size() + " " + a.fileKey();
+      BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      return attributes.lastModifiedTime() + " " + attributes.size() + " " + attributes.fileKey();
     } catch (IOException e) {
-      return "none";
+      return MISSING;
     }
   }
 }
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -470,7 +470,7 @@
                             new BodyBudget(1 << 20),
                             quiet);
                     Discovery w = new Discovery(group, config, d, quiet, Scarce.class);
-                    w.start(config.known());
+                    w.start(config.knownList());
                     return w;
                   })
               .get();
--- a/src/test/java/leadferry/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -70,9 +70,9 @@
   private void manage(OperatorState o) throws Exception {
     management =
         new Management(
-            o::serves,
-            o::sendAway,
-            o::takeBack,
+            o::isReady,
+            o::drain,
+            o::activate,
             new LineLog(
                 new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8),
                 false));
@@ -106,7 +106,7 @@
     OperatorState o = new OperatorState();
     manage(o);
     assertThat(call(line + "\r\nHost: a\r\n\r\n")).startsWith("HTTP/1.1 " + status);
-    assertThat(o.sentAway()).isFalse();
+    assertThat(o.isDraining()).isFalse();
   }
 
   @Test
@@ -114,7 +114,7 @@
     OperatorState o = new OperatorState();
     manage(o);
     List<Socket> silent = new ArrayList<>();
-    for (int i = 0; i < 5 * Management.MOST; i++) {
+    for (int i = 0; i < 5 * Management.MAX_CONNECTIONS; i++) {
       Socket s = caller();
       silent.add(s);
       if (i % 2 == 0) {
@@ -122,7 +122,7 @@
       }
     }
     assertThat(call(put("/v1/client-proxy/drain"))).startsWith("HTTP/1.1 200");
-    assertThat(o.sentAway()).isTrue();
+    assertThat(o.isDraining()).isTrue();
     assertThat(ProxyFixture.ends(silent.get(0))).isTrue(); // the oldest made room
     for (Socket s : silent) {
       s.close();
@@ -143,7 +143,7 @@
             .startsWith("HTTP/1.1 200")
             .doesNotContain("close");
       }
-      world.operators.sendAway();
+      world.operators.drain();
       assertThat(world.ask(HEALTH)).startsWith("HTTP/1.1 503");
       write(used, claim("a"));
       assertThat(ProxyFixture.read(used.getInputStream())).endsWith("served");
@@ -151,7 +151,7 @@
       assertThat(ProxyFixture.ends(idle)).isTrue();
       assertThat(ProxyFixture.ends(used)).isTrue();
     }
-    world.operators.takeBack();
+    world.operators.activate();
     ProxyFixture.await(
         () -> {
           try {
--- a/src/test/java/leadferry/proxy/RecordedManagementTest.java
+++ b/src/test/java/leadferry/proxy/RecordedManagementTest.java
@@ -50,7 +50,7 @@
     proxyFixture = new ProxyFixture(folder, 128);
     state = new OperatorState();
     management =
-        new Management(state::serves, state::sendAway, state::takeBack, ProxyFixture.quietLog());
+        new Management(state::isReady, state::drain, state::activate, ProxyFixture.quietLog());
     management.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
--- a/src/test/java/leadferry/proxy/WarmUpTest.java
+++ b/src/test/java/leadferry/proxy/WarmUpTest.java
@@ -19,18 +19,18 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {400, 1})
-  void aRehearsalCarriesItsRequestsAndSaysNothing(int aim, @TempDir Path folder) throws Exception {
+  void aWarmUpForwardsItsRequestsAndLogsNothing(int aim, @TempDir Path folder) throws Exception {
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
       world.aim = aim;
       world.deadline = 2 * aim;
       String file = world.configure("127.0.0.1:9", "{}").toString();
       ByteArrayOutputStream lines = new ByteArrayOutputStream();
-      int answered =
+      int served =
           WarmUp.run(
               Config.load(Map.of("BALANCER_CONFIG", file)),
               false,
               new LineLog(new PrintStream(lines, true, StandardCharsets.UTF_8), false));
-      assertThat(answered).isEqualTo(WarmUp.REQUESTS);
+      assertThat(served).isEqualTo(WarmUp.REQUESTS);
       assertThat(lines.toString(StandardCharsets.UTF_8)).isEmpty();
     }
   }
