--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -470,11 +470,11 @@
                             new BodyBudget(1 << 20),
                             quiet);
                     Discovery w = new Discovery(group, config, d, quiet, Scarce.class);
-                    w.start(config.known());
+                    w.start(config.knownList());
                     return w;
                   })
               .get();
-      ProxyFixture.await(() -> loop.submit(watch::told).syncUninterruptibly().getNow());
+      ProxyFixture.await(() -> loop.submit(watch::isConfirmed).syncUninterruptibly().getNow());
       assertThat(scarce).isNegative();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
