--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -71,7 +71,7 @@
 
   private ObjectNode perform(ObjectNode stored) {
     ObjectNode outcome = dispatch(LogEntryCodec.decode(stored), stored);
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
     return outcome;
   }
 
@@ -115,7 +115,7 @@
 
   private Outcome applyDisruption(DisruptionCommand command) {
     if (command instanceof DisruptionCommand.Undo undo) {
-      String release = releases.holder(undo.grant());
+      String release = releases.releaseHolding(undo.grant());
       if (release != null) {
         return new Outcome(
             Status.REFUSED,
@@ -129,7 +129,7 @@
   private Outcome expireTimer(String timer, ObjectNode stored) {
     Outcome done = Outcome.of(Status.DONE);
     if (!timer.startsWith(RELEASE_TIMER_PREFIX)) {
-      disruption.timeout(timer);
+      disruption.onTimerExpired(timer);
     } else if (timers().containsKey(timer)) {
       releases.timeout(timer);
       addToAudit(
@@ -163,7 +163,7 @@
   }
 
   private Session openSession(LogEntry.Join join) {
-    disruption.joined(
+    disruption.onSessionOpened(
         join.name(), join.zone(), join.version(), join.catalog().digest(), join.catalog().hosts());
     return sessions.open(join, entryCount);
   }
@@ -175,8 +175,9 @@
     report
         .catalog()
         .ifPresent(
-            catalog -> disruption.catalogued(report.name(), catalog.digest(), catalog.hosts()));
-    disruption.told(
+            catalog ->
+                disruption.onCatalogChanged(report.name(), catalog.digest(), catalog.hosts()));
+    disruption.onMemberReport(
         report.name(),
         report.number(),
         report.seenVersion(),
@@ -191,7 +192,7 @@
       return noSession();
     }
     sessions.close(name);
-    disruption.ended(name, byItself);
+    disruption.onSessionEnded(name, byItself);
     Outcome done = Outcome.of(Status.DONE);
     addToAudit(stored, done);
     return done;
@@ -202,18 +203,18 @@
   }
 
   /** Whether this session lives. */
-  public boolean lives(String name, long session) {
+  public boolean isSessionLive(String name, long session) {
     return sessions.isLive(name, session);
   }
 
   /** Members whose sessions live, by name, with the session. */
-  public Map<String, Long> living() {
+  public Map<String, Long> liveSessions() {
     return sessions.liveIds();
   }
 
   /** Whether any release is under way, so that members' reports are wanted. */
   public boolean reportsWanted() {
-    return releases.underWay();
+    return releases.hasActive();
   }
 
   /** What runs out without an entry, and after how long (ms); see {@link LeaseTimers}. */
@@ -251,8 +252,8 @@
   }
 
   /** Whether a driver of a release holds its lease under this fence. */
-  public boolean drives(String release, long fence) {
-    return releases.drives(release, fence);
+  public boolean holdsDriverLease(String release, long fence) {
+    return releases.isLeaseHeld(release, fence);
   }
 
   /** What would become of a drain that was asked for now. */
@@ -263,7 +264,7 @@
   }
 
   /** What the drain of that grant waits for. */
-  public ObjectNode permit(String id) {
+  public ObjectNode evictionStatus(String id) {
     ObjectNode status =
         Json.object().put("permit", id).put("carried_out", disruption.carriedOut(id));
     ObjectNode awaited = status.putObject("awaited");
--- a/src/main/java/leadferry/consensus/LeaderClock.java
+++ b/src/main/java/leadferry/consensus/LeaderClock.java
@@ -40,7 +40,7 @@
   /** Renews a session's lease; false where the session is over. */
   boolean renewSession(String name, long session, long nowNanos) {
     synchronized (stateMachine) {
-      return stateMachine.lives(name, session)
+      return stateMachine.isSessionLive(name, session)
           && timers.renew(SessionTable.timer(name, session), nowNanos);
     }
   }
@@ -48,8 +48,8 @@
   /** Renews the lease of a release's driver; false where it is over. */
   boolean renewDriver(String release, long fence, long nowNanos) {
     synchronized (stateMachine) {
-      return stateMachine.drives(release, fence)
-          && timers.renew(Releases.timer(release, fence), nowNanos);
+      return stateMachine.holdsDriverLease(release, fence)
+          && timers.renew(Releases.driverLeaseTimer(release, fence), nowNanos);
     }
   }
 }
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -147,7 +147,7 @@
   /** The newest report of each member whose session lives. */
   ObjectNode memberReports() {
     synchronized (stateMachine) {
-      return reports.describe(stateMachine.living(), System.nanoTime());
+      return reports.describe(stateMachine.liveSessions(), System.nanoTime());
     }
   }
 
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -130,7 +130,7 @@
       return stateMachine -> stateMachine.explain(explain.kind(), explain.name());
     }
     if (request instanceof ReplicaRequest.PermitStatus status) {
-      return stateMachine -> stateMachine.permit(status.permit());
+      return stateMachine -> stateMachine.evictionStatus(status.permit());
     }
     throw new IllegalArgumentException("request: " + request + " (expected: a query)");
   }
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -136,7 +136,7 @@
         fresh.sendAway(away);
         fronts.put(l.name(), fresh);
       } else {
-        front.gate(gate);
+        front.setFilter(gate);
       }
     }
   }
--- a/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
+++ b/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
@@ -87,7 +87,7 @@
         .put("seen", report.acknowledgedVersion())
         .put("said", report.number())
         .put("settling", member.stabilizingSince())
-        .put("catalogue", member.catalogueDigest());
+        .put("catalogue", member.catalogDigest());
     report.busyHosts().forEach(json.putArray("busy")::add);
     report.ejectedHosts().forEach(json.putArray("suspects")::add);
   }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -109,7 +109,8 @@
    *
    * @param digest digest of the list of hosts that it balances over
    */
-  public void joined(String name, String zone, String version, String digest, List<Target> hosts) {
+  public void onSessionOpened(
+      String name, String zone, String version, String digest, List<Target> hosts) {
     memberLifecycle.joined(name, zone, version, digest, hosts);
   }
 
@@ -121,7 +122,7 @@
    * @param busyHosts hosts taken out of service on which it has requests in flight
    * @param ejectedHosts hosts that its outlier detection has ejected
    */
-  public void told(
+  public void onMemberReport(
       String name,
       long number,
       long acknowledgedVersion,
@@ -133,7 +134,7 @@
   }
 
   /** The list of hosts that a proxy balances over has changed. */
-  public void catalogued(String name, String digest, List<Target> hosts) {
+  public void onCatalogChanged(String name, String digest, List<Target> hosts) {
     memberLifecycle.catalogueChanged(name, digest, hosts);
   }
 
@@ -142,7 +143,7 @@
    *
    * @param byItself by the proxy's own word, without requests in flight; otherwise it expired
    */
-  public void ended(String name, boolean byItself) {
+  public void onSessionEnded(String name, boolean byItself) {
     memberLifecycle.sessionEnded(name, byItself);
   }
 
@@ -232,7 +233,7 @@
   }
 
   /** A timer of {@link #timers} has ended; one that does not run any more changes nothing. */
-  public void timeout(String timer) {
+  public void onTimerExpired(String timer) {
     timers.ended(timer, times);
   }
 
--- a/src/main/java/leadferry/disruption/DisruptionTables.java
+++ b/src/main/java/leadferry/disruption/DisruptionTables.java
@@ -10,7 +10,7 @@
   final BudgetTable budgets = new BudgetTable();
   final EvictionGrantTable grants = new EvictionGrantTable();
   final MemberTable members = new MemberTable();
-  final HostCatalogues catalogues = new HostCatalogues();
+  final HostCatalogTable catalogues = new HostCatalogTable();
   final HostWarmUpTracker warmUps = new HostWarmUpTracker();
   private String haltReason = "";
 
--- a/src/main/java/leadferry/disruption/HostCatalogues.java
+++ b/src/main/java/leadferry/disruption/HostCatalogTable.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /** The lists of hosts that proxies balance over, by digest: proxies with the same list share it. */
-final class HostCatalogues {
+final class HostCatalogTable {
   private final Map<String, List<Target>> hostsByDigest = new TreeMap<>();
 
   /** The lists in the order of their digests. */
--- a/src/main/java/leadferry/disruption/MemberTable.java
+++ b/src/main/java/leadferry/disruption/MemberTable.java
@@ -39,7 +39,7 @@
   /** Digests of the lists of hosts that any member balances over. */
   Set<String> catalogueDigests() {
     Set<String> digests = new TreeSet<>();
-    members.values().forEach(member -> digests.add(member.catalogueDigest()));
+    members.values().forEach(member -> digests.add(member.catalogDigest()));
     return digests;
   }
 
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -9,7 +9,7 @@
  * @param state whether its session is live, and what became of it where it is not
  * @param lastReport its newest report of that session
  * @param stabilizingSince the change at which it came back and began to stabilize, 0 once it has
- * @param catalogueDigest the {@link HostCatalogues list of hosts} that it balances over, "" before
+ * @param catalogDigest the {@link HostCatalogTable list of hosts} that it balances over, "" before
  *     any
  */
 record ProxyMember(
@@ -18,7 +18,7 @@
     MemberState state,
     ProxyReport lastReport,
     long stabilizingSince,
-    String catalogueDigest) {
+    String catalogDigest) {
 
   /**
    * The beginning of a session.
@@ -42,7 +42,7 @@
         state.joined(),
         ProxyReport.NONE,
         newSession.joinedChange(),
-        catalogueDigest);
+        catalogDigest);
   }
 
   /**
@@ -55,7 +55,7 @@
     MemberState next = state.reported(serving);
     boolean beginsToServe = next == MemberState.SERVING && state != MemberState.SERVING;
     long since = beginsToServe && isStabilizing() ? change : stabilizingSince;
-    return new ProxyMember(name, session, next, report, since, catalogueDigest);
+    return new ProxyMember(name, session, next, report, since, catalogDigest);
   }
 
   ProxyMember sessionEnded(boolean byItself) {
@@ -65,16 +65,16 @@
         state.sessionEnded(byItself),
         lastReport.withoutHosts(),
         stabilizingSince,
-        catalogueDigest);
+        catalogDigest);
   }
 
   ProxyMember fenced() {
     return new ProxyMember(
-        name, session, state.fenced(), lastReport, stabilizingSince, catalogueDigest);
+        name, session, state.fenced(), lastReport, stabilizingSince, catalogDigest);
   }
 
   ProxyMember stabilizingFrom(long change) {
-    return new ProxyMember(name, session, state, lastReport, change, catalogueDigest);
+    return new ProxyMember(name, session, state, lastReport, change, catalogDigest);
   }
 
   ProxyMember stabilized() {
--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -11,11 +11,10 @@
  */
 public abstract class Attempt {
   /**
-   * An answer that has begun to go to its client, is not known to be a long one and of which
-   * nothing has come for so long (ms) does not go on past the request's time: that has to end
-   * within 0.5 s after it.
+   * Longest pause (ms) of a response past the request's deadline, once it streams and is not known
+   * to be long: the request must end within 500 ms of its deadline.
    */
-  protected static final long STILL_MS = 400;
+  protected static final long STREAM_STALL_MILLIS = 400;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -240,7 +240,9 @@
       if (goesOnPastDeadline(attempt)) {
         // Not one of the timers that are kept: a long response would add one to them each time.
         // Harmless once it is over.
-        dispatcher.loop().schedule(this::timeUp, Attempt.STILL_MS, TimeUnit.MILLISECONDS);
+        dispatcher
+            .loop()
+            .schedule(this::timeUp, Attempt.STREAM_STALL_MILLIS, TimeUnit.MILLISECONDS);
       } else {
         attempt.timeUp();
       }
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -13,9 +13,8 @@
  * Silent endpoints, found by all proxies together: suspicion and refutation, as in SWIM (Das,
  * Gupta, Motivala, 2002), over the requests that are sent anyway in place of probes.
  *
- * <p>Why: a proxy of many sends an endpoint a request in six seconds, so each has to lose some
- * before it ejects a silent one, and a hundred proxies lose a hundred times as much. Two that lost
- * one each know enough for all.
+ * <p>Why: one proxy of many sends an endpoint too few requests to find it silent soon. Two proxies
+ * that lost one each know enough for all.
  *
  * <pre>
  *   A: request ---- no response -> tells "silent since t"
--- a/src/main/java/leadferry/gossip/TrialSpread.java
+++ b/src/main/java/leadferry/gossip/TrialSpread.java
@@ -8,7 +8,7 @@
  */
 final class TrialSpread {
   /** The most that an endpoint is ejected on others' word; the load balancer's own longest time. */
-  private static final double MOST_AIMS = 20;
+  private static final double MOST_AIMS = 20; // as OutlierDetector.LONGEST_EJECTION_AIMS
 
   /** It begins with one trial in two aims where one proxy in so many sends to an endpoint. */
   private static final double PROXIES_PER_AIM = 10;
--- a/src/main/java/leadferry/http/Framing.java
+++ b/src/main/java/leadferry/http/Framing.java
@@ -18,7 +18,7 @@
   private Framing() {}
 
   /**
-   * The status to reject the head with, or 0; {@code judged} are headers that the gate goes by,
+   * The status to reject the head with, or 0; {@code judged} are headers that the filter goes by,
    * {@code old} tells whether HTTP/1.0 is spoken.
    */
   static int fault(HttpRequest request, Set<String> judged, boolean old) {
--- a/src/main/java/leadferry/http/Headers.java
+++ b/src/main/java/leadferry/http/Headers.java
@@ -38,7 +38,7 @@
           "keep-alive",
           "proxy-connection");
 
-  /** Those that anything here goes by; a gate may have more. Lower case. */
+  /** Those that anything here goes by; a filter may have more. Lower case. */
   private static final Set<String> JUDGED =
       Set.of(
           "host",
@@ -75,20 +75,20 @@
   private Headers() {}
 
   /** Whether a header, in lower case, is one that this program goes by. */
-  static boolean judged(String name, Set<String> byGate) {
-    return JUDGED.contains(name) || byGate.contains(name);
+  static boolean judged(String name, Set<String> byFilter) {
+    return JUDGED.contains(name) || byFilter.contains(name);
   }
 
   /**
    * Whether the options of {@code Connection} are tokens and none names a header that this program
-   * goes by. {@code byGate} holds further ones, in lower case.
+   * goes by. {@code byFilter} holds further ones, in lower case.
    */
-  static boolean soundOptions(HttpHeaders headers, Set<String> byGate) {
+  static boolean soundOptions(HttpHeaders headers, Set<String> byFilter) {
     List<String> lines = headers.getAll(HttpHeaderNames.CONNECTION);
     for (int i = 0; i < lines.size(); i++) {
       for (String option : lines.get(i).split(",")) {
         String name = option.strip().toLowerCase(Locale.ROOT);
-        if (!name.isEmpty() && (!HeadScanner.token(name) || judged(name, byGate))) {
+        if (!name.isEmpty() && (!HeadScanner.token(name) || judged(name, byFilter))) {
           return false;
         }
       }
@@ -99,10 +99,10 @@
   /**
    * Whether no trailer of a request is one that this program, or what frames a message, goes by.
    */
-  static boolean soundTrailers(HttpHeaders trailers, Set<String> byGate) {
+  static boolean soundTrailers(HttpHeaders trailers, Set<String> byFilter) {
     for (String name : trailers.names()) {
       String lower = name.toLowerCase(Locale.ROOT);
-      if (FRAMING.contains(lower) || judged(lower, byGate)) {
+      if (FRAMING.contains(lower) || judged(lower, byFilter)) {
         return false;
       }
     }
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -311,7 +311,7 @@
     return lengthBytes > wire().protocol.maxAnswer()
         || streamedBytes > wire().protocol.maxAnswer()
         || waitsForClient()
-        || dispatcher().now() - receivedAtMillis < STILL_MS;
+        || dispatcher().now() - receivedAtMillis < STREAM_STALL_MILLIS;
   }
 
   /** A spoilt answer: a failed attempt that may have run, and whose report is as good as it is. */
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -39,7 +39,7 @@
   private final BodyBudget budget;
   private final Log log;
   private final HttpServerSettings settings;
-  private RequestFilter gate;
+  private RequestFilter filter;
   private final ClientConnections connections = new ClientConnections();
   private final Set<String> openIds = new HashSet<>();
   private Listener listener;
@@ -52,14 +52,14 @@
   /** A server of one loop; it listens itself, or is given what another has accepted. */
   public HttpServer(
       HttpServerSettings settings,
-      RequestFilter gate,
+      RequestFilter filter,
       Transport transport,
       Sockets sockets,
       BodyBudget budget,
       Log log) {
     this.transport = transport;
     this.settings = settings;
-    this.gate = gate;
+    this.filter = filter;
     this.sockets = sockets;
     this.budget = budget;
     this.log = log;
@@ -279,13 +279,15 @@
     return settings;
   }
 
-  RequestFilter gate() {
-    return gate;
+  RequestFilter filter() {
+    return filter;
   }
 
-  /** From the next head on, this gate judges; what was taken goes on as it was taken. */
-  public void gate(RequestFilter next) {
-    gate = next;
+  /**
+   * From the next head on, this filter judges; requests that were taken before go on under theirs.
+   */
+  public void setFilter(RequestFilter next) {
+    filter = next;
   }
 
   BodyBudget budget() {
--- a/src/main/java/leadferry/http/RequestFilter.java
+++ b/src/main/java/leadferry/http/RequestFilter.java
@@ -13,8 +13,8 @@
   FilterResult judge(HttpRequest head, InetSocketAddress client);
 
   /**
-   * Names, in lower case, of the headers that this gate judges by or that what it chooses will set,
-   * besides those that every gate goes by.
+   * Names, in lower case, of the headers that this filter judges by or that what it chooses will
+   * set, besides those that every filter goes by.
    */
   Set<String> judgesBy();
 
--- a/src/main/java/leadferry/http/RequestHead.java
+++ b/src/main/java/leadferry/http/RequestHead.java
@@ -31,11 +31,11 @@
     request = next;
     receivedAtNanos = atNanos;
     oldVersion = next.protocolVersion().equals(HttpVersion.HTTP_1_0);
-    int fault = Framing.fault(next, server.gate().judgesBy(), server.settings().daemon());
+    int fault = Framing.fault(next, server.filter().judgesBy(), server.settings().daemon());
     filterResult =
         fault != 0
             ? FilterResult.reject(fault)
-            : server.gate().judge(next, channel.remoteAddress());
+            : server.filter().judge(next, channel.remoteAddress());
     announcedBodyBytes = HttpUtil.getContentLength(next, 0L);
     if (fault == 0 && announcedBodyBytes > maxBodyBytes()) {
       return 413;
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -251,7 +251,7 @@
   private void complete(HttpHeaders trailers, long atNanos) {
     if (decoder.completed() && server.settings().pipeline() <= 1) {
       client.reject(400); // a second request behind this one, whose client keeps to no order
-    } else if (!Headers.soundTrailers(trailers, server.gate().judgesBy())) {
+    } else if (!Headers.soundTrailers(trailers, server.filter().judgesBy())) {
       client.reject(400); // a server may take one of them for a header that was judged
     } else if (upload != null) {
       completeUpload(trailers);
--- a/src/main/java/leadferry/http/RequestLog.java
+++ b/src/main/java/leadferry/http/RequestLog.java
@@ -33,7 +33,7 @@
    *
    * @param status what its client was told, or null
    * @param call what the engine has of it, or null
-   * @param verdict of the gate, or null
+   * @param verdict of the filter, or null
    * @param since when (ns) it came, 0 if that is not known
    */
   void request(String outcome, Integer status, HttpCall call, FilterResult verdict, long since) {
--- a/src/main/java/leadferry/limits/RetryBudget.java
+++ b/src/main/java/leadferry/limits/RetryBudget.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A bound over further attempts: each request earns a part of one, saved up to a burst. It can only
- * say no to what the decision module asks for. Safe for use by many threads.
+ * An operator's bound over retries: each request earns a part of one, saved up to a burst. It can
+ * only say no to what the decision module asks for, whose own bound is {@code
+ * loadbalancer.RetryBudget}; both must allow a retry. Safe for use by many threads.
  */
 public final class RetryBudget {
   private static final long UNIT = 1_000_000;
--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -30,6 +30,11 @@
   private final SplittableRandom random;
   private final LoadBalancerActions actions;
   private double meanValue;
+
+  /**
+   * Whether the log line of an overload was written: from pressure 0.7 until below 0.2. Some load
+   * is shed from 0.4 on without it.
+   */
   private boolean overloadLogged;
 
   AdmissionController(LoadBalancerContext context, TenantQuotas quotas) {
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -152,7 +152,10 @@
     }
   }
 
-  /** Expected wait in mean response times, of requests held without reports of load. */
+  /**
+   * Expected wait, as a multiple of the mean response time; slowness alone where no endpoint
+   * reports load.
+   */
   private double expectedWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
     if (!loadReports.hasReports()) {
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -113,8 +113,8 @@
   }
 
   /**
-   * All that came by then has been told; what came since may still stand in this process, and no
-   * endpoint is blamed for it.
+   * All bytes received until {@code untilMillis} have been processed. Later ones may be unread in
+   * this process, and no endpoint is judged silent for them.
    */
   public void onReadUntil(double untilMillis) {
     pendingResponses.onReadUntil(untilMillis);
--- a/src/main/java/leadferry/release/Releases.java
+++ b/src/main/java/leadferry/release/Releases.java
@@ -141,7 +141,7 @@
   }
 
   /** Whether any release is not over. */
-  public boolean underWay() {
+  public boolean hasActive() {
     return activeCount() > 0;
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** Takes note of what the last entry has changed in the fleet; to be called after each. */
-  public void look(DisruptionState disruption) {
+  public void onFleetChange(DisruptionState disruption) {
     for (Release release : releases.values()) {
       boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
       new FleetChangeObserver(release, disruption, () -> ++actions).observe(newest);
@@ -192,7 +192,7 @@
   }
 
   /** Which release holds this eviction grant, or null: nobody else gives it back. */
-  public String holder(String grant) {
+  public String releaseHolding(String grant) {
     return releases.values().stream()
         .filter(release -> release.holds(grant))
         .map(release -> release.plan.name())
@@ -201,13 +201,13 @@
   }
 
   /** Whether a driver holds the release's lease under this fence. */
-  public boolean drives(String name, long fence) {
+  public boolean isLeaseHeld(String name, long fence) {
     Release release = releases.get(name);
     return release != null && release.lease.isHeld() && release.lease.fence == fence;
   }
 
   /** The name of the timer of a driver's lease. */
-  public static String timer(String release, long fence) {
+  public static String driverLeaseTimer(String release, long fence) {
     return new ReleaseTimer(ReleaseTimer.Kind.DRIVER_LEASE, release, fence).name();
   }
 
--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -93,7 +93,7 @@
 
     private boolean hasSession(String name) {
       long session = processes.get(name).session;
-      return session > 0 && stateMachine.lives(name, session);
+      return session > 0 && stateMachine.isSessionLive(name, session);
     }
 
     private void expireSession(String name) {
@@ -123,7 +123,7 @@
     /** Goes by a pushed view, or by an answer to its joining, and reports so. */
     void take(String name, JsonNode view) {
       Process process = processes.get(name);
-      if (process.view.take(view, stateMachine.lives(name, process.session), 0)) {
+      if (process.view.take(view, stateMachine.isSessionLive(name, process.session), 0)) {
         process.serves = !process.view.away();
         report(name);
       }
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -151,19 +151,19 @@
     tell("a", sessionOfA, true, "", "");
     tell("b", sessionOfB, true, "", "");
     drain("host", "h1");
-    assertThat(stateMachine.permit("1").path("awaited")).hasSize(2);
+    assertThat(stateMachine.evictionStatus("1").path("awaited")).hasSize(2);
     tell("a", sessionOfA, true, "h1", "");
     tell("b", sessionOfB, true, "", "");
-    assertThat(stateMachine.permit("1").path("awaited").toString())
+    assertThat(stateMachine.evictionStatus("1").path("awaited").toString())
         .contains("in flight")
         .doesNotContain("\"b\"");
     tell("a", sessionOfA, true, "", "");
-    assertThat(stateMachine.permit("1").path("carried_out").asBoolean()).isTrue();
+    assertThat(stateMachine.evictionStatus("1").path("carried_out").asBoolean()).isTrue();
     apply(operation("expire").put("name", "b").put("session", sessionOfB));
-    assertThat(stateMachine.permit("1").path("awaited").path("b").asText())
+    assertThat(stateMachine.evictionStatus("1").path("awaited").path("b").asText())
         .contains("may go on sending");
     assertThat(statusOf(apply(operation("fence").put("name", "b")))).isEqualTo("done");
-    assertThat(stateMachine.permit("1").path("carried_out").asBoolean()).isTrue();
+    assertThat(stateMachine.evictionStatus("1").path("carried_out").asBoolean()).isTrue();
   }
 
   @Test
--- a/src/test/java/leadferry/consensus/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -83,7 +83,7 @@
     assertSame(stateMachine.release("r"), expected, "release", where);
     assertSame(stateMachine.explain("proxy", "a"), expected, "explain_proxy", where);
     assertSame(stateMachine.explain("host", "h1"), expected, "explain_host", where);
-    assertSame(stateMachine.permit("1"), expected, "permit", where);
+    assertSame(stateMachine.evictionStatus("1"), expected, "permit", where);
     ObjectNode timers = Json.object();
     new TreeMap<>(stateMachine.timers()).forEach(timers::put);
     assertSame(timers, expected, "timers", where);
--- a/src/test/java/leadferry/consensus/ReleaseWorld.java
+++ b/src/test/java/leadferry/consensus/ReleaseWorld.java
@@ -139,7 +139,7 @@
   // --- members
 
   boolean hasSession(String name) {
-    return log.stateMachine().lives(name, processes.get(name).session);
+    return log.stateMachine().isSessionLive(name, processes.get(name).session);
   }
 
   void join(String name) {
--- a/src/test/java/leadferry/disruption/DisruptionTimersTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionTimersTest.java
@@ -15,7 +15,7 @@
   private final DisruptionState state = new DisruptionState(TIMES);
 
   private void join(String name) {
-    state.joined(
+    state.onSessionOpened(
         name,
         "z",
         "v",
@@ -24,7 +24,7 @@
   }
 
   private void report(String name, long number, String... ejectedHosts) {
-    state.told(name, number, state.version(), true, Set.of(), Set.of(ejectedHosts));
+    state.onMemberReport(name, number, state.version(), true, Set.of(), Set.of(ejectedHosts));
   }
 
   @Test
@@ -33,7 +33,7 @@
     state.drain(TargetType.HOST, "h:1", 50, false, "operator", "disk");
 
     assertThat(state.timers()).isEqualTo(Map.of("permit:1", 150L));
-    state.timeout("permit:1");
+    state.onTimerExpired("permit:1");
     assertThat(state.out(TargetType.HOST, "h:1")).isEqualTo("permit 1, ending");
     assertThat(state.timers()).isEmpty();
   }
@@ -41,13 +41,13 @@
   @Test
   void aProxyThatCameBackStabilizesOnceItServes() {
     join("a:b");
-    state.ended("a:b", false);
+    state.onSessionEnded("a:b", false);
     join("a:b");
     assertThat(state.timers()).isEmpty();
     report("a:b", 1);
 
     assertThat(state.timers()).isEqualTo(Map.of("settle:a:b:4", 500L));
-    state.timeout("settle:a:b:4");
+    state.onTimerExpired("settle:a:b:4");
     assertThat(state.out(TargetType.PROXY, "a:b")).isNull();
   }
 
@@ -60,7 +60,7 @@
     report("a", 2);
 
     assertThat(state.timers()).isEqualTo(Map.of("warm:h:1:5", 700L));
-    state.timeout("warm:h:1:5");
+    state.onTimerExpired("warm:h:1:5");
     assertThat(state.out(TargetType.HOST, "h:1")).isNull();
   }
 
@@ -69,7 +69,7 @@
     join("a");
     long changes = state.changes();
 
-    state.timeout("permit:1");
+    state.onTimerExpired("permit:1");
 
     assertThat(state.changes()).isEqualTo(changes);
   }
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -57,21 +57,21 @@
   }
 
   private void join(String name, String version) {
-    disruption.joined(name, "z", version, "x", List.of());
+    disruption.onSessionOpened(name, "z", version, "x", List.of());
     words.put(name, 0L);
     says(name, true);
   }
 
   private void says(String name, boolean serving) {
-    disruption.told(
+    disruption.onMemberReport(
         name, words.merge(name, 1L, Long::sum), disruption.version(), serving, Set.of(), Set.of());
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
     settle();
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
   }
 
   private void settle() {
-    List.copyOf(disruption.timers().keySet()).forEach(disruption::timeout);
+    List.copyOf(disruption.timers().keySet()).forEach(disruption::onTimerExpired);
   }
 
   private Outcome apply(String operation, Object... with) {
@@ -81,7 +81,7 @@
       entry.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
     }
     Outcome outcome = apply("release_" + operation, entry);
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
     return outcome;
   }
 
@@ -135,7 +135,7 @@
   private void change(String name, String version) {
     long action = out(name);
     assertThat(apply("acting", "target", name, "action", action).status()).isEqualTo(Status.DONE);
-    disruption.ended(name, true);
+    disruption.onSessionEnded(name, true);
     join(name, version);
     assertThat(apply("observed", "target", name, "action", action, "found", version).status())
         .isEqualTo(Status.DONE);
@@ -158,7 +158,7 @@
             .findFirst()
             .orElseThrow(() -> new AssertionError(kind + " of " + timers));
     releases.timeout(timer);
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
   }
 
   @Test
@@ -218,11 +218,11 @@
   @Test
   void itHaltsWhereTooManyAreLostAndResumesByAnOperatorsOverride() {
     begin();
-    disruption.ended("c", false);
-    releases.look(disruption);
+    disruption.onSessionEnded("c", false);
+    releases.onFleetChange(disruption);
     assertThat(state()).isEqualTo("running");
-    disruption.ended("d", false);
-    releases.look(disruption);
+    disruption.onSessionEnded("d", false);
+    releases.onFleetChange(disruption);
     assertThat(status().path("state_why").asText()).isEqualTo("lost meanwhile: c, d");
     assertThat(apply("intend", "target", "a").status()).isEqualTo(Status.HALTED);
     apply("resume");
@@ -236,8 +236,8 @@
   void aLostTargetWithTheNewVersionHaltsIt() {
     begin();
     change("a", "v2");
-    disruption.ended("a", false);
-    releases.look(disruption);
+    disruption.onSessionEnded("a", false);
+    releases.onFleetChange(disruption);
     assertThat(status().path("state_why").asText()).isEqualTo("a is new, and lost");
   }
 
@@ -256,9 +256,9 @@
   void theFleetsHaltHaltsItAndItDoesNotGoOnByItself() {
     begin();
     disruption.halt("incident");
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
     disruption.resume();
-    releases.look(disruption);
+    releases.onFleetChange(disruption);
     assertThat(state()).isEqualTo("halted");
   }
 
@@ -299,7 +299,7 @@
         drive("x");
         change("a", "v2");
       }
-      disruption.ended("a", true);
+      disruption.onSessionEnded("a", true);
       join("a", rule.equals("queue") ? "v1" : "v7");
       ObjectNode now = MAPPER.createObjectNode();
       releases.status(plan.path("name").asText(), now, disruption);
@@ -324,7 +324,7 @@
     change("b", "v2");
     change("c", "v2");
     judged(1);
-    disruption.ended("b", true);
+    disruption.onSessionEnded("b", true);
     join("b", "v1");
     assertThat(status().path("state_why").asText()).isEqualTo("b came back with v1");
     assertThat(state()).isEqualTo("running");
@@ -335,7 +335,7 @@
     begin();
     out("a");
     assertThat(apply("end").status()).isEqualTo(Status.REFUSED);
-    assertThat(releases.holder(target("a").path("permit").asText())).isEqualTo("r");
+    assertThat(releases.releaseHolding(target("a").path("permit").asText())).isEqualTo("r");
   }
 
   @Test
