--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -9,10 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 
 /**
@@ -52,8 +49,8 @@
   private final FaultTestTopology topology;
   private final BackgroundTasks tasks = new BackgroundTasks();
   private final History history;
-  private final List<LoadGenerator> loads = new ArrayList<>();
   private HistoryChecker checker;
+  private FaultTestLoad load;
   private RecoveryTracker recovery;
   private InjectedFaults faults;
   private Operator operator;
@@ -79,6 +76,7 @@
     checker =
         new HistoryChecker(
             topology.proxyAddresses(), plan.proxiesAllowed(), plan.upstreamsAllowed());
+    load = new FaultTestLoad(plan, topology, checker);
     recovery = new RecoveryTracker(checker);
     faults = new InjectedFaults(checker, recovery, tasks);
     operators = new OperatorWorkload(plan, operator, checker, history);
@@ -295,7 +293,7 @@
    */
   public ObjectNode run() throws IOException, InterruptedException {
     start();
-    Set<String> unsafePrefixes = startLoad();
+    load.start();
     long endNanos = System.nanoTime() + (long) (plan.seconds() * 1e9);
     List<Thread> workloads = startWorkloads();
     ScriptedFaults script =
@@ -306,44 +304,7 @@
     if (!sabotaged) {
       throw new IOException("no moment for the sabotage came");
     }
-    return verdict(unsafePrefixes);
-  }
-
-  /**
-   * Starts load of safe and unsafe requests at each proxy; the prefixes of the unsafe ones' ids.
-   */
-  private Set<String> startLoad() {
-    Set<String> unsafePrefixes = new TreeSet<>();
-    for (Map.Entry<String, InetSocketAddress> proxy : topology.proxyAddresses().entrySet()) {
-      String unsafePrefix = proxy.getKey() + "u-";
-      unsafePrefixes.add(unsafePrefix);
-      addLoad(proxy, "GET", "/list", proxy.getKey() + "s-");
-      addLoad(proxy, "POST", "/claim", unsafePrefix);
-    }
-    loads.forEach(LoadGenerator::start);
-    return unsafePrefixes;
-  }
-
-  private void addLoad(
-      Map.Entry<String, InetSocketAddress> proxy, String method, String path, String prefix) {
-    LoadGenerator.Kind kind = new LoadGenerator.Kind("all", 1, method, path, "", 0, 3_000);
-    LoadGenerator.Plan load =
-        new LoadGenerator.Plan(
-            proxy.getValue(),
-            plan.requestsPerSecond() / 2,
-            0,
-            plan.seconds(),
-            16,
-            1,
-            List.of(kind),
-            prefix);
-    loads.add(
-        new LoadGenerator(
-            load,
-            done -> {
-              long now = System.nanoTime();
-              checker.request(proxy.getKey(), done.outcome(), now - done.nanos(), now);
-            }));
+    return verdict();
   }
 
   private List<Thread> startWorkloads() {
@@ -365,13 +326,14 @@
       Threads.sleepMillis((endNanos - System.nanoTime()) / 1_000_000);
     }
     RandomFaultSchedule schedule = new RandomFaultSchedule(plan, topology, checker, faults, tasks);
+    Saboteur saboteur = new Saboteur(plan, topology, checker, versions, executions);
     boolean sabotaged = plan.sabotage() == Sabotage.NONE;
     while (System.nanoTime() < endNanos) {
       Thread.sleep(schedule.nextPauseMillis());
       if (plan.sabotage() == Sabotage.NONE) {
         schedule.injectNext();
       } else if (!sabotaged) {
-        sabotaged = sabotage();
+        sabotaged = saboteur.tryOnce();
       }
     }
     return sabotaged;
@@ -380,9 +342,7 @@
   private void awaitEnd(List<Thread> workloads) throws InterruptedException {
     operators.stop();
     releases.stop();
-    for (LoadGenerator load : loads) {
-      load.await();
-    }
+    load.await();
     tasks.await(START_MILLIS);
     for (Thread workload : workloads) {
       workload.join(8L * START_MILLIS);
@@ -407,12 +367,12 @@
     }
   }
 
-  private ObjectNode verdict(Set<String> unsafePrefixes) {
+  private ObjectNode verdict() {
     if (!history.linearizable()) {
       checker.breaks("the operators' calls have no order that explains their outcomes");
     }
     HistoryChecker.UpstreamViolations violations =
-        checker.checkUpstreams(executions, unsafePrefixes);
+        checker.checkUpstreams(executions, load.unsafePrefixes());
     if (plan.releases()) {
       topology.upstreams().stream()
           .filter(FakeUpstream::fallen)
@@ -423,7 +383,7 @@
     report.faults(faults);
     report.drains(history);
     report.unavailable(checker, plan);
-    report.requests(loads, checker, violations);
+    report.requests(load, checker, violations);
     report.recovery(recovery);
     report.broken(checker);
     if (plan.releases()) {
@@ -432,39 +392,6 @@
     return report.json();
   }
 
-  /** Breaks the promise that the plan names; false where it can't be broken yet. */
-  private boolean sabotage() {
-    switch (plan.sabotage()) {
-      case PROXY_OUT -> {
-        if (checker.proxiesOut() < plan.proxiesAllowed()) {
-          return false;
-        }
-        String proxy =
-            topology.proxyNames().stream().filter(this::serves).findFirst().orElseThrow();
-        proxy(proxy).kill();
-      }
-      case DRAINED_HOST -> {
-        String host = checker.anyHostOut();
-        if (host == null) {
-          return false;
-        }
-        executions.ran("rogue-1", host, "");
-      }
-      case RESTART -> {
-        try {
-          versions.replace(topology.proxyNames().iterator().next(), FIRST_VERSION);
-        } catch (IOException | InterruptedException e) {
-          throw new IllegalStateException(e);
-        }
-      }
-      default -> {
-        executions.ran("p1u-rogue", "h1", "");
-        executions.ran("p1u-rogue", "h2", "");
-      }
-    }
-    return true;
-  }
-
   @Override
   public void close() throws IOException {
     if (operators != null) {
@@ -474,7 +401,9 @@
     if (checker != null) {
       checker.close();
     }
-    loads.forEach(LoadGenerator::close);
+    if (load != null) {
+      load.close();
+    }
     if (supervisor != null) {
       supervisor.close();
     }
--- a/src/main/java/leadferry/testbed/FaultTestReport.java
+++ b/src/main/java/leadferry/testbed/FaultTestReport.java
@@ -75,13 +75,11 @@
   }
 
   void requests(
-      List<LoadGenerator> loads, HistoryChecker checker, HistoryChecker.UpstreamViolations found) {
+      FaultTestLoad load, HistoryChecker checker, HistoryChecker.UpstreamViolations found) {
     report
         .putObject("requests")
-        .put("sent", loads.stream().mapToLong(LoadGenerator::sent).sum())
-        .put(
-            "served",
-            loads.stream().mapToLong(load -> load.count(LoadGenerator.Outcome.SERVED)).sum())
+        .put("sent", load.sent())
+        .put("served", load.served())
         .put("lost", checker.lost())
         .put("twice", found.executedTwice())
         .put("to_drained", found.sentToDrained());
