--- a/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
+++ b/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
@@ -34,7 +34,7 @@
   /** A pool with its hosts as they are told to the modules. */
   record Pool(
       DaemonConfig.Pool config,
-      UpstreamHosts.News members,
+      UpstreamHosts.ListUpdate members,
       RetryBudget retries,
       ConnectionLimits connections) {
     PoolBounds bounds() {
@@ -181,12 +181,12 @@
     // Counts what the workers hold, whatever becomes of the modules: the bound is the hosts'.
     ConnectionLimits connections =
         before == null ? new ConnectionLimits(pool.maxConnections()) : before.connections;
-    connections.most(pool.maxConnections());
-    connections.keep(
+    connections.setLimit(pool.maxConnections());
+    connections.retainListed(
         members.stream().map(UpstreamHosts.Member::address).collect(Collectors.toSet()));
     return new Pool(
         pool,
-        new UpstreamHosts.News(number, true, members),
+        new UpstreamHosts.ListUpdate(number, true, members),
         sameBudget ? before.retries : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
         connections);
   }
--- a/src/main/java/leadferry/daemon/Daemon.java
+++ b/src/main/java/leadferry/daemon/Daemon.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import leadferry.engine.AcceptBackoff;
+import leadferry.engine.AcceptBackoffHandler;
 import leadferry.engine.Log;
 import leadferry.engine.NativeTransport;
 import leadferry.engine.NioTransport;
@@ -97,12 +97,12 @@
     this.transport = transport(config.process().transport(), log);
     this.acceptor =
         new MultiThreadIoEventLoopGroup(
-            1, new DefaultThreadFactory("accept", true), transport.loops());
+            1, new DefaultThreadFactory("accept", true), transport.ioHandlerFactory());
     this.group =
         new MultiThreadIoEventLoopGroup(
             config.process().workers(),
             new DefaultThreadFactory("worker", true),
-            transport.loops());
+            transport.ioHandlerFactory());
     for (int i = 0; i < config.process().workers(); i++) {
       EventLoop loop = (EventLoop) group.next();
       workers.put(
@@ -201,7 +201,7 @@
     }
     NativeTransport wanted =
         asked == DaemonConfig.Sockets.IO_URING ? NativeTransport.IO_URING : NativeTransport.EPOLL;
-    Throwable missing = wanted.missing();
+    Throwable missing = wanted.unavailabilityCause();
     if (missing == null) {
       return wanted;
     }
@@ -325,7 +325,7 @@
   private ChannelFuture bind(DaemonConfig.Listener l) {
     return new ServerBootstrap()
         .group(acceptor, group)
-        .channel(transport.listener())
+        .channel(transport.listenerType())
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.AUTO_READ, false)
@@ -335,12 +335,13 @@
               protected void initChannel(ServerChannel listener) {
                 listener
                     .pipeline()
-                    .addLast(new AcceptBackoff(log.with("listener", l.name())::line));
+                    .addLast(new AcceptBackoffHandler(log.withField("listener", l.name())::line));
               }
             })
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READ_BUFFER_ALLOCATOR)
+        .childOption(
+            ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.WRITE_BUFFER_WATER_MARK)
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -245,7 +245,8 @@
       for (int i = from; i < names.size(); i++) {
         Dispatcher d = names.get(i).equals(first) ? null : worker.pool(names.get(i));
         if (d != null) {
-          return new FallbackPools.Next(d, arrival, fallback(names, i + 1, first, arrival, safe));
+          return new FallbackPools.NextPool(
+              d, arrival, fallback(names, i + 1, first, arrival, safe));
         }
       }
       return null;
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -13,7 +13,7 @@
 import leadferry.engine.BodyBudget;
 import leadferry.engine.Dispatcher;
 import leadferry.engine.Log;
-import leadferry.engine.Sockets;
+import leadferry.engine.SocketBudget;
 import leadferry.engine.Transport;
 import leadferry.engine.UpstreamConnectionPool;
 import leadferry.http.HttpProtocol;
@@ -54,7 +54,7 @@
   private final Transport transport;
   private final int number;
   private final Log log;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final BodyBudget budget;
   private final Map<String, WorkerPool> pools = new HashMap<>();
   private final List<WorkerPool> leaving = new ArrayList<>();
@@ -78,7 +78,7 @@
     this.number = number;
     this.log = log;
     this.seeds = seed;
-    this.sockets = new Sockets(process.descriptors() / process.workers());
+    this.sockets = new SocketBudget(process.descriptors() / process.workers());
     this.budget = new BodyBudget(((long) process.bodyMemoryMb() << 20) / process.workers());
     loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
@@ -103,15 +103,15 @@
         pools.put(p.config().name(), start(p));
       } else {
         if (!p.members().members().equals(kept.version.members().members())) {
-          kept.dispatcher.membership(EndpointListEvent.FULL, p.members());
+          kept.dispatcher.onEndpointList(EndpointListEvent.FULL, p.members());
         }
         kept.version = p;
-        kept.upstreams.bounds(p.bounds());
+        kept.upstreams.updateBounds(p.bounds());
         kept.dispatcher
             .sweep(); // what a lower bound leaves no room for, and carries nothing, goes now
       }
       WorkerPool pool = pools.get(p.config().name());
-      pool.dispatcher.bound(() -> retryAllowed(v, p));
+      pool.dispatcher.setRetryGate(() -> retryAllowed(v, p));
     }
     for (Iterator<Map.Entry<String, HttpServer>> i = fronts.entrySet().iterator(); i.hasNext(); ) {
       Map.Entry<String, HttpServer> e = i.next();
@@ -132,7 +132,7 @@
       if (front == null) {
         HttpServer fresh =
             new HttpServer(
-                settings(l), gate, transport, sockets, budget, log.with("listener", l.name()));
+                settings(l), gate, transport, sockets, budget, log.withField("listener", l.name()));
         fresh.sendAway(away);
         fronts.put(l.name(), fresh);
       } else {
@@ -168,7 +168,7 @@
 
   private WorkerPool start(ConfigurationSnapshot.Pool p) {
     DaemonConfig.Pool c = p.config();
-    Log named = log.with("pool", c.name());
+    Log named = log.withField("pool", c.name());
     UpstreamConnectionPool upstreams =
         new UpstreamConnectionPool(
             loop,
@@ -186,7 +186,7 @@
             upstreams,
             budget,
             named);
-    d.tally(counts);
+    d.setOutcomeCounter(counts);
     d.start(p.members(), () -> {});
     return new WorkerPool(d, upstreams, p);
   }
@@ -250,12 +250,12 @@
     }
 
     @Override
-    public void attempt(String server, String className, boolean bad) {
+    public void countAttempt(String server, String className, boolean bad) {
       add(hosts.computeIfAbsent(server, k -> new HashMap<>()), className, bad);
     }
 
     @Override
-    public void request(String className, boolean bad) {
+    public void countRequest(String className, boolean bad) {
       add(own, className, bad);
     }
   }
@@ -308,7 +308,7 @@
       for (Iterator<WorkerPool> i = leaving.iterator(); i.hasNext(); ) {
         WorkerPool p = i.next();
         p.dispatcher.sweep();
-        if (p.dispatcher.open() == 0) {
+        if (p.dispatcher.openRequests() == 0) {
           p.dispatcher.closeIdle();
           i.remove();
         }
--- a/src/main/java/leadferry/engine/AcceptBackoff.java
+++ b/src/main/java/leadferry/engine/AcceptBackoffHandler.java
@@ -12,7 +12,7 @@
  * stops for a whole second at each failure: longer than many requests have. How long it waits says
  * {@link AcceptRetryPolicy}.
  */
-public final class AcceptBackoff extends ChannelInboundHandlerAdapter {
+public final class AcceptBackoffHandler extends ChannelInboundHandlerAdapter {
   /** Of failures one in so many has a line in the log. */
   private static final int FAILURES_PER_LINE = 100;
 
@@ -25,19 +25,19 @@
    * {@code log} gets a line now and then; {@code resumed} runs on the listener's loop each time
    * that it accepts again.
    */
-  public AcceptBackoff(Consumer<String> log, Runnable resumed) {
+  public AcceptBackoffHandler(Consumer<String> log, Runnable resumed) {
     this.log = log;
     this.resumed = resumed;
   }
 
   /** One whose listener accepts whenever it can. */
-  public AcceptBackoff(Consumer<String> log) {
+  public AcceptBackoffHandler(Consumer<String> log) {
     this(log, () -> {});
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object accepted) {
-    retryPolicy.accepted();
+    retryPolicy.onAccepted();
     context.fireChannelRead(accepted);
   }
 
@@ -57,7 +57,7 @@
     listener.config().setAutoRead(false);
     listener
         .eventLoop()
-        .schedule(() -> resume(listener), retryPolicy.backoffMillis(), TimeUnit.MILLISECONDS);
+        .schedule(() -> resume(listener), retryPolicy.nextBackoffMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void resume(Channel listener) {
--- a/src/main/java/leadferry/engine/AcceptRetryPolicy.java
+++ b/src/main/java/leadferry/engine/AcceptRetryPolicy.java
@@ -28,7 +28,7 @@
   private long nextBackoffMillis = FIRST_BACKOFF_MILLIS;
 
   /** Whether accept is tried again at once after so many failures in a row. */
-  static boolean retriesAtOnce(int failuresInARow) {
+  static boolean shouldRetryImmediately(int failuresInARow) {
     return failuresInARow < IMMEDIATE_ATTEMPTS;
   }
 
@@ -36,19 +36,19 @@
    * Whether a listener that is to be closed looks at its backlog again, {@link #CLOSE_RETRY_MILLIS}
    * later, after so many looks that failed.
    */
-  public static boolean retriesBeforeClose(int failedLooks) {
+  public static boolean shouldRetryBeforeClose(int failedLooks) {
     return failedLooks <= RETRIES_BEFORE_CLOSE;
   }
 
   /** How long (ms) the listener waits after a failure that was reported; the next is longer. */
-  long backoffMillis() {
+  long nextBackoffMillis() {
     long current = nextBackoffMillis;
     nextBackoffMillis = Math.min(2 * current, LONGEST_BACKOFF_MILLIS);
     return current;
   }
 
   /** A connection was accepted: the next backoff is the first again. */
-  void accepted() {
+  void onAccepted() {
     nextBackoffMillis = FIRST_BACKOFF_MILLIS;
   }
 }
--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -44,17 +44,17 @@
    * gone out {@code withinMs} ago or earlier.
    */
   final void start(double withinMs) {
-    host.calls++;
+    host.openAttempts++;
     apart = withinMs;
-    dispatcher.upstreams().start(this);
+    dispatcher.connectionPool().start(this);
   }
 
-  final double apart() {
+  final double repeatWindowMillis() {
     return apart;
   }
 
   /** When (ms on the module's clock) its first byte went out, where it did. */
-  final double wroteAt() {
+  final double firstByteSentAt() {
     return wroteAt;
   }
 
@@ -62,22 +62,22 @@
    * Whether it may have run, or may yet: what has begun to go out may still go on, until it is
    * over.
    */
-  final boolean mayRun() {
-    return phase.mayRun();
+  final boolean mayHaveRun() {
+    return phase.mayHaveRun();
   }
 
   /** Ends it before anything was done for it. */
-  final void withhold() {
-    host.calls++;
-    moot();
+  final void endUnstarted() {
+    host.openAttempts++;
+    endAsNeverRun();
   }
 
-  final boolean open() {
-    return !phase.over();
+  final boolean isOpen() {
+    return !phase.isOver();
   }
 
-  protected final boolean over() {
-    return phase.over();
+  protected final boolean isOver() {
+    return phase.isOver();
   }
 
   final int number() {
@@ -94,41 +94,42 @@
   protected abstract ChannelFuture write(Channel channel);
 
   /** What the host told of its load, or null. */
-  protected abstract LoadReport report();
+  protected abstract LoadReport loadReport();
 
   /** Whether the rest of its answer waits for its client, who takes no more of it for now. */
-  protected boolean waitsForClient() {
+  protected boolean isWaitingForClient() {
     return false;
   }
 
   /** Whether its answer, which has begun to go to the client, may go on past the request's time. */
-  protected boolean goesOn() {
+  protected boolean canOutliveDeadline() {
     return true;
   }
 
   /** The attempt is over: gives back what was kept of its answer. */
-  protected abstract void release();
+  protected abstract void releaseResponse();
 
   // --- its connection
 
-  final void connecting(Channel channel) {
+  final void onConnecting(Channel channel) {
     phase = phase.connecting();
     connecting = channel;
   }
 
   /** Whether its connection had to come up first, or to become free. */
-  final boolean waited() {
-    return phase.waited();
+  final boolean hasWaited() {
+    return phase.hasWaited();
   }
 
   /** It stands in a queue for a connection. */
-  final void queued() {
+  final void onQueued() {
     phase = phase.pending();
   }
 
-  final void attached(UpstreamConnection carrier) {
+  final void onAttached(UpstreamConnection carrier) {
     if (phase == AttemptPhase.CONNECTING) {
-      sentAt += ReadHorizon.behind() / NANOS_PER_MILLI; // it had come up before this was heard of
+      sentAt +=
+          ReadLagTracker.lagNanos() / NANOS_PER_MILLI; // it had come up before this was heard of
     }
     phase = phase.attached();
     connecting = null;
@@ -137,22 +138,22 @@
   }
 
   /** Its first byte has gone out, and what its host takes at once. */
-  final void begun() {
-    exchange.begun();
+  final void onWriteStarted() {
+    exchange.onWriteStarted();
   }
 
   /**
    * Whether it has begun to go out, and its last byte has not: that may come much later, as its
    * host takes it.
    */
-  final boolean unfinished() {
-    return phase == AttemptPhase.ATTACHED && !connection.written();
+  final boolean isPartiallyWritten() {
+    return phase == AttemptPhase.ATTACHED && !connection.isFullyWritten();
   }
 
   /** Ends it, unless its last byte has gone out or it is over. */
-  final void withdrawUnfinished() {
-    if (unfinished()) {
-      moot();
+  final void endIfPartiallyWritten() {
+    if (isPartiallyWritten()) {
+      endAsNeverRun();
     }
   }
 
@@ -163,20 +164,20 @@
   /**
    * The answer is to go to the client while it still comes. True once for a request: from then on
    * its answer is this attempt's, and what breaks it off must be shown to the client as a break.
-   * {@link #answerBegun} is owed once it can be.
+   * {@link #onResponseStarted} is owed once it can be.
    */
-  protected final boolean claimAnswer() {
+  protected final boolean claimResponse() {
     answering = exchange.claim();
     return answering;
   }
 
   /** Tells the module; it may end other attempts, and this one, before it returns. */
-  protected final void answerBegun() {
-    exchange.answerBegun(number, dispatcher.now() - sentAt);
+  protected final void onResponseStarted() {
+    exchange.onResponseStarted(number, dispatcher.now() - sentAt);
   }
 
   /** Whether its answer has begun to go to the client. */
-  final boolean answering() {
+  final boolean isResponding() {
     return answering;
   }
 
@@ -184,17 +185,17 @@
    * The last byte of a request that came slowly has gone out: its time with the host counts from
    * here.
    */
-  protected final void sent() {
+  protected final void onLastByteSent() {
     sentAt = dispatcher.now();
   }
 
   /** Whether the last byte may have reached the host: the one place that says so. */
-  protected final boolean mayHaveRun() {
-    return connection != null && connection.written();
+  protected final boolean isFullyWritten() {
+    return connection != null && connection.isFullyWritten();
   }
 
   /** Ends the use of the connection, by closing it unless the answer has been read to its end. */
-  final void abandon() {
+  final void releaseConnection() {
     if (connecting != null) {
       connecting.close();
       connecting = null;
@@ -207,7 +208,7 @@
   // --- its end
 
   /** The last byte has not gone out: there was no connection, or it went away before. */
-  final void notSent() {
+  final void endAsConnectFailed() {
     finish(AttemptOutcome.CONNECT_FAILED);
   }
 
@@ -215,42 +216,42 @@
    * Whether it is still wanted, and may go to its host: asked when its connection is ready, the
    * last moment.
    */
-  final boolean maySend() {
-    return exchange.maySend(this);
+  final boolean canSend() {
+    return exchange.canSend(this);
   }
 
   /** It must not go on, and its last byte has not gone out: it never ran. */
-  final void moot() {
+  final void endAsNeverRun() {
     finish(AttemptOutcome.MOOT);
   }
 
   /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
-  final void timeUp() {
-    if (!mayHaveRun()) {
+  final void onDeadline() {
+    if (!isFullyWritten()) {
       finish(AttemptOutcome.MOOT);
     } else {
-      finish(waitsForClient() ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT);
+      finish(isWaitingForClient() ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT);
     }
   }
 
   final void cancel() {
-    finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
+    finish(isFullyWritten() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
   }
 
   /** The connection broke, or the answer is malformed; the last byte had been written. */
-  protected void broken() {
+  protected void onConnectionBroken() {
     finish(AttemptOutcome.RESET);
   }
 
   /** Ends it with this outcome; harmless if it is over. */
   protected final void finish(AttemptOutcome outcome) {
-    if (phase.over()) {
+    if (phase.isOver()) {
       return;
     }
     phase = phase.ended(outcome);
-    host.calls--;
-    release();
-    dispatcher.upstreams().end(this);
-    exchange.attemptEnded(this, outcome, dispatcher.now() - sentAt, report());
+    host.openAttempts--;
+    releaseResponse();
+    dispatcher.connectionPool().onAttemptEnded(this);
+    exchange.onAttemptEnded(this, outcome, dispatcher.now() - sentAt, loadReport());
   }
 }
--- a/src/main/java/leadferry/engine/AttemptPhase.java
+++ b/src/main/java/leadferry/engine/AttemptPhase.java
@@ -6,7 +6,7 @@
  * How far an attempt has come. The one place for the transitions; an attempt that is over stays so.
  *
  * <pre>
- *   CREATED -> PENDING -> CONNECTING -> ATTACHED -> NEVER_RAN or MAY_HAVE_RAN
+ *   CREATED -> PENDING -> CONNECTING -> ATTACHED -> NEVER_RAN or MAY_HAVE_RUN
  *                (each but the last two may be left out, and each may end it)
  * </pre>
  */
@@ -22,38 +22,38 @@
   /** Over, with an outcome that proves that its host did not run it. */
   NEVER_RAN,
   /** Over, and its host may have run it. */
-  MAY_HAVE_RAN;
+  MAY_HAVE_RUN;
 
-  boolean over() {
-    return this == NEVER_RAN || this == MAY_HAVE_RAN;
+  boolean isOver() {
+    return this == NEVER_RAN || this == MAY_HAVE_RUN;
   }
 
   /** Whether its connection had to come up first, or to become free. */
-  boolean waited() {
+  boolean hasWaited() {
     return this == PENDING || this == CONNECTING;
   }
 
   /** Whether it may have run, or may yet. */
-  boolean mayRun() {
-    return this == ATTACHED || this == MAY_HAVE_RAN;
+  boolean mayHaveRun() {
+    return this == ATTACHED || this == MAY_HAVE_RUN;
   }
 
   AttemptPhase pending() {
-    return over() ? this : PENDING;
+    return isOver() ? this : PENDING;
   }
 
   AttemptPhase connecting() {
-    return over() ? this : CONNECTING;
+    return isOver() ? this : CONNECTING;
   }
 
   AttemptPhase attached() {
-    return over() ? this : ATTACHED;
+    return isOver() ? this : ATTACHED;
   }
 
   AttemptPhase ended(AttemptOutcome outcome) {
-    if (over()) {
+    if (isOver()) {
       return this;
     }
-    return outcome.neverRan() ? NEVER_RAN : MAY_HAVE_RAN;
+    return outcome.neverRan() ? NEVER_RAN : MAY_HAVE_RUN;
   }
 }
--- a/src/main/java/leadferry/engine/Body.java
+++ b/src/main/java/leadferry/engine/Body.java
@@ -57,15 +57,15 @@
   }
 
   /** The request has come whole: its bytes are freed at its deadline at last. */
-  public void completed() {
+  public void onRequestComplete() {
     if (partial) {
       partial = false;
-      budget.completed(size);
+      budget.onRequestComplete(size);
     }
   }
 
   /** The blocks, each retained for one write. */
-  public List<ByteBuf> retained() {
+  public List<ByteBuf> retainedBlocks() {
     List<ByteBuf> duplicates = new ArrayList<>(blocks.size());
     for (ByteBuf block : blocks) {
       duplicates.add(block.retainedDuplicate());
@@ -74,7 +74,7 @@
   }
 
   /** Gives the bytes back; harmless if done before. */
-  public void free() {
+  public void release() {
     for (ByteBuf block : blocks) {
       block.release();
     }
--- a/src/main/java/leadferry/engine/BodyBudget.java
+++ b/src/main/java/leadferry/engine/BodyBudget.java
@@ -29,7 +29,7 @@
   }
 
   /** From now on so many bytes; what is held stays until it is freed. */
-  public void limit(long bytes) {
+  public void setLimit(long bytes) {
     limit = bytes;
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** The request these bytes belong to has come whole: they are freed at its deadline at last. */
-  void completed(long bytes) {
+  void onRequestComplete(long bytes) {
     incomplete -= bytes;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Whether a body of this size must not grow now. */
-  public boolean full(long size) {
+  public boolean isFull(long size) {
     return used >= limitFor(size);
   }
 
@@ -69,27 +69,27 @@
    * Whether there is so much room that a body may grow to this size and be held, though it could
    * stream.
    */
-  public boolean ample(long size) {
+  public boolean hasAmpleRoom(long size) {
     return size <= AMPLE_BYTES && used < AMPLE_PART * limit;
   }
 
   /** Whether waiting would never end: requests that still come hold all that they may. */
-  public boolean stuck() {
+  public boolean isDeadlocked() {
     return incomplete >= limitFor(Long.MAX_VALUE);
   }
 
   /** Runs {@code resume} once when bytes have been freed. */
-  public void await(Runnable resume) {
+  public void awaitRoom(Runnable resume) {
     waiting.add(resume);
   }
 
-  /** Takes back an {@link #await} that has not run; harmless if it has. */
-  public void forget(Runnable resume) {
+  /** Takes back an {@link #awaitRoom} that has not run; harmless if it has. */
+  public void cancelAwait(Runnable resume) {
     waiting.remove(resume);
   }
 
   /** Bytes that are held. */
-  public long used() {
+  public long usedBytes() {
     return used;
   }
 }
--- a/src/main/java/leadferry/engine/ClientCall.java
+++ b/src/main/java/leadferry/engine/ClientCall.java
@@ -2,15 +2,15 @@
 
 /**
  * A client's request as its protocol holds it: its bytes, and where its one final answer goes. The
- * engine calls exactly one of {@link #refused}, {@link #failed} and what the protocol's own attempt
- * does after {@link Exchange#claim} has told it that it may answer.
+ * engine calls exactly one of {@link #sendRejection}, {@link #sendFailure} and what the protocol's
+ * own attempt does after {@link Exchange#claim} has told it that it may answer.
  */
 public interface ClientCall {
   /** The request goes on as this exchange: the first one, or a further one in another pool. */
-  void carriedBy(Exchange exchange);
+  void onExchangeStarted(Exchange exchange);
 
   /** The id by which its client and the servers know it, or null; for the log. */
-  default String id() {
+  default String requestId() {
     return null;
   }
 
@@ -19,12 +19,12 @@
    * sent. A request that streams loses that with the first byte past its replay bound; the engine
    * then gives what the module still asks for back as known not to have run.
    */
-  default boolean replayable() {
+  default boolean isReplayable() {
     return true;
   }
 
   /** Whether bytes of the request are still to come from its client. */
-  default boolean comes() {
+  default boolean isIncomplete() {
     return false;
   }
 
@@ -33,7 +33,7 @@
    * ahead of a send that was waited for, and costs as much as a read; where the socket can't tell
    * without harm it is false.
    */
-  default boolean abandoned() {
+  default boolean hasClientDisconnected() {
     return false;
   }
 
@@ -41,18 +41,18 @@
    * Whether an answer that has begun to go to the client is in time, however long the rest of it
    * takes; otherwise all of it has to come within the request's time.
    */
-  default boolean timedToFirstByte() {
+  default boolean isTimedToFirstByte() {
     return false;
   }
 
   /** An attempt of the exchange at the host, not started yet. */
-  Attempt attempt(Exchange exchange, UpstreamHost host, int number, double now);
+  Attempt createAttempt(Exchange exchange, UpstreamHost host, int number, double now);
 
   /** Final answer "no, and trying again does no harm"; {@code coolDownMs} 0 gives no advice. */
-  void refused(double coolDownMs);
+  void sendRejection(double coolDownMs);
 
   /** Final answer "failed", which promises nothing about the effect. */
-  void failed(boolean timeUp);
+  void sendFailure(boolean timeUp);
 
   /** The request and its attempts are over: its bytes are not needed any more. */
   void free();
--- a/src/main/java/leadferry/engine/ConnectionLimits.java
+++ b/src/main/java/leadferry/engine/ConnectionLimits.java
@@ -27,110 +27,110 @@
  */
 public final class ConnectionLimits {
   /** A worker's part in one host's places; its methods are called from any thread. */
-  interface Member {
+  interface SlotListener {
     /** A place is free: use it, if there is still anything to use it for. */
-    void placeFree();
+    void onSlotFree();
 
     /** Others wait for a place: close a connection that carries nothing, if there is one. */
-    void yieldIdle();
+    void onSlotWanted();
   }
 
   /** The places of one host. */
-  final class Places {
+  final class Slots {
     private final AtomicInteger taken = new AtomicInteger();
-    private final Queue<Member> waiting = new ConcurrentLinkedQueue<>();
-    private final Set<Member> members = ConcurrentHashMap.newKeySet();
+    private final Queue<SlotListener> waiting = new ConcurrentLinkedQueue<>();
+    private final Set<SlotListener> members = ConcurrentHashMap.newKeySet();
 
-    void join(Member member) {
+    void addListener(SlotListener member) {
       members.add(member);
     }
 
-    void leave(Member member) {
+    void removeListener(SlotListener member) {
       members.remove(member);
       waiting.remove(member);
     }
 
     /** Takes a place; false where all are taken. */
-    boolean take() {
+    boolean tryAcquire() {
       int before;
       do {
         before = taken.get();
-        if (before >= most) {
+        if (before >= limit) {
           return false;
         }
       } while (!taken.compareAndSet(before, before + 1));
       return true;
     }
 
-    void give() {
+    void release() {
       taken.decrementAndGet();
-      wake();
+      notifyNextWaiter();
     }
 
     /** Whether more are taken than may be, since the bound was lowered. */
-    boolean over() {
-      return taken.get() > most;
+    boolean isOverLimit() {
+      return taken.get() > limit;
     }
 
     /** Whether a worker waits for a place. */
-    boolean wanted() {
+    boolean hasWaiters() {
       return !waiting.isEmpty();
     }
 
     /** Waits for a place and asks the other workers for one that they don't use. */
-    void await(Member member) {
+    void awaitSlot(SlotListener member) {
       if (!waiting.contains(member)) {
         waiting.add(member);
       }
-      for (Member other : members) {
+      for (SlotListener other : members) {
         if (other != member) {
-          other.yieldIdle();
+          other.onSlotWanted();
         }
       }
-      wake(); // what was given back before this one stood in the queue
+      notifyNextWaiter(); // what was given back before this one stood in the queue
     }
 
     /** Nothing here wants the place that was offered: the next worker may have it. */
-    void pass() {
+    void offerToNext() {
       if (!waiting.isEmpty()) {
-        wake();
+        notifyNextWaiter();
       }
     }
 
-    private void wake() {
-      Member next;
-      if (taken.get() < most && (next = waiting.poll()) != null) {
-        next.placeFree();
+    private void notifyNextWaiter() {
+      SlotListener next;
+      if (taken.get() < limit && (next = waiting.poll()) != null) {
+        next.onSlotFree();
       }
     }
   }
 
-  private final Map<InetSocketAddress, Places> byHost = new ConcurrentHashMap<>();
-  private volatile int most;
+  private final Map<InetSocketAddress, Slots> byHost = new ConcurrentHashMap<>();
+  private volatile int limit;
 
   /** So many connections to each host, at least 1. */
   public ConnectionLimits(int most) {
-    most(most);
+    setLimit(most);
   }
 
   /** Changes the bound; what is past it ends as soon as it carries nothing. */
-  public void most(int connections) {
+  public void setLimit(int connections) {
     if (connections < 1) {
       throw new IllegalArgumentException("connections: " + connections + " (expected: >= 1)");
     }
-    most = connections;
-    byHost.values().forEach(Places::wake);
+    limit = connections;
+    byHost.values().forEach(Slots::notifyNextWaiter);
   }
 
-  Places of(InetSocketAddress host) {
-    return byHost.computeIfAbsent(host, h -> new Places());
+  Slots slotsOf(InetSocketAddress host) {
+    return byHost.computeIfAbsent(host, h -> new Slots());
   }
 
   /**
    * Forgets hosts that are no longer listed and have no connection; guards against a list that
    * churns.
    */
-  public void keep(Collection<InetSocketAddress> listed) {
+  public void retainListed(Collection<InetSocketAddress> listed) {
     byHost
         .entrySet()
         .removeIf(
--- a/src/main/java/leadferry/engine/ConnectionReusePolicy.java
+++ b/src/main/java/leadferry/engine/ConnectionReusePolicy.java
@@ -34,7 +34,7 @@
   }
 
   /** From now on these hold. */
-  void bounds(PoolBounds next) {
+  void updateBounds(PoolBounds next) {
     bounds = next;
   }
 
@@ -43,14 +43,14 @@
    * Housekeeping closes it then, but a request may come first, and the host's own close would be a
    * reset under a request that may have run.
    */
-  long keepNanos(UpstreamHost host, long now) {
-    return Math.min((long) (IDLE_PART * bounds.idleMs() * NANOS_PER_MILLI), host.keepNanos(now));
+  long maxIdleNanos(UpstreamHost host, long now) {
+    return Math.min((long) (IDLE_PART * bounds.idleMs() * NANOS_PER_MILLI), host.maxIdleNanos(now));
   }
 
   /** How long (ns) a connection to the host rests after a response. */
   long restNanos(UpstreamHost host, long now) {
     long configured = (long) (bounds.restMs() * NANOS_PER_MILLI);
-    boolean byHost = host.surplusSeen && now - host.surplusAt < SURPLUS_MEMORY_NANOS;
+    boolean byHost = host.hasSentSurplus && now - host.surplusAtNanos < SURPLUS_MEMORY_NANOS;
     long learnt = Math.max(byHost ? SURPLUS_REST_NANOS : 0, rememberedRestNanos(now));
     return Math.max(configured, learnt);
   }
@@ -61,7 +61,7 @@
    * and nothing in it says whose it is. All connections then rest for twice as long, {@link
    * SocketSlack} at most.
    */
-  void surplusSeen(long afterNanos) {
+  void onSurplusBytes(long afterNanos) {
     long now = System.nanoTime();
     lateSurplusRestNanos =
         Math.max(rememberedRestNanos(now), Math.min(2 * afterNanos, SocketSlack.NANOS));
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -90,12 +90,12 @@
     return loop;
   }
 
-  UpstreamConnectionPool upstreams() {
+  UpstreamConnectionPool connectionPool() {
     return upstreams;
   }
 
   /** The bound over the bodies that the pool's requests hold in memory. */
-  public BodyBudget budget() {
+  public BodyBudget bodyBudget() {
     return budget;
   }
 
@@ -103,27 +103,27 @@
    * Lets this pool share with the other proxies of its tier which hosts are silent; what it has for
    * all of them goes to {@code tell}. To be called before {@link #start}.
    */
-  public void join(long seed, Consumer<byte[]> tell) {
+  public void shareSuspicions(long seed, Consumer<byte[]> tell) {
     suspicions = new SharedSuspicions(this, settings, seed, tell);
   }
 
   /** A message of the proxy of that number, for a pool that has joined. */
-  public void heard(byte[] message, int from) {
+  public void onPeerMessage(byte[] message, int from) {
     suspicions.onMessage(message, from);
   }
 
   /** The load balancer is to leave the host out for so long (ms); 0 takes it back. */
-  void hint(long host, double lengthMillis) {
+  void onPeerHint(long host, double lengthMillis) {
     deliver(null, () -> balancer.onGossip(now(), host, lengthMillis));
   }
 
   /** Hosts on which attempts of this pool are in flight, or wait to be. */
   public Set<String> busyHosts() {
-    return hosts.busy();
+    return hosts.busyNames();
   }
 
   /** Whether the host of that name is listed and may get work. */
-  public boolean sends(String host) {
+  public boolean isSendable(String host) {
     return hosts.isSendable(host);
   }
 
@@ -133,26 +133,26 @@
   }
 
   /** Whether any host may get work. */
-  public boolean anySendable() {
-    return hosts.anySendable();
+  public boolean hasSendableHost() {
+    return hosts.hasSendable();
   }
 
   /** Has attempts and requests counted there. */
-  public void tally(OutcomeCounter counter) {
-    reporter.counter(counter);
+  public void setOutcomeCounter(OutcomeCounter counter) {
+    reporter.setCounter(counter);
   }
 
   /** A request has had its final answer from here. */
-  void ended(Exchange exchange, boolean well) {
-    reporter.requestEnded(exchange, well, now() - exchange.takenAt);
+  void onRequestEnded(Exchange exchange, boolean well) {
+    reporter.onRequestEnded(exchange, well, now() - exchange.startedAt);
   }
 
   /** Lets these bounds over further attempts say no to what the module asks for. */
-  public void bound(BooleanSupplier retries) {
+  public void setRetryGate(BooleanSupplier retries) {
     this.retries = retries;
   }
 
-  boolean retryAllowed() {
+  boolean isRetryAllowed() {
     return retries.getAsBoolean();
   }
 
@@ -166,29 +166,29 @@
   }
 
   /** Requests that are not over, or whose attempts are not. */
-  public int open() {
+  public int openRequests() {
     return exchanges.size();
   }
 
   // --- events
 
   /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-  public void start(UpstreamHosts.News known, Runnable follow) {
+  public void start(UpstreamHosts.ListUpdate known, Runnable follow) {
     this.follow = follow;
     deliver(null, () -> balancer.onStart(now()));
-    membership(EndpointListEvent.CACHED, known);
+    onEndpointList(EndpointListEvent.CACHED, known);
   }
 
   /** A list, or changes to it, that has been checked whole. */
-  public void membership(EndpointListEvent kind, UpstreamHosts.News news) {
+  public void onEndpointList(EndpointListEvent kind, UpstreamHosts.ListUpdate news) {
     UpstreamHosts.Change change = hosts.apply(news, now());
     List<EndpointUpdate> entries = change.entries();
     deliver(null, () -> balancer.onEndpointList(now(), kind, entries));
     if (suspicions != null) {
-      suspicions.onEndpointList(kind, entries, change.cut());
+      suspicions.onEndpointList(kind, entries, change.invalidated());
     }
-    withdrawUnsentTo(change.cut());
-    hosts.forgetGone();
+    withdrawUnsentTo(change.invalidated());
+    hosts.removeGone();
   }
 
   /**
@@ -200,15 +200,15 @@
     List<Attempt> unsent = new ArrayList<>();
     for (UpstreamHost host : cut) {
       ejected.remove(host.name);
-      unsent.addAll(upstreams.cut(host));
+      unsent.addAll(upstreams.invalidate(host));
     }
-    unsent.forEach(Attempt::moot);
+    unsent.forEach(Attempt::endAsNeverRun);
   }
 
   /** Other settings hold from the next event on; what is open goes on by those it came under. */
-  public void settings(Settings next) {
+  public void updateSettings(Settings next) {
     settings = next;
-    reporter.settings(next);
+    reporter.updateSettings(next);
     if (suspicions != null) {
       suspicions.onSettings(next.shortestAimMillis());
     }
@@ -216,12 +216,12 @@
   }
 
   /** The source of lists has said that there is nothing new. */
-  public void upToDate() {
-    hosts.upToDate(now());
+  public void onUpToDate() {
+    hosts.onUpToDate(now());
   }
 
   /** The watch broke or could not be opened. */
-  public void followFailed() {
+  public void onWatchFailed() {
     deliver(
         null,
         () ->
@@ -232,7 +232,7 @@
    * Takes a request that has come whole; its final answer comes within {@code arrival.budget()} ms.
    * The arrival's id is of no account: the pool has numbers of its own.
    */
-  public void take(ClientCall call, RequestArrival arrival, FallbackPools fallback) {
+  public void submit(ClientCall call, RequestArrival arrival, FallbackPools fallback) {
     long id = nextId++;
     Exchange e =
         new Exchange(id, this, call, arrival.className(), now() + arrival.budget(), fallback);
@@ -248,21 +248,21 @@
     deliver(e, () -> balancer.onRequest(now(), numbered));
   }
 
-  void outcome(
+  void onAttemptOutcome(
       Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
     int number = a.number();
     if (suspicions != null && result.answered()) {
       suspicions.onResponse(now(), a.host.id);
     }
-    reporter.attemptEnded(e, a, result, spent);
+    reporter.onAttemptEnded(e, a, result, spent);
     deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
   }
 
-  void firstByte(Exchange e, int number, double spent) {
+  void onFirstByte(Exchange e, int number, double spent) {
     deliver(e, () -> balancer.onFirstByte(now(), e.id, number, spent));
   }
 
-  void clientGone(Exchange e) {
+  void onClientDisconnect(Exchange e) {
     deliver(e, () -> balancer.onClientDisconnect(now(), e.id));
   }
 
@@ -284,26 +284,26 @@
 
   private void handle(Event e) {
     try {
-      balancer.onReadUntil(now() - ReadHorizon.behind() / 1e6);
+      balancer.onReadUntil(now() - ReadLagTracker.lagNanos() / 1e6);
       e.what().run();
     } catch (RuntimeException x) {
       // Guards against one event that ends the process: it costs its own request only.
       log.failure("the module failed on an event", x);
-      if (e.about() != null && !e.about().answered()) {
+      if (e.about() != null && !e.about().isResolved()) {
         e.about().fail();
-        clientGone(e.about());
+        onClientDisconnect(e.about());
       }
     }
   }
 
-  void forget(Exchange e) {
+  void removeExchange(Exchange e) {
     exchanges.remove(e.id);
   }
 
   /** Upkeep, a few times a second. */
   public void sweep() {
     upstreams.sweep(hosts.all());
-    hosts.forgetGone();
+    hosts.removeGone();
   }
 
   /** Ends the connections that carry nothing. */
@@ -331,7 +331,7 @@
   public void reject(long request, double retryAfterMillis) {
     Exchange e = exchanges.get(request);
     if (e != null) {
-      e.refuse(retryAfterMillis);
+      e.reject(retryAfterMillis);
     }
   }
 
@@ -356,7 +356,7 @@
     Runnable event = () -> deliver(exchanges.get(token), () -> balancer.onTimer(now(), token));
     Exchange e = exchanges.get(token);
     if (e != null) {
-      e.later(delay, event);
+      e.schedule(delay, event);
     } else if (token < 0) {
       loop.schedule(event, (long) (delay * 1e6), TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -19,7 +19,7 @@
 
   final long id;
   final String className;
-  final double takenAt;
+  final double startedAt;
   private final Dispatcher dispatcher;
   private final ClientCall call;
   private double deadlineAt;
@@ -42,12 +42,12 @@
     this.id = id;
     this.className = className;
     this.dispatcher = dispatcher;
-    this.takenAt = dispatcher.now();
+    this.startedAt = dispatcher.now();
     this.call = call;
     this.deadlineAt = deadlineAt;
     this.fallback = fallback;
-    call.carriedBy(this);
-    later(deadlineAt - dispatcher.now(), this::timeUp);
+    call.onExchangeStarted(this);
+    schedule(deadlineAt - dispatcher.now(), this::timeUp);
   }
 
   Dispatcher dispatcher() {
@@ -58,20 +58,20 @@
    * The request has come whole, and its time (ms) counts from now on; it must have had more until
    * then.
    */
-  public void timed(double budgetMillis) {
+  public void restartDeadline(double budgetMillis) {
     deadlineAt = dispatcher.now() + budgetMillis;
-    later(budgetMillis, this::timeUp);
+    schedule(budgetMillis, this::timeUp);
   }
 
   /** Runs something so much later (ms) unless the request and its attempts are all over by then. */
-  void later(double delayMillis, Runnable task) {
+  void schedule(double delayMillis, Runnable task) {
     long nanos = Math.max(0, (long) (delayMillis * NANOS_PER_MILLI));
     timers.add(dispatcher.loop().schedule(task, nanos, TimeUnit.NANOSECONDS));
   }
 
   /** Whether the final answer has been given, or nobody waits for one. */
-  public boolean answered() {
-    return state.answered();
+  public boolean isResolved() {
+    return state.isResolved();
   }
 
   /** How long (ms) the client still waits; at least 1. */
@@ -81,21 +81,21 @@
 
   /** The request's id as its client knows it, or null; for the log. */
   String requestId() {
-    return call.id();
+    return call.requestId();
   }
 
   /** The pool that has it, or null. */
-  public String pool() {
+  public String poolName() {
     return dispatcher.name();
   }
 
   /** Attempts so far in this pool, withheld ones included. */
-  public int attempts() {
+  public int attemptCount() {
     return attempts.size();
   }
 
   /** The server of the last of them, or null. */
-  public String server() {
+  public String lastServer() {
     return attempts.size() == 0 ? null : attempts.get(attempts.size() - 1).host.name;
   }
 
@@ -103,23 +103,23 @@
 
   /** Makes a further attempt, and starts it where one may still be made. */
   void send(UpstreamHost host, double apart) {
-    Attempt attempt = call.attempt(this, host, attempts.size(), dispatcher.now());
+    Attempt attempt = call.createAttempt(this, host, attempts.size(), dispatcher.now());
     attempts.add(attempt);
     if (lastMayStart()) {
       attempt.start(apart);
     } else {
-      attempt.withhold();
+      attempt.endUnstarted();
     }
   }
 
   private boolean lastMayStart() {
-    return call.replayable()
+    return call.isReplayable()
         && attempts.size() <= dispatcher.maxAttempts()
-        && (attempts.size() == 1 || dispatcher.retryAllowed());
+        && (attempts.size() == 1 || dispatcher.isRetryAllowed());
   }
 
   void cancel(int number) {
-    if (!state.answered() && call.comes()) {
+    if (!state.isResolved() && call.isIncomplete()) {
       // Guards against a host that is called silent while it waits for the rest of the request
       // itself.
       return;
@@ -128,34 +128,34 @@
   }
 
   /** An attempt has ended with this outcome, {@code spent} ms after it was sent. */
-  void attemptEnded(Attempt attempt, AttemptOutcome outcome, double spent, LoadReport report) {
-    attempts.ended();
+  void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, double spent, LoadReport report) {
+    attempts.onAttemptEnded();
     mayHaveRun |= !outcome.neverRan();
-    if (state.answered() && !outcome.neverRan() && outcome != AttemptOutcome.CANCELLED) {
+    if (state.isResolved() && !outcome.neverRan() && outcome != AttemptOutcome.CANCELLED) {
       // Its response is the one that the client has had, or has had a part of.
       count(outcome == AttemptOutcome.OK);
     }
     // Guards a response that is going to the client against the end of another attempt.
-    boolean over = state.answered() && !attempts.anyAnswering();
-    dispatcher.outcome(this, attempt, outcome, spent, over, report);
+    boolean over = state.isResolved() && !attempts.isAnyResponding();
+    dispatcher.onAttemptOutcome(this, attempt, outcome, spent, over, report);
     forgetIfDone();
   }
 
   /** The answer of this attempt goes to the client while it comes. */
-  void answerBegun(int number, double spent) {
-    dispatcher.firstByte(this, number, spent);
-    attempts.withdrawUnsent();
+  void onResponseStarted(int number, double spent) {
+    dispatcher.onFirstByte(this, number, spent);
+    attempts.endUnsent();
   }
 
   // --- the one final answer
 
-  void refuse(double coolDown) {
-    if (!state.answered() && move()) {
+  void reject(double coolDown) {
+    if (!state.isResolved() && move()) {
       return;
     }
     if (claim()) {
       count(false);
-      call.refused(coolDown);
+      call.sendRejection(coolDown);
       forgetIfDone();
     }
   }
@@ -164,22 +164,22 @@
   public void fail() {
     if (claim()) {
       count(false);
-      call.failed(dispatcher.now() >= deadlineAt);
+      call.sendFailure(dispatcher.now() >= deadlineAt);
       forgetIfDone();
     }
   }
 
   /** Counts how the request ended, unless that is counted, or is nobody's to count. */
   private void count(boolean well) {
-    if (state == ExchangeState.ANSWERED) {
+    if (state == ExchangeState.RESPONDED) {
       state = state.counted();
-      dispatcher.ended(this, well);
+      dispatcher.onRequestEnded(this, well);
     }
   }
 
   /** Whether the caller may give the final answer now; true once. */
   public boolean claim() {
-    boolean first = !state.answered();
+    boolean first = !state.isResolved();
     state = state.claimed();
     return first;
   }
@@ -190,32 +190,32 @@
    * repeats.
    */
   private boolean move() {
-    FallbackPools.Next next = fallback == null ? null : fallback.next(mayHaveRun);
+    FallbackPools.NextPool next = fallback == null ? null : fallback.next(mayHaveRun);
     double left = deadlineAt - dispatcher.now();
     if (next == null || left <= 0) {
       return false;
     }
     state = state.moved();
     forgetIfDone();
-    next.dispatcher().take(call, next.arrival().within(left), next.fallback());
+    next.dispatcher().submit(call, next.arrival().within(left), next.fallback());
     return true;
   }
 
   // --- ends
 
   /** The client has gone before its answer. */
-  public void clientGone() {
-    if (state.answered() && attempts.allEnded()) {
+  public void onClientDisconnect() {
+    if (state.isResolved() && attempts.haveAllEnded()) {
       return;
     }
-    boolean began = state.answered();
-    state = state.clientGone();
-    dispatcher.clientGone(this);
+    boolean began = state.isResolved();
+    state = state.clientDisconnected();
+    dispatcher.onClientDisconnect(this);
     // What is out without a response is the module's to call off, where the deployment lets it. One
     // whose response streams, or whose request has failed on its client's side, has nobody to go
     // to; one whose request never comes whole would wait at its host for the rest.
-    for (int i = 0; (began || call.comes()) && i < attempts.size(); i++) {
-      if (attempts.get(i).open()) {
+    for (int i = 0; (began || call.isIncomplete()) && i < attempts.size(); i++) {
+      if (attempts.get(i).isOpen()) {
         attempts.get(i).cancel();
       }
     }
@@ -228,13 +228,13 @@
    */
   public void abandon() {
     fail();
-    clientGone();
+    onClientDisconnect();
   }
 
   private void timeUp() {
     for (int i = 0; i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
-      if (!attempt.open()) {
+      if (!attempt.isOpen()) {
         continue;
       }
       if (goesOnPastDeadline(attempt)) {
@@ -244,34 +244,34 @@
             .loop()
             .schedule(this::timeUp, Attempt.STREAM_STALL_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        attempt.timeUp();
+        attempt.onDeadline();
       }
     }
-    if (!state.answered()) {
+    if (!state.isResolved()) {
       fail(); // the module holds it still: the client's time is up all the same
-      dispatcher.clientGone(this);
+      dispatcher.onClientDisconnect(this);
     }
   }
 
   private boolean goesOnPastDeadline(Attempt attempt) {
-    return attempt.answering() && call.timedToFirstByte() && attempt.goesOn();
+    return attempt.isResponding() && call.isTimedToFirstByte() && attempt.canOutliveDeadline();
   }
 
   /**
    * Whether bytes of the attempt may go out now. What was true at the decision may not be when its
    * connection is up.
    */
-  boolean maySend(Attempt attempt) {
+  boolean canSend(Attempt attempt) {
     double now = dispatcher.now();
-    if (state.answered() || !attempt.host.sendable || now >= deadlineAt) {
+    if (state.isResolved() || !attempt.host.sendable || now >= deadlineAt) {
       return false;
     }
-    if (attempts.anyBeyondWindowOf(attempt, now)) {
+    if (attempts.isOutsideRepeatWindow(attempt, now)) {
       return false;
     }
     // Guards a client that left in the turn in which the connection came up, and was read after it.
-    if ((attempts.size() > 1 || attempt.waited()) && call.abandoned()) {
-      clientGone();
+    if ((attempts.size() > 1 || attempt.hasWaited()) && call.hasClientDisconnected()) {
+      onClientDisconnect();
       return false;
     }
     return true;
@@ -282,21 +282,21 @@
    * byte, and that one, too, has to be out while the class may be repeated after each other attempt
    * that may run.
    */
-  void begun() {
+  void onWriteStarted() {
     for (int i = 0; attempts.size() > 1 && i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
-      if (attempt.unfinished()) {
-        double left = attempts.lastByteBy(attempt, deadlineAt) - dispatcher.now();
-        later(left, attempt::withdrawUnfinished);
+      if (attempt.isPartiallyWritten()) {
+        double left = attempts.lastByteDeadline(attempt, deadlineAt) - dispatcher.now();
+        schedule(left, attempt::endIfPartiallyWritten);
       }
     }
   }
 
   private void forgetIfDone() {
-    if (state.answered() && !attempts.allEnded()) {
-      attempts.withdrawUnsent();
+    if (state.isResolved() && !attempts.haveAllEnded()) {
+      attempts.endUnsent();
     }
-    if (state.answered() && attempts.allEnded()) {
+    if (state.isResolved() && attempts.haveAllEnded()) {
       for (int i = 0; i < timers.size(); i++) {
         timers.get(i).cancel(false);
       }
@@ -304,7 +304,7 @@
       if (state != ExchangeState.MOVED) {
         call.free();
       }
-      dispatcher.forget(this);
+      dispatcher.removeExchange(this);
     }
   }
 }
--- a/src/main/java/leadferry/engine/ExchangeAttempts.java
+++ b/src/main/java/leadferry/engine/ExchangeAttempts.java
@@ -21,12 +21,12 @@
   }
 
   /** One of them has told its outcome. */
-  void ended() {
+  void onAttemptEnded() {
     open--;
   }
 
   /** Whether each has told its outcome. */
-  boolean allEnded() {
+  boolean haveAllEnded() {
     return open == 0;
   }
 
@@ -40,9 +40,9 @@
   }
 
   /** Whether a response is going to the client. */
-  boolean anyAnswering() {
+  boolean isAnyResponding() {
     for (int i = 0; i < size; i++) {
-      if (attempts[i].open() && attempts[i].answering()) {
+      if (attempts[i].isOpen() && attempts[i].isResponding()) {
         return true;
       }
     }
@@ -54,10 +54,12 @@
    * one to begin at {@code now}. Guards rule 2: the window was judged when the wait began, and what
    * was sent meanwhile was not judged at all.
    */
-  boolean anyBeyondWindowOf(Attempt attempt, double now) {
+  boolean isOutsideRepeatWindow(Attempt attempt, double now) {
     for (int i = 0; i < size; i++) {
       Attempt other = attempts[i];
-      if (other != attempt && other.mayRun() && now - other.wroteAt() >= attempt.apart()) {
+      if (other != attempt
+          && other.mayHaveRun()
+          && now - other.firstByteSentAt() >= attempt.repeatWindowMillis()) {
         return true;
       }
     }
@@ -68,12 +70,12 @@
    * Until when (ms, on the module's clock) the last byte of the attempt has to be out: by {@code
    * deadlineAt}, and within its window from each other attempt that may run.
    */
-  double lastByteBy(Attempt attempt, double deadlineAt) {
+  double lastByteDeadline(Attempt attempt, double deadlineAt) {
     double lastByteBy = deadlineAt;
     for (int i = 0; i < size; i++) {
       Attempt other = attempts[i];
-      if (other != attempt && other.mayRun()) {
-        lastByteBy = Math.min(lastByteBy, other.wroteAt() + attempt.apart());
+      if (other != attempt && other.mayHaveRun()) {
+        lastByteBy = Math.min(lastByteBy, other.firstByteSentAt() + attempt.repeatWindowMillis());
       }
     }
     return lastByteBy;
@@ -84,11 +86,11 @@
    * where the module may not cancel, and so does not: a connection that comes up late would carry
    * it on after its end.
    */
-  void withdrawUnsent() {
+  void endUnsent() {
     for (int i = 0; i < size; i++) {
       Attempt attempt = attempts[i];
-      if (attempt.open() && !attempt.mayHaveRun()) {
-        attempt.moot();
+      if (attempt.isOpen() && !attempt.isFullyWritten()) {
+        attempt.endAsNeverRun();
       }
     }
   }
--- a/src/main/java/leadferry/engine/ExchangeState.java
+++ b/src/main/java/leadferry/engine/ExchangeState.java
@@ -15,32 +15,32 @@
   /** The client waits, and nobody has claimed the final answer. */
   WAITING,
   /** The final answer is given or going out; whether it ended well is not counted yet. */
-  ANSWERED,
+  RESPONDED,
   /** The final answer is given, and whether it ended well is counted. */
   COUNTED,
   /** A further pool has taken the request: that one answers and counts it. */
   MOVED,
   /** The client left before a final answer: there is nothing to answer or to count. */
-  CLIENT_GONE;
+  CLIENT_DISCONNECTED;
 
   /** Whether the final answer has been given, or nobody waits for one here. */
-  boolean answered() {
+  boolean isResolved() {
     return this != WAITING;
   }
 
   ExchangeState claimed() {
-    return this == WAITING ? ANSWERED : this;
+    return this == WAITING ? RESPONDED : this;
   }
 
   ExchangeState counted() {
-    return this == ANSWERED ? COUNTED : this;
+    return this == RESPONDED ? COUNTED : this;
   }
 
   ExchangeState moved() {
     return this == WAITING ? MOVED : this;
   }
 
-  ExchangeState clientGone() {
-    return this == WAITING ? CLIENT_GONE : this;
+  ExchangeState clientDisconnected() {
+    return this == WAITING ? CLIENT_DISCONNECTED : this;
   }
 }
--- a/src/main/java/leadferry/engine/FallbackPools.java
+++ b/src/main/java/leadferry/engine/FallbackPools.java
@@ -6,11 +6,11 @@
 @FunctionalInterface
 public interface FallbackPools {
   /** The next pool, the request as it arrives there, and what may follow it, or null. */
-  record Next(Dispatcher dispatcher, RequestArrival arrival, FallbackPools fallback) {}
+  record NextPool(Dispatcher dispatcher, RequestArrival arrival, FallbackPools fallback) {}
 
   /**
    * The next pool, or null where there is none. {@code mayHaveRun} tells that something sent for
    * the request may have run: only for a class that is safe to repeat may there be one then.
    */
-  Next next(boolean mayHaveRun);
+  NextPool next(boolean mayHaveRun);
 }
--- a/src/main/java/leadferry/engine/HostPlaces.java
+++ b/src/main/java/leadferry/engine/HostConnectionSlots.java
@@ -8,19 +8,19 @@
  * This pool's part in the connections that all workers together may hold to one host at one
  * address. {@link ConnectionLimits} calls it from any thread; what it does runs on the pool's loop.
  */
-final class HostPlaces implements ConnectionLimits.Member {
+final class HostConnectionSlots implements ConnectionLimits.SlotListener {
   private final UpstreamConnectionPool pool;
   private final EventLoop loop;
   private final UpstreamHost host;
   private final InetSocketAddress address;
-  private final ConnectionLimits.Places places;
+  private final ConnectionLimits.Slots places;
   private final AtomicBoolean yieldRequested = new AtomicBoolean();
 
-  private HostPlaces(
+  private HostConnectionSlots(
       UpstreamConnectionPool pool,
       EventLoop loop,
       UpstreamHost host,
-      ConnectionLimits.Places places) {
+      ConnectionLimits.Slots places) {
     this.pool = pool;
     this.loop = loop;
     this.host = host;
@@ -29,47 +29,48 @@
   }
 
   /** The host's places at the address that it has now, joined if need be. */
-  static ConnectionLimits.Places of(
+  static ConnectionLimits.Slots of(
       UpstreamHost host, ConnectionLimits limits, UpstreamConnectionPool pool, EventLoop loop) {
-    if (host.member == null || !host.member.address.equals(host.address)) {
-      leave(host);
-      host.member = new HostPlaces(pool, loop, host, limits.of(host.address));
-      host.member.places.join(host.member);
+    if (host.connectionSlots == null || !host.connectionSlots.address.equals(host.address)) {
+      removeFrom(host);
+      host.connectionSlots =
+          new HostConnectionSlots(pool, loop, host, limits.slotsOf(host.address));
+      host.connectionSlots.places.addListener(host.connectionSlots);
     }
-    return host.member.places;
+    return host.connectionSlots.places;
   }
 
   /** Takes the host out of the places that workers share, where it has a part in them. */
-  static void leave(UpstreamHost host) {
-    if (host.member != null) {
-      host.member.places.leave(host.member);
-      host.member = null;
+  static void removeFrom(UpstreamHost host) {
+    if (host.connectionSlots != null) {
+      host.connectionSlots.places.removeListener(host.connectionSlots);
+      host.connectionSlots = null;
     }
   }
 
-  ConnectionLimits.Places places() {
+  ConnectionLimits.Slots slots() {
     return places;
   }
 
   @Override
-  public void placeFree() {
+  public void onSlotFree() {
     loop.execute(
         () -> {
-          if (host.member == this) {
+          if (host.connectionSlots == this) {
             pool.dispatchPending(host);
           } else {
-            places.pass();
+            places.offerToNext();
           }
         });
   }
 
   @Override
-  public void yieldIdle() {
+  public void onSlotWanted() {
     if (yieldRequested.compareAndSet(false, true)) {
       loop.execute(
           () -> {
             yieldRequested.set(false);
-            pool.yieldIdle(host, places);
+            pool.closeIdleForWaiter(host, places);
           });
     }
   }
--- a/src/main/java/leadferry/engine/IdleConnections.java
+++ b/src/main/java/leadferry/engine/IdleConnections.java
@@ -31,25 +31,27 @@
   /** Makes those reusable that have rested for {@code restNanos} at {@code now} (ns). */
   void endRests(long now, long restNanos) {
     UpstreamConnection first;
-    while ((first = resting.peekFirst()) != null && now - first.since() >= restNanos) {
+    while ((first = resting.peekFirst()) != null && now - first.idleSinceNanos() >= restNanos) {
       reusable.addLast(resting.pollFirst());
     }
   }
 
-  boolean anyResting() {
+  boolean hasResting() {
     return !resting.isEmpty();
   }
 
   /** Takes the one that was used last, or null if there is none or it is too old to be used. */
   UpstreamConnection pollNewest(long now, long keepNanos) {
     UpstreamConnection newest = reusable.peekLast();
-    return newest != null && now - newest.since() < keepNanos ? reusable.pollLast() : null;
+    return newest != null && now - newest.idleSinceNanos() < keepNanos ? reusable.pollLast() : null;
   }
 
   /** Takes one that has been unused for longer than {@code keepNanos}, or null if there is none. */
   UpstreamConnection pollExpired(long now, long keepNanos) {
     UpstreamConnection oldest = reusable.peekFirst();
-    return oldest != null && now - oldest.since() > keepNanos ? reusable.pollFirst() : null;
+    return oldest != null && now - oldest.idleSinceNanos() > keepNanos
+        ? reusable.pollFirst()
+        : null;
   }
 
   /** All of them, the reusable ones first; a copy, as closing one takes it out of here. */
--- a/src/main/java/leadferry/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public boolean details() {
+  public boolean isDetailEnabled() {
     return details;
   }
 
--- a/src/main/java/leadferry/engine/Log.java
+++ b/src/main/java/leadferry/engine/Log.java
@@ -20,7 +20,7 @@
   void detail(String what, Object... fields);
 
   /** Whether {@link #detail} is of any use, so that fields need not be gathered in vain. */
-  default boolean details() {
+  default boolean isDetailEnabled() {
     return true;
   }
 
@@ -28,7 +28,7 @@
   void failure(String what, Throwable cause);
 
   /** The same log, with a field more in all that comes through this one. */
-  default Log with(String field, String value) {
+  default Log withField(String field, String value) {
     return new LogWithField(this, field, value);
   }
 }
--- a/src/main/java/leadferry/engine/LogWithField.java
+++ b/src/main/java/leadferry/engine/LogWithField.java
@@ -21,8 +21,8 @@
   }
 
   @Override
-  public boolean details() {
-    return log.details();
+  public boolean isDetailEnabled() {
+    return log.isDetailEnabled();
   }
 
   @Override
--- a/src/main/java/leadferry/engine/NativeTransport.java
+++ b/src/main/java/leadferry/engine/NativeTransport.java
@@ -20,37 +20,37 @@
 public enum NativeTransport implements Transport {
   EPOLL {
     @Override
-    public IoHandlerFactory loops() {
-      return ReadHorizon.in(EpollIoHandler.newFactory());
+    public IoHandlerFactory ioHandlerFactory() {
+      return ReadLagTracker.wrap(EpollIoHandler.newFactory());
     }
 
     @Override
-    public Class<? extends ServerChannel> listener() {
+    public Class<? extends ServerChannel> listenerType() {
       return EpollServerSocketChannel.class;
     }
 
     @Override
-    public Class<? extends Channel> connection() {
+    public Class<? extends Channel> connectionType() {
       return EpollSocketChannel.class;
     }
   },
   /**
-   * A read is always out on each socket, so {@link #quiet} sees that a connection has ended, not
+   * A read is always out on each socket, so {@link #isQuiet} sees that a connection has ended, not
    * the bytes that the kernel has already taken for that read.
    */
   IO_URING {
     @Override
-    public IoHandlerFactory loops() {
+    public IoHandlerFactory ioHandlerFactory() {
       return IoUringIoHandler.newFactory();
     }
 
     @Override
-    public Class<? extends ServerChannel> listener() {
+    public Class<? extends ServerChannel> listenerType() {
       return IoUringServerSocketChannel.class;
     }
 
     @Override
-    public Class<? extends Channel> connection() {
+    public Class<? extends Channel> connectionType() {
       return IoUringSocketChannel.class;
     }
   };
@@ -67,26 +67,26 @@
       ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(1));
 
   /** Why this one can't be had here, or null if it can. */
-  public Throwable missing() {
+  public Throwable unavailabilityCause() {
     return this == EPOLL ? Epoll.unavailabilityCause() : IoUring.unavailabilityCause();
   }
 
   @Override
-  public End end(Channel client) {
+  public ClientEnd checkClientEnd(Channel client) {
     if (!(client instanceof EpollSocketChannel socket) || !socket.isOpen()) {
-      return End.NONE;
+      return ClientEnd.NONE;
     }
     int state = socket.tcpInfo().state();
-    return state == CLOSE_WAIT || state == CLOSED ? End.ENDED : End.NONE;
+    return state == CLOSE_WAIT || state == CLOSED ? ClientEnd.ENDED : ClientEnd.NONE;
   }
 
   @Override
-  public boolean looksOnly() {
+  public boolean canCheckWithoutLoss() {
     return true;
   }
 
   @Override
-  public boolean quiet(Channel connection) {
+  public boolean isQuiet(Channel connection) {
     FileDescriptor descriptor = ((UnixChannel) connection).fd();
     ByteBuffer one = ONE.get();
     try {
--- a/src/main/java/leadferry/engine/NioTransport.java
+++ b/src/main/java/leadferry/engine/NioTransport.java
@@ -30,20 +30,20 @@
       super(listener, accepted);
     }
 
-    private End end() {
+    private ClientEnd end() {
       try {
         one.clear();
         int count = readNow(one);
         if (count < 0) {
-          return End.ENDED;
+          return ClientEnd.ENDED;
         }
-        return count == 0 ? End.NONE : End.LOST_BYTE;
+        return count == 0 ? ClientEnd.NONE : ClientEnd.LOST_BYTE;
       } catch (IOException e) {
-        return End.ENDED;
+        return ClientEnd.ENDED;
       }
     }
 
-    private End endBehind() {
+    private ClientEnd endBehind() {
       ByteBuffer some = ByteBuffer.allocate(BEHIND_CHUNK);
       try {
         int count = 0;
@@ -52,9 +52,9 @@
             seen += count) {
           // thrown away
         }
-        return count < 0 ? End.ENDED : End.NONE;
+        return count < 0 ? ClientEnd.ENDED : ClientEnd.NONE;
       } catch (IOException e) {
-        return End.ENDED;
+        return ClientEnd.ENDED;
       }
     }
 
@@ -62,7 +62,7 @@
      * Guards against a write to a pooled connection that the host has closed, whose end waits in
      * the kernel for the loop's next turn: the request would count as one that may have run.
      */
-    boolean quiet() {
+    boolean isQuiet() {
       try {
         one.clear();
         return readNow(one) == 0;
@@ -73,32 +73,32 @@
   }
 
   @Override
-  public IoHandlerFactory loops() {
-    return ReadHorizon.in(NioIoHandler.newFactory());
+  public IoHandlerFactory ioHandlerFactory() {
+    return ReadLagTracker.wrap(NioIoHandler.newFactory());
   }
 
   @Override
-  public Class<? extends ServerChannel> listener() {
+  public Class<? extends ServerChannel> listenerType() {
     return RetryingServerSocketChannel.class;
   }
 
   @Override
-  public Class<? extends Channel> connection() {
+  public Class<? extends Channel> connectionType() {
     return Connection.class;
   }
 
   @Override
-  public End end(Channel client) {
-    return client instanceof Connection connection ? connection.end() : End.NONE;
+  public ClientEnd checkClientEnd(Channel client) {
+    return client instanceof Connection connection ? connection.end() : ClientEnd.NONE;
   }
 
   @Override
-  public End endBehind(Channel client) {
-    return client instanceof Connection connection ? connection.endBehind() : End.NONE;
+  public ClientEnd checkClientEndDiscarding(Channel client) {
+    return client instanceof Connection connection ? connection.endBehind() : ClientEnd.NONE;
   }
 
   @Override
-  public boolean quiet(Channel connection) {
-    return ((Connection) connection).quiet();
+  public boolean isQuiet(Channel connection) {
+    return ((Connection) connection).isQuiet();
   }
 }
--- a/src/main/java/leadferry/engine/OutcomeCounter.java
+++ b/src/main/java/leadferry/engine/OutcomeCounter.java
@@ -7,8 +7,8 @@
  */
 public interface OutcomeCounter {
   /** An attempt has ended at that server. */
-  void attempt(String server, String className, boolean bad);
+  void countAttempt(String server, String className, boolean bad);
 
   /** A request has had its final answer. */
-  void request(String className, boolean bad);
+  void countRequest(String className, boolean bad);
 }
--- a/src/main/java/leadferry/engine/OutcomeReporter.java
+++ b/src/main/java/leadferry/engine/OutcomeReporter.java
@@ -32,33 +32,33 @@
     this.settings = settings;
   }
 
-  void counter(OutcomeCounter next) {
+  void setCounter(OutcomeCounter next) {
     counter = next;
   }
 
   /** The latency objectives of these hold from now on. */
-  void settings(Settings next) {
+  void updateSettings(Settings next) {
     settings = next;
   }
 
   /** An attempt has ended, {@code spentMillis} after it was sent. */
-  void attemptEnded(
+  void onAttemptEnded(
       Exchange exchange, Attempt attempt, AttemptOutcome outcome, double spentMillis) {
     if (counter != null && isCounted(outcome)) {
       boolean bad =
           outcome != AttemptOutcome.OK || spentMillis > objectiveMillis(exchange.className);
-      counter.attempt(attempt.host.name, exchange.className, bad);
+      counter.countAttempt(attempt.host.name, exchange.className, bad);
     }
-    if (FAILURES.contains(outcome) && log.details()) {
+    if (FAILURES.contains(outcome) && log.isDetailEnabled()) {
       logFailure(exchange, attempt, outcome, spentMillis);
     }
   }
 
   /** A request has had its final answer, {@code spentMillis} after it was taken. */
-  void requestEnded(Exchange exchange, boolean well, double spentMillis) {
+  void onRequestEnded(Exchange exchange, boolean well, double spentMillis) {
     if (counter != null) {
       boolean bad = !well || spentMillis > objectiveMillis(exchange.className);
-      counter.request(exchange.className, bad);
+      counter.countRequest(exchange.className, bad);
     }
   }
 
--- a/src/main/java/leadferry/engine/PoolBounds.java
+++ b/src/main/java/leadferry/engine/PoolBounds.java
@@ -10,7 +10,7 @@
  *     guards against bytes right behind an answer that come in a packet of their own. Where it is
  *     less than 5, a host that was seen to send such bytes rests for 5 in the ten minutes after
  * @param maxPending attempts that wait for a connection to one host at most; one more did not run
- * @param maxRequests requests that a connection carries at most before it is closed
+ * @param maxRequestsPerConnection requests that a connection carries at most before it is closed
  * @param limits connections to each host, shared with the other loops, or null for no bound
  */
 public record PoolBounds(
@@ -18,7 +18,7 @@
     double connectMs,
     double restMs,
     int maxPending,
-    int maxRequests,
+    int maxRequestsPerConnection,
     ConnectionLimits limits) {
   /** Those of a pool whose connections nothing bounds but the process's sockets. */
   public static PoolBounds unbounded(double idleMs, double connectMs) {
--- a/src/main/java/leadferry/engine/ReadHorizon.java
+++ b/src/main/java/leadferry/engine/ReadLagTracker.java
@@ -25,7 +25,7 @@
  * the middle and ends before that time, the stop is taken for the peers'. Cost: two readings of the
  * clock a turn.
  */
-public final class ReadHorizon implements IoHandler, IoHandlerContext {
+public final class ReadLagTracker implements IoHandler, IoHandlerContext {
   /**
    * A poll that returned as fast as this (ns), or in less than half of the time of the work before
    * it, is taken to have found what came meanwhile: cold code and a lost core make it look as if it
@@ -36,7 +36,7 @@
   /** A poll that returned so much later (ns) than it was asked to was kept from its core. */
   private static final long LATE_NANOS = 2_000_000;
 
-  private static final FastThreadLocal<ReadHorizon> HERE = new FastThreadLocal<>();
+  private static final FastThreadLocal<ReadLagTracker> HERE = new FastThreadLocal<>();
 
   private final IoHandler handler;
   private IoHandlerContext turn;
@@ -47,16 +47,16 @@
   private long polled = System.nanoTime();
   private long until = polled;
 
-  private ReadHorizon(IoHandler handler) {
+  private ReadLagTracker(IoHandler handler) {
     this.handler = handler;
   }
 
   /** The same loops, which can be asked. */
-  static IoHandlerFactory in(IoHandlerFactory loops) {
+  static IoHandlerFactory wrap(IoHandlerFactory loops) {
     return new IoHandlerFactory() {
       @Override
       public IoHandler newHandler(ThreadAwareExecutor loop) {
-        return new ReadHorizon(loops.newHandler(loop));
+        return new ReadLagTracker(loops.newHandler(loop));
       }
 
       @Override
@@ -67,14 +67,14 @@
   }
 
   /** How long (ns) ago the present loop had read all that had come; 0 off a loop. */
-  public static long behind() {
-    ReadHorizon horizon = HERE.get();
+  public static long lagNanos() {
+    ReadLagTracker horizon = HERE.get();
     return horizon == null ? 0 : Math.max(0, System.nanoTime() - horizon.until);
   }
 
   /** How many turns the present loop has begun, its polls included; 0 off a loop. */
-  public static long turns() {
-    ReadHorizon horizon = HERE.get();
+  public static long loopIterations() {
+    ReadLagTracker horizon = HERE.get();
     return horizon == null ? 0 : horizon.turns;
   }
 
--- a/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
@@ -9,7 +9,7 @@
 
 /**
  * A listening socket of the JDK's on which a failed accept(2) costs one connection at most, by
- * {@link AcceptRetryPolicy}. A failure that lasts is thrown, for {@link AcceptBackoff}.
+ * {@link AcceptRetryPolicy}. A failure that lasts is thrown, for {@link AcceptBackoffHandler}.
  */
 public class RetryingServerSocketChannel extends NioServerSocketChannel {
   /**
@@ -20,7 +20,7 @@
    */
   protected SocketChannel acceptNext() throws IOException {
     IOException failure = null;
-    for (int failures = 0; AcceptRetryPolicy.retriesAtOnce(failures); failures++) {
+    for (int failures = 0; AcceptRetryPolicy.shouldRetryImmediately(failures); failures++) {
       try {
         return javaChannel().accept();
       } catch (ClosedChannelException closed) {
@@ -33,7 +33,7 @@
   }
 
   /** The channel of a connection that was accepted. */
-  protected Channel connection(SocketChannel accepted) {
+  protected Channel createChannel(SocketChannel accepted) {
     return new RetryingSocketChannel(this, accepted);
   }
 
@@ -44,7 +44,7 @@
       return 0;
     }
     try {
-      accepted.add(connection(next));
+      accepted.add(createChannel(next));
       return 1;
     } catch (RuntimeException e) {
       next.close();
--- a/src/main/java/leadferry/engine/ServerStartClock.java
+++ b/src/main/java/leadferry/engine/ServerStartClock.java
@@ -26,7 +26,7 @@
    * What discovery has to tell counts as told so long (ms) later at the latest, by the protocol
    * page.
    */
-  static final double LATEST_NOTICE_MS = 6_000;
+  static final double MAX_NOTICE_DELAY_MS = 6_000;
 
   private final DoubleSupplier unixMs;
   private double leastOffset = Double.POSITIVE_INFINITY;
@@ -47,17 +47,17 @@
   }
 
   /** Discovery has told all that it has, at {@code now} (ms, monotonic). */
-  void upToDate(double now) {
+  void onUpToDate(double now) {
     upToDateAt = now;
   }
 
   /**
    * When (ms, monotonic, at least 0) a server started of which this is first notified {@code now}.
    */
-  double started(double startedUnixMs, double now) {
+  double startedAt(double startedUnixMs, double now) {
     look(now);
     double least = startedUnixMs - now;
-    double most = least + (now - upToDateAt) + LATEST_NOTICE_MS;
+    double most = least + (now - upToDateAt) + MAX_NOTICE_DELAY_MS;
     if (least > upperBound || most < lowerBound) {
       // The discovery's own clock was stepped: what it told before bounds nothing any more.
       lowerBound = Double.NEGATIVE_INFINITY;
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -79,13 +79,13 @@
     if (!again) {
       dispatcher.log("host " + host + " silent to several proxies");
     }
-    dispatcher.hint(host, lengthMillis);
+    dispatcher.onPeerHint(host, lengthMillis);
   }
 
   @Override
   public void readmit(long host) {
     dispatcher.log("host " + host + " answers another proxy");
-    dispatcher.hint(host, 0);
+    dispatcher.onPeerHint(host, 0);
   }
 
   @Override
--- a/src/main/java/leadferry/engine/Sockets.java
+++ b/src/main/java/leadferry/engine/SocketBudget.java
@@ -15,9 +15,9 @@
  *   0                                 half                                       all of them
  * </pre>
  */
-public final class Sockets {
+public final class SocketBudget {
   /** A connection that carries nothing and may be closed to make room. */
-  interface Idle {
+  interface IdleConnection {
     void closeIdle();
   }
 
@@ -34,25 +34,25 @@
   private BooleanSupplier yields = () -> false;
   private int otherClients;
   private int otherUpstreams;
-  private final Set<Idle> idleUpstreams = new LinkedHashSet<>();
+  private final Set<IdleConnection> idleUpstreams = new LinkedHashSet<>();
   private int clients;
   private int upstreams;
 
   /** A bound for a process that may open so many descriptors, at first all for itself. */
-  public Sockets(int descriptors) {
+  public SocketBudget(int descriptors) {
     this.descriptors = descriptors;
-    alone();
+    useAllDescriptors();
   }
 
   /** All descriptors are this process's. */
-  public void alone() {
+  public void useAllDescriptors() {
     limit = Math.max(LEAST, (descriptors - RESERVED) / 2);
     otherClients = 0;
     otherUpstreams = 0;
   }
 
   /** Another process goes by the same bound, and holds so many. What is open here stays. */
-  public void shared(int clientsThere, int upstreamsThere) {
+  public void shareDescriptors(int clientsThere, int upstreamsThere) {
     limit = Math.max(LEAST, (descriptors - 2 * RESERVED) / 2);
     otherClients = clientsThere;
     otherUpstreams = upstreamsThere;
@@ -61,7 +61,7 @@
   /**
    * Who closes the client that makes room most readily, where there is one; false if there is none.
    */
-  public void onWanted(BooleanSupplier closesClient) {
+  public void setClientCloser(BooleanSupplier closesClient) {
     yields = closesClient;
   }
 
@@ -72,31 +72,31 @@
   }
 
   /** Connections of clients that are open. */
-  public int clients() {
+  public int clientCount() {
     return clients;
   }
 
   /** Connections to hosts that are open, or being opened. */
-  public int upstreams() {
+  public int upstreamCount() {
     return upstreams;
   }
 
   /** Whether one more client may be accepted. */
-  public boolean roomForClient() {
+  public boolean hasRoomForClient() {
     return clients < Math.max(LEAST, clientLimit() - otherClients);
   }
 
   /** Whether so little is left for clients that those who have their answer should not stay. */
-  public boolean crowded() {
+  public boolean isNearClientLimit() {
     int most = clientLimit();
     return clients + otherClients >= most - Math.max(2, most / 16);
   }
 
   /** Whether one more connection to a host may be opened once something idle was closed. */
-  public boolean roomForUpstream() {
+  public boolean makeRoomForUpstream() {
     int most = Math.max(LEAST, limit - otherUpstreams);
     while (upstreams >= most && !idleUpstreams.isEmpty()) {
-      Idle oldest = idleUpstreams.iterator().next();
+      IdleConnection oldest = idleUpstreams.iterator().next();
       idleUpstreams.remove(oldest);
       oldest.closeIdle();
     }
@@ -114,29 +114,29 @@
   }
 
   /** Whether one more request may be carried, beside so many: each needs a connection to a host. */
-  public boolean roomForRequest(int carried) {
+  public boolean hasRoomForRequest(int carried) {
     return carried < limit;
   }
 
   /** A client's connection has been accepted. */
-  public void clientOpened() {
+  public void onClientOpened() {
     clients++;
   }
 
   /** A client's connection has closed. */
-  public void clientClosed() {
+  public void onClientClosed() {
     clients--;
   }
 
-  void upstreamOpened() {
+  void onUpstreamOpened() {
     upstreams++;
   }
 
-  void upstreamClosed() {
+  void onUpstreamClosed() {
     upstreams--;
   }
 
-  void upstreamIdle(Idle connection, boolean idle) {
+  void setUpstreamIdle(IdleConnection connection, boolean idle) {
     if (idle) {
       idleUpstreams.add(connection);
     } else {
--- a/src/main/java/leadferry/engine/Transport.java
+++ b/src/main/java/leadferry/engine/Transport.java
@@ -7,37 +7,37 @@
 /** The kind of sockets that a process uses: how its loops wait, and what they open. */
 public interface Transport {
   /** Makes what an event loop waits with. */
-  IoHandlerFactory loops();
+  IoHandlerFactory ioHandlerFactory();
 
   /** What listens for clients. */
-  Class<? extends ServerChannel> listener();
+  Class<? extends ServerChannel> listenerType();
 
   /** What connects to hosts. */
-  Class<? extends Channel> connection();
+  Class<? extends Channel> connectionType();
 
   /**
    * Whether a client has ended its side of a connection, though that has not been read yet; asks
    * the socket itself, on its loop. Only after a request has come whole: where the socket can't
    * tell otherwise, a byte that came behind the request is lost, and the answer is {@link
-   * End#LOST_BYTE}.
+   * ClientEnd#LOST_BYTE}.
    */
-  End end(Channel client);
+  ClientEnd checkClientEnd(Channel client);
 
   /**
    * The same where what still comes is of no account: it is thrown away, in bounds, to see whether
    * its end stands behind it.
    */
-  default End endBehind(Channel client) {
-    return end(client);
+  default ClientEnd checkClientEndDiscarding(Channel client) {
+    return checkClientEnd(client);
   }
 
-  /** Whether {@link #end} never loses a byte, so that it may be asked at any time. */
-  default boolean looksOnly() {
+  /** Whether {@link #checkClientEnd} never loses a byte, so that it may be asked at any time. */
+  default boolean canCheckWithoutLoss() {
     return false;
   }
 
   /** What a look at a client's socket tells. */
-  enum End {
+  enum ClientEnd {
     /** Nothing has come, or it can't be told. */
     NONE,
     /** The client has gone, or at least sends no more. */
@@ -51,5 +51,5 @@
    * itself and may be asked on the channel's loop only. What it reads to find out is lost, so false
    * means that the connection is of no further use.
    */
-  boolean quiet(Channel connection);
+  boolean isQuiet(Channel connection);
 }
--- a/src/main/java/leadferry/engine/UpstreamConnection.java
+++ b/src/main/java/leadferry/engine/UpstreamConnection.java
@@ -10,7 +10,7 @@
  * What comes in on it is read by its protocol's sub-class.
  */
 public abstract class UpstreamConnection extends ChannelInboundHandlerAdapter
-    implements Sockets.Idle {
+    implements SocketBudget.IdleConnection {
   /** An end so soon (ns) after a request was written tells that the connection was dead before. */
   private static final long AT_ONCE_NANOS = 25_000_000L;
 
@@ -34,7 +34,7 @@
     this.pool = pool;
     this.host = host;
     this.address = host.address;
-    this.started = host.started;
+    this.started = host.startedAt;
     this.channel = channel;
   }
 
@@ -49,26 +49,26 @@
   }
 
   /** Whether the last byte of the present attempt has been given to the kernel. */
-  protected final boolean written() {
+  protected final boolean isFullyWritten() {
     return written;
   }
 
   /** Whether nothing has come or ended here since it went idle; asks the socket itself. */
-  final boolean alive() {
-    return channel.isActive() && pool.quiet(channel);
+  final boolean isAlive() {
+    return channel.isActive() && pool.isQuiet(channel);
   }
 
   /** Nanoseconds at which it went idle or its unwanted rest began. */
-  final long since() {
+  final long idleSinceNanos() {
     return since;
   }
 
-  final boolean reusable() {
-    return host.sendable && address.equals(host.address) && started == host.started;
+  final boolean isReusable() {
+    return host.sendable && address.equals(host.address) && started == host.startedAt;
   }
 
   /** Attempts that it has been given so far. */
-  final int carried() {
+  final int attemptCount() {
     return carried;
   }
 
@@ -77,27 +77,27 @@
    * such bytes are: what stands behind a fault, in the same read, or is made up when the connection
    * ends in an answer, tells nothing.
    */
-  protected final void surplus() {
+  protected final void onSurplusBytes() {
     if (!channel.isOpen()) {
       return;
     }
-    host.surplus();
+    host.onSurplusBytes();
     if (unused) {
-      pool.surplus(System.nanoTime() - ReadHorizon.behind() - since);
+      pool.onSurplusBytes(System.nanoTime() - ReadLagTracker.lagNanos() - since);
     }
     channel.close();
   }
 
   /** Writes the attempt; the last moment at which it can be held back has passed. */
-  final void run(Attempt next) {
+  final void send(Attempt next) {
     writtenAt = System.nanoTime();
     idleFor = since == 0 ? 0 : writtenAt - since;
     attempt = next;
     unused = false;
     carried++;
     written = false;
-    begin();
-    next.attached(this);
+    prepareForAttempt();
+    next.onAttached(this);
     next.write(channel)
         .addListener(
             f -> {
@@ -105,27 +105,27 @@
                 if (f.isSuccess()) {
                   written = true;
                 } else {
-                  lost();
+                  onConnectionLost();
                 }
               }
             });
-    next.begun();
+    next.onWriteStarted();
   }
 
   /** An attempt is about to be written: what was read for the one before is of no account. */
-  protected abstract void begin();
+  protected abstract void prepareForAttempt();
 
   /** Whether anything of an answer to the present attempt has come. */
-  protected abstract boolean heard();
+  protected abstract boolean hasResponseBytes();
 
   /** The answer has been read to its end; {@code keep} tells that nothing speaks against reuse. */
-  protected final void finished(boolean keep) {
+  protected final void onResponseComplete(boolean keep) {
     attempt = null;
     channel.config().setAutoRead(true);
-    if (keep && channel.isActive() && reusable() && carried < pool.maxRequests()) {
+    if (keep && channel.isActive() && isReusable() && carried < pool.maxRequestsPerConnection()) {
       since = System.nanoTime();
       unused = true;
-      pool.idle(host, this);
+      pool.onConnectionIdle(host, this);
     } else {
       channel.close();
     }
@@ -136,7 +136,7 @@
     attempt = null;
     since = System.nanoTime();
     if (readOn) {
-      pool.discarding(this);
+      pool.onDiscardStarted(this);
     } else {
       channel.close();
     }
@@ -151,33 +151,33 @@
   }
 
   /** Ends the connection, and with it the attempt that it carries. */
-  protected final void lost() {
+  protected final void onConnectionLost() {
     Attempt ended = attempt;
     boolean sent = written;
     attempt = null;
     channel.close();
     if (ended != null) {
       long now = System.nanoTime();
-      if (idleFor > 0 && !heard() && now - writtenAt < AT_ONCE_NANOS) {
-        host.deadAfter(idleFor, now);
+      if (idleFor > 0 && !hasResponseBytes() && now - writtenAt < AT_ONCE_NANOS) {
+        host.onIdleConnectionDead(idleFor, now);
       }
       if (sent) {
-        ended.broken();
+        ended.onConnectionBroken();
       } else {
-        ended.notSent();
+        ended.endAsConnectFailed();
       }
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    lost();
-    pool.closed(host, this);
+    onConnectionLost();
+    pool.onConnectionClosed(host, this);
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    lost();
+    onConnectionLost();
   }
 
   @Override
--- a/src/main/java/leadferry/engine/UpstreamConnectionPool.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -23,11 +23,12 @@
  */
 public final class UpstreamConnectionPool {
   /** Small reads bound what one connection holds in memory. */
-  public static final AdaptiveRecvByteBufAllocator READS =
+  public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
       new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
   /** Low marks (bytes) bound what one connection holds unwritten. */
-  public static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
+  public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
+      new WriteBufferWaterMark(16_384, 32_768);
 
   /** How long (ns) the rest of an unwanted response is waited for. */
   private static final long DISCARD_NANOS = 500_000_000L;
@@ -37,7 +38,7 @@
 
   private final EventLoop loop;
   private final Transport transport;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final UpstreamConnector connector;
   private final ConnectionReusePolicy reusePolicy;
   private final Set<UpstreamConnection> discarding = new HashSet<>();
@@ -47,32 +48,32 @@
   public UpstreamConnectionPool(
       EventLoop loop,
       Transport transport,
-      Protocol protocol,
+      UpstreamProtocol protocol,
       PoolBounds bounds,
-      Sockets sockets,
+      SocketBudget sockets,
       Log log) {
     this.loop = loop;
     this.transport = transport;
     this.sockets = sockets;
     this.connector =
-        new UpstreamConnector(this, loop, transport.connection(), protocol, sockets, log);
+        new UpstreamConnector(this, loop, transport.connectionType(), protocol, sockets, log);
     this.reusePolicy = new ConnectionReusePolicy(bounds);
-    bounds(bounds);
+    updateBounds(bounds);
   }
 
   /** From now on these hold; {@code limits} must be the same as before. */
-  public void bounds(PoolBounds next) {
+  public void updateBounds(PoolBounds next) {
     bounds = next;
-    reusePolicy.bounds(next);
-    connector.connectTimeout(next.connectMs());
+    reusePolicy.updateBounds(next);
+    connector.setConnectTimeout(next.connectMs());
   }
 
-  int maxRequests() {
-    return bounds.maxRequests();
+  int maxRequestsPerConnection() {
+    return bounds.maxRequestsPerConnection();
   }
 
-  boolean quiet(Channel connection) {
-    return transport.quiet(connection);
+  boolean isQuiet(Channel connection) {
+    return transport.isQuiet(connection);
   }
 
   // --- attempts
@@ -83,24 +84,24 @@
     if (!endUnlessSendable(attempt)) {
       return;
     }
-    if (host.pending.isEmpty()) {
+    if (host.pendingAttempts.isEmpty()) {
       UpstreamConnection unused = pollReusable(host);
       if (unused != null) {
-        unused.run(attempt);
+        unused.send(attempt);
         return;
       }
-      if (bounds.limits() == null || places(host).take()) {
+      if (bounds.limits() == null || places(host).tryAcquire()) {
         connect(attempt, host);
         return;
       }
     }
-    if (host.pending.size() >= bounds.maxPending()) {
+    if (host.pendingAttempts.size() >= bounds.maxPending()) {
       // Known not to have run, and no fault of the host's: the module may ask another.
-      attempt.moot();
+      attempt.endAsNeverRun();
       return;
     }
-    host.pending.addLast(attempt);
-    attempt.queued();
+    host.pendingAttempts.addLast(attempt);
+    attempt.onQueued();
     dispatchPending(host);
   }
 
@@ -110,34 +111,34 @@
    * host and its other attempts meanwhile.
    */
   static boolean endUnlessSendable(Attempt attempt) {
-    boolean sendable = attempt.maySend();
+    boolean sendable = attempt.canSend();
     if (!sendable) {
-      attempt.moot();
+      attempt.endAsNeverRun();
     }
     return sendable;
   }
 
   /** The attempt is over or not wanted any more. */
-  void end(Attempt attempt) {
-    attempt.host.connecting.remove(attempt);
-    if (!attempt.host.pending.isEmpty()) {
-      attempt.host.pending.remove(attempt);
+  void onAttemptEnded(Attempt attempt) {
+    attempt.host.connectingAttempts.remove(attempt);
+    if (!attempt.host.pendingAttempts.isEmpty()) {
+      attempt.host.pendingAttempts.remove(attempt);
     }
-    attempt.abandon();
+    attempt.releaseConnection();
   }
 
   /** Nothing new goes to the host as it was: returns the attempts that had got no connection. */
-  List<Attempt> cut(UpstreamHost host) {
-    for (UpstreamConnection unused : host.idle.all()) {
-      if (!unused.reusable()) {
+  List<Attempt> invalidate(UpstreamHost host) {
+    for (UpstreamConnection unused : host.idleConnections.all()) {
+      if (!unused.isReusable()) {
         unused.channel().close();
       }
     }
-    List<Attempt> unsent = new ArrayList<>(host.connecting);
-    unsent.addAll(host.pending);
-    host.connecting.clear();
-    host.pending.clear();
-    HostPlaces.leave(host);
+    List<Attempt> unsent = new ArrayList<>(host.connectingAttempts);
+    unsent.addAll(host.pendingAttempts);
+    host.connectingAttempts.clear();
+    host.pendingAttempts.clear();
+    HostConnectionSlots.removeFrom(host);
     return unsent;
   }
 
@@ -146,40 +147,40 @@
     connector.connect(attempt, host, bounds.limits() == null ? null : places(host));
   }
 
-  private ConnectionLimits.Places places(UpstreamHost host) {
-    return HostPlaces.of(host, bounds.limits(), this, loop);
+  private ConnectionLimits.Slots places(UpstreamHost host) {
+    return HostConnectionSlots.of(host, bounds.limits(), this, loop);
   }
 
   // --- the pending queue
 
   /** Gives pending attempts what has become free, in the order in which they came. */
   void dispatchPending(UpstreamHost host) {
-    if (host.pending.isEmpty()) {
-      if (host.member != null) {
-        host.member.places().pass();
+    if (host.pendingAttempts.isEmpty()) {
+      if (host.connectionSlots != null) {
+        host.connectionSlots.slots().offerToNext();
       }
       return;
     }
     runPending(host);
-    if (!host.pending.isEmpty()) {
+    if (!host.pendingAttempts.isEmpty()) {
       scheduleDispatch(host);
-      places(host).await(host.member);
+      places(host).awaitSlot(host.connectionSlots);
     }
   }
 
   private void runPending(UpstreamHost host) {
     Attempt next;
-    while ((next = host.pending.peekFirst()) != null) {
+    while ((next = host.pendingAttempts.peekFirst()) != null) {
       if (!endUnlessSendable(next)) {
         continue; // its end has taken it out of the queue
       }
       UpstreamConnection unused = pollReusable(host);
-      if (unused == null && !places(host).take()) {
+      if (unused == null && !places(host).tryAcquire()) {
         return;
       }
-      host.pending.pollFirst();
+      host.pendingAttempts.pollFirst();
       if (unused != null) {
-        unused.run(next);
+        unused.send(next);
       } else {
         connect(next, host);
       }
@@ -188,7 +189,7 @@
 
   /** Looks at the queue again when the first rest is over, where a connection rests. */
   private void scheduleDispatch(UpstreamHost host) {
-    if (!host.idle.anyResting() || host.dispatchScheduled) {
+    if (!host.idleConnections.hasResting() || host.dispatchScheduled) {
       return;
     }
     host.dispatchScheduled = true;
@@ -212,8 +213,8 @@
   private UpstreamConnection pollReusable(UpstreamHost host) {
     UpstreamConnection newest;
     while ((newest = pollRested(host)) != null) {
-      sockets.upstreamIdle(newest, false);
-      if (newest.alive() && newest.reusable()) {
+      sockets.setUpstreamIdle(newest, false);
+      if (newest.isAlive() && newest.isReusable()) {
         return newest;
       }
       newest.channel().close();
@@ -223,20 +224,20 @@
 
   private UpstreamConnection pollRested(UpstreamHost host) {
     long now = System.nanoTime();
-    host.idle.endRests(now, reusePolicy.restNanos(host, now));
-    return host.idle.pollNewest(now, reusePolicy.keepNanos(host, now));
+    host.idleConnections.endRests(now, reusePolicy.restNanos(host, now));
+    return host.idleConnections.pollNewest(now, reusePolicy.maxIdleNanos(host, now));
   }
 
   /** A connection has carried an attempt to its end and may carry another. */
-  void idle(UpstreamHost host, UpstreamConnection connection) {
+  void onConnectionIdle(UpstreamHost host, UpstreamConnection connection) {
     discarding.remove(connection);
     if (bounds.limits() != null && owesItsPlace(host, connection)) {
       connection.channel().close();
       return;
     }
-    host.idle.add(connection);
-    sockets.upstreamIdle(connection, true);
-    if (!host.pending.isEmpty()) {
+    host.idleConnections.add(connection);
+    sockets.setUpstreamIdle(connection, true);
+    if (!host.pendingAttempts.isEmpty()) {
       dispatchPending(host);
     }
   }
@@ -246,33 +247,34 @@
    * place of a host for itself, however long others wait.
    */
   private boolean owesItsPlace(UpstreamHost host, UpstreamConnection connection) {
-    ConnectionLimits.Places places = places(host);
-    boolean turnOver = host.pending.isEmpty() || connection.carried() % REQUESTS_PER_TURN == 0;
-    return places.over() || (turnOver && places.wanted());
+    ConnectionLimits.Slots places = places(host);
+    boolean turnOver =
+        host.pendingAttempts.isEmpty() || connection.attemptCount() % REQUESTS_PER_TURN == 0;
+    return places.isOverLimit() || (turnOver && places.hasWaiters());
   }
 
   /** Another worker waits for one of the places: closes a connection that nothing here needs. */
-  void yieldIdle(UpstreamHost host, ConnectionLimits.Places places) {
-    List<UpstreamConnection> unused = host.idle.all();
-    if (host.pending.isEmpty() && !unused.isEmpty() && places.wanted()) {
+  void closeIdleForWaiter(UpstreamHost host, ConnectionLimits.Slots places) {
+    List<UpstreamConnection> unused = host.idleConnections.all();
+    if (host.pendingAttempts.isEmpty() && !unused.isEmpty() && places.hasWaiters()) {
       unused.get(0).channel().close();
     }
   }
 
   /** Bytes that belong to no response came so long (ns) after one, on an unused connection. */
-  void surplus(long afterNanos) {
-    reusePolicy.surplusSeen(afterNanos);
+  void onSurplusBytes(long afterNanos) {
+    reusePolicy.onSurplusBytes(afterNanos);
   }
 
   /** The rest of an unwanted response is read and thrown away, for so long as it may take. */
-  void discarding(UpstreamConnection connection) {
+  void onDiscardStarted(UpstreamConnection connection) {
     discarding.add(connection);
   }
 
-  void closed(UpstreamHost host, UpstreamConnection connection) {
+  void onConnectionClosed(UpstreamHost host, UpstreamConnection connection) {
     discarding.remove(connection);
-    host.idle.remove(connection);
-    sockets.upstreamIdle(connection, false);
+    host.idleConnections.remove(connection);
+    sockets.setUpstreamIdle(connection, false);
   }
 
   // --- housekeeping
@@ -282,21 +284,22 @@
     long now = System.nanoTime();
     for (UpstreamHost host : hosts) {
       closeExpired(host, now);
-      if (host.member != null && host.member.places().over()) {
-        host.idle.all().forEach(UpstreamConnection::closeIdle);
+      if (host.connectionSlots != null && host.connectionSlots.slots().isOverLimit()) {
+        host.idleConnections.all().forEach(UpstreamConnection::closeIdle);
       }
     }
     for (UpstreamConnection unwanted : new ArrayList<>(discarding)) {
-      if (now - unwanted.since() > DISCARD_NANOS) {
+      if (now - unwanted.idleSinceNanos() > DISCARD_NANOS) {
         unwanted.channel().close();
       }
     }
   }
 
   private void closeExpired(UpstreamHost host, long now) {
-    host.idle.endRests(now, reusePolicy.restNanos(host, now));
+    host.idleConnections.endRests(now, reusePolicy.restNanos(host, now));
     UpstreamConnection expired;
-    while ((expired = host.idle.pollExpired(now, reusePolicy.keepNanos(host, now))) != null) {
+    while ((expired = host.idleConnections.pollExpired(now, reusePolicy.maxIdleNanos(host, now)))
+        != null) {
       expired.channel().close();
     }
   }
@@ -304,8 +307,8 @@
   /** Closes every connection on which nothing is carried. */
   void closeIdle(Iterable<UpstreamHost> hosts) {
     for (UpstreamHost host : hosts) {
-      host.idle.all().forEach(UpstreamConnection::closeIdle);
-      HostPlaces.leave(host);
+      host.idleConnections.all().forEach(UpstreamConnection::closeIdle);
+      HostConnectionSlots.removeFrom(host);
     }
   }
 }
--- a/src/main/java/leadferry/engine/UpstreamConnector.java
+++ b/src/main/java/leadferry/engine/UpstreamConnector.java
@@ -18,8 +18,8 @@
 
   private final UpstreamConnectionPool pool;
   private final Bootstrap bootstrap;
-  private final Protocol protocol;
-  private final Sockets sockets;
+  private final UpstreamProtocol protocol;
+  private final SocketBudget sockets;
   private final Log log;
   private long localFailures;
 
@@ -27,8 +27,8 @@
       UpstreamConnectionPool pool,
       EventLoop loop,
       Class<? extends Channel> channelType,
-      Protocol protocol,
-      Sockets sockets,
+      UpstreamProtocol protocol,
+      SocketBudget sockets,
       Log log) {
     this.pool = pool;
     this.protocol = protocol;
@@ -39,8 +39,10 @@
             .group(loop)
             .channel(channelType)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READ_BUFFER_ALLOCATOR)
+            .option(
+                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                UpstreamConnectionPool.WRITE_BUFFER_WATER_MARK)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -49,7 +51,7 @@
   }
 
   /** How long connections that are begun from now on may take to come up; at least 1 ms. */
-  void connectTimeout(double millis) {
+  void setConnectTimeout(double millis) {
     bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, millis));
   }
 
@@ -57,45 +59,45 @@
    * Opens a connection for the attempt and runs it there. {@code places}, null where nothing bounds
    * them, has one taken for it, which is given back when the connection has closed.
    */
-  void connect(Attempt attempt, UpstreamHost host, ConnectionLimits.Places places) {
-    ChannelFuture connect = sockets.roomForUpstream() ? bootstrap.connect(host.address) : null;
+  void connect(Attempt attempt, UpstreamHost host, ConnectionLimits.Slots places) {
+    ChannelFuture connect = sockets.makeRoomForUpstream() ? bootstrap.connect(host.address) : null;
     if (connect == null || !connect.channel().isRegistered()) {
       // Guards against a host that pays for a bound of this process or of the system.
       if (nextLocalFailureIsLogged()) {
         log.line("out of sockets: " + localFailures + " attempts had none");
       }
       if (places != null) {
-        places.give();
+        places.release();
       }
-      attempt.moot();
+      attempt.endAsNeverRun();
       return;
     }
     Channel channel = connect.channel();
-    sockets.upstreamOpened();
+    sockets.onUpstreamOpened();
     channel.closeFuture().addListener(closed -> release(places));
-    attempt.connecting(channel);
-    host.connecting.add(attempt);
+    attempt.onConnecting(channel);
+    host.connectingAttempts.add(attempt);
     connect.addListener(done -> completed(attempt, host, channel, done.cause()));
   }
 
-  private void release(ConnectionLimits.Places places) {
-    sockets.upstreamClosed();
+  private void release(ConnectionLimits.Slots places) {
+    sockets.onUpstreamClosed();
     if (places != null) {
-      places.give();
+      places.release();
     }
   }
 
   /** The connection is up, or {@code cause} says why it is not. */
   private void completed(Attempt attempt, UpstreamHost host, Channel channel, Throwable cause) {
-    if (!host.connecting.remove(attempt)) {
+    if (!host.connectingAttempts.remove(attempt)) {
       channel.close(); // the attempt ended meanwhile
     } else if (cause != null && ConnectFailure.isLocal(cause)) {
       logLocalFailure(cause);
-      attempt.moot();
+      attempt.endAsNeverRun();
     } else if (cause != null) {
-      attempt.notSent();
+      attempt.endAsConnectFailed();
     } else if (UpstreamConnectionPool.endUnlessSendable(attempt)) {
-      protocol.open(pool, host, channel).run(attempt);
+      protocol.createConnection(pool, host, channel).send(attempt);
     }
   }
 
--- a/src/main/java/leadferry/engine/UpstreamHost.java
+++ b/src/main/java/leadferry/engine/UpstreamHost.java
@@ -30,7 +30,7 @@
   long cell;
 
   /** When its process started, as discovery tells: connections to an earlier one are dead. */
-  double started;
+  double startedAt;
 
   /**
    * The same in Unix time (ms) by the discovery's clock: what tells one start of its process from
@@ -39,24 +39,24 @@
   double startedUnixMs;
 
   /** Connections that carry nothing. */
-  final IdleConnections idle = new IdleConnections();
+  final IdleConnections idleConnections = new IdleConnections();
 
   /** Attempts that wait for a connection, the oldest first. */
-  final ArrayDeque<Attempt> pending = new ArrayDeque<>(2);
+  final ArrayDeque<Attempt> pendingAttempts = new ArrayDeque<>(2);
 
-  /** Whether a look at {@link #pending} is scheduled for the end of a rest. */
+  /** Whether a look at {@link #pendingAttempts} is scheduled for the end of a rest. */
   boolean dispatchScheduled;
 
   /** This host's part in the places that workers share, or null. */
-  HostPlaces member;
+  HostConnectionSlots connectionSlots;
 
   /** Whether, and when (ns) last, bytes came behind an answer that belong to none. */
-  boolean surplusSeen;
+  boolean hasSentSurplus;
 
-  long surplusAt;
+  long surplusAtNanos;
 
-  final Set<Attempt> connecting = new LinkedHashSet<>(2);
-  int calls;
+  final Set<Attempt> connectingAttempts = new LinkedHashSet<>(2);
+  int openAttempts;
   private long keepNanos = Long.MAX_VALUE;
   private long keepSince;
 
@@ -66,13 +66,13 @@
   }
 
   /** Bytes came behind an answer of this host's that belong to none. */
-  void surplus() {
-    surplusSeen = true;
-    surplusAt = System.nanoTime();
+  void onSurplusBytes() {
+    hasSentSurplus = true;
+    surplusAtNanos = System.nanoTime();
   }
 
   /** How long (ns) a connection here may stand idle and still be used, by what has been seen. */
-  long keepNanos(long now) {
+  long maxIdleNanos(long now) {
     return keepNanos == Long.MAX_VALUE
         ? keepNanos
         : (long) (keepNanos * Math.pow(2, (double) (now - keepSince) / KEEP_DOUBLES_NANOS));
@@ -84,9 +84,9 @@
    * the settings say: each such request may not be repeated. What has been learned is tried again
    * in time. It costs new connections where the ends of connections have nothing to do with age.
    */
-  void deadAfter(long idleNanos, long now) {
+  void onIdleConnectionDead(long idleNanos, long now) {
     long kept = Math.max(KEEP_LEAST_NANOS, (long) (KEEP_PART * idleNanos));
-    if (kept < keepNanos(now)) {
+    if (kept < maxIdleNanos(now)) {
       keepNanos = kept;
       keepSince = now;
     }
--- a/src/main/java/leadferry/engine/UpstreamHosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -28,12 +28,12 @@
       double startedUnixMs) {}
 
   /** One list, or changes to it, checked whole before anything of it is applied. */
-  public record News(long version, boolean full, List<Member> members) {}
+  public record ListUpdate(long version, boolean full, List<Member> members) {}
 
   /**
    * What a list changed: the entries for the module, the hosts that may get nothing as they were.
    */
-  record Change(List<EndpointUpdate> entries, Set<UpstreamHost> cut) {}
+  record Change(List<EndpointUpdate> entries, Set<UpstreamHost> invalidated) {}
 
   /** Constants of the 64-bit FNV-1a hash (draft-eastlake-fnv). */
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -56,7 +56,7 @@
     return byId.values();
   }
 
-  boolean anySendable() {
+  boolean hasSendable() {
     for (UpstreamHost host : byId.values()) {
       if (host.sendable) {
         return true;
@@ -71,10 +71,10 @@
   }
 
   /** Names of the hosts on which attempts are in flight, or wait to be. */
-  Set<String> busy() {
+  Set<String> busyNames() {
     Set<String> busy = new HashSet<>();
     for (UpstreamHost host : byId.values()) {
-      if (host.calls > 0) {
+      if (host.openAttempts > 0) {
         busy.add(host.name);
       }
     }
@@ -82,7 +82,7 @@
   }
 
   /** Applies a list that came at {@code now} (ms) on the module's clock. */
-  Change apply(News news, double now) {
+  Change apply(ListUpdate news, double now) {
     List<EndpointUpdate> entries = new ArrayList<>(news.members().size());
     Set<UpstreamHost> cut = new LinkedHashSet<>();
     Set<UpstreamHost> named = new HashSet<>();
@@ -98,7 +98,7 @@
     if (news.full()) {
       cutUnnamed(named, cut);
     }
-    clock.upToDate(now);
+    clock.onUpToDate(now);
     return new Change(entries, cut);
   }
 
@@ -133,8 +133,8 @@
         !host.sendable
             || elsewhere
             || !member.address().equals(host.address)
-            || host.started != started;
-    host.started = started;
+            || host.startedAt != started;
+    host.startedAt = started;
     host.startedUnixMs = member.startedUnixMs();
     host.zone = member.zone();
     host.cell = member.cell();
@@ -161,20 +161,23 @@
     if (startedUnixMs <= 0) {
       return 0;
     }
-    return startedUnixMs == host.startedUnixMs ? host.started : clock.started(startedUnixMs, now);
+    return startedUnixMs == host.startedUnixMs
+        ? host.startedAt
+        : clock.startedAt(startedUnixMs, now);
   }
 
   /** Discovery has said that there is nothing new. */
-  void upToDate(double now) {
-    clock.upToDate(now);
+  void onUpToDate(double now) {
+    clock.onUpToDate(now);
   }
 
   /**
    * Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed.
    */
-  void forgetGone() {
+  void removeGone() {
     byId.values()
-        .removeIf(host -> !host.listed && host.calls == 0 && byName.remove(host.name) != null);
+        .removeIf(
+            host -> !host.listed && host.openAttempts == 0 && byName.remove(host.name) != null);
   }
 
   /**
--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -63,7 +63,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     HttpCall unfinished = call;
-    if (unfinished != null && !unfinished.exchange().answered()) {
+    if (unfinished != null && !unfinished.exchange().isResolved()) {
       logOutcome("client-gone", null);
     }
     endCall();
@@ -71,7 +71,7 @@
     pipeline.clear();
     server.connections().remove(this);
     if (unfinished != null) {
-      unfinished.exchange().clientGone();
+      unfinished.exchange().onClientDisconnect();
     }
   }
 
--- a/src/main/java/leadferry/http/DisconnectDetector.java
+++ b/src/main/java/leadferry/http/DisconnectDetector.java
@@ -28,7 +28,7 @@
     this.connection = connection;
     this.channel = channel;
     this.transport = server.transport();
-    this.mayLookBetweenRequests = !server.settings().daemon() || transport.looksOnly();
+    this.mayLookBetweenRequests = !server.settings().daemon() || transport.canCheckWithoutLoss();
   }
 
   /** Whether what is sent ahead of the response is thrown away. */
@@ -64,12 +64,15 @@
    * a look at the socket.
    */
   boolean closeIfGone() {
-    Transport.End end = discardsSentAhead ? transport.endBehind(channel) : transport.end(channel);
-    if (end == Transport.End.LOST_BYTE) {
+    Transport.ClientEnd end =
+        discardsSentAhead
+            ? transport.checkClientEndDiscarding(channel)
+            : transport.checkClientEnd(channel);
+    if (end == Transport.ClientEnd.LOST_BYTE) {
       startDiscarding();
-      end = transport.endBehind(channel); // it may have sent much at once and gone
+      end = transport.checkClientEndDiscarding(channel); // it may have sent much at once and gone
     }
-    if (end != Transport.End.ENDED) {
+    if (end != Transport.ClientEnd.ENDED) {
       return false;
     }
     connection.logOutcome("client-gone", null);
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -61,7 +61,7 @@
 
   /** Part of a body that goes on while it comes; the bytes are this attempt's now. */
   void upload(ByteBuf bytes) {
-    if (over() || connection() == null) {
+    if (isOver() || connection() == null) {
       bytes.release();
     } else {
       connection().channel().writeAndFlush(new DefaultHttpContent(bytes));
@@ -70,14 +70,14 @@
 
   /** The end of that body, with its trailers. */
   void uploadEnds(HttpHeaders trailers) {
-    if (!over() && connection() != null) {
+    if (!isOver() && connection() != null) {
       connection()
           .channel()
           .writeAndFlush(HttpCall.last(trailers))
           .addListener(
               f -> {
                 uploaded = f.isSuccess();
-                sent();
+                onLastByteSent();
               });
     }
   }
@@ -96,18 +96,18 @@
 
   /** Whether all of the request has gone out, so that its connection may carry another. */
   boolean sentWhole() {
-    return call.upload() == null ? mayHaveRun() : uploaded;
+    return call.upload() == null ? isFullyWritten() : uploaded;
   }
 
   /** The client takes more of an answer that streams. */
   void clientTakesMore() {
-    if (!over() && connection() != null) {
+    if (!isOver() && connection() != null) {
       connection().channel().config().setAutoRead(true);
     }
   }
 
   @Override
-  protected LoadReport report() {
+  protected LoadReport loadReport() {
     return report;
   }
 
@@ -136,10 +136,10 @@
   }
 
   private void serve(HttpResponse response) {
-    if (!mayHaveRun()) {
+    if (!isFullyWritten()) {
       finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
     } else if (!wire().framed(response)) {
-      broken();
+      onConnectionBroken();
     } else {
       collect(response);
     }
@@ -148,7 +148,7 @@
   /** Whether a server's error may be passed on to the client, with its body. */
   private boolean passesError(HttpResponse response) {
     return wire().protocol.passErrors()
-        && mayHaveRun()
+        && isFullyWritten()
         && wire().framed(response)
         && HttpUtil.getContentLength(response, 0L) <= wire().protocol.maxAnswer();
   }
@@ -168,7 +168,7 @@
     if (notProcessed) {
       return AttemptOutcome.FULL;
     }
-    return mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
+    return isFullyWritten() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
   }
 
   /** An answer that is served: passed on while it comes, or kept until it is whole. */
@@ -177,12 +177,12 @@
     headAtMillis = dispatcher().now();
     lengthBytes = HttpUtil.getContentLength(response, -1L);
     if (lengthBytes > wire().protocol.maxStreamed()) {
-      broken(); // no answer is so long
+      onConnectionBroken(); // no answer is so long
     } else if (!wire().bodiless(response)
         && call.streams(lengthBytes, wire().protocol.maxAnswer())) {
       stream();
     } else if (lengthBytes > wire().protocol.maxAnswer()) {
-      broken(); // no answer is so long
+      onConnectionBroken(); // no answer is so long
     }
   }
 
@@ -191,18 +191,18 @@
    * another.
    */
   private boolean stream() {
-    if (!claimAnswer()) {
+    if (!claimResponse()) {
       finish(AttemptOutcome.CANCELLED);
       return false;
     }
     streaming = true;
     call.begin(this, head, lengthBytes);
     if (body != null) {
-      body.retained().forEach(this::pass);
-      body.free();
+      body.retainedBlocks().forEach(this::pass);
+      body.release();
       body = null;
     }
-    answerBegun();
+    onResponseStarted();
     return streaming;
   }
 
@@ -222,7 +222,7 @@
     receivedAtMillis = dispatcher().now();
     if (streaming) {
       if (streamedBytes + partBytes > wire().protocol.maxStreamed()) {
-        broken(); // it would never end
+        onConnectionBroken(); // it would never end
       } else {
         pass(part.content().retain());
       }
@@ -253,22 +253,22 @@
     }
     if (body.size() + partBytes > wire().protocol.maxAnswer()) {
       if (error || !call.overflows()) {
-        broken(); // no response is so long: this one would never end
+        onConnectionBroken(); // no response is so long: this one would never end
       } else {
         streamWith(part);
       }
       return;
     }
     body.append(part.content());
-    if (dispatcher().budget().full(body.size())) {
+    if (dispatcher().bodyBudget().isFull(body.size())) {
       connection().channel().config().setAutoRead(false);
-      dispatcher().budget().await(resume);
+      dispatcher().bodyBudget().awaitRoom(resume);
     }
   }
 
   /** Memory is free again. */
   private void resumeReading() {
-    if (!over() && connection() != null) {
+    if (!isOver() && connection() != null) {
       connection().channel().config().setAutoRead(true);
     }
   }
@@ -291,13 +291,13 @@
     if (exchange.claim()) {
       call.served(head, whole, trailers);
     } else if (whole != null) {
-      whole.free();
+      whole.release();
     }
     finish(AttemptOutcome.OK);
   }
 
   @Override
-  protected boolean waitsForClient() {
+  protected boolean isWaitingForClient() {
     return streaming && connection() != null && !connection().channel().config().isAutoRead();
   }
 
@@ -307,23 +307,23 @@
    * that the request gets.
    */
   @Override
-  protected boolean goesOn() {
+  protected boolean canOutliveDeadline() {
     return lengthBytes > wire().protocol.maxAnswer()
         || streamedBytes > wire().protocol.maxAnswer()
-        || waitsForClient()
+        || isWaitingForClient()
         || dispatcher().now() - receivedAtMillis < STREAM_STALL_MILLIS;
   }
 
   /** A spoilt answer: a failed attempt that may have run, and whose report is as good as it is. */
   @Override
-  protected void broken() {
+  protected void onConnectionBroken() {
     report = null;
-    super.broken();
+    super.onConnectionBroken();
   }
 
   @Override
-  protected void release() {
-    dispatcher().budget().forget(resume);
+  protected void releaseResponse() {
+    dispatcher().bodyBudget().cancelAwait(resume);
     if (call.upload() != null) {
       call.upload().endedBy(this);
     }
@@ -332,7 +332,7 @@
       call.cut(); // its client sees that the answer is not whole
     }
     if (body != null) {
-      body.free();
+      body.release();
       body = null;
     }
   }
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public void carriedBy(Exchange by) {
+  public void onExchangeStarted(Exchange by) {
     exchange = by;
   }
 
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public String id() {
+  public String requestId() {
     return head.headers().get("X-Request-ID");
   }
 
@@ -102,28 +102,28 @@
   }
 
   @Override
-  public Attempt attempt(Exchange by, UpstreamHost host, int number, double now) {
+  public Attempt createAttempt(Exchange by, UpstreamHost host, int number, double now) {
     forgetError(); // only an error that ends the request is passed on
     return new HttpAttempt(this, by, host, number, now);
   }
 
   @Override
-  public boolean replayable() {
+  public boolean isReplayable() {
     return upload == null || upload.replayable();
   }
 
   @Override
-  public boolean comes() {
+  public boolean isIncomplete() {
     return upload != null && !upload.whole();
   }
 
   @Override
-  public boolean abandoned() {
+  public boolean hasClientDisconnected() {
     return (upload == null || upload.whole()) && client.abandoned();
   }
 
   @Override
-  public boolean timedToFirstByte() {
+  public boolean isTimedToFirstByte() {
     return streaming == Streaming.LARGE;
   }
 
@@ -134,7 +134,7 @@
   /** The body has come whole. */
   void whole() {
     if (announcedMillis > 0) {
-      exchange.timed(announcedMillis);
+      exchange.restartDeadline(announcedMillis);
     }
   }
 
@@ -142,7 +142,7 @@
     HttpHeaders headers = head.headers();
     headers.set(
         TIMEOUT,
-        announcedMillis > 0 && comes()
+        announcedMillis > 0 && isIncomplete()
             ? (long) announcedMillis
             : remainingMs); // a host counts from the last byte
     if (upload != null) {
@@ -159,7 +159,7 @@
               headers,
               Headers.NONE));
     }
-    List<ByteBuf> blocks = body == null ? List.of() : body.retained();
+    List<ByteBuf> blocks = body == null ? List.of() : body.retainedBlocks();
     if (blocks.size() == 1 && !chunked) {
       return channel.writeAndFlush(
           new DefaultFullHttpRequest(
@@ -242,7 +242,7 @@
   private void forgetError() {
     error = null;
     if (errorBody != null) {
-      errorBody.free();
+      errorBody.release();
       errorBody = null;
     }
   }
@@ -268,7 +268,7 @@
   }
 
   @Override
-  public void refused(double coolDownMs) {
+  public void sendRejection(double coolDownMs) {
     if (error != null) {
       passError(true); // its attempts are used up, and the last of them says why
     } else {
@@ -277,7 +277,7 @@
   }
 
   @Override
-  public void failed(boolean timeUp) {
+  public void sendFailure(boolean timeUp) {
     if (error != null && !timeUp) {
       passError(false);
     } else {
@@ -289,7 +289,7 @@
   public void free() {
     forgetError();
     if (body != null) {
-      body.free();
+      body.release();
     }
     if (upload != null) {
       upload.free();
--- a/src/main/java/leadferry/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -3,10 +3,10 @@
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestEncoder;
-import leadferry.engine.Protocol;
 import leadferry.engine.UpstreamConnection;
 import leadferry.engine.UpstreamConnectionPool;
 import leadferry.engine.UpstreamHost;
+import leadferry.engine.UpstreamProtocol;
 
 /**
  * HTTP/1.1 to the hosts of a pool.
@@ -23,7 +23,7 @@
  */
 public record HttpProtocol(
     int maxAnswer, long maxStreamed, boolean untilClose, boolean passAll, boolean passErrors)
-    implements Protocol {
+    implements UpstreamProtocol {
   /** Hosts as the platform's protocol has them. */
   public static final HttpProtocol PLATFORM =
       new HttpProtocol(64 * 1024, HttpServerSettings.LARGEST, true, false, false);
@@ -36,7 +36,8 @@
           .setInitialBufferSize(256);
 
   @Override
-  public UpstreamConnection open(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
+  public UpstreamConnection createConnection(
+      UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     HttpUpstreamConnection.Decoder decoder = new HttpUpstreamConnection.Decoder(DECODER);
     HttpUpstreamConnection connection =
         new HttpUpstreamConnection(pool, host, channel, decoder, this);
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -12,11 +12,11 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import leadferry.engine.AcceptBackoff;
+import leadferry.engine.AcceptBackoffHandler;
 import leadferry.engine.BodyBudget;
 import leadferry.engine.Log;
-import leadferry.engine.ReadHorizon;
-import leadferry.engine.Sockets;
+import leadferry.engine.ReadLagTracker;
+import leadferry.engine.SocketBudget;
 import leadferry.engine.Transport;
 import leadferry.engine.UpstreamConnectionPool;
 
@@ -35,7 +35,7 @@
   private static final long ACCEPT_PAUSE_MILLIS = 20;
 
   private final Transport transport;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final BodyBudget budget;
   private final Log log;
   private final HttpServerSettings settings;
@@ -54,7 +54,7 @@
       HttpServerSettings settings,
       RequestFilter filter,
       Transport transport,
-      Sockets sockets,
+      SocketBudget sockets,
       BodyBudget budget,
       Log log) {
     this.transport = transport;
@@ -63,12 +63,12 @@
     this.sockets = sockets;
     this.budget = budget;
     this.log = log;
-    sockets.onWanted(this::evictForUpstream);
+    sockets.setClientCloser(this::evictForUpstream);
   }
 
   /** Listens, beside other processes that do; throws what the bind throws. */
   public void listen(EventLoopGroup loop, InetSocketAddress address) throws Exception {
-    AcceptBackoff backoff = new AcceptBackoff(log::line, this::acceptsAgain);
+    AcceptBackoffHandler backoff = new AcceptBackoffHandler(log::line, this::acceptsAgain);
     listener =
         (Listener)
             ServerSockets.bootstrap(loop, Listener.class, Listener.BACKLOG, backoff, this::accepted)
@@ -76,8 +76,11 @@
                 .option(
                     ChannelOption.RECVBUF_ALLOCATOR,
                     new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_PER_READ))
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamConnectionPool.MARKS)
+                .childOption(
+                    ChannelOption.RECVBUF_ALLOCATOR, UpstreamConnectionPool.READ_BUFFER_ALLOCATOR)
+                .childOption(
+                    ChannelOption.WRITE_BUFFER_WATER_MARK,
+                    UpstreamConnectionPool.WRITE_BUFFER_WATER_MARK)
                 .bind(address)
                 .sync()
                 .channel();
@@ -107,7 +110,7 @@
    * connection.
    */
   boolean crowded() {
-    return sockets.crowded();
+    return sockets.isNearClientLimit();
   }
 
   /** Since when (ns) clients are sent away, 0 if they are not. */
@@ -118,15 +121,15 @@
   /** Takes a connection that has been accepted; called on its loop. */
   public void accepted(SocketChannel channel) {
     RequestDecoder decoder = new RequestDecoder();
-    sockets.clientOpened();
+    sockets.onClientOpened();
     // Not with the handlers: they never hear of a connection that was reset before its turn.
-    channel.closeFuture().addListener(f -> sockets.clientClosed());
+    channel.closeFuture().addListener(f -> sockets.onClientClosed());
     ClientConnection connection =
         new ClientConnection(this, channel, decoder, earliestAcceptNanos());
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
     if (listener != null) {
       makeRoom();
-    } else if (!sockets.roomForClient() && !connections.evictOne(MAX_EVICTION_LOOKS)) {
+    } else if (!sockets.hasRoomForClient() && !connections.evictOne(MAX_EVICTION_LOOKS)) {
       // Another accepts for many: what can make no room of its own is the newcomer.
       channel.close();
     }
@@ -147,7 +150,7 @@
    * a usual client connects long before it speaks, and only in a crowd.
    */
   private void makeRoom() {
-    while (!sockets.roomForClient()) {
+    while (!sockets.hasRoomForClient()) {
       if (!connections.evictOne(Integer.MAX_VALUE)) {
         pauseAccepting();
         return;
@@ -189,7 +192,7 @@
    * reads.
    */
   static long readUntilNanos() {
-    return System.nanoTime() - ReadHorizon.behind();
+    return System.nanoTime() - ReadLagTracker.lagNanos();
   }
 
   ClientConnections connections() {
@@ -208,7 +211,7 @@
 
   /** Whether there is a connection to a host to be had for one more. */
   boolean roomForRequest() {
-    return sockets.roomForRequest(openCalls);
+    return sockets.hasRoomForRequest(openCalls);
   }
 
   /** Takes the id of a request; false if a request that is open has it. */
--- a/src/main/java/leadferry/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -87,7 +87,7 @@
   }
 
   @Override
-  protected void begin() {
+  protected void prepareForAttempt() {
     reply = Reply.NONE;
     keep = true;
     untilClose = false;
@@ -126,7 +126,7 @@
   }
 
   @Override
-  protected boolean heard() {
+  protected boolean hasResponseBytes() {
     return reply != Reply.NONE;
   }
 
@@ -135,12 +135,12 @@
     try {
       if (attempt() == null && reply != Reply.UNWANTED) {
         // Guards against surplus bytes of one answer that would be taken for the next one's.
-        surplus();
+        onSurplusBytes();
         return;
       }
       HttpObject part = (HttpObject) msg;
       if (part.decoderResult().isFailure()) {
-        lost();
+        onConnectionLost();
         return;
       }
       if (part instanceof HttpResponse head) {
@@ -165,7 +165,7 @@
     HttpStatusClass kind = head.status().codeClass();
     if (kind == HttpStatusClass.INFORMATIONAL) {
       if (head.status().code() == 101) {
-        lost(); // nobody asked for another protocol
+        onConnectionLost(); // nobody asked for another protocol
       } else {
         reply = Reply.INTERIM;
       }
@@ -174,7 +174,7 @@
     int major = head.protocolVersion().majorVersion();
     HttpAttempt attempt = (HttpAttempt) attempt();
     if (major != 1 || (reply != Reply.NONE && reply != Reply.INTERIM) || attempt == null) {
-      lost(); // no HTTP of ours, or a second answer, which belongs to no attempt
+      onConnectionLost(); // no HTTP of ours, or a second answer, which belongs to no attempt
       return;
     }
     reply = Reply.BODY;
@@ -211,9 +211,9 @@
     reply = Reply.NONE;
     boolean surplus = decoder.surplus();
     if (surplus) {
-      surplus();
+      onSurplusBytes();
     }
-    finished(keep && !surplus);
+    onResponseComplete(keep && !surplus);
   }
 
   /** The attempt has learned all it needs from the head; the connection may still be of use. */
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import leadferry.engine.AcceptRetryPolicy;
 import leadferry.engine.NioTransport;
-import leadferry.engine.ReadHorizon;
+import leadferry.engine.ReadLagTracker;
 import leadferry.engine.RetryingServerSocketChannel;
 
 /**
@@ -43,12 +43,12 @@
 
   /** Begins a look at the queue, unless this turn has begun one. */
   private void look() {
-    long turn = ReadHorizon.turns();
+    long turn = ReadLagTracker.loopIterations();
     if (turn == lastTurn && turn != 0) {
       return;
     }
     if (!queueMayHoldMore || turn != lastTurn + 1 || turn == 0) {
-      queueEmptyAtNanos = System.nanoTime() - ReadHorizon.behind();
+      queueEmptyAtNanos = System.nanoTime() - ReadLagTracker.lagNanos();
       lookBeganNanos = System.nanoTime();
       acceptedSinceLook = 0;
     } else if (acceptedSinceLook > BACKLOG) {
@@ -73,7 +73,7 @@
   }
 
   @Override
-  protected Channel connection(SocketChannel accepted) {
+  protected Channel createChannel(SocketChannel accepted) {
     return new NioTransport.Connection(this, accepted);
   }
 
@@ -99,7 +99,7 @@
     rest.forEach(pipeline()::fireChannelRead);
     pipeline().fireChannelReadComplete();
     int failedLooks = earlierFailures + 1;
-    if (all || !AcceptRetryPolicy.retriesBeforeClose(failedLooks)) {
+    if (all || !AcceptRetryPolicy.shouldRetryBeforeClose(failedLooks)) {
       close();
     } else {
       eventLoop()
--- a/src/main/java/leadferry/http/RequestAdmission.java
+++ b/src/main/java/leadferry/http/RequestAdmission.java
@@ -69,7 +69,7 @@
   }
 
   private boolean poolFull(Dispatcher pool) {
-    if (pool.open() < server.settings().maxOpen() && server.roomForRequest()) {
+    if (pool.openRequests() < server.settings().maxOpen() && server.roomForRequest()) {
       return false;
     }
     server.refusedForSockets();
--- a/src/main/java/leadferry/http/RequestBodyBuffer.java
+++ b/src/main/java/leadferry/http/RequestBodyBuffer.java
@@ -54,19 +54,19 @@
     if (size > maxHeldBytes && head.filterResult().streaming() == Streaming.NEVER) {
       return AppendResult.TOO_LARGE;
     }
-    if (size > maxHeldBytes && !budget.ample(size)) {
+    if (size > maxHeldBytes && !budget.hasAmpleRoom(size)) {
       return AppendResult.MUST_STREAM;
     }
     body.append(bytes);
-    if (!budget.full(body.size())) {
+    if (!budget.isFull(body.size())) {
       return AppendResult.HELD;
     }
-    if (budget.stuck()) {
+    if (budget.isDeadlocked()) {
       return AppendResult.OUT_OF_MEMORY;
     }
     paused = true;
     channel.config().setAutoRead(false);
-    budget.await(resume);
+    budget.awaitRoom(resume);
     return AppendResult.HELD;
   }
 
@@ -84,20 +84,20 @@
 
   /** The body has come whole: hands it over, and waits for memory no longer. */
   Body complete() {
-    budget.forget(resume);
+    budget.cancelAwait(resume);
     if (paused) {
       resumeReading();
     }
     Body whole = take();
     if (whole != null) {
-      whole.completed();
+      whole.onRequestComplete();
     }
     return whole;
   }
 
   /** Frees what is held, and waits for memory no longer. */
   void drop() {
-    budget.forget(resume);
+    budget.cancelAwait(resume);
     paused = false;
     free(take());
   }
@@ -105,7 +105,7 @@
   /** Frees a body that was handed over, if there is one. */
   static void free(Body body) {
     if (body != null) {
-      body.free();
+      body.release();
     }
   }
 }
--- a/src/main/java/leadferry/http/RequestBodyUpload.java
+++ b/src/main/java/leadferry/http/RequestBodyUpload.java
@@ -58,7 +58,7 @@
     ByteBuf part = bytes.retainedDuplicate();
     if (replayable) {
       kept.append(bytes);
-      if (taker != null && (received > REPLAY || budget.full(received))) {
+      if (taker != null && (received > REPLAY || budget.isFull(received))) {
         letGo();
       }
     }
@@ -73,7 +73,7 @@
   /** Its end has come, with these trailers. */
   void end(HttpHeaders with) {
     trailers = with;
-    kept.completed();
+    kept.onRequestComplete();
     if (taker != null) {
       taker.uploadEnds(with);
     }
@@ -91,7 +91,7 @@
   /** An attempt takes the body, from its first byte on; its head has been written. */
   void startedBy(HttpAttempt attempt) {
     taker = attempt;
-    for (ByteBuf block : kept.retained()) {
+    for (ByteBuf block : kept.retainedBlocks()) {
       attempt.upload(block);
     }
     if (received > REPLAY) {
@@ -125,11 +125,11 @@
 
   private void letGo() {
     replayable = false;
-    kept.free();
+    kept.release();
   }
 
   void free() {
     replayable = false;
-    kept.free();
+    kept.release();
   }
 }
--- a/src/main/java/leadferry/http/RequestDecoder.java
+++ b/src/main/java/leadferry/http/RequestDecoder.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
-import leadferry.engine.ReadHorizon;
+import leadferry.engine.ReadLagTracker;
 
 /**
  * Reads requests: tells since when part of one has come, reads heads by the letter, and stops
@@ -26,7 +26,7 @@
   /**
    * The turn of the loop in which its connection was accepted; 0 where loops don't count theirs.
    */
-  private final long acceptedIn = ReadHorizon.turns();
+  private final long acceptedIn = ReadLagTracker.loopIterations();
 
   RequestDecoder() {
     super(HttpProtocol.DECODER);
@@ -103,7 +103,7 @@
    * of it.
    */
   boolean firstLook() {
-    return acceptedIn != 0 && ReadHorizon.turns() <= acceptedIn + 1;
+    return acceptedIn != 0 && ReadLagTracker.loopIterations() <= acceptedIn + 1;
   }
 
   boolean receiving() {
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -197,7 +197,7 @@
             announcedMillis);
     head.forgetRequest();
     client.beginCall(call);
-    pool.take(
+    pool.submit(
         call,
         large ? arrival.within(arrival.budget() + MAX_UPLOAD_MILLIS) : arrival,
         result.fallback());
@@ -304,7 +304,7 @@
     }
     HttpCall call = new HttpCall(responses, request, body, null, trailers, result.streaming(), 0);
     client.beginCall(call);
-    result.target().take(call, result.arrival().within(remainingMillis), result.fallback());
+    result.target().submit(call, result.arrival().within(remainingMillis), result.fallback());
   }
 
   /** Rejects a whole request that the engine has not been given. */
--- a/src/main/java/leadferry/http/RequestLog.java
+++ b/src/main/java/leadferry/http/RequestLog.java
@@ -37,7 +37,7 @@
    * @param since when (ns) it came, 0 if that is not known
    */
   void request(String outcome, Integer status, HttpCall call, FilterResult verdict, long since) {
-    if (!log.details()) {
+    if (!log.isDetailEnabled()) {
       return;
     }
     FilterResult.Origin origin = verdict == null ? null : verdict.origin();
@@ -55,11 +55,11 @@
         "limit",
         origin == null ? null : origin.limit(),
         "pool",
-        exchange == null ? null : exchange.pool(),
+        exchange == null ? null : exchange.poolName(),
         "server",
-        exchange == null ? null : exchange.server(),
+        exchange == null ? null : exchange.lastServer(),
         "attempt",
-        exchange == null ? null : exchange.attempts(),
+        exchange == null ? null : exchange.attemptCount(),
         "ms",
         since == 0 ? null : (System.nanoTime() - since) / 1_000_000,
         "client",
@@ -70,7 +70,7 @@
 
   /** This side closes the connection. */
   void closed(CloseReason reason, HttpCall call) {
-    if (log.details()) {
+    if (log.isDetailEnabled()) {
       log.detail(
           "client connection closed",
           "reason",
@@ -84,12 +84,12 @@
 
   /** The connection broke. */
   void failed(Throwable cause, HttpCall call) {
-    if (log.details()) {
+    if (log.isDetailEnabled()) {
       log.detail("client connection failed", "cause", cause.getMessage(), "id", id(call));
     }
   }
 
   private static String id(HttpCall call) {
-    return call == null ? null : call.id();
+    return call == null ? null : call.requestId();
   }
 }
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -82,7 +82,7 @@
     markClose(message);
     ChannelFuture written = channel.writeAndFlush(message);
     if (whole != null) {
-      written.addListener(f -> whole.free());
+      written.addListener(f -> whole.release());
     }
     answered(written);
   }
@@ -99,7 +99,7 @@
   }
 
   private static ByteBuf joined(Body whole) {
-    ByteBuf[] blocks = whole.retained().toArray(ByteBuf[]::new);
+    ByteBuf[] blocks = whole.retainedBlocks().toArray(ByteBuf[]::new);
     return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
   }
 
--- a/src/main/java/leadferry/http/ServerSockets.java
+++ b/src/main/java/leadferry/http/ServerSockets.java
@@ -7,7 +7,7 @@
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.SocketChannel;
 import java.util.function.Consumer;
-import leadferry.engine.AcceptBackoff;
+import leadferry.engine.AcceptBackoffHandler;
 
 /** What every listening TCP socket of the process is set up with. */
 public final class ServerSockets {
@@ -26,7 +26,7 @@
       EventLoopGroup loop,
       Class<? extends ServerChannel> socketType,
       int backlog,
-      AcceptBackoff backoff,
+      AcceptBackoffHandler backoff,
       Consumer<SocketChannel> accepted) {
     return new ServerBootstrap()
         .group(loop)
--- a/src/main/java/leadferry/proxy/Discovery.java
+++ b/src/main/java/leadferry/proxy/Discovery.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import leadferry.engine.Dispatcher;
 import leadferry.engine.Log;
-import leadferry.engine.ReadHorizon;
+import leadferry.engine.ReadLagTracker;
 import leadferry.engine.RetryingSocketChannel;
 import leadferry.engine.UpstreamHosts;
 import leadferry.loadbalancer.EndpointListEvent;
@@ -106,13 +106,13 @@
     }
   }
 
-  private UpstreamHosts.News decodeKnown(JsonNode knownList) {
+  private UpstreamHosts.ListUpdate decodeKnown(JsonNode knownList) {
     try {
-      UpstreamHosts.News known = EndpointListDecoder.decode(knownList);
+      UpstreamHosts.ListUpdate known = EndpointListDecoder.decode(knownList);
       version = known.version();
       return known;
     } catch (MalformedEndpointListException e) {
-      return new UpstreamHosts.News(0, true, List.of());
+      return new UpstreamHosts.ListUpdate(0, true, List.of());
     }
   }
 
@@ -139,7 +139,7 @@
     boolean prompt = !polled && expectsPromptResponse && !state.hasReceived();
     long timeoutNanos = prompt ? FIRST_RESPONSE_TIMEOUT_NANOS : SILENCE_TIMEOUT_NANOS;
     // What stands unread in this process is not silence.
-    long readUpToNanos = System.nanoTime() - ReadHorizon.behind();
+    long readUpToNanos = System.nanoTime() - ReadLagTracker.lagNanos();
     if (readUpToNanos - connection.lastReadNanos() > timeoutNanos) {
       expectsPromptResponse = !prompt;
       onFailure(connection, "silent");
@@ -215,7 +215,7 @@
   }
 
   /** A sound list has come, whole or with changes. */
-  void onList(UpstreamHosts.News list) {
+  void onList(UpstreamHosts.ListUpdate list) {
     boolean first = state != WatchState.SYNCHRONIZED;
     apply(list);
     if (first) {
@@ -226,11 +226,11 @@
   /** Discovery has told that nothing has changed. */
   void onUnchanged() {
     boolean first = state != WatchState.SYNCHRONIZED;
-    dispatcher.upToDate();
+    dispatcher.onUpToDate();
     if (first && polled && version != NO_VERSION) {
       // Guards against a poll interval that grew during a failure and would outlast the next one.
-      dispatcher.membership(
-          EndpointListEvent.DELTA, new UpstreamHosts.News(version, false, List.of()));
+      dispatcher.onEndpointList(
+          EndpointListEvent.DELTA, new UpstreamHosts.ListUpdate(version, false, List.of()));
     }
     if (first) {
       confirm();
@@ -262,7 +262,7 @@
     onFailure(failed, "failed");
   }
 
-  private void apply(UpstreamHosts.News list) {
+  private void apply(UpstreamHosts.ListUpdate list) {
     if (version == NO_VERSION && !list.full()) {
       onFailure(connection, "changes came ahead of the list");
       return;
@@ -272,7 +272,7 @@
       return;
     }
     version = list.version();
-    dispatcher.membership(list.full() ? EndpointListEvent.FULL : EndpointListEvent.DELTA, list);
+    dispatcher.onEndpointList(list.full() ? EndpointListEvent.FULL : EndpointListEvent.DELTA, list);
   }
 
   /** Takes the first sound response of a connection, even if its list could not be applied. */
@@ -294,7 +294,7 @@
     lastFailure = reason;
     if (polled) {
       transition(WatchState.IDLE);
-      dispatcher.followFailed();
+      dispatcher.onWatchFailed();
     } else {
       transition(WatchState.BACKING_OFF);
       long delayMillis = backoff.nextDelayMillis();
--- a/src/main/java/leadferry/proxy/EndpointListDecoder.java
+++ b/src/main/java/leadferry/proxy/EndpointListDecoder.java
@@ -39,7 +39,8 @@
   private EndpointListDecoder() {}
 
   /** Decodes the first {@code length} bytes of {@code text}. */
-  static UpstreamHosts.News decode(byte[] text, int length) throws MalformedEndpointListException {
+  static UpstreamHosts.ListUpdate decode(byte[] text, int length)
+      throws MalformedEndpointListException {
     try {
       return decode(JSON.readTree(text, 0, length));
     } catch (JsonProcessingException e) {
@@ -50,7 +51,7 @@
   }
 
   /** Decodes a list that is parsed already. */
-  static UpstreamHosts.News decode(JsonNode list) throws MalformedEndpointListException {
+  static UpstreamHosts.ListUpdate decode(JsonNode list) throws MalformedEndpointListException {
     JsonNode servers = list.path(SERVERS);
     if (!list.isObject() || !servers.isArray() || !list.path(VERSION).canConvertToLong()) {
       throw new MalformedEndpointListException("not a list with version and servers");
@@ -65,7 +66,7 @@
       }
       members.add(member);
     }
-    return new UpstreamHosts.News(
+    return new UpstreamHosts.ListUpdate(
         list.path(VERSION).asLong(), list.path(FULL).asBoolean(), members);
   }
 
--- a/src/main/java/leadferry/proxy/EndpointListFramer.java
+++ b/src/main/java/leadferry/proxy/EndpointListFramer.java
@@ -60,7 +60,7 @@
   }
 
   /** Decodes what has been read as one list, and begins with the next. */
-  UpstreamHosts.News takeList() throws MalformedEndpointListException {
+  UpstreamHosts.ListUpdate takeList() throws MalformedEndpointListException {
     int length = size;
     size = 0;
     lineStart = 0;
--- a/src/main/java/leadferry/proxy/Management.java
+++ b/src/main/java/leadferry/proxy/Management.java
@@ -27,7 +27,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import leadferry.engine.AcceptBackoff;
+import leadferry.engine.AcceptBackoffHandler;
 import leadferry.engine.Log;
 import leadferry.engine.RetryingServerSocketChannel;
 import leadferry.http.ServerSockets;
@@ -95,7 +95,7 @@
                 group,
                 RetryingServerSocketChannel.class,
                 BACKLOG,
-                new AcceptBackoff(log::line),
+                new AcceptBackoffHandler(log::line),
                 this::accept)
             .bind(address)
             .sync()
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -44,14 +44,14 @@
 
   /** Other settings hold for what comes from now on; {@link #settled} ends their grace. */
   void settings(Settings next) {
-    pool.settings(classes.change(next));
+    pool.updateSettings(classes.change(next));
   }
 
   /** Requests of the form before the last change of settings are no longer taken. */
   void settled() {
     Settings settled = classes.settled();
     if (settled != null) {
-      pool.settings(settled);
+      pool.updateSettings(settled);
     }
   }
 
@@ -66,7 +66,7 @@
 
   @Override
   public boolean ready() {
-    return !draining && !operators.isDraining() && pool.anySendable();
+    return !draining && !operators.isDraining() && pool.hasSendableHost();
   }
 
   @Override
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -12,7 +12,7 @@
 import leadferry.engine.Dispatcher;
 import leadferry.engine.Log;
 import leadferry.engine.NioTransport;
-import leadferry.engine.Sockets;
+import leadferry.engine.SocketBudget;
 import leadferry.engine.Transport;
 import leadferry.engine.UpstreamConnectionPool;
 import leadferry.http.HttpProtocol;
@@ -50,7 +50,7 @@
   private final Log log;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final SharedLimits limits;
   private final UpstreamConnectionPool upstreams;
   private final Dispatcher dispatcher;
@@ -68,10 +68,10 @@
     this.log = log;
     this.group =
         new MultiThreadIoEventLoopGroup(
-            1, new DefaultThreadFactory("loop", true), TRANSPORT.loops());
+            1, new DefaultThreadFactory("loop", true), TRANSPORT.ioHandlerFactory());
     this.loop = (EventLoop) group.next();
     this.sockets =
-        new Sockets(
+        new SocketBudget(
             config.sockets() - (config.management() == null ? 0 : Management.MAX_CONNECTIONS));
     BodyBudget budget = new BodyBudget(0);
     this.limits = new SharedLimits(hotRestart, config.memoryMegabytes(), sockets, budget, log);
@@ -99,8 +99,8 @@
     if (addresses == null) {
       return null;
     }
-    Peers joined = new Peers(addresses, dispatcher::heard, log);
-    dispatcher.join(initialConfig.seed(), joined::tell);
+    Peers joined = new Peers(addresses, dispatcher::onPeerMessage, log);
+    dispatcher.shareSuspicions(initialConfig.seed(), joined::tell);
     return joined;
   }
 
@@ -186,7 +186,7 @@
 
   private void keepHouse() {
     try {
-      if (!lifecycle.isShuttingDown() && dispatcher.anySendable()) {
+      if (!lifecycle.isShuttingDown() && dispatcher.hasSendableHost()) {
         operators.setReady(true);
       }
       dispatcher.sweep();
@@ -210,7 +210,7 @@
   }
 
   private void onReload(Config config) {
-    upstreams.bounds(config.bounds());
+    upstreams.updateBounds(config.bounds());
     log.line("configuration read again, discovery at " + config.discovery());
     discovery.moveTo(config.discovery());
   }
@@ -264,16 +264,16 @@
 
   /** Requests that are not over, or whose attempts are not; on its loop. */
   int open() {
-    return dispatcher.open();
+    return dispatcher.openRequests();
   }
 
   /** Whether the endpoint of that name may get requests; on its loop. */
   boolean sends(String endpoint) {
-    return dispatcher.sends(endpoint);
+    return dispatcher.isSendable(endpoint);
   }
 
   /** What it holds of descriptors; on its loop. */
-  Sockets sockets() {
+  SocketBudget sockets() {
     return sockets;
   }
 
--- a/src/main/java/leadferry/proxy/SharedLimits.java
+++ b/src/main/java/leadferry/proxy/SharedLimits.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 import leadferry.engine.BodyBudget;
 import leadferry.engine.Log;
-import leadferry.engine.Sockets;
+import leadferry.engine.SocketBudget;
 
 /**
  * The limits of descriptors and memory, shared with the other process of an upgrade: each goes by
@@ -27,13 +27,17 @@
 
   private final HotRestart hotRestart;
   private final int memoryMegabytes;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final BodyBudget budget;
   private final Log log;
   private boolean shared;
 
   SharedLimits(
-      HotRestart hotRestart, int memoryMegabytes, Sockets sockets, BodyBudget budget, Log log) {
+      HotRestart hotRestart,
+      int memoryMegabytes,
+      SocketBudget sockets,
+      BodyBudget budget,
+      Log log) {
     this.hotRestart = hotRestart;
     this.memoryMegabytes = memoryMegabytes;
     this.sockets = sockets;
@@ -63,7 +67,10 @@
     try {
       hotRestart.tell(
           new HotRestart.Standing(
-              listening.getAsBoolean(), sockets.clients(), sockets.upstreams(), budget.used()));
+              listening.getAsBoolean(),
+              sockets.clientCount(),
+              sockets.upstreamCount(),
+              budget.usedBytes()));
       update(hotRestart.others());
     } catch (RuntimeException e) {
       log.failure("processes could not be compared", e); // until the next time
@@ -80,12 +87,12 @@
         Math.max(MIN_BODIES_MEGABYTES, Math.min(MAX_BODIES_MEGABYTES, megabytes));
     long bodyBytes = bodiesMegabytes << BYTES_PER_MEGABYTE_BITS;
     if (others == null) {
-      sockets.alone();
-      budget.limit(bodyBytes);
+      sockets.useAllDescriptors();
+      budget.setLimit(bodyBytes);
     } else {
       long minBytes = (MIN_BODIES_MEGABYTES << BYTES_PER_MEGABYTE_BITS) / 2;
-      sockets.shared(others.clients(), others.upstreams());
-      budget.limit(Math.max(minBytes, bodyBytes - others.bodies()));
+      sockets.shareDescriptors(others.clients(), others.upstreams());
+      budget.setLimit(Math.max(minBytes, bodyBytes - others.bodies()));
     }
   }
 }
--- a/src/main/java/leadferry/testbed/LoadGenerator.java
+++ b/src/main/java/leadferry/testbed/LoadGenerator.java
@@ -87,7 +87,7 @@
     Transport transport = MinimalFakeUpstream.transport();
     this.group =
         new MultiThreadIoEventLoopGroup(
-            plan.threads(), new DefaultThreadFactory("load", true), transport.loops());
+            plan.threads(), new DefaultThreadFactory("load", true), transport.ioHandlerFactory());
     RequestTemplate[] templates =
         plan.kinds().stream().map(RequestTemplate::new).toArray(RequestTemplate[]::new);
     LoadLane.Observer observer = new Observer();
--- a/src/main/java/leadferry/testbed/LoadLane.java
+++ b/src/main/java/leadferry/testbed/LoadLane.java
@@ -78,7 +78,7 @@
     this.bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(transport.connection())
+            .channel(transport.connectionType())
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(
--- a/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
+++ b/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
@@ -46,11 +46,11 @@
     Transport transport = transport();
     this.group =
         new MultiThreadIoEventLoopGroup(
-            1, new DefaultThreadFactory("quick", true), transport.loops());
+            1, new DefaultThreadFactory("quick", true), transport.ioHandlerFactory());
     this.listener =
         new ServerBootstrap()
             .group(group)
-            .channel(transport.listener())
+            .channel(transport.listenerType())
             .option(ChannelOption.SO_BACKLOG, 1_024)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -68,7 +68,9 @@
 
   /** What Linux gives, else the JDK's sockets. */
   static Transport transport() {
-    return NativeTransport.EPOLL.missing() == null ? NativeTransport.EPOLL : new NioTransport();
+    return NativeTransport.EPOLL.unavailabilityCause() == null
+        ? NativeTransport.EPOLL
+        : new NioTransport();
   }
 
   static byte[] ascii(String s) {
--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -184,7 +184,7 @@
   @Test
   void whatWaitsForAClientThatSentMoreAheadAndLeftIsNotSent() throws Exception {
     Assumptions.assumeTrue(
-        NativeTransport.EPOLL.missing() == null,
+        NativeTransport.EPOLL.unavailabilityCause() == null,
         "the JDK's sockets can't be asked without losing a byte");
     FakeUpstream a = it.host("a");
     a.misbehave(Fault.SILENT, 1);
--- a/src/test/java/leadferry/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -33,7 +33,7 @@
   void aRecordOfJsonHasItsFieldsByNameWhateverTheyHold() throws Exception {
     String odd = "a\"b\n\u0001\u2028" + "x".repeat(1_000);
     try (DaemonLog log = new DaemonLog(new LoggerContext(), LogForm.JSON, out, 50)) {
-      log.with("listener", "main")
+      log.withField("listener", "main")
           .detail("request", "outcome", "refused", "ms", 12L, "route", odd, "server", null);
       log.failure("it broke", new IllegalStateException("why"));
     }
--- a/src/test/java/leadferry/engine/AcceptRetryPolicyTest.java
+++ b/src/test/java/leadferry/engine/AcceptRetryPolicyTest.java
@@ -10,7 +10,7 @@
   private final AcceptRetryPolicy policy = new AcceptRetryPolicy();
 
   private long[] backoffs(int count) {
-    return LongStream.generate(policy::backoffMillis).limit(count).toArray();
+    return LongStream.generate(policy::nextBackoffMillis).limit(count).toArray();
   }
 
   @Test
@@ -22,7 +22,7 @@
   void backoffBeginsAnewAfterAnAccept() {
     backoffs(3);
 
-    policy.accepted();
+    policy.onAccepted();
 
     assertThat(backoffs(2)).containsExactly(5, 10);
   }
@@ -30,7 +30,7 @@
   @Test
   void acceptIsAttemptedFourTimesAtOnce() {
     int attempts = 1;
-    while (AcceptRetryPolicy.retriesAtOnce(attempts)) {
+    while (AcceptRetryPolicy.shouldRetryImmediately(attempts)) {
       attempts++;
     }
 
@@ -40,7 +40,7 @@
   @Test
   void listenerThatIsToBeClosedLooksAgainFortyTimes() {
     long retries =
-        IntStream.rangeClosed(1, 100).filter(AcceptRetryPolicy::retriesBeforeClose).count();
+        IntStream.rangeClosed(1, 100).filter(AcceptRetryPolicy::shouldRetryBeforeClose).count();
 
     assertThat(retries).isEqualTo(40);
   }
--- a/src/test/java/leadferry/engine/AttemptPhaseTest.java
+++ b/src/test/java/leadferry/engine/AttemptPhaseTest.java
@@ -11,7 +11,7 @@
   @Test
   void onlyAPendingOrConnectingAttemptHasWaited() {
     assertThat(AttemptPhase.values())
-        .filteredOn(AttemptPhase::waited)
+        .filteredOn(AttemptPhase::hasWaited)
         .containsExactly(AttemptPhase.PENDING, AttemptPhase.CONNECTING);
   }
 
@@ -19,19 +19,19 @@
   void whatIsAttachedMayRunUntilItsOutcomeProvesOtherwise() {
     AttemptPhase attached = AttemptPhase.CREATED.attached();
 
-    assertThat(attached.mayRun()).isTrue();
-    assertThat(attached.ended(AttemptOutcome.MOOT).mayRun()).isFalse();
-    assertThat(attached.ended(AttemptOutcome.RESET).mayRun()).isTrue();
+    assertThat(attached.mayHaveRun()).isTrue();
+    assertThat(attached.ended(AttemptOutcome.MOOT).mayHaveRun()).isFalse();
+    assertThat(attached.ended(AttemptOutcome.RESET).mayHaveRun()).isTrue();
   }
 
   @ParameterizedTest
   @EnumSource(names = {"CREATED", "PENDING", "CONNECTING"})
   void whatIsNotAttachedCannotHaveRun(AttemptPhase phase) {
-    assertThat(phase.mayRun()).isFalse();
+    assertThat(phase.mayHaveRun()).isFalse();
   }
 
   @ParameterizedTest
-  @EnumSource(names = {"NEVER_RAN", "MAY_HAVE_RAN"})
+  @EnumSource(names = {"NEVER_RAN", "MAY_HAVE_RUN"})
   void whatIsOverStaysAsItEnded(AttemptPhase phase) {
     assertThat(phase.pending()).isEqualTo(phase);
     assertThat(phase.connecting()).isEqualTo(phase);
@@ -46,7 +46,7 @@
   void outcomeDecidesWhetherItMayHaveRun(AttemptOutcome outcome) {
     AttemptPhase ended = AttemptPhase.ATTACHED.ended(outcome);
 
-    assertThat(ended.over()).isTrue();
-    assertThat(ended.mayRun()).isEqualTo(!outcome.neverRan());
+    assertThat(ended.isOver()).isTrue();
+    assertThat(ended.mayHaveRun()).isEqualTo(!outcome.neverRan());
   }
 }
--- a/src/test/java/leadferry/engine/DescriptorsTest.java
+++ b/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
@@ -16,7 +16,7 @@
  * Descriptors run out when a connection to a host is to be opened: by our own bound, or by the
  * system's.
  */
-class DescriptorsTest {
+class DescriptorExhaustionTest {
   private static volatile boolean systemIsFull;
 
   /** A socket as the system gives it, or does not. */
@@ -32,38 +32,38 @@
     private final NioTransport usual = new NioTransport();
 
     @Override
-    public IoHandlerFactory loops() {
-      return usual.loops();
+    public IoHandlerFactory ioHandlerFactory() {
+      return usual.ioHandlerFactory();
     }
 
     @Override
-    public Class<? extends ServerChannel> listener() {
-      return usual.listener();
+    public Class<? extends ServerChannel> listenerType() {
+      return usual.listenerType();
     }
 
     @Override
-    public Class<? extends Channel> connection() {
+    public Class<? extends Channel> connectionType() {
       return Scarce.class;
     }
 
     @Override
-    public End end(Channel client) {
-      return End.NONE;
+    public ClientEnd checkClientEnd(Channel client) {
+      return ClientEnd.NONE;
     }
 
     @Override
-    public boolean quiet(Channel connection) {
+    public boolean isQuiet(Channel connection) {
       return true;
     }
   }
 
-  private Pool pool;
+  private EngineFixture pool;
 
   @BeforeEach
   void open() throws Exception {
     systemIsFull = false;
     pool =
-        new Pool(
+        new EngineFixture(
             new ScarceTransport(),
             4,
             new Settings.RequestClass(
@@ -79,13 +79,13 @@
   void whatTheSystemHasNoDescriptorForIsRefusedAtOnceAndNoHostPays() throws Exception {
     systemIsFull = true;
     for (int i = 0; i < 40; i++) {
-      assertThat(pool.ask()).isEqualTo("refused");
+      assertThat(pool.request()).isEqualTo("refused");
     }
-    assertThat(pool.onLoop(pool.sockets::upstreams)).isZero();
-    assertThat(pool.atRest()).isTrue();
+    assertThat(pool.onLoop(pool.sockets::upstreamCount)).isZero();
+    assertThat(pool.isIdle()).isTrue();
     systemIsFull = false;
-    assertThat(pool.ask()).isEqualTo("served");
-    assertThat(pool.answers).isEmpty();
+    assertThat(pool.request()).isEqualTo("served");
+    assertThat(pool.finalResponses).isEmpty();
   }
 
   @Test
@@ -94,23 +94,23 @@
         pool.onLoop(
             () -> {
               int opened = 0;
-              while (pool.sockets.roomForUpstream()) {
-                pool.sockets.upstreamOpened();
+              while (pool.sockets.makeRoomForUpstream()) {
+                pool.sockets.onUpstreamOpened();
                 opened++;
               }
               return opened;
             });
     for (int i = 0; i < 40; i++) {
-      assertThat(pool.ask()).isEqualTo("refused");
+      assertThat(pool.request()).isEqualTo("refused");
     }
-    assertThat(pool.onLoop(pool.sockets::upstreams)).isEqualTo(held);
-    assertThat(pool.atRest()).isTrue();
+    assertThat(pool.onLoop(pool.sockets::upstreamCount)).isEqualTo(held);
+    assertThat(pool.isIdle()).isTrue();
     pool.onLoop(
         () -> {
-          pool.sockets.upstreamClosed();
+          pool.sockets.onUpstreamClosed();
           return null;
         });
-    assertThat(pool.ask()).isEqualTo("served");
-    assertThat(pool.answers).isEmpty();
+    assertThat(pool.request()).isEqualTo("served");
+    assertThat(pool.finalResponses).isEmpty();
   }
 }
--- a/src/test/java/leadferry/engine/Pool.java
+++ b/src/test/java/leadferry/engine/EngineFixture.java
@@ -33,7 +33,7 @@
  * The engine before hosts on loopback sockets, with a protocol in which one byte is a request, and
  * its answer.
  */
-final class Pool {
+final class EngineFixture {
   /** Far within a request's time, in which it would fail of itself. */
   private static final long PATIENCE_S = 20;
 
@@ -41,25 +41,25 @@
   private final EventLoop loop;
   private final List<ServerSocket> hosts = new ArrayList<>();
   private final Dispatcher dispatcher;
-  final Sockets sockets = new Sockets(140);
+  final SocketBudget sockets = new SocketBudget(140);
 
   /** Final answers, in the order in which they were given. */
-  final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+  final BlockingQueue<String> finalResponses = new LinkedBlockingQueue<>();
 
   /** Connections that hosts have accepted, and those of them that have ended again. */
-  final List<Socket> accepted = new CopyOnWriteArrayList<>();
+  final List<Socket> acceptedSockets = new CopyOnWriteArrayList<>();
 
-  final List<Socket> ended = new CopyOnWriteArrayList<>();
+  final List<Socket> endedSockets = new CopyOnWriteArrayList<>();
 
   /** Whether hosts send back what they get. */
-  volatile boolean answer = true;
+  volatile boolean hostsRespond = true;
 
   /** How an attempt of this number is written; by default its byte goes out at once. */
-  volatile BiFunction<Integer, Channel, ChannelFuture> write =
+  volatile BiFunction<Integer, Channel, ChannelFuture> attemptWriter =
       (number, channel) -> channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
 
-  Pool(Transport transport, int size, Settings.RequestClass type) throws Exception {
-    group = new MultiThreadIoEventLoopGroup(1, transport.loops());
+  EngineFixture(Transport transport, int size, Settings.RequestClass type) throws Exception {
+    group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
     loop = (EventLoop) group.next();
     List<UpstreamHosts.Member> members = new ArrayList<>();
     for (int i = 0; i < size; i++) {
@@ -92,7 +92,7 @@
             () -> {
               Dispatcher started =
                   new Dispatcher(null, loop, settings, 7, upstreams, new BodyBudget(1 << 20), log);
-              started.start(new UpstreamHosts.News(1, true, members), () -> {});
+              started.start(new UpstreamHosts.ListUpdate(1, true, members), () -> {});
               return started;
             });
   }
@@ -100,16 +100,16 @@
   private void accept(ServerSocket host) throws IOException {
     while (true) {
       Socket socket = host.accept();
-      accepted.add(socket);
+      acceptedSockets.add(socket);
       ProxyFixture.spawn(
           () -> {
             int request;
             while ((request = socket.getInputStream().read()) >= 0) {
-              if (answer) {
+              if (hostsRespond) {
                 socket.getOutputStream().write(request);
               }
             }
-            ended.add(socket);
+            endedSockets.add(socket);
           });
     }
   }
@@ -119,32 +119,33 @@
   }
 
   /**
-   * Gives it a request that has all the time of a test; its final answer comes to {@link #answers}.
+   * Gives it a request that has all the time of a test; its final answer comes to {@link
+   * #finalResponses}.
    */
-  void take() throws Exception {
+  void submit() throws Exception {
     onLoop(
         () -> {
-          dispatcher.take(
+          dispatcher.submit(
               new OneByte(), new RequestArrival(0, "c", null, 60_000, Double.NaN, false), null);
           return null;
         });
   }
 
   /** The final answer to one request, or null where there is none in time. */
-  String ask() throws Exception {
-    take();
-    return answers.poll(PATIENCE_S, TimeUnit.SECONDS);
+  String request() throws Exception {
+    submit();
+    return finalResponses.poll(PATIENCE_S, TimeUnit.SECONDS);
   }
 
-  int open() throws Exception {
-    return onLoop(dispatcher::open);
+  int openRequests() throws Exception {
+    return onLoop(dispatcher::openRequests);
   }
 
   /** Whether nothing is open, no host has anything in flight, and none is left out. */
-  boolean atRest() throws Exception {
+  boolean isIdle() throws Exception {
     return onLoop(
         () ->
-            dispatcher.open() == 0
+            dispatcher.openRequests() == 0
                 && dispatcher.busyHosts().isEmpty()
                 && dispatcher.ejectedHosts().isEmpty());
   }
@@ -154,7 +155,7 @@
     for (ServerSocket h : hosts) {
       h.close();
     }
-    for (Socket s : accepted) {
+    for (Socket s : acceptedSockets) {
       s.close();
     }
   }
@@ -162,34 +163,34 @@
   /** A request of one byte, and its answer. */
   private final class OneByte implements ClientCall {
     @Override
-    public void carriedBy(Exchange exchange) {}
+    public void onExchangeStarted(Exchange exchange) {}
 
     @Override
-    public Attempt attempt(Exchange exchange, UpstreamHost host, int number, double now) {
+    public Attempt createAttempt(Exchange exchange, UpstreamHost host, int number, double now) {
       return new Attempt(exchange, host, number, now) {
         @Override
         protected ChannelFuture write(Channel channel) {
-          return write.apply(number, channel);
+          return attemptWriter.apply(number, channel);
         }
 
         @Override
-        protected LoadReport report() {
+        protected LoadReport loadReport() {
           return null;
         }
 
         @Override
-        protected void release() {}
+        protected void releaseResponse() {}
       };
     }
 
     @Override
-    public void refused(double coolDownMs) {
-      answers.add("refused");
+    public void sendRejection(double coolDownMs) {
+      finalResponses.add("refused");
     }
 
     @Override
-    public void failed(boolean timeUp) {
-      answers.add("failed");
+    public void sendFailure(boolean timeUp) {
+      finalResponses.add("failed");
     }
 
     @Override
@@ -209,10 +210,10 @@
     }
 
     @Override
-    protected void begin() {}
+    protected void prepareForAttempt() {}
 
     @Override
-    protected boolean heard() {
+    protected boolean hasResponseBytes() {
       return false;
     }
 
@@ -221,9 +222,9 @@
       ReferenceCountUtil.release(msg);
       Attempt answered = attempt();
       if (answered.exchange.claim()) {
-        answers.add("served");
+        finalResponses.add("served");
       }
-      finished(true);
+      onResponseComplete(true);
       answered.finish(AttemptOutcome.OK);
     }
   }
--- a/src/test/java/leadferry/engine/ExchangeStateTest.java
+++ b/src/test/java/leadferry/engine/ExchangeStateTest.java
@@ -14,21 +14,22 @@
         ExchangeState::claimed,
         ExchangeState::counted,
         ExchangeState::moved,
-        ExchangeState::clientGone);
+        ExchangeState::clientDisconnected);
   }
 
   @Test
   void finalAnswerIsClaimedAndThenCounted() {
     ExchangeState claimed = ExchangeState.WAITING.claimed();
 
-    assertThat(claimed).isEqualTo(ExchangeState.ANSWERED);
+    assertThat(claimed).isEqualTo(ExchangeState.RESPONDED);
     assertThat(claimed.counted()).isEqualTo(ExchangeState.COUNTED);
   }
 
   @Test
   void waitingRequestMayMoveOrLoseItsClient() {
     assertThat(ExchangeState.WAITING.moved()).isEqualTo(ExchangeState.MOVED);
-    assertThat(ExchangeState.WAITING.clientGone()).isEqualTo(ExchangeState.CLIENT_GONE);
+    assertThat(ExchangeState.WAITING.clientDisconnected())
+        .isEqualTo(ExchangeState.CLIENT_DISCONNECTED);
   }
 
   @Test
@@ -39,17 +40,17 @@
   @ParameterizedTest
   @EnumSource(value = ExchangeState.class, names = "WAITING", mode = EnumSource.Mode.EXCLUDE)
   void noEventMakesAnAnsweredRequestWaitAgain(ExchangeState state) {
-    assertThat(events().map(event -> event.apply(state))).allMatch(ExchangeState::answered);
+    assertThat(events().map(event -> event.apply(state))).allMatch(ExchangeState::isResolved);
   }
 
   @ParameterizedTest
-  @EnumSource(names = {"COUNTED", "MOVED", "CLIENT_GONE"})
+  @EnumSource(names = {"COUNTED", "MOVED", "CLIENT_DISCONNECTED"})
   void finalStatesStay(ExchangeState state) {
     assertThat(events().map(event -> event.apply(state))).containsOnly(state);
   }
 
   @Test
   void clientThatLeavesAfterTheAnswerLeavesItToBeCounted() {
-    assertThat(ExchangeState.ANSWERED.clientGone()).isEqualTo(ExchangeState.ANSWERED);
+    assertThat(ExchangeState.RESPONDED.clientDisconnected()).isEqualTo(ExchangeState.RESPONDED);
   }
 }
--- a/src/test/java/leadferry/engine/ReadHorizonTest.java
+++ b/src/test/java/leadferry/engine/ReadLagTrackerTest.java
@@ -23,7 +23,7 @@
 /**
  * A loop that was busy knows how old what it reads may be; one that waited knows that it is new.
  */
-class ReadHorizonTest {
+class ReadLagTrackerTest {
   private static final long BUSY_MS = 60;
   private final BlockingQueue<Long> behind = new LinkedBlockingQueue<>();
   private MultiThreadIoEventLoopGroup group;
@@ -31,17 +31,17 @@
   private Socket peer;
 
   static Stream<Transport> transports() {
-    return NativeTransport.EPOLL.missing() == null
+    return NativeTransport.EPOLL.unavailabilityCause() == null
         ? Stream.of(new NioTransport(), NativeTransport.EPOLL)
         : Stream.of(new NioTransport());
   }
 
   private void open(Transport transport) throws Exception {
-    group = new MultiThreadIoEventLoopGroup(1, transport.loops());
+    group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
     listener =
         new ServerBootstrap()
             .group(group)
-            .channel(transport.listener())
+            .channel(transport.listenerType())
             .childHandler(
                 new ChannelInboundHandlerAdapter() {
                   @Override
@@ -51,7 +51,7 @@
 
                   @Override
                   public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                    behind.add(ReadHorizon.behind());
+                    behind.add(ReadLagTracker.lagNanos());
                     io.netty.util.ReferenceCountUtil.release(msg);
                   }
                 })
@@ -117,6 +117,6 @@
   @MethodSource("transports")
   void offALoopNothingIsBehind(Transport transport) throws Exception {
     open(transport);
-    assertThat(ReadHorizon.behind()).isZero();
+    assertThat(ReadLagTracker.lagNanos()).isZero();
   }
 }
--- a/src/test/java/leadferry/engine/ServerStartClockTest.java
+++ b/src/test/java/leadferry/engine/ServerStartClockTest.java
@@ -22,7 +22,7 @@
 
   private ServerStartClock clock() {
     ServerStartClock fresh = new ServerStartClock(() -> UNIX_AT_ZERO + now + step, now);
-    fresh.upToDate(now);
+    fresh.onUpToDate(now);
     return fresh;
   }
 
@@ -33,8 +33,8 @@
   private double ageOfOneStartedNow() {
     double startedUnixMs = UNIX_AT_ZERO + now;
     now += NOTICE_MS;
-    double age = now - clock.started(startedUnixMs, now);
-    clock.upToDate(now);
+    double age = now - clock.startedAt(startedUnixMs, now);
+    clock.onUpToDate(now);
     return age;
   }
 
@@ -48,7 +48,7 @@
     assertThat(
             now
                 - new ServerStartClock(() -> UNIX_AT_ZERO + now, now)
-                    .started(UNIX_AT_ZERO + now - 600_000, now))
+                    .startedAt(UNIX_AT_ZERO + now - 600_000, now))
         .isEqualTo(600_000, within(0.01));
   }
 
@@ -94,7 +94,7 @@
   void aDiscoveryWhoseClockIsSteppedBoundsNothingAnyMoreByWhatItToldBefore() {
     ageOfOneStartedNow();
     double ahead = UNIX_AT_ZERO + now + HOUR_MS;
-    assertThat(now - clock.started(ahead, now)).isEqualTo(0, within(0.01));
+    assertThat(now - clock.startedAt(ahead, now)).isEqualTo(0, within(0.01));
     now += 10_000;
     assertThat(ageOfOneStartedNow()).isBetween(0.0, NOTICE_MS);
   }
--- a/src/test/java/leadferry/engine/SocketsTest.java
+++ b/src/test/java/leadferry/engine/SocketBudgetTest.java
@@ -8,14 +8,14 @@
  * 140 descriptors, of which 40 are kept back: 50 for either side, and what hosts leave is lent to
  * clients.
  */
-class SocketsTest {
-  private final Sockets sockets = new Sockets(140);
+class SocketBudgetTest {
+  private final SocketBudget sockets = new SocketBudget(140);
   private int asked;
 
   private int clientsUntilFull() {
     int opened = 0;
-    while (sockets.roomForClient()) {
-      sockets.clientOpened();
+    while (sockets.hasRoomForClient()) {
+      sockets.onClientOpened();
       opened++;
     }
     return opened;
@@ -24,60 +24,60 @@
   @Test
   void clientsGetWhatHostsLeaveButForAMargin() {
     for (int i = 0; i < 10; i++) {
-      sockets.upstreamOpened();
+      sockets.onUpstreamOpened();
     }
     assertThat(clientsUntilFull()).isEqualTo(100 - 10 - 12);
-    assertThat(sockets.crowded()).isTrue();
+    assertThat(sockets.isNearClientLimit()).isTrue();
   }
 
   @Test
   void hostsGetBackWhatWasLent() {
     clientsUntilFull();
-    sockets.onWanted(
+    sockets.setClientCloser(
         () -> {
           asked++;
-          sockets.clientClosed();
+          sockets.onClientClosed();
           return true;
         });
     int hosts = 0;
-    while (sockets.roomForUpstream()) {
-      sockets.upstreamOpened();
+    while (sockets.makeRoomForUpstream()) {
+      sockets.onUpstreamOpened();
       hosts++;
-      assertThat(sockets.clients() + sockets.upstreams()).isLessThanOrEqualTo(100);
+      assertThat(sockets.clientCount() + sockets.upstreamCount()).isLessThanOrEqualTo(100);
     }
     assertThat(hosts).isEqualTo(50);
-    assertThat(sockets.clients()).isEqualTo(50);
+    assertThat(sockets.clientCount()).isEqualTo(50);
     assertThat(asked).isPositive();
   }
 
   @Test
   void whereNoClientGivesWayTheBoundOverAllHolds() {
     clientsUntilFull();
-    while (sockets.roomForUpstream()) {
-      sockets.upstreamOpened();
+    while (sockets.makeRoomForUpstream()) {
+      sockets.onUpstreamOpened();
     }
-    assertThat(sockets.clients() + sockets.upstreams()).isEqualTo(100);
+    assertThat(sockets.clientCount() + sockets.upstreamCount()).isEqualTo(100);
   }
 
   @Test
   void clientsNeverHaveLessThanHalf() {
     for (int i = 0; i < 50; i++) {
-      assertThat(sockets.roomForUpstream()).isTrue();
-      sockets.upstreamOpened();
+      assertThat(sockets.makeRoomForUpstream()).isTrue();
+      sockets.onUpstreamOpened();
     }
-    assertThat(sockets.roomForUpstream()).isFalse();
+    assertThat(sockets.makeRoomForUpstream()).isFalse();
     assertThat(clientsUntilFull()).isEqualTo(50);
   }
 
   @Test
   void anotherProcessIsLeftWhatItHolds() {
-    sockets.shared(30, 5);
+    sockets.shareDescriptors(30, 5);
     assertThat(clientsUntilFull()).isEqualTo(60 - 5 - 8 - 30);
   }
 
   @Test
   void noMoreRequestsAreCarriedThanHostsHaveConnections() {
-    assertThat(sockets.roomForRequest(49)).isTrue();
-    assertThat(sockets.roomForRequest(50)).isFalse();
+    assertThat(sockets.hasRoomForRequest(49)).isTrue();
+    assertThat(sockets.hasRoomForRequest(50)).isFalse();
   }
 }
--- a/src/test/java/leadferry/engine/UnfinishedWritesTest.java
+++ b/src/test/java/leadferry/engine/UnfinishedWritesTest.java
@@ -15,7 +15,7 @@
  */
 class UnfinishedWritesTest {
   private static final int WINDOW = 600;
-  private Pool pool;
+  private EngineFixture pool;
 
   @AfterEach
   void close() throws Exception {
@@ -27,7 +27,7 @@
   @ValueSource(ints = {0, 1})
   void whatIsStuckInItsWriteIsWithdrawnWhenTheWindowOfTheOtherEnds(int stuck) throws Exception {
     pool =
-        new Pool(
+        new EngineFixture(
             new NioTransport(),
             2,
             new Settings.RequestClass(
@@ -39,23 +39,23 @@
                 WINDOW,
                 1,
                 0));
-    pool.answer = false;
-    pool.write =
+    pool.hostsRespond = false;
+    pool.attemptWriter =
         (number, channel) ->
             number == stuck
                 ? channel.newPromise()
                 : channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
     long begun = System.nanoTime();
-    pool.take();
+    pool.submit();
     long until = System.nanoTime() + 20_000_000_000L;
-    while (pool.ended.isEmpty() && System.nanoTime() < until) {
+    while (pool.endedSockets.isEmpty() && System.nanoTime() < until) {
       Thread.sleep(1);
     }
-    assertThat(pool.accepted).hasSize(2);
-    assertThat(pool.ended).hasSize(1);
+    assertThat(pool.acceptedSockets).hasSize(2);
+    assertThat(pool.endedSockets).hasSize(1);
     assertThat(System.nanoTime() - begun)
         .isGreaterThan((WINDOW - 100) * 1_000_000L); // not before it has to be
-    assertThat(pool.open()).isEqualTo(1); // the other one may answer still
-    assertThat(pool.answers).isEmpty();
+    assertThat(pool.openRequests()).isEqualTo(1); // the other one may answer still
+    assertThat(pool.finalResponses).isEmpty();
   }
 }
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -34,7 +34,7 @@
 import leadferry.engine.LineLog;
 import leadferry.engine.Log;
 import leadferry.engine.NioTransport;
-import leadferry.engine.Sockets;
+import leadferry.engine.SocketBudget;
 import leadferry.engine.UpstreamConnectionPool;
 import leadferry.http.HttpProtocol;
 import org.junit.jupiter.api.AfterEach;
@@ -450,13 +450,19 @@
     Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()));
     Log quiet = ProxyFixture.quietLog();
     NioTransport transport = new NioTransport();
-    MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.loops());
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
     EventLoop loop = (EventLoop) group.next();
     try {
       scarce = 2;
       UpstreamConnectionPool upstreams =
           new UpstreamConnectionPool(
-              loop, transport, HttpProtocol.PLATFORM, config.bounds(), new Sockets(128), quiet);
+              loop,
+              transport,
+              HttpProtocol.PLATFORM,
+              config.bounds(),
+              new SocketBudget(128),
+              quiet);
       Discovery watch =
           loop.submit(
                   () -> {
--- a/src/test/java/leadferry/proxy/ProxyFixture.java
+++ b/src/test/java/leadferry/proxy/ProxyFixture.java
@@ -401,7 +401,7 @@
 
   /** Connections to hosts that are open in the proxy, or being opened. */
   int upstreams() {
-    return onLoop(() -> proxy.sockets().upstreams());
+    return onLoop(() -> proxy.sockets().upstreamCount());
   }
 
   /** Has the proxy end as at SIGTERM; the future is done when its process would be gone. */
@@ -412,7 +412,7 @@
 
   /** Connections of clients that are open in the proxy. */
   int clients() {
-    return onLoop(() -> proxy.sockets().clients());
+    return onLoop(() -> proxy.sockets().clientCount());
   }
 
   /**
--- a/src/test/java/leadferry/proxy/TerminationRaceTest.java
+++ b/src/test/java/leadferry/proxy/TerminationRaceTest.java
@@ -881,7 +881,7 @@
   void aClientIsNotSentAwayForASilenceThatIsTheLoops() throws Exception {
     world.start(world.new Host(h -> ok("done")));
     List<Socket> fill = new ArrayList<>();
-    while (world.onLoop(() -> world.proxy.sockets().roomForClient())) {
+    while (world.onLoop(() -> world.proxy.sockets().hasRoomForClient())) {
       Socket s = world.client();
       fill.add(s);
       write(s, "POST /cl"); // begun, and so none that makes room yet
