--- a/src/main/java/leadferry/cli/FleetDrainCommands.java
+++ b/src/main/java/leadferry/cli/FleetDrainCommands.java
@@ -43,7 +43,7 @@
         if (progress.path("carried_out").asBoolean()) {
           return fleet.print(granted.put("carried_out", true), Waiting::printCarriedOut);
         }
-        client.listen(System.nanoTime() + LOOK_NANOS);
+        client.receivePushes(System.nanoTime() + LOOK_NANOS);
       }
       granted.put("carried_out", false).set("awaited", progress.path("awaited"));
       fleet.print(granted, Waiting::printAwaited);
--- a/src/main/java/leadferry/cli/FleetOptions.java
+++ b/src/main/java/leadferry/cli/FleetOptions.java
@@ -139,7 +139,7 @@
 
   /** Prints that no answer came, and whether the request may have been carried out. */
   int printUnreachable(UnreachableException cause, ObjectNode request) {
-    boolean undecided = cause.sent && request.path("op").asText().equals("submit");
+    boolean undecided = cause.requestSent && request.path("op").asText().equals("submit");
     ObjectNode result =
         Json.object()
             .put("status", undecided ? "undecided" : "unreachable")
--- a/src/main/java/leadferry/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -76,7 +76,7 @@
     this.log = log;
     this.controller = new ReleaseController(name + "/" + UUID.randomUUID(), leaseMillis);
     this.lease = new Lease(leaseMillis);
-    this.runner = new TargetCommandRunner(release, () -> lease.holds(System.nanoTime()), log);
+    this.runner = new TargetCommandRunner(release, () -> lease.isHeld(System.nanoTime()), log);
   }
 
   /**
@@ -125,7 +125,7 @@
               .map(MemberReports::read);
     }
     long now = System.nanoTime();
-    for (DriverAction action : controller.next(view, reports, lease.holds(now), now)) {
+    for (DriverAction action : controller.next(view, reports, lease.isHeld(now), now)) {
       carryOut(view, action);
     }
   }
@@ -154,10 +154,10 @@
   private void renewLease(ReleaseView view) {
     long now = System.nanoTime();
     if (!controller.drives(view)) {
-      lease.lost();
+      lease.onSessionLost();
       return;
     }
-    if (lease.holds(now) && now - nextRenewalNanos < 0) {
+    if (lease.isHeld(now) && now - nextRenewalNanos < 0) {
       return;
     }
     long renewalNanos = leaseNanos / RENEWALS_PER_LEASE;
@@ -167,10 +167,10 @@
         .ifPresent(
             response -> {
               if (hasStatus(response, Status.DONE)) {
-                lease.confirmed(now);
+                lease.onConfirmed(now);
                 nextRenewalNanos = now + renewalNanos;
               } else {
-                lease.lost();
+                lease.onSessionLost();
               }
             });
   }
--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -15,7 +15,7 @@
   static final int MAX_RECORDS = 2_000;
 
   /** The stored word for {@code who} where no person asked. */
-  static final String REPLICAS = "keepers";
+  static final String REPLICAS_ACTOR = "keepers";
 
   /** What a record takes over of its entry, as text, in this order. */
   private static final List<String> COPIED_KEYS =
@@ -29,13 +29,13 @@
    * Adds a record.
    *
    * @param entryNumber the entry's place in the log
-   * @param version that of the fleet's view after the entry
+   * @param viewVersion that of the fleet's view after the entry
    */
-  void add(long entryNumber, long version, ObjectNode stored, Outcome outcome) {
+  void add(long entryNumber, long viewVersion, ObjectNode stored, Outcome outcome) {
     ObjectNode entry =
         Json.object()
             .put("n", entryNumber)
-            .put("version", version)
+            .put("version", viewVersion)
             .put("status", outcome.status().word());
     for (String key : COPIED_KEYS) {
       if (stored.has(key)) {
--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -52,7 +52,7 @@
    */
   public ObjectNode apply(byte[] bytes) {
     entryCount++;
-    ObjectNode stored = LogEntryCodec.read(bytes);
+    ObjectNode stored = LogEntryCodec.parse(bytes);
     if (stored == null) {
       return OutcomeCodec.encode(Outcome.of(Status.MALFORMED, "not an object"));
     }
@@ -105,7 +105,7 @@
   private Outcome applyRelease(LogEntry.Release entry, ObjectNode stored) {
     Outcome outcome = releases.apply(entry.command(), disruption);
     // What a budget refuses a driver is asked again until it is granted: only the grant is kept.
-    if (!entry.byDriver()
+    if (!entry.fromDriver()
         || outcome.status() == Status.GRANTED
         || outcome.status() == Status.DONE) {
       addToAudit(stored, outcome);
@@ -133,7 +133,8 @@
     } else if (timers().containsKey(timer)) {
       releases.timeout(timer);
       addToAudit(
-          stored.deepCopy().put("who", AuditLog.REPLICAS).put("why", timer + " ran out"), done);
+          stored.deepCopy().put("who", AuditLog.REPLICAS_ACTOR).put("why", timer + " ran out"),
+          done);
     }
     return done;
   }
@@ -164,7 +165,11 @@
 
   private Session openSession(LogEntry.Join join) {
     disruption.onSessionOpened(
-        join.name(), join.zone(), join.version(), join.catalog().digest(), join.catalog().hosts());
+        join.name(),
+        join.zone(),
+        join.runningVersion(),
+        join.catalog().digest(),
+        join.catalog().endpoints());
     return sessions.open(join, entryCount);
   }
 
@@ -176,14 +181,14 @@
         .catalog()
         .ifPresent(
             catalog ->
-                disruption.onCatalogChanged(report.name(), catalog.digest(), catalog.hosts()));
+                disruption.onCatalogChanged(report.name(), catalog.digest(), catalog.endpoints()));
     disruption.onMemberReport(
         report.name(),
-        report.number(),
-        report.seenVersion(),
+        report.reportNumber(),
+        report.acknowledgedVersion(),
         report.serving(),
-        report.busyHosts(),
-        report.suspectedHosts());
+        report.busyEndpoints(),
+        report.ejectedEndpoints());
     return Outcome.of(Status.DONE);
   }
 
@@ -209,11 +214,11 @@
 
   /** Members whose sessions live, by name, with the session. */
   public Map<String, Long> liveSessions() {
-    return sessions.liveIds();
+    return sessions.liveSessionIds();
   }
 
   /** Whether any release is under way, so that members' reports are wanted. */
-  public boolean reportsWanted() {
+  public boolean hasActiveRelease() {
     return releases.hasActive();
   }
 
@@ -235,40 +240,40 @@
   }
 
   /** All that staff may want to see; with the audit where asked. */
-  public ObjectNode status(boolean history) {
+  public ObjectNode status(boolean includeHistory) {
     ObjectNode status = Json.object();
     disruption.status(status);
-    if (history) {
+    if (includeHistory) {
       audit.write(status.putArray("history"));
     }
     return status;
   }
 
   /** One release whole, or all of them in short where {@code name} is "". */
-  public ObjectNode release(String name) {
+  public ObjectNode releaseStatus(String name) {
     ObjectNode status = Json.object();
     releases.status(name, status, disruption);
     return status;
   }
 
   /** Whether a driver of a release holds its lease under this fence. */
-  public boolean holdsDriverLease(String release, long fence) {
+  public boolean isDriverLeaseHeld(String release, long fence) {
     return releases.isLeaseHeld(release, fence);
   }
 
   /** What would become of a drain that was asked for now. */
-  public ObjectNode explain(String kind, String name) {
+  public ObjectNode explainDrain(String kind, String name) {
     ObjectNode explanation = Json.object();
     disruption.explain(TargetType.of(kind), name, explanation);
     return explanation;
   }
 
   /** What the drain of that grant waits for. */
-  public ObjectNode evictionStatus(String id) {
+  public ObjectNode grantStatus(String grantId) {
     ObjectNode status =
-        Json.object().put("permit", id).put("carried_out", disruption.carriedOut(id));
+        Json.object().put("permit", grantId).put("carried_out", disruption.carriedOut(grantId));
     ObjectNode awaited = status.putObject("awaited");
-    disruption.awaited(id).forEach(awaited::put);
+    disruption.awaited(grantId).forEach(awaited::put);
     return status;
   }
 
--- a/src/main/java/leadferry/consensus/Json.java
+++ b/src/main/java/leadferry/consensus/Json.java
@@ -49,7 +49,7 @@
   }
 
   /** The object that these bytes are, or null where they are none. */
-  public static ObjectNode read(byte[] bytes) {
+  public static ObjectNode parse(byte[] bytes) {
     try {
       return MAPPER.readTree(bytes) instanceof ObjectNode object ? object : null;
     } catch (IOException e) {
--- a/src/main/java/leadferry/consensus/LeaderClock.java
+++ b/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
@@ -8,32 +8,32 @@
  * state machine's, is guarded by the state machine's monitor: no entry is applied between a look at
  * a session and its renewal.
  */
-final class LeaderClock {
+final class LeaderLeaseTimers {
   private static final long NO_TERM = -1;
 
   private final FleetStateMachine stateMachine;
   private final LeaseTimers timers = new LeaseTimers();
   private long term = NO_TERM;
 
-  LeaderClock(FleetStateMachine stateMachine) {
+  LeaderLeaseTimers(FleetStateMachine stateMachine) {
     this.stateMachine = stateMachine;
   }
 
   /** The timers that have run out while this replica led in that term, each once. */
-  List<String> due(long currentTerm, long nowNanos) {
+  List<String> pollExpired(long currentTerm, long nowNanos) {
     synchronized (stateMachine) {
       if (currentTerm != term) {
         term = currentTerm;
-        timers.begin(nowNanos);
+        timers.reset(nowNanos);
       }
-      return timers.due(stateMachine.timers(), nowNanos);
+      return timers.pollExpired(stateMachine.timers(), nowNanos);
     }
   }
 
   /** The log did not take the end of this timer: it is due again. */
-  void retry(String timer) {
+  void allowResubmission(String timer) {
     synchronized (stateMachine) {
-      timers.resubmit(timer);
+      timers.allowResubmission(timer);
     }
   }
 
@@ -41,14 +41,14 @@
   boolean renewSession(String name, long session, long nowNanos) {
     synchronized (stateMachine) {
       return stateMachine.isSessionLive(name, session)
-          && timers.renew(SessionTable.timer(name, session), nowNanos);
+          && timers.renew(SessionTable.timerName(name, session), nowNanos);
     }
   }
 
   /** Renews the lease of a release's driver; false where it is over. */
-  boolean renewDriver(String release, long fence, long nowNanos) {
+  boolean renewDriverLease(String release, long fence, long nowNanos) {
     synchronized (stateMachine) {
-      return stateMachine.holdsDriverLease(release, fence)
+      return stateMachine.isDriverLeaseHeld(release, fence)
           && timers.renew(Releases.driverLeaseTimer(release, fence), nowNanos);
     }
   }
--- a/src/main/java/leadferry/consensus/LeadershipConfirmation.java
+++ b/src/main/java/leadferry/consensus/LeadershipConfirmation.java
@@ -29,8 +29,8 @@
 
   private final RatisServer server;
   private final Executor executor;
-  private List<Consumer<Result>> waiting = new ArrayList<>();
-  private boolean roundUnderWay;
+  private List<Consumer<Result>> waitingListeners = new ArrayList<>();
+  private boolean roundInProgress;
 
   /** Rounds after the first run on {@code executor}. */
   LeadershipConfirmation(RatisServer server, Executor executor) {
@@ -41,11 +41,11 @@
   /** Tells {@code listener} what the next round comes to. */
   void request(Consumer<Result> listener) {
     synchronized (this) {
-      waiting.add(listener);
-      if (roundUnderWay) {
+      waitingListeners.add(listener);
+      if (roundInProgress) {
         return;
       }
-      roundUnderWay = true;
+      roundInProgress = true;
     }
     startRound();
   }
@@ -53,16 +53,16 @@
   private void startRound() {
     List<Consumer<Result>> listeners;
     synchronized (this) {
-      listeners = waiting;
-      waiting = new ArrayList<>();
+      listeners = waitingListeners;
+      waitingListeners = new ArrayList<>();
     }
     // Guards against a follower that confirms a lease: the library lets it read by its leader's
     // word, but nobody counts what is renewed there.
-    long term = server.leadingTerm();
+    long term = server.leadershipTerm();
     CompletableFuture<RaftClientReply> read =
         term == RatisServer.NOT_LEADING
             ? CompletableFuture.failedFuture(new IllegalStateException("does not lead"))
-            : server.readNothing();
+            : server.sendEmptyRead();
     read.whenComplete(
         (reply, failure) -> {
           Result result = resultOf(term, RatisServer.failureOf(reply, failure));
@@ -75,16 +75,16 @@
     if (failure.isPresent()) {
       return Result.failed(failure.get());
     }
-    return server.leadingTerm() == term ? Result.CONFIRMED : Result.failed("led no longer");
+    return server.leadershipTerm() == term ? Result.CONFIRMED : Result.failed("led no longer");
   }
 
   private void endRound() {
-    boolean moreWait;
+    boolean hasWaitingListeners;
     synchronized (this) {
-      moreWait = !waiting.isEmpty();
-      roundUnderWay = moreWait;
+      hasWaitingListeners = !waitingListeners.isEmpty();
+      roundInProgress = hasWaitingListeners;
     }
-    if (moreWait) {
+    if (hasWaitingListeners) {
       executor.execute(this::startRound);
     }
   }
--- a/src/main/java/leadferry/consensus/Lease.java
+++ b/src/main/java/leadferry/consensus/Lease.java
@@ -18,28 +18,31 @@
   /** How much of the lease a member counts on. */
   private static final double MEMBER_FRACTION = 0.9;
 
-  private final long lengthNanos;
+  private final long usableNanos;
   private long endNanos = Long.MIN_VALUE;
-  private boolean held;
+  private boolean confirmed;
 
   /** A lease of so many milliseconds, as the leader counts it. */
   public Lease(long leaseMillis) {
-    this.lengthNanos = (long) (leaseMillis * NANOS_PER_MILLI * MEMBER_FRACTION);
+    this.usableNanos = (long) (leaseMillis * NANOS_PER_MILLI * MEMBER_FRACTION);
   }
 
   /** The leader has confirmed what was asked at that time (ns). */
-  public void confirmed(long askedAtNanos) {
-    endNanos = held ? Math.max(endNanos, askedAtNanos + lengthNanos) : askedAtNanos + lengthNanos;
-    held = true;
+  public void onConfirmed(long requestedAtNanos) {
+    endNanos =
+        confirmed
+            ? Math.max(endNanos, requestedAtNanos + usableNanos)
+            : requestedAtNanos + usableNanos;
+    confirmed = true;
   }
 
   /** The session is gone. */
-  public void lost() {
-    held = false;
+  public void onSessionLost() {
+    confirmed = false;
   }
 
   /** Whether it holds; to be asked right before each decision that needs it. */
-  public boolean holds(long nowNanos) {
-    return held && nowNanos - endNanos < 0;
+  public boolean isHeld(long nowNanos) {
+    return confirmed && nowNanos - endNanos < 0;
   }
 }
--- a/src/main/java/leadferry/consensus/LeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaseTimers.java
@@ -23,42 +23,42 @@
  */
 public final class LeaseTimers {
   /** A gap between two looks (ns) from which on this process counts as having been stopped. */
-  static final long STALL_NANOS = 400_000_000L;
+  static final long STALL_THRESHOLD_NANOS = 400_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final Map<String, Long> startedAtNanos = new HashMap<>();
   private final Set<String> submitted = new HashSet<>();
-  private long lastLookNanos = Long.MIN_VALUE;
+  private long lastPollNanos = Long.MIN_VALUE;
 
   /** Leadership has begun: forgets all. */
-  public void begin(long nowNanos) {
+  public void reset(long nowNanos) {
     startedAtNanos.clear();
     submitted.clear();
-    lastLookNanos = nowNanos;
+    lastPollNanos = nowNanos;
   }
 
   /**
    * What has run out and was not returned before; {@code running} holds all that runs, and how long
    * (ms).
    */
-  public List<String> due(Map<String, Long> running, long nowNanos) {
-    if (lastLookNanos != Long.MIN_VALUE && nowNanos - lastLookNanos > STALL_NANOS) {
+  public List<String> pollExpired(Map<String, Long> durationsMillis, long nowNanos) {
+    if (lastPollNanos != Long.MIN_VALUE && nowNanos - lastPollNanos > STALL_THRESHOLD_NANOS) {
       startedAtNanos.clear(); // what was submitted to the log stays submitted
     }
-    lastLookNanos = nowNanos;
-    startedAtNanos.keySet().retainAll(running.keySet());
-    submitted.retainAll(running.keySet());
-    List<String> due = new ArrayList<>();
-    for (Map.Entry<String, Long> timer : running.entrySet()) {
-      Long from = startedAtNanos.putIfAbsent(timer.getKey(), nowNanos);
-      if (from != null
-          && nowNanos - from >= timer.getValue() * NANOS_PER_MILLI
+    lastPollNanos = nowNanos;
+    startedAtNanos.keySet().retainAll(durationsMillis.keySet());
+    submitted.retainAll(durationsMillis.keySet());
+    List<String> expired = new ArrayList<>();
+    for (Map.Entry<String, Long> timer : durationsMillis.entrySet()) {
+      Long startNanos = startedAtNanos.putIfAbsent(timer.getKey(), nowNanos);
+      if (startNanos != null
+          && nowNanos - startNanos >= timer.getValue() * NANOS_PER_MILLI
           && submitted.add(timer.getKey())) {
-        due.add(timer.getKey());
+        expired.add(timer.getKey());
       }
     }
-    return due;
+    return expired;
   }
 
   /**
@@ -74,7 +74,7 @@
   }
 
   /** The log did not take the end of this timer: it is due again. */
-  public void resubmit(String timer) {
+  public void allowResubmission(String timer) {
     submitted.remove(timer);
   }
 }
--- a/src/main/java/leadferry/consensus/LogEntry.java
+++ b/src/main/java/leadferry/consensus/LogEntry.java
@@ -14,9 +14,9 @@
    *
    * @param digest what tells two catalogs apart; the first one stored under a digest counts
    */
-  record HostCatalog(String digest, List<Target> hosts) {
-    public HostCatalog {
-      hosts = List.copyOf(hosts);
+  record EndpointCatalog(String digest, List<Target> endpoints) {
+    public EndpointCatalog {
+      endpoints = List.copyOf(endpoints);
     }
   }
 
@@ -25,35 +25,36 @@
    *
    * @param incarnation tells the processes that carry this name one after another apart
    * @param leaseMillis how long the session lives without a renewal
-   * @param version what the member runs
+   * @param runningVersion what the member runs
    */
   record Join(
       String name,
       String incarnation,
       long leaseMillis,
       String zone,
-      String version,
-      HostCatalog catalog)
+      String runningVersion,
+      EndpointCatalog catalog)
       implements LogEntry {}
 
   /**
    * A member reports what it does.
    *
-   * @param number counts up within a session; a report with a lower one that comes late is ignored
-   * @param seenVersion the version of the fleet's view that the member goes by
-   * @param busyHosts draining hosts to which it has requests in flight
-   * @param suspectedHosts hosts that it has ejected
+   * @param reportNumber counts up within a session; a report with a lower one that comes late is
+   *     ignored
+   * @param acknowledgedVersion the version of the fleet's view that the member goes by
+   * @param busyEndpoints draining hosts to which it has requests in flight
+   * @param ejectedEndpoints hosts that it has ejected
    * @param catalog its new catalog, where that has changed
    */
   record MemberReport(
       String name,
       long session,
-      long number,
-      long seenVersion,
+      long reportNumber,
+      long acknowledgedVersion,
       boolean serving,
-      SortedSet<String> busyHosts,
-      SortedSet<String> suspectedHosts,
-      Optional<HostCatalog> catalog)
+      SortedSet<String> busyEndpoints,
+      SortedSet<String> ejectedEndpoints,
+      Optional<EndpointCatalog> catalog)
       implements LogEntry {}
 
   /** A member ends its session by itself. */
@@ -71,9 +72,9 @@
   /**
    * Asks something of a release.
    *
-   * @param byDriver whether a driver wrote it, not an operator
+   * @param fromDriver whether a driver wrote it, not an operator
    */
-  record Release(ReleaseCommand command, boolean byDriver) implements LogEntry {}
+  record Release(ReleaseCommand command, boolean fromDriver) implements LogEntry {}
 
   /** An operator's entry that can't be read, and what was expected. */
   record Malformed(List<String> reasons) implements LogEntry {
@@ -85,7 +86,7 @@
   /** The entry that records that a timer of {@link FleetStateMachine#timers} has run out. */
   static LogEntry ofExpiredTimer(String timer) {
     return SessionTable.isSessionTimer(timer)
-        ? SessionTable.expiryOf(timer)
+        ? SessionTable.sessionExpiredEntry(timer)
         : new TimerExpired(timer);
   }
 }
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -71,8 +71,8 @@
    *
    * @throws LaterSchemaException if a later build wrote it
    */
-  static ObjectNode read(byte[] bytes) {
-    ObjectNode stored = Json.read(bytes);
+  static ObjectNode parse(byte[] bytes) {
+    ObjectNode stored = Json.parse(bytes);
     if (stored != null) {
       checkSchema(stored.path("schema").asInt(1));
     }
@@ -94,26 +94,26 @@
   /** Decodes the stored form. */
   static LogEntry decode(ObjectNode stored) {
     String operation = text(stored, OPERATION);
-    boolean byDriver = ReleaseCommandCodec.DRIVER_OPERATIONS.contains(operation);
-    if (byDriver || ReleaseCommandCodec.OPERATOR_OPERATIONS.contains(operation)) {
-      return decodeRelease(operation, stored, byDriver);
+    boolean fromDriver = ReleaseCommandCodec.DRIVER_OPERATIONS.contains(operation);
+    if (fromDriver || ReleaseCommandCodec.OPERATOR_OPERATIONS.contains(operation)) {
+      return decodeRelease(operation, stored, fromDriver);
     }
     return switch (operation) {
       case "join" -> decodeJoin(stored);
       case "tell" -> decodeMemberReport(stored);
-      case "leave" -> new LogEntry.Leave(text(stored, "name"), session(stored));
-      case "expire" -> new LogEntry.SessionExpired(text(stored, "name"), session(stored));
+      case "leave" -> new LogEntry.Leave(text(stored, "name"), sessionId(stored));
+      case "expire" -> new LogEntry.SessionExpired(text(stored, "name"), sessionId(stored));
       case "timeout" -> new LogEntry.TimerExpired(text(stored, "timer"));
       default -> decodeDisruption(operation, stored);
     };
   }
 
-  private static LogEntry decodeRelease(String operation, ObjectNode stored, boolean byDriver) {
-    List<String> faults = new ArrayList<>();
-    ReleaseCommand command = ReleaseCommandCodec.decode(operation, stored, faults);
+  private static LogEntry decodeRelease(String operation, ObjectNode stored, boolean fromDriver) {
+    List<String> errors = new ArrayList<>();
+    ReleaseCommand command = ReleaseCommandCodec.decode(operation, stored, errors);
     return command == null
-        ? new LogEntry.Malformed(faults)
-        : new LogEntry.Release(command, byDriver);
+        ? new LogEntry.Malformed(errors)
+        : new LogEntry.Release(command, fromDriver);
   }
 
   private static LogEntry decodeJoin(ObjectNode stored) {
@@ -129,7 +129,7 @@
   private static LogEntry decodeMemberReport(ObjectNode stored) {
     return new LogEntry.MemberReport(
         text(stored, "name"),
-        session(stored),
+        sessionId(stored),
         stored.path("number").asLong(),
         stored.path("seen").asLong(),
         stored.path("serving").asBoolean(),
@@ -138,8 +138,8 @@
         stored.has("hosts") ? Optional.of(decodeCatalog(stored)) : Optional.empty());
   }
 
-  private static LogEntry.HostCatalog decodeCatalog(ObjectNode stored) {
-    return new LogEntry.HostCatalog(
+  private static LogEntry.EndpointCatalog decodeCatalog(ObjectNode stored) {
+    return new LogEntry.EndpointCatalog(
         text(stored, "digest"), DisruptionState.subjects(stored.path("hosts")));
   }
 
@@ -175,13 +175,13 @@
   }
 
   private static LogEntry decodeBudgets(ObjectNode stored) {
-    List<String> faults = new ArrayList<>();
+    List<String> errors = new ArrayList<>();
     List<Budget> budgets = new ArrayList<>();
-    stored.path("budgets").forEach(budget -> budgets.add(Budget.read(budget, faults)));
-    return faults.isEmpty()
+    stored.path("budgets").forEach(budget -> budgets.add(Budget.read(budget, errors)));
+    return errors.isEmpty()
         ? new LogEntry.Disruption(
             new DisruptionCommand.ReplaceBudgets(budgets, stored.path("against").asLong()))
-        : new LogEntry.Malformed(faults);
+        : new LogEntry.Malformed(errors);
   }
 
   private static LogEntry malformed(String reason) {
@@ -203,7 +203,7 @@
       return operation("expire")
           .put("name", expired.name())
           .put("session", expired.session())
-          .put("who", AuditLog.REPLICAS)
+          .put("who", AuditLog.REPLICAS_ACTOR)
           .put("why", "nothing was heard of it for a lease");
     }
     if (entry instanceof LogEntry.TimerExpired expired) {
@@ -229,37 +229,37 @@
             .put("incarnation", join.incarnation())
             .put("lease_ms", join.leaseMillis())
             .put("zone", join.zone())
-            .put("runs", join.version());
+            .put("runs", join.runningVersion());
     encodeCatalog(join.catalog(), stored);
     return stored;
   }
 
   private static ObjectNode encodeMemberReport(LogEntry.MemberReport report) {
     ObjectNode stored =
-        Json.object().put("seen", report.seenVersion()).put("serving", report.serving());
-    report.busyHosts().forEach(stored.putArray("busy")::add);
-    report.suspectedHosts().forEach(stored.putArray("suspects")::add);
+        Json.object().put("seen", report.acknowledgedVersion()).put("serving", report.serving());
+    report.busyEndpoints().forEach(stored.putArray("busy")::add);
+    report.ejectedEndpoints().forEach(stored.putArray("suspects")::add);
     stored
         .put(OPERATION, "tell")
         .put("name", report.name())
         .put("session", report.session())
-        .put("number", report.number());
+        .put("number", report.reportNumber());
     report.catalog().ifPresent(catalog -> encodeCatalog(catalog, stored));
     return stored;
   }
 
-  private static void encodeCatalog(LogEntry.HostCatalog catalog, ObjectNode stored) {
-    stored.put("digest", catalog.digest()).set("hosts", encodeHosts(catalog.hosts()));
+  private static void encodeCatalog(LogEntry.EndpointCatalog catalog, ObjectNode stored) {
+    stored.put("digest", catalog.digest()).set("hosts", encodeEndpoints(catalog.endpoints()));
   }
 
   /** A catalog whose digest is that of its hosts' stored form. */
-  public static LogEntry.HostCatalog catalogOf(List<Target> hosts) {
-    return new LogEntry.HostCatalog(Json.digest(encodeHosts(hosts)), hosts);
+  public static LogEntry.EndpointCatalog catalogOf(List<Target> endpoints) {
+    return new LogEntry.EndpointCatalog(Json.digest(encodeEndpoints(endpoints)), endpoints);
   }
 
-  private static ArrayNode encodeHosts(List<Target> hosts) {
+  private static ArrayNode encodeEndpoints(List<Target> endpoints) {
     ArrayNode list = Json.object().putArray("hosts");
-    hosts.forEach(host -> DisruptionState.write(host, list.addObject()));
+    endpoints.forEach(endpoint -> DisruptionState.write(endpoint, list.addObject()));
     return list;
   }
 
@@ -274,7 +274,7 @@
     return text.isEmpty() ? Target.NONE : text;
   }
 
-  private static long session(JsonNode stored) {
+  private static long sessionId(JsonNode stored) {
     return stored.path("session").asLong();
   }
 
--- a/src/main/java/leadferry/consensus/RatisProperties.java
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -30,17 +30,17 @@
     RaftServerConfigKeys.setStorageDir(
         properties, List.of(ReplicaFolder.logFolder(config).toFile()));
     setTransport(properties, config);
-    setElections(properties, config.electionMs());
-    setReads(properties, config.electionMs());
-    setSnapshots(properties, config.snapshotEntries());
+    setElections(properties, config.electionTimeoutMillis());
+    setReads(properties, config.electionTimeoutMillis());
+    setSnapshots(properties, config.snapshotThresholdEntries());
     setLog(properties);
     return properties;
   }
 
   private static void setTransport(RaftProperties properties, ReplicaConfig config) {
     RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
-    GrpcConfigKeys.Server.setHost(properties, config.log().getAddress().getHostAddress());
-    GrpcConfigKeys.Server.setPort(properties, config.log().getPort());
+    GrpcConfigKeys.Server.setHost(properties, config.logAddress().getAddress().getHostAddress());
+    GrpcConfigKeys.Server.setPort(properties, config.logAddress().getPort());
   }
 
   private static void setElections(RaftProperties properties, int electionMillis) {
--- a/src/main/java/leadferry/consensus/RatisServer.java
+++ b/src/main/java/leadferry/consensus/RatisServer.java
@@ -32,25 +32,25 @@
   static final long NOT_LEADING = -1;
 
   private final RaftServer server;
-  private final RaftGroupId group;
+  private final RaftGroupId groupId;
   private final ClientId clientId = ClientId.randomId();
   private final AtomicLong callIds = new AtomicLong();
 
   /** Starts the server; throws if its folder or address can't be had. */
   RatisServer(
-      ReplicaConfig config, RaftGroupId group, StartupOption startup, StateMachine stateMachine)
+      ReplicaConfig config, RaftGroupId groupId, StartupOption startup, StateMachine stateMachine)
       throws IOException {
-    this.group = group;
+    this.groupId = groupId;
     List<RaftPeer> peers = new ArrayList<>();
     config
-        .peers()
+        .peerLogAddresses()
         .forEach(
             (name, address) ->
                 peers.add(RaftPeer.newBuilder().setId(name).setAddress(address).build()));
     this.server =
         RaftServer.newBuilder()
             .setServerId(RaftPeerId.valueOf(config.name()))
-            .setGroup(RaftGroup.valueOf(group, peers))
+            .setGroup(RaftGroup.valueOf(groupId, peers))
             .setStateMachine(stateMachine)
             .setProperties(RatisProperties.of(config))
             .setOption(startup)
@@ -59,7 +59,7 @@
   }
 
   /** The library's id of a fleet's log. */
-  static RaftGroupId groupOf(String fleet) {
+  static RaftGroupId groupIdOf(String fleet) {
     return RaftGroupId.valueOf(
         UUID.nameUUIDFromBytes(("leadferry " + fleet).getBytes(StandardCharsets.UTF_8)));
   }
@@ -71,7 +71,7 @@
   }
 
   /** A linearizable read of nothing: answered once a majority has confirmed the leader. */
-  CompletableFuture<RaftClientReply> readNothing() {
+  CompletableFuture<RaftClientReply> sendEmptyRead() {
     return submit(RaftClientRequest.readRequestType(false), Message.EMPTY);
   }
 
@@ -81,7 +81,7 @@
           RaftClientRequest.newBuilder()
               .setClientId(clientId)
               .setServerId(server.getId())
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setCallId(callIds.incrementAndGet())
               .setMessage(message)
               .setType(type)
@@ -100,7 +100,7 @@
   }
 
   private DivisionInfo info() throws IOException {
-    return server.getDivision(group).getInfo();
+    return server.getDivision(groupId).getInfo();
   }
 
   long currentTerm() throws IOException {
@@ -108,7 +108,7 @@
   }
 
   /** The term in which this replica leads, or {@link #NOT_LEADING}. */
-  long leadingTerm() {
+  long leadershipTerm() {
     try {
       DivisionInfo info = info();
       long term = info.getCurrentTerm();
@@ -119,7 +119,7 @@
   }
 
   /** The name of another replica that is known to lead, or "". */
-  String otherLeader() {
+  String otherLeaderName() {
     try {
       RaftPeerId id = info().getLeaderId();
       return id == null || id.equals(server.getId()) ? "" : id.toString();
--- a/src/main/java/leadferry/consensus/RatisStateMachine.java
+++ b/src/main/java/leadferry/consensus/RatisStateMachine.java
@@ -33,25 +33,28 @@
  */
 final class RatisStateMachine extends BaseStateMachine {
   private final FleetStateMachine stateMachine;
-  private final Runnable changed;
-  private final Consumer<Throwable> fatal;
+  private final Runnable stateChangeListener;
+  private final Consumer<Throwable> fatalErrorListener;
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
   /**
    * {@code changed} runs after each entry; {@code fatal} is told what this replica can't go on
    * after.
    */
-  RatisStateMachine(FleetStateMachine stateMachine, Runnable changed, Consumer<Throwable> fatal) {
+  RatisStateMachine(
+      FleetStateMachine stateMachine,
+      Runnable stateChangeListener,
+      Consumer<Throwable> fatalErrorListener) {
     this.stateMachine = stateMachine;
-    this.changed = changed;
-    this.fatal = fatal;
+    this.stateChangeListener = stateChangeListener;
+    this.fatalErrorListener = fatalErrorListener;
   }
 
   @Override
-  public void initialize(RaftServer server, RaftGroupId group, RaftStorage raft)
+  public void initialize(RaftServer server, RaftGroupId groupId, RaftStorage raftStorage)
       throws IOException {
-    super.initialize(server, group, raft);
-    storage.init(raft);
+    super.initialize(server, groupId, raftStorage);
+    storage.init(raftStorage);
     getLifeCycle().startAndTransition(this::load, IOException.class);
   }
 
@@ -88,7 +91,7 @@
       throw new IOException(file + ": " + e.getMessage(), e);
     }
     setLastAppliedTermIndex(latest.getTermIndex());
-    changed.run();
+    stateChangeListener.run();
   }
 
   @Override
@@ -108,10 +111,10 @@
     } catch (RuntimeException e) {
       // An entry that can't be applied here was, or will be, applied by others: to pass it over
       // would be to differ.
-      fatal.accept(e);
+      fatalErrorListener.accept(e);
       return CompletableFuture.failedFuture(e);
     }
-    changed.run();
+    stateChangeListener.run();
     return CompletableFuture.completedFuture(
         Message.valueOf(ByteString.copyFrom(Json.bytes(outcome))));
   }
@@ -124,22 +127,22 @@
 
   @Override
   public long takeSnapshot() throws IOException {
-    TermIndex applied;
+    TermIndex lastApplied;
     byte[] bytes;
     synchronized (stateMachine) {
-      applied = getLastAppliedTermIndex();
+      lastApplied = getLastAppliedTermIndex();
       bytes = stateMachine.snapshot();
     }
-    File file = storage.getSnapshotFile(applied.getTerm(), applied.getIndex());
-    Path part = file.toPath().resolveSibling(file.getName() + ".part");
-    Files.write(part, bytes);
-    try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
+    File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
+    Path partialFile = file.toPath().resolveSibling(file.getName() + ".part");
+    Files.write(partialFile, bytes);
+    try (FileChannel channel = FileChannel.open(partialFile, StandardOpenOption.WRITE)) {
       channel.force(true);
     }
-    Files.move(part, file.toPath(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(partialFile, file.toPath(), StandardCopyOption.ATOMIC_MOVE);
     MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
     storage.updateLatestSnapshot(
-        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), applied));
-    return applied.getIndex();
+        new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), lastApplied));
+    return lastApplied.getIndex();
   }
 }
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -24,7 +24,7 @@
   private final ReplicaConfig config;
   private final Consumer<String> log;
   private final FleetStateMachine stateMachine;
-  private final LeaderClock leaderClock;
+  private final LeaderLeaseTimers leaderTimers;
   private final MemberReportTable reports = new MemberReportTable();
   private final ScheduledExecutorService clockThread =
       Executors.newSingleThreadScheduledExecutor(
@@ -35,39 +35,42 @@
           });
   private final RatisServer server;
   private final LeadershipConfirmation confirmation;
-  private final ReplicaEndpoint endpoint;
+  private final ReplicaApiServer apiServer;
 
   /**
    * Starts a replica.
    *
-   * @param fresh whether an empty folder may be taken for a new replica's
-   * @param fatal is told what this replica can't go on after
+   * @param allowEmptyFolder whether an empty folder may be taken for a new replica's
+   * @param fatalErrorListener is told what this replica can't go on after
    * @throws IOException if its folder or an address can't be had, with what was expected
    */
   public Replica(
-      ReplicaConfig config, boolean fresh, Consumer<String> log, Consumer<Throwable> fatal)
+      ReplicaConfig config,
+      boolean allowEmptyFolder,
+      Consumer<String> log,
+      Consumer<Throwable> fatalErrorListener)
       throws IOException {
     this.config = config;
     this.log = log;
     this.stateMachine = new FleetStateMachine(config.times());
-    this.leaderClock = new LeaderClock(stateMachine);
-    RaftGroupId group = RatisServer.groupOf(config.fleet());
-    StartupOption startup = ReplicaFolder.claim(config, group, fresh);
-    this.endpoint = new ReplicaEndpoint(config, this);
+    this.leaderTimers = new LeaderLeaseTimers(stateMachine);
+    RaftGroupId group = RatisServer.groupIdOf(config.fleet());
+    StartupOption startup = ReplicaFolder.claim(config, group, allowEmptyFolder);
+    this.apiServer = new ReplicaApiServer(config, this);
     try {
       this.server =
           new RatisServer(
               config,
               group,
               startup,
-              new RatisStateMachine(stateMachine, endpoint::publishView, fatal));
+              new RatisStateMachine(stateMachine, apiServer::publishView, fatalErrorListener));
     } catch (IOException | RuntimeException e) {
-      endpoint.close();
+      apiServer.close();
       throw e;
     }
     this.confirmation = new LeadershipConfirmation(server, clockThread);
     clockThread.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
-    endpoint.listen();
+    apiServer.listen();
   }
 
   /** Puts an entry into the log and hands on the outcome, once there is one. */
@@ -85,20 +88,21 @@
                         .<ReplicaResponse>map(ReplicaResponse.Undecided::new)
                         .orElseGet(
                             () ->
-                                new ReplicaResponse.Answered(
-                                    Json.read(reply.getMessage().getContent().toByteArray())))));
+                                new ReplicaResponse.Completed(
+                                    Json.parse(reply.getMessage().getContent().toByteArray())))));
   }
 
   /**
    * Hands on what {@code answer} gives once a majority has confirmed that this replica leads; a
    * redirect, or undecided, where none has.
    */
-  void answerAsLeader(Function<Replica, ObjectNode> answer, Consumer<ReplicaResponse> listener) {
+  void respondAsLeader(
+      Function<Replica, ObjectNode> bodySupplier, Consumer<ReplicaResponse> listener) {
     confirmation.request(
         result ->
             listener.accept(
                 result.confirmed()
-                    ? new ReplicaResponse.Answered(answer.apply(this))
+                    ? new ReplicaResponse.Completed(bodySupplier.apply(this))
                     : unconfirmed(result.reason())));
   }
 
@@ -107,40 +111,40 @@
   }
 
   private boolean isLeading() {
-    return server.leadingTerm() != RatisServer.NOT_LEADING;
+    return server.leadershipTerm() != RatisServer.NOT_LEADING;
   }
 
   private ReplicaResponse redirect() {
-    return new ReplicaResponse.Redirect(server.otherLeader());
+    return new ReplicaResponse.Redirect(server.otherLeaderName());
   }
 
   // --- for answerAsLeader
 
   /** Asks the state machine something. */
-  ObjectNode query(Function<FleetStateMachine, ObjectNode> question) {
+  ObjectNode query(Function<FleetStateMachine, ObjectNode> query) {
     synchronized (stateMachine) {
-      return question.apply(stateMachine);
+      return query.apply(stateMachine);
     }
   }
 
   /** Renews a session and keeps the report that came with it; false where the session is over. */
   boolean renewSession(String name, long session, JsonNode report) {
-    boolean lives = leaderClock.renewSession(name, session, System.nanoTime());
-    if (lives) {
+    boolean renewed = leaderTimers.renewSession(name, session, System.nanoTime());
+    if (renewed) {
       reports.put(name, session, report, System.nanoTime());
     }
-    return lives;
+    return renewed;
   }
 
   /** Renews the lease of a release's driver; false where it is over. */
-  boolean renewDriver(String release, long fence) {
-    return leaderClock.renewDriver(release, fence, System.nanoTime());
+  boolean renewDriverLease(String release, long fence) {
+    return leaderTimers.renewDriverLease(release, fence, System.nanoTime());
   }
 
   /** Whether members are to send load reports with their renewals. */
-  boolean reportsWanted() {
+  boolean shouldSendReports() {
     synchronized (stateMachine) {
-      return stateMachine.reportsWanted();
+      return stateMachine.hasActiveRelease();
     }
   }
 
@@ -167,12 +171,12 @@
 
   private void tick() {
     try {
-      endpoint.publishView();
+      apiServer.publishView();
       if (!isLeading()) {
         return;
       }
       long term = server.currentTerm();
-      for (String timer : leaderClock.due(term, System.nanoTime())) {
+      for (String timer : leaderTimers.pollExpired(term, System.nanoTime())) {
         submitExpiry(timer);
       }
     } catch (IOException | RuntimeException e) {
@@ -185,8 +189,8 @@
     submit(
         LogEntryCodec.encodeExpiry(timer),
         response -> {
-          if (!(response instanceof ReplicaResponse.Answered)) {
-            leaderClock.retry(timer);
+          if (!(response instanceof ReplicaResponse.Completed)) {
+            leaderTimers.allowResubmission(timer);
           }
         });
   }
@@ -194,7 +198,7 @@
   @Override
   public void close() throws IOException {
     clockThread.shutdownNow();
-    endpoint.close();
+    apiServer.close();
     server.close();
   }
 }
--- a/src/main/java/leadferry/consensus/ReplicaEndpoint.java
+++ b/src/main/java/leadferry/consensus/ReplicaApiServer.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Where members and operators reach a replica, by {@link LineProtocol} over TCP. */
-final class ReplicaEndpoint implements AutoCloseable {
+final class ReplicaApiServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 20_000;
 
   /** A connection whose caller has sent nothing for so long is closed. */
@@ -39,7 +39,7 @@
   private final ViewPublisher publisher;
   private Channel listener;
 
-  ReplicaEndpoint(ReplicaConfig config, Replica replica) {
+  ReplicaApiServer(ReplicaConfig config, Replica replica) {
     this.config = config;
     this.replica = replica;
     this.publisher =
@@ -63,11 +63,11 @@
                     accept(channel);
                   }
                 })
-            .bind(config.api())
+            .bind(config.apiAddress())
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new IOException(
-          "api: " + config.api() + " can't be listened on: " + bound.cause().getMessage());
+          "api: " + config.apiAddress() + " can't be listened on: " + bound.cause().getMessage());
     }
     listener = bound.channel();
   }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -19,7 +19,7 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   /** And so long (ms) for an answer. */
-  private static final int ANSWER_TIMEOUT_MILLIS = 1_500;
+  private static final int RESPONSE_TIMEOUT_MILLIS = 1_500;
 
   private static final int RETRY_DELAY_MILLIS = 50;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -29,32 +29,32 @@
     private static final long serialVersionUID = 1;
 
     /** Whether the question went out at least once, so that it may have been carried out. */
-    public final boolean sent;
+    public final boolean requestSent;
 
-    UnreachableException(boolean sent, String message) {
+    UnreachableException(boolean requestSent, String message) {
       super(message);
-      this.sent = sent;
+      this.requestSent = requestSent;
     }
   }
 
   private final String fleet;
   private final Map<String, InetSocketAddress> addresses;
-  private final List<String> names;
+  private final List<String> replicaNames;
   private final Consumer<ObjectNode> pushListener;
-  private ReplicaConnection connection;
-  private String current;
-  private int next;
-  private long lastId;
+  private ReplicaClientConnection connection;
+  private String currentReplica;
+  private int nextIndex;
+  private long lastRequestId;
 
   /** Replicas by name; messages that they push go to {@code pushListener}. */
   public ReplicaClient(
       String fleet, Map<String, InetSocketAddress> addresses, Consumer<ObjectNode> pushListener) {
     this.fleet = fleet;
     this.addresses = new LinkedHashMap<>(addresses);
-    this.names = new ArrayList<>(addresses.keySet());
+    this.replicaNames = new ArrayList<>(addresses.keySet());
     this.pushListener = pushListener;
     // Clients begin at different replicas.
-    this.next = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, names.size()));
+    this.nextIndex = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, replicaNames.size()));
   }
 
   /**
@@ -64,43 +64,43 @@
    * @return the answer's message; a rejected request's has {@code error}
    */
   public ObjectNode call(ObjectNode request, long deadlineNanos) throws UnreachableException {
-    boolean sent = false;
+    boolean requestSent = false;
     String lastFailure = "no time";
     while (System.nanoTime() < deadlineNanos) {
       try {
         connect(deadlineNanos);
-        long id = ++lastId;
+        long id = ++lastRequestId;
         connection.send(request.put("id", id).put("fleet", fleet));
-        sent = true;
-        ObjectNode answer = awaitAnswer(id, deadlineNanos);
-        if (answer == null) {
-          lastFailure = current + " did not answer";
+        requestSent = true;
+        ObjectNode response = awaitResponse(id, deadlineNanos);
+        if (response == null) {
+          lastFailure = currentReplica + " did not answer";
           disconnect();
           continue;
         }
-        ReplicaResponse response = ReplicaResponse.decode(answer);
-        if (response instanceof ReplicaResponse.Redirect redirect) {
-          lastFailure = current + " does not lead";
-          follow(redirect);
-        } else if (response instanceof ReplicaResponse.Undecided undecided) {
-          lastFailure = current + ": " + undecided.reason();
+        ReplicaResponse decoded = ReplicaResponse.decode(response);
+        if (decoded instanceof ReplicaResponse.Redirect redirect) {
+          lastFailure = currentReplica + " does not lead";
+          followRedirect(redirect);
+        } else if (decoded instanceof ReplicaResponse.Undecided undecided) {
+          lastFailure = currentReplica + ": " + undecided.reason();
           disconnectAndWait();
         } else {
-          return answer;
+          return response;
         }
       } catch (IOException e) {
-        lastFailure = current + ": " + e.getMessage();
+        lastFailure = currentReplica + ": " + e.getMessage();
         disconnectAndWait();
       }
     }
-    throw new UnreachableException(sent, lastFailure);
+    throw new UnreachableException(requestSent, lastFailure);
   }
 
-  private ObjectNode awaitAnswer(long id, long deadlineNanos) throws IOException {
-    long answerDeadlineNanos =
-        Math.min(deadlineNanos, System.nanoTime() + ANSWER_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+  private ObjectNode awaitResponse(long id, long deadlineNanos) throws IOException {
+    long responseDeadlineNanos =
+        Math.min(deadlineNanos, System.nanoTime() + RESPONSE_TIMEOUT_MILLIS * NANOS_PER_MILLI);
     ObjectNode message;
-    while ((message = connection.receive(answerDeadlineNanos)) != null) {
+    while ((message = connection.receive(responseDeadlineNanos)) != null) {
       if (message.has("push")) {
         pushListener.accept(message);
       } else if (message.path("id").asLong() == id) {
@@ -111,7 +111,7 @@
   }
 
   /** Takes what replicas push, until then (ns of the JVM's clock) at most. */
-  public void listen(long deadlineNanos) {
+  public void receivePushes(long deadlineNanos) {
     try {
       while (connection != null) {
         ObjectNode message = connection.receive(deadlineNanos);
@@ -133,19 +133,19 @@
 
   private void connect(long deadlineNanos) throws IOException {
     if (connection == null) {
-      current = names.get(next);
+      currentReplica = replicaNames.get(nextIndex);
       long leftMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
       connection =
-          new ReplicaConnection(
-              addresses.get(current), (int) Math.min(leftMillis, CONNECT_TIMEOUT_MILLIS));
+          new ReplicaClientConnection(
+              addresses.get(currentReplica), (int) Math.min(leftMillis, CONNECT_TIMEOUT_MILLIS));
     }
   }
 
-  private void follow(ReplicaResponse.Redirect redirect) {
+  private void followRedirect(ReplicaResponse.Redirect redirect) {
     disconnect();
-    int leader = names.indexOf(redirect.leader());
+    int leader = replicaNames.indexOf(redirect.leader());
     if (leader >= 0) {
-      next = leader;
+      nextIndex = leader;
     } else {
       Sleep.millis(RETRY_DELAY_MILLIS);
     }
@@ -162,7 +162,7 @@
       connection.close();
       connection = null;
     }
-    next = (names.indexOf(current) + 1) % names.size();
+    nextIndex = (replicaNames.indexOf(currentReplica) + 1) % replicaNames.size();
   }
 
   @Override
--- a/src/main/java/leadferry/consensus/ReplicaConnection.java
+++ b/src/main/java/leadferry/consensus/ReplicaClientConnection.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 
 /** A caller's connection to a replica, by {@link LineProtocol}. For one thread. */
-final class ReplicaConnection implements AutoCloseable {
+final class ReplicaClientConnection implements AutoCloseable {
   private static final int INITIAL_BUFFER_BYTES = 4_096;
   private static final int MAX_READ_MILLIS = 60_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -21,7 +21,7 @@
   private int bufferedBytes;
 
   /** Connects within that time (ms). */
-  ReplicaConnection(InetSocketAddress address, int connectTimeoutMillis) throws IOException {
+  ReplicaClientConnection(InetSocketAddress address, int connectTimeoutMillis) throws IOException {
     try {
       socket.connect(address, connectTimeoutMillis);
       socket.setTcpNoDelay(true);
@@ -67,7 +67,7 @@
 
   /** Takes the line that ends there out of the buffer. */
   private ObjectNode take(int delimiter) throws IOException {
-    ObjectNode message = Json.read(Arrays.copyOf(buffer, delimiter));
+    ObjectNode message = Json.parse(Arrays.copyOf(buffer, delimiter));
     System.arraycopy(buffer, delimiter + 1, buffer, 0, bufferedBytes - delimiter - 1);
     bufferedBytes -= delimiter + 1;
     if (message == null) {
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -23,7 +23,7 @@
   private final String fleet;
   private final Replica replica;
   private final Set<ReplicaConnectionHandler> connections;
-  private volatile boolean watching;
+  private volatile boolean watchesView;
   private volatile long pushedVersion = NO_VERSION;
 
   /** Enters and leaves {@code connections} with its channel. */
@@ -36,8 +36,8 @@
   }
 
   /** Whether the caller watches, was not pushed this version, and takes bytes. */
-  boolean lacks(long version) {
-    return watching && pushedVersion < version && channel.isWritable();
+  boolean shouldPush(long version) {
+    return watchesView && pushedVersion < version && channel.isWritable();
   }
 
   /** Pushes a view's line. */
@@ -70,7 +70,7 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-    ObjectNode message = Json.read(ByteBufUtil.getBytes(frame));
+    ObjectNode message = Json.parse(ByteBufUtil.getBytes(frame));
     if (message == null) {
       context.close();
       return;
@@ -86,32 +86,33 @@
 
   private void dispatch(ReplicaRequest request, Consumer<ReplicaResponse> responder) {
     if (request instanceof ReplicaRequest.Submit submit) {
-      watching |= LogEntryCodec.isJoin(submit.entry());
+      watchesView |= LogEntryCodec.isJoin(submit.entry());
       replica.submit(submit.entry(), responder);
     } else if (request instanceof ReplicaRequest.Health) {
-      responder.accept(new ReplicaResponse.Answered(replica.health()));
+      responder.accept(new ReplicaResponse.Completed(replica.health()));
     } else if (request instanceof ReplicaRequest.Invalid invalid) {
       responder.accept(new ReplicaResponse.Rejected(invalid.reason()));
     } else if (request instanceof ReplicaRequest.RenewSession renewal) {
-      replica.answerAsLeader(leader -> renewSession(leader, renewal), responder);
-    } else if (request instanceof ReplicaRequest.RenewDriver renewal) {
-      replica.answerAsLeader(leader -> renewDriver(leader, renewal), responder);
-    } else if (request instanceof ReplicaRequest.Reports) {
-      replica.answerAsLeader(Replica::memberReports, responder);
+      replica.respondAsLeader(leader -> renewSession(leader, renewal), responder);
+    } else if (request instanceof ReplicaRequest.RenewDriverLease renewal) {
+      replica.respondAsLeader(leader -> renewDriverLease(leader, renewal), responder);
+    } else if (request instanceof ReplicaRequest.MemberReports) {
+      replica.respondAsLeader(Replica::memberReports, responder);
     } else {
       Function<FleetStateMachine, ObjectNode> query = queryOf(request);
-      replica.answerAsLeader(leader -> leader.query(query), responder);
+      replica.respondAsLeader(leader -> leader.query(query), responder);
     }
   }
 
   private ObjectNode renewSession(Replica leader, ReplicaRequest.RenewSession renewal) {
-    watching = true;
+    watchesView = true;
     boolean lives = leader.renewSession(renewal.name(), renewal.session(), renewal.report());
-    return renewed(lives).put("reports", leader.reportsWanted());
+    return renewed(lives).put("reports", leader.shouldSendReports());
   }
 
-  private static ObjectNode renewDriver(Replica leader, ReplicaRequest.RenewDriver renewal) {
-    return renewed(leader.renewDriver(renewal.release(), renewal.fence()));
+  private static ObjectNode renewDriverLease(
+      Replica leader, ReplicaRequest.RenewDriverLease renewal) {
+    return renewed(leader.renewDriverLease(renewal.release(), renewal.fence()));
   }
 
   private static ObjectNode renewed(boolean lives) {
@@ -121,16 +122,16 @@
 
   private static Function<FleetStateMachine, ObjectNode> queryOf(ReplicaRequest request) {
     if (request instanceof ReplicaRequest.Status status) {
-      return stateMachine -> stateMachine.status(status.withHistory());
+      return stateMachine -> stateMachine.status(status.includeHistory());
     }
     if (request instanceof ReplicaRequest.ReleaseStatus status) {
-      return stateMachine -> stateMachine.release(status.release());
+      return stateMachine -> stateMachine.releaseStatus(status.release());
     }
-    if (request instanceof ReplicaRequest.Explain explain) {
-      return stateMachine -> stateMachine.explain(explain.kind(), explain.name());
+    if (request instanceof ReplicaRequest.ExplainDrain explain) {
+      return stateMachine -> stateMachine.explainDrain(explain.kind(), explain.name());
     }
-    if (request instanceof ReplicaRequest.PermitStatus status) {
-      return stateMachine -> stateMachine.evictionStatus(status.permit());
+    if (request instanceof ReplicaRequest.GrantStatus status) {
+      return stateMachine -> stateMachine.grantStatus(status.grantId());
     }
     throw new IllegalArgumentException("request: " + request + " (expected: a query)");
   }
--- a/src/main/java/leadferry/consensus/ReplicaFolder.java
+++ b/src/main/java/leadferry/consensus/ReplicaFolder.java
@@ -26,17 +26,17 @@
   /**
    * Checks that the folder is this replica's, or takes an empty one for it.
    *
-   * @param fresh whether an empty folder may be taken
+   * @param allowEmptyFolder whether an empty folder may be taken
    * @return how the library has to open its part
    * @throws IOException if the folder is another's, or can't be used; with what was expected
    */
-  static StartupOption claim(ReplicaConfig config, RaftGroupId group, boolean fresh)
+  static StartupOption claim(ReplicaConfig config, RaftGroupId group, boolean allowEmptyFolder)
       throws IOException {
     Files.createDirectories(config.folder());
     Path mark = config.folder().resolve(MARK_FILE);
     String owner = config.fleet() + "/" + config.name() + "\n";
     if (!Files.exists(mark)) {
-      checkMayTake(config.folder(), fresh);
+      checkCanClaim(config.folder(), allowEmptyFolder);
       Files.writeString(mark, owner);
       return StartupOption.FORMAT;
     }
@@ -56,8 +56,8 @@
     return Files.isDirectory(current) ? StartupOption.RECOVER : StartupOption.FORMAT;
   }
 
-  private static void checkMayTake(Path folder, boolean fresh) throws IOException {
-    if (!fresh) {
+  private static void checkCanClaim(Path folder, boolean allowEmptyFolder) throws IOException {
+    if (!allowEmptyFolder) {
       throw new IOException(
           folder
               + ": no replica's log (expected: the one that this replica had; --new where it never"
--- a/src/main/java/leadferry/consensus/ReplicaRequest.java
+++ b/src/main/java/leadferry/consensus/ReplicaRequest.java
@@ -12,25 +12,25 @@
   record RenewSession(String name, long session, JsonNode report) implements ReplicaRequest {}
 
   /** Renew the lease of a release's driver. */
-  record RenewDriver(String release, long fence) implements ReplicaRequest {}
+  record RenewDriverLease(String release, long fence) implements ReplicaRequest {}
 
   /** How this replica itself is; needs no leader. */
   record Health() implements ReplicaRequest {}
 
   /** Who is out and why. */
-  record Status(boolean withHistory) implements ReplicaRequest {}
+  record Status(boolean includeHistory) implements ReplicaRequest {}
 
   /** One release, or all of them in short where the name is "". */
   record ReleaseStatus(String release) implements ReplicaRequest {}
 
   /** The members' newest load reports. */
-  record Reports() implements ReplicaRequest {}
+  record MemberReports() implements ReplicaRequest {}
 
   /** Whether a drain would be granted, and what stands against it. */
-  record Explain(String kind, String name) implements ReplicaRequest {}
+  record ExplainDrain(String kind, String name) implements ReplicaRequest {}
 
   /** What a granted drain waits for. */
-  record PermitStatus(String permit) implements ReplicaRequest {}
+  record GrantStatus(String grantId) implements ReplicaRequest {}
 
   /** Nothing that a replica carries out. */
   record Invalid(String reason) implements ReplicaRequest {}
@@ -47,9 +47,10 @@
       case "health" -> new Health();
       case "status" -> new Status(message.path("history").asBoolean());
       case "release" -> new ReleaseStatus(message.path("release").asText(""));
-      case "reports" -> new Reports();
-      case "explain" -> new Explain(message.path("kind").asText(), message.path("name").asText());
-      case "permit" -> new PermitStatus(message.path("permit").asText());
+      case "reports" -> new MemberReports();
+      case "explain" ->
+          new ExplainDrain(message.path("kind").asText(), message.path("name").asText());
+      case "permit" -> new GrantStatus(message.path("permit").asText());
       default ->
           new Invalid(
               "op: '"
@@ -61,7 +62,7 @@
 
   private static ReplicaRequest decodeRenewal(ObjectNode message) {
     if (message.has("release")) {
-      return new RenewDriver(message.path("release").asText(), message.path("fence").asLong());
+      return new RenewDriverLease(message.path("release").asText(), message.path("fence").asLong());
     }
     return new RenewSession(
         message.path("name").asText(), message.path("session").asLong(), message.path("report"));
--- a/src/main/java/leadferry/consensus/ReplicaResponse.java
+++ b/src/main/java/leadferry/consensus/ReplicaResponse.java
@@ -5,7 +5,7 @@
 /** What a replica answers to a request; encoded for the line protocol of docs/FLEET.md. */
 sealed interface ReplicaResponse {
   /** It was carried out, or applied with the outcome that the body tells. */
-  record Answered(ObjectNode body) implements ReplicaResponse {}
+  record Completed(ObjectNode body) implements ReplicaResponse {}
 
   /**
    * It was surely not carried out: another replica leads.
@@ -22,7 +22,7 @@
 
   /** The form that goes over the wire, but for the request's id. */
   default ObjectNode encode() {
-    if (this instanceof Answered answered) {
+    if (this instanceof Completed answered) {
       return answered.body();
     }
     if (this instanceof Redirect redirect) {
@@ -44,6 +44,6 @@
     }
     return message.has("error")
         ? new Rejected(message.path("error").asText())
-        : new Answered(message);
+        : new Completed(message);
   }
 }
--- a/src/main/java/leadferry/consensus/SessionClient.java
+++ b/src/main/java/leadferry/consensus/SessionClient.java
@@ -37,9 +37,9 @@
    * What a renewal came to.
    *
    * @param live whether the session goes on
-   * @param reportsWanted whether the next renewal is to bring a load report
+   * @param reportRequested whether the next renewal is to bring a load report
    */
-  public record Renewal(boolean live, boolean reportsWanted) {}
+  public record Renewal(boolean live, boolean reportRequested) {}
 
   private static final String DONE = Outcome.Status.DONE.word();
 
@@ -54,10 +54,10 @@
 
   /** Asks for a session, until then (ns of the JVM's clock). */
   public Result join(LogEntry.Join join, long deadlineNanos) throws UnreachableException {
-    ObjectNode answer = submit(join, deadlineNanos);
-    Result result = resultOf(answer);
+    ObjectNode response = submit(join, deadlineNanos);
+    Result result = resultOf(response);
     return result instanceof Applied
-        ? new Joined(answer.path("session").asLong(), answer.path("view"))
+        ? new Joined(response.path("session").asLong(), response.path("view"))
         : result;
   }
 
@@ -78,13 +78,13 @@
     return client.call(request, deadlineNanos);
   }
 
-  private static Result resultOf(ObjectNode answer) {
-    if (ReplicaResponse.decode(answer) instanceof ReplicaResponse.Rejected rejected) {
+  private static Result resultOf(ObjectNode response) {
+    if (ReplicaResponse.decode(response) instanceof ReplicaResponse.Rejected rejected) {
       return new Rejected(rejected.reason());
     }
-    return answer.path("status").asText().equals(DONE)
+    return response.path("status").asText().equals(DONE)
         ? new Applied()
-        : new Refused(answer.path("why"));
+        : new Refused(response.path("why"));
   }
 
   /** Renews the session and brings a load report along, until then (ns of the JVM's clock). */
@@ -93,14 +93,14 @@
       throws UnreachableException {
     ObjectNode request = Json.object().put("op", "renew").put("name", name).put("session", session);
     loadReport.ifPresent(report -> request.set("report", report));
-    ObjectNode answer = client.call(request, deadlineNanos);
+    ObjectNode response = client.call(request, deadlineNanos);
     return new Renewal(
-        answer.path("status").asText().equals(DONE), answer.path("reports").asBoolean());
+        response.path("status").asText().equals(DONE), response.path("reports").asBoolean());
   }
 
   /** Takes the views that replicas push, until then (ns of the JVM's clock) at most. */
-  public void listen(long deadlineNanos) {
-    client.listen(deadlineNanos);
+  public void receiveViews(long deadlineNanos) {
+    client.receivePushes(deadlineNanos);
   }
 
   @Override
--- a/src/main/java/leadferry/consensus/SessionTable.java
+++ b/src/main/java/leadferry/consensus/SessionTable.java
@@ -54,7 +54,7 @@
   }
 
   /** The ids of the sessions that live, by their members' names. */
-  Map<String, Long> liveIds() {
+  Map<String, Long> liveSessionIds() {
     Map<String, Long> ids = new TreeMap<>();
     sessions.values().forEach(session -> ids.put(session.name(), session.id()));
     return ids;
@@ -64,11 +64,12 @@
   void addTimers(Map<String, Long> timers) {
     sessions
         .values()
-        .forEach(session -> timers.put(timer(session.name(), session.id()), session.leaseMillis()));
+        .forEach(
+            session -> timers.put(timerName(session.name(), session.id()), session.leaseMillis()));
   }
 
   /** The name of a session's timer. */
-  static String timer(String name, long id) {
+  static String timerName(String name, long id) {
     return TIMER_PREFIX + name + ":" + id;
   }
 
@@ -77,7 +78,7 @@
   }
 
   /** The entry that ends the session of that timer. */
-  static LogEntry.SessionExpired expiryOf(String timer) {
+  static LogEntry.SessionExpired sessionExpiredEntry(String timer) {
     // A member's name may hold colons.
     int idSeparator = timer.lastIndexOf(':');
     return new LogEntry.SessionExpired(
--- a/src/main/java/leadferry/consensus/SnapshotCodec.java
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -37,7 +37,7 @@
    * @throws LaterSchemaException if a later build wrote it; then nothing is replaced
    */
   static long decode(byte[] bytes, Parts parts) {
-    ObjectNode snapshot = Json.read(bytes);
+    ObjectNode snapshot = Json.parse(bytes);
     if (snapshot == null) {
       throw new IllegalArgumentException(
           "snapshot: not an object (expected: one that snapshot() gave)");
--- a/src/main/java/leadferry/consensus/ViewPublisher.java
+++ b/src/main/java/leadferry/consensus/ViewPublisher.java
@@ -11,7 +11,7 @@
   private final FleetStateMachine stateMachine;
   private final Set<ReplicaConnectionHandler> connections;
   private final Executor executor;
-  private final AtomicBoolean scheduled = new AtomicBoolean();
+  private final AtomicBoolean publishScheduled = new AtomicBoolean();
 
   ViewPublisher(
       FleetStateMachine stateMachine,
@@ -24,18 +24,18 @@
 
   /** The state may have changed; calls until the next round are one. */
   void schedule() {
-    if (scheduled.compareAndSet(false, true)) {
+    if (publishScheduled.compareAndSet(false, true)) {
       executor.execute(this::publish);
     }
   }
 
   private void publish() {
-    scheduled.set(false);
+    publishScheduled.set(false);
     ObjectNode view = null;
     long version;
     synchronized (stateMachine) {
       version = stateMachine.version();
-      if (connections.stream().anyMatch(connection -> connection.lacks(version))) {
+      if (connections.stream().anyMatch(connection -> connection.shouldPush(version))) {
         view = stateMachine.view();
       }
     }
@@ -44,7 +44,7 @@
     }
     byte[] line = LineProtocol.encode(Json.object().put("push", true).set("view", view));
     for (ReplicaConnectionHandler connection : connections) {
-      if (connection.lacks(version)) {
+      if (connection.shouldPush(version)) {
         connection.push(Unpooled.wrappedBuffer(line), version);
       }
     }
--- a/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
+++ b/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
@@ -119,7 +119,7 @@
           rules.add(
               new RouteRule<>(
                   m.name(),
-                  m.hosts(),
+                  m.hostPatterns(),
                   m.kind(),
                   m.path(),
                   m.methods(),
--- a/src/main/java/leadferry/daemon/DaemonConfig.java
+++ b/src/main/java/leadferry/daemon/DaemonConfig.java
@@ -8,7 +8,7 @@
 import leadferry.http.Forwarding;
 import leadferry.limits.Limit;
 import leadferry.loadbalancer.Settings;
-import leadferry.routing.PathNormalizer;
+import leadferry.routing.NormalizedPath;
 import leadferry.routing.RouteRule;
 
 /** What the operator's file says, checked whole. Times are milliseconds. */
@@ -81,7 +81,7 @@
   record Listener(
       String name,
       InetSocketAddress address,
-      PathNormalizer.Mode paths,
+      NormalizedPath.Mode paths,
       String classHeader,
       String tenantHeader,
       String healthPath,
--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -19,10 +19,10 @@
 import leadferry.http.RequestFilter;
 import leadferry.http.Streaming;
 import leadferry.limits.ClientIdentity;
-import leadferry.limits.Grant;
+import leadferry.limits.LimitDecision;
 import leadferry.loadbalancer.RequestArrival;
 import leadferry.loadbalancer.Settings;
-import leadferry.routing.PathNormalizer;
+import leadferry.routing.NormalizedPath;
 import leadferry.routing.RequestAttributes;
 import leadferry.routing.RouteRule;
 import leadferry.routing.WeightedSplit;
@@ -111,15 +111,15 @@
       return FilterResult.reject(405);
     }
     int query = uri.indexOf('?');
-    PathNormalizer path =
-        PathNormalizer.of(query < 0 ? uri : uri.substring(0, query), listener.paths());
+    NormalizedPath path =
+        NormalizedPath.normalize(query < 0 ? uri : uri.substring(0, query), listener.paths());
     String host = host(head);
     if (path == null || host == null || (query >= 0 && !plain(uri, query))) {
       return FilterResult.reject(400);
     }
     view.head = head;
     view.host = host;
-    view.path = path.match();
+    view.path = path.matchPath();
     String claimed = head.headers().get(listener.classHeader());
     view.className = claimed != null && version.classes.containsKey(claimed) ? claimed : null;
     RouteRule<ConfigurationSnapshot.Target> rule = routes.find(view);
@@ -158,7 +158,7 @@
   private FilterResult route(
       HttpRequest head,
       InetSocketAddress client,
-      PathNormalizer path,
+      NormalizedPath path,
       String query,
       RouteRule<ConfigurationSnapshot.Target> rule) {
     HttpHeaders h = head.headers();
@@ -189,14 +189,14 @@
     InetAddress caller =
         client == null ? null : listener.forwarding().caller(h, client.getAddress());
     String address = caller == null ? "" : caller.getHostAddress();
-    Grant grant =
+    LimitDecision grant =
         version.limiter.acquire(
             new ClientIdentity(listener.name(), route.name(), tenant, name, address),
             System.nanoTime());
     if (grant.refusedBy() != null) {
       return FilterResult.answer(
           429,
-          grant.retryAfterMs(),
+          grant.retryAfterMillis(),
           new FilterResult.Origin(route.name(), name, grant.refusedBy()));
     }
     String pool = rule.target().split().pick(splitKey(route, h, tenant, address));
@@ -228,8 +228,8 @@
   /** The worker's pool, which counts what comes to it. */
   private Dispatcher take(String pool) {
     ConfigurationSnapshot.Pool p = version.pools.get(pool);
-    p.retries().earn();
-    version.retries.earn();
+    p.retries().onRequest();
+    version.retries.onRequest();
     return worker.pool(pool);
   }
 
@@ -270,17 +270,17 @@
       HttpRequest head,
       DaemonConfig.Route route,
       RouteRule<ConfigurationSnapshot.Target> rule,
-      PathNormalizer path,
+      NormalizedPath path,
       String query) {
-    String forward = path.forward();
+    String forward = path.forwardPath();
     if (!route.rewritePrefix().isEmpty()) {
-      String rest = path.match().substring(rule.path().length());
-      String to = PathNormalizer.ofPattern(route.rewritePrefix());
+      String rest = path.matchPath().substring(rule.path().length());
+      String to = NormalizedPath.toOctetChars(route.rewritePrefix());
       to =
           to.endsWith("/") && (rest.startsWith("/") || (rest.isEmpty() && to.length() > 1))
               ? to.substring(0, to.length() - 1)
               : to;
-      forward = PathNormalizer.encode(to + rest);
+      forward = NormalizedPath.percentEncode(to + rest);
     }
     head.setUri(forward + query);
     HttpHeaders h = head.headers();
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -154,7 +154,8 @@
         if (session.isOpen()) {
           report(now + renewalIntervalNanos);
         }
-        client.listen(Math.min(nextRenewal, System.nanoTime() + POLL_MILLIS * NANOS_PER_MILLI));
+        client.receiveViews(
+            Math.min(nextRenewal, System.nanoTime() + POLL_MILLIS * NANOS_PER_MILLI));
       } catch (RuntimeException e) {
         log.failure("the fleet agent", e);
         Sleep.millis(POLL_MILLIS);
@@ -178,7 +179,7 @@
 
   /** Asks for a session; false if nobody answered. */
   private boolean join(long deadline) {
-    LogEntry.HostCatalog catalog = catalogs.of(current);
+    LogEntry.EndpointCatalog catalog = catalogs.of(current);
     LogEntry.Join join =
         new LogEntry.Join(
             config.name(), incarnation, config.leaseMs(), config.zone(), config.version(), catalog);
@@ -197,7 +198,7 @@
   }
 
   private void opened(
-      SessionClient.Joined joined, LogEntry.HostCatalog catalog, long askedAt, long deadline) {
+      SessionClient.Joined joined, LogEntry.EndpointCatalog catalog, long askedAt, long deadline) {
     session.joined(joined.session(), catalog);
     view.forget();
     // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
@@ -218,7 +219,7 @@
     if (renewal.isEmpty()) {
       return;
     }
-    reportsWanted = renewal.get().reportsWanted();
+    reportsWanted = renewal.get().reportRequested();
     if (renewal.get().live()) {
       session.renewed(askedAt);
     } else {
@@ -230,7 +231,7 @@
   /** Reports what has changed of what the daemon does. */
   private void report(long deadline) {
     MemberSession.Activity activity = activity();
-    LogEntry.HostCatalog catalog = catalogs.of(current);
+    LogEntry.EndpointCatalog catalog = catalogs.of(current);
     Optional<LogEntry.MemberReport> report = session.nextReport(activity, catalog);
     if (report.isEmpty()) {
       return;
--- a/src/main/java/leadferry/daemon/FleetStateFile.java
+++ b/src/main/java/leadferry/daemon/FleetStateFile.java
@@ -34,7 +34,7 @@
       return Optional.empty();
     }
     try {
-      ObjectNode state = Json.read(Files.readAllBytes(file));
+      ObjectNode state = Json.parse(Files.readAllBytes(file));
       if (state != null && state.path("fleet").asText().equals(fleet)) {
         return Optional.of(state.path("view"));
       }
--- a/src/main/java/leadferry/daemon/HostCatalogs.java
+++ b/src/main/java/leadferry/daemon/HostCatalogs.java
@@ -12,10 +12,10 @@
 /** The hosts of a configuration as the log knows them, made once for each configuration. */
 final class HostCatalogs {
   private DaemonConfig config;
-  private LogEntry.HostCatalog catalog;
+  private LogEntry.EndpointCatalog catalog;
 
   /** The hosts of all pools by name; a host of several pools counts in the first. */
-  LogEntry.HostCatalog of(DaemonConfig current) {
+  LogEntry.EndpointCatalog of(DaemonConfig current) {
     if (current != config) {
       catalog = build(current);
       config = current;
@@ -23,7 +23,7 @@
     return catalog;
   }
 
-  private static LogEntry.HostCatalog build(DaemonConfig config) {
+  private static LogEntry.EndpointCatalog build(DaemonConfig config) {
     Map<String, Target> byName = new TreeMap<>();
     for (DaemonConfig.Pool pool : config.pools().values()) {
       for (UpstreamHosts.Member host : pool.members()) {
--- a/src/main/java/leadferry/daemon/MemberSession.java
+++ b/src/main/java/leadferry/daemon/MemberSession.java
@@ -53,11 +53,11 @@
 
   /** Whether the lease holds at that time (ns). */
   boolean leaseHolds(long nowNanos) {
-    return lease.holds(nowNanos);
+    return lease.isHeld(nowNanos);
   }
 
   /** The log has opened the session, and knows the hosts that came with the join. */
-  void joined(long session, LogEntry.HostCatalog catalog) {
+  void joined(long session, LogEntry.EndpointCatalog catalog) {
     state = State.OPEN;
     id = session;
     reportedActivity = Optional.empty();
@@ -66,17 +66,17 @@
 
   /** The leader has renewed the session, as was asked at that time (ns). */
   void renewed(long askedAtNanos) {
-    lease.confirmed(askedAtNanos);
+    lease.onConfirmed(askedAtNanos);
   }
 
   /** The leader says that the session is over. */
   void lost() {
     state = State.NONE;
-    lease.lost();
+    lease.onSessionLost();
   }
 
   /** The report that is due, with the next number; empty where nothing has changed. */
-  Optional<LogEntry.MemberReport> nextReport(Activity activity, LogEntry.HostCatalog catalog) {
+  Optional<LogEntry.MemberReport> nextReport(Activity activity, LogEntry.EndpointCatalog catalog) {
     boolean catalogChanged = !catalog.digest().equals(reportedCatalog);
     if (reportedActivity.equals(Optional.of(activity)) && !catalogChanged) {
       return Optional.empty();
@@ -95,7 +95,7 @@
   }
 
   /** The log has applied a report of this. */
-  void reported(Activity activity, LogEntry.HostCatalog catalog) {
+  void reported(Activity activity, LogEntry.EndpointCatalog catalog) {
     reportedActivity = Optional.of(activity);
     reportedCatalog = catalog.digest();
   }
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -21,7 +21,7 @@
 import leadferry.http.Networks;
 import leadferry.limits.Limit;
 import leadferry.loadbalancer.Settings;
-import leadferry.routing.PathNormalizer;
+import leadferry.routing.NormalizedPath;
 
 /**
  * Reads and judges the operator's file (TOML 1.0). One reading finds all that is wrong; what is
@@ -223,7 +223,7 @@
           new DaemonConfig.Listener(
               e.getKey(),
               at,
-              s.word("paths", PathNormalizer.Mode.STRICT, PathNormalizer.Mode.class),
+              s.word("paths", NormalizedPath.Mode.STRICT, NormalizedPath.Mode.class),
               token(s, "class_header", "X-Priority-Class"),
               token(s, "tenant_header", "X-Tenant-Id"),
               health,
@@ -346,7 +346,7 @@
       Limit l =
           new Limit(
               name,
-              s.word("by", Limit.By.ALL, Limit.By.class),
+              s.word("by", Limit.Scope.ALL, Limit.Scope.class),
               within.isEmpty() ? null : within,
               s.names("listeners", names.listeners, "listener"),
               s.names("routes", names.routes, "route"),
--- a/src/main/java/leadferry/daemon/RouteReader.java
+++ b/src/main/java/leadferry/daemon/RouteReader.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import leadferry.http.Headers;
-import leadferry.routing.PathNormalizer;
-import leadferry.routing.RouteCheck;
+import leadferry.routing.NormalizedPath;
 import leadferry.routing.RouteRule;
+import leadferry.routing.ShadowedRouteFinder;
 
 /**
  * Reads and judges {@code [[route]]}: each by itself, against what the file names, and against the
@@ -43,8 +43,8 @@
           rules.add(r.match());
         }
       }
-      for (RouteCheck.Shadowed shadowed : RouteCheck.shadowed(rules)) {
-        RouteRule<Integer> r = rules.get(shadowed.route());
+      for (ShadowedRouteFinder.ShadowedRoute shadowed : ShadowedRouteFinder.findShadowed(rules)) {
+        RouteRule<Integer> r = rules.get(shadowed.routeIndex());
         sections
             .get(r.target())
             .fault(
@@ -52,7 +52,7 @@
                 "can't be reached at listener '"
                     + listener
                     + "': route '"
-                    + rules.get(shadowed.by()).name()
+                    + rules.get(shadowed.winnerIndex()).name()
                     + "' always wins",
                 "a route that some request can take");
       }
@@ -86,9 +86,10 @@
     RouteRule<Integer> match = match(s, name, index);
     String rewrite = s.text("rewrite_prefix", "", "a path that begins with /");
     if (!rewrite.isEmpty()) {
-      PathNormalizer form =
-          PathNormalizer.of(
-              PathNormalizer.encode(PathNormalizer.ofPattern(rewrite)), PathNormalizer.Mode.STRICT);
+      NormalizedPath form =
+          NormalizedPath.normalize(
+              NormalizedPath.percentEncode(NormalizedPath.toOctetChars(rewrite)),
+              NormalizedPath.Mode.STRICT);
       if (form == null) {
         s.fault("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
       } else if (match.kind() != RouteRule.Kind.PREFIX) {
@@ -183,7 +184,7 @@
       }
       given++;
       kind = k;
-      path = k == RouteRule.Kind.REGEX ? text : PathNormalizer.ofPattern(text);
+      path = k == RouteRule.Kind.REGEX ? text : NormalizedPath.toOctetChars(text);
       if (k == RouteRule.Kind.REGEX) {
         try {
           Pattern.compile(text);
@@ -193,7 +194,9 @@
           kind = RouteRule.Kind.PREFIX;
         }
       } else if (!text.startsWith("/")
-          || PathNormalizer.of(PathNormalizer.encode(path), PathNormalizer.Mode.STRICT) == null) {
+          || NormalizedPath.normalize(
+                  NormalizedPath.percentEncode(path), NormalizedPath.Mode.STRICT)
+              == null) {
         s.fault(key, "'" + text + "'", "a decoded path that begins with /, without . or .. or //");
       }
     }
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -146,7 +146,7 @@
       return false;
     }
     if (!v.retries.take()) {
-      p.retries().giveBack();
+      p.retries().refund();
       return false;
     }
     return true;
--- a/src/main/java/leadferry/limits/ClientIdentity.java
+++ b/src/main/java/leadferry/limits/ClientIdentity.java
@@ -4,7 +4,7 @@
 public record ClientIdentity(
     String listener, String route, String tenant, String className, String address) {
 
-  String value(Limit.By by) {
+  String keyFor(Limit.Scope by) {
     return switch (by) {
       case ALL -> "";
       case LISTENER -> listener;
--- a/src/main/java/leadferry/limits/GcraBucket.java
+++ b/src/main/java/leadferry/limits/GcraBucket.java
@@ -26,7 +26,7 @@
    */
   private volatile GcraBucket parent;
 
-  private final AtomicInteger inUse = new AtomicInteger();
+  private final AtomicInteger slotsInUse = new AtomicInteger();
   private final AtomicLong tat = new AtomicLong(Long.MIN_VALUE);
   private final AtomicLong fairTat = new AtomicLong(Long.MIN_VALUE);
   private final AtomicInteger busyChildren = new AtomicInteger();
@@ -39,14 +39,14 @@
   }
 
   /** Takes a place within the outer one, which may be null; false if this bucket is dead. */
-  boolean enter(GcraBucket outer) {
+  boolean acquireSlot(GcraBucket outer) {
     int n;
     do {
-      n = inUse.get();
+      n = slotsInUse.get();
       if (n < 0) {
         return false;
       }
-    } while (!inUse.compareAndSet(n, n + 1));
+    } while (!slotsInUse.compareAndSet(n, n + 1));
     if (n == 0 && outer != null) {
       parent = outer;
       outer.busyChildren.incrementAndGet();
@@ -54,15 +54,15 @@
     return true;
   }
 
-  void leave() {
+  void releaseSlot() {
     GcraBucket outer = parent;
-    if (inUse.decrementAndGet() == 0 && outer != null) {
+    if (slotsInUse.decrementAndGet() == 0 && outer != null) {
       outer.busyChildren.decrementAndGet();
     }
   }
 
-  int inUse() {
-    return inUse.get();
+  int slotsInUse() {
+    return slotsInUse.get();
   }
 
   int busyChildren() {
@@ -70,21 +70,21 @@
   }
 
   /** Takes a place in the rate: 0, or the wait (ns) until one is free. */
-  long pass(long now, double perSecond, double burst) {
-    return pass(tat, now, perSecond, burst, false);
+  long tryConsume(long now, double perSecond, double burst) {
+    return tryConsume(tat, now, perSecond, burst, false);
   }
 
   /** Notes a request against the fair part of the parent's rate; the wait (ns) where it is over. */
-  long passFair(long now, double perSecond, double burst, boolean always) {
-    return pass(fairTat, now, perSecond, burst, always);
+  long tryConsumeFairShare(long now, double perSecond, double burst, boolean always) {
+    return tryConsume(fairTat, now, perSecond, burst, always);
   }
 
   /** The part of the burst that is taken, 0 to 1. */
-  double filled(long now, double perSecond, double burst) {
+  double burstUtilization(long now, double perSecond, double burst) {
     return Math.max(0, tat.get() - now) * perSecond / 1e9 / Math.max(1, burst);
   }
 
-  private static long pass(
+  private static long tryConsume(
       AtomicLong at, long now, double perSecond, double burst, boolean always) {
     long interval = (long) (1e9 / perSecond);
     long room = (long) (interval * (Math.max(1, burst) - 1));
@@ -104,7 +104,7 @@
   }
 
   /** A child has asked: counts it once a window among those that share the rate. */
-  void seen(GcraBucket child, long now) {
+  void recordChildRequest(GcraBucket child, long now) {
     long window = now / WINDOW_NANOS;
     if (child.seenIn == window) {
       return;
@@ -123,17 +123,17 @@
   }
 
   /** Children that ask now, as this window and the one before have shown. */
-  int sharing() {
+  int activeChildren() {
     return Math.max(1, Math.max(childrenBefore, (int) (children.get() & 0xffffff)));
   }
 
   /** Whether forgetting it would change nothing. */
-  boolean idle(long now) {
-    return inUse.get() == 0 && tat.get() <= now && fairTat.get() <= now;
+  boolean isIdle(long now) {
+    return slotsInUse.get() == 0 && tat.get() <= now && fairTat.get() <= now;
   }
 
   /** Ends its use, if nothing is being taken from it. */
-  boolean retire() {
-    return inUse.compareAndSet(0, DEAD);
+  boolean tryRetire() {
+    return slotsInUse.compareAndSet(0, DEAD);
   }
 }
--- a/src/main/java/leadferry/limits/GcraBucketTable.java
+++ b/src/main/java/leadferry/limits/GcraBucketTable.java
@@ -27,13 +27,13 @@
   }
 
   /** Takes a place in the key's bucket. */
-  GcraBucket enter(long key, GcraBucket parent, long now) {
+  GcraBucket acquireSlot(long key, GcraBucket parent, long now) {
     while (true) {
       GcraBucket b = find(key);
       if (b == null) {
         b = add(key, now);
       }
-      if (b.enter(b == overflow ? null : parent)) {
+      if (b.acquireSlot(b == overflow ? null : parent)) {
         return b;
       }
     }
@@ -52,13 +52,13 @@
 
   private synchronized GcraBucket add(long key, long now) {
     GcraBucket there = find(key);
-    if (there != null && there.inUse() >= 0) {
+    if (there != null && there.slotsInUse() >= 0) {
       return there;
     }
     int from = set(key);
     for (int i = from; i < from + WAYS; i++) {
       GcraBucket b = slots.get(i);
-      if (b == null || b.inUse() < 0 || (b.idle(now) && b.retire())) {
+      if (b == null || b.slotsInUse() < 0 || (b.isIdle(now) && b.tryRetire())) {
         GcraBucket fresh = new GcraBucket(key);
         slots.set(i, fresh);
         return fresh;
--- a/src/main/java/leadferry/limits/Grant.java
+++ b/src/main/java/leadferry/limits/LimitDecision.java
@@ -1,29 +1,29 @@
 package leadferry.limits;
 
 /** What a {@link Limiter} said: places that were taken, or the limit that refused. */
-public final class Grant {
+public final class LimitDecision {
   /** No limit holds for the request. */
-  static final Grant FREE = new Grant(new GcraBucket[0], 0, null, 0);
+  static final LimitDecision UNLIMITED = new LimitDecision(new GcraBucket[0], 0, null, 0);
 
   private final GcraBucket[] taken;
   private final int count;
   private final String refusedBy;
-  private final double retryAfterMs;
+  private final double retryAfterMillis;
   private boolean released;
 
-  private Grant(GcraBucket[] taken, int count, String refusedBy, double retryAfterMs) {
+  private LimitDecision(GcraBucket[] taken, int count, String refusedBy, double retryAfterMs) {
     this.taken = taken;
     this.count = count;
     this.refusedBy = refusedBy;
-    this.retryAfterMs = retryAfterMs;
+    this.retryAfterMillis = retryAfterMs;
   }
 
-  static Grant of(GcraBucket[] taken, int count) {
-    return new Grant(taken, count, null, 0);
+  static LimitDecision allowed(GcraBucket[] taken, int count) {
+    return new LimitDecision(taken, count, null, 0);
   }
 
-  static Grant refused(String by, double retryAfterMs) {
-    return new Grant(new GcraBucket[0], 0, by, retryAfterMs);
+  static LimitDecision refused(String by, double retryAfterMs) {
+    return new LimitDecision(new GcraBucket[0], 0, by, retryAfterMs);
   }
 
   /** The limit that refused, or null. */
@@ -32,8 +32,8 @@
   }
 
   /** When (ms) to come back, where refused. */
-  public double retryAfterMs() {
-    return retryAfterMs;
+  public double retryAfterMillis() {
+    return retryAfterMillis;
   }
 
   /** The request is over; harmless if done before. Called by the thread that asked. */
@@ -41,7 +41,7 @@
     if (!released) {
       released = true;
       for (int i = count - 1; i >= 0; i--) {
-        taken[i].leave();
+        taken[i].releaseSlot();
       }
     }
   }
--- a/src/main/java/leadferry/limits/Limiter.java
+++ b/src/main/java/leadferry/limits/Limiter.java
@@ -39,30 +39,35 @@
   private final long seed;
 
   /** Limits with room for so many callers each. */
-  public Limiter(List<Limit> limits, int keys) {
-    this(limits, keys, null);
+  public Limiter(List<Limit> limits, int maxKeys) {
+    this(limits, maxKeys, null);
   }
 
   /**
    * Limits that take over what the limiter before them counts, for those of the same name, kind and
    * parent. An outer limit must stand before those within it.
    */
-  public Limiter(List<Limit> limits, int keys, Limiter before) {
+  public Limiter(List<Limit> limits, int maxKeys, Limiter previous) {
     this.limits = List.copyOf(limits);
-    this.keys = keys;
-    this.seed = before == null ? new java.security.SecureRandom().nextLong() : before.seed;
+    this.keys = maxKeys;
+    this.seed = previous == null ? new java.security.SecureRandom().nextLong() : previous.seed;
     this.tables = new GcraBucketTable[limits.size()];
     this.parents = new int[limits.size()];
     Map<String, Integer> places = new HashMap<>();
     for (int i = 0; i < tables.length; i++) {
       Limit l = limits.get(i);
-      parents[i] = l.within() == null ? -1 : places.getOrDefault(l.within(), -1);
-      if (l.within() != null && parents[i] < 0) {
+      parents[i] = l.parentName() == null ? -1 : places.getOrDefault(l.parentName(), -1);
+      if (l.parentName() != null && parents[i] < 0) {
         throw new IllegalArgumentException(
-            "within: " + l.within() + " (expected: a limit that stands before " + l.name() + ")");
+            "within: "
+                + l.parentName()
+                + " (expected: a limit that stands before "
+                + l.name()
+                + ")");
       }
-      GcraBucketTable kept = before == null || before.keys != keys ? null : before.table(l);
-      tables[i] = kept == null ? new GcraBucketTable(keys) : kept;
+      GcraBucketTable kept =
+          previous == null || previous.keys != maxKeys ? null : previous.table(l);
+      tables[i] = kept == null ? new GcraBucketTable(maxKeys) : kept;
       places.put(l.name(), i);
     }
   }
@@ -71,8 +76,8 @@
     for (int i = 0; i < tables.length; i++) {
       Limit mine = limits.get(i);
       if (mine.name().equals(l.name())
-          && mine.by() == l.by()
-          && java.util.Objects.equals(mine.within(), l.within())) {
+          && mine.scope() == l.scope()
+          && java.util.Objects.equals(mine.parentName(), l.parentName())) {
         return tables[i];
       }
     }
@@ -80,61 +85,64 @@
   }
 
   /** Asks for a place; {@code now} in nanoseconds that never go back. */
-  public Grant acquire(ClientIdentity caller, long now) {
+  public LimitDecision acquire(ClientIdentity caller, long nowNanos) {
     if (tables.length == 0) {
-      return Grant.FREE;
+      return LimitDecision.UNLIMITED;
     }
     GcraBucket[] taken = new GcraBucket[tables.length];
     GcraBucket[] at = new GcraBucket[tables.length];
     int count = 0;
     for (int i = 0; i < tables.length; i++) {
       Limit l = limits.get(i);
-      if (!l.holdsFor(caller)) {
+      if (!l.appliesTo(caller)) {
         continue;
       }
       GcraBucket parent = parents[i] < 0 ? null : at[parents[i]];
-      GcraBucket b = tables[i].enter(key(l, caller, parent), parent, now);
+      GcraBucket b = tables[i].acquireSlot(key(l, caller, parent), parent, nowNanos);
       taken[count++] = b;
       at[i] = b;
       double wait = check(l, b);
       if (wait == 0 && parent != null) {
-        wait = checkShare(limits.get(parents[i]), parent, b, now);
+        wait = checkShare(limits.get(parents[i]), parent, b, nowNanos);
       }
       if (wait > 0) {
-        Grant.of(taken, count).release();
-        return Grant.refused(l.name(), wait);
+        LimitDecision.allowed(taken, count).release();
+        return LimitDecision.refused(l.name(), wait);
       }
     }
     // Places in a rate can't be given back: they are taken last, when nothing else refuses.
     for (int i = 0; i < tables.length; i++) {
       Limit l = limits.get(i);
-      if (at[i] != null && l.perSecond() > 0) {
-        long wait = at[i].pass(now, l.perSecond(), l.burst());
+      if (at[i] != null && l.requestsPerSecond() > 0) {
+        long wait = at[i].tryConsume(nowNanos, l.requestsPerSecond(), l.burst());
         if (wait > 0) {
-          Grant.of(taken, count).release();
-          return Grant.refused(l.name(), Math.max(1, wait / 1e6));
+          LimitDecision.allowed(taken, count).release();
+          return LimitDecision.refused(l.name(), Math.max(1, wait / 1e6));
         }
       }
     }
-    return Grant.of(taken, count);
+    return LimitDecision.allowed(taken, count);
   }
 
   private static double check(Limit l, GcraBucket b) {
-    return l.concurrency() > 0 && b.inUse() > l.concurrency() ? COME_BACK_MS : 0;
+    return l.maxConcurrent() > 0 && b.slotsInUse() > l.maxConcurrent() ? COME_BACK_MS : 0;
   }
 
   private double checkShare(Limit outer, GcraBucket parent, GcraBucket b, long now) {
-    if (outer.concurrency() > 0 && parent.inUse() > SHARED_FROM * outer.concurrency()) {
-      int part = Math.max(1, outer.concurrency() / (parent.busyChildren() + 1));
-      if (b.inUse() > part) {
+    if (outer.maxConcurrent() > 0 && parent.slotsInUse() > SHARED_FROM * outer.maxConcurrent()) {
+      int part = Math.max(1, outer.maxConcurrent() / (parent.busyChildren() + 1));
+      if (b.slotsInUse() > part) {
         return COME_BACK_MS;
       }
     }
-    if (outer.perSecond() > 0) {
-      parent.seen(b, now);
-      int sharing = parent.sharing() + 1;
-      boolean crowded = parent.filled(now, outer.perSecond(), outer.burst()) > SHARED_FROM;
-      long wait = b.passFair(now, outer.perSecond() / sharing, outer.burst() / sharing, !crowded);
+    if (outer.requestsPerSecond() > 0) {
+      parent.recordChildRequest(b, now);
+      int sharing = parent.activeChildren() + 1;
+      boolean crowded =
+          parent.burstUtilization(now, outer.requestsPerSecond(), outer.burst()) > SHARED_FROM;
+      long wait =
+          b.tryConsumeFairShare(
+              now, outer.requestsPerSecond() / sharing, outer.burst() / sharing, !crowded);
       return wait > 0 ? Math.max(1, wait / 1e6) : 0;
     }
     return 0;
@@ -142,7 +150,7 @@
 
   /** The number of a caller's bucket; within an outer limit it has one for each of its buckets. */
   private long key(Limit l, ClientIdentity c, GcraBucket parent) {
-    String s = c.value(l.by());
+    String s = c.keyFor(l.scope());
     long h = seed ^ (parent == null ? 0 : parent.key * 0x9E3779B97F4A7C15L + 1);
     for (int i = 0; i < s.length(); i++) {
       h = (h ^ s.charAt(i)) * 0x100000001b3L;
--- a/src/main/java/leadferry/limits/RetryBudget.java
+++ b/src/main/java/leadferry/limits/RetryBudget.java
@@ -22,7 +22,7 @@
   }
 
   /** A request has come. */
-  public void earn() {
+  public void onRequest() {
     long s = saved.get();
     if (s < most) {
       saved.compareAndSet(s, Math.min(most, s + earned)); // a lost race earns a little less
@@ -42,7 +42,7 @@
   }
 
   /** Gives one back that was not used after all. */
-  public void giveBack() {
+  public void refund() {
     saved.accumulateAndGet(UNIT, (s, x) -> Math.min(most, s + x));
   }
 }
--- a/src/main/java/leadferry/routing/PathNormalizer.java
+++ b/src/main/java/leadferry/routing/NormalizedPath.java
@@ -18,7 +18,7 @@
  *   /a/..;x/b     turned away in both: some hosts drop what follows the semicolon first
  * </pre>
  */
-public final class PathNormalizer {
+public final class NormalizedPath {
   /** What becomes of dot segments and empty segments. */
   public enum Mode {
     /** The request is turned away. */
@@ -27,55 +27,55 @@
     RESOLVE
   }
 
-  private final String match;
-  private final String forward;
+  private final String matchPath;
+  private final String forwardPath;
 
-  private PathNormalizer(String match, String forward) {
-    this.match = match;
-    this.forward = forward;
+  private NormalizedPath(String matchPath, String forwardPath) {
+    this.matchPath = matchPath;
+    this.forwardPath = forwardPath;
   }
 
   /** The path that routes match: octets decoded, one char an octet. */
-  public String match() {
-    return match;
+  public String matchPath() {
+    return matchPath;
   }
 
   /** The path to send on. */
-  public String forward() {
-    return forward;
+  public String forwardPath() {
+    return forwardPath;
   }
 
   /** The form of a raw path without its query, or null where it has no single reading. */
-  public static PathNormalizer of(String raw, Mode mode) {
-    int n = raw.length();
-    if (n == 0 || raw.charAt(0) != '/') {
+  public static NormalizedPath normalize(String rawPath, Mode mode) {
+    int n = rawPath.length();
+    if (n == 0 || rawPath.charAt(0) != '/') {
       return null;
     }
     boolean plain = true;
     for (int i = 0; i < n; i++) {
-      char c = raw.charAt(i);
+      char c = rawPath.charAt(i);
       if (c <= ' ' || c >= 0x7f || c == '\\' || c == '#') {
         return null;
       }
       plain &= c != '%';
     }
-    String match = plain ? raw : decode(raw);
-    if (match == null) {
+    String matchPath = plain ? rawPath : decode(rawPath);
+    if (matchPath == null) {
       return null;
     }
-    int odd = oddSegment(match);
+    int odd = oddSegment(matchPath);
     if (odd == 0) {
-      return new PathNormalizer(match, raw);
+      return new NormalizedPath(matchPath, rawPath);
     }
     if (mode == Mode.STRICT || odd == 2) {
       return null;
     }
-    String resolved = resolve(match);
-    return resolved == null ? null : new PathNormalizer(resolved, encode(resolved));
+    String resolved = resolve(matchPath);
+    return resolved == null ? null : new NormalizedPath(resolved, percentEncode(resolved));
   }
 
   /** Text of the operator's, in the form that matched paths have. */
-  public static String ofPattern(String text) {
+  public static String toOctetChars(String text) {
     return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Escapes whatever may not stand in a path as it is (RFC 3986, 3.3). */
-  public static String encode(String path) {
+  public static String percentEncode(String path) {
     StringBuilder out = new StringBuilder(path.length() + 8);
     for (int i = 0; i < path.length(); i++) {
       char c = path.charAt(i);
--- a/src/main/java/leadferry/routing/RequestAttributes.java
+++ b/src/main/java/leadferry/routing/RequestAttributes.java
@@ -5,7 +5,7 @@
   /** The host asked for, in lower case without port, or "" where none was told. */
   String host();
 
-  /** The path in the form that {@link PathNormalizer} gives for matching, without a query. */
+  /** The path in the form that {@link NormalizedPath} gives for matching, without a query. */
   String path();
 
   /** The method, as it was sent. */
--- a/src/main/java/leadferry/routing/RouteRule.java
+++ b/src/main/java/leadferry/routing/RouteRule.java
@@ -9,10 +9,10 @@
  * What a request must have for a route to take it.
  *
  * @param name the route's name
- * @param hosts {@code *} for any, {@code a.b}, {@code *.a.b} or {@code a.*}, in lower case
+ * @param hostPatterns {@code *} for any, {@code a.b}, {@code *.a.b} or {@code a.*}, in lower case
  * @param kind how {@code path} is meant
  * @param path the path, prefix or regular expression, in the form of {@link
- *     PathNormalizer#ofPattern}
+ *     NormalizedPath#toOctetChars}
  * @param methods the methods, or none for any
  * @param headers values that headers must have; {@code *} asks only that the header is there
  * @param classes the classes, or none for any
@@ -20,7 +20,7 @@
  */
 public record RouteRule<T>(
     String name,
-    List<String> hosts,
+    List<String> hostPatterns,
     Kind kind,
     String path,
     Set<String> methods,
@@ -39,7 +39,7 @@
   }
 
   public RouteRule {
-    hosts = List.copyOf(hosts);
+    hostPatterns = List.copyOf(hostPatterns);
     methods = Set.copyOf(methods);
     headers = Map.copyOf(headers);
     classes = Set.copyOf(classes);
@@ -51,21 +51,22 @@
   }
 
   /** Conditions besides host and path: more of them make a rule more particular. */
-  int conditions() {
+  int conditionCount() {
     return (methods.isEmpty() ? 0 : 1) + headers.size() + (classes.isEmpty() ? 0 : 1);
   }
 
   /** Whether the conditions besides host and path hold. */
-  boolean holds(RequestAttributes s) {
-    if (!methods.isEmpty() && !methods.contains(s.method())) {
+  boolean matchesConditions(RequestAttributes request) {
+    if (!methods.isEmpty() && !methods.contains(request.method())) {
       return false;
     }
-    if (!classes.isEmpty() && (s.className() == null || !classes.contains(s.className()))) {
+    if (!classes.isEmpty()
+        && (request.className() == null || !classes.contains(request.className()))) {
       return false;
     }
     if (!headers.isEmpty()) {
       for (Map.Entry<String, String> e : headers.entrySet()) {
-        String value = s.header(e.getKey());
+        String value = request.header(e.getKey());
         if (value == null || (!e.getValue().equals("*") && !e.getValue().equals(value))) {
           return false;
         }
@@ -88,11 +89,11 @@
   }
 
   /** Whether a regular expression takes any path at all. */
-  boolean takesAnyPath() {
+  boolean matchesAnyPath() {
     return kind == Kind.REGEX && Set.of(".*", "/.*", "^.*$", "^/.*$", "^/.*", "^.*").contains(path);
   }
 
-  Pattern pattern() {
+  Pattern compilePattern() {
     return Pattern.compile(path);
   }
 }
--- a/src/main/java/leadferry/routing/RouteTable.java
+++ b/src/main/java/leadferry/routing/RouteTable.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The routes of one listener, compiled. The order of precedence, which {@link RouteCheck} and the
- * operator's page share:
+ * The routes of one listener, compiled. The order of precedence, which {@link ShadowedRouteFinder}
+ * and the operator's page share:
  *
  * <ol>
  *   <li>The host: the exact name, else the longest {@code *.suffix}, else the longest {@code
@@ -29,8 +29,8 @@
 public final class RouteTable<T> {
   /** The routes of one host pattern. */
   private static final class HostRoutes<T> {
-    final RegionTable<List<RouteRule<T>>> exact = new RegionTable<>();
-    final RegionTable<List<RouteRule<T>>> prefixes = new RegionTable<>();
+    final SubstringMap<List<RouteRule<T>>> exact = new SubstringMap<>();
+    final SubstringMap<List<RouteRule<T>>> prefixes = new SubstringMap<>();
     final List<RouteRule<T>> regexRules = new ArrayList<>();
     final List<Pattern> regexes = new ArrayList<>();
 
@@ -46,7 +46,7 @@
         }
       }
       for (int i = 0; i < regexes.size(); i++) {
-        if (regexRules.get(i).holds(s) && regexes.get(i).matches(path)) {
+        if (regexRules.get(i).matchesConditions(s) && regexes.get(i).matches(path)) {
           return regexRules.get(i);
         }
       }
@@ -68,7 +68,7 @@
           }
           depth++;
         }
-        hash = RegionTable.step(hash, c);
+        hash = SubstringMap.extendHash(hash, c);
       }
       return best;
     }
@@ -76,7 +76,7 @@
     private static <T> RouteRule<T> first(List<RouteRule<T>> rules, RequestAttributes s) {
       if (rules != null) {
         for (int i = 0; i < rules.size(); i++) {
-          if (rules.get(i).holds(s)) {
+          if (rules.get(i).matchesConditions(s)) {
             return rules.get(i);
           }
         }
@@ -85,17 +85,17 @@
     }
   }
 
-  private final RegionTable<HostRoutes<T>> hosts = new RegionTable<>();
-  private final RegionTable<HostRoutes<T>> suffixes = new RegionTable<>();
-  private final RegionTable<HostRoutes<T>> prefixes = new RegionTable<>();
+  private final SubstringMap<HostRoutes<T>> hosts = new SubstringMap<>();
+  private final SubstringMap<HostRoutes<T>> suffixes = new SubstringMap<>();
+  private final SubstringMap<HostRoutes<T>> prefixes = new SubstringMap<>();
   private final HostRoutes<T> any = new HostRoutes<>();
 
-  /** Compiles rules that {@link RouteCheck} has found sound, in the order of the file. */
+  /** Compiles rules that {@link ShadowedRouteFinder} has found sound, in the order of the file. */
   public RouteTable(List<RouteRule<T>> rules) {
     Map<String, HostRoutes<T>> byHost = new LinkedHashMap<>();
     byHost.put("*", any);
     for (RouteRule<T> r : rules) {
-      for (String host : r.hosts()) {
+      for (String host : r.hostPatterns()) {
         add(byHost.computeIfAbsent(host, h -> new HostRoutes<>()), r);
       }
     }
@@ -114,10 +114,10 @@
   private static <T> void add(HostRoutes<T> to, RouteRule<T> r) {
     if (r.kind() == RouteRule.Kind.REGEX) {
       to.regexRules.add(r);
-      to.regexes.add(r.pattern());
+      to.regexes.add(r.compilePattern());
       return;
     }
-    RegionTable<List<RouteRule<T>>> table =
+    SubstringMap<List<RouteRule<T>>> table =
         r.kind() == RouteRule.Kind.EXACT ? to.exact : to.prefixes;
     if (r.kind() == RouteRule.Kind.PREFIX) {
       to.depths |= 1L << Math.min(63, r.path().chars().filter(c -> c == '/').count());
@@ -128,7 +128,7 @@
       table.put(r.path(), same);
     }
     same.add(r);
-    same.sort(Comparator.comparingInt(x -> -x.conditions())); // stable: the file's order stays
+    same.sort(Comparator.comparingInt(x -> -x.conditionCount())); // stable: the file's order stays
   }
 
   /** The rule that wins, or null where none does. */
@@ -152,10 +152,10 @@
     return (found == null ? any : found).find(s);
   }
 
-  private static <V> V region(RegionTable<V> table, String s, int from, int to) {
+  private static <V> V region(SubstringMap<V> table, String s, int from, int to) {
     int hash = 0;
     for (int i = from; i < to; i++) {
-      hash = RegionTable.step(hash, s.charAt(i));
+      hash = SubstringMap.extendHash(hash, s.charAt(i));
     }
     return table.get(s, from, to - from, hash);
   }
--- a/src/main/java/leadferry/routing/RouteCheck.java
+++ b/src/main/java/leadferry/routing/ShadowedRouteFinder.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /** Finds routes that can never win, by the order of precedence of {@link RouteTable}. */
-public final class RouteCheck {
+public final class ShadowedRouteFinder {
   /** A route that another one always beats. */
-  public record Shadowed(int route, int by) {}
+  public record ShadowedRoute(int routeIndex, int winnerIndex) {}
 
-  private RouteCheck() {}
+  private ShadowedRouteFinder() {}
 
   /**
    * The routes of a listener that can't be reached, each with the one that wins in its place. Found
@@ -18,22 +18,22 @@
    * stands behind a regular expression that takes every path. Regular expressions are not compared
    * with each other beyond their text: whether one contains another is not told in linear time.
    */
-  public static <T> List<Shadowed> shadowed(List<RouteRule<T>> rules) {
+  public static <T> List<ShadowedRoute> findShadowed(List<RouteRule<T>> rules) {
     Map<String, List<Integer>> groups = new HashMap<>();
     Map<String, List<Integer>> catchAll = new HashMap<>();
     for (int i = 0; i < rules.size(); i++) {
       RouteRule<T> r = rules.get(i);
-      for (String host : r.hosts()) {
+      for (String host : r.hostPatterns()) {
         groups.computeIfAbsent(group(host, r), k -> new ArrayList<>(1)).add(i);
-        if (r.takesAnyPath()) {
+        if (r.matchesAnyPath()) {
           catchAll.computeIfAbsent(host, k -> new ArrayList<>(1)).add(i);
         }
       }
     }
-    List<Shadowed> found = new ArrayList<>();
+    List<ShadowedRoute> found = new ArrayList<>();
     for (int i = 0; i < rules.size(); i++) {
       int by = -1;
-      for (String host : rules.get(i).hosts()) {
+      for (String host : rules.get(i).hostPatterns()) {
         by = winner(rules, i, groups.get(group(host, rules.get(i))));
         if (by < 0) {
           by = behind(rules, i, catchAll.getOrDefault(host, List.of()));
@@ -43,7 +43,7 @@
         }
       }
       if (by >= 0) {
-        found.add(new Shadowed(i, by));
+        found.add(new ShadowedRoute(i, by));
       }
     }
     return found;
@@ -58,9 +58,9 @@
     for (int j : group) {
       RouteRule<T> other = rules.get(j);
       boolean before =
-          (r.kind() == RouteRule.Kind.REGEX || other.conditions() == r.conditions())
+          (r.kind() == RouteRule.Kind.REGEX || other.conditionCount() == r.conditionCount())
               ? j < i
-              : other.conditions() > r.conditions();
+              : other.conditionCount() > r.conditionCount();
       if (j != i && before && other.covers(r)) {
         return j;
       }
--- a/src/main/java/leadferry/routing/RegionTable.java
+++ b/src/main/java/leadferry/routing/SubstringMap.java
@@ -5,7 +5,7 @@
  * string, so that a look-up of each prefix of a path allocates nothing. Open addressing, at most
  * half full; the hash is the polynomial of {@link String#hashCode}, which grows by one step a char.
  */
-final class RegionTable<V> {
+final class SubstringMap<V> {
   private String[] keys = new String[16];
 
   /** The keys' hashes beside each other: most keys that are not asked for need not be touched. */
@@ -14,7 +14,7 @@
   private Object[] values = new Object[16];
   private int size;
 
-  static int step(int hash, char c) {
+  static int extendHash(int hash, char c) {
     return 31 * hash + c;
   }
 
--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -55,8 +55,8 @@
   }
 
   /** One state of the whole system, rebuilt by taking its steps. */
-  private final class World implements StateSpaceExplorer.World {
-    private final Predicate<World> invariant;
+  private final class DrainModel implements StateSpaceExplorer.SystemModel {
+    private final Predicate<DrainModel> invariant;
 
     final FleetStateMachine stateMachine =
         new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
@@ -65,7 +65,7 @@
     int crashes;
     long pushedVersion;
 
-    World(Predicate<World> invariant) {
+    DrainModel(Predicate<DrainModel> invariant) {
       this.invariant = invariant;
       for (String name : PROXIES) {
         processes.put(name, new Process(name));
@@ -97,7 +97,7 @@
     }
 
     private void expireSession(String name) {
-      String timer = SessionTable.timer(name, processes.get(name).session);
+      String timer = SessionTable.timerName(name, processes.get(name).session);
       apply(LogEntryCodec.encodeExpiry(timer));
     }
 
@@ -144,7 +144,7 @@
 
     /** What can happen next. */
     @Override
-    public List<Step> steps() {
+    public List<Step> possibleSteps() {
       List<Step> steps = new ArrayList<>();
       for (String name : PROXIES) {
         addMessageSteps(name, steps);
@@ -166,7 +166,7 @@
         steps.add(new Step("news " + name, () -> take(name, process.pushedViews.remove())));
       }
       if (!process.reports.isEmpty()) {
-        steps.add(new Step("word " + name, () -> apply(Json.read(process.reports.remove()))));
+        steps.add(new Step("word " + name, () -> apply(Json.parse(process.reports.remove()))));
       }
     }
 
@@ -254,8 +254,8 @@
 
     /** The state but for numbers that only count up: what matters of those is their order. */
     @Override
-    public String key() {
-      ObjectNode snapshot = Json.read(stateMachine.snapshot());
+    public String stateKey() {
+      ObjectNode snapshot = Json.parse(stateMachine.snapshot());
       snapshot.remove(List.of("audit", "entries", "calls"));
       StringBuilder text = new StringBuilder(Json.text(snapshot));
       processes.forEach(
@@ -271,12 +271,13 @@
             process.reports.forEach(
                 report -> text.append(new String(report, StandardCharsets.UTF_8)));
           });
-      return HexFormat.of().formatHex(digest(ranked(text.append(crashes).toString())));
+      return HexFormat.of()
+          .formatHex(digest(replaceCountersByRanks(text.append(crashes).toString())));
     }
   }
 
   /** Replaces numbers that only count up by their ranks, so that only their order counts. */
-  static String ranked(String text) {
+  static String replaceCountersByRanks(String text) {
     String ranked = text;
     for (String names :
         List.of(
@@ -313,26 +314,27 @@
   @Test
   void neverMoreProxiesAreOutByDecisionThanAllowed() {
     StateSpaceExplorer explorer =
-        new StateSpaceExplorer(() -> new World(world -> world.out().size() <= ALLOWED));
-    assertThat(explorer.all(DEPTH)).isEmpty();
-    System.out.println("drains walked: " + explorer.states() + " states to a depth of " + DEPTH);
-    assertThat(explorer.states()).isGreaterThan(1_000);
+        new StateSpaceExplorer(() -> new DrainModel(world -> world.out().size() <= ALLOWED));
+    assertThat(explorer.exploreAll(DEPTH)).isEmpty();
+    System.out.println(
+        "drains walked: " + explorer.stateCount() + " states to a depth of " + DEPTH);
+    assertThat(explorer.stateCount()).isGreaterThan(1_000);
   }
 
   @Test
   void walksAtRandomFarBeyondThatDepthKeepThePromise() {
     StateSpaceExplorer explorer =
-        new StateSpaceExplorer(() -> new World(world -> world.out().size() <= ALLOWED));
+        new StateSpaceExplorer(() -> new DrainModel(world -> world.out().size() <= ALLOWED));
     for (long seed = 1; seed <= Integer.getInteger("walk.seeds", 300); seed++) {
-      assertThat(explorer.random(seed, 60)).as("seed " + seed).isEmpty();
+      assertThat(explorer.randomWalk(seed, 60)).as("seed " + seed).isEmpty();
     }
   }
 
   @Test
   void whatARandomWalkFindsIsCutDownToWhatMatters() {
     assertThat(
-            new StateSpaceExplorer(() -> new World(world -> !world.out().contains("a")))
-                .random(1, 60))
+            new StateSpaceExplorer(() -> new DrainModel(world -> !world.out().contains("a")))
+                .randomWalk(1, 60))
         .hasSize(3)
         .contains("drain a", "news a", "=> out: [a]");
   }
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -151,19 +151,19 @@
     tell("a", sessionOfA, true, "", "");
     tell("b", sessionOfB, true, "", "");
     drain("host", "h1");
-    assertThat(stateMachine.evictionStatus("1").path("awaited")).hasSize(2);
+    assertThat(stateMachine.grantStatus("1").path("awaited")).hasSize(2);
     tell("a", sessionOfA, true, "h1", "");
     tell("b", sessionOfB, true, "", "");
-    assertThat(stateMachine.evictionStatus("1").path("awaited").toString())
+    assertThat(stateMachine.grantStatus("1").path("awaited").toString())
         .contains("in flight")
         .doesNotContain("\"b\"");
     tell("a", sessionOfA, true, "", "");
-    assertThat(stateMachine.evictionStatus("1").path("carried_out").asBoolean()).isTrue();
+    assertThat(stateMachine.grantStatus("1").path("carried_out").asBoolean()).isTrue();
     apply(operation("expire").put("name", "b").put("session", sessionOfB));
-    assertThat(stateMachine.evictionStatus("1").path("awaited").path("b").asText())
+    assertThat(stateMachine.grantStatus("1").path("awaited").path("b").asText())
         .contains("may go on sending");
     assertThat(statusOf(apply(operation("fence").put("name", "b")))).isEqualTo("done");
-    assertThat(stateMachine.evictionStatus("1").path("carried_out").asBoolean()).isTrue();
+    assertThat(stateMachine.grantStatus("1").path("carried_out").asBoolean()).isTrue();
   }
 
   @Test
@@ -230,7 +230,7 @@
   void aLaterSchemaIsNeverGuessedAt() {
     assertThatThrownBy(() -> apply(operation("halt").put("schema", 2)))
         .isInstanceOf(LaterSchemaException.class);
-    ObjectNode later = Json.read(stateMachine.snapshot()).put("schema", 2);
+    ObjectNode later = Json.parse(stateMachine.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> stateMachine.restore(Json.bytes(later)))
         .hasMessageContaining("later build");
   }
--- a/src/test/java/leadferry/consensus/LeaseTest.java
+++ b/src/test/java/leadferry/consensus/LeaseTest.java
@@ -42,8 +42,8 @@
     Renewals(Random random, double speed) {
       this.random = random;
       this.speed = speed;
-      leader.begin(0);
-      leader.due(ONE_TIMER, 0);
+      leader.reset(0);
+      leader.pollExpired(ONE_TIMER, 0);
     }
 
     void untilTheLeaderEndsTheSession(String description) {
@@ -53,9 +53,9 @@
         ask();
         reachLeader();
         reachMember();
-        over = !leader.due(ONE_TIMER, leaderNanos()).isEmpty();
+        over = !leader.pollExpired(ONE_TIMER, leaderNanos()).isEmpty();
         if (over) {
-          assertThat(lease.holds(memberNanos())).as(description).isFalse();
+          assertThat(lease.isHeld(memberNanos())).as(description).isFalse();
         }
       }
     }
@@ -80,7 +80,7 @@
 
     private void reachMember() {
       if (heardAt < 0 && answeredAt >= 0 && now >= answeredAt) {
-        lease.confirmed(askedAtNanos);
+        lease.onConfirmed(askedAtNanos);
         answeredAt = NOT_UNDER_WAY;
         nextRenewalAt = now + RENEWAL_MILLIS;
       }
@@ -98,54 +98,54 @@
   @Test
   void aLeaderThatStoodStillBelievesNobodyDead() {
     LeaseTimers timers = new LeaseTimers();
-    timers.begin(0);
-    timers.due(ONE_TIMER, 0);
+    timers.reset(0);
+    timers.pollExpired(ONE_TIMER, 0);
     for (long millis = 50; millis <= 900; millis += 50) {
-      assertThat(timers.due(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
+      assertThat(timers.pollExpired(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
     }
-    assertThat(timers.due(ONE_TIMER, 5_000 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.pollExpired(ONE_TIMER, 5_000 * NANOS_PER_MILLI)).isEmpty();
     for (long millis = 5_050; millis < 6_000; millis += 50) {
-      assertThat(timers.due(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
+      assertThat(timers.pollExpired(ONE_TIMER, millis * NANOS_PER_MILLI)).isEmpty();
     }
-    assertThat(timers.due(ONE_TIMER, 6_000 * NANOS_PER_MILLI)).containsExactly("s");
+    assertThat(timers.pollExpired(ONE_TIMER, 6_000 * NANOS_PER_MILLI)).containsExactly("s");
   }
 
   @Test
   void aNewLeaderWaitsAWholeLease() {
     LeaseTimers timers = new LeaseTimers();
-    timers.begin(0);
-    timers.due(ONE_TIMER, 0);
-    timers.due(ONE_TIMER, 300 * NANOS_PER_MILLI);
-    timers.due(ONE_TIMER, 600 * NANOS_PER_MILLI);
-    timers.begin(900 * NANOS_PER_MILLI);
-    assertThat(timers.due(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).isEmpty();
-    assertThat(timers.due(ONE_TIMER, 1_300 * NANOS_PER_MILLI)).isEmpty();
-    assertThat(timers.due(ONE_TIMER, 1_650 * NANOS_PER_MILLI)).isEmpty();
-    assertThat(timers.due(ONE_TIMER, 2_000 * NANOS_PER_MILLI)).containsExactly("s");
+    timers.reset(0);
+    timers.pollExpired(ONE_TIMER, 0);
+    timers.pollExpired(ONE_TIMER, 300 * NANOS_PER_MILLI);
+    timers.pollExpired(ONE_TIMER, 600 * NANOS_PER_MILLI);
+    timers.reset(900 * NANOS_PER_MILLI);
+    assertThat(timers.pollExpired(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.pollExpired(ONE_TIMER, 1_300 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.pollExpired(ONE_TIMER, 1_650 * NANOS_PER_MILLI)).isEmpty();
+    assertThat(timers.pollExpired(ONE_TIMER, 2_000 * NANOS_PER_MILLI)).containsExactly("s");
   }
 
   @Test
   void whatWasToldToTheLogIsNotRenewed() {
     LeaseTimers timers = new LeaseTimers();
-    timers.begin(0);
+    timers.reset(0);
     for (long millis = 0; millis < 1_000; millis += 100) {
-      timers.due(ONE_TIMER, millis * NANOS_PER_MILLI);
+      timers.pollExpired(ONE_TIMER, millis * NANOS_PER_MILLI);
     }
-    assertThat(timers.due(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).containsExactly("s");
+    assertThat(timers.pollExpired(ONE_TIMER, 1_000 * NANOS_PER_MILLI)).containsExactly("s");
     assertThat(timers.renew("s", 1_001 * NANOS_PER_MILLI)).isFalse();
-    timers.resubmit("s");
+    timers.allowResubmission("s");
     assertThat(timers.renew("s", 1_002 * NANOS_PER_MILLI)).isTrue();
   }
 
   @Test
   void aStoppedMemberFindsItsLeaseOver() {
     Lease lease = new Lease(1_000);
-    assertThat(lease.holds(0)).isFalse();
-    lease.confirmed(100 * NANOS_PER_MILLI);
-    assertThat(lease.holds(999 * NANOS_PER_MILLI)).isTrue();
-    assertThat(lease.holds(1_000 * NANOS_PER_MILLI)).isFalse();
-    lease.confirmed(50 * NANOS_PER_MILLI);
-    assertThat(lease.holds(960 * NANOS_PER_MILLI))
+    assertThat(lease.isHeld(0)).isFalse();
+    lease.onConfirmed(100 * NANOS_PER_MILLI);
+    assertThat(lease.isHeld(999 * NANOS_PER_MILLI)).isTrue();
+    assertThat(lease.isHeld(1_000 * NANOS_PER_MILLI)).isFalse();
+    lease.onConfirmed(50 * NANOS_PER_MILLI);
+    assertThat(lease.isHeld(960 * NANOS_PER_MILLI))
         .as("an older answer takes nothing back")
         .isTrue();
   }
--- a/src/test/java/leadferry/consensus/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -33,7 +33,7 @@
       String line;
       while ((line = lines.readLine()) != null) {
         lineNumber++;
-        JsonNode step = Json.read(line.getBytes(StandardCharsets.UTF_8));
+        JsonNode step = Json.parse(line.getBytes(StandardCharsets.UTF_8));
         replay(step, recording + " line " + lineNumber);
         runs += step.has("end") ? 1 : 0;
       }
@@ -79,11 +79,11 @@
   private void assertSameState(JsonNode expected, String where) {
     assertSame(stateMachine.view(), expected, "view", where);
     assertSame(stateMachine.status(true), expected, "status", where);
-    assertSame(stateMachine.release(""), expected, "releases", where);
-    assertSame(stateMachine.release("r"), expected, "release", where);
-    assertSame(stateMachine.explain("proxy", "a"), expected, "explain_proxy", where);
-    assertSame(stateMachine.explain("host", "h1"), expected, "explain_host", where);
-    assertSame(stateMachine.evictionStatus("1"), expected, "permit", where);
+    assertSame(stateMachine.releaseStatus(""), expected, "releases", where);
+    assertSame(stateMachine.releaseStatus("r"), expected, "release", where);
+    assertSame(stateMachine.explainDrain("proxy", "a"), expected, "explain_proxy", where);
+    assertSame(stateMachine.explainDrain("host", "h1"), expected, "explain_host", where);
+    assertSame(stateMachine.grantStatus("1"), expected, "permit", where);
     ObjectNode timers = Json.object();
     new TreeMap<>(stateMachine.timers()).forEach(timers::put);
     assertSame(timers, expected, "timers", where);
--- a/src/test/java/leadferry/consensus/RecordedReplicaTest.java
+++ b/src/test/java/leadferry/consensus/RecordedReplicaTest.java
@@ -32,7 +32,7 @@
     unzip("folder.zip");
     List<JsonNode> transcript = transcript();
     try (Replica replica = replica(false);
-        ReplicaConnection connection = new ReplicaConnection(replicaAddress, 1_000)) {
+        ReplicaClientConnection connection = new ReplicaClientConnection(replicaAddress, 1_000)) {
       assertThat(replica).isNotNull();
       // The last questions of the recording only read: their answers are the state in the folder.
       for (JsonNode exchange : transcript.subList(transcript.size() - 6, transcript.size())) {
@@ -44,7 +44,7 @@
   @Test
   void everyRequestGetsTheAnswerOfTheEarlierBuild() throws Exception {
     try (Replica replica = replica(true);
-        ReplicaConnection connection = new ReplicaConnection(replicaAddress, 1_000)) {
+        ReplicaClientConnection connection = new ReplicaClientConnection(replicaAddress, 1_000)) {
       assertThat(replica).isNotNull();
       for (JsonNode exchange : transcript()) {
         assertSameAnswer(connection, exchange);
@@ -83,7 +83,7 @@
     try (InputStream input = resource("transcript.jsonl")) {
       return new String(input.readAllBytes(), StandardCharsets.UTF_8)
           .lines()
-          .map(line -> (JsonNode) Json.read(line.getBytes(StandardCharsets.UTF_8)))
+          .map(line -> (JsonNode) Json.parse(line.getBytes(StandardCharsets.UTF_8)))
           .toList();
     }
   }
@@ -106,7 +106,7 @@
   }
 
   /** Asks until the replica leads, as members do. */
-  private static void assertSameAnswer(ReplicaConnection connection, JsonNode exchange)
+  private static void assertSameAnswer(ReplicaClientConnection connection, JsonNode exchange)
       throws Exception {
     ObjectNode request = (ObjectNode) exchange.path("request");
     ObjectNode answer = null;
--- a/src/test/java/leadferry/consensus/ReleaseWorld.java
+++ b/src/test/java/leadferry/consensus/ReleaseModel.java
@@ -21,9 +21,9 @@
 /**
  * A release of two proxies of three, one allowed out, with two drivers: the real state machine,
  * members' views and controllers. Who serves, and what was run, is kept beside them and compared.
- * {@link ReleaseWorldSteps} tells what can happen next.
+ * {@link ReleaseModelSteps} tells what can happen next.
  */
-final class ReleaseWorld implements StateSpaceExplorer.World {
+final class ReleaseModel implements StateSpaceExplorer.SystemModel {
   static final List<String> PROXIES = List.of("a", "b", "c");
   static final String OLD_VERSION = "v1";
 
@@ -57,18 +57,18 @@
   }
 
   /** A command on its way: it lands whatever becomes of its driver. */
-  record Flight(ReleaseController sender, DriverAction command) {}
+  record InFlightCommand(ReleaseController sender, DriverAction command) {}
 
   final Map<String, Process> processes = new TreeMap<>();
   final Map<String, Driver> drivers = new TreeMap<>();
-  final List<Flight> flights = new ArrayList<>();
+  final List<InFlightCommand> inFlightCommands = new ArrayList<>();
   final Set<String> executed = new HashSet<>();
-  final Set<String> lost = new TreeSet<>();
-  final ReleaseWorldLog log = new ReleaseWorldLog(this::out);
+  final Set<String> lostMembers = new TreeSet<>();
+  final ReleaseModelLog log = new ReleaseModelLog(this::out);
   int crashes;
   int stalls;
   int losses;
-  int orders;
+  int operatorCommands;
   int restarts;
   private long nowNanos;
 
@@ -78,7 +78,7 @@
    * @param checks whether the plan has a check command
    * @param undisturbedSteps so many steps of an undisturbed release by X have been taken
    */
-  ReleaseWorld(boolean checks, int undisturbedSteps) {
+  ReleaseModel(boolean checks, int undisturbedSteps) {
     for (String name : PROXIES) {
       processes.put(name, new Process());
       join(name);
@@ -94,9 +94,9 @@
     }
     Driver undisturbed = drivers.get("X");
     for (int i = 0; i < undisturbedSteps; i++) {
-      look(undisturbed);
+      pollController(undisturbed);
       while (!undisturbed.pending.isEmpty()) {
-        act(undisturbed);
+        performNextAction(undisturbed);
       }
       processes.keySet().forEach(this::pushView);
     }
@@ -105,7 +105,7 @@
   private static ObjectNode plan(boolean checks) {
     ObjectNode plan =
         Json.object()
-            .put("name", ReleaseWorldLog.RELEASE)
+            .put("name", ReleaseModelLog.RELEASE)
             .put("of", "proxy")
             .put("version", NEW_VERSION)
             .put("from", OLD_VERSION)
@@ -129,7 +129,7 @@
     Set<String> out = new TreeSet<>();
     processes.forEach(
         (name, process) -> {
-          if (!process.serves() && !lost.contains(name)) {
+          if (!process.serves() && !lostMembers.contains(name)) {
             out.add(name);
           }
         });
@@ -184,7 +184,7 @@
     }
   }
 
-  boolean lacksView(String name) {
+  boolean isViewOutdated(String name) {
     Process process = processes.get(name);
     return process.runs
         && hasSession(name)
@@ -202,14 +202,14 @@
     join(name);
   }
 
-  void lose(String name) {
+  void loseMember(String name) {
     losses++;
-    lost.add(name);
-    log.expire(SessionTable.timer(name, processes.get(name).session));
+    lostMembers.add(name);
+    log.expire(SessionTable.timerName(name, processes.get(name).session));
   }
 
-  void find(String name) {
-    lost.remove(name);
+  void restoreMember(String name) {
+    lostMembers.remove(name);
     if (!hasSession(name)) {
       join(name);
     }
@@ -232,25 +232,25 @@
     return driver.controller.drives(view());
   }
 
-  void look(Driver driver) {
+  void pollController(Driver driver) {
     nowNanos += LOOK_NANOS;
     driver.pending.addAll(
         driver.controller.next(view(), Optional.empty(), !driver.stalled, nowNanos));
   }
 
-  void act(Driver driver) {
+  void performNextAction(Driver driver) {
     DriverAction next = driver.pending.remove(0);
     if (next instanceof DriverAction.SubmitCommand submission) {
       log.apply(ReleaseCommandCodec.encode(submission.command()));
     } else {
-      flights.add(new Flight(driver.controller, next));
+      inFlightCommands.add(new InFlightCommand(driver.controller, next));
     }
   }
 
-  void land(Flight flight) {
-    flights.remove(flight);
+  void deliver(InFlightCommand flight) {
+    inFlightCommands.remove(flight);
     if (flight.command() instanceof DriverAction.RunChange change) {
-      land(change, flight.sender());
+      deliver(change, flight.sender());
     } else if (flight.command() instanceof DriverAction.CheckVersion check) {
       Process process = processes.get(check.target());
       process.fence = Math.max(process.fence, check.fence());
@@ -260,7 +260,7 @@
     }
   }
 
-  private void land(DriverAction.RunChange change, ReleaseController sender) {
+  private void deliver(DriverAction.RunChange change, ReleaseController sender) {
     Process process = processes.get(change.target());
     if (change.fence() < process.fence) {
       sender.changeEnded(change, new CommandResult(false, "fence"));
@@ -268,9 +268,9 @@
     }
     process.fence = change.fence();
     if (process.serves()) {
-      log.violate(change + " landed while its target was in service");
+      log.recordViolation(change + " landed while its target was in service");
     } else if (!executed.add(change.action() + "/" + change.attempt())) {
-      log.violate(change + " ran twice");
+      log.recordViolation(change + " ran twice");
     }
     restart(change.target(), change.version());
     sender.changeEnded(change, new CommandResult(true, ""));
@@ -279,15 +279,16 @@
   // --- for the explorer
 
   @Override
-  public List<Step> steps() {
-    return ReleaseWorldSteps.of(this);
+  public List<Step> possibleSteps() {
+    return ReleaseModelSteps.of(this);
   }
 
   @Override
-  public String key() {
-    ObjectNode snapshot = Json.read(log.stateMachine().snapshot());
+  public String stateKey() {
+    ObjectNode snapshot = Json.parse(log.stateMachine().snapshot());
     snapshot.remove(List.of("audit", "calls", "entries"));
-    StringBuilder text = new StringBuilder(DrainStateSpaceTest.ranked(Json.text(snapshot)));
+    StringBuilder text =
+        new StringBuilder(DrainStateSpaceTest.replaceCountersByRanks(Json.text(snapshot)));
     processes.forEach(
         (name, process) ->
             text.append(name)
@@ -297,17 +298,17 @@
                 .append(process.fence));
     drivers.forEach(
         (name, driver) -> text.append(name).append(driver.stalled).append(driver.pending));
-    flights.forEach(flight -> text.append(flight.command()));
+    inFlightCommands.forEach(flight -> text.append(flight.command()));
     return text.append(crashes)
         .append(stalls)
         .append(losses)
-        .append(orders)
-        .append(lost)
+        .append(operatorCommands)
+        .append(lostMembers)
         .toString();
   }
 
   @Override
-  public boolean likely(String step) {
+  public boolean isLikely(String step) {
     return step.contains("does")
         || step.contains("looks")
         || step.contains("lands")
--- a/src/test/java/leadferry/consensus/ReleaseWorldLog.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelLog.java
@@ -9,10 +9,10 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * The log of a {@link ReleaseWorld} and the state machine behind it. Checks after each entry that
+ * The log of a {@link ReleaseModel} and the state machine behind it. Checks after each entry that
  * no more are out than allowed, and that nothing is granted once the release was stopped.
  */
-final class ReleaseWorldLog {
+final class ReleaseModelLog {
   static final String RELEASE = "r";
 
   private static final int MAX_OUT = 1;
@@ -24,7 +24,7 @@
   private ObjectNode cachedRelease;
 
   /** {@code outOfService} tells who really does not serve. */
-  ReleaseWorldLog(Supplier<Set<String>> outOfService) {
+  ReleaseModelLog(Supplier<Set<String>> outOfService) {
     this.outOfService = outOfService;
   }
 
@@ -41,7 +41,7 @@
     return violation;
   }
 
-  void violate(String invariant) {
+  void recordViolation(String invariant) {
     violation = invariant;
   }
 
@@ -53,12 +53,12 @@
         && entry.path("op").asText().equals("release_intend")
         && outcome.path("status").asText().equals("granted")
         && leaving > leavingBefore) {
-      violate("granted after the halt: " + entry);
+      recordViolation("granted after the halt: " + entry);
     }
     leavingBefore = leaving;
     Set<String> out = outOfService.get();
     if (out.size() > MAX_OUT) {
-      violate("out at once: " + out);
+      recordViolation("out at once: " + out);
     }
     return outcome;
   }
@@ -73,7 +73,7 @@
     apply(LogEntryCodec.encodeExpiry(timer));
   }
 
-  void order(String operation, String why) {
+  void submitOperatorCommand(String operation, String why) {
     apply(Json.object().put("op", operation).put("release", RELEASE).put("why", why));
   }
 
@@ -90,7 +90,7 @@
 
   ObjectNode release() {
     if (cachedRelease == null) {
-      cachedRelease = stateMachine.release(RELEASE);
+      cachedRelease = stateMachine.releaseStatus(RELEASE);
     }
     return cachedRelease;
   }
@@ -114,7 +114,7 @@
     stateMachine.restore(before);
     cachedRelease = null;
     if (!Arrays.equals(before, stateMachine.snapshot())) {
-      violate("another state after a snapshot");
+      recordViolation("another state after a snapshot");
     }
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseWorldEnding.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelRollback.java
@@ -3,26 +3,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import leadferry.consensus.ReleaseWorld.Driver;
+import leadferry.consensus.ReleaseModel.Driver;
 
 /**
- * Brings a {@link ReleaseWorld} to its end: everything works from here on, the release is rolled
+ * Brings a {@link ReleaseModel} to its end: everything works from here on, the release is rolled
  * back, and all must serve the old version.
  */
-final class ReleaseWorldEnding {
+final class ReleaseModelRollback {
   private static final int ROUNDS_AFTER_HALT = 40;
   private static final int ROUNDS_OF_ROLLBACK = 300;
   private static final String WHY = "the end";
 
-  private final ReleaseWorld world;
+  private final ReleaseModel world;
 
-  private ReleaseWorldEnding(ReleaseWorld world) {
+  private ReleaseModelRollback(ReleaseModel world) {
     this.world = world;
   }
 
-  static void bringAbout(ReleaseWorld world) {
-    ReleaseWorldEnding ending = new ReleaseWorldEnding(world);
-    new ArrayList<>(world.lost).forEach(world::find);
+  static void rollBackAndCheck(ReleaseModel world) {
+    ReleaseModelRollback ending = new ReleaseModelRollback(world);
+    new ArrayList<>(world.lostMembers).forEach(world::restoreMember);
     world.drivers.values().forEach(driver -> driver.stalled = false);
     if (world.log.isInState("halted")) {
       ending.checkHaltedTargetsComeBack();
@@ -44,18 +44,18 @@
           && world.log.isInState("halted")
           && !target.path("phase").asText().equals("in")
           && !target.path("at").asText().equals("unknown")) {
-        world.log.violate("halted, and not given back: " + target);
+        world.log.recordViolation("halted, and not given back: " + target);
       }
     }
   }
 
   private void rollBack() {
     if (!world.log.isInState("returned")) {
-      world.log.order("release_back", WHY);
+      world.log.submitOperatorCommand("release_back", WHY);
     }
     for (int i = 0; i < ROUNDS_OF_ROLLBACK && holds() && !world.log.isInState("returned"); i++) {
       if (world.log.isInState("halted")) {
-        world.log.order("release_resume", WHY);
+        world.log.submitOperatorCommand("release_resume", WHY);
       }
       playRound();
     }
@@ -66,21 +66,21 @@
         (name, process) -> {
           if (holds()
               && (!world.log.isInState("returned")
-                  || !process.version.equals(ReleaseWorld.OLD_VERSION)
+                  || !process.version.equals(ReleaseModel.OLD_VERSION)
                   || !process.serves())) {
-            world.log.violate("not taken back: " + world.log.release());
+            world.log.recordViolation("not taken back: " + world.log.release());
           }
         });
   }
 
   /** All commands land, all drivers act and look, all views arrive, all timers run out. */
   private void playRound() {
-    List.copyOf(world.flights).forEach(world::land);
+    List.copyOf(world.inFlightCommands).forEach(world::deliver);
     for (Driver driver : world.drivers.values()) {
       while (!driver.pending.isEmpty()) {
-        world.act(driver);
+        world.performNextAction(driver);
       }
-      world.look(driver);
+      world.pollController(driver);
     }
     world.processes.keySet().forEach(world::pushView);
     world.log.memberTimers().forEach(world.log::expire);
--- a/src/test/java/leadferry/consensus/ReleaseWorldSteps.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelSteps.java
@@ -2,36 +2,36 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import leadferry.consensus.ReleaseWorld.Driver;
-import leadferry.consensus.ReleaseWorld.Flight;
-import leadferry.consensus.ReleaseWorld.Process;
+import leadferry.consensus.ReleaseModel.Driver;
+import leadferry.consensus.ReleaseModel.InFlightCommand;
+import leadferry.consensus.ReleaseModel.Process;
 import leadferry.consensus.StateSpaceExplorer.Step;
 
 /**
- * What can happen next to a {@link ReleaseWorld}: drivers look, act, crash and stand still,
+ * What can happen next to a {@link ReleaseModel}: drivers look, act, crash and stand still,
  * commands come late, timers run out, replicas restart, operators give orders, a member is lost.
  */
-final class ReleaseWorldSteps {
+final class ReleaseModelSteps {
   private static final int MAX_CRASHES = 2;
   private static final int MAX_STALLS = 2;
   private static final int MAX_RESTARTS = 2;
   private static final int MAX_ORDERS = 4;
   private static final int MAX_LOSSES = 1;
 
-  private final ReleaseWorld world;
+  private final ReleaseModel world;
   private final List<Step> steps = new ArrayList<>();
 
-  private ReleaseWorldSteps(ReleaseWorld world) {
+  private ReleaseModelSteps(ReleaseModel world) {
     this.world = world;
   }
 
-  static List<Step> of(ReleaseWorld world) {
-    ReleaseWorldSteps next = new ReleaseWorldSteps(world);
+  static List<Step> of(ReleaseModel world) {
+    ReleaseModelSteps next = new ReleaseModelSteps(world);
     world.drivers.forEach(next::addDriver);
     next.addFlights();
     world.log.timers().forEach(next::addTimer);
     next.addOrders();
-    ReleaseWorld.PROXIES.forEach(next::addMember);
+    ReleaseModel.PROXIES.forEach(next::addMember);
     return next.steps;
   }
 
@@ -42,9 +42,9 @@
   private void addDriver(String name, Driver driver) {
     boolean holdsLease = world.holdsLease(driver);
     if (driver.pending.isEmpty()) {
-      add(name + " looks", () -> world.look(driver));
+      add(name + " looks", () -> world.pollController(driver));
     } else {
-      add(name + " does", () -> world.act(driver));
+      add(name + " does", () -> world.performNextAction(driver));
     }
     if (world.crashes < MAX_CRASHES) {
       add(
@@ -68,9 +68,9 @@
   }
 
   private void addFlights() {
-    for (int i = 0; i < world.flights.size(); i++) {
-      Flight flight = world.flights.get(i);
-      add("lands " + i, () -> world.land(flight));
+    for (int i = 0; i < world.inFlightCommands.size(); i++) {
+      InFlightCommand flight = world.inFlightCommands.get(i);
+      add("lands " + i, () -> world.deliver(flight));
     }
   }
 
@@ -97,7 +97,7 @@
             world.log.restartReplicas();
           });
     }
-    if (world.orders >= MAX_ORDERS) {
+    if (world.operatorCommands >= MAX_ORDERS) {
       return;
     }
     for (String operation :
@@ -105,22 +105,22 @@
       add(
           operation,
           () -> {
-            world.orders++;
-            world.log.order(operation, "walk");
+            world.operatorCommands++;
+            world.log.submitOperatorCommand(operation, "walk");
           });
     }
   }
 
   private void addMember(String name) {
     Process process = world.processes.get(name);
-    if (world.losses < MAX_LOSSES && process.runs && !world.lost.contains(name)) {
-      add("lost " + name, () -> world.lose(name));
+    if (world.losses < MAX_LOSSES && process.runs && !world.lostMembers.contains(name)) {
+      add("lost " + name, () -> world.loseMember(name));
     }
-    if (world.lacksView(name)) {
+    if (world.isViewOutdated(name)) {
       add("news " + name, () -> world.pushView(name));
     }
-    if (world.lost.contains(name)) {
-      add("found " + name, () -> world.find(name));
+    if (world.lostMembers.contains(name)) {
+      add("found " + name, () -> world.restoreMember(name));
     }
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The invariants of {@link ReleaseWorld} under all interleavings of its {@link ReleaseWorldSteps}.
+ * The invariants of {@link ReleaseModel} under all interleavings of its {@link ReleaseModelSteps}.
  */
 class ReleaseStateSpaceTest {
   private static final int DEPTH = Integer.getInteger("release.depth", 3);
@@ -18,32 +18,32 @@
   @CsvSource({"true,0", "true,2", "true,3", "false,3", "true,4", "false,4"})
   void allInterleavingsKeepThePromises(boolean checks, int undisturbedSteps) {
     StateSpaceExplorer explorer =
-        new StateSpaceExplorer(() -> new ReleaseWorld(checks, undisturbedSteps));
-    assertThat(explorer.all(DEPTH)).isEmpty();
+        new StateSpaceExplorer(() -> new ReleaseModel(checks, undisturbedSteps));
+    assertThat(explorer.exploreAll(DEPTH)).isEmpty();
     System.out.println(
         "releases walked: "
-            + explorer.states()
+            + explorer.stateCount()
             + " states to a depth of "
             + DEPTH
             + " from step "
             + undisturbedSteps);
-    assertThat(explorer.states()).isGreaterThan(100);
+    assertThat(explorer.stateCount()).isGreaterThan(100);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void walksAtRandomKeepThePromisesAndAllCanBeTakenBackAfterwards(boolean checks) {
-    StateSpaceExplorer explorer = new StateSpaceExplorer(() -> new ReleaseWorld(checks, 0));
+    StateSpaceExplorer explorer = new StateSpaceExplorer(() -> new ReleaseModel(checks, 0));
     int[] executed = new int[1];
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertThat(
-              explorer.random(
+              explorer.randomWalk(
                   seed,
                   RANDOM_WALK_STEPS,
                   world -> {
-                    ReleaseWorld releaseWorld = (ReleaseWorld) world;
+                    ReleaseModel releaseWorld = (ReleaseModel) world;
                     executed[0] += releaseWorld.executed.size();
-                    ReleaseWorldEnding.bringAbout(releaseWorld);
+                    ReleaseModelRollback.rollBackAndCheck(releaseWorld);
                   }))
           .as("seed " + seed)
           .isEmpty();
--- a/src/test/java/leadferry/consensus/StateSpaceExplorer.java
+++ b/src/test/java/leadferry/consensus/StateSpaceExplorer.java
@@ -20,14 +20,14 @@
   record Step(String name, Runnable action) {}
 
   /** One state of the whole system, rebuilt by taking its steps. */
-  interface World {
-    List<Step> steps();
+  interface SystemModel {
+    List<Step> possibleSteps();
 
     /** What tells states apart. */
-    String key();
+    String stateKey();
 
     /** Whether a random walk should rather take this step, so that it gets anywhere. */
-    default boolean likely(String step) {
+    default boolean isLikely(String step) {
       return false;
     }
 
@@ -35,23 +35,23 @@
     String violation();
   }
 
-  private final Supplier<World> initialWorld;
+  private final Supplier<SystemModel> initialWorld;
   private int stateCount;
 
-  StateSpaceExplorer(Supplier<World> initialWorld) {
+  StateSpaceExplorer(Supplier<SystemModel> initialWorld) {
     this.initialWorld = initialWorld;
   }
 
   /** How many states were met. */
-  int states() {
+  int stateCount() {
     return stateCount;
   }
 
   /** The shortest steps to a violation within that depth; empty where there is none. */
-  List<String> all(int depth) {
+  List<String> exploreAll(int depth) {
     Set<String> seenKeys = new HashSet<>();
     record Path(List<Integer> taken, int nextSteps) {}
-    List<Path> frontier = List.of(new Path(List.of(), initialWorld.get().steps().size()));
+    List<Path> frontier = List.of(new Path(List.of(), initialWorld.get().possibleSteps().size()));
     for (int level = 0; level < depth; level++) {
       List<Path> nextFrontier = new ArrayList<>();
       for (Path path : frontier) {
@@ -59,12 +59,12 @@
           List<Integer> longer = new ArrayList<>(path.taken());
           longer.add(next);
           List<String> names = new ArrayList<>();
-          World world = replay(longer, names);
+          SystemModel world = replay(longer, names);
           if (!world.violation().isEmpty()) {
             return withViolation(names, world);
           }
-          if (seenKeys.add(world.key())) {
-            nextFrontier.add(new Path(longer, world.steps().size()));
+          if (seenKeys.add(world.stateKey())) {
+            nextFrontier.add(new Path(longer, world.possibleSteps().size()));
           }
         }
       }
@@ -75,17 +75,17 @@
   }
 
   /** Takes steps by their places, and adds their names. */
-  private World replay(List<Integer> places, List<String> names) {
-    World world = initialWorld.get();
+  private SystemModel replay(List<Integer> places, List<String> names) {
+    SystemModel world = initialWorld.get();
     for (int place : places) {
-      Step step = world.steps().get(place);
+      Step step = world.possibleSteps().get(place);
       names.add(step.name());
       step.action().run();
     }
     return world;
   }
 
-  private static List<String> withViolation(List<String> names, World world) {
+  private static List<String> withViolation(List<String> names, SystemModel world) {
     List<String> steps = new ArrayList<>(names);
     steps.add("=> " + world.violation());
     return steps;
@@ -95,20 +95,20 @@
    * A random walk of so many steps: those that it needs for a violation, and which; empty where
    * there is none.
    */
-  List<String> random(long seed, int length) {
-    return random(seed, length, world -> {});
+  List<String> randomWalk(long seed, int length) {
+    return randomWalk(seed, length, world -> {});
   }
 
   /**
    * The same; {@code ending} brings the state that the walk came to to its end, and may meet a
    * violation on the way.
    */
-  List<String> random(long seed, int length, Consumer<World> ending) {
+  List<String> randomWalk(long seed, int length, Consumer<SystemModel> ending) {
     SplittableRandom random = new SplittableRandom(seed);
-    World world = initialWorld.get();
+    SystemModel world = initialWorld.get();
     List<String> taken = new ArrayList<>();
     while (taken.size() < length && world.violation().isEmpty()) {
-      List<Step> steps = world.steps();
+      List<Step> steps = world.possibleSteps();
       if (steps.isEmpty()) {
         break;
       }
@@ -122,17 +122,17 @@
     return world.violation().isEmpty() ? List.of() : shrink(taken, ending);
   }
 
-  private static Step choose(List<Step> steps, World world, SplittableRandom random) {
+  private static Step choose(List<Step> steps, SystemModel world, SplittableRandom random) {
     List<Step> likely =
         random.nextInt(UNLIKELY_ONE_IN) == 0
             ? List.of()
-            : steps.stream().filter(step -> world.likely(step.name())).toList();
+            : steps.stream().filter(step -> world.isLikely(step.name())).toList();
     List<Step> candidates = likely.isEmpty() ? steps : likely;
     return candidates.get(random.nextInt(candidates.size()));
   }
 
   /** Leaves out ever smaller runs of steps, as long as there is a violation without them. */
-  private List<String> shrink(List<String> found, Consumer<World> ending) {
+  private List<String> shrink(List<String> found, Consumer<SystemModel> ending) {
     List<String> shortest = found;
     for (int size = Math.max(1, shortest.size() / 2); size > 0; size /= 2) {
       for (int start = 0; start + size <= shortest.size(); ) {
@@ -149,10 +149,10 @@
   }
 
   /** Takes steps by their names and passes over those that can't happen. */
-  private World replayByName(List<String> names, Consumer<World> ending) {
-    World world = initialWorld.get();
+  private SystemModel replayByName(List<String> names, Consumer<SystemModel> ending) {
+    SystemModel world = initialWorld.get();
     for (String name : names) {
-      world.steps().stream()
+      world.possibleSteps().stream()
           .filter(step -> step.name().equals(name))
           .findFirst()
           .ifPresent(step -> step.action().run());
--- a/src/test/java/leadferry/limits/LimiterTest.java
+++ b/src/test/java/leadferry/limits/LimiterTest.java
@@ -17,7 +17,7 @@
   private long now = 5_000 * MS;
 
   private static Limit limit(
-      String name, Limit.By by, String within, double rate, double burst, int open) {
+      String name, Limit.Scope by, String within, double rate, double burst, int open) {
     return new Limit(name, by, within, Set.of(), Set.of(), Set.of(), rate, burst, open);
   }
 
@@ -30,23 +30,23 @@
   }
 
   private boolean passesAndEnds(Limiter l, String tenant) {
-    Grant g = l.acquire(tenant(tenant), now);
+    LimitDecision g = l.acquire(tenant(tenant), now);
     g.release();
     return g.refusedBy() == null;
   }
 
   @Test
   void aRateGivesItsBurstAtOnceAndThenItsRate() {
-    Limiter l = new Limiter(List.of(limit("r", Limit.By.TENANT, null, 10, 5, 0)), 64);
+    Limiter l = new Limiter(List.of(limit("r", Limit.Scope.TENANT, null, 10, 5, 0)), 64);
     int passed = 0;
     for (int i = 0; i < 20; i++) {
       passed += passes(l, "a") ? 1 : 0;
     }
     assertThat(passed).isEqualTo(5);
     assertThat(passes(l, "b")).isTrue();
-    Grant refused = l.acquire(tenant("a"), now);
+    LimitDecision refused = l.acquire(tenant("a"), now);
     assertThat(refused.refusedBy()).isEqualTo("r");
-    assertThat(refused.retryAfterMs()).isCloseTo(100, within(1.0));
+    assertThat(refused.retryAfterMillis()).isCloseTo(100, within(1.0));
     now += 99 * MS;
     assertThat(passes(l, "a")).isFalse();
     now += 2 * MS;
@@ -62,9 +62,9 @@
 
   @Test
   void concurrencyCountsWhatIsOpenAndAReleaseTwiceIsOne() {
-    Limiter l = new Limiter(List.of(limit("c", Limit.By.ALL, null, 0, 1, 2)), 64);
-    Grant a = l.acquire(tenant("a"), now);
-    Grant b = l.acquire(tenant("b"), now);
+    Limiter l = new Limiter(List.of(limit("c", Limit.Scope.ALL, null, 0, 1, 2)), 64);
+    LimitDecision a = l.acquire(tenant("a"), now);
+    LimitDecision b = l.acquire(tenant("b"), now);
     assertThat(passes(l, "c")).isFalse();
     a.release();
     a.release();
@@ -79,10 +79,10 @@
     Limiter l =
         new Limiter(
             List.of(
-                limit("rate", Limit.By.ALL, null, 1, 3, 0),
-                limit("c", Limit.By.TENANT, null, 0, 1, 1)),
+                limit("rate", Limit.Scope.ALL, null, 1, 3, 0),
+                limit("c", Limit.Scope.TENANT, null, 0, 1, 1)),
             64);
-    Grant a = l.acquire(tenant("a"), now);
+    LimitDecision a = l.acquire(tenant("a"), now);
     for (int i = 0; i < 10; i++) {
       assertThat(l.acquire(tenant("a"), now).refusedBy()).isEqualTo("c");
     }
@@ -95,7 +95,7 @@
   @Test
   void aLimitHoldsOnlyForWhatItNames() {
     Limit l =
-        new Limit("l", Limit.By.ROUTE, null, Set.of("main"), Set.of("r"), Set.of("c"), 0, 1, 1);
+        new Limit("l", Limit.Scope.ROUTE, null, Set.of("main"), Set.of("r"), Set.of("c"), 0, 1, 1);
     Limiter limiter = new Limiter(List.of(l), 64);
     assertThat(passes(limiter, "a")).isTrue();
     assertThat(passes(limiter, "b")).isFalse();
@@ -112,20 +112,20 @@
     Limiter l =
         new Limiter(
             List.of(
-                limit("all", Limit.By.ALL, null, 0, 1, 100),
-                limit("t", Limit.By.TENANT, "all", 0, 1, 1_000)),
+                limit("all", Limit.Scope.ALL, null, 0, 1, 100),
+                limit("t", Limit.Scope.TENANT, "all", 0, 1, 1_000)),
             64);
-    ArrayDeque<Grant> hot = new ArrayDeque<>();
+    ArrayDeque<LimitDecision> hot = new ArrayDeque<>();
     for (int i = 0; i < 200; i++) {
-      Grant g = l.acquire(tenant("hot"), now);
+      LimitDecision g = l.acquire(tenant("hot"), now);
       if (g.refusedBy() == null) {
         hot.add(g);
       }
     }
     assertThat(hot).hasSize(80);
-    List<Grant> quiet = new ArrayList<>();
+    List<LimitDecision> quiet = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Grant g = l.acquire(tenant("quiet" + i % 4), now);
+      LimitDecision g = l.acquire(tenant("quiet" + i % 4), now);
       assertThat(g.refusedBy()).isNull();
       quiet.add(g);
     }
@@ -135,12 +135,12 @@
         hot.poll().release();
       }
       for (int i = 0; i < 4; i++) {
-        Grant g = l.acquire(tenant("quiet" + i), now);
+        LimitDecision g = l.acquire(tenant("quiet" + i), now);
         if (g.refusedBy() == null) {
           quiet.add(g);
         }
       }
-      Grant g = l.acquire(tenant("hot"), now);
+      LimitDecision g = l.acquire(tenant("hot"), now);
       if (g.refusedBy() == null) {
         hot.add(g);
       }
@@ -154,8 +154,8 @@
     Limiter l =
         new Limiter(
             List.of(
-                limit("all", Limit.By.ALL, null, 100, 20, 0),
-                limit("t", Limit.By.TENANT, "all", 0, 1, 1_000)),
+                limit("all", Limit.Scope.ALL, null, 100, 20, 0),
+                limit("t", Limit.Scope.TENANT, "all", 0, 1, 1_000)),
             64);
     int hot = 0;
     int quiet = 0;
@@ -174,12 +174,12 @@
 
   @Test
   void aLoweredLimitCountsWhatIsOpen() {
-    Limiter before = new Limiter(List.of(limit("l", Limit.By.TENANT, null, 0, 1, 10)), 64);
-    List<Grant> open = new ArrayList<>();
+    Limiter before = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 10)), 64);
+    List<LimitDecision> open = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       open.add(before.acquire(tenant("a"), now));
     }
-    Limiter after = new Limiter(List.of(limit("l", Limit.By.TENANT, null, 0, 1, 4)), 64, before);
+    Limiter after = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 4)), 64, before);
     assertThat(passes(after, "a")).isFalse();
     open.get(0).release();
     open.get(1).release();
@@ -190,8 +190,8 @@
 
   @Test
   void aMillionTenantsTakeNoMoreRoomAndNobodyIsForgottenWhoCounts() {
-    Limiter l = new Limiter(List.of(limit("l", Limit.By.TENANT, null, 0, 1, 2)), 1_024);
-    Grant first = l.acquire(tenant("first"), now);
+    Limiter l = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 1_024);
+    LimitDecision first = l.acquire(tenant("first"), now);
     l.acquire(tenant("first"), now);
     for (int i = 0; i < 1_000_000; i++) {
       l.acquire(tenant("t" + i), now).release();
@@ -204,7 +204,7 @@
 
   @Test
   void pastTheBoundNewcomersCountAsOne() {
-    Limiter l = new Limiter(List.of(limit("l", Limit.By.TENANT, null, 0, 1, 2)), 64);
+    Limiter l = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 64);
     int passed = 0;
     for (int i = 0; i < 10_000; i++) {
       passed += passes(l, "t" + i) ? 1 : 0; // all stay open
@@ -214,7 +214,7 @@
 
   @Test
   void anOuterLimitMustStandBeforeThoseWithinIt() {
-    assertThatThrownBy(() -> new Limiter(List.of(limit("a", Limit.By.ALL, "b", 1, 1, 0)), 64))
+    assertThatThrownBy(() -> new Limiter(List.of(limit("a", Limit.Scope.ALL, "b", 1, 1, 0)), 64))
         .hasMessageContaining("within: b");
   }
 
@@ -223,8 +223,8 @@
     Limiter l =
         new Limiter(
             List.of(
-                limit("all", Limit.By.ALL, null, 0, 1, 8),
-                limit("t", Limit.By.TENANT, "all", 0, 1, 4)),
+                limit("all", Limit.Scope.ALL, null, 0, 1, 8),
+                limit("t", Limit.Scope.TENANT, "all", 0, 1, 4)),
             64);
     AtomicInteger open = new AtomicInteger();
     AtomicInteger most = new AtomicInteger();
@@ -235,7 +235,7 @@
       new Thread(
               () -> {
                 for (int i = 0; i < 50_000; i++) {
-                  Grant g = l.acquire(tenant("t" + (n + i) % 200), now);
+                  LimitDecision g = l.acquire(tenant("t" + (n + i) % 200), now);
                   if (g.refusedBy() == null) {
                     most.accumulateAndGet(open.incrementAndGet(), Math::max);
                     open.decrementAndGet();
@@ -248,7 +248,7 @@
     }
     done.await();
     assertThat(most.get()).isBetween(1, 8);
-    List<Grant> again = new ArrayList<>();
+    List<LimitDecision> again = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       again.add(l.acquire(tenant("x" + i), now));
     }
@@ -261,12 +261,12 @@
     assertThat(b.take()).isTrue();
     assertThat(b.take()).isTrue();
     assertThat(b.take()).isFalse();
-    b.earn();
+    b.onRequest();
     assertThat(b.take()).isFalse();
-    b.earn();
+    b.onRequest();
     assertThat(b.take()).isTrue();
     for (int i = 0; i < 100; i++) {
-      b.earn();
+      b.onRequest();
     }
     assertThat(b.take()).isTrue();
     assertThat(b.take()).isTrue();
--- a/src/test/java/leadferry/routing/PathNormalizerTest.java
+++ b/src/test/java/leadferry/routing/NormalizedPathTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PathNormalizerTest {
+class NormalizedPathTest {
   @ParameterizedTest
   @CsvSource({
     "/, /, /",
@@ -22,9 +22,9 @@
   })
   void aPathOfOneReadingIsMatchedDecodedAndSentOnAsItCame(
       String raw, String match, String forward) {
-    PathNormalizer f = PathNormalizer.of(raw, PathNormalizer.Mode.STRICT);
-    assertThat(f.match()).isEqualTo(match);
-    assertThat(f.forward()).isEqualTo(forward);
+    NormalizedPath f = NormalizedPath.normalize(raw, NormalizedPath.Mode.STRICT);
+    assertThat(f.matchPath()).isEqualTo(match);
+    assertThat(f.forwardPath()).isEqualTo(forward);
   }
 
   @ParameterizedTest
@@ -41,9 +41,9 @@
     "/a/%2e/b%20c, /a/b%20c",
   })
   void resolvingMatchesAndSendsTheResolvedPath(String raw, String forward) {
-    assertThat(PathNormalizer.of(raw, PathNormalizer.Mode.STRICT)).isNull();
-    PathNormalizer f = PathNormalizer.of(raw, PathNormalizer.Mode.RESOLVE);
-    assertThat(f == null ? null : f.forward()).isEqualTo(forward);
+    assertThat(NormalizedPath.normalize(raw, NormalizedPath.Mode.STRICT)).isNull();
+    NormalizedPath f = NormalizedPath.normalize(raw, NormalizedPath.Mode.RESOLVE);
+    assertThat(f == null ? null : f.forwardPath()).isEqualTo(forward);
   }
 
   @ParameterizedTest
@@ -71,8 +71,8 @@
         "/%2e%2e;/b"
       })
   void whatHasNoSingleReadingIsNoPathInAnyMode(String raw) {
-    for (PathNormalizer.Mode m : PathNormalizer.Mode.values()) {
-      assertThat(PathNormalizer.of(raw, m)).as(m + " " + raw).isNull();
+    for (NormalizedPath.Mode m : NormalizedPath.Mode.values()) {
+      assertThat(NormalizedPath.normalize(raw, m)).as(m + " " + raw).isNull();
     }
   }
 
@@ -89,14 +89,18 @@
       for (int j = random.nextInt(8); j > 0; j--) {
         raw.append(pieces[random.nextInt(pieces.length)]);
       }
-      for (PathNormalizer.Mode m : PathNormalizer.Mode.values()) {
-        PathNormalizer f = PathNormalizer.of(raw.toString(), m);
+      for (NormalizedPath.Mode m : NormalizedPath.Mode.values()) {
+        NormalizedPath f = NormalizedPath.normalize(raw.toString(), m);
         if (f != null) {
           taken++;
-          PathNormalizer again = PathNormalizer.of(f.forward(), PathNormalizer.Mode.STRICT);
-          assertThat(again).as("%s as %s", raw, f.forward()).isNotNull();
-          assertThat(again.match()).isEqualTo(f.match());
-          assertThat(f.match()).doesNotContain("//").doesNotContain("/../").doesNotContain("/./");
+          NormalizedPath again =
+              NormalizedPath.normalize(f.forwardPath(), NormalizedPath.Mode.STRICT);
+          assertThat(again).as("%s as %s", raw, f.forwardPath()).isNotNull();
+          assertThat(again.matchPath()).isEqualTo(f.matchPath());
+          assertThat(f.matchPath())
+              .doesNotContain("//")
+              .doesNotContain("/../")
+              .doesNotContain("/./");
         }
       }
     }
--- a/src/test/java/leadferry/routing/RouteTableTest.java
+++ b/src/test/java/leadferry/routing/RouteTableTest.java
@@ -43,7 +43,8 @@
 
   private static RouteRule<Integer> with(
       RouteRule<Integer> r, Set<String> methods, Map<String, String> headers, Set<String> classes) {
-    return new RouteRule<>(r.name(), r.hosts(), r.kind(), r.path(), methods, headers, classes, 0);
+    return new RouteRule<>(
+        r.name(), r.hostPatterns(), r.kind(), r.path(), methods, headers, classes, 0);
   }
 
   @ParameterizedTest
@@ -123,7 +124,7 @@
   private static RouteRule<Integer> slowly(List<RouteRule<Integer>> rules, Request r) {
     String host =
         rules.stream()
-            .flatMap(x -> x.hosts().stream())
+            .flatMap(x -> x.hostPatterns().stream())
             .filter(h -> hostMatches(h, r.host()))
             .max(
                 Comparator.comparingInt(
@@ -148,15 +149,18 @@
                         ? -rules.get(i).path().length()
                         : 0)
             .thenComparingInt(
-                i -> rules.get(i).kind() == RouteRule.Kind.REGEX ? 0 : -rules.get(i).conditions())
+                i ->
+                    rules.get(i).kind() == RouteRule.Kind.REGEX
+                        ? 0
+                        : -rules.get(i).conditionCount())
             .thenComparingInt(i -> i);
     return IntStream.range(0, rules.size())
         .boxed()
         .filter(
             i ->
-                rules.get(i).hosts().contains(host)
+                rules.get(i).hostPatterns().contains(host)
                     && pathMatches(rules.get(i), r.path())
-                    && rules.get(i).holds(r))
+                    && rules.get(i).matchesConditions(r))
         .min(order)
         .map(rules::get)
         .orElse(null);
@@ -239,12 +243,12 @@
     for (int i = 0; i < 2_000; i++) {
       List<RouteRule<Integer>> rules = randomRules(random);
       RouteTable<Integer> t = new RouteTable<>(rules);
-      for (RouteCheck.Shadowed s : RouteCheck.shadowed(rules)) {
+      for (ShadowedRouteFinder.ShadowedRoute s : ShadowedRouteFinder.findShadowed(rules)) {
         shadowed++;
         for (int j = 0; j < 50; j++) {
           assertThat(t.find(randomRequest(random)))
               .as("%s", rules)
-              .isNotSameAs(rules.get(s.route()));
+              .isNotSameAs(rules.get(s.routeIndex()));
         }
       }
     }
@@ -261,7 +265,9 @@
             rule("behind", RouteRule.Kind.PREFIX, "/b", "x"),
             rule("also", RouteRule.Kind.PREFIX, "/b", "x", "y"),
             rule("exact", RouteRule.Kind.EXACT, "/b", "x"));
-    assertThat(RouteCheck.shadowed(rules))
-        .containsExactly(new RouteCheck.Shadowed(1, 0), new RouteCheck.Shadowed(3, 2));
+    assertThat(ShadowedRouteFinder.findShadowed(rules))
+        .containsExactly(
+            new ShadowedRouteFinder.ShadowedRoute(1, 0),
+            new ShadowedRouteFinder.ShadowedRoute(3, 2));
   }
 }
