--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -89,23 +89,23 @@
   }
 
   @Override
-  public Set<String> judgesBy() {
+  public Set<String> inspectedHeaders() {
     return judged;
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return worker.serves();
   }
 
   @Override
-  public FilterResult judge(HttpRequest head, InetSocketAddress client) {
+  public FilterResult evaluate(HttpRequest head, InetSocketAddress client) {
     if (!originForm(head)) {
       return FilterResult.reject(400);
     }
     String uri = head.uri();
     if (uri.equals(listener.healthPath())) {
-      return FilterResult.answer(ready() ? 200 : 503, 0);
+      return FilterResult.respond(isReady() ? 200 : 503, 0);
     }
     if (head.method().equals(HttpMethod.CONNECT)) {
       return FilterResult.reject(405);
@@ -124,7 +124,7 @@
     view.className = claimed != null && version.classes.containsKey(claimed) ? claimed : null;
     RouteRule<ConfigurationSnapshot.Target> rule = routes.find(view);
     if (rule == null) {
-      return FilterResult.answer(404, 0, NO_ROUTE);
+      return FilterResult.respond(404, 0, NO_ROUTE);
     }
     return route(head, client, path, query < 0 ? "" : uri.substring(query), rule);
   }
@@ -146,7 +146,7 @@
     String authority = uri.substring(SCHEME.length(), end);
     boolean old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
     if (authority.isEmpty()
-        || (!old && Framing.single(head.headers(), HttpHeaderNames.HOST) == null)) {
+        || (!old && Framing.singleValue(head.headers(), HttpHeaderNames.HOST) == null)) {
       return false; // HTTP/1.1 has a Host all the same
     }
     head.headers().set(HttpHeaderNames.HOST, authority);
@@ -169,32 +169,32 @@
             : view.className != null ? view.className : DaemonConfig.DEFAULT_CLASS;
     Settings.RequestClass type = version.classes.get(name);
     FilterResult.Origin origin = rule.target().origins().get(name);
-    String key = Framing.single(h, "Idempotency-Key");
+    String key = Framing.singleValue(h, "Idempotency-Key");
     if (type.semantics() == Settings.Semantics.DEDUPLICATED && (key == null || key.isBlank())) {
-      return FilterResult.answer(400, 0, origin); // nothing tells its repeats apart
+      return FilterResult.respond(400, 0, origin); // nothing tells its repeats apart
     }
     double timeout = type.deadline();
     if (h.contains("X-Timeout-Ms")) {
-      timeout = Math.min(timeout, Framing.whole(Framing.single(h, "X-Timeout-Ms")));
+      timeout = Math.min(timeout, Framing.parseWholeNumber(Framing.singleValue(h, "X-Timeout-Ms")));
     }
     if (!(timeout >= 1)) {
-      return FilterResult.answer(400, 0, origin);
+      return FilterResult.respond(400, 0, origin);
     }
     if (doubled(h, listener.classHeader())
         || doubled(h, listener.tenantHeader())
         || doubled(h, route.splitHeader())) {
-      return FilterResult.answer(400, 0, origin); // a host may go by the other one
+      return FilterResult.respond(400, 0, origin); // a host may go by the other one
     }
     String tenant = h.get(listener.tenantHeader(), "");
     InetAddress caller =
-        client == null ? null : listener.forwarding().caller(h, client.getAddress());
+        client == null ? null : listener.forwarding().clientAddress(h, client.getAddress());
     String address = caller == null ? "" : caller.getHostAddress();
     LimitDecision grant =
         version.limiter.acquire(
             new ClientIdentity(listener.name(), route.name(), tenant, name, address),
             System.nanoTime());
     if (grant.refusedBy() != null) {
-      return FilterResult.answer(
+      return FilterResult.respond(
           429,
           grant.retryAfterMillis(),
           new FilterResult.Origin(route.name(), name, grant.refusedBy()));
@@ -206,13 +206,13 @@
     Dispatcher target = take(pool);
     if (target == null) {
       grant.release();
-      return FilterResult.answer(503, 0, origin);
+      return FilterResult.respond(503, 0, origin);
     }
     if (caller != null) {
-      listener.forwarding().tell(h, client.getAddress(), caller);
+      listener.forwarding().writeHeaders(h, client.getAddress(), caller);
     }
     rewrite(head, route, rule, path, query);
-    return FilterResult.take(
+    return FilterResult.forward(
         target,
         arrival,
         fallback(route.fallback(), 0, pool, arrival, safe),
@@ -294,7 +294,7 @@
 
   /** The host asked for in lower case without port or last dot, or null where it can't be one. */
   private static String host(HttpRequest head) {
-    String h = Framing.single(head.headers(), HttpHeaderNames.HOST);
+    String h = Framing.singleValue(head.headers(), HttpHeaderNames.HOST);
     if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)
         && !head.headers().contains(HttpHeaderNames.HOST)) {
       head.headers().set(HttpHeaderNames.HOST, ""); // what goes on is HTTP/1.1, which has one
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -246,14 +246,14 @@
   private static Networks networks(TomlSection s) {
     List<String> texts = s.texts("trusted");
     for (int i = 0; i < texts.size(); i++) {
-      if (Networks.fault(texts.get(i))) {
+      if (Networks.isInvalid(texts.get(i))) {
         s.fault(
             "trusted[" + i + "]",
             "'" + texts.get(i) + "'",
             "a network as 10.0.0.0/8 or fd00::/8, or an address");
       }
     }
-    return new Networks(texts.stream().filter(t -> !Networks.fault(t)).toList());
+    return new Networks(texts.stream().filter(t -> !Networks.isInvalid(t)).toList());
   }
 
   private static String token(TomlSection s, String key, String otherwise) {
--- a/src/main/java/leadferry/daemon/RouteReader.java
+++ b/src/main/java/leadferry/daemon/RouteReader.java
@@ -124,7 +124,7 @@
   }
 
   private static void header(TomlSection s, String key, String name) {
-    if (!name.matches(Names.TOKEN) || Headers.FRAMING.contains(name.toLowerCase(Locale.ROOT))) {
+    if (!name.matches(Names.TOKEN) || Headers.PROTECTED.contains(name.toLowerCase(Locale.ROOT))) {
       s.fault(key, "'" + name + "'", "a header that does not frame the message");
     }
   }
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -133,7 +133,7 @@
         HttpServer fresh =
             new HttpServer(
                 settings(l), gate, transport, sockets, budget, log.withField("listener", l.name()));
-        fresh.sendAway(away);
+        fresh.setClientShedding(away);
         fronts.put(l.name(), fresh);
       } else {
         front.setFilter(gate);
@@ -206,7 +206,7 @@
     if (f == null) {
       ch.close();
     } else {
-      f.accepted(ch);
+      f.onAccepted(ch);
     }
   }
 
@@ -223,7 +223,7 @@
   void sendAway(boolean now) {
     away = now;
     if (!draining) {
-      fronts.values().forEach(f -> f.sendAway(now));
+      fronts.values().forEach(f -> f.setClientShedding(now));
     }
   }
 
@@ -296,8 +296,8 @@
 
   /** Whether anything that was taken has no answer yet. */
   boolean busy() {
-    return fronts.values().stream().anyMatch(HttpServer::busy)
-        || closing.stream().anyMatch(c -> c.front().busy());
+    return fronts.values().stream().anyMatch(HttpServer::hasPendingRequests)
+        || closing.stream().anyMatch(c -> c.front().hasPendingRequests());
   }
 
   private void sweep() {
@@ -314,13 +314,13 @@
         }
       }
       for (HttpServer f : fronts.values()) {
-        f.sweep();
+        f.enforceTimeouts();
       }
       long now = System.nanoTime();
       for (Closing c : closing) {
-        c.front().sweep();
+        c.front().enforceTimeouts();
       }
-      closing.removeIf(c -> c.front().empty() && now > c.until());
+      closing.removeIf(c -> c.front().hasNoClients() && now > c.until());
     } catch (RuntimeException e) {
       // Guards against a periodic task that ends for ever with its first exception.
       log.failure("upkeep failed", e);
--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -51,7 +51,7 @@
     this.disconnects = new DisconnectDetector(this, server, channel);
     this.intake = new RequestIntake(this, server, channel, decoder, responses);
     this.discarded = intake.discardedInput();
-    int maxQueuedRequests = server.settings().pipeline() - 1;
+    int maxQueuedRequests = server.settings().maxPipelinedRequests() - 1;
     this.pipeline = new PipelineQueue(this, channel, decoder, intake, maxQueuedRequests);
   }
 
@@ -67,7 +67,7 @@
       logOutcome("client-gone", null);
     }
     endCall();
-    intake.close();
+    intake.onClientClosed();
     pipeline.clear();
     server.connections().remove(this);
     if (unfinished != null) {
@@ -83,7 +83,7 @@
         call.exchange().abandon();
       }
     } else {
-      log.failed(cause, call);
+      log.logFailed(cause, call);
     }
     channel.close();
   }
@@ -91,19 +91,19 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
-      if (!state.takesRequests()) {
+      if (!state.acceptsRequests()) {
         discarded.discard(message);
-      } else if (disconnects.discardsSentAhead()) {
+      } else if (disconnects.isDiscardingPipelined()) {
         disconnects.discard(message);
-      } else if (discarded.skipping()) {
+      } else if (discarded.isSkipping()) {
         timeouts.markUsed();
         discarded.skip((HttpObject) message);
       } else if (intake.upload() != null || (call == null && pipeline.isEmpty())) {
-        intake.take((HttpObject) message, timeouts.receivedAtNanos());
-      } else if (server.settings().pipeline() > 1) {
-        pipeline.add((HttpObject) message, timeouts.receivedAtNanos());
+        intake.onPart((HttpObject) message, timeouts.earliestReceiptNanos());
+      } else if (server.settings().maxPipelinedRequests() > 1) {
+        pipeline.add((HttpObject) message, timeouts.earliestReceiptNanos());
       } else {
-        disconnects.startDiscarding();
+        disconnects.startDiscardingPipelined();
       }
     } finally {
       ReferenceCountUtil.release(message);
@@ -113,20 +113,20 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (call != null && channel.isWritable()) {
-      responses.writable();
-      call.writable();
+      responses.onWritable();
+      call.onClientWritable();
     }
   }
 
   // --- the present request
 
   /** Whether requests are still taken. */
-  boolean takesRequests() {
-    return state.takesRequests();
+  boolean acceptsRequests() {
+    return state.acceptsRequests();
   }
 
   /** The present request's response is to be the connection's last. */
-  void endWithPresentResponse() {
+  void closeAfterCurrentResponse() {
     state = state.advance(ConnectionState.LAST_RESPONSE);
   }
 
@@ -141,25 +141,25 @@
   /**
    * Whether the client has gone, of whom a whole request has come; its connection is closed then.
    */
-  boolean closeIfGone() {
-    return disconnects.closeIfGone();
+  boolean closeIfDisconnected() {
+    return disconnects.closeIfDisconnected();
   }
 
   /** The same, at any time at which the look at the socket does no harm. */
-  boolean closeIfGoneBetweenRequests() {
-    return disconnects.closeIfGoneBetweenRequests();
+  boolean closeIfDisconnectedBetweenRequests() {
+    return disconnects.closeIfDisconnectedBetweenRequests();
   }
 
   /** The engine is about to take the request. */
   void beginCall(HttpCall next) {
     call = next;
-    server.callBegan();
+    server.onCallStarted();
   }
 
   private void endCall() {
     if (call != null) {
       call = null;
-      server.callEnded();
+      server.onCallEnded();
     }
   }
 
@@ -169,8 +169,8 @@
   }
 
   /** Whether the present request is one of HTTP/1.0. */
-  boolean oldVersion() {
-    return intake.oldVersion();
+  boolean isHttp10() {
+    return intake.isHttp10();
   }
 
   // --- the end of a response, and of the connection
@@ -179,27 +179,27 @@
   boolean decideLastResponse() {
     // What a client has sent ahead is answered before it is asked to leave; what has not come whole
     // by the time of a response can't be told from the next request.
-    if (((server.draining() || server.crowded()) && !pipeline.hasWholeRequest())
-        || (intake.upload() != null && !intake.skips())) {
-      endWithPresentResponse();
+    if (((server.isDraining() || server.isCrowded()) && !pipeline.hasWholeRequest())
+        || (intake.upload() != null && !intake.shouldSkipRemainder())) {
+      closeAfterCurrentResponse();
     }
-    return state.closing();
+    return state.isClosing();
   }
 
   /**
    * The response is on its way; true if the connection stays, and nothing of the request comes any
    * more.
    */
-  boolean responded(ChannelFuture written) {
+  boolean onResponseSubmitted(ChannelFuture written) {
     endCall();
-    intake.answered();
+    intake.onResponseSubmitted();
     timeouts.markUsed();
-    if (discarded.skipping()) {
+    if (discarded.isSkipping()) {
       channel.config().setAutoRead(true);
       return false;
     }
-    if (state.closing()) {
-      finish();
+    if (state.isClosing()) {
+      markFinished();
       pipeline.clear();
       channel.config().setAutoRead(true);
       written.addListener(f -> linger());
@@ -210,40 +210,40 @@
   }
 
   /** The rest of a request that was answered early has come. */
-  void restDiscarded() {
-    if (state.closing()) {
-      finish();
+  void onRemainderSkipped() {
+    if (state.isClosing()) {
+      markFinished();
       linger();
     }
   }
 
   /** Nothing more is taken, and nothing more is written. */
-  void finish() {
+  void markFinished() {
     state = state.advance(ConnectionState.FINISHED);
   }
 
   /** Answers what can't be a request and ends the connection. */
   void reject(int status) {
-    logOwnResponse(status);
+    logLocalResponse(status);
     rejectionLogged = true;
-    intake.drop();
+    intake.dropRequest();
     pipeline.clear();
-    endWithPresentResponse();
+    closeAfterCurrentResponse();
     if (call != null) {
       call.exchange().abandon(); // its body can't be read to its end; this answers, once
       if (call != null) {
-        responses.cut(); // a response that has begun
+        responses.abortStream(); // a response that has begun
       } else {
-        discardInput();
+        startDiscardingInput();
       }
       return;
     }
-    discardInput();
-    responses.answer(status, 0);
+    startDiscardingInput();
+    responses.send(status, 0);
   }
 
   /** From here on whatever comes is thrown away unread: it may be much, or no HTTP at all. */
-  private void discardInput() {
+  private void startDiscardingInput() {
     state = state.advance(ConnectionState.DISCARDING);
     removeDecoder();
     channel.config().setAutoRead(true);
@@ -251,7 +251,7 @@
 
   /** No more requests are decoded. */
   void removeDecoder() {
-    if (decoder.active()) {
+    if (decoder.isInPipeline()) {
       channel.pipeline().remove(decoder);
     }
   }
@@ -264,23 +264,23 @@
     if (!channel.isActive()) {
       return;
     }
-    discardInput();
+    startDiscardingInput();
     channel.shutdownOutput();
     channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Closes it at once, for a reason that the log tells. */
   void close(CloseReason reason) {
-    log.closed(reason, call);
+    log.logClosed(reason, call);
     channel.close();
   }
 
   /** There is no more time: what is open is answered now, and what still comes is rejected. */
   void terminate() {
     if (call != null) {
-      endWithPresentResponse();
+      closeAfterCurrentResponse();
       call.exchange().abandon();
-    } else if (takesRequests() && decoder.receiving()) {
+    } else if (acceptsRequests() && decoder.isReceiving()) {
       reject(503);
     }
   }
@@ -290,13 +290,13 @@
   /**
    * A response of our own is about to go out: logs why, unless it is the answer to a health check.
    */
-  void logOwnResponse(int status) {
-    FilterResult verdict = intake.filterResult();
+  void logLocalResponse(int status) {
+    FilterResult filterResult = intake.filterResult();
     boolean healthCheck =
-        verdict != null
-            && verdict.status() == status
-            && verdict.origin() == null
-            && !verdict.closes();
+        filterResult != null
+            && filterResult.status() == status
+            && filterResult.origin() == null
+            && !filterResult.closesConnection();
     if (!healthCheck && !rejectionLogged) {
       logOutcome(RequestLog.outcome(status), status);
     }
@@ -304,38 +304,39 @@
 
   /** Logs what became of the present request, if not served; {@code status} may be null. */
   void logOutcome(String outcome, Integer status) {
-    FilterResult verdict = intake.filterResult();
-    long since = verdict == null ? decoder.since() : intake.headReceivedAtNanos();
-    log.request(outcome, status, call, verdict, since);
+    FilterResult filterResult = intake.filterResult();
+    long sinceNanos =
+        filterResult == null ? decoder.receivingSinceNanos() : intake.headReceivedAtNanos();
+    log.logRequest(outcome, status, call, filterResult, sinceNanos);
   }
 
   // --- housekeeping
 
   /** Whether it carries a request, or part of one, or a response that is not written yet. */
-  boolean busy() {
+  boolean isBusy() {
     return call != null
         || !pipeline.isEmpty()
-        || decoder.receiving()
-        || responses.writing()
-        || state.closing();
+        || decoder.isReceiving()
+        || responses.isWriting()
+        || state.isClosing();
   }
 
   /** Whether it can be closed as a drain begins: a first request that is under way is awaited. */
-  boolean closableAtDrain() {
-    return !busy() && !timeouts.firstRequestMayBeUnderWay();
+  boolean isClosableAtDrain() {
+    return !isBusy() && !timeouts.canFirstRequestBeInFlight();
   }
 
   /**
    * Whether it can be closed where no more is expected: it carries nothing, and a new client had
    * time to send a request.
    */
-  boolean closable(long nowNanos) {
-    return !busy() && timeouts.hadTimeForRequest(nowNanos);
+  boolean isClosable(long nowNanos) {
+    return !isBusy() && timeouts.hasHadTimeForRequest(nowNanos);
   }
 
   /** How readily it makes room for another connection. */
   EvictionOrder evictionOrder(long nowNanos) {
-    if (call != null || responses.writing() || !channel.isOpen()) {
+    if (call != null || responses.isWriting() || !channel.isOpen()) {
       return EvictionOrder.NEVER; // in use, or closed already and not yet taken off the list
     }
     return state == ConnectionState.DISCARDING
@@ -345,36 +346,36 @@
 
   /** Ends what takes too long; called a few times a second. */
   void enforceTimeouts(long nowNanos) {
-    if (disconnects.discardsSentAhead() && takesRequests()) {
+    if (disconnects.isDiscardingPipelined() && acceptsRequests()) {
       channel.config().setAutoRead(true);
     }
     if (call != null
         && intake.upload() != null
-        && intake.upload().stalled(nowNanos, timeouts.slowNanos())) {
+        && intake.upload().isStalled(nowNanos, timeouts.receiveTimeoutNanos())) {
       call.exchange().abandon(); // a body that does not come
-    } else if (responses.streamStalled(nowNanos)) {
-      responses.cut();
+    } else if (responses.isStreamStalled(nowNanos)) {
+      responses.abortStream();
     } else if (state != ConnectionState.DISCARDING && call == null) {
       enforceTimeoutsWithoutCall(nowNanos);
     }
   }
 
   private void enforceTimeoutsWithoutCall(long nowNanos) {
-    if (discarded.skipping()) {
-      closeIf(timeouts.restTooSlow(nowNanos), CloseReason.SLOW);
-    } else if (responses.writing()) {
-      closeIf(responses.stalled(nowNanos), CloseReason.STALLED);
-    } else if (decoder.receiving()) {
-      if (timeouts.requestTooSlow(nowNanos, intake.bodySize())) {
-        reject(intake.paused() ? 503 : 408);
+    if (discarded.isSkipping()) {
+      closeWhenDue(timeouts.isRemainderTooSlow(nowNanos), CloseReason.SLOW);
+    } else if (responses.isWriting()) {
+      closeWhenDue(responses.isStalled(nowNanos), CloseReason.STALLED);
+    } else if (decoder.isReceiving()) {
+      if (timeouts.isRequestTooSlow(nowNanos, intake.heldBodyBytes())) {
+        reject(intake.isPaused() ? 503 : 408);
       }
     } else {
       CloseReason reason = timeouts.idleCloseReason(nowNanos);
-      closeIf(reason != null, reason);
+      closeWhenDue(reason != null, reason);
     }
   }
 
-  private void closeIf(boolean due, CloseReason reason) {
+  private void closeWhenDue(boolean due, CloseReason reason) {
     if (due && channel.isOpen()) {
       close(reason);
     }
--- a/src/main/java/leadferry/http/ClientConnections.java
+++ b/src/main/java/leadferry/http/ClientConnections.java
@@ -28,8 +28,8 @@
   /**
    * Closes, to make room, the most readily spared of the {@code maxLooks} oldest; false if none.
    */
-  boolean evictOne(int maxLooks) {
-    ClientConnection connection = mostEvictable(maxLooks);
+  boolean evictOne(int maxCandidates) {
+    ClientConnection connection = findMostEvictable(maxCandidates);
     if (connection == null) {
       return false;
     }
@@ -37,38 +37,38 @@
     return true;
   }
 
-  private ClientConnection mostEvictable(int maxLooks) {
+  private ClientConnection findMostEvictable(int maxCandidates) {
     long nowNanos = HttpServer.readUntilNanos();
-    int looksLeft = maxLooks;
-    ClientConnection found = null;
-    EvictionOrder first = EvictionOrder.NEVER;
+    int candidatesLeft = maxCandidates;
+    ClientConnection candidate = null;
+    EvictionOrder lowestOrder = EvictionOrder.NEVER;
     for (ClientConnection connection : connections) {
       EvictionOrder order = connection.evictionOrder(nowNanos);
-      if (order.compareTo(first) < 0) {
-        found = connection;
-        first = order;
+      if (order.compareTo(lowestOrder) < 0) {
+        candidate = connection;
+        lowestOrder = order;
       }
-      if (--looksLeft <= 0) {
+      if (--candidatesLeft <= 0) {
         break;
       }
     }
-    return found;
+    return candidate;
   }
 
   /** A drain begins: closes what carries nothing. */
-  void closeAtDrain() {
+  void closeIdleForDrain() {
     for (ClientConnection connection : snapshot()) {
-      if (connection.closableAtDrain()) {
+      if (connection.isClosableAtDrain()) {
         connection.close(CloseReason.DRAINING);
       }
     }
   }
 
   /** Closes what carries nothing and had time to send a request; true if any was closed. */
-  boolean closeClosable() {
+  boolean closeIdle() {
     boolean anyClosed = false;
     for (ClientConnection connection : snapshot()) {
-      if (connection.closable(HttpServer.readUntilNanos())) {
+      if (connection.isClosable(HttpServer.readUntilNanos())) {
         connection.close(CloseReason.DRAINING);
         anyClosed = true;
       }
@@ -77,16 +77,16 @@
   }
 
   /** Answers each request that is open as failed, and rejects what has not come whole. */
-  void terminate() {
+  void terminateAll() {
     for (ClientConnection connection : snapshot()) {
       connection.terminate();
     }
   }
 
   /** Whether anything that was taken, or is being taken, has no response yet. */
-  boolean busy() {
+  boolean hasPendingRequests() {
     for (ClientConnection connection : connections) {
-      if (connection.busy()) {
+      if (connection.isBusy()) {
         return true;
       }
     }
--- a/src/main/java/leadferry/http/ConnectionState.java
+++ b/src/main/java/leadferry/http/ConnectionState.java
@@ -24,12 +24,12 @@
   }
 
   /** Whether parts of requests are taken. */
-  boolean takesRequests() {
+  boolean acceptsRequests() {
     return this == OPEN || this == LAST_RESPONSE;
   }
 
   /** Whether no request follows the present one. */
-  boolean closing() {
+  boolean isClosing() {
     return this != OPEN;
   }
 }
--- a/src/main/java/leadferry/http/ConnectionTimeouts.java
+++ b/src/main/java/leadferry/http/ConnectionTimeouts.java
@@ -16,10 +16,10 @@
   private static final long EVICT_PARTIAL_NANOS = 500_000_000L;
 
   /** How long (ns) a client that is asked to leave may take to use its connection once more. */
-  private static final long LEAVE_IDLE_NANOS = 500_000_000L;
+  private static final long IDLE_DEPARTURE_NANOS = 500_000_000L;
 
   /** The same, of a client that has not sent a request yet. */
-  private static final long LEAVE_SILENT_NANOS = 1_500_000_000L;
+  private static final long SILENT_DEPARTURE_NANOS = 1_500_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -28,7 +28,7 @@
   private final RequestDecoder decoder;
   private final long openedAtNanos = System.nanoTime();
   private final long acceptedAtNanos;
-  private final long slowNanos;
+  private final long receiveTimeoutNanos;
   private boolean requestSeen;
   private long idleSinceNanos;
 
@@ -40,12 +40,12 @@
     this.server = server;
     this.decoder = decoder;
     this.acceptedAtNanos = acceptedAtNanos;
-    this.slowNanos = server.settings().slowMs() * NANOS_PER_MILLI;
+    this.receiveTimeoutNanos = server.settings().receiveTimeoutMillis() * NANOS_PER_MILLI;
   }
 
   /** How long (ns) a request, or the next part of a streamed one, may take to come. */
-  long slowNanos() {
-    return slowNanos;
+  long receiveTimeoutNanos() {
+    return receiveTimeoutNanos;
   }
 
   /** A response has gone, or part of a request that has its response has come. */
@@ -69,27 +69,27 @@
    * the kernel for longer than its client waits is not forwarded, nor answered when all of its time
    * has gone by once more. It does harm where a stop was shorter than it looks, by a rejection.
    */
-  long receivedAtNanos() {
+  long earliestReceiptNanos() {
     long earliest =
-        decoder.firstLook()
+        decoder.isFirstRead()
             ? Math.min(HttpServer.readUntilNanos(), acceptedAtNanos)
             : Math.max(HttpServer.readUntilNanos(), idleSinceNanos);
     return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
   }
 
   /** Whether a request may be under way that was sent before the client could know of a drain. */
-  boolean firstRequestMayBeUnderWay() {
-    return !requestSeen && System.nanoTime() - openedAtNanos < slowNanos;
+  boolean canFirstRequestBeInFlight() {
+    return !requestSeen && System.nanoTime() - openedAtNanos < receiveTimeoutNanos;
   }
 
   /** Whether its client has had time to send a first request. */
-  boolean hadTimeForRequest(long nowNanos) {
+  boolean hasHadTimeForRequest(long nowNanos) {
     return requestSeen || nowNanos - openedAtNanos > EVICT_SILENT_NANOS;
   }
 
   /** The order in which a connection makes room on which no request is open. */
   EvictionOrder evictionOrder(long nowNanos) {
-    if (decoder.receiving()) {
+    if (decoder.isReceiving()) {
       return nowNanos - receivingSinceNanos() > EVICT_PARTIAL_NANOS
           ? EvictionOrder.PARTIAL_REQUEST
           : EvictionOrder.NEVER;
@@ -99,29 +99,31 @@
           ? EvictionOrder.SILENT
           : EvictionOrder.NEVER;
     }
-    return nowNanos - idleSinceNanos > server.settings().idleLeastMs() * NANOS_PER_MILLI
+    return nowNanos - idleSinceNanos > server.settings().minIdleMillis() * NANOS_PER_MILLI
         ? EvictionOrder.IDLE
         : EvictionOrder.NEVER;
   }
 
   /** Whether the rest of a request that has its response comes too slowly. */
-  boolean restTooSlow(long nowNanos) {
-    return nowNanos - idleSinceNanos > slowNanos;
+  boolean isRemainderTooSlow(long nowNanos) {
+    return nowNanos - idleSinceNanos > receiveTimeoutNanos;
   }
 
   /** Whether a request of whose body {@code bodyBytes} are held comes too slowly. */
-  boolean requestTooSlow(long nowNanos, long bodyBytes) {
-    return nowNanos - receivingSinceNanos() > slowNanos + bodyNanos(bodyBytes);
+  boolean isRequestTooSlow(long nowNanos, long bodyBytes) {
+    return nowNanos - receivingSinceNanos() > receiveTimeoutNanos + bodyAllowanceNanos(bodyBytes);
   }
 
   /** Why a connection on which nothing comes is to be closed, or null if it stays. */
   CloseReason idleCloseReason(long nowNanos) {
-    if (leaveTimeIsOver(nowNanos)) {
+    if (hasDepartureTimeElapsed(nowNanos)) {
       return CloseReason.DRAINING;
     }
-    long idleNanos = server.settings().idleMostMs() * NANOS_PER_MILLI;
+    long idleNanos = server.settings().maxIdleMillis() * NANOS_PER_MILLI;
     boolean idle =
-        requestSeen ? nowNanos - idleSinceNanos > idleNanos : nowNanos - openedAtNanos > slowNanos;
+        requestSeen
+            ? nowNanos - idleSinceNanos > idleNanos
+            : nowNanos - openedAtNanos > receiveTimeoutNanos;
     return idle ? CloseReason.IDLE : null;
   }
 
@@ -130,21 +132,21 @@
    * daemon closes none for that: its next response asks to leave, and a request that crosses a
    * close would be lost.
    */
-  private boolean leaveTimeIsOver(long nowNanos) {
-    long since = server.settings().daemon() ? 0 : server.awaySince();
+  private boolean hasDepartureTimeElapsed(long nowNanos) {
+    long since = server.settings().daemon() ? 0 : server.sheddingSinceNanos();
     return since != 0
         && (requestSeen
-            ? nowNanos - Math.max(idleSinceNanos, since) > LEAVE_IDLE_NANOS
-            : nowNanos - Math.max(openedAtNanos, since) > LEAVE_SILENT_NANOS);
+            ? nowNanos - Math.max(idleSinceNanos, since) > IDLE_DEPARTURE_NANOS
+            : nowNanos - Math.max(openedAtNanos, since) > SILENT_DEPARTURE_NANOS);
   }
 
   /** What a body may take besides: a client that sends it slowly but steadily is in time. */
-  private long bodyNanos(long bodyBytes) {
-    int bytesPerSecond = server.settings().bodyRate();
+  private long bodyAllowanceNanos(long bodyBytes) {
+    int bytesPerSecond = server.settings().minBodyBytesPerSecond();
     return bytesPerSecond == 0 ? 0 : bodyBytes * NANOS_PER_SECOND / bytesPerSecond;
   }
 
   private long receivingSinceNanos() {
-    return requestSeen ? decoder.since() : openedAtNanos;
+    return requestSeen ? decoder.receivingSinceNanos() : openedAtNanos;
   }
 }
--- a/src/main/java/leadferry/http/DiscardedInput.java
+++ b/src/main/java/leadferry/http/DiscardedInput.java
@@ -26,16 +26,16 @@
     this.client = client;
     this.channel = channel;
     this.decoder = decoder;
-    this.maxSkippedBytes = server.settings().maxStreamed();
+    this.maxSkippedBytes = server.settings().maxStreamedBodyBytes();
   }
 
   /** Whether the rest of a request is thrown away, after which its connection goes on. */
-  boolean skipping() {
+  boolean isSkipping() {
     return skipping;
   }
 
   /** A response has gone; {@code skipRest} tells whether the rest of its request still comes. */
-  void responded(boolean skipRest) {
+  void onResponseSubmitted(boolean skipRest) {
     skipping = skipRest;
     discardedBytes = 0;
   }
@@ -46,7 +46,7 @@
   }
 
   /** Counts part of a body whose response is known; whether it is not worth reading on for that. */
-  boolean exceedsBound(ByteBuf bytes) {
+  boolean countAndCheckLimit(ByteBuf bytes) {
     discardedBytes += bytes.readableBytes();
     return discardedBytes > MAX_LINGER_BYTES;
   }
@@ -70,8 +70,8 @@
     } else if (part instanceof LastHttpContent) {
       skipping = false;
       discardedBytes = 0;
-      decoder.completed(); // its client has its response, so what comes behind is in order
-      client.restDiscarded();
+      decoder.onRequestCompleted(); // its client has its response, so what comes behind is in order
+      client.onRemainderSkipped();
     }
   }
 
--- a/src/main/java/leadferry/http/DisconnectDetector.java
+++ b/src/main/java/leadferry/http/DisconnectDetector.java
@@ -19,21 +19,21 @@
   private final Transport transport;
 
   /** Whether a look between two requests of one connection may be made at all. */
-  private final boolean mayLookBetweenRequests;
+  private final boolean canProbeBetweenRequests;
 
-  private boolean discardsSentAhead;
+  private boolean discardingPipelined;
   private int discardedBytes;
 
   DisconnectDetector(ClientConnection connection, HttpServer server, SocketChannel channel) {
     this.connection = connection;
     this.channel = channel;
     this.transport = server.transport();
-    this.mayLookBetweenRequests = !server.settings().daemon() || transport.canCheckWithoutLoss();
+    this.canProbeBetweenRequests = !server.settings().daemon() || transport.canCheckWithoutLoss();
   }
 
   /** Whether what is sent ahead of the response is thrown away. */
-  boolean discardsSentAhead() {
-    return discardsSentAhead;
+  boolean isDiscardingPipelined() {
+    return discardingPipelined;
   }
 
   /**
@@ -42,9 +42,9 @@
    * with that response. It is read all the same, at a bounded rate: where nobody reads, nobody sees
    * that the client has gone, and its request would be forwarded.
    */
-  void startDiscarding() {
-    connection.endWithPresentResponse();
-    discardsSentAhead = true;
+  void startDiscardingPipelined() {
+    connection.closeAfterCurrentResponse();
+    discardingPipelined = true;
     connection.removeDecoder();
   }
 
@@ -63,13 +63,13 @@
    * in a crowd, they stand ahead of those that can still be answered, and make them late. It costs
    * a look at the socket.
    */
-  boolean closeIfGone() {
+  boolean closeIfDisconnected() {
     Transport.ClientEnd end =
-        discardsSentAhead
+        discardingPipelined
             ? transport.checkClientEndDiscarding(channel)
             : transport.checkClientEnd(channel);
     if (end == Transport.ClientEnd.LOST_BYTE) {
-      startDiscarding();
+      startDiscardingPipelined();
       end = transport.checkClientEndDiscarding(channel); // it may have sent much at once and gone
     }
     if (end != Transport.ClientEnd.ENDED) {
@@ -84,7 +84,7 @@
    * The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of
    * the next.
    */
-  boolean closeIfGoneBetweenRequests() {
-    return mayLookBetweenRequests && closeIfGone();
+  boolean closeIfDisconnectedBetweenRequests() {
+    return canProbeBetweenRequests && closeIfDisconnected();
   }
 }
--- a/src/main/java/leadferry/http/Forwarding.java
+++ b/src/main/java/leadferry/http/Forwarding.java
@@ -38,7 +38,7 @@
   private static final AsciiString FORWARDED_HOST = AsciiString.cached("x-forwarded-host");
   private static final AsciiString FORWARDED_PROTO = AsciiString.cached("x-forwarded-proto");
 
-  private static final AsciiString[] CLAIMS = {
+  private static final AsciiString[] FORWARDING_HEADERS = {
     FORWARDED,
     FORWARDED_FOR,
     FORWARDED_HOST,
@@ -61,43 +61,43 @@
   }
 
   /** The caller of a request that came from {@code peer}. */
-  public InetAddress caller(HttpHeaders headers, InetAddress peer) {
-    if (mode == Mode.OFF || !trusted.hold(peer)) {
+  public InetAddress clientAddress(HttpHeaders headers, InetAddress peer) {
+    if (mode == Mode.OFF || !trusted.contains(peer)) {
       return peer;
     }
     List<String> chain =
-        headers.contains(FORWARDED) ? forwarded(headers) : list(headers, FORWARDED_FOR);
-    InetAddress caller = peer;
+        headers.contains(FORWARDED) ? forwardedFor(headers) : listElements(headers, FORWARDED_FOR);
+    InetAddress client = peer;
     for (int i = chain.size() - 1; i >= 0; i--) {
-      InetAddress hop = node(chain.get(i));
+      InetAddress hop = parseNode(chain.get(i));
       if (hop == null) {
         break; // hidden or unknown: what stands left of it can't be vouched for
       }
-      caller = hop;
-      if (!trusted.hold(hop)) {
+      client = hop;
+      if (!trusted.contains(hop)) {
         break;
       }
     }
-    return caller;
+    return client;
   }
 
   /** Writes what the host is to know into the request's headers. */
-  public void tell(HttpHeaders headers, InetAddress peer, InetAddress caller) {
+  public void writeHeaders(HttpHeaders headers, InetAddress peer, InetAddress client) {
     if (mode == Mode.OFF) {
       return;
     }
-    boolean keep = mode == Mode.APPEND && trusted.hold(peer);
-    if (!keep) {
-      for (AsciiString name : CLAIMS) {
+    boolean keepsExisting = mode == Mode.APPEND && trusted.contains(peer);
+    if (!keepsExisting) {
+      for (AsciiString name : FORWARDING_HEADERS) {
         headers.remove(name);
       }
     }
-    InetAddress told = mode == Mode.APPEND ? peer : caller;
+    InetAddress forwardedFor = mode == Mode.APPEND ? peer : client;
     String host = headers.get(HttpHeaderNames.HOST, "");
-    String address = told.getHostAddress();
+    String address = forwardedFor.getHostAddress();
     String element =
         "for="
-            + (told instanceof Inet6Address ? "\"[" + address + "]\"" : address)
+            + (forwardedFor instanceof Inet6Address ? "\"[" + address + "]\"" : address)
             + (host.isEmpty() ? "" : ";host=\"" + host + "\"")
             + ";proto=http";
     append(headers, FORWARDED, element);
@@ -119,7 +119,7 @@
     }
   }
 
-  private static List<String> list(HttpHeaders headers, CharSequence name) {
+  private static List<String> listElements(HttpHeaders headers, CharSequence name) {
     List<String> out = new ArrayList<>();
     for (String line : headers.getAll(name)) {
       for (String element : line.split(",")) {
@@ -130,7 +130,7 @@
   }
 
   /** The {@code for} of each element, an empty text where it has none (RFC 7239, 4). */
-  private static List<String> forwarded(HttpHeaders headers) {
+  private static List<String> forwardedFor(HttpHeaders headers) {
     List<String> out = new ArrayList<>();
     for (String line : headers.getAll(FORWARDED)) {
       boolean quoted = false;
@@ -161,7 +161,7 @@
   /**
    * An address with a port or none, IPv6 in brackets or plain; null for any other name of a node.
    */
-  private static InetAddress node(String text) {
+  private static InetAddress parseNode(String text) {
     String address = text;
     if (address.startsWith("[")) {
       int end = address.indexOf(']');
@@ -169,6 +169,6 @@
     } else if (address.indexOf(':') >= 0 && address.indexOf(':') == address.lastIndexOf(':')) {
       address = address.substring(0, address.indexOf(':'));
     }
-    return Networks.address(address);
+    return Networks.parseAddress(address);
   }
 }
--- a/src/main/java/leadferry/http/Framing.java
+++ b/src/main/java/leadferry/http/Framing.java
@@ -21,44 +21,45 @@
    * The status to reject the head with, or 0; {@code judged} are headers that the filter goes by,
    * {@code old} tells whether HTTP/1.0 is spoken.
    */
-  static int fault(HttpRequest request, Set<String> judged, boolean old) {
+  static int rejectionStatus(
+      HttpRequest request, Set<String> inspectedHeaders, boolean allowsHttp10) {
     HttpHeaders headers = request.headers();
-    boolean is10 = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
-    if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1) && !(is10 && old)) {
+    boolean isHttp10 = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
+    if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1) && !(isHttp10 && allowsHttp10)) {
       return 505;
     }
     if (headers.getAll(HttpHeaderNames.HOST).size() > 1
-        || !soundTransferEncoding(headers, is10)
-        || !Headers.soundOptions(headers, judged)) {
+        || !hasValidTransferEncoding(headers, isHttp10)
+        || !Headers.hasValidConnectionOptions(headers, inspectedHeaders)) {
       return 400;
     }
     if (headers.contains(HttpHeaderNames.EXPECT)
         && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(
-            String.valueOf(single(headers, HttpHeaderNames.EXPECT)))) {
+            String.valueOf(singleValue(headers, HttpHeaderNames.EXPECT)))) {
       return 417;
     }
     return 0;
   }
 
   /** Whether there is none, or {@code chunked} alone, not in HTTP/1.0 and without a length. */
-  private static boolean soundTransferEncoding(HttpHeaders headers, boolean is10) {
+  private static boolean hasValidTransferEncoding(HttpHeaders headers, boolean isHttp10) {
     if (!headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
       return true;
     }
-    return !is10
+    return !isHttp10
         && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)
         && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
-            String.valueOf(single(headers, HttpHeaderNames.TRANSFER_ENCODING)));
+            String.valueOf(singleValue(headers, HttpHeaderNames.TRANSFER_ENCODING)));
   }
 
   /** The one value of a header, or null where it has none or several. */
-  public static String single(HttpHeaders headers, CharSequence name) {
+  public static String singleValue(HttpHeaders headers, CharSequence name) {
     List<String> all = headers.getAll(name);
     return all.size() == 1 ? all.get(0).trim() : null;
   }
 
   /** A whole number that is not negative, or NaN; what does not fit is more than anyone waits. */
-  public static double whole(String text) {
+  public static double parseWholeNumber(String text) {
     if (text == null || text.isEmpty() || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
       return Double.NaN;
     }
--- a/src/main/java/leadferry/http/HeadScanner.java
+++ b/src/main/java/leadferry/http/HeadScanner.java
@@ -30,48 +30,48 @@
     VALUE,
     HEAD_END,
     DONE,
-    FAULTY
+    INVALID
   }
 
-  private static final String LENGTH = "content-length";
+  private static final String CONTENT_LENGTH = "content-length";
   private static final String VERSION = "HTTP/d.d";
-  private static final boolean[] TOKEN = new boolean[128];
+  private static final boolean[] TOKEN_CHARACTERS = new boolean[128];
 
   static {
     for (char c = '0'; c <= 'z'; c++) {
-      TOKEN[c] = Character.isLetterOrDigit(c);
+      TOKEN_CHARACTERS[c] = Character.isLetterOrDigit(c);
     }
     for (char c : "!#$%&'*+-.^_`|~".toCharArray()) {
-      TOKEN[c] = true;
+      TOKEN_CHARACTERS[c] = true;
     }
   }
 
   private State state = State.START;
-  private boolean emptyLine;
-  private int length;
-  private int lengths;
-  private boolean inLength;
+  private boolean emptyLineSeen;
+  private int position;
+  private int contentLengthCount;
+  private boolean inContentLength;
 
   /** Another head begins. */
   void reset() {
     state = State.START;
-    emptyLine = false;
-    length = 0;
-    lengths = 0;
+    emptyLineSeen = false;
+    position = 0;
+    contentLengthCount = 0;
   }
 
-  boolean done() {
+  boolean isDone() {
     return state == State.DONE;
   }
 
-  boolean faulty() {
-    return state == State.FAULTY;
+  boolean isInvalid() {
+    return state == State.INVALID;
   }
 
   /** Whether this text is a token (RFC 9110, 5.6.2). */
-  static boolean token(String text) {
+  static boolean isToken(String text) {
     for (int i = 0; i < text.length(); i++) {
-      if (text.charAt(i) >= 128 || !TOKEN[text.charAt(i)]) {
+      if (text.charAt(i) >= 128 || !TOKEN_CHARACTERS[text.charAt(i)]) {
         return false;
       }
     }
@@ -83,66 +83,72 @@
   public boolean process(byte b) {
     state =
         switch (state) {
-          case START -> b == '\r' && !emptyLine ? State.EMPTY_LINE : part(b, State.METHOD);
+          case START ->
+              b == '\r' && !emptyLineSeen ? State.EMPTY_LINE : tokenState(b, State.METHOD);
           case EMPTY_LINE -> {
-            emptyLine = true;
-            yield b == '\n' ? State.START : State.FAULTY;
+            emptyLineSeen = true;
+            yield b == '\n' ? State.START : State.INVALID;
           }
-          case METHOD -> b == ' ' ? begin(State.TARGET) : part(b, State.METHOD);
+          case METHOD -> b == ' ' ? beginPart(State.TARGET) : tokenState(b, State.METHOD);
           case TARGET -> {
-            if (b == ' ' && length > 0) {
-              yield begin(State.VERSION);
+            if (b == ' ' && position > 0) {
+              yield beginPart(State.VERSION);
             }
-            length++;
-            yield b > ' ' && b < 0x7f ? State.TARGET : State.FAULTY;
+            position++;
+            yield b > ' ' && b < 0x7f ? State.TARGET : State.INVALID;
           }
-          case VERSION -> version(b);
-          case LINE_END -> b == '\n' ? State.NAME_START : State.FAULTY;
+          case VERSION -> versionState(b);
+          case LINE_END -> b == '\n' ? State.NAME_START : State.INVALID;
           case NAME_START -> {
-            length = 0;
-            yield b == '\r' ? State.HEAD_END : name(b);
+            position = 0;
+            yield b == '\r' ? State.HEAD_END : nameState(b);
           }
-          case NAME -> b == ':' ? value() : name(b);
+          case NAME -> b == ':' ? valueState() : nameState(b);
           case VALUE ->
               b == '\r'
                   ? State.LINE_END
-                  : inLength && b != ' ' && b != '\t' && (b < '0' || b > '9')
-                      ? State.FAULTY
-                      : (b >= ' ' && b != 0x7f) || b == '\t' || b < 0 ? State.VALUE : State.FAULTY;
-          case HEAD_END -> b == '\n' ? State.DONE : State.FAULTY;
-          case DONE, FAULTY -> state;
+                  : inContentLength && b != ' ' && b != '\t' && (b < '0' || b > '9')
+                      ? State.INVALID
+                      : (b >= ' ' && b != 0x7f) || b == '\t' || b < 0 ? State.VALUE : State.INVALID;
+          case HEAD_END -> b == '\n' ? State.DONE : State.INVALID;
+          case DONE, INVALID -> state;
         };
-    return state != State.DONE && state != State.FAULTY;
+    return state != State.DONE && state != State.INVALID;
   }
 
-  /** Another octet of a name; {@code length} counts those that fit {@link #LENGTH}, or is -1. */
-  private State name(byte octet) {
+  /**
+   * Another octet of a name; {@code length} counts those that fit {@link #CONTENT_LENGTH}, or is
+   * -1.
+   */
+  private State nameState(byte octet) {
     boolean fits =
-        length >= 0 && length < LENGTH.length() && (octet | 0x20) == LENGTH.charAt(length);
-    length = fits ? length + 1 : -1;
-    return part(octet, State.NAME);
+        position >= 0
+            && position < CONTENT_LENGTH.length()
+            && (octet | 0x20) == CONTENT_LENGTH.charAt(position);
+    position = fits ? position + 1 : -1;
+    return tokenState(octet, State.NAME);
   }
 
-  private State value() {
-    inLength = length == LENGTH.length();
-    return inLength && lengths++ > 0 ? State.FAULTY : State.VALUE;
+  private State valueState() {
+    inContentLength = position == CONTENT_LENGTH.length();
+    return inContentLength && contentLengthCount++ > 0 ? State.INVALID : State.VALUE;
   }
 
-  private static State part(byte octet, State next) {
-    return octet >= 0 && TOKEN[octet] ? next : State.FAULTY;
+  private static State tokenState(byte octet, State next) {
+    return octet >= 0 && TOKEN_CHARACTERS[octet] ? next : State.INVALID;
   }
 
-  private State begin(State next) {
-    length = 0;
+  private State beginPart(State next) {
+    position = 0;
     return next;
   }
 
-  private State version(byte octet) {
-    if (length == VERSION.length()) {
-      return octet == '\r' ? State.LINE_END : State.FAULTY;
+  private State versionState(byte octet) {
+    if (position == VERSION.length()) {
+      return octet == '\r' ? State.LINE_END : State.INVALID;
     }
-    char expected = VERSION.charAt(length++);
+    char expected = VERSION.charAt(position++);
     boolean fits = expected == 'd' ? octet >= '0' && octet <= '9' : octet == expected;
-    return fits ? State.VERSION : State.FAULTY;
+    return fits ? State.VERSION : State.INVALID;
   }
 }
--- a/src/main/java/leadferry/http/Headers.java
+++ b/src/main/java/leadferry/http/Headers.java
@@ -17,12 +17,12 @@
  * without it, and no host could tell its repeats apart.
  */
 public final class Headers {
-  static final HttpHeaders NONE = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
+  static final HttpHeaders EMPTY = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
   /**
    * Those that frame a message, name it or bound it: no route may set or remove one. Lower case.
    */
-  public static final Set<String> FRAMING =
+  public static final Set<String> PROTECTED =
       Set.of(
           "host",
           "content-length",
@@ -39,7 +39,7 @@
           "proxy-connection");
 
   /** Those that anything here goes by; a filter may have more. Lower case. */
-  private static final Set<String> JUDGED =
+  private static final Set<String> INSPECTED =
       Set.of(
           "host",
           "content-length",
@@ -75,20 +75,21 @@
   private Headers() {}
 
   /** Whether a header, in lower case, is one that this program goes by. */
-  static boolean judged(String name, Set<String> byFilter) {
-    return JUDGED.contains(name) || byFilter.contains(name);
+  static boolean isInspected(String name, Set<String> inspectedByFilter) {
+    return INSPECTED.contains(name) || inspectedByFilter.contains(name);
   }
 
   /**
    * Whether the options of {@code Connection} are tokens and none names a header that this program
    * goes by. {@code byFilter} holds further ones, in lower case.
    */
-  static boolean soundOptions(HttpHeaders headers, Set<String> byFilter) {
+  static boolean hasValidConnectionOptions(HttpHeaders headers, Set<String> inspectedByFilter) {
     List<String> lines = headers.getAll(HttpHeaderNames.CONNECTION);
     for (int i = 0; i < lines.size(); i++) {
       for (String option : lines.get(i).split(",")) {
         String name = option.strip().toLowerCase(Locale.ROOT);
-        if (!name.isEmpty() && (!HeadScanner.token(name) || judged(name, byFilter))) {
+        if (!name.isEmpty()
+            && (!HeadScanner.isToken(name) || isInspected(name, inspectedByFilter))) {
           return false;
         }
       }
@@ -99,10 +100,10 @@
   /**
    * Whether no trailer of a request is one that this program, or what frames a message, goes by.
    */
-  static boolean soundTrailers(HttpHeaders trailers, Set<String> byFilter) {
+  static boolean hasValidTrailers(HttpHeaders trailers, Set<String> inspectedByFilter) {
     for (String name : trailers.names()) {
       String lower = name.toLowerCase(Locale.ROOT);
-      if (FRAMING.contains(lower) || judged(lower, byFilter)) {
+      if (PROTECTED.contains(lower) || isInspected(lower, inspectedByFilter)) {
         return false;
       }
     }
@@ -110,21 +111,21 @@
   }
 
   /** The trailers of an answer that may be passed on. */
-  static HttpHeaders passable(HttpHeaders trailers) {
+  static HttpHeaders forwardableTrailers(HttpHeaders trailers) {
     if (trailers.isEmpty()) {
-      return NONE;
+      return EMPTY;
     }
-    HttpHeaders out = DefaultHttpHeadersFactory.trailersFactory().newHeaders();
-    for (Map.Entry<String, String> t : trailers) {
-      if (!FRAMING.contains(t.getKey().toLowerCase(Locale.ROOT))) {
-        out.add(t.getKey(), t.getValue());
+    HttpHeaders forwardable = DefaultHttpHeadersFactory.trailersFactory().newHeaders();
+    for (Map.Entry<String, String> trailer : trailers) {
+      if (!PROTECTED.contains(trailer.getKey().toLowerCase(Locale.ROOT))) {
+        forwardable.add(trailer.getKey(), trailer.getValue());
       }
     }
-    return out;
+    return forwardable;
   }
 
   /** Removes what belongs to the connection that it came on. */
-  static void dropHopByHop(HttpHeaders headers) {
+  static void removeHopByHop(HttpHeaders headers) {
     for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
       for (String token : named.split(",")) {
         if (!token.isBlank() && !token.trim().equalsIgnoreCase("close")) {
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -29,38 +29,38 @@
   private HttpResponse head;
   private Body body;
   private long lengthBytes;
-  private boolean uploaded;
+  private boolean uploadComplete;
   private boolean streaming;
   private long streamedBytes;
   private double headAtMillis;
   private double receivedAtMillis;
-  private boolean error;
+  private boolean serverError;
 
   HttpAttempt(HttpCall call, Exchange exchange, UpstreamHost host, int number, double now) {
     super(exchange, host, number, now);
     this.call = call;
   }
 
-  private HttpUpstreamConnection wire() {
+  private HttpUpstreamConnection upstreamConnection() {
     return (HttpUpstreamConnection) connection();
   }
 
   @Override
   protected ChannelFuture write(Channel channel) {
     if (call.isHead()) {
-      wire().expectNoBody();
+      upstreamConnection().expectNoBody();
     }
     ChannelFuture written = call.writeTo(channel, exchange.remainingMs());
     if (call.upload() == null) {
       return written;
     }
     // Its bytes follow; the first of them makes it one that may have run, so its head does.
-    call.upload().startedBy(this);
+    call.upload().attach(this);
     return written;
   }
 
   /** Part of a body that goes on while it comes; the bytes are this attempt's now. */
-  void upload(ByteBuf bytes) {
+  void writeUploadContent(ByteBuf bytes) {
     if (isOver() || connection() == null) {
       bytes.release();
     } else {
@@ -69,38 +69,38 @@
   }
 
   /** The end of that body, with its trailers. */
-  void uploadEnds(HttpHeaders trailers) {
+  void writeUploadEnd(HttpHeaders trailers) {
     if (!isOver() && connection() != null) {
       connection()
           .channel()
-          .writeAndFlush(HttpCall.last(trailers))
+          .writeAndFlush(HttpCall.lastContent(trailers))
           .addListener(
               f -> {
-                uploaded = f.isSuccess();
+                uploadComplete = f.isSuccess();
                 onLastByteSent();
               });
     }
   }
 
   /** Whether the host's socket takes more of the body. */
-  boolean takesMore() {
+  boolean isUpstreamWritable() {
     return connection() != null && connection().channel().isWritable();
   }
 
   /** The host's socket takes more, or no more for now. */
-  void hostWritable() {
+  void onUpstreamWritabilityChanged() {
     if (call.upload() != null) {
-      call.upload().flow();
+      call.upload().updateFlowControl();
     }
   }
 
   /** Whether all of the request has gone out, so that its connection may carry another. */
-  boolean sentWhole() {
-    return call.upload() == null ? isFullyWritten() : uploaded;
+  boolean isRequestFullySent() {
+    return call.upload() == null ? isFullyWritten() : uploadComplete;
   }
 
   /** The client takes more of an answer that streams. */
-  void clientTakesMore() {
+  void onClientWritable() {
     if (!isOver() && connection() != null) {
       connection().channel().config().setAutoRead(true);
     }
@@ -112,54 +112,56 @@
   }
 
   /** The head of the final response. */
-  void head(HttpResponse response) {
-    report = LoadReportHeaders.read(response.headers().get(LoadReportHeaders.HEADER));
+  void onResponseHead(HttpResponse response) {
+    report = LoadReportHeaders.parse(response.headers().get(LoadReportHeaders.HEADER));
     int status = response.status().code();
-    if (status == 200 || (wire().protocol.passAll() && status < 500)) {
-      serve(response);
+    if (status == 200 || (upstreamConnection().protocol.forwardsAllBelow500() && status < 500)) {
+      acceptResponse(response);
       return;
     }
     boolean notProcessed =
         (status == 503 || status == 504) && "1".equals(response.headers().get("X-Not-Processed"));
-    if (status >= 500 && !notProcessed && passesError(response)) {
-      error = true; // its body may be what the client gets; the module hears of it with its end
+    if (status >= 500 && !notProcessed && shouldForwardError(response)) {
+      serverError =
+          true; // its body may be what the client gets; the module hears of it with its end
       head = response;
       lengthBytes = HttpUtil.getContentLength(response, -1L);
       return;
     }
-    wire().discardRest();
+    upstreamConnection().discardRemainder();
     if (status >= 400 && status < 500) {
-      answerClientError(status);
+      forwardClientError(status);
     } else {
       finish(outcomeOfError(notProcessed));
     }
   }
 
-  private void serve(HttpResponse response) {
+  private void acceptResponse(HttpResponse response) {
     if (!isFullyWritten()) {
       finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
-    } else if (!wire().framed(response)) {
+    } else if (!upstreamConnection().isDelimited(response)) {
       onConnectionBroken();
     } else {
-      collect(response);
+      receiveBody(response);
     }
   }
 
   /** Whether a server's error may be passed on to the client, with its body. */
-  private boolean passesError(HttpResponse response) {
-    return wire().protocol.passErrors()
+  private boolean shouldForwardError(HttpResponse response) {
+    return upstreamConnection().protocol.forwardsServerErrors()
         && isFullyWritten()
-        && wire().framed(response)
-        && HttpUtil.getContentLength(response, 0L) <= wire().protocol.maxAnswer();
+        && upstreamConnection().isDelimited(response)
+        && HttpUtil.getContentLength(response, 0L)
+            <= upstreamConnection().protocol.maxHeldResponseBytes();
   }
 
   /**
    * A host found fault with the request itself. Guards against a client's mistake that counts
    * against the host, or is carried on to the next one: the response is the client's.
    */
-  private void answerClientError(int status) {
+  private void forwardClientError(int status) {
     if (exchange.claim()) {
-      call.answer(status);
+      call.sendLocalResponse(status);
     }
     finish(AttemptOutcome.CANCELLED);
   }
@@ -172,16 +174,16 @@
   }
 
   /** An answer that is served: passed on while it comes, or kept until it is whole. */
-  private void collect(HttpResponse response) {
+  private void receiveBody(HttpResponse response) {
     head = response;
     headAtMillis = dispatcher().now();
     lengthBytes = HttpUtil.getContentLength(response, -1L);
-    if (lengthBytes > wire().protocol.maxStreamed()) {
+    if (lengthBytes > upstreamConnection().protocol.maxStreamedResponseBytes()) {
       onConnectionBroken(); // no answer is so long
-    } else if (!wire().bodiless(response)
-        && call.streams(lengthBytes, wire().protocol.maxAnswer())) {
-      stream();
-    } else if (lengthBytes > wire().protocol.maxAnswer()) {
+    } else if (!upstreamConnection().hasNoBody(response)
+        && call.shouldStream(lengthBytes, upstreamConnection().protocol.maxHeldResponseBytes())) {
+      startStreaming();
+    } else if (lengthBytes > upstreamConnection().protocol.maxHeldResponseBytes()) {
       onConnectionBroken(); // no answer is so long
     }
   }
@@ -190,15 +192,15 @@
    * The answer goes on while it comes, beginning with what is held of it; false if there is
    * another.
    */
-  private boolean stream() {
+  private boolean startStreaming() {
     if (!claimResponse()) {
       finish(AttemptOutcome.CANCELLED);
       return false;
     }
     streaming = true;
-    call.begin(this, head, lengthBytes);
+    call.beginStream(this, head, lengthBytes);
     if (body != null) {
-      body.retainedBlocks().forEach(this::pass);
+      body.retainedBlocks().forEach(this::writeToClient);
       body.release();
       body = null;
     }
@@ -206,56 +208,56 @@
     return streaming;
   }
 
-  private void pass(ByteBuf bytes) {
+  private void writeToClient(ByteBuf bytes) {
     streamedBytes += bytes.readableBytes();
-    if (!call.pass(bytes) && connection() != null) {
+    if (!call.writeStreamContent(bytes) && connection() != null) {
       connection().channel().config().setAutoRead(false);
     }
   }
 
   /** Part of the response's body. */
-  void content(HttpContent part) {
+  void onResponseContent(HttpContent part) {
     int partBytes = part.content().readableBytes();
     if (partBytes == 0) {
       return;
     }
     receivedAtMillis = dispatcher().now();
     if (streaming) {
-      if (streamedBytes + partBytes > wire().protocol.maxStreamed()) {
+      if (streamedBytes + partBytes > upstreamConnection().protocol.maxStreamedResponseBytes()) {
         onConnectionBroken(); // it would never end
       } else {
-        pass(part.content().retain());
+        writeToClient(part.content().retain());
       }
-    } else if (streamsByTime()) {
-      streamWith(part);
+    } else if (shouldStreamByTime()) {
+      startStreamingWith(part);
     } else {
-      hold(part, partBytes);
+      appendToBody(part, partBytes);
     }
   }
 
   /** Whether a response of no told length has been coming for long enough to be passed on. */
-  private boolean streamsByTime() {
-    return !error
+  private boolean shouldStreamByTime() {
+    return !serverError
         && lengthBytes < 0
         && dispatcher().now() - headAtMillis > STREAM_AFTER_MILLIS
-        && call.overflows();
+        && call.shouldStreamOverflow();
   }
 
-  private void streamWith(HttpContent part) {
-    if (stream()) {
-      pass(part.content().retain());
+  private void startStreamingWith(HttpContent part) {
+    if (startStreaming()) {
+      writeToClient(part.content().retain());
     }
   }
 
-  private void hold(HttpContent part, int partBytes) {
+  private void appendToBody(HttpContent part, int partBytes) {
     if (body == null) {
       body = dispatcher().newBody(lengthBytes, false);
     }
-    if (body.size() + partBytes > wire().protocol.maxAnswer()) {
-      if (error || !call.overflows()) {
+    if (body.size() + partBytes > upstreamConnection().protocol.maxHeldResponseBytes()) {
+      if (serverError || !call.shouldStreamOverflow()) {
         onConnectionBroken(); // no response is so long: this one would never end
       } else {
-        streamWith(part);
+        startStreamingWith(part);
       }
       return;
     }
@@ -274,22 +276,22 @@
   }
 
   /** The answer is whole. */
-  void end(HttpHeaders trailers) {
+  void onResponseEnd(HttpHeaders trailers) {
     Body whole = body;
     body = null;
     if (streaming) {
       streaming = false;
-      call.finish(trailers);
+      call.finishStream(trailers);
       finish(AttemptOutcome.OK);
       return;
     }
-    if (error) {
-      call.keepError(head, whole, trailers);
+    if (serverError) {
+      call.keepErrorResponse(head, whole, trailers);
       finish(AttemptOutcome.ERROR);
       return;
     }
     if (exchange.claim()) {
-      call.served(head, whole, trailers);
+      call.sendResponse(head, whole, trailers);
     } else if (whole != null) {
       whole.release();
     }
@@ -308,8 +310,8 @@
    */
   @Override
   protected boolean canOutliveDeadline() {
-    return lengthBytes > wire().protocol.maxAnswer()
-        || streamedBytes > wire().protocol.maxAnswer()
+    return lengthBytes > upstreamConnection().protocol.maxHeldResponseBytes()
+        || streamedBytes > upstreamConnection().protocol.maxHeldResponseBytes()
         || isWaitingForClient()
         || dispatcher().now() - receivedAtMillis < STREAM_STALL_MILLIS;
   }
@@ -325,11 +327,11 @@
   protected void releaseResponse() {
     dispatcher().bodyBudget().cancelAwait(resume);
     if (call.upload() != null) {
-      call.upload().endedBy(this);
+      call.upload().detach(this);
     }
     if (streaming) {
       streaming = false;
-      call.cut(); // its client sees that the answer is not whole
+      call.abortStream(); // its client sees that the answer is not whole
     }
     if (body != null) {
       body.release();
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -27,7 +27,7 @@
 
 /** An HTTP request, kept until its last attempt is over. */
 final class HttpCall implements ClientCall {
-  private static final AsciiString TIMEOUT = AsciiString.cached("X-Timeout-Ms");
+  private static final AsciiString TIMEOUT_HEADER = AsciiString.cached("X-Timeout-Ms");
 
   private final ResponseWriter client;
   private final HttpRequest head;
@@ -38,8 +38,8 @@
   private final double announcedMillis;
   private final boolean chunked;
   private Exchange exchange;
-  private HttpAttempt answering;
-  private HttpResponse error;
+  private HttpAttempt streamingAttempt;
+  private HttpResponse errorResponse;
   private Body errorBody;
   private HttpHeaders errorTrailers;
 
@@ -68,7 +68,7 @@
         headers.containsValue(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS, true);
     this.chunked =
         upload != null ? !headers.contains(HttpHeaderNames.CONTENT_LENGTH) : !trailers.isEmpty();
-    Headers.dropHopByHop(headers);
+    Headers.removeHopByHop(headers);
     if (chunked) {
       headers.remove(HttpHeaderNames.CONTENT_LENGTH);
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -103,23 +103,23 @@
 
   @Override
   public Attempt createAttempt(Exchange by, UpstreamHost host, int number, double now) {
-    forgetError(); // only an error that ends the request is passed on
+    freeErrorResponse(); // only an error that ends the request is passed on
     return new HttpAttempt(this, by, host, number, now);
   }
 
   @Override
   public boolean isReplayable() {
-    return upload == null || upload.replayable();
+    return upload == null || upload.isReplayable();
   }
 
   @Override
   public boolean isIncomplete() {
-    return upload != null && !upload.whole();
+    return upload != null && !upload.isComplete();
   }
 
   @Override
   public boolean hasClientDisconnected() {
-    return (upload == null || upload.whole()) && client.abandoned();
+    return (upload == null || upload.isComplete()) && client.closeIfDisconnected();
   }
 
   @Override
@@ -132,7 +132,7 @@
   }
 
   /** The body has come whole. */
-  void whole() {
+  void onUploadComplete() {
     if (announcedMillis > 0) {
       exchange.restartDeadline(announcedMillis);
     }
@@ -141,7 +141,7 @@
   ChannelFuture writeTo(Channel channel, long remainingMs) {
     HttpHeaders headers = head.headers();
     headers.set(
-        TIMEOUT,
+        TIMEOUT_HEADER,
         announcedMillis > 0 && isIncomplete()
             ? (long) announcedMillis
             : remainingMs); // a host counts from the last byte
@@ -157,7 +157,7 @@
               head.uri(),
               Unpooled.EMPTY_BUFFER,
               headers,
-              Headers.NONE));
+              Headers.EMPTY));
     }
     List<ByteBuf> blocks = body == null ? List.of() : body.retainedBlocks();
     if (blocks.size() == 1 && !chunked) {
@@ -168,24 +168,24 @@
               head.uri(),
               blocks.get(0),
               headers,
-              Headers.NONE));
+              Headers.EMPTY));
     }
     channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
     for (ByteBuf block : blocks) {
       channel.write(new DefaultHttpContent(block));
     }
-    return channel.writeAndFlush(last(trailers));
+    return channel.writeAndFlush(lastContent(trailers));
   }
 
   /** The end of a chunked body, with its trailers. */
-  static LastHttpContent last(HttpHeaders trailers) {
+  static LastHttpContent lastContent(HttpHeaders trailers) {
     return trailers.isEmpty()
         ? LastHttpContent.EMPTY_LAST_CONTENT
         : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
   }
 
-  void served(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
-    client.answer(response, response.status(), whole, Headers.passable(responseTrailers));
+  void sendResponse(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
+    client.send(response, response.status(), whole, Headers.forwardableTrailers(responseTrailers));
   }
 
   // --- an answer that streams
@@ -194,53 +194,53 @@
    * Whether an answer goes on while it comes whose length is this (-1 for not told), and of which
    * more than {@code maxHeldBytes} can't be held.
    */
-  boolean streams(long lengthBytes, int maxHeldBytes) {
+  boolean shouldStream(long lengthBytes, int maxHeldBytes) {
     return client.canStream(lengthBytes)
         && (streaming == Streaming.ALWAYS
             || (streaming == Streaming.LARGE && lengthBytes > maxHeldBytes));
   }
 
   /** Whether an answer of no told length goes on while it comes once it is too long to be held. */
-  boolean overflows() {
+  boolean shouldStreamOverflow() {
     return streaming == Streaming.LARGE && client.canStream(-1);
   }
 
-  void begin(HttpAttempt attempt, HttpResponse response, long lengthBytes) {
-    answering = attempt;
-    client.begin(response, lengthBytes);
+  void beginStream(HttpAttempt attempt, HttpResponse response, long lengthBytes) {
+    streamingAttempt = attempt;
+    client.beginStream(response, lengthBytes);
   }
 
-  boolean pass(ByteBuf bytes) {
-    return client.pass(bytes);
+  boolean writeStreamContent(ByteBuf bytes) {
+    return client.writeStreamContent(bytes);
   }
 
-  void finish(HttpHeaders responseTrailers) {
-    answering = null;
-    client.finish(Headers.passable(responseTrailers));
+  void finishStream(HttpHeaders responseTrailers) {
+    streamingAttempt = null;
+    client.finishStream(Headers.forwardableTrailers(responseTrailers));
   }
 
-  void cut() {
-    answering = null;
-    client.cut();
+  void abortStream() {
+    streamingAttempt = null;
+    client.abortStream();
   }
 
   /** The client takes more of the answer. */
-  void writable() {
-    if (answering != null) {
-      answering.clientTakesMore();
+  void onClientWritable() {
+    if (streamingAttempt != null) {
+      streamingAttempt.onClientWritable();
     }
   }
 
   // --- an error of a host's that may end the request
 
-  void keepError(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
-    error = response;
+  void keepErrorResponse(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
+    errorResponse = response;
     errorBody = whole;
     errorTrailers = responseTrailers;
   }
 
-  private void forgetError() {
-    error = null;
+  private void freeErrorResponse() {
+    errorResponse = null;
     if (errorBody != null) {
       errorBody.release();
       errorBody = null;
@@ -251,43 +251,43 @@
    * Passes the error on. Guards rule 2 against a host's own 503: to a client it says that sending
    * again is harmless, which holds only where the class may be repeated or nothing has run.
    */
-  private void passError(boolean refused) {
-    HttpResponse response = error;
+  private void forwardErrorResponse(boolean refused) {
+    HttpResponse response = errorResponse;
     Body whole = errorBody;
-    error = null;
+    errorResponse = null;
     errorBody = null;
     HttpResponseStatus status =
         response.status().code() == 503 && !refused
             ? HttpResponseStatus.BAD_GATEWAY
             : response.status();
-    client.error(response, status, whole, Headers.passable(errorTrailers));
+    client.sendError(response, status, whole, Headers.forwardableTrailers(errorTrailers));
   }
 
-  void answer(int status) {
-    client.answer(status, 0);
+  void sendLocalResponse(int status) {
+    client.send(status, 0);
   }
 
   @Override
   public void sendRejection(double coolDownMs) {
-    if (error != null) {
-      passError(true); // its attempts are used up, and the last of them says why
+    if (errorResponse != null) {
+      forwardErrorResponse(true); // its attempts are used up, and the last of them says why
     } else {
-      client.answer(503, coolDownMs);
+      client.send(503, coolDownMs);
     }
   }
 
   @Override
   public void sendFailure(boolean timeUp) {
-    if (error != null && !timeUp) {
-      passError(false);
+    if (errorResponse != null && !timeUp) {
+      forwardErrorResponse(false);
     } else {
-      client.answer(timeUp ? 504 : 502, 0);
+      client.send(timeUp ? 504 : 502, 0);
     }
   }
 
   @Override
   public void free() {
-    forgetError();
+    freeErrorResponse();
     if (body != null) {
       body.release();
     }
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -29,7 +29,7 @@
    * Connections looked at for one accept where another listens. Guards against a crowd of thousands
    * whose every connect costs a look at all of them, until nobody reads that they have gone.
    */
-  private static final int MAX_EVICTION_LOOKS = 32;
+  private static final int MAX_EVICTION_CANDIDATES = 32;
 
   /** How long (ms) the listener rests where nothing can make room yet. */
   private static final long ACCEPT_PAUSE_MILLIS = 20;
@@ -41,13 +41,13 @@
   private final HttpServerSettings settings;
   private RequestFilter filter;
   private final ClientConnections connections = new ClientConnections();
-  private final Set<String> openIds = new HashSet<>();
+  private final Set<String> openRequestIds = new HashSet<>();
   private Listener listener;
   private boolean draining;
   private int openCalls;
-  private long awaySince;
-  private long refusedForMemory;
-  private long refusedForSockets;
+  private long sheddingSinceNanos;
+  private long memoryRejections;
+  private long socketRejections;
 
   /** A server of one loop; it listens itself, or is given what another has accepted. */
   public HttpServer(
@@ -68,10 +68,11 @@
 
   /** Listens, beside other processes that do; throws what the bind throws. */
   public void listen(EventLoopGroup loop, InetSocketAddress address) throws Exception {
-    AcceptBackoffHandler backoff = new AcceptBackoffHandler(log::line, this::acceptsAgain);
+    AcceptBackoffHandler backoff = new AcceptBackoffHandler(log::line, this::onAcceptResumed);
     listener =
         (Listener)
-            ServerSockets.bootstrap(loop, Listener.class, Listener.BACKLOG, backoff, this::accepted)
+            ServerSockets.bootstrap(
+                    loop, Listener.class, Listener.BACKLOG, backoff, this::onAccepted)
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .option(
                     ChannelOption.RECVBUF_ALLOCATOR,
@@ -92,34 +93,34 @@
   }
 
   /** Another process listens in this one's place: closes the socket once its backlog is empty. */
-  public void leaveListening() {
-    listener.takeRestAndClose();
+  public void stopListening() {
+    listener.acceptBacklogAndClose();
   }
 
   /**
    * Sends clients away, or no longer: every answer asks to leave, and a connection goes once
    * nothing has come on it for a while.
    */
-  public void sendAway(boolean away) {
-    draining = away;
-    awaySince = away ? System.nanoTime() : 0;
+  public void setClientShedding(boolean enabled) {
+    draining = enabled;
+    sheddingSinceNanos = enabled ? System.nanoTime() : 0;
   }
 
   /**
    * Guards against clients that ask once and stay, where each of their requests comes on a new
    * connection.
    */
-  boolean crowded() {
+  boolean isCrowded() {
     return sockets.isNearClientLimit();
   }
 
   /** Since when (ns) clients are sent away, 0 if they are not. */
-  long awaySince() {
-    return awaySince;
+  long sheddingSinceNanos() {
+    return sheddingSinceNanos;
   }
 
   /** Takes a connection that has been accepted; called on its loop. */
-  public void accepted(SocketChannel channel) {
+  public void onAccepted(SocketChannel channel) {
     RequestDecoder decoder = new RequestDecoder();
     sockets.onClientOpened();
     // Not with the handlers: they never hear of a connection that was reset before its turn.
@@ -128,8 +129,8 @@
         new ClientConnection(this, channel, decoder, earliestAcceptNanos());
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
     if (listener != null) {
-      makeRoom();
-    } else if (!sockets.hasRoomForClient() && !connections.evictOne(MAX_EVICTION_LOOKS)) {
+      ensureClientCapacity();
+    } else if (!sockets.hasRoomForClient() && !connections.evictOne(MAX_EVICTION_CANDIDATES)) {
       // Another accepts for many: what can make no room of its own is the newcomer.
       channel.close();
     }
@@ -149,7 +150,7 @@
    * backlog for a moment. It also catches clients that leave connections behind. It does harm where
    * a usual client connects long before it speaks, and only in a crowd.
    */
-  private void makeRoom() {
+  private void ensureClientCapacity() {
     while (!sockets.hasRoomForClient()) {
       if (!connections.evictOne(Integer.MAX_VALUE)) {
         pauseAccepting();
@@ -169,20 +170,20 @@
 
   /** An upstream connection needs the place of a client that can be spared; false if none can. */
   private boolean evictForUpstream() {
-    return connections.evictOne(listener == null ? MAX_EVICTION_LOOKS : Integer.MAX_VALUE);
+    return connections.evictOne(listener == null ? MAX_EVICTION_CANDIDATES : Integer.MAX_VALUE);
   }
 
   /** The listener had to wait for the system; it may accept before it is known here. */
-  private void acceptsAgain() {
+  private void onAcceptResumed() {
     if (listener != null) {
-      makeRoom();
+      ensureClientCapacity();
     }
   }
 
   private void resumeAccepting() {
     if (listener.isOpen()) {
       listener.config().setAutoRead(true);
-      makeRoom();
+      ensureClientCapacity();
     }
   }
 
@@ -200,68 +201,68 @@
   }
 
   /** A request has been given to the engine. */
-  void callBegan() {
+  void onCallStarted() {
     openCalls++;
   }
 
   /** Such a request has its answer, or its client has gone. */
-  void callEnded() {
+  void onCallEnded() {
     openCalls--;
   }
 
   /** Whether there is a connection to a host to be had for one more. */
-  boolean roomForRequest() {
+  boolean hasUpstreamCapacity() {
     return sockets.hasRoomForRequest(openCalls);
   }
 
   /** Takes the id of a request; false if a request that is open has it. */
-  boolean openId(String id) {
-    return openIds.add(id);
+  boolean claimRequestId(String id) {
+    return openRequestIds.add(id);
   }
 
-  void closeId(String id) {
-    openIds.remove(id);
+  void releaseRequestId(String id) {
+    openRequestIds.remove(id);
   }
 
   /** The client proxy goes: answers tell clients to move off, and idle connections are closed. */
   public void drain() {
     draining = true;
-    connections.closeAtDrain();
+    connections.closeIdleForDrain();
   }
 
   /**
    * Nobody new is expected, and nobody may stay: closes what carries nothing and had time to speak.
    * A request that crosses that close comes again, on a new connection. True if any was closed.
    */
-  public boolean clear() {
-    return connections.closeClosable();
+  public boolean closeIdleConnections() {
+    return connections.closeIdle();
   }
 
   /**
    * No more time: each request that is open is answered as failed, and what has not come whole is
    * turned away.
    */
-  public void giveUp() {
-    connections.terminate();
+  public void terminateConnections() {
+    connections.terminateAll();
   }
 
   /** Whether responses ask their clients to leave. */
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
   /** Whether no client is connected. */
-  public boolean empty() {
+  public boolean hasNoClients() {
     return connections.isEmpty();
   }
 
   /** Whether anything that was taken, or is being taken, has no answer yet. */
-  public boolean busy() {
-    return connections.busy();
+  public boolean hasPendingRequests() {
+    return connections.hasPendingRequests();
   }
 
   /** Ends what takes too long; to be called a few times a second. */
-  public void sweep() {
+  public void enforceTimeouts() {
     connections.enforceTimeouts();
   }
 
@@ -269,12 +270,12 @@
     return transport;
   }
 
-  void refusedForMemory() {
-    log.line("out of memory for bodies: " + ++refusedForMemory + " requests refused unsent");
+  void recordMemoryRejection() {
+    log.line("out of memory for bodies: " + ++memoryRejections + " requests refused unsent");
   }
 
-  void refusedForSockets() {
-    log.line("out of sockets: " + ++refusedForSockets + " requests refused unsent");
+  void recordSocketRejection() {
+    log.line("out of sockets: " + ++socketRejections + " requests refused unsent");
   }
 
   /** The bounds of its connections. */
@@ -289,8 +290,8 @@
   /**
    * From the next head on, this filter judges; requests that were taken before go on under theirs.
    */
-  public void setFilter(RequestFilter next) {
-    filter = next;
+  public void setFilter(RequestFilter newFilter) {
+    filter = newFilter;
   }
 
   BodyBudget budget() {
--- a/src/main/java/leadferry/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -23,13 +23,13 @@
 final class HttpUpstreamConnection extends UpstreamConnection {
   /** Tells of bytes that came behind the end of an answer. */
   static final class Decoder extends HttpResponseDecoder {
-    private boolean bodiless;
+    private boolean expectsNoBody;
 
     Decoder(HttpDecoderConfig config) {
       super(config);
     }
 
-    boolean surplus() {
+    boolean hasSurplusBytes() {
       return actualReadableBytes() > 0;
     }
 
@@ -45,7 +45,7 @@
     /** The answer to a HEAD has no body, whatever length it tells (RFC 9112, 6.3). */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-      return super.isContentAlwaysEmpty(message) || bodiless;
+      return super.isContentAlwaysEmpty(message) || expectsNoBody;
     }
 
     @Override
@@ -55,25 +55,25 @@
     }
   }
 
-  private enum Reply {
+  private enum ResponseState {
     NONE,
     INTERIM,
     BODY,
     /**
      * The attempt is over, the rest of its answer is thrown away so that the connection can stay.
      */
-    UNWANTED
+    DISCARDING
   }
 
   /** What of an unwanted answer is read before the connection is given up instead. */
-  private static final int UNWANTED_BYTES = 64 * 1024;
+  private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
   private final Decoder decoder;
   final HttpProtocol protocol;
-  private Reply reply = Reply.NONE;
-  private boolean keep;
-  private boolean untilClose;
-  private int unwanted;
+  private ResponseState responseState = ResponseState.NONE;
+  private boolean keepAlive;
+  private boolean closeDelimited;
+  private int discardedBytes;
 
   HttpUpstreamConnection(
       UpstreamConnectionPool pool,
@@ -88,38 +88,38 @@
 
   @Override
   protected void prepareForAttempt() {
-    reply = Reply.NONE;
-    keep = true;
-    untilClose = false;
-    decoder.bodiless = false;
+    responseState = ResponseState.NONE;
+    keepAlive = true;
+    closeDelimited = false;
+    decoder.expectsNoBody = false;
   }
 
   /** The present request is a HEAD. */
   void expectNoBody() {
-    decoder.bodiless = true;
+    decoder.expectsNoBody = true;
   }
 
   /** The present answer ends with the connection, if that ends in order. */
-  private void endsWithConnection() {
-    untilClose = true;
+  private void markCloseDelimited() {
+    closeDelimited = true;
   }
 
   /** Whether this response to the present request has no body, whatever its head says. */
-  boolean bodiless(HttpResponse response) {
+  boolean hasNoBody(HttpResponse response) {
     int status = response.status().code();
-    return decoder.bodiless || status == 204 || status == 304;
+    return decoder.expectsNoBody || status == 204 || status == 304;
   }
 
   /** Whether the end of the response can be told from its connection's. */
-  boolean framed(HttpResponse response) {
+  boolean isDelimited(HttpResponse response) {
     HttpHeaders headers = response.headers();
-    if (bodiless(response)) {
+    if (hasNoBody(response)) {
       return true;
     }
     boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
     boolean sized = headers.contains(HttpHeaderNames.CONTENT_LENGTH);
-    if (!chunked && !sized && protocol.untilClose() && !HttpUtil.isKeepAlive(response)) {
-      endsWithConnection();
+    if (!chunked && !sized && protocol.allowsCloseDelimited() && !HttpUtil.isKeepAlive(response)) {
+      markCloseDelimited();
       return true;
     }
     return chunked != sized && (!chunked || HttpUtil.isTransferEncodingChunked(response));
@@ -127,13 +127,13 @@
 
   @Override
   protected boolean hasResponseBytes() {
-    return reply != Reply.NONE;
+    return responseState != ResponseState.NONE;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object msg) {
     try {
-      if (attempt() == null && reply != Reply.UNWANTED) {
+      if (attempt() == null && responseState != ResponseState.DISCARDING) {
         // Guards against surplus bytes of one answer that would be taken for the next one's.
         onSurplusBytes();
         return;
@@ -144,10 +144,10 @@
         return;
       }
       if (part instanceof HttpResponse head) {
-        head(head);
+        onHead(head);
       }
-      if (part instanceof HttpContent content && (channel().isOpen() || untilClose)) {
-        content(content);
+      if (part instanceof HttpContent content && (channel().isOpen() || closeDelimited)) {
+        onContent(content);
       }
     } finally {
       ReferenceCountUtil.release(msg);
@@ -157,72 +157,74 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (attempt() != null) {
-      ((HttpAttempt) attempt()).hostWritable();
+      ((HttpAttempt) attempt()).onUpstreamWritabilityChanged();
     }
   }
 
-  private void head(HttpResponse head) {
+  private void onHead(HttpResponse head) {
     HttpStatusClass kind = head.status().codeClass();
     if (kind == HttpStatusClass.INFORMATIONAL) {
       if (head.status().code() == 101) {
         onConnectionLost(); // nobody asked for another protocol
       } else {
-        reply = Reply.INTERIM;
+        responseState = ResponseState.INTERIM;
       }
       return;
     }
     int major = head.protocolVersion().majorVersion();
     HttpAttempt attempt = (HttpAttempt) attempt();
-    if (major != 1 || (reply != Reply.NONE && reply != Reply.INTERIM) || attempt == null) {
+    if (major != 1
+        || (responseState != ResponseState.NONE && responseState != ResponseState.INTERIM)
+        || attempt == null) {
       onConnectionLost(); // no HTTP of ours, or a second answer, which belongs to no attempt
       return;
     }
-    reply = Reply.BODY;
-    keep = HttpUtil.isKeepAlive(head);
-    attempt.head(head);
+    responseState = ResponseState.BODY;
+    keepAlive = HttpUtil.isKeepAlive(head);
+    attempt.onResponseHead(head);
   }
 
-  private void content(HttpContent part) {
-    boolean last = part instanceof LastHttpContent;
-    if (reply == Reply.INTERIM) {
-      reply = last ? Reply.NONE : reply;
+  private void onContent(HttpContent part) {
+    boolean isLast = part instanceof LastHttpContent;
+    if (responseState == ResponseState.INTERIM) {
+      responseState = isLast ? ResponseState.NONE : responseState;
       return;
     }
     HttpAttempt attempt = (HttpAttempt) attempt();
     if (attempt != null) {
-      attempt.content(part);
-      if (last && attempt() == attempt) {
+      attempt.onResponseContent(part);
+      if (isLast && attempt() == attempt) {
         // An answer ahead of the request's last byte leaves a half-sent request behind it.
-        keep &= attempt.sentWhole();
-        ended();
-        attempt.end(((LastHttpContent) part).trailingHeaders());
+        keepAlive &= attempt.isRequestFullySent();
+        onResponseEnd();
+        attempt.onResponseEnd(((LastHttpContent) part).trailingHeaders());
       }
     } else {
-      unwanted += part.content().readableBytes();
-      if (last) {
-        ended();
-      } else if (unwanted > UNWANTED_BYTES) {
+      discardedBytes += part.content().readableBytes();
+      if (isLast) {
+        onResponseEnd();
+      } else if (discardedBytes > MAX_DISCARDED_BYTES) {
         channel().close();
       }
     }
   }
 
-  private void ended() {
-    reply = Reply.NONE;
-    boolean surplus = decoder.surplus();
+  private void onResponseEnd() {
+    responseState = ResponseState.NONE;
+    boolean surplus = decoder.hasSurplusBytes();
     if (surplus) {
       onSurplusBytes();
     }
-    onResponseComplete(keep && !surplus);
+    onResponseComplete(keepAlive && !surplus);
   }
 
   /** The attempt has learned all it needs from the head; the connection may still be of use. */
-  void discardRest() {
+  void discardRemainder() {
     if (attempt() != null) {
-      keep &= ((HttpAttempt) attempt()).sentWhole();
-      reply = Reply.UNWANTED;
-      unwanted = 0;
-      detach(keep);
+      keepAlive &= ((HttpAttempt) attempt()).isRequestFullySent();
+      responseState = ResponseState.DISCARDING;
+      discardedBytes = 0;
+      detach(keepAlive);
     }
   }
 }
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -20,10 +20,10 @@
   static final int BACKLOG = 1_024;
 
   private long lastTurn;
-  private boolean queueMayHoldMore;
-  private int acceptedSinceLook;
+  private boolean queueMayBeNonEmpty;
+  private int acceptedSinceQueueCheck;
   private long queueEmptyAtNanos = System.nanoTime();
-  private long lookBeganNanos;
+  private long queueCheckStartNanos;
   private boolean closing;
 
   /**
@@ -42,32 +42,32 @@
   }
 
   /** Begins a look at the queue, unless this turn has begun one. */
-  private void look() {
+  private void beginQueueCheck() {
     long turn = ReadLagTracker.loopIterations();
     if (turn == lastTurn && turn != 0) {
       return;
     }
-    if (!queueMayHoldMore || turn != lastTurn + 1 || turn == 0) {
+    if (!queueMayBeNonEmpty || turn != lastTurn + 1 || turn == 0) {
       queueEmptyAtNanos = System.nanoTime() - ReadLagTracker.lagNanos();
-      lookBeganNanos = System.nanoTime();
-      acceptedSinceLook = 0;
-    } else if (acceptedSinceLook > BACKLOG) {
-      queueEmptyAtNanos = lookBeganNanos; // all that stood there then have been taken
-      lookBeganNanos = System.nanoTime();
-      acceptedSinceLook = 0;
+      queueCheckStartNanos = System.nanoTime();
+      acceptedSinceQueueCheck = 0;
+    } else if (acceptedSinceQueueCheck > BACKLOG) {
+      queueEmptyAtNanos = queueCheckStartNanos; // all that stood there then have been taken
+      queueCheckStartNanos = System.nanoTime();
+      acceptedSinceQueueCheck = 0;
     }
     lastTurn = turn;
-    queueMayHoldMore = true;
+    queueMayBeNonEmpty = true;
   }
 
   @Override
   protected SocketChannel acceptNext() throws IOException {
-    look();
+    beginQueueCheck();
     SocketChannel next = super.acceptNext();
     if (next == null) {
-      queueMayHoldMore = false;
+      queueMayBeNonEmpty = false;
     } else {
-      acceptedSinceLook++;
+      acceptedSinceQueueCheck++;
     }
     return next;
   }
@@ -83,37 +83,37 @@
    * between the last look and the close is lost still. A failed accept says nothing of those who
    * wait, so it is tried again, for 0.2 s.
    */
-  void takeRestAndClose() {
+  void acceptBacklogAndClose() {
     if (!closing) {
       closing = true;
-      takeRest(0);
+      acceptBacklog(0);
     }
   }
 
-  private void takeRest(int earlierFailures) {
+  private void acceptBacklog(int earlierFailures) {
     if (!isOpen()) {
       return;
     }
-    List<Object> rest = new ArrayList<>();
-    boolean all = takeAll(rest);
-    rest.forEach(pipeline()::fireChannelRead);
+    List<Object> accepted = new ArrayList<>();
+    boolean backlogEmpty = acceptAll(accepted);
+    accepted.forEach(pipeline()::fireChannelRead);
     pipeline().fireChannelReadComplete();
-    int failedLooks = earlierFailures + 1;
-    if (all || !AcceptRetryPolicy.shouldRetryBeforeClose(failedLooks)) {
+    int failedAttempts = earlierFailures + 1;
+    if (backlogEmpty || !AcceptRetryPolicy.shouldRetryBeforeClose(failedAttempts)) {
       close();
     } else {
       eventLoop()
           .schedule(
-              () -> takeRest(failedLooks),
+              () -> acceptBacklog(failedAttempts),
               AcceptRetryPolicy.CLOSE_RETRY_MILLIS,
               TimeUnit.MILLISECONDS);
     }
   }
 
   /** Whether nobody waits any more, as far as can be told. */
-  private boolean takeAll(List<Object> into) {
+  private boolean acceptAll(List<Object> accepted) {
     try {
-      while (doReadMessages(into) > 0) {
+      while (doReadMessages(accepted) > 0) {
         // until nobody waits
       }
       return true;
--- a/src/main/java/leadferry/http/LoadReportHeaders.java
+++ b/src/main/java/leadferry/http/LoadReportHeaders.java
@@ -7,10 +7,10 @@
   static final String HEADER = "X-Server-Load";
 
   /** No host holds or does more; guards against a figure that would drown all means. */
-  private static final double MAX_FIGURE = 1e6;
+  private static final double MAX_VALUE = 1e6;
 
   /** Figures of a report. */
-  private static final int FIELDS = 6;
+  private static final int FIELD_COUNT = 6;
 
   /** Pairs that are looked at. */
   private static final int MAX_PAIRS = 16;
@@ -18,35 +18,35 @@
   private LoadReportHeaders() {}
 
   /** The report in {@code text}, or null where there is none or it can't be read as a whole. */
-  static LoadReport read(String text) {
+  static LoadReport parse(String text) {
     if (text == null) {
       return null;
     }
-    double[] figures = new double[FIELDS];
-    java.util.Arrays.fill(figures, Double.NaN);
-    boolean any = false;
+    double[] values = new double[FIELD_COUNT];
+    java.util.Arrays.fill(values, Double.NaN);
+    boolean anyFound = false;
     for (String pair : text.split(",", MAX_PAIRS)) {
       int equals = pair.indexOf('=');
-      int field = equals < 0 ? -1 : field(pair.substring(0, equals).trim());
+      int field = equals < 0 ? -1 : fieldIndex(pair.substring(0, equals).trim());
       if (field >= 0) {
         try {
-          double figure = Double.parseDouble(pair.substring(equals + 1).trim());
-          if (!(figure >= 0 && figure <= MAX_FIGURE)) {
+          double value = Double.parseDouble(pair.substring(equals + 1).trim());
+          if (!(value >= 0 && value <= MAX_VALUE)) {
             return null;
           }
-          figures[field] = figure;
-          any = true;
+          values[field] = value;
+          anyFound = true;
         } catch (NumberFormatException e) {
           return null; // who spoils one figure can't be trusted with the others
         }
       }
     }
-    return any
-        ? new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5])
+    return anyFound
+        ? new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5])
         : null;
   }
 
-  private static int field(String name) {
+  private static int fieldIndex(String name) {
     return switch (name) {
       case "rif", "inflight" -> 0;
       case "q", "queue" -> 1;
--- a/src/main/java/leadferry/http/Networks.java
+++ b/src/main/java/leadferry/http/Networks.java
@@ -12,7 +12,7 @@
  */
 public final class Networks {
   private record Network(byte[] address, int bits) {
-    boolean holds(byte[] other) {
+    boolean contains(byte[] other) {
       if (other.length != address.length) {
         return false;
       }
@@ -31,7 +31,7 @@
   /**
    * These networks.
    *
-   * @throws IllegalArgumentException if a text is none, see {@link #fault}
+   * @throws IllegalArgumentException if a text is none, see {@link #isInvalid}
    */
   public Networks(List<String> texts) {
     for (String text : texts) {
@@ -44,7 +44,7 @@
   }
 
   /** Whether this text names no network. */
-  public static boolean fault(String text) {
+  public static boolean isInvalid(String text) {
     return parse(text) == null;
   }
 
@@ -56,15 +56,15 @@
       return null;
     }
     int maxBits = address.length * 8;
-    double bits = slash < 0 ? maxBits : Framing.whole(text.substring(slash + 1));
+    double bits = slash < 0 ? maxBits : Framing.parseWholeNumber(text.substring(slash + 1));
     return bits >= 0 && bits <= maxBits ? new Network(address, (int) bits) : null;
   }
 
   /** Whether one of them holds the address. */
-  public boolean hold(InetAddress address) {
+  public boolean contains(InetAddress address) {
     byte[] bytes = address.getAddress();
     for (int i = 0; i < networks.size(); i++) {
-      if (networks.get(i).holds(bytes)) {
+      if (networks.get(i).contains(bytes)) {
         return true;
       }
     }
@@ -72,7 +72,7 @@
   }
 
   /** The address that a text writes, or null; names are not looked up. */
-  static InetAddress address(String text) {
+  static InetAddress parseAddress(String text) {
     byte[] bytes = NetUtil.createByteArrayFromIpAddressString(text);
     try {
       return bytes == null ? null : InetAddress.getByAddress(bytes);
--- a/src/main/java/leadferry/http/PipelineQueue.java
+++ b/src/main/java/leadferry/http/PipelineQueue.java
@@ -54,14 +54,14 @@
     channel.config().setAutoRead(false);
     parts.add(new QueuedPart(ReferenceCountUtil.retain(part), receivedAtNanos));
     if (part instanceof LastHttpContent && ++wholeRequests >= maxQueuedRequests) {
-      decoder.hold();
+      decoder.pause();
     }
   }
 
   /** A response has gone: takes the next request, on the loop's next turn. */
   void scheduleDrain() {
     if (!drainScheduled
-        && (!parts.isEmpty() || decoder.holds() || !channel.config().isAutoRead())) {
+        && (!parts.isEmpty() || decoder.isPaused() || !channel.config().isAutoRead())) {
       drainScheduled = true;
       channel.eventLoop().execute(this::drain);
     }
@@ -69,36 +69,36 @@
 
   private void drain() {
     drainScheduled = false;
-    takeQueuedParts();
-    if (!awaitsRequest() || !channel.isActive()) {
+    processQueuedParts();
+    if (!canTakeNextRequest() || !channel.isActive()) {
       return;
     }
-    if (decoder.active()) {
+    if (decoder.isInPipeline()) {
       resumeDecoder();
     }
-    if (connection.call() == null && parts.isEmpty() && !intake.paused()) {
+    if (connection.call() == null && parts.isEmpty() && !intake.isPaused()) {
       channel.config().setAutoRead(true);
     }
   }
 
-  private void takeQueuedParts() {
+  private void processQueuedParts() {
     QueuedPart next;
     while (connection.call() == null
-        && connection.takesRequests()
+        && connection.acceptsRequests()
         && (next = parts.poll()) != null) {
       if (next.part() instanceof LastHttpContent) {
         wholeRequests--;
       }
       try {
-        intake.take(next.part(), next.receivedAtNanos());
+        intake.onPart(next.part(), next.receivedAtNanos());
       } finally {
         ReferenceCountUtil.release(next.part());
       }
     }
   }
 
-  private boolean awaitsRequest() {
-    return connection.call() == null && parts.isEmpty() && connection.takesRequests();
+  private boolean canTakeNextRequest() {
+    return connection.call() == null && parts.isEmpty() && connection.acceptsRequests();
   }
 
   private void resumeDecoder() {
--- a/src/main/java/leadferry/http/RequestAdmission.java
+++ b/src/main/java/leadferry/http/RequestAdmission.java
@@ -30,18 +30,18 @@
    * first. Its id stays claimed until {@link #releaseId}.
    */
   Decision decide(HttpRequest request, Dispatcher pool, boolean first) {
-    if ((first || !server.settings().daemon()) && client.closeIfGone()) {
+    if ((first || !server.settings().daemon()) && client.closeIfDisconnected()) {
       return Decision.CLIENT_GONE;
     }
     if (!claimId(request)) {
       return Decision.DUPLICATE_ID;
     }
-    return poolFull(pool) ? Decision.POOL_FULL : Decision.ADMITTED;
+    return isPoolFull(pool) ? Decision.POOL_FULL : Decision.ADMITTED;
   }
 
   /** Decides on a request whose body is still to come. */
   Decision decideStreamed(HttpRequest request, Dispatcher pool) {
-    if (poolFull(pool)) {
+    if (isPoolFull(pool)) {
       return Decision.POOL_FULL;
     }
     return claimId(request) ? Decision.ADMITTED : Decision.DUPLICATE_ID;
@@ -49,11 +49,11 @@
 
   /** Claims the request's id where it must be the only one that is open; false if it is not. */
   private boolean claimId(HttpRequest request) {
-    if (!server.settings().uniqueIds()) {
+    if (!server.settings().requiresUniqueIds()) {
       return true;
     }
     String id = request.headers().get("X-Request-ID");
-    if (!server.openId(id)) {
+    if (!server.claimRequestId(id)) {
       return false;
     }
     claimedId = id;
@@ -63,16 +63,16 @@
   /** The request has its response, or never gets one. */
   void releaseId() {
     if (claimedId != null) {
-      server.closeId(claimedId);
+      server.releaseRequestId(claimedId);
       claimedId = null;
     }
   }
 
-  private boolean poolFull(Dispatcher pool) {
-    if (pool.openRequests() < server.settings().maxOpen() && server.roomForRequest()) {
+  private boolean isPoolFull(Dispatcher pool) {
+    if (pool.openRequests() < server.settings().maxOpenRequests() && server.hasUpstreamCapacity()) {
       return false;
     }
-    server.refusedForSockets();
+    server.recordSocketRejection();
     return true;
   }
 }
--- a/src/main/java/leadferry/http/RequestBodyBuffer.java
+++ b/src/main/java/leadferry/http/RequestBodyBuffer.java
@@ -32,16 +32,16 @@
   RequestBodyBuffer(HttpServer server, SocketChannel channel) {
     this.channel = channel;
     this.budget = server.budget();
-    this.maxHeldBytes = server.settings().maxBody();
+    this.maxHeldBytes = server.settings().maxHeldBodyBytes();
   }
 
   /** Bytes that are held. */
-  long size() {
+  long heldBytes() {
     return body == null ? 0 : body.size();
   }
 
   /** Whether reading waits for memory. */
-  boolean paused() {
+  boolean isPaused() {
     return paused;
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** The body has come whole: hands it over, and waits for memory no longer. */
-  Body complete() {
+  Body takeComplete() {
     budget.cancelAwait(resume);
     if (paused) {
       resumeReading();
--- a/src/main/java/leadferry/http/RequestBodyUpload.java
+++ b/src/main/java/leadferry/http/RequestBodyUpload.java
@@ -23,113 +23,117 @@
  */
 final class RequestBodyUpload {
   /** Bytes of a body that are kept for another attempt. */
-  static final int REPLAY = 64 * 1024;
+  static final int MAX_REPLAY_BYTES = 64 * 1024;
 
   /** What one read may bring past the bound before the client is held. */
-  private static final int READ = 16 * 1024;
+  private static final int MAX_READ_BYTES = 16 * 1024;
 
   private final RequestIntake client;
   private final BodyBudget budget;
-  private final Body kept;
-  private HttpAttempt taker;
+  private final Body replayBuffer;
+  private HttpAttempt currentAttempt;
   private HttpHeaders trailers;
   private boolean replayable = true;
-  private long received;
-  private long lastAt = System.nanoTime();
-  private boolean waits;
+  private long receivedBytes;
+  private long lastReceivedNanos = System.nanoTime();
+  private boolean readingPaused;
 
   /** A body of which {@code come} has come already, or null; it is this upload's now. */
-  RequestBodyUpload(RequestIntake client, Dispatcher pool, Body come, BodyBudget budget) {
+  RequestBodyUpload(RequestIntake client, Dispatcher pool, Body receivedBody, BodyBudget budget) {
     this.client = client;
     this.budget = budget;
-    this.kept = come == null ? pool.newBody(-1, true) : come;
-    this.received = kept.size();
+    this.replayBuffer = receivedBody == null ? pool.newBody(-1, true) : receivedBody;
+    this.receivedBytes = replayBuffer.size();
   }
 
   /** Bytes that have come. */
-  long received() {
-    return received;
+  long receivedBytes() {
+    return receivedBytes;
   }
 
   /** Part of the body; the bytes stay the caller's. */
-  void content(ByteBuf bytes) {
-    lastAt = System.nanoTime();
-    received += bytes.readableBytes();
+  void onContent(ByteBuf bytes) {
+    lastReceivedNanos = System.nanoTime();
+    receivedBytes += bytes.readableBytes();
     ByteBuf part = bytes.retainedDuplicate();
     if (replayable) {
-      kept.append(bytes);
-      if (taker != null && (received > REPLAY || budget.isFull(received))) {
-        letGo();
+      replayBuffer.append(bytes);
+      if (currentAttempt != null
+          && (receivedBytes > MAX_REPLAY_BYTES || budget.isFull(receivedBytes))) {
+        discardReplayBuffer();
       }
     }
-    if (taker != null) {
-      taker.upload(part);
+    if (currentAttempt != null) {
+      currentAttempt.writeUploadContent(part);
     } else {
       part.release();
     }
-    flow();
+    updateFlowControl();
   }
 
   /** Its end has come, with these trailers. */
-  void end(HttpHeaders with) {
-    trailers = with;
-    kept.onRequestComplete();
-    if (taker != null) {
-      taker.uploadEnds(with);
+  void onEnd(HttpHeaders receivedTrailers) {
+    trailers = receivedTrailers;
+    replayBuffer.onRequestComplete();
+    if (currentAttempt != null) {
+      currentAttempt.writeUploadEnd(receivedTrailers);
     }
   }
 
-  boolean whole() {
+  boolean isComplete() {
     return trailers != null;
   }
 
   /** Whether another attempt can be sent all of it now: one at a time takes the body. */
-  boolean replayable() {
-    return replayable && taker == null;
+  boolean isReplayable() {
+    return replayable && currentAttempt == null;
   }
 
   /** An attempt takes the body, from its first byte on; its head has been written. */
-  void startedBy(HttpAttempt attempt) {
-    taker = attempt;
-    for (ByteBuf block : kept.retainedBlocks()) {
-      attempt.upload(block);
+  void attach(HttpAttempt attempt) {
+    currentAttempt = attempt;
+    for (ByteBuf block : replayBuffer.retainedBlocks()) {
+      attempt.writeUploadContent(block);
     }
-    if (received > REPLAY) {
-      letGo();
+    if (receivedBytes > MAX_REPLAY_BYTES) {
+      discardReplayBuffer();
     }
     if (trailers != null) {
-      attempt.uploadEnds(trailers);
+      attempt.writeUploadEnd(trailers);
     }
-    flow();
+    updateFlowControl();
   }
 
   /** That attempt is over. */
-  void endedBy(HttpAttempt attempt) {
-    if (taker == attempt) {
-      taker = null;
-      flow();
+  void detach(HttpAttempt attempt) {
+    if (currentAttempt == attempt) {
+      currentAttempt = null;
+      updateFlowControl();
     }
   }
 
   /** Reads on from the client only while what it sends has somewhere to go. */
-  void flow() {
-    boolean room = taker != null ? taker.takesMore() : replayable && received <= REPLAY - READ;
-    waits = !room;
-    client.reading(room);
+  void updateFlowControl() {
+    boolean hasCapacity =
+        currentAttempt != null
+            ? currentAttempt.isUpstreamWritable()
+            : replayable && receivedBytes <= MAX_REPLAY_BYTES - MAX_READ_BYTES;
+    readingPaused = !hasCapacity;
+    client.setReading(hasCapacity);
   }
 
   /** Whether the client has been waited for in vain for so long (ns). */
-  boolean stalled(long now, long most) {
-    return trailers == null && !waits && now - lastAt > most;
+  boolean isStalled(long nowNanos, long timeoutNanos) {
+    return trailers == null && !readingPaused && nowNanos - lastReceivedNanos > timeoutNanos;
   }
 
-  private void letGo() {
+  private void discardReplayBuffer() {
     replayable = false;
-    kept.release();
+    replayBuffer.release();
   }
 
   void free() {
     replayable = false;
-    kept.release();
+    replayBuffer.release();
   }
 }
--- a/src/main/java/leadferry/http/RequestDecoder.java
+++ b/src/main/java/leadferry/http/RequestDecoder.java
@@ -17,26 +17,26 @@
 final class RequestDecoder extends HttpRequestDecoder {
   private final HeadScanner scanner = new HeadScanner();
   private boolean receiving;
-  private long since;
+  private long receivingSinceNanos;
   private boolean inHead = true;
-  private int scanned;
+  private int scannedBytes;
   private boolean removed;
-  private boolean held;
+  private boolean paused;
 
   /**
    * The turn of the loop in which its connection was accepted; 0 where loops don't count theirs.
    */
-  private final long acceptedIn = ReadLagTracker.loopIterations();
+  private final long acceptedTurn = ReadLagTracker.loopIterations();
 
   RequestDecoder() {
-    super(HttpProtocol.DECODER);
+    super(HttpProtocol.DECODER_CONFIG);
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
     if (!receiving) {
       receiving = true;
-      since = System.nanoTime();
+      receivingSinceNanos = System.nanoTime();
     }
     super.channelRead(ctx, msg);
   }
@@ -44,12 +44,12 @@
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
       throws Exception {
-    if (held) {
+    if (paused) {
       return; // what has come stays as it is
     }
     if (inHead) {
       scan(buffer);
-      if (scanner.faulty()) {
+      if (scanner.isInvalid()) {
         buffer.skipBytes(buffer.readableBytes());
         HttpMessage faulty = createInvalidMessage();
         faulty.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("head")));
@@ -59,20 +59,20 @@
     }
     int from = buffer.readerIndex();
     super.decode(ctx, buffer, out);
-    scanned = Math.max(0, scanned - (buffer.readerIndex() - from));
+    scannedBytes = Math.max(0, scannedBytes - (buffer.readerIndex() - from));
     if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
       scanner.reset();
       inHead = true;
-      scanned = 0;
+      scannedBytes = 0;
     }
   }
 
   /** Reads on in the present head, from where it was left. */
   private void scan(ByteBuf buffer) {
-    int from = buffer.readerIndex() + scanned;
+    int from = buffer.readerIndex() + scannedBytes;
     int end = buffer.forEachByte(from, buffer.writerIndex() - from, scanner);
-    scanned = (end < 0 ? buffer.writerIndex() : end + 1) - buffer.readerIndex();
-    inHead = !scanner.done();
+    scannedBytes = (end < 0 ? buffer.writerIndex() : end + 1) - buffer.readerIndex();
+    inHead = !scanner.isDone();
   }
 
   @Override
@@ -82,18 +82,18 @@
   }
 
   /** Reads no further until {@link #resume}; what comes stands in the buffer. */
-  void hold() {
-    held = true;
+  void pause() {
+    paused = true;
   }
 
-  boolean holds() {
-    return held;
+  boolean isPaused() {
+    return paused;
   }
 
   /** Reads on, beginning with what stands in the buffer. */
   void resume(ChannelHandlerContext ctx) throws Exception {
-    if (held) {
-      held = false;
+    if (paused) {
+      paused = false;
       super.channelRead(ctx, Unpooled.EMPTY_BUFFER);
     }
   }
@@ -102,21 +102,21 @@
    * Whether what comes now was found at the first look at this connection: no poll before has known
    * of it.
    */
-  boolean firstLook() {
-    return acceptedIn != 0 && ReadLagTracker.loopIterations() <= acceptedIn + 1;
+  boolean isFirstRead() {
+    return acceptedTurn != 0 && ReadLagTracker.loopIterations() <= acceptedTurn + 1;
   }
 
-  boolean receiving() {
+  boolean isReceiving() {
     return receiving;
   }
 
   /** When (ns) the first byte of what is being received came. */
-  long since() {
-    return since;
+  long receivingSinceNanos() {
+    return receivingSinceNanos;
   }
 
   /** Whether it still stands in the pipeline. */
-  boolean active() {
+  boolean isInPipeline() {
     return !removed;
   }
 
@@ -126,9 +126,9 @@
   }
 
   /** The request has come whole; true if more bytes have come behind it. */
-  boolean completed() {
+  boolean onRequestCompleted() {
     receiving = actualReadableBytes() > 0;
-    since = System.nanoTime();
+    receivingSinceNanos = System.nanoTime();
     return receiving;
   }
 }
--- a/src/main/java/leadferry/http/RequestFilter.java
+++ b/src/main/java/leadferry/http/RequestFilter.java
@@ -10,14 +10,14 @@
    * Judges a head whose framing has been found sound. It may change the head's target and headers
    * to what hosts are to see.
    */
-  FilterResult judge(HttpRequest head, InetSocketAddress client);
+  FilterResult evaluate(HttpRequest head, InetSocketAddress client);
 
   /**
    * Names, in lower case, of the headers that this filter judges by or that what it chooses will
    * set, besides those that every filter goes by.
    */
-  Set<String> judgesBy();
+  Set<String> inspectedHeaders();
 
   /** Whether requests would be served. */
-  boolean ready();
+  boolean isReady();
 }
--- a/src/main/java/leadferry/http/RequestHead.java
+++ b/src/main/java/leadferry/http/RequestHead.java
@@ -14,7 +14,7 @@
   private final SocketChannel channel;
   private HttpRequest request;
   private FilterResult filterResult;
-  private boolean oldVersion;
+  private boolean http10;
   private long announcedBodyBytes;
   private long receivedAtNanos;
 
@@ -30,24 +30,26 @@
   int read(HttpRequest next, long atNanos) {
     request = next;
     receivedAtNanos = atNanos;
-    oldVersion = next.protocolVersion().equals(HttpVersion.HTTP_1_0);
-    int fault = Framing.fault(next, server.filter().judgesBy(), server.settings().daemon());
+    http10 = next.protocolVersion().equals(HttpVersion.HTTP_1_0);
+    int fault =
+        Framing.rejectionStatus(
+            next, server.filter().inspectedHeaders(), server.settings().daemon());
     filterResult =
         fault != 0
             ? FilterResult.reject(fault)
-            : server.filter().judge(next, channel.remoteAddress());
+            : server.filter().evaluate(next, channel.remoteAddress());
     announcedBodyBytes = HttpUtil.getContentLength(next, 0L);
     if (fault == 0 && announcedBodyBytes > maxBodyBytes()) {
       return 413;
     }
-    return filterResult.closes() ? filterResult.status() : 0;
+    return filterResult.closesConnection() ? filterResult.status() : 0;
   }
 
   /** Bytes of the request's body that may come at all. */
   private long maxBodyBytes() {
     return filterResult.streaming() == Streaming.NEVER
-        ? server.settings().maxBody()
-        : server.settings().maxStreamed();
+        ? server.settings().maxHeldBodyBytes()
+        : server.settings().maxStreamedBodyBytes();
   }
 
   /** What the filter made of it; null without a request, or once that was released. */
@@ -56,8 +58,8 @@
   }
 
   /** Whether the request is one of HTTP/1.0. */
-  boolean oldVersion() {
-    return oldVersion;
+  boolean isHttp10() {
+    return http10;
   }
 
   /** When ({@link System#nanoTime}) the head had come. */
@@ -66,7 +68,7 @@
   }
 
   /** Whether the request goes to a pool, and is not answered here. */
-  boolean forwarded() {
+  boolean isForwarded() {
     return filterResult.status() == 0;
   }
 
@@ -76,7 +78,7 @@
   }
 
   /** Whether a body follows that is forwarded from its first byte on. */
-  boolean streamsFromStart() {
+  boolean shouldStreamFromStart() {
     return filterResult.streaming() == Streaming.ALWAYS
         && (announcedBodyBytes > 0 || HttpUtil.isTransferEncodingChunked(request));
   }
@@ -91,15 +93,17 @@
     return request;
   }
 
-  /** Lets go of the request; what the filter made of it stays until {@link #release}. */
-  void forgetRequest() {
+  /**
+   * Lets go of the request; what the filter made of it stays until {@link #releaseFilterResult}.
+   */
+  void clearRequest() {
     request = null;
   }
 
   /** The request has its response, or never gets one: what the filter counts it for is over. */
-  void release() {
+  void releaseFilterResult() {
     if (filterResult != null) {
-      Runnable done = filterResult.done();
+      Runnable done = filterResult.onDone();
       filterResult = null;
       done.run();
     }
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -81,8 +81,8 @@
   }
 
   /** Whether the present request is one of HTTP/1.0. */
-  boolean oldVersion() {
-    return head.oldVersion();
+  boolean isHttp10() {
+    return head.isHttp10();
   }
 
   /** When ({@link System#nanoTime}) the present request's head had come. */
@@ -96,51 +96,53 @@
   }
 
   /** Whether reading waits for memory. */
-  boolean paused() {
-    return buffer.paused();
+  boolean isPaused() {
+    return buffer.isPaused();
   }
 
   /** Bytes of the present body that are held. */
-  long bodySize() {
-    return buffer.size();
+  long heldBodyBytes() {
+    return buffer.heldBytes();
   }
 
   /**
    * Whether the rest of a request that still comes is read and thrown away, so that its connection
    * can stay.
    */
-  boolean skips() {
+  boolean shouldSkipRemainder() {
     return upload != null && head.filterResult().streaming() == Streaming.LARGE;
   }
 
   // --- reading
 
   /** Part of the present request, or of the next; {@code atNanos} is when it came. */
-  void take(HttpObject part, long atNanos) {
+  void onPart(HttpObject part, long atNanos) {
     if (part.decoderResult().isFailure()) {
-      client.reject(statusOf(part.decoderResult().cause()));
+      client.reject(statusForFailure(part.decoderResult().cause()));
       return;
     }
     if (part instanceof HttpRequest request) {
       begin(request, atNanos);
     }
-    if (upload != null && part instanceof LastHttpContent && client.closeIfGoneBetweenRequests()) {
+    if (upload != null
+        && part instanceof LastHttpContent
+        && client.closeIfDisconnectedBetweenRequests()) {
       return; // the last byte is not forwarded: its client left while a connection was waited for,
       // and its end was not read
     }
-    if (part instanceof HttpContent content && client.takesRequests()) {
+    if (part instanceof HttpContent content && client.acceptsRequests()) {
       ByteBuf bytes = content.content();
       if (bytes.isReadable()) {
         append(bytes);
       }
-      if (part instanceof LastHttpContent last && client.takesRequests()) {
+      if (part instanceof LastHttpContent last && client.acceptsRequests()) {
         complete(last.trailingHeaders(), atNanos);
       }
     }
   }
 
   /** The status of a request that can't be decoded. */
-  private static int statusOf(Throwable decoderFailure) {
+  private static int statusForFailure(Throwable decoderFailure) {
     if (decoderFailure instanceof TooLongHttpLineException) {
       return 414;
     }
@@ -149,14 +151,14 @@
 
   private void begin(HttpRequest request, long atNanos) {
     if (!HttpUtil.isKeepAlive(request)) {
-      client.endWithPresentResponse();
+      client.closeAfterCurrentResponse();
     }
     int rejectedWith = head.read(request, atNanos);
     if (rejectedWith != 0) {
       client.reject(rejectedWith);
       return;
     }
-    if (!head.forwarded()) {
+    if (!head.isForwarded()) {
       return;
     }
     if (head.expectsContinue()) {
@@ -164,13 +166,13 @@
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
-    if (head.streamsFromStart()) {
-      stream();
+    if (head.shouldStreamFromStart()) {
+      startStreaming();
     }
   }
 
   /** The body is forwarded while it comes: the request enters the engine ahead of its last byte. */
-  private void stream() {
+  private void startStreaming() {
     client.markRequestSeen();
     FilterResult result = head.filterResult();
     Dispatcher pool = result.target();
@@ -192,10 +194,10 @@
             head.request(),
             null,
             upload,
-            Headers.NONE,
+            Headers.EMPTY,
             result.streaming(),
             announcedMillis);
-    head.forgetRequest();
+    head.clearRequest();
     client.beginCall(call);
     pool.submit(
         call,
@@ -204,8 +206,8 @@
   }
 
   /** Reads on, or no longer: what an upload goes to, or the room that it has, tells. */
-  void reading(boolean enabled) {
-    if (upload != null && !buffer.paused() && channel.config().isAutoRead() != enabled) {
+  void setReading(boolean enabled) {
+    if (upload != null && !buffer.isPaused() && channel.config().isAutoRead() != enabled) {
       channel.config().setAutoRead(enabled);
     }
   }
@@ -213,8 +215,8 @@
   private void append(ByteBuf bytes) {
     if (upload != null) {
       appendToUpload(bytes);
-    } else if (!head.forwarded()) {
-      if (discarded.exceedsBound(bytes)) {
+    } else if (!head.isForwarded()) {
+      if (discarded.countAndCheckLimit(bytes)) {
         client.reject(413); // not worth reading on for a response that is known
       }
     } else {
@@ -223,10 +225,10 @@
   }
 
   private void appendToUpload(ByteBuf bytes) {
-    if (upload.received() + bytes.readableBytes() > server.settings().maxStreamed()) {
+    if (upload.receivedBytes() + bytes.readableBytes() > server.settings().maxStreamedBodyBytes()) {
       client.reject(413);
     } else {
-      upload.content(bytes);
+      upload.onContent(bytes);
     }
   }
 
@@ -235,23 +237,23 @@
       case HELD -> {}
       case TOO_LARGE -> client.reject(413);
       case MUST_STREAM -> {
-        stream();
+        startStreaming();
         if (upload != null) {
-          upload.content(bytes);
+          upload.onContent(bytes);
         }
       }
       case OUT_OF_MEMORY -> {
         // Guards against requests that wait for each other's memory: the one at hand gives way.
-        server.refusedForMemory();
+        server.recordMemoryRejection();
         client.reject(503);
       }
     }
   }
 
   private void complete(HttpHeaders trailers, long atNanos) {
-    if (decoder.completed() && server.settings().pipeline() <= 1) {
+    if (decoder.onRequestCompleted() && server.settings().maxPipelinedRequests() <= 1) {
       client.reject(400); // a second request behind this one, whose client keeps to no order
-    } else if (!Headers.soundTrailers(trailers, server.filter().judgesBy())) {
+    } else if (!Headers.hasValidTrailers(trailers, server.filter().inspectedHeaders())) {
       client.reject(400); // a server may take one of them for a header that was judged
     } else if (upload != null) {
       completeUpload(trailers);
@@ -266,21 +268,21 @@
     // It may have waited for room; from here on its client's end is to be seen.
     channel.config().setAutoRead(true);
     if (client.call() != null) {
-      client.call().whole();
+      client.call().onUploadComplete();
     }
-    whole.end(trailers);
+    whole.onEnd(trailers);
   }
 
   private void completeHeld(HttpHeaders trailers, long atNanos) {
     boolean first = client.markRequestSeen();
-    Body body = buffer.complete();
+    Body body = buffer.takeComplete();
     HttpRequest request = head.request();
-    head.forgetRequest();
+    head.clearRequest();
     FilterResult result = head.filterResult();
-    if (!head.forwarded()) {
+    if (!head.isForwarded()) {
       RequestBodyBuffer.free(body);
       discarded.reset();
-      responses.answer(result.status(), result.retryAfterMs());
+      responses.send(result.status(), result.retryAfterMillis());
       return;
     }
     switch (admission.decide(request, result.target(), first)) {
@@ -289,7 +291,7 @@
         client.reject(409);
         RequestBodyBuffer.free(body);
       }
-      case POOL_FULL -> answerUnsent(body);
+      case POOL_FULL -> rejectUnsent(body);
       case ADMITTED -> dispatch(request, body, trailers, atNanos);
     }
   }
@@ -299,7 +301,7 @@
     double elapsedMillis = (System.nanoTime() - atNanos) / NANOS_PER_MILLI;
     double remainingMillis = result.arrival().budget() - elapsedMillis;
     if (remainingMillis < MIN_REMAINING_MILLIS) {
-      answerUnsent(body); // its time went by behind those that were sent ahead of it
+      rejectUnsent(body); // its time went by behind those that were sent ahead of it
       return;
     }
     HttpCall call = new HttpCall(responses, request, body, null, trailers, result.streaming(), 0);
@@ -308,9 +310,9 @@
   }
 
   /** Rejects a whole request that the engine has not been given. */
-  private void answerUnsent(Body body) {
+  private void rejectUnsent(Body body) {
     RequestBodyBuffer.free(body);
-    responses.answer(503, 0);
+    responses.send(503, 0);
   }
 
   // --- ends
@@ -318,23 +320,23 @@
   /**
    * The present request has its response; what of it still comes is thrown away, or is not taken.
    */
-  void answered() {
-    discarded.responded(skips());
+  void onResponseSubmitted() {
+    discarded.onResponseSubmitted(shouldSkipRemainder());
     upload = null;
     admission.releaseId();
-    head.release();
+    head.releaseFilterResult();
   }
 
   /** The present request is not taken any more. */
-  void drop() {
+  void dropRequest() {
     buffer.drop();
-    head.forgetRequest();
-    head.release();
+    head.clearRequest();
+    head.releaseFilterResult();
   }
 
   /** The client has gone. */
-  void close() {
-    drop();
+  void onClientClosed() {
+    dropRequest();
     admission.releaseId();
   }
 }
--- a/src/main/java/leadferry/http/RequestLog.java
+++ b/src/main/java/leadferry/http/RequestLog.java
@@ -33,14 +33,15 @@
    *
    * @param status what its client was told, or null
    * @param call what the engine has of it, or null
-   * @param verdict of the filter, or null
-   * @param since when (ns) it came, 0 if that is not known
+   * @param filterResult of the filter, or null
+   * @param sinceNanos when (ns) it came, 0 if that is not known
    */
-  void request(String outcome, Integer status, HttpCall call, FilterResult verdict, long since) {
+  void logRequest(
+      String outcome, Integer status, HttpCall call, FilterResult filterResult, long sinceNanos) {
     if (!log.isDetailEnabled()) {
       return;
     }
-    FilterResult.Origin origin = verdict == null ? null : verdict.origin();
+    FilterResult.Origin origin = filterResult == null ? null : filterResult.origin();
     Exchange exchange = call == null ? null : call.exchange();
     log.detail(
         "request",
@@ -61,7 +62,7 @@
         "attempt",
         exchange == null ? null : exchange.attemptCount(),
         "ms",
-        since == 0 ? null : (System.nanoTime() - since) / 1_000_000,
+        sinceNanos == 0 ? null : (System.nanoTime() - sinceNanos) / 1_000_000,
         "client",
         channel.remoteAddress(),
         "id",
@@ -69,7 +70,7 @@
   }
 
   /** This side closes the connection. */
-  void closed(CloseReason reason, HttpCall call) {
+  void logClosed(CloseReason reason, HttpCall call) {
     if (log.isDetailEnabled()) {
       log.detail(
           "client connection closed",
@@ -83,7 +84,7 @@
   }
 
   /** The connection broke. */
-  void failed(Throwable cause, HttpCall call) {
+  void logFailed(Throwable cause, HttpCall call) {
     if (log.isDetailEnabled()) {
       log.detail("client connection failed", "cause", cause.getMessage(), "id", id(call));
     }
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -35,7 +35,7 @@
   private final HttpServer server;
   private final SocketChannel channel;
   private long writingSinceNanos;
-  private long movedAtNanos;
+  private long lastProgressNanos;
 
   ResponseWriter(ClientConnection client, HttpServer server, SocketChannel channel) {
     this.client = client;
@@ -44,8 +44,8 @@
   }
 
   /** An answer of our own. */
-  void answer(int status, double retryAfterMillis) {
-    client.logOwnResponse(status);
+  void send(int status, double retryAfterMillis) {
+    client.logLocalResponse(status);
     DefaultFullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
@@ -59,61 +59,62 @@
                   ? Long.toString((long) Math.ceil(retryAfterMillis / MILLIS_PER_SECOND))
                   : String.format(Locale.ROOT, "%.3f", retryAfterMillis / MILLIS_PER_SECOND));
     }
-    markClose(message);
-    answered(channel.writeAndFlush(message));
+    setConnectionHeader(message);
+    trackWrite(channel.writeAndFlush(message));
   }
 
   /** A host's answer that has come whole; {@code status} is the status that its client is told. */
-  void answer(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+  void send(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
     HttpHeaders headers = response.headers();
-    Headers.dropHopByHop(headers);
+    Headers.removeHopByHop(headers);
     boolean isHead = client.call().isHead();
-    boolean trails = !trailers.isEmpty() && !client.oldVersion() && !isHead;
-    if (trails) {
+    boolean hasTrailers = !trailers.isEmpty() && !client.isHttp10() && !isHead;
+    if (hasTrailers) {
       headers.remove(HttpHeaderNames.CONTENT_LENGTH);
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (!isHead) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
     }
-    ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
+    ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joinBlocks(whole);
     DefaultFullHttpResponse message =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, status, bytes, headers, trails ? trailers : Headers.NONE);
-    markClose(message);
+            HttpVersion.HTTP_1_1, status, bytes, headers, hasTrailers ? trailers : Headers.EMPTY);
+    setConnectionHeader(message);
     ChannelFuture written = channel.writeAndFlush(message);
     if (whole != null) {
       written.addListener(f -> whole.release());
     }
-    answered(written);
+    trackWrite(written);
   }
 
   /** A host's error that ends the request. */
-  void error(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+  void sendError(
+      HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
     client.logOutcome("server-error", status.code());
-    answer(response, status, whole, trailers);
+    send(response, status, whole, trailers);
   }
 
   /** Whether the client has left, and has not been read. */
-  boolean abandoned() {
-    return client.closeIfGoneBetweenRequests();
+  boolean closeIfDisconnected() {
+    return client.closeIfDisconnectedBetweenRequests();
   }
 
-  private static ByteBuf joined(Body whole) {
+  private static ByteBuf joinBlocks(Body whole) {
     ByteBuf[] blocks = whole.retainedBlocks().toArray(ByteBuf[]::new);
     return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
   }
 
-  private void markClose(HttpResponse message) {
+  private void setConnectionHeader(HttpResponse message) {
     if (client.decideLastResponse()) {
       message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    } else if (client.oldVersion()) {
+    } else if (client.isHttp10()) {
       message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
   }
 
-  private void answered(ChannelFuture written) {
-    movedAtNanos = 0;
-    if (client.responded(written) && !written.isDone()) {
+  private void trackWrite(ChannelFuture written) {
+    lastProgressNanos = 0;
+    if (client.onResponseSubmitted(written) && !written.isDone()) {
       writingSinceNanos = System.nanoTime();
       written.addListener(f -> writingSinceNanos = 0);
     }
@@ -124,42 +125,42 @@
   /** Whether an answer of this length, -1 for not told, can go on while it comes. */
   boolean canStream(long lengthBytes) {
     return lengthBytes >= 0
-        || !client.oldVersion(); // to HTTP/1.0 the end of such a one can't be told from a cut
+        || !client.isHttp10(); // to HTTP/1.0 the end of such a one can't be told from a cut
   }
 
   /** The head of an answer whose body goes on while it comes. */
-  void begin(HttpResponse response, long lengthBytes) {
+  void beginStream(HttpResponse response, long lengthBytes) {
     HttpHeaders headers = response.headers();
-    Headers.dropHopByHop(headers);
+    Headers.removeHopByHop(headers);
     if (lengthBytes < 0) {
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
     HttpResponse message =
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers);
-    markClose(message);
-    movedAtNanos = System.nanoTime();
+    setConnectionHeader(message);
+    lastProgressNanos = System.nanoTime();
     channel.writeAndFlush(message);
   }
 
-  /** Part of its body; false if no more should come until {@link HttpCall#writable}. */
-  boolean pass(ByteBuf bytes) {
-    movedAtNanos = System.nanoTime();
+  /** Part of its body; false if no more should come until {@link HttpCall#onClientWritable}. */
+  boolean writeStreamContent(ByteBuf bytes) {
+    lastProgressNanos = System.nanoTime();
     channel.writeAndFlush(new DefaultHttpContent(bytes));
     return channel.isWritable();
   }
 
   /** Its end. */
-  void finish(HttpHeaders trailers) {
-    answered(channel.writeAndFlush(HttpCall.last(trailers)));
+  void finishStream(HttpHeaders trailers) {
+    trackWrite(channel.writeAndFlush(HttpCall.lastContent(trailers)));
   }
 
   /**
    * It can't be finished: the connection ends without the mark of its end, so that the client can
    * tell.
    */
-  void cut() {
+  void abortStream() {
     client.logOutcome("cut", null);
-    client.finish();
+    client.markFinished();
     if (channel.isOpen()) { // it may be its client's end that cuts it
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
@@ -167,24 +168,24 @@
   }
 
   /** The client takes more. */
-  void writable() {
-    movedAtNanos = movedAtNanos == 0 ? 0 : System.nanoTime();
+  void onWritable() {
+    lastProgressNanos = lastProgressNanos == 0 ? 0 : System.nanoTime();
   }
 
   // --- upkeep
 
   /** Whether an answer is not written yet to its last byte. */
-  boolean writing() {
+  boolean isWriting() {
     return writingSinceNanos != 0;
   }
 
   /** Whether the client takes no more of an answer that was given whole. */
-  boolean stalled(long nowNanos) {
+  boolean isStalled(long nowNanos) {
     return nowNanos - writingSinceNanos > CLIENT_STALLED_NANOS;
   }
 
   /** Whether a host, or a client, has stopped in the middle of an answer that streams. */
-  boolean streamStalled(long nowNanos) {
-    return movedAtNanos != 0 && nowNanos - movedAtNanos > STREAM_STALLED_NANOS;
+  boolean isStreamStalled(long nowNanos) {
+    return lastProgressNanos != 0 && nowNanos - lastProgressNanos > STREAM_STALLED_NANOS;
   }
 }
--- a/src/main/java/leadferry/proxy/GracefulShutdown.java
+++ b/src/main/java/leadferry/proxy/GracefulShutdown.java
@@ -92,12 +92,12 @@
   private void step(long now) {
     if (now >= giveUpAtNanos) {
       // A class may have a longer deadline than SIGKILL leaves, or be one that a reload dropped.
-      httpServer.giveUp();
+      httpServer.terminateConnections();
     }
     if (!takenOver && now >= acceptUntilNanos) {
       stopListeningOnceIdle(now);
     }
-    boolean drained = now >= acceptUntilNanos && httpServer.empty() && !isListening();
+    boolean drained = now >= acceptUntilNanos && httpServer.hasNoClients() && !isListening();
     if (drained || now >= cutShortAtNanos) {
       log.line(drained ? "drained" : "drain cut short by its time");
       httpServer.listener().close();
@@ -108,13 +108,13 @@
   }
 
   private void stopListeningOnceIdle(long now) {
-    if (httpServer.clear()) {
+    if (httpServer.closeIdleConnections()) {
       // Guards a request that crossed such a close: its client sends it again, on a new connection.
       acceptUntilNanos = Math.min(giveUpAtNanos, now + SocketSlack.NANOS);
     }
-    boolean idle = httpServer.empty() && now >= acceptUntilNanos;
+    boolean idle = httpServer.hasNoClients() && now >= acceptUntilNanos;
     if (isListening() && (idle || now >= giveUpAtNanos)) {
-      httpServer.leaveListening(); // clients in its backlog are waited for, too
+      httpServer.stopListening(); // clients in its backlog are waited for, too
     }
   }
 
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -60,20 +60,20 @@
   }
 
   @Override
-  public Set<String> judgesBy() {
+  public Set<String> inspectedHeaders() {
     return Set.of();
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return !draining && !operators.isDraining() && pool.hasSendableHost();
   }
 
   @Override
-  public FilterResult judge(HttpRequest request, InetSocketAddress client) {
+  public FilterResult evaluate(HttpRequest request, InetSocketAddress client) {
     if (request.uri().equals(HEALTH_PATH)) {
       return request.method().equals(HttpMethod.GET)
-          ? FilterResult.answer(ready() ? 200 : 503, 0)
+          ? FilterResult.respond(isReady() ? 200 : 503, 0)
           : FilterResult.reject(405);
     }
     HttpHeaders headers = request.headers();
@@ -81,7 +81,7 @@
     if (!hasValidId(headers) || !hasClass(headers, name)) {
       return FilterResult.reject(400);
     }
-    String key = Framing.single(headers, IDEMPOTENCY_KEY);
+    String key = Framing.singleValue(headers, IDEMPOTENCY_KEY);
     boolean keyed = key != null && !key.isBlank();
     Settings.RequestClass requestClass = classes.of(name, request.method(), keyed);
     if (requestClass == null) {
@@ -96,25 +96,26 @@
       return FilterResult.reject(400);
     }
     RequestArrival arrival = arrival(headers, requestClass, timeoutMillis);
-    return FilterResult.take(pool, arrival, null, Streaming.LARGE, null, null);
+    return FilterResult.forward(pool, arrival, null, Streaming.LARGE, null, null);
   }
 
   private static boolean hasValidId(HttpHeaders headers) {
-    String id = Framing.single(headers, REQUEST_ID);
+    String id = Framing.singleValue(headers, REQUEST_ID);
     return id != null && !id.isBlank() && id.length() <= MAX_ID_CHARACTERS;
   }
 
   /** Whether the header that names the class is absent, or agrees with the path. */
   private static boolean hasClass(HttpHeaders headers, String name) {
     return !headers.contains(PRIORITY_CLASS)
-        || name.equals(Framing.single(headers, PRIORITY_CLASS));
+        || name.equals(Framing.singleValue(headers, PRIORITY_CLASS));
   }
 
   /** The deadline of the class or of the request, the shorter; NaN for a malformed header. */
   private static double timeoutMillis(HttpHeaders headers, Settings.RequestClass requestClass) {
     double deadlineMillis = requestClass.deadline();
     return headers.contains(TIMEOUT_MILLIS)
-        ? Math.min(deadlineMillis, Framing.whole(Framing.single(headers, TIMEOUT_MILLIS)))
+        ? Math.min(
+            deadlineMillis, Framing.parseWholeNumber(Framing.singleValue(headers, TIMEOUT_MILLIS)))
         : deadlineMillis;
   }
 
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -83,7 +83,7 @@
     this.requestFilter = new PlatformRequestFilter(dispatcher, config.settings(), operators);
     this.httpServer =
         new HttpServer(
-            HttpServerSettings.platform(config.maxOpen()),
+            HttpServerSettings.forPlatform(config.maxOpen()),
             requestFilter,
             TRANSPORT,
             sockets,
@@ -180,7 +180,7 @@
     if (operators.isDraining() != sendingAway && !lifecycle.isShuttingDown()) {
       sendingAway = !sendingAway;
       log.line(sendingAway ? "clients are sent away" : "clients are taken back");
-      httpServer.sendAway(sendingAway);
+      httpServer.setClientShedding(sendingAway);
     }
   }
 
@@ -190,7 +190,7 @@
         operators.setReady(true);
       }
       dispatcher.sweep();
-      httpServer.sweep();
+      httpServer.enforceTimeouts();
       discovery.sweep();
       configReload.reloadIfChanged();
     } catch (RuntimeException e) {
@@ -228,8 +228,8 @@
           if (takenOver) {
             // The other process has the clients; who is still here leaves with its next answer.
             log.line("draining, another process listens");
-            httpServer.leaveListening();
-            httpServer.sendAway(true);
+            httpServer.stopListening();
+            httpServer.setClientShedding(true);
           } else {
             log.line("draining");
             requestFilter.drain();
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -74,10 +74,10 @@
     }
     d.settle();
     List<byte[]> sent = List.copyOf(d.received());
-    List<StrictReader.Request> read = StrictReader.read(bytes);
+    List<StrictReader.Request> read = StrictReader.parse(bytes);
     int at = 0;
     for (byte[] one : sent) {
-      List<StrictReader.Request> there = StrictReader.read(one);
+      List<StrictReader.Request> there = StrictReader.parse(one);
       if (there.size() != 1) {
         throw new AssertionError("a host was sent what is no request: " + text(one));
       }
--- a/src/test/java/leadferry/fuzz/StrictReader.java
+++ b/src/test/java/leadferry/fuzz/StrictReader.java
@@ -39,7 +39,7 @@
   }
 
   /** The requests that stand at the beginning of these bytes, up to the first fault or the end. */
-  static List<Request> read(byte[] bytes) {
+  static List<Request> parse(byte[] bytes) {
     StrictReader r = new StrictReader(bytes);
     List<Request> out = new ArrayList<>();
     Request next;
--- a/src/test/java/leadferry/http/LoadReportHeadersTest.java
+++ b/src/test/java/leadferry/http/LoadReportHeadersTest.java
@@ -6,9 +6,9 @@
 
 class LoadReportHeadersTest {
   @Test
-  void aReportIsReadAsAWholeOrNotAtAll() {
-    assertThat(LoadReportHeaders.read("inflight=1e300")).isNull();
-    assertThat(LoadReportHeaders.read("inflight=3,eps=none")).isNull();
-    assertThat(LoadReportHeaders.read("inflight=3,other=none").held()).isEqualTo(3);
+  void invalidValue_discardsWholeReport() {
+    assertThat(LoadReportHeaders.parse("inflight=1e300")).isNull();
+    assertThat(LoadReportHeaders.parse("inflight=3,eps=none")).isNull();
+    assertThat(LoadReportHeaders.parse("inflight=3,other=none").held()).isEqualTo(3);
   }
 }
