--- a/src/main/java/leadferry/cli/ReleaseAgentCommands.java
+++ b/src/main/java/leadferry/cli/ReleaseAgentCommands.java
@@ -59,16 +59,16 @@
     }
 
     private static boolean isWaitingForAgent(ReleaseTargetView view) {
-      return view.phase() == TargetPhase.CHANGING && view.found().isEmpty();
+      return view.phase() == TargetPhase.CHANGING && view.observation().isEmpty();
     }
 
     private static ObjectNode task(ReleaseView release, ReleaseTargetView view) {
       return Json.object()
-          .put("status", Status.DONE.word())
+          .put("status", Status.DONE.storedName())
           .put("action", view.action().number())
           .put("try", view.action().attempts())
           .put("fence", view.action().fence())
-          .put("version", release.versionName(view.wantedVersion()));
+          .put("version", release.versionName(view.desiredVersion()));
     }
 
     private static void print(ObjectNode task) {
--- a/src/main/java/leadferry/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -96,7 +96,7 @@
       if (response.isPresent() && ReleaseViewCodec.isRelease(response.get())) {
         ReleaseView view = ReleaseViewCodec.read(response.get());
         lastSeen = Optional.of(view);
-        if (view.state().isOver()) {
+        if (view.state().isClosed()) {
           logStatus(view);
           return lastSeen;
         }
@@ -119,13 +119,13 @@
     renewLease(view);
     logStatus(view);
     Optional<MemberReports> reports = Optional.empty();
-    if (controller.drives(view) && view.progress().bakingSince() > 0) {
+    if (controller.isDriverOf(view) && view.progress().bakingSinceChange() > 0) {
       reports =
           ask(Json.object().put("op", "reports"), leaseNanos / REPORT_TIMEOUTS_PER_LEASE)
               .map(MemberReports::read);
     }
     long now = System.nanoTime();
-    for (DriverAction action : controller.next(view, reports, lease.isHeld(now), now)) {
+    for (DriverAction action : controller.nextActions(view, reports, lease.isHeld(now), now)) {
       carryOut(view, action);
     }
   }
@@ -133,7 +133,7 @@
   private void logStatus(ReleaseView view) {
     String reason = view.stateReason().isEmpty() ? "" : ": " + view.stateReason();
     String line =
-        view.state().word()
+        view.state().storedName()
             + ", "
             + ReleaseStatusPrinter.name(view.progress().direction())
             + reason
@@ -145,15 +145,15 @@
   }
 
   private String driverText(ReleaseView view) {
-    if (controller.drives(view)) {
+    if (controller.isDriverOf(view)) {
       return ", driven by this process";
     }
-    return view.isDriven() ? ", driven by " + view.driver() : ", no driver";
+    return view.hasDriver() ? ", driven by " + view.driver() : ", no driver";
   }
 
   private void renewLease(ReleaseView view) {
     long now = System.nanoTime();
-    if (!controller.drives(view)) {
+    if (!controller.isDriverOf(view)) {
       lease.onSessionLost();
       return;
     }
@@ -184,7 +184,7 @@
   }
 
   private static boolean hasStatus(JsonNode response, Status status) {
-    return response.path("status").asText().equals(status.word());
+    return response.path("status").asText().equals(status.storedName());
   }
 
   private void carryOut(ReleaseView view, DriverAction action) {
@@ -244,13 +244,13 @@
 
   private void runChange(ChangeCommands commands, DriverAction.RunChange change) {
     if (commands.executor() == ChangeCommands.Executor.AGENT) {
-      controller.changeEnded(change, new CommandResult(true, ""));
+      controller.onChangeEnded(change, new CommandResult(true, ""));
       return;
     }
     Invocation invocation =
         new Invocation(
             Purpose.CHANGE,
-            commands.change(),
+            commands.changeCommand(),
             change.target(),
             change.action(),
             change.fence(),
@@ -260,7 +260,7 @@
         () -> {
           Result result = runner.run(invocation);
           CommandResult ended = new CommandResult(result.succeeded(), result.text());
-          completions.add(() -> controller.changeEnded(change, ended));
+          completions.add(() -> controller.onChangeEnded(change, ended));
         });
   }
 
@@ -268,7 +268,7 @@
     Invocation invocation =
         new Invocation(
             Purpose.CHECK,
-            commands.check().orElse(List.of()),
+            commands.checkCommand().orElse(List.of()),
             check.target(),
             check.action(),
             check.fence(),
@@ -279,7 +279,7 @@
           Result result = runner.run(invocation);
           String version =
               result.succeeded() ? result.output().lines().findFirst().orElse("").strip() : "";
-          completions.add(() -> controller.versionChecked(check, Optional.of(version)));
+          completions.add(() -> controller.onVersionChecked(check, Optional.of(version)));
         });
   }
 
--- a/src/main/java/leadferry/cli/ReleasePlanCommand.java
+++ b/src/main/java/leadferry/cli/ReleasePlanCommand.java
@@ -32,12 +32,12 @@
   }
 
   private int judge(ObjectNode plan) {
-    ObjectNode response = Json.object().put("status", Status.DONE.word());
+    ObjectNode response = Json.object().put("status", Status.DONE.storedName());
     response.set("plan", plan);
     try {
       List<String> neverAllowed = neverAllowed(plan);
       if (!neverAllowed.isEmpty()) {
-        response.put("status", Status.REFUSED.word());
+        response.put("status", Status.REFUSED.storedName());
         neverAllowed.forEach(response.putArray("why")::add);
       }
     } catch (UnreachableException e) {
--- a/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
@@ -56,13 +56,13 @@
 
   private static void print(ReleaseView release) {
     String driver =
-        release.isDriven()
+        release.hasDriver()
             ? "; driven by " + release.driver() + ", fence " + release.fence()
             : "; no driver";
     System.out.println(
         release.name()
             + " is "
-            + release.state().word()
+            + release.state().storedName()
             + ", "
             + name(release.progress().direction())
             + inParentheses(release.stateReason())
@@ -98,15 +98,15 @@
         "  "
             + target.name()
             + " "
-            + target.phase().word()
+            + target.phase().storedName()
             + ", "
-            + target.version().word()
-            + target.availability().unavailableBecause().map(reason -> ", " + reason).orElse("")
-            + (target.found().isEmpty() ? "" : ", found " + target.found())
+            + target.version().storedName()
+            + target.availability().unavailabilityReason().map(reason -> ", " + reason).orElse("")
+            + (target.observation().isEmpty() ? "" : ", found " + target.observation())
             + (target.overdue() ? ", LATE" : ""));
     target
         .availability()
-        .awaited()
+        .pendingProxies()
         .forEach((member, reason) -> System.out.println("    awaits " + member + ": " + reason));
   }
 
--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -36,14 +36,14 @@
         Json.object()
             .put("n", entryNumber)
             .put("version", viewVersion)
-            .put("status", outcome.status().word());
+            .put("status", outcome.status().storedName());
     for (String key : COPIED_KEYS) {
       if (stored.has(key)) {
         entry.put(key, LogEntryCodec.text(stored, key));
       }
     }
-    if (!outcome.permit().isEmpty()) {
-      entry.put("permit", outcome.permit());
+    if (!outcome.grantId().isEmpty()) {
+      entry.put("permit", outcome.grantId());
     }
     if (stored.path("plan").has("name")) {
       entry.put("release", stored.path("plan").path("name").asText());
@@ -51,7 +51,7 @@
     if (stored.has("at")) {
       entry.put("at", stored.path("at").asLong());
     }
-    outcome.why().forEach(entry.putArray("reasons")::add);
+    outcome.reasons().forEach(entry.putArray("reasons")::add);
     records.addLast(entry);
     if (records.size() > MAX_RECORDS) {
       records.removeFirst();
--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -10,7 +10,7 @@
 import leadferry.disruption.Outcome;
 import leadferry.disruption.Outcome.Status;
 import leadferry.disruption.TargetType;
-import leadferry.release.Releases;
+import leadferry.release.ReleaseRegistry;
 
 /**
  * The agreed state: what the log's entries, applied in their order, come to. Deterministic and
@@ -30,7 +30,7 @@
   private final CallHistory calls = new CallHistory();
   private final AuditLog audit = new AuditLog();
   private final DisruptionState disruption;
-  private final Releases releases = new Releases();
+  private final ReleaseRegistry releases = new ReleaseRegistry();
   private final SnapshotCodec.Parts parts;
   private long entryCount;
 
@@ -115,11 +115,11 @@
 
   private Outcome applyDisruption(DisruptionCommand command) {
     if (command instanceof DisruptionCommand.Undo undo) {
-      String release = releases.releaseHolding(undo.grant());
+      String release = releases.findReleaseHolding(undo.grantId());
       if (release != null) {
         return new Outcome(
             Status.REFUSED,
-            undo.grant(),
+            undo.grantId(),
             List.of("held by release " + release + ": halt it, or take it back"));
       }
     }
@@ -131,7 +131,7 @@
     if (!timer.startsWith(RELEASE_TIMER_PREFIX)) {
       disruption.onTimerExpired(timer);
     } else if (timers().containsKey(timer)) {
-      releases.timeout(timer);
+      releases.onTimerExpired(timer);
       addToAudit(
           stored.deepCopy().put("who", AuditLog.REPLICAS_ACTOR).put("why", timer + " ran out"),
           done);
@@ -159,7 +159,7 @@
     }
     Session session = known.orElseGet(() -> openSession(join));
     ObjectNode outcome = OutcomeCodec.encode(Outcome.of(Status.DONE)).put("session", session.id());
-    disruption.view(outcome.putObject("view"));
+    disruption.writeView(outcome.putObject("view"));
     return outcome;
   }
 
@@ -224,8 +224,8 @@
 
   /** What runs out without an entry, and after how long (ms); see {@link LeaseTimers}. */
   public Map<String, Long> timers() {
-    Map<String, Long> timers = disruption.timers();
-    releases.timers(timers);
+    Map<String, Long> timers = disruption.timerDurationsMillis();
+    releases.putTimers(timers);
     sessions.addTimers(timers);
     return timers;
   }
@@ -235,14 +235,14 @@
   /** What members go by. */
   public ObjectNode view() {
     ObjectNode view = Json.object();
-    disruption.view(view);
+    disruption.writeView(view);
     return view;
   }
 
   /** All that staff may want to see; with the audit where asked. */
   public ObjectNode status(boolean includeHistory) {
     ObjectNode status = Json.object();
-    disruption.status(status);
+    disruption.writeStatus(status);
     if (includeHistory) {
       audit.write(status.putArray("history"));
     }
@@ -252,7 +252,7 @@
   /** One release whole, or all of them in short where {@code name} is "". */
   public ObjectNode releaseStatus(String name) {
     ObjectNode status = Json.object();
-    releases.status(name, status, disruption);
+    releases.writeStatus(name, status, disruption);
     return status;
   }
 
@@ -264,16 +264,16 @@
   /** What would become of a drain that was asked for now. */
   public ObjectNode explainDrain(String kind, String name) {
     ObjectNode explanation = Json.object();
-    disruption.explain(TargetType.of(kind), name, explanation);
+    disruption.writeExplanation(TargetType.fromStoredName(kind), name, explanation);
     return explanation;
   }
 
   /** What the drain of that grant waits for. */
   public ObjectNode grantStatus(String grantId) {
     ObjectNode status =
-        Json.object().put("permit", grantId).put("carried_out", disruption.carriedOut(grantId));
+        Json.object().put("permit", grantId).put("carried_out", disruption.isCarriedOut(grantId));
     ObjectNode awaited = status.putObject("awaited");
-    disruption.awaited(grantId).forEach(awaited::put);
+    disruption.pendingProxies(grantId).forEach(awaited::put);
     return status;
   }
 
--- a/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
@@ -1,7 +1,7 @@
 package leadferry.consensus;
 
 import java.util.List;
-import leadferry.release.Releases;
+import leadferry.release.ReleaseRegistry;
 
 /**
  * The leader's {@link LeaseTimers} over what the state machine says runs out. Its state, like the
@@ -49,7 +49,7 @@
   boolean renewDriverLease(String release, long fence, long nowNanos) {
     synchronized (stateMachine) {
       return stateMachine.isDriverLeaseHeld(release, fence)
-          && timers.renew(Releases.driverLeaseTimer(release, fence), nowNanos);
+          && timers.renew(ReleaseRegistry.driverLeaseTimerName(release, fence), nowNanos);
     }
   }
 }
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -140,7 +140,7 @@
 
   private static LogEntry.EndpointCatalog decodeCatalog(ObjectNode stored) {
     return new LogEntry.EndpointCatalog(
-        text(stored, "digest"), DisruptionState.subjects(stored.path("hosts")));
+        text(stored, "digest"), DisruptionState.readTargets(stored.path("hosts")));
   }
 
   private static LogEntry decodeDisruption(String operation, ObjectNode stored) {
@@ -160,7 +160,7 @@
   }
 
   private static LogEntry decodeDrain(ObjectNode stored) {
-    TargetType type = TargetType.of(text(stored, "kind"));
+    TargetType type = TargetType.fromStoredName(text(stored, "kind"));
     if (type == null) {
       return malformed("kind: '" + text(stored, "kind") + "' (expected: proxy or host)");
     }
@@ -259,7 +259,7 @@
 
   private static ArrayNode encodeEndpoints(List<Target> endpoints) {
     ArrayNode list = Json.object().putArray("hosts");
-    endpoints.forEach(endpoint -> DisruptionState.write(endpoint, list.addObject()));
+    endpoints.forEach(endpoint -> DisruptionState.writeTarget(endpoint, list.addObject()));
     return list;
   }
 
--- a/src/main/java/leadferry/consensus/OutcomeCodec.java
+++ b/src/main/java/leadferry/consensus/OutcomeCodec.java
@@ -8,15 +8,15 @@
   private OutcomeCodec() {}
 
   static ObjectNode encode(Outcome outcome) {
-    ObjectNode json = Json.object().put("status", outcome.status().word());
-    if (!outcome.permit().isEmpty()) {
-      json.put("permit", outcome.permit());
+    ObjectNode json = Json.object().put("status", outcome.status().storedName());
+    if (!outcome.grantId().isEmpty()) {
+      json.put("permit", outcome.grantId());
     }
     if (outcome.number() > 0) {
       json.put("number", outcome.number());
     }
-    if (!outcome.why().isEmpty()) {
-      outcome.why().forEach(json.putArray("why")::add);
+    if (!outcome.reasons().isEmpty()) {
+      outcome.reasons().forEach(json.putArray("why")::add);
     }
     return json;
   }
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -117,7 +117,7 @@
 
   private static ObjectNode renewed(boolean lives) {
     Outcome.Status status = lives ? Outcome.Status.DONE : Outcome.Status.UNKNOWN;
-    return Json.object().put("status", status.word());
+    return Json.object().put("status", status.storedName());
   }
 
   private static Function<FleetStateMachine, ObjectNode> queryOf(ReplicaRequest request) {
--- a/src/main/java/leadferry/consensus/SessionClient.java
+++ b/src/main/java/leadferry/consensus/SessionClient.java
@@ -41,7 +41,7 @@
    */
   public record Renewal(boolean live, boolean reportRequested) {}
 
-  private static final String DONE = Outcome.Status.DONE.word();
+  private static final String DONE = Outcome.Status.DONE.storedName();
 
   private final ReplicaClient client;
 
--- a/src/main/java/leadferry/consensus/SessionTable.java
+++ b/src/main/java/leadferry/consensus/SessionTable.java
@@ -26,7 +26,7 @@
 
   /** Whether name, incarnation and lease are within their bounds. */
   static boolean isValid(LogEntry.Join join) {
-    return join.name().matches(DisruptionState.NAME)
+    return join.name().matches(DisruptionState.NAME_PATTERN)
         && !join.incarnation().isEmpty()
         && join.leaseMillis() >= MIN_LEASE_MILLIS
         && join.leaseMillis() <= MAX_LEASE_MILLIS;
--- a/src/main/java/leadferry/consensus/SnapshotCodec.java
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import leadferry.disruption.DisruptionState;
-import leadferry.release.Releases;
+import leadferry.release.ReleaseRegistry;
 
 /**
  * Writes and reads the whole agreed state, in the schema of {@link LogEntryCodec#SCHEMA}. Each part
@@ -15,7 +15,7 @@
       CallHistory calls,
       AuditLog audit,
       DisruptionState disruption,
-      Releases releases) {}
+      ReleaseRegistry releases) {}
 
   private SnapshotCodec() {}
 
@@ -25,8 +25,8 @@
     parts.sessions().write(snapshot.putArray("sessions"));
     parts.calls().write(snapshot.putArray("calls"));
     parts.audit().write(snapshot.putArray("audit"));
-    parts.disruption().snapshot(snapshot.putObject("disruption"));
-    parts.releases().snapshot(snapshot.putObject("release"));
+    parts.disruption().writeSnapshot(snapshot.putObject("disruption"));
+    parts.releases().writeSnapshot(snapshot.putObject("release"));
     return Json.bytes(snapshot);
   }
 
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -100,9 +100,9 @@
     log.line("no replica can be reached: starting by what was last in force");
     Optional<JsonNode> stored = stateFile.read();
     if (stored.isPresent()) {
-      view.take(stored.get(), true, System.nanoTime());
-      daemon.agreed(view.hostsOut(), view.away());
-      view.forget();
+      view.applyView(stored.get(), true, System.nanoTime());
+      daemon.agreed(view.drainedEndpoints(), view.isOutOfService());
+      view.onSessionStarted();
     }
   }
 
@@ -148,7 +148,7 @@
         }
         nextRenewal = keepSession(nextRenewal, renewalIntervalNanos);
         long now = System.nanoTime();
-        if (view.look(session.leaseHolds(now), now)) {
+        if (view.refresh(session.leaseHolds(now), now)) {
           putInForce();
         }
         if (session.isOpen()) {
@@ -200,7 +200,7 @@
   private void opened(
       SessionClient.Joined joined, LogEntry.EndpointCatalog catalog, long askedAt, long deadline) {
     session.joined(joined.session(), catalog);
-    view.forget();
+    view.onSessionStarted();
     // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
     // asks the leader anew.
     renew(askedAt, deadline);
@@ -243,11 +243,11 @@
   }
 
   private MemberSession.Activity activity() {
-    boolean serving = phase == Phase.SERVING && !view.away();
+    boolean serving = phase == Phase.SERVING && !view.isOutOfService();
     SortedSet<String> busy = new TreeSet<>();
-    if (!view.hostsOut().isEmpty()) {
+    if (!view.drainedEndpoints().isEmpty()) {
       busy.addAll(daemon.hosts(Worker::busyHosts));
-      busy.retainAll(view.hostsOut());
+      busy.retainAll(view.drainedEndpoints());
     }
     SortedSet<String> suspected = new TreeSet<>(daemon.hosts(Worker::ejectedHosts));
     return new MemberSession.Activity(view.version(), serving, busy, suspected);
@@ -271,13 +271,13 @@
 
   private void take(JsonNode pushed) {
     long now = System.nanoTime();
-    if (view.take(pushed, session.leaseHolds(now), now)) {
+    if (view.applyView(pushed, session.leaseHolds(now), now)) {
       putInForce();
     }
   }
 
   private void putInForce() {
-    daemon.agreed(view.hostsOut(), view.away());
+    daemon.agreed(view.drainedEndpoints(), view.isOutOfService());
     stateFile.write(view);
   }
 
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -144,7 +144,7 @@
     }
     String fleet = section.text("fleet", null, "the fleet's name");
     String version = section.text("version", NONE, "what runs here, as releases call it");
-    if (!version.matches(DisruptionState.NAME) && !version.equals(NONE)) {
+    if (!version.matches(DisruptionState.NAME_PATTERN) && !version.equals(NONE)) {
       section.fault(
           "version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
     }
--- a/src/main/java/leadferry/daemon/ReleaseFileSteps.java
+++ b/src/main/java/leadferry/daemon/ReleaseFileSteps.java
@@ -29,7 +29,7 @@
   /** For targets of a type, from the status of the fleet. */
   ReleaseFileSteps(String targetType, JsonNode status) {
     this.targetType = targetType;
-    boolean proxies = TargetType.of(targetType) == TargetType.PROXY;
+    boolean proxies = TargetType.fromStoredName(targetType) == TargetType.PROXY;
     for (JsonNode member : status.path(proxies ? "proxies" : "hosts")) {
       fleet.put(member.path("name").asText(), member);
     }
--- a/src/main/java/leadferry/disruption/Budget.java
+++ b/src/main/java/leadferry/disruption/Budget.java
@@ -49,14 +49,14 @@
 
   /** Whether this budget counts that target. */
   boolean selects(Target target) {
-    return target.kind() == targetType
+    return target.type() == targetType
         && selector.entrySet().stream()
-            .allMatch(wanted -> target.label(wanted.getKey()).equals(wanted.getValue()));
+            .allMatch(label -> target.label(label.getKey()).equals(label.getValue()));
   }
 
   /** Whether both targets are counted in the same group. */
-  boolean sameGroup(Target one, Target other) {
-    return groupBy.equals(ALL) || one.label(groupBy).equals(other.label(groupBy));
+  boolean isSameGroup(Target first, Target second) {
+    return groupBy.equals(ALL) || first.label(groupBy).equals(second.label(groupBy));
   }
 
   /** How many targets of a group of that size may be unavailable, at least 0. */
--- a/src/main/java/leadferry/disruption/BudgetBound.java
+++ b/src/main/java/leadferry/disruption/BudgetBound.java
@@ -21,7 +21,7 @@
   }
 
   /** The bound in the words of refusals, which are stored. */
-  String text() {
+  String describe() {
     String counts = name + ": " + unavailableOthers.size() + " out, " + allowed + " allowed";
     return unavailableOthers.isEmpty()
         ? counts
--- a/src/main/java/leadferry/disruption/BudgetCodec.java
+++ b/src/main/java/leadferry/disruption/BudgetCodec.java
@@ -26,7 +26,7 @@
   /** Adds the budget's keys to a JSON object. */
   static void encode(Budget budget, ObjectNode json) {
     json.put("name", budget.name())
-        .put("of", budget.targetType().word())
+        .put("of", budget.targetType().storedName())
         .put("by", budget.groupBy())
         .put("max_out", budget.maxUnavailable())
         .put("max_share", budget.maxUnavailableShare())
@@ -65,17 +65,17 @@
 
   private static String decodeName(JsonNode json, List<String> errors) {
     String name = json.path("name").asText("");
-    if (!name.matches(DisruptionState.NAME)) {
+    if (!name.matches(DisruptionState.NAME_PATTERN)) {
       errors.add("budget name: '" + name + "' (expected: letters, digits, _, - and ., at most 64)");
     }
     return name;
   }
 
   private static TargetType decodeTargetType(String name, JsonNode json, List<String> errors) {
-    String word = json.path("of").asText("");
-    TargetType targetType = TargetType.of(word);
+    String storedName = json.path("of").asText("");
+    TargetType targetType = TargetType.fromStoredName(storedName);
     if (targetType == null) {
-      errors.add("budget " + name + ", of: '" + word + "' (expected: proxy or host)");
+      errors.add("budget " + name + ", of: '" + storedName + "' (expected: proxy or host)");
     }
     return targetType;
   }
@@ -92,13 +92,13 @@
   private static Map<String, String> decodeSelector(
       String name, JsonNode json, List<String> errors) {
     Map<String, String> selector = new TreeMap<>();
-    for (Map.Entry<String, JsonNode> wanted : json.path("where").properties()) {
-      String label = wanted.getKey();
+    for (Map.Entry<String, JsonNode> entry : json.path("where").properties()) {
+      String label = entry.getKey();
       if (!Budget.LABELS.contains(label)) {
         errors.add(
             "budget " + name + ", where: '" + label + "' (expected: zone, pod, pool or kind)");
       }
-      selector.put(label, wanted.getValue().asText());
+      selector.put(label, entry.getValue().asText());
     }
     return selector;
   }
--- a/src/main/java/leadferry/disruption/BudgetEvaluator.java
+++ b/src/main/java/leadferry/disruption/BudgetEvaluator.java
@@ -24,49 +24,55 @@
   }
 
   /** The bounds that forbid the eviction, in words; empty where it is allowed. */
-  List<String> refusals(Target asked) {
-    return bounds(asked).stream().filter(BudgetBound::isExhausted).map(BudgetBound::text).toList();
+  List<String> findRefusals(Target candidate) {
+    return evaluateBounds(candidate).stream()
+        .filter(BudgetBound::isExhausted)
+        .map(BudgetBound::describe)
+        .toList();
   }
 
   /** All bounds that the eviction meets: budgets in their order, then the rules above them. */
-  List<BudgetBound> bounds(Target asked) {
-    Collection<Target> all = targets.byName(asked.kind()).values();
+  List<BudgetBound> evaluateBounds(Target candidate) {
+    Collection<Target> all = targets.byName(candidate.type()).values();
     List<BudgetBound> bounds = new ArrayList<>();
     for (Budget budget : budgets.all()) {
-      if (budget.selects(asked)) {
-        bounds.add(boundOf(budget, all, asked));
+      if (budget.selects(candidate)) {
+        bounds.add(evaluateBudget(budget, all, candidate));
       }
     }
-    if (budgets.all().stream().noneMatch(budget -> budget.targetType() == asked.kind())) {
-      String name = "no budget of " + asked.kind().word() + ": one at a time";
-      bounds.add(bound(name, all, ALLOWED_WITHOUT_BUDGET, asked));
+    if (budgets.all().stream().noneMatch(budget -> budget.targetType() == candidate.type())) {
+      String name = "no budget of " + candidate.type().storedName() + ": one at a time";
+      bounds.add(evaluateBound(name, all, ALLOWED_WITHOUT_BUDGET, candidate));
     }
-    bounds.add(lastOneStays(all, asked));
+    bounds.add(evaluateLastOneBound(all, candidate));
     return bounds;
   }
 
-  private BudgetBound boundOf(Budget budget, Collection<Target> all, Target asked) {
+  private BudgetBound evaluateBudget(Budget budget, Collection<Target> all, Target candidate) {
     List<Target> group =
         all.stream()
-            .filter(target -> budget.selects(target) && budget.sameGroup(target, asked))
+            .filter(target -> budget.selects(target) && budget.isSameGroup(target, candidate))
             .toList();
-    return bound("budget " + budget.name(), group, budget.allowedUnavailable(group.size()), asked);
+    return evaluateBound(
+        "budget " + budget.name(), group, budget.allowedUnavailable(group.size()), candidate);
   }
 
-  private BudgetBound lastOneStays(Collection<Target> all, Target asked) {
-    if (asked.kind() == TargetType.PROXY) {
-      return bound("the last proxy", all, all.size() - 1, asked);
+  private BudgetBound evaluateLastOneBound(Collection<Target> all, Target candidate) {
+    if (candidate.type() == TargetType.PROXY) {
+      return evaluateBound("the last proxy", all, all.size() - 1, candidate);
     }
-    List<Target> pool = all.stream().filter(host -> host.pool().equals(asked.pool())).toList();
-    return bound("the last host of pool " + asked.pool(), pool, pool.size() - 1, asked);
+    List<Target> pool = all.stream().filter(host -> host.pool().equals(candidate.pool())).toList();
+    return evaluateBound(
+        "the last host of pool " + candidate.pool(), pool, pool.size() - 1, candidate);
   }
 
-  private BudgetBound bound(String name, Collection<Target> group, int allowed, Target asked) {
+  private BudgetBound evaluateBound(
+      String name, Collection<Target> group, int allowed, Target candidate) {
     List<String> others = new ArrayList<>();
     for (Target target : group) {
-      if (!target.name().equals(asked.name())) {
+      if (!target.name().equals(candidate.name())) {
         unavailability
-            .of(target.kind(), target.name())
+            .of(target.type(), target.name())
             .ifPresent(reason -> others.add(target.name() + " (" + reason.text() + ")"));
       }
     }
--- a/src/main/java/leadferry/disruption/DisruptionCommand.java
+++ b/src/main/java/leadferry/disruption/DisruptionCommand.java
@@ -11,18 +11,23 @@
    * Take a proxy or host out of service.
    *
    * @param durationMillis how long, 0 until it is given back
-   * @param leaving a proxy that ends for good: it is forgotten once its session ends by its own
+   * @param permanent a proxy that ends for good: it is forgotten once its session ends by its own
    *     word
    */
   record Drain(
-      TargetType type, String name, long durationMillis, boolean leaving, String who, String why)
+      TargetType type,
+      String name,
+      long durationMillis,
+      boolean permanent,
+      String requestedBy,
+      String reason)
       implements DisruptionCommand {}
 
   /** Give back what that eviction grant took out. */
-  record Undo(String grant, String why) implements DisruptionCommand {}
+  record Undo(String grantId, String reason) implements DisruptionCommand {}
 
   /** Grant nothing from here on. */
-  record Halt(String why) implements DisruptionCommand {}
+  record Halt(String reason) implements DisruptionCommand {}
 
   /** Grant again. */
   record Resume() implements DisruptionCommand {}
--- a/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
+++ b/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
@@ -35,7 +35,7 @@
   /** Adds the keys of the whole state to a JSON object. */
   static void encode(DisruptionTables tables, Times times, ObjectNode json) {
     json.put("version", tables.revision.version())
-        .put("change", tables.revision.change())
+        .put("change", tables.revision.changeNumber())
         .put("next_permit", tables.grants.nextId())
         .put("budgets_version", tables.budgets.version())
         .put("halted", tables.haltReason())
@@ -48,17 +48,17 @@
     tables.grants.all().forEach(grant -> encodeGrant(grant, grants.addObject()));
     ArrayNode members = json.putArray("members");
     tables.members.all().forEach(member -> encodeMember(member, members.addObject()));
-    ObjectNode catalogues = json.putObject("catalogues");
+    ObjectNode catalogs = json.putObject("catalogues");
     tables
-        .catalogues
-        .byDigest()
-        .forEach((digest, hosts) -> encodeHosts(hosts, catalogues.putArray(digest)));
+        .catalogs
+        .endpointsByDigest()
+        .forEach((digest, endpoints) -> encodeEndpoints(endpoints, catalogs.putArray(digest)));
     ObjectNode warmUps = json.putObject("warming");
-    tables.warmUps.sinceByHost().forEach(warmUps::put);
+    tables.warmUps.startChangeByEndpoint().forEach(warmUps::put);
   }
 
-  private static void encodeHosts(List<Target> hosts, ArrayNode array) {
-    hosts.forEach(host -> TargetCodec.encode(host, array.addObject()));
+  private static void encodeEndpoints(List<Target> endpoints, ArrayNode array) {
+    endpoints.forEach(endpoint -> TargetCodec.encode(endpoint, array.addObject()));
   }
 
   private static void encodeGrant(EvictionGrant grant, ObjectNode json) {
@@ -70,7 +70,7 @@
         .put("since", grant.grantedVersion())
         .put("end_since", grant.restoringVersion())
         .put("end_why", grant.restoringReason())
-        .put("leaving", grant.request().leaving());
+        .put("leaving", grant.request().permanent());
   }
 
   private static void encodeMember(ProxyMember member, ObjectNode json) {
@@ -79,17 +79,17 @@
     json.put("name", member.name())
         .put("zone", member.session().zone())
         .put("version", member.session().version())
-        .put("joined", member.session().joinedChange())
+        .put("joined", member.session().startChange())
         .put("alive", state.isLive())
         .put("left", state.hasLeft())
         .put("fenced", state.isFenced())
         .put("serving", state == MemberState.SERVING)
         .put("seen", report.acknowledgedVersion())
-        .put("said", report.number())
-        .put("settling", member.stabilizingSince())
+        .put("said", report.sequenceNumber())
+        .put("settling", member.stabilizingSinceChange())
         .put("catalogue", member.catalogDigest());
-    report.busyHosts().forEach(json.putArray("busy")::add);
-    report.ejectedHosts().forEach(json.putArray("suspects")::add);
+    report.busyEndpoints().forEach(json.putArray("busy")::add);
+    report.ejectedEndpoints().forEach(json.putArray("suspects")::add);
   }
 
   /**
@@ -109,7 +109,7 @@
     List<ProxyMember> members = new ArrayList<>();
     json.path("members").forEach(member -> members.add(decodeMember(member)));
     tables.members.restore(members);
-    tables.catalogues.restore(decodeCatalogues(json.path("catalogues")));
+    tables.catalogs.restore(decodeCatalogs(json.path("catalogues")));
     tables.warmUps.restore(decodeWarmUps(json.path("warming")));
     return new Times(
         json.path("settle_ms").asLong(),
@@ -176,19 +176,19 @@
     return names;
   }
 
-  private static Map<String, List<Target>> decodeCatalogues(JsonNode json) {
-    Map<String, List<Target>> catalogues = new TreeMap<>();
-    for (Map.Entry<String, JsonNode> catalogue : json.properties()) {
-      catalogues.put(catalogue.getKey(), TargetCodec.decodeAll(catalogue.getValue()));
+  private static Map<String, List<Target>> decodeCatalogs(JsonNode json) {
+    Map<String, List<Target>> catalogs = new TreeMap<>();
+    for (Map.Entry<String, JsonNode> catalog : json.properties()) {
+      catalogs.put(catalog.getKey(), TargetCodec.decodeAll(catalog.getValue()));
     }
-    return catalogues;
+    return catalogs;
   }
 
   private static Map<String, Long> decodeWarmUps(JsonNode json) {
-    Map<String, Long> sinceByHost = new TreeMap<>();
+    Map<String, Long> startChangeByEndpoint = new TreeMap<>();
     for (Map.Entry<String, JsonNode> warmUp : json.properties()) {
-      sinceByHost.put(warmUp.getKey(), warmUp.getValue().asLong());
+      startChangeByEndpoint.put(warmUp.getKey(), warmUp.getValue().asLong());
     }
-    return sinceByHost;
+    return startChangeByEndpoint;
   }
 }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -30,7 +30,7 @@
  */
 public final class DisruptionState {
   /** The form of names of proxies, hosts and budgets. */
-  public static final String NAME = "[A-Za-z0-9_][A-Za-z0-9_.:-]{0,63}";
+  public static final String NAME_PATTERN = "[A-Za-z0-9_][A-Za-z0-9_.:-]{0,63}";
 
   /** The version of a proxy that did not tell what it runs. */
   public static final String NO_VERSION = "-";
@@ -69,12 +69,12 @@
   }
 
   /** Grows with each change of any kind; orders events. */
-  public long changes() {
-    return tables.revision.change();
+  public long changeNumber() {
+    return tables.revision.changeNumber();
   }
 
   /** Why nothing is granted, "" where grants are given. */
-  public String halted() {
+  public String haltReason() {
     return tables.haltReason();
   }
 
@@ -94,8 +94,8 @@
   }
 
   /** Proxies whose session expired and hosts that proxies have ejected, with and without grants. */
-  public Set<String> lost() {
-    Set<String> names = new TreeSet<>(ejections.lostHosts());
+  public Set<String> lostTargets() {
+    Set<String> names = new TreeSet<>(ejections.lostEndpoints());
     for (ProxyMember member : tables.members.all()) {
       if (member.state().isLost()) {
         names.add(member.name());
@@ -110,41 +110,42 @@
    * @param digest digest of the list of hosts that it balances over
    */
   public void onSessionOpened(
-      String name, String zone, String version, String digest, List<Target> hosts) {
-    memberLifecycle.joined(name, zone, version, digest, hosts);
+      String name, String zone, String version, String digest, List<Target> endpoints) {
+    memberLifecycle.onSessionOpened(name, zone, version, digest, endpoints);
   }
 
   /**
    * A proxy reported; an earlier report that comes late changes nothing.
    *
-   * @param number counts the reports of a session from 1
+   * @param sequenceNumber counts the reports of a session from 1
    * @param acknowledgedVersion version of the agreed state that it goes by
-   * @param busyHosts hosts taken out of service on which it has requests in flight
-   * @param ejectedHosts hosts that its outlier detection has ejected
+   * @param busyEndpoints hosts taken out of service on which it has requests in flight
+   * @param ejectedEndpoints hosts that its outlier detection has ejected
    */
   public void onMemberReport(
       String name,
-      long number,
+      long sequenceNumber,
       long acknowledgedVersion,
       boolean serving,
-      Set<String> busyHosts,
-      Set<String> ejectedHosts) {
-    ProxyReport report = new ProxyReport(number, acknowledgedVersion, busyHosts, ejectedHosts);
-    memberLifecycle.reported(name, report, serving);
+      Set<String> busyEndpoints,
+      Set<String> ejectedEndpoints) {
+    ProxyReport report =
+        new ProxyReport(sequenceNumber, acknowledgedVersion, busyEndpoints, ejectedEndpoints);
+    memberLifecycle.onReport(name, report, serving);
   }
 
   /** The list of hosts that a proxy balances over has changed. */
-  public void onCatalogChanged(String name, String digest, List<Target> hosts) {
-    memberLifecycle.catalogueChanged(name, digest, hosts);
+  public void onCatalogChanged(String name, String digest, List<Target> endpoints) {
+    memberLifecycle.onCatalogChanged(name, digest, endpoints);
   }
 
   /**
    * A proxy's session ended.
    *
-   * @param byItself by the proxy's own word, without requests in flight; otherwise it expired
+   * @param clean by the proxy's own word, without requests in flight; otherwise it expired
    */
-  public void onSessionEnded(String name, boolean byItself) {
-    memberLifecycle.sessionEnded(name, byItself);
+  public void onSessionEnded(String name, boolean clean) {
+    memberLifecycle.onSessionEnded(name, clean);
   }
 
   /** Applies an operator's command. */
@@ -153,10 +154,10 @@
       return evictions.drain(drain);
     }
     if (command instanceof DisruptionCommand.Undo undo) {
-      return undo(undo.grant(), undo.why());
+      return undo(undo.grantId(), undo.reason());
     }
     if (command instanceof DisruptionCommand.Halt halt) {
-      return halt(halt.why());
+      return halt(halt.reason());
     }
     if (command instanceof DisruptionCommand.Resume) {
       return resume();
@@ -168,15 +169,20 @@
       return forget(forget.name());
     }
     if (command instanceof DisruptionCommand.ReplaceBudgets replace) {
-      return budgets(replace.budgets(), replace.expectedVersion());
+      return replaceBudgets(replace.budgets(), replace.expectedVersion());
     }
     throw new IllegalArgumentException("command: " + command + " (expected: one of disruption)");
   }
 
   /** Takes a target out of service if nothing forbids it, see {@link Drain}. */
   public Outcome drain(
-      TargetType type, String name, long durationMillis, boolean leaving, String who, String why) {
-    return evictions.drain(new Drain(type, name, durationMillis, leaving, who, why));
+      TargetType type,
+      String name,
+      long durationMillis,
+      boolean permanent,
+      String requestedBy,
+      String reason) {
+    return evictions.drain(new Drain(type, name, durationMillis, permanent, requestedBy, reason));
   }
 
   /**
@@ -185,19 +191,19 @@
    *
    * @return id of the grant, or "" where the target is available, holds a grant, or all is halted
    */
-  public String hold(TargetType type, String name, String who, String why) {
-    return evictions.hold(type, name, who, why);
+  public String keepOutOfService(TargetType type, String name, String requestedBy, String reason) {
+    return evictions.keepOutOfService(type, name, requestedBy, reason);
   }
 
   /** Begins to take an eviction grant back. */
-  public Outcome undo(String grantId, String why) {
-    return evictions.undo(grantId, why);
+  public Outcome undo(String grantId, String reason) {
+    return evictions.undo(grantId, reason);
   }
 
   /** From this entry on nothing is granted. */
-  public Outcome halt(String why) {
+  public Outcome halt(String reason) {
     tables.revision.advanceVersion();
-    tables.setHaltReason(why.isEmpty() ? "halted" : why);
+    tables.setHaltReason(reason.isEmpty() ? "halted" : reason);
     return Outcome.of(Status.DONE);
   }
 
@@ -213,7 +219,7 @@
    *
    * @param expectedVersion version of the budgets that they replace
    */
-  public Outcome budgets(List<Budget> replacements, long expectedVersion) {
+  public Outcome replaceBudgets(List<Budget> replacements, long expectedVersion) {
     return tables.budgets.replace(replacements, expectedVersion, tables.revision);
   }
 
@@ -228,57 +234,58 @@
   }
 
   /** The timers that run, and how long each takes from when it was first named (ms). */
-  public Map<String, Long> timers() {
+  public Map<String, Long> timerDurationsMillis() {
     return timers.durationsMillis(times);
   }
 
   /** A timer of {@link #timers} has ended; one that does not run any more changes nothing. */
-  public void onTimerExpired(String timer) {
-    timers.ended(timer, times);
+  public void onTimerExpired(String timerName) {
+    timers.onExpired(timerName, times);
   }
 
   /** Why that target is unavailable, in the stored words; null where it is available. */
-  public String out(TargetType type, String name) {
+  public String unavailabilityReason(TargetType type, String name) {
     return unavailability.of(type, name).map(Unavailability::text).orElse(null);
   }
 
   /** All known targets of a type, in the order of their names. */
-  public Collection<Target> all(TargetType type) {
-    return byName(type).values();
+  public Collection<Target> targets(TargetType type) {
+    return targetsByName(type).values();
   }
 
   /** All known targets of a type by name; made anew at each call. */
-  public Map<String, Target> byName(TargetType type) {
+  public Map<String, Target> targetsByName(TargetType type) {
     return targets.byName(type);
   }
 
   /** Writes what a drain would come to now, and each bound that it would meet. */
-  public void explain(TargetType type, String name, ObjectNode json) {
-    new ExplainWriter(tables, targets, unavailability, budgetEvaluator).write(type, name, json);
+  public void writeExplanation(TargetType type, String name, ObjectNode json) {
+    new DrainExplanationWriter(tables, targets, unavailability, budgetEvaluator)
+        .write(type, name, json);
   }
 
   /** The proxies that may still send to a host that a grant takes out, by name with the reason. */
-  public Map<String, String> awaited(String grantId) {
-    return progress.awaited(grantId);
+  public Map<String, String> pendingProxies(String grantId) {
+    return progress.pendingProxies(grantId);
   }
 
-  /** Whether what a grant takes out is out: see {@link EvictionProgress#carriedOut}. */
-  public boolean carriedOut(String grantId) {
-    return progress.carriedOut(grantId);
+  /** Whether what a grant takes out is out: see {@link EvictionProgress#isCarriedOut}. */
+  public boolean isCarriedOut(String grantId) {
+    return progress.isCarriedOut(grantId);
   }
 
   /** Writes what every member must know, see {@link FleetViewCodec}. */
-  public void view(ObjectNode json) {
+  public void writeView(ObjectNode json) {
     FleetViewCodec.encode(FleetView.of(tables), json);
   }
 
   /** Writes all that operators may want to see. */
-  public void status(ObjectNode json) {
+  public void writeStatus(ObjectNode json) {
     new StatusWriter(tables, targets, unavailability, progress).write(json);
   }
 
   /** Writes the whole state; {@link #restore} of it gives the same state and later outcomes. */
-  public void snapshot(ObjectNode json) {
+  public void writeSnapshot(ObjectNode json) {
     DisruptionSnapshotCodec.encode(tables, times, json);
   }
 
@@ -288,12 +295,12 @@
   }
 
   /** Reads hosts in their stored form, see {@link TargetCodec}. */
-  public static List<Target> subjects(JsonNode array) {
+  public static List<Target> readTargets(JsonNode array) {
     return TargetCodec.decodeAll(array);
   }
 
   /** Writes a target in its stored form, see {@link TargetCodec}. */
-  public static void write(Target target, ObjectNode json) {
+  public static void writeTarget(Target target, ObjectNode json) {
     TargetCodec.encode(target, json);
   }
 }
--- a/src/main/java/leadferry/disruption/DisruptionTables.java
+++ b/src/main/java/leadferry/disruption/DisruptionTables.java
@@ -10,8 +10,8 @@
   final BudgetTable budgets = new BudgetTable();
   final EvictionGrantTable grants = new EvictionGrantTable();
   final MemberTable members = new MemberTable();
-  final HostCatalogTable catalogues = new HostCatalogTable();
-  final HostWarmUpTracker warmUps = new HostWarmUpTracker();
+  final EndpointCatalogTable catalogs = new EndpointCatalogTable();
+  final EndpointWarmUpTracker warmUps = new EndpointWarmUpTracker();
   private String haltReason = "";
 
   /** Why nothing is granted, "" where grants are given. */
--- a/src/main/java/leadferry/disruption/DisruptionTimer.java
+++ b/src/main/java/leadferry/disruption/DisruptionTimer.java
@@ -22,10 +22,10 @@
   }
 
   /** A host that came back has warmed up. */
-  record WarmUp(String host, long sinceChange) implements DisruptionTimer {
+  record WarmUp(String endpoint, long sinceChange) implements DisruptionTimer {
     @Override
     public String name() {
-      return "warm:" + host + ":" + sinceChange;
+      return "warm:" + endpoint + ":" + sinceChange;
     }
   }
 }
--- a/src/main/java/leadferry/disruption/DisruptionTimers.java
+++ b/src/main/java/leadferry/disruption/DisruptionTimers.java
@@ -18,12 +18,12 @@
    */
   Map<String, Long> durationsMillis(DisruptionState.Times times) {
     Map<String, Long> durationsMillis = new LinkedHashMap<>();
-    running(times)
+    runningTimers(times)
         .forEach((timer, durationMillis) -> durationsMillis.put(timer.name(), durationMillis));
     return durationsMillis;
   }
 
-  private Map<DisruptionTimer, Long> running(DisruptionState.Times times) {
+  private Map<DisruptionTimer, Long> runningTimers(DisruptionState.Times times) {
     Map<DisruptionTimer, Long> timers = new LinkedHashMap<>();
     for (EvictionGrant grant : tables.grants.all()) {
       long durationMillis = grant.request().durationMillis();
@@ -35,22 +35,23 @@
     for (ProxyMember member : tables.members.all()) {
       if (member.isStabilizing() && member.state() == MemberState.SERVING) {
         timers.put(
-            new DisruptionTimer.Stabilization(member.name(), member.stabilizingSince()),
+            new DisruptionTimer.Stabilization(member.name(), member.stabilizingSinceChange()),
             times.stabilizationMillis());
       }
     }
     tables
         .warmUps
-        .sinceByHost()
+        .startChangeByEndpoint()
         .forEach(
-            (host, since) ->
-                timers.put(new DisruptionTimer.WarmUp(host, since), times.warmUpMillis()));
+            (endpoint, startChange) ->
+                timers.put(
+                    new DisruptionTimer.WarmUp(endpoint, startChange), times.warmUpMillis()));
     return timers;
   }
 
   /** A timer has ended; one that does not run any more changes nothing. */
-  void ended(String name, DisruptionState.Times times) {
-    for (DisruptionTimer timer : running(times).keySet()) {
+  void onExpired(String name, DisruptionState.Times times) {
+    for (DisruptionTimer timer : runningTimers(times).keySet()) {
       if (timer.name().equals(name)) {
         tables.revision.advanceChange();
         apply(timer);
@@ -66,9 +67,9 @@
       tables
           .members
           .find(stabilization.proxy())
-          .ifPresent(member -> tables.members.put(member.stabilized()));
+          .ifPresent(member -> tables.members.put(member.withoutStabilization()));
     } else if (timer instanceof DisruptionTimer.WarmUp warmUp) {
-      tables.warmUps.end(warmUp.host());
+      tables.warmUps.end(warmUp.endpoint());
     }
   }
 }
--- a/src/main/java/leadferry/disruption/ExplainWriter.java
+++ b/src/main/java/leadferry/disruption/DrainExplanationWriter.java
@@ -7,13 +7,13 @@
 import leadferry.disruption.Outcome.Status;
 
 /** The explain view for operators: what a drain would come to now, and each bound that it meets. */
-final class ExplainWriter {
+final class DrainExplanationWriter {
   private final DisruptionTables tables;
   private final TargetDirectory targets;
   private final UnavailabilityEvaluator unavailability;
   private final BudgetEvaluator budgets;
 
-  ExplainWriter(
+  DrainExplanationWriter(
       DisruptionTables tables,
       TargetDirectory targets,
       UnavailabilityEvaluator unavailability,
@@ -32,26 +32,26 @@
   void write(TargetType type, String name, ObjectNode json) {
     Target target = type == null ? null : targets.find(type, name).orElse(null);
     if (target == null) {
-      String word = type == null ? "kind" : type.word();
-      json.put("status", Status.UNKNOWN.word())
+      String typeName = type == null ? "kind" : type.storedName();
+      json.put("status", Status.UNKNOWN.storedName())
           .putArray("why")
-          .add("no " + word + " '" + name + "'");
+          .add("no " + typeName + " '" + name + "'");
       return;
     }
     Optional<EvictionGrant> held = tables.grants.heldBy(type, name);
-    List<BudgetBound> bounds = budgets.bounds(target);
-    json.put("status", Status.DONE.word())
-        .put("kind", type.word())
+    List<BudgetBound> bounds = budgets.evaluateBounds(target);
+    json.put("status", Status.DONE.storedName())
+        .put("kind", type.storedName())
         .put("name", name)
         .put("out", unavailability.of(type, name).map(Unavailability::text).orElse(null))
         .put("halted", tables.haltReason())
-        .put("would_be", wouldBe(held.isPresent(), bounds).word());
+        .put("would_be", predictStatus(held.isPresent(), bounds).storedName());
     held.ifPresent(grant -> json.put("permit", grant.id()));
     ArrayNode boundsJson = json.putArray("bounds");
     bounds.forEach(bound -> writeBound(bound, boundsJson.addObject()));
   }
 
-  private Status wouldBe(boolean holdsGrant, List<BudgetBound> bounds) {
+  private Status predictStatus(boolean holdsGrant, List<BudgetBound> bounds) {
     if (holdsGrant) {
       return Status.REFUSED;
     }
--- a/src/main/java/leadferry/disruption/EjectionCounter.java
+++ b/src/main/java/leadferry/disruption/EjectionCounter.java
@@ -8,7 +8,7 @@
  * where fewer are.
  */
 final class EjectionCounter {
-  private static final int EJECTIONS_UNTIL_LOST = 2;
+  private static final int MIN_EJECTIONS_FOR_LOST = 2;
 
   private final MemberTable members;
 
@@ -17,33 +17,33 @@
   }
 
   /** How many live proxies have ejected a host, at least two where all of them have. */
-  int ejectionsOf(String host) {
+  int countEjections(String endpoint) {
     int ejections = 0;
     int live = 0;
     for (ProxyMember member : members.all()) {
       if (member.state().isLive()) {
         live++;
-        ejections += member.lastReport().ejectedHosts().contains(host) ? 1 : 0;
+        ejections += member.lastReport().ejectedEndpoints().contains(endpoint) ? 1 : 0;
       }
     }
     boolean ejectedByAll = ejections > 0 && ejections == live;
-    return ejectedByAll ? Math.max(ejections, EJECTIONS_UNTIL_LOST) : ejections;
+    return ejectedByAll ? Math.max(ejections, MIN_EJECTIONS_FOR_LOST) : ejections;
   }
 
-  boolean isLost(String host) {
-    return ejectionsOf(host) >= EJECTIONS_UNTIL_LOST;
+  boolean isLost(String endpoint) {
+    return countEjections(endpoint) >= MIN_EJECTIONS_FOR_LOST;
   }
 
   /** Whether one ejection more would make the host count as lost. */
-  boolean isOneShortOfLost(String host) {
-    return ejectionsOf(host) == EJECTIONS_UNTIL_LOST - 1;
+  boolean isOneEjectionBelowLost(String endpoint) {
+    return countEjections(endpoint) == MIN_EJECTIONS_FOR_LOST - 1;
   }
 
   /** Hosts that count as lost, in the order of their names. */
-  Set<String> lostHosts() {
-    Set<String> hosts = new TreeSet<>();
-    members.all().forEach(member -> hosts.addAll(member.lastReport().ejectedHosts()));
-    hosts.removeIf(host -> !isLost(host));
-    return hosts;
+  Set<String> lostEndpoints() {
+    Set<String> endpoints = new TreeSet<>();
+    members.all().forEach(member -> endpoints.addAll(member.lastReport().ejectedEndpoints()));
+    endpoints.removeIf(endpoint -> !isLost(endpoint));
+    return endpoints;
   }
 }
--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -26,37 +26,42 @@
 
   /** Takes a target out of service if nothing forbids it. */
   Outcome drain(DisruptionCommand.Drain drain) {
-    Optional<Outcome> malformed = malformed(drain);
+    Optional<Outcome> malformed = rejectMalformed(drain);
     if (malformed.isPresent()) {
       return malformed.get();
     }
     Target target = targets.find(drain.type(), drain.name()).orElse(null);
     if (target == null) {
-      return Outcome.of(Status.UNKNOWN, "no " + drain.type().word() + " '" + drain.name() + "'");
+      return Outcome.of(
+          Status.UNKNOWN, "no " + drain.type().storedName() + " '" + drain.name() + "'");
     }
-    Optional<Outcome> refused = refused(target);
+    Optional<Outcome> refused = refuse(target);
     if (refused.isPresent()) {
       return refused.get();
     }
     EvictionGrant grant =
         tables.grants.add(
             new EvictionRequest(
-                target, drain.who(), drain.why(), drain.durationMillis(), drain.leaving()),
+                target,
+                drain.requestedBy(),
+                drain.reason(),
+                drain.durationMillis(),
+                drain.permanent()),
             tables.revision.advanceVersion());
     // A proxy's grant ends the warm-up of a host without a name, as in earlier builds: replicas of
     // two builds must not differ about one log.
-    tables.warmUps.end(target.kind() == TargetType.HOST ? target.name() : "");
+    tables.warmUps.end(target.type() == TargetType.HOST ? target.name() : "");
     return new Outcome(Status.GRANTED, grant.id(), List.of());
   }
 
-  private static Optional<Outcome> malformed(DisruptionCommand.Drain drain) {
+  private static Optional<Outcome> rejectMalformed(DisruptionCommand.Drain drain) {
     long durationMillis = drain.durationMillis();
-    if (drain.leaving() && (drain.type() != TargetType.PROXY || durationMillis != 0)) {
+    if (drain.permanent() && (drain.type() != TargetType.PROXY || durationMillis != 0)) {
       return Optional.of(
           Outcome.of(
               Status.MALFORMED,
               "leave: of a "
-                  + drain.type().word()
+                  + drain.type().storedName()
                   + " for "
                   + durationMillis
                   + " ms (expected: a proxy, for good)"));
@@ -70,8 +75,8 @@
     return Optional.empty();
   }
 
-  private Optional<Outcome> refused(Target target) {
-    EvictionGrant held = tables.grants.heldBy(target.kind(), target.name()).orElse(null);
+  private Optional<Outcome> refuse(Target target) {
+    EvictionGrant held = tables.grants.heldBy(target.type(), target.name()).orElse(null);
     if (held != null) {
       String reason =
           target.name()
@@ -87,7 +92,7 @@
       return Optional.of(
           Outcome.of(Status.REFUSED, "permits: " + tables.grants.size() + " (expected: fewer)"));
     }
-    List<String> refusals = budgets.refusals(target);
+    List<String> refusals = budgets.findRefusals(target);
     return refusals.isEmpty()
         ? Optional.empty()
         : Optional.of(new Outcome(Status.REFUSED, "", refusals));
@@ -99,7 +104,7 @@
    *
    * @return id of the grant, or "" where the target is available, holds a grant, or all is halted
    */
-  String hold(TargetType type, String name, String requestedBy, String reason) {
+  String keepOutOfService(TargetType type, String name, String requestedBy, String reason) {
     Target target = targets.find(type, name).orElse(null);
     if (target == null
         || tables.isHalted()
@@ -122,13 +127,13 @@
       if (isHeldByProxyWithoutSession(grant)) {
         tables.grants.release(grant); // it counts as lost, and hears of this when it joins
       }
-      releaseAcknowledgedHosts();
+      releaseAcknowledgedEndpoints();
     }
     return new Outcome(Status.DONE, grantId, List.of());
   }
 
   private boolean isHeldByProxyWithoutSession(EvictionGrant grant) {
-    return grant.isOf(TargetType.PROXY)
+    return grant.isForType(TargetType.PROXY)
         && tables
             .members
             .find(grant.target().name())
@@ -140,18 +145,18 @@
    * Releases grants of hosts that are being taken back once all live proxies have acknowledged it;
    * the host warms up from then on.
    */
-  void releaseAcknowledgedHosts() {
+  void releaseAcknowledgedEndpoints() {
     for (EvictionGrant grant : List.copyOf(tables.grants.all())) {
-      if (grant.isOf(TargetType.HOST)
+      if (grant.isForType(TargetType.HOST)
           && grant.isRestoring()
-          && allLiveHaveAcknowledged(grant.restoringVersion())) {
+          && haveAllLiveMembersAcknowledged(grant.restoringVersion())) {
         tables.grants.release(grant);
         tables.warmUps.begin(grant.target().name(), tables.revision.advanceChange());
       }
     }
   }
 
-  private boolean allLiveHaveAcknowledged(long version) {
+  private boolean haveAllLiveMembersAcknowledged(long version) {
     return tables.members.all().stream()
         .filter(member -> member.state().isLive())
         .allMatch(member -> member.hasAcknowledged(version));
--- a/src/main/java/leadferry/disruption/EvictionGrant.java
+++ b/src/main/java/leadferry/disruption/EvictionGrant.java
@@ -42,7 +42,7 @@
    *
    * @throws IllegalStateException if that has begun already
    */
-  EvictionGrant restoring(long version, String reason) {
+  EvictionGrant beginRestoring(long version, String reason) {
     if (isRestoring()) {
       throw new IllegalStateException("grant " + id + ": RESTORING (expected: GRANTED)");
     }
@@ -61,7 +61,7 @@
     return request.target();
   }
 
-  boolean isOf(TargetType type) {
-    return target().kind() == type;
+  boolean isForType(TargetType type) {
+    return target().type() == type;
   }
 }
--- a/src/main/java/leadferry/disruption/EvictionGrantTable.java
+++ b/src/main/java/leadferry/disruption/EvictionGrantTable.java
@@ -33,7 +33,7 @@
   /** The grant of that target; a target has at most one. */
   Optional<EvictionGrant> heldBy(TargetType type, String name) {
     for (EvictionGrant grant : grants.values()) {
-      if (grant.isOf(type) && grant.target().name().equals(name)) {
+      if (grant.isForType(type) && grant.target().name().equals(name)) {
         return Optional.of(grant);
       }
     }
@@ -50,7 +50,7 @@
 
   /** Begins to take a grant back. */
   void beginRestoring(EvictionGrant grant, long version, String reason) {
-    grants.put(grant.id(), grant.restoring(version, reason));
+    grants.put(grant.id(), grant.beginRestoring(version, reason));
   }
 
   /** From here on the grant no longer counts. */
--- a/src/main/java/leadferry/disruption/EvictionProgress.java
+++ b/src/main/java/leadferry/disruption/EvictionProgress.java
@@ -18,19 +18,19 @@
    *
    * @return reasons by the proxy's name
    */
-  Map<String, String> awaited(String grantId) {
+  Map<String, String> pendingProxies(String grantId) {
     Map<String, String> reasons = new TreeMap<>();
     EvictionGrant grant = tables.grants.find(grantId).orElse(null);
-    if (grant == null || !grant.isOf(TargetType.HOST)) {
+    if (grant == null || !grant.isForType(TargetType.HOST)) {
       return reasons;
     }
     for (ProxyMember member : tables.members.all()) {
-      awaitedReason(member, grant).ifPresent(reason -> reasons.put(member.name(), reason));
+      pendingReason(member, grant).ifPresent(reason -> reasons.put(member.name(), reason));
     }
     return reasons;
   }
 
-  private static Optional<String> awaitedReason(ProxyMember member, EvictionGrant grant) {
+  private static Optional<String> pendingReason(ProxyMember member, EvictionGrant grant) {
     if (member.state() == MemberState.LOST) {
       return Optional.of("lost: may go on sending there until it is back or fenced");
     }
@@ -40,7 +40,7 @@
     if (!member.hasAcknowledged(grant.grantedVersion())) {
       return Optional.of("has not told that it knows");
     }
-    return member.lastReport().busyHosts().contains(grant.target().name())
+    return member.lastReport().busyEndpoints().contains(grant.target().name())
         ? Optional.of("has requests in flight there")
         : Optional.empty();
   }
@@ -49,13 +49,13 @@
    * Whether what the grant takes out of service is out: the proxy serves no more, or no proxy may
    * still send to the host.
    */
-  boolean carriedOut(String grantId) {
+  boolean isCarriedOut(String grantId) {
     EvictionGrant grant = tables.grants.find(grantId).orElse(null);
     if (grant == null || grant.isRestoring()) {
       return false;
     }
-    if (grant.isOf(TargetType.HOST)) {
-      return awaited(grantId).isEmpty();
+    if (grant.isForType(TargetType.HOST)) {
+      return pendingProxies(grantId).isEmpty();
     }
     return tables
         .members
@@ -65,7 +65,7 @@
   }
 
   private static boolean hasStoppedServing(ProxyMember holder, EvictionGrant grant) {
-    return holder.state().isGone()
+    return holder.state().isTerminated()
         || (holder.state() == MemberState.NOT_SERVING
             && holder.hasAcknowledged(grant.grantedVersion()));
   }
--- a/src/main/java/leadferry/disruption/EvictionRequest.java
+++ b/src/main/java/leadferry/disruption/EvictionRequest.java
@@ -7,8 +7,8 @@
  * @param requestedBy who asked, for people
  * @param reason why, for people
  * @param durationMillis how long it holds; 0 until it is undone
- * @param leaving whether a proxy ends for good: it is forgotten once its session ends by its own
+ * @param permanent whether a proxy ends for good: it is forgotten once its session ends by its own
  *     word
  */
 record EvictionRequest(
-    Target target, String requestedBy, String reason, long durationMillis, boolean leaving) {}
+    Target target, String requestedBy, String reason, long durationMillis, boolean permanent) {}
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -12,40 +12,44 @@
  *
  * @param version version of the agreed state, {@link #NO_VERSION} where unknown
  * @param halted whether nothing more is granted
- * @param hostsOut hosts that get no requests, in the order of their grants
- * @param proxiesOut evictions of proxies by the proxy's name, in the order of their grants
+ * @param drainedEndpoints hosts that get no requests, in the order of their grants
+ * @param proxyEvictions evictions of proxies by the proxy's name, in the order of their grants
  */
 record FleetView(
-    long version, boolean halted, Set<String> hostsOut, Map<String, ProxyEviction> proxiesOut) {
+    long version,
+    boolean halted,
+    Set<String> drainedEndpoints,
+    Map<String, ProxyEviction> proxyEvictions) {
   /** The version before any view was taken. */
   static final long NO_VERSION = -1;
 
   FleetView {
-    hostsOut = Collections.unmodifiableSet(new LinkedHashSet<>(hostsOut));
-    proxiesOut = Collections.unmodifiableMap(new LinkedHashMap<>(proxiesOut));
+    drainedEndpoints = Collections.unmodifiableSet(new LinkedHashSet<>(drainedEndpoints));
+    proxyEvictions = Collections.unmodifiableMap(new LinkedHashMap<>(proxyEvictions));
   }
 
   /** What is taken out of service now: targets of grants that are not being taken back. */
   static FleetView of(DisruptionTables tables) {
-    Set<String> hostsOut = new LinkedHashSet<>();
-    Map<String, ProxyEviction> proxiesOut = new LinkedHashMap<>();
+    Set<String> drainedEndpoints = new LinkedHashSet<>();
+    Map<String, ProxyEviction> proxyEvictions = new LinkedHashMap<>();
     for (EvictionGrant grant : tables.grants.all()) {
       if (grant.isRestoring()) {
         continue;
       }
       String name = grant.target().name();
-      if (grant.isOf(TargetType.HOST)) {
-        hostsOut.add(name);
+      if (grant.isForType(TargetType.HOST)) {
+        drainedEndpoints.add(name);
       } else {
-        proxiesOut.put(name, new ProxyEviction(grant.id(), grant.request().durationMillis()));
+        proxyEvictions.put(name, new ProxyEviction(grant.id(), grant.request().durationMillis()));
       }
     }
-    return new FleetView(tables.revision.version(), tables.isHalted(), hostsOut, proxiesOut);
+    return new FleetView(
+        tables.revision.version(), tables.isHalted(), drainedEndpoints, proxyEvictions);
   }
 
   /** The eviction of that proxy, or {@link ProxyEviction#NONE}. */
   ProxyEviction evictionOf(String proxy) {
-    return proxiesOut.getOrDefault(proxy, ProxyEviction.NONE);
+    return proxyEvictions.getOrDefault(proxy, ProxyEviction.NONE);
   }
 
   /**
--- a/src/main/java/leadferry/disruption/FleetViewCodec.java
+++ b/src/main/java/leadferry/disruption/FleetViewCodec.java
@@ -25,9 +25,9 @@
   /** Adds the view's keys to a JSON object. */
   static void encode(FleetView view, ObjectNode json) {
     json.put("version", view.version()).put("halted", view.halted());
-    view.hostsOut().forEach(json.putArray("hosts_out")::add);
+    view.drainedEndpoints().forEach(json.putArray("hosts_out")::add);
     ObjectNode proxies = json.putObject("proxies_out");
-    view.proxiesOut()
+    view.proxyEvictions()
         .forEach(
             (proxy, eviction) ->
                 proxies
@@ -42,19 +42,19 @@
    */
   static void encodeForRestart(FleetView view, ObjectNode json) {
     json.put("version", view.version());
-    view.hostsOut().forEach(json.putArray("hosts_out")::add);
+    view.drainedEndpoints().forEach(json.putArray("hosts_out")::add);
     ObjectNode proxies = json.putObject("proxies_out");
-    view.proxiesOut()
+    view.proxyEvictions()
         .forEach((proxy, eviction) -> proxies.putObject(proxy).put("permit", eviction.grantId()));
   }
 
   /** Reads a view; keys that are missing read as "nothing is out". */
   static FleetView decode(JsonNode json) {
-    Set<String> hostsOut = new LinkedHashSet<>();
-    json.path("hosts_out").forEach(host -> hostsOut.add(host.asText()));
-    Map<String, ProxyEviction> proxiesOut = new LinkedHashMap<>();
+    Set<String> drainedEndpoints = new LinkedHashSet<>();
+    json.path("hosts_out").forEach(endpoint -> drainedEndpoints.add(endpoint.asText()));
+    Map<String, ProxyEviction> proxyEvictions = new LinkedHashMap<>();
     for (Map.Entry<String, JsonNode> proxy : json.path("proxies_out").properties()) {
-      proxiesOut.put(
+      proxyEvictions.put(
           proxy.getKey(),
           new ProxyEviction(
               proxy.getValue().path("permit").asText(""),
@@ -63,7 +63,7 @@
     return new FleetView(
         json.path("version").asLong(FleetView.NO_VERSION),
         json.path("halted").asBoolean(),
-        hostsOut,
-        proxiesOut);
+        drainedEndpoints,
+        proxyEvictions);
   }
 }
--- a/src/main/java/leadferry/disruption/MemberLifecycle.java
+++ b/src/main/java/leadferry/disruption/MemberLifecycle.java
@@ -19,7 +19,8 @@
   }
 
   /** A session begins; one of a new name is passed over where there are too many members. */
-  void joined(String name, String zone, String version, String digest, List<Target> hosts) {
+  void onSessionOpened(
+      String name, String zone, String version, String digest, List<Target> endpoints) {
     Optional<ProxyMember> known = tables.members.find(name);
     if (known.isEmpty() && tables.members.isFull()) {
       return;
@@ -28,84 +29,84 @@
         new ProxyMember.Session(zone, version, tables.revision.advanceChange());
     ProxyMember member =
         known
-            .map(earlier -> earlier.rejoined(session))
-            .orElseGet(() -> ProxyMember.joinedFirst(name, session));
-    setCatalogue(member, digest, hosts);
+            .map(previous -> previous.withNewSession(session))
+            .orElseGet(() -> ProxyMember.newMember(name, session));
+    setCatalog(member, digest, endpoints);
   }
 
   /**
    * A report arrived; one that is older than the last, or outside of a session, changes nothing.
    */
-  void reported(String name, ProxyReport report, boolean serving) {
+  void onReport(String name, ProxyReport report, boolean serving) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member == null
         || !member.state().isLive()
-        || report.number() <= member.lastReport().number()) {
+        || report.sequenceNumber() <= member.lastReport().sequenceNumber()) {
       return;
     }
-    long change = tables.revision.advanceChange();
-    ProxyReport merged = report.after(member.lastReport(), tables.revision.version());
-    tables.members.put(member.reported(merged, serving, change));
-    beginWarmUps(member.lastReport().ejectedHosts(), report.ejectedHosts(), change);
+    long changeNumber = tables.revision.advanceChange();
+    ProxyReport merged = report.mergeAfter(member.lastReport(), tables.revision.version());
+    tables.members.put(member.withReport(merged, serving, changeNumber));
+    beginWarmUps(member.lastReport().ejectedEndpoints(), report.ejectedEndpoints(), changeNumber);
     if (serving) {
-      releaseRestoredProxy(name, report.acknowledgedVersion(), change);
+      releaseRestoredProxy(name, report.acknowledgedVersion(), changeNumber);
     }
-    evictions.releaseAcknowledgedHosts();
+    evictions.releaseAcknowledgedEndpoints();
   }
 
   /** Hosts that no longer count as lost warm up. */
-  private void beginWarmUps(Set<String> ejectedBefore, Set<String> ejectedNow, long change) {
-    for (String host : ejectedBefore) {
-      if (!ejectedNow.contains(host) && ejections.isOneShortOfLost(host)) {
-        tables.warmUps.begin(host, change);
+  private void beginWarmUps(Set<String> ejectedBefore, Set<String> ejectedNow, long changeNumber) {
+    for (String endpoint : ejectedBefore) {
+      if (!ejectedNow.contains(endpoint) && ejections.isOneEjectionBelowLost(endpoint)) {
+        tables.warmUps.begin(endpoint, changeNumber);
       }
     }
   }
 
-  private void releaseRestoredProxy(String name, long acknowledgedVersion, long change) {
+  private void releaseRestoredProxy(String name, long acknowledgedVersion, long changeNumber) {
     EvictionGrant grant = tables.grants.heldBy(TargetType.PROXY, name).orElse(null);
     if (grant != null && grant.isRestoring() && acknowledgedVersion >= grant.restoringVersion()) {
       tables.grants.release(grant);
       tables
           .members
           .find(name)
-          .ifPresent(member -> tables.members.put(member.stabilizingFrom(change)));
+          .ifPresent(member -> tables.members.put(member.withStabilizationStart(changeNumber)));
     }
   }
 
   /** The list of hosts that a proxy balances over has changed. */
-  void catalogueChanged(String name, String digest, List<Target> hosts) {
+  void onCatalogChanged(String name, String digest, List<Target> endpoints) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member != null) {
       tables.revision.advanceChange();
-      setCatalogue(member, digest, hosts);
+      setCatalog(member, digest, endpoints);
     }
   }
 
-  private void setCatalogue(ProxyMember member, String digest, List<Target> hosts) {
-    tables.members.put(member.withCatalogue(digest));
-    tables.catalogues.add(digest, hosts);
-    tables.catalogues.retain(tables.members.catalogueDigests());
+  private void setCatalog(ProxyMember member, String digest, List<Target> endpoints) {
+    tables.members.put(member.withCatalog(digest));
+    tables.catalogs.add(digest, endpoints);
+    tables.catalogs.retain(tables.members.catalogDigests());
   }
 
   /**
    * A session ended: by the proxy's own word, without requests in flight, or because it expired.
    */
-  void sessionEnded(String name, boolean byItself) {
+  void onSessionEnded(String name, boolean clean) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member == null || !member.state().isLive()) {
       return;
     }
     tables.revision.advanceChange();
-    tables.members.put(member.sessionEnded(byItself));
+    tables.members.put(member.withSessionEnded(clean));
     EvictionGrant grant = tables.grants.heldBy(TargetType.PROXY, name).orElse(null);
     if (grant != null && grant.isRestoring()) {
       tables.grants.release(grant); // it counts as lost, and hears of this when it joins
-    } else if (grant != null && grant.request().leaving() && byItself) {
+    } else if (grant != null && grant.request().permanent() && clean) {
       tables.grants.release(grant);
       tables.members.remove(name);
     }
-    evictions.releaseAcknowledgedHosts();
+    evictions.releaseAcknowledgedEndpoints();
   }
 
   /** An operator declares the process of a proxy without a session dead. */
@@ -118,8 +119,8 @@
       return Outcome.of(Status.REFUSED, name + " has a session that lives");
     }
     tables.revision.advanceChange();
-    tables.members.put(member.fenced());
-    evictions.releaseAcknowledgedHosts();
+    tables.members.put(member.withFence());
+    evictions.releaseAcknowledgedEndpoints();
     return Outcome.of(Status.DONE);
   }
 
@@ -132,13 +133,13 @@
     if (member.state().isLive()) {
       return Outcome.of(Status.REFUSED, name + " has a session that lives");
     }
-    if (!member.state().isGone()) {
+    if (!member.state().isTerminated()) {
       return Outcome.of(Status.REFUSED, name + " was lost and may run: fence it first");
     }
     tables.revision.advanceChange();
     tables.members.remove(name);
     tables.grants.heldBy(TargetType.PROXY, name).ifPresent(tables.grants::release);
-    evictions.releaseAcknowledgedHosts();
+    evictions.releaseAcknowledgedEndpoints();
     return Outcome.of(Status.DONE);
   }
 }
--- a/src/main/java/leadferry/disruption/MemberState.java
+++ b/src/main/java/leadferry/disruption/MemberState.java
@@ -42,34 +42,34 @@
   }
 
   /** Whether its process can send nothing any more. */
-  boolean isGone() {
+  boolean isTerminated() {
     return hasLeft() || isFenced();
   }
 
   /** A new session begins. */
-  MemberState joined() {
+  MemberState afterJoin() {
     return NOT_SERVING;
   }
 
   /** A report arrived in a live session. */
-  MemberState reported(boolean serving) {
-    require(isLive(), "a live session");
+  MemberState afterReport(boolean serving) {
+    requireState(isLive(), "a live session");
     return serving ? SERVING : NOT_SERVING;
   }
 
   /** The live session ended: by the proxy's own word, or because it expired. */
-  MemberState sessionEnded(boolean byItself) {
-    require(isLive(), "a live session");
-    return byItself ? LEFT : LOST;
+  MemberState afterSessionEnd(boolean clean) {
+    requireState(isLive(), "a live session");
+    return clean ? LEFT : LOST;
   }
 
   /** An operator declared the process dead. */
-  MemberState fenced() {
-    require(!isLive(), "no live session");
+  MemberState afterFence() {
+    requireState(!isLive(), "no live session");
     return hasLeft() ? LEFT_FENCED : LOST_FENCED;
   }
 
-  private void require(boolean allowed, String expected) {
+  private void requireState(boolean allowed, String expected) {
     if (!allowed) {
       throw new IllegalStateException("member state: " + this + " (expected: " + expected + ")");
     }
--- a/src/main/java/leadferry/disruption/MemberTable.java
+++ b/src/main/java/leadferry/disruption/MemberTable.java
@@ -37,7 +37,7 @@
   }
 
   /** Digests of the lists of hosts that any member balances over. */
-  Set<String> catalogueDigests() {
+  Set<String> catalogDigests() {
     Set<String> digests = new TreeSet<>();
     members.values().forEach(member -> digests.add(member.catalogDigest()));
     return digests;
--- a/src/main/java/leadferry/disruption/Outcome.java
+++ b/src/main/java/leadferry/disruption/Outcome.java
@@ -7,14 +7,14 @@
  * The result of a command; every replica comes to the same.
  *
  * @param status the kind of result
- * @param permit id of the eviction grant that it is about, or ""
- * @param why reasons for people: of a refusal, with the names of those that are unavailable
+ * @param grantId id of the eviction grant that it is about, or ""
+ * @param reasons reasons for people: of a refusal, with the names of those that are unavailable
  * @param number the fence or the action number that it gave, 0 for none
  */
-public record Outcome(Status status, String permit, List<String> why, long number) {
+public record Outcome(Status status, String grantId, List<String> reasons, long number) {
   /** An outcome without a number. */
-  public Outcome(Status status, String permit, List<String> why) {
-    this(status, permit, why, 0);
+  public Outcome(Status status, String grantId, List<String> reasons) {
+    this(status, grantId, reasons, 0);
   }
 
   /** An outcome that gives a number, such as a fence. */
@@ -40,13 +40,13 @@
     MALFORMED;
 
     /** The word of the stored form and the wire: the name in lower case. */
-    public String word() {
+    public String storedName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /** An outcome about no grant, with reasons for people. */
-  public static Outcome of(Status status, String... why) {
-    return new Outcome(status, "", List.of(why));
+  public static Outcome of(Status status, String... reasons) {
+    return new Outcome(status, "", List.of(reasons));
   }
 }
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -8,16 +8,17 @@
  * @param session what it said of itself when its newest session began
  * @param state whether its session is live, and what became of it where it is not
  * @param lastReport its newest report of that session
- * @param stabilizingSince the change at which it came back and began to stabilize, 0 once it has
- * @param catalogDigest the {@link HostCatalogTable list of hosts} that it balances over, "" before
- *     any
+ * @param stabilizingSinceChange the change at which it came back and began to stabilize, 0 once it
+ *     has
+ * @param catalogDigest the {@link EndpointCatalogTable list of hosts} that it balances over, ""
+ *     before any
  */
 record ProxyMember(
     String name,
     Session session,
     MemberState state,
     ProxyReport lastReport,
-    long stabilizingSince,
+    long stabilizingSinceChange,
     String catalogDigest) {
 
   /**
@@ -25,23 +26,23 @@
    *
    * @param zone label by which budgets select
    * @param version version of the program, {@link DisruptionState#NO_VERSION} where it told none
-   * @param joinedChange the change with which the session began
+   * @param startChange the change with which the session began
    */
-  record Session(String zone, String version, long joinedChange) {}
+  record Session(String zone, String version, long startChange) {}
 
   /** A proxy that was never known before: while it comes, it takes nothing away. */
-  static ProxyMember joinedFirst(String name, Session session) {
+  static ProxyMember newMember(String name, Session session) {
     return new ProxyMember(name, session, MemberState.NOT_SERVING, ProxyReport.NONE, 0, "");
   }
 
   /** A proxy that was known: it was missed, and stabilizes first. */
-  ProxyMember rejoined(Session newSession) {
+  ProxyMember withNewSession(Session newSession) {
     return new ProxyMember(
         name,
         newSession,
-        state.joined(),
+        state.afterJoin(),
         ProxyReport.NONE,
-        newSession.joinedChange(),
+        newSession.startChange(),
         catalogDigest);
   }
 
@@ -49,49 +50,51 @@
    * Takes a report; the time to stabilize counts from when it serves.
    *
    * @param report the report, merged with the last one
-   * @param change the change that the report makes
+   * @param changeNumber the change that the report makes
    */
-  ProxyMember reported(ProxyReport report, boolean serving, long change) {
-    MemberState next = state.reported(serving);
+  ProxyMember withReport(ProxyReport report, boolean serving, long changeNumber) {
+    MemberState next = state.afterReport(serving);
     boolean beginsToServe = next == MemberState.SERVING && state != MemberState.SERVING;
-    long since = beginsToServe && isStabilizing() ? change : stabilizingSince;
+    long since = beginsToServe && isStabilizing() ? changeNumber : stabilizingSinceChange;
     return new ProxyMember(name, session, next, report, since, catalogDigest);
   }
 
-  ProxyMember sessionEnded(boolean byItself) {
+  ProxyMember withSessionEnded(boolean clean) {
     return new ProxyMember(
         name,
         session,
-        state.sessionEnded(byItself),
-        lastReport.withoutHosts(),
-        stabilizingSince,
+        state.afterSessionEnd(clean),
+        lastReport.withoutEndpoints(),
+        stabilizingSinceChange,
         catalogDigest);
   }
 
-  ProxyMember fenced() {
+  ProxyMember withFence() {
     return new ProxyMember(
-        name, session, state.fenced(), lastReport, stabilizingSince, catalogDigest);
+        name, session, state.afterFence(), lastReport, stabilizingSinceChange, catalogDigest);
   }
 
-  ProxyMember stabilizingFrom(long change) {
-    return new ProxyMember(name, session, state, lastReport, change, catalogDigest);
+  ProxyMember withStabilizationStart(long changeNumber) {
+    return new ProxyMember(name, session, state, lastReport, changeNumber, catalogDigest);
   }
 
-  ProxyMember stabilized() {
-    return stabilizingFrom(0);
+  ProxyMember withoutStabilization() {
+    return withStabilizationStart(0);
   }
 
-  ProxyMember withCatalogue(String digest) {
-    return new ProxyMember(name, session, state, lastReport, stabilizingSince, digest);
+  ProxyMember withCatalog(String digest) {
+    return new ProxyMember(name, session, state, lastReport, stabilizingSinceChange, digest);
   }
 
   boolean isStabilizing() {
-    return stabilizingSince > 0;
+    return stabilizingSinceChange > 0;
   }
 
   /** Whether its session is live, began after that change, and has brought a report. */
-  boolean hasReportedInSessionAfter(long change) {
-    return state.isLive() && lastReport.number() > 0 && session.joinedChange() > change;
+  boolean hasReportedInSessionAfter(long changeNumber) {
+    return state.isLive()
+        && lastReport.sequenceNumber() > 0
+        && session.startChange() > changeNumber;
   }
 
   /** Whether it has reported to go by that version of the agreed state or a later one. */
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -21,7 +21,7 @@
 
   private final String name;
   private long version = FleetView.NO_VERSION;
-  private Set<String> hostsOut = Set.of();
+  private Set<String> drainedEndpoints = Set.of();
 
   /** The grant that was last acted on, "" for none. */
   private String grantId = "";
@@ -49,12 +49,12 @@
    * @param nowNanos monotonic clock
    * @return whether anything is different now
    */
-  public boolean take(JsonNode view, boolean leaseHolds, long nowNanos) {
-    return take(FleetViewCodec.decode(view), leaseHolds, nowNanos);
+  public boolean applyView(JsonNode view, boolean leaseHolds, long nowNanos) {
+    return applyView(FleetViewCodec.decode(view), leaseHolds, nowNanos);
   }
 
-  /** Takes a view, see {@link #take(JsonNode, boolean, long)}. */
-  boolean take(FleetView view, boolean leaseHolds, long nowNanos) {
+  /** Takes a view, see {@link #applyView(JsonNode, boolean, long)}. */
+  boolean applyView(FleetView view, boolean leaseHolds, long nowNanos) {
     if (view.version() < version) {
       return false;
     }
@@ -71,9 +71,11 @@
     }
     boolean evicted = eviction.isPresent() && (isNewGrant || !grantExpired(nowNanos));
     boolean changed =
-        view.version() != version || !view.hostsOut().equals(hostsOut) || evicted != outOfService;
+        view.version() != version
+            || !view.drainedEndpoints().equals(drainedEndpoints)
+            || evicted != outOfService;
     version = view.version();
-    hostsOut = view.hostsOut();
+    drainedEndpoints = view.drainedEndpoints();
     grantId = eviction.grantId();
     outOfService = evicted;
     return changed;
@@ -87,9 +89,9 @@
    * @param nowNanos monotonic clock
    * @return whether anything is different now
    */
-  public boolean look(boolean leaseHolds, long nowNanos) {
+  public boolean refresh(boolean leaseHolds, long nowNanos) {
     if (pendingView != null && leaseHolds) {
-      return take(pendingView, true, nowNanos);
+      return applyView(pendingView, true, nowNanos);
     }
     if (outOfService && grantExpired(nowNanos)) {
       outOfService = false;
@@ -108,25 +110,26 @@
   }
 
   /** Begins a session: the next view is taken whatever its version. */
-  public void forget() {
+  public void onSessionStarted() {
     version = FleetView.NO_VERSION;
     pendingView = null;
   }
 
   /** Hosts that get no requests. */
-  public Set<String> hostsOut() {
-    return hostsOut;
+  public Set<String> drainedEndpoints() {
+    return drainedEndpoints;
   }
 
   /** Whether the proxy itself is out of service by an eviction grant. */
-  public boolean away() {
+  public boolean isOutOfService() {
     return outOfService;
   }
 
   /** Writes what is kept on disk for a start without replicas. */
   public void write(ObjectNode json) {
-    Map<String, ProxyEviction> proxiesOut =
+    Map<String, ProxyEviction> proxyEvictions =
         outOfService ? Map.of(name, new ProxyEviction(grantId, 0)) : Map.of();
-    FleetViewCodec.encodeForRestart(new FleetView(version, false, hostsOut, proxiesOut), json);
+    FleetViewCodec.encodeForRestart(
+        new FleetView(version, false, drainedEndpoints, proxyEvictions), json);
   }
 }
--- a/src/main/java/leadferry/disruption/StateRevision.java
+++ b/src/main/java/leadferry/disruption/StateRevision.java
@@ -6,7 +6,7 @@
  */
 final class StateRevision {
   private long version;
-  private long change;
+  private long changeNumber;
 
   /** Grows with each change of what members go by; they acknowledge it in their reports. */
   long version() {
@@ -14,26 +14,26 @@
   }
 
   /** Grows with each change of any kind; orders events and makes names of timers unique. */
-  long change() {
-    return change;
+  long changeNumber() {
+    return changeNumber;
   }
 
   /** Counts a change that members need not know. */
   long advanceChange() {
-    change++;
-    return change;
+    changeNumber++;
+    return changeNumber;
   }
 
   /** Counts a change that members must know. */
   long advanceVersion() {
-    change++;
+    changeNumber++;
     version++;
     return version;
   }
 
   /** Takes the place of both counters. */
-  void restore(long restoredVersion, long restoredChange) {
+  void restore(long restoredVersion, long restoredChangeNumber) {
     version = restoredVersion;
-    change = restoredChange;
+    changeNumber = restoredChangeNumber;
   }
 }
--- a/src/main/java/leadferry/disruption/StatusWriter.java
+++ b/src/main/java/leadferry/disruption/StatusWriter.java
@@ -34,30 +34,33 @@
     tables.grants.all().forEach(grant -> writeGrant(grant, grants.addObject()));
     ArrayNode proxies = json.putArray("proxies");
     tables.members.all().forEach(member -> writeProxy(member, proxies.addObject()));
-    ArrayNode hosts = json.putArray("hosts");
-    targets.byName(TargetType.HOST).values().forEach(host -> writeHost(host, hosts.addObject()));
+    ArrayNode endpoints = json.putArray("hosts");
+    targets
+        .byName(TargetType.HOST)
+        .values()
+        .forEach(endpoint -> writeEndpoint(endpoint, endpoints.addObject()));
   }
 
   private void writeGrant(EvictionGrant grant, ObjectNode json) {
     json.put("id", grant.id())
-        .put("kind", grant.target().kind().word())
+        .put("kind", grant.target().type().storedName())
         .put("name", grant.target().name())
         .put("who", grant.request().requestedBy())
         .put("why", grant.request().reason())
         .put("for_ms", grant.request().durationMillis())
         .put("since", grant.grantedVersion())
-        .put("state", stateWord(grant));
+        .put("state", stateName(grant));
     if (grant.isRestoring()) {
       json.put("end_why", grant.restoringReason());
     }
     ObjectNode awaited = json.putObject("awaited");
-    progress.awaited(grant.id()).forEach(awaited::put);
+    progress.pendingProxies(grant.id()).forEach(awaited::put);
   }
 
-  private String stateWord(EvictionGrant grant) {
+  private String stateName(EvictionGrant grant) {
     return switch (grant.state()) {
       case RESTORING -> "ending";
-      case GRANTED -> progress.carriedOut(grant.id()) ? "out" : "granted";
+      case GRANTED -> progress.isCarriedOut(grant.id()) ? "out" : "granted";
     };
   }
 
@@ -71,13 +74,13 @@
         .put("out", reasonOrNull(TargetType.PROXY, member.name()));
   }
 
-  private void writeHost(Target host, ObjectNode json) {
-    json.put("name", host.name())
-        .put("zone", host.zone())
-        .put("pod", host.pod())
-        .put("pool", host.pool())
-        .put("kind", host.type())
-        .put("out", reasonOrNull(TargetType.HOST, host.name()));
+  private void writeEndpoint(Target endpoint, ObjectNode json) {
+    json.put("name", endpoint.name())
+        .put("zone", endpoint.zone())
+        .put("pod", endpoint.pod())
+        .put("pool", endpoint.pool())
+        .put("kind", endpoint.kind())
+        .put("out", reasonOrNull(TargetType.HOST, endpoint.name()));
   }
 
   private String reasonOrNull(TargetType type, String name) {
--- a/src/main/java/leadferry/disruption/Target.java
+++ b/src/main/java/leadferry/disruption/Target.java
@@ -3,15 +3,15 @@
 /**
  * A proxy or host with the labels by which budgets select.
  *
- * @param kind whether it is a proxy or a host
+ * @param type whether it is a proxy or a host
  * @param name unique among targets of its kind
  * @param zone label {@code zone}, {@link #NONE} where it has none; so the labels below
  * @param pod label {@code pod}
  * @param pool label {@code pool}
- * @param type label {@code kind}
+ * @param kind label {@code kind}
  */
 public record Target(
-    TargetType kind, String name, String zone, String pod, String pool, String type) {
+    TargetType type, String name, String zone, String pod, String pool, String kind) {
   /** The value of a label that a target lacks. */
   public static final String NONE = "-";
 
@@ -21,7 +21,7 @@
       case "zone" -> zone;
       case "pod" -> pod;
       case "pool" -> pool;
-      case "kind" -> type;
+      case "kind" -> kind;
       default -> NONE;
     };
   }
--- a/src/main/java/leadferry/disruption/TargetCodec.java
+++ b/src/main/java/leadferry/disruption/TargetCodec.java
@@ -11,17 +11,17 @@
 
   /** Adds the target's keys to a JSON object. */
   static void encode(Target target, ObjectNode json) {
-    json.put("what", target.kind().word())
+    json.put("what", target.type().storedName())
         .put("name", target.name())
         .put("zone", target.zone())
         .put("pod", target.pod())
         .put("pool", target.pool())
-        .put("kind", target.type());
+        .put("kind", target.kind());
   }
 
   /** Reads a target; one without a known type is a host, a label that is missing is "-". */
   static Target decode(JsonNode json) {
-    TargetType type = TargetType.of(json.path("what").asText("host"));
+    TargetType type = TargetType.fromStoredName(json.path("what").asText("host"));
     return new Target(
         type == null ? TargetType.HOST : type,
         json.path("name").asText(),
--- a/src/main/java/leadferry/disruption/TargetDirectory.java
+++ b/src/main/java/leadferry/disruption/TargetDirectory.java
@@ -17,7 +17,7 @@
 
   /** All targets of a type by name, made anew at each call. */
   Map<String, Target> byName(TargetType type) {
-    return type == TargetType.PROXY ? proxies() : hosts();
+    return type == TargetType.PROXY ? proxies() : endpoints();
   }
 
   Optional<Target> find(TargetType type, String name) {
@@ -35,16 +35,16 @@
     return proxies;
   }
 
-  private Map<String, Target> hosts() {
-    Map<String, Target> hosts = new TreeMap<>();
-    for (List<Target> catalogue : tables.catalogues.byDigest().values()) {
-      catalogue.forEach(host -> hosts.putIfAbsent(host.name(), host));
+  private Map<String, Target> endpoints() {
+    Map<String, Target> endpoints = new TreeMap<>();
+    for (List<Target> catalog : tables.catalogs.endpointsByDigest().values()) {
+      catalog.forEach(endpoint -> endpoints.putIfAbsent(endpoint.name(), endpoint));
     }
     for (EvictionGrant grant : tables.grants.all()) {
-      if (grant.isOf(TargetType.HOST)) {
-        hosts.putIfAbsent(grant.target().name(), grant.target());
+      if (grant.isForType(TargetType.HOST)) {
+        endpoints.putIfAbsent(grant.target().name(), grant.target());
       }
     }
-    return hosts;
+    return endpoints;
   }
 }
--- a/src/main/java/leadferry/disruption/TargetType.java
+++ b/src/main/java/leadferry/disruption/TargetType.java
@@ -11,9 +11,9 @@
   HOST;
 
   /** The type of that stored word, or null where there is none. */
-  public static TargetType of(String word) {
+  public static TargetType fromStoredName(String storedName) {
     for (TargetType type : values()) {
-      if (type.word().equals(word)) {
+      if (type.storedName().equals(storedName)) {
         return type;
       }
     }
@@ -21,7 +21,7 @@
   }
 
   /** The word of the stored form: {@code proxy} or {@code host}. */
-  public String word() {
+  public String storedName() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
+++ b/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
@@ -24,13 +24,13 @@
       return grant.map(Unavailability::byGrant);
     }
     return type == TargetType.HOST
-        ? ofHost(name)
+        ? ofEndpoint(name)
         : tables.members.find(name).flatMap(UnavailabilityEvaluator::ofProxy);
   }
 
-  private Optional<Unavailability> ofHost(String name) {
+  private Optional<Unavailability> ofEndpoint(String name) {
     if (ejections.isLost(name)) {
-      return Optional.of(Unavailability.ejectedBy(ejections.ejectionsOf(name)));
+      return Optional.of(Unavailability.ejectedBy(ejections.countEjections(name)));
     }
     return tables.warmUps.isWarmingUp(name)
         ? Optional.of(Unavailability.of(Cause.WARMING_UP))
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -37,14 +37,19 @@
    *
    * @param minRequests of the new version, and of the previous one where there are any, before a
    *     verdict; 0 for no analysis at all
-   * @param maxWorse the share of bad outcomes that the new may have above the previous, 0 to 1
-   * @param maxBad the share of bad outcomes that the new may have where there is nothing to compare
-   *     it with, 0 to 1
-   * @param sigmas how many standard errors beyond that make a verdict against it
+   * @param maxBadShareIncrease the share of bad outcomes that the new may have above the previous,
+   *     0 to 1
+   * @param maxBadShare the share of bad outcomes that the new may have where there is nothing to
+   *     compare it with, 0 to 1
+   * @param standardErrors how many standard errors beyond that make a verdict against it
    * @param waitMillis how long after its baking time a step waits for enough requests
    */
   public record Bounds(
-      int minRequests, double maxWorse, double maxBad, double sigmas, long waitMillis) {}
+      int minRequests,
+      double maxBadShareIncrease,
+      double maxBadShare,
+      double standardErrors,
+      long waitMillis) {}
 
   /** What a verdict says. */
   public enum Decision {
@@ -71,10 +76,13 @@
    *
    * @param canary outcomes of requests at the new version, by request class
    * @param baseline the same at the previous version, in the same time; empty where none is left
-   * @param missing members without a fresh report; any of them keeps a passing verdict waiting
+   * @param unreportedMembers members without a fresh report; any of them keeps a passing verdict
+   *     waiting
    */
-  public Verdict judge(
-      Map<String, OutcomeCount> canary, Map<String, OutcomeCount> baseline, List<String> missing) {
+  public Verdict evaluate(
+      Map<String, OutcomeCount> canary,
+      Map<String, OutcomeCount> baseline,
+      List<String> unreportedMembers) {
     if (bounds.minRequests() == 0) {
       return new Verdict(Decision.PROCEED, "no guard is asked for");
     }
@@ -82,53 +90,57 @@
       String requestClass = byClass.getKey();
       OutcomeCount compared = baseline.getOrDefault(requestClass, OutcomeCount.NONE);
       if (isWorse(byClass.getValue(), compared)) {
-        String evidence = evidenceAgainst(byClass.getValue(), compared);
+        String evidence = describeHalt(byClass.getValue(), compared);
         return new Verdict(Decision.HALT, "class " + requestClass + ": " + evidence);
       }
     }
     OutcomeCount canaryTotal = sum(canary);
     OutcomeCount baselineTotal = sum(baseline);
     if (isWorse(canaryTotal, baselineTotal)) {
-      return new Verdict(Decision.HALT, evidenceAgainst(canaryTotal, baselineTotal));
+      return new Verdict(Decision.HALT, describeHalt(canaryTotal, baselineTotal));
     }
-    if (!missing.isEmpty()) {
-      return new Verdict(Decision.WAIT, "no fresh report of " + String.join(", ", missing));
+    if (!unreportedMembers.isEmpty()) {
+      return new Verdict(
+          Decision.WAIT, "no fresh report of " + String.join(", ", unreportedMembers));
     }
     if (canaryTotal.total() < bounds.minRequests()
         || (!baseline.isEmpty() && baselineTotal.total() < bounds.minRequests())) {
-      return new Verdict(Decision.WAIT, tooFewRequests(canaryTotal, baselineTotal));
+      return new Verdict(Decision.WAIT, describeTooFewRequests(canaryTotal, baselineTotal));
     }
-    return new Verdict(Decision.PROCEED, evidence(canaryTotal, baselineTotal));
+    return new Verdict(Decision.PROCEED, describeCounts(canaryTotal, baselineTotal));
   }
 
   /** Whether the new version is worse than it may be, beyond chance. */
   private boolean isWorse(OutcomeCount canary, OutcomeCount baseline) {
-    if (isTooFew(canary)) {
+    if (hasTooFewRequests(canary)) {
       return false;
     }
-    OutcomeCount compared = isTooFew(baseline) ? OutcomeCount.NONE : baseline;
-    boolean alone = compared.total() == 0;
-    double allowed = alone ? bounds.maxBad() : compared.badShare() + bounds.maxWorse();
-    return canary.badShare() - allowed > bounds.sigmas() * standardError(canary, compared, alone);
+    OutcomeCount compared = hasTooFewRequests(baseline) ? OutcomeCount.NONE : baseline;
+    boolean hasNoBaseline = compared.total() == 0;
+    double allowed =
+        hasNoBaseline ? bounds.maxBadShare() : compared.badShare() + bounds.maxBadShareIncrease();
+    return canary.badShare() - allowed
+        > bounds.standardErrors() * standardError(canary, compared, hasNoBaseline);
   }
 
-  private static double standardError(OutcomeCount canary, OutcomeCount compared, boolean alone) {
+  private static double standardError(
+      OutcomeCount canary, OutcomeCount compared, boolean hasNoBaseline) {
     // Laplace's estimate: without any bad outcome there would be no error to measure by.
     double pooled =
         (canary.bad() + compared.bad() + 1.0) / (canary.total() + compared.total() + 2.0);
-    double comparedTerm = alone ? 0 : 1.0 / compared.total();
+    double comparedTerm = hasNoBaseline ? 0 : 1.0 / compared.total();
     return Math.sqrt(pooled * (1 - pooled) * (1.0 / canary.total() + comparedTerm));
   }
 
-  private boolean isTooFew(OutcomeCount count) {
+  private boolean hasTooFewRequests(OutcomeCount count) {
     return count.total() * EARLY_VERDICT_DIVISOR < bounds.minRequests();
   }
 
-  private String evidenceAgainst(OutcomeCount canary, OutcomeCount baseline) {
-    return evidence(canary, isTooFew(baseline) ? OutcomeCount.NONE : baseline);
+  private String describeHalt(OutcomeCount canary, OutcomeCount baseline) {
+    return describeCounts(canary, hasTooFewRequests(baseline) ? OutcomeCount.NONE : baseline);
   }
 
-  private static String evidence(OutcomeCount canary, OutcomeCount baseline) {
+  private static String describeCounts(OutcomeCount canary, OutcomeCount baseline) {
     return String.format(
         Locale.ROOT,
         "new %d of %d bad (%.3f), old %d of %d (%.3f)",
@@ -140,7 +152,7 @@
         baseline.badShare());
   }
 
-  private String tooFewRequests(OutcomeCount canary, OutcomeCount baseline) {
+  private String describeTooFewRequests(OutcomeCount canary, OutcomeCount baseline) {
     return "too few requests: new "
         + canary.total()
         + ", old "
--- a/src/main/java/leadferry/release/CanaryBoundsCodec.java
+++ b/src/main/java/leadferry/release/CanaryBoundsCodec.java
@@ -6,41 +6,41 @@
 
 /** Maps {@link CanaryAnalysis.Bounds} to and from a plan's {@code guard}. */
 final class CanaryBoundsCodec {
-  private static final double DEFAULT_MAX_WORSE = 0.02;
-  private static final double DEFAULT_MAX_BAD = 0.05;
-  private static final double DEFAULT_SIGMAS = 3;
-  private static final double MIN_SIGMAS = 0.5;
-  private static final double MAX_SIGMAS = 10;
+  private static final double DEFAULT_MAX_BAD_SHARE_INCREASE = 0.02;
+  private static final double DEFAULT_MAX_BAD_SHARE = 0.05;
+  private static final double DEFAULT_STANDARD_ERRORS = 3;
+  private static final double MIN_STANDARD_ERRORS = 0.5;
+  private static final double MAX_STANDARD_ERRORS = 10;
   private static final long DEFAULT_WAIT_MILLIS = 60_000;
 
   private CanaryBoundsCodec() {}
 
   static void write(CanaryAnalysis.Bounds bounds, ObjectNode json) {
     json.put("least_requests", bounds.minRequests())
-        .put("max_worse", bounds.maxWorse())
-        .put("max_bad", bounds.maxBad())
-        .put("sigmas", bounds.sigmas())
+        .put("max_worse", bounds.maxBadShareIncrease())
+        .put("max_bad", bounds.maxBadShare())
+        .put("sigmas", bounds.standardErrors())
         .put("wait_ms", bounds.waitMillis());
   }
 
   /** Reads the bounds; adds to {@code faults} where one is out of its range. */
-  static CanaryAnalysis.Bounds read(JsonNode json, List<String> faults) {
+  static CanaryAnalysis.Bounds read(JsonNode json, List<String> errors) {
     CanaryAnalysis.Bounds bounds =
         new CanaryAnalysis.Bounds(
             json.path("least_requests").asInt(0),
-            json.path("max_worse").asDouble(DEFAULT_MAX_WORSE),
-            json.path("max_bad").asDouble(DEFAULT_MAX_BAD),
-            json.path("sigmas").asDouble(DEFAULT_SIGMAS),
+            json.path("max_worse").asDouble(DEFAULT_MAX_BAD_SHARE_INCREASE),
+            json.path("max_bad").asDouble(DEFAULT_MAX_BAD_SHARE),
+            json.path("sigmas").asDouble(DEFAULT_STANDARD_ERRORS),
             json.path("wait_ms").asLong(DEFAULT_WAIT_MILLIS));
     boolean valid =
         bounds.minRequests() >= 0
-            && !isOutsideZeroToOne(bounds.maxWorse())
-            && !isOutsideZeroToOne(bounds.maxBad())
-            && bounds.sigmas() >= MIN_SIGMAS
-            && bounds.sigmas() <= MAX_SIGMAS
+            && !isOutsideZeroToOne(bounds.maxBadShareIncrease())
+            && !isOutsideZeroToOne(bounds.maxBadShare())
+            && bounds.standardErrors() >= MIN_STANDARD_ERRORS
+            && bounds.standardErrors() <= MAX_STANDARD_ERRORS
             && bounds.waitMillis() >= 0;
     if (!valid) {
-      faults.add(
+      errors.add(
           "guard: "
               + json
               + " (expected: least_requests and wait_ms of 0 or more, max_worse and max_bad from 0"
--- a/src/main/java/leadferry/release/CanaryCounts.java
+++ b/src/main/java/leadferry/release/CanaryCounts.java
@@ -25,14 +25,14 @@
   }
 
   /** Where a count comes from: a session of a member, and of hosts the host. */
-  private record Source(Group group, String member, String session, String host) {}
+  private record Source(Group group, String member, String session, String endpoint) {}
 
   private final Map<Source, Map<String, OutcomeCount>> bySource = new LinkedHashMap<>();
 
   private CanaryCounts() {}
 
   static CanaryCounts of(ReleaseView release, MemberReports reports) {
-    Map<String, ReleaseTargetView> counted = countedTargets(release);
+    Map<String, ReleaseTargetView> counted = findCountedTargets(release);
     int currentStep = release.progress().currentStep();
     CanaryCounts counts = new CanaryCounts();
     reports
@@ -41,15 +41,16 @@
             (member, report) -> {
               if (release.plan().targetType() == TargetType.HOST) {
                 report
-                    .byHost()
+                    .countsByEndpoint()
                     .forEach(
-                        (host, byClass) -> {
-                          Group group = group(counted.get(host), currentStep);
-                          counts.put(new Source(group, member, report.session(), host), byClass);
+                        (endpoint, byClass) -> {
+                          Group group = groupOf(counted.get(endpoint), currentStep);
+                          counts.put(
+                              new Source(group, member, report.session(), endpoint), byClass);
                         });
               } else {
-                Group group = group(counted.get(member), currentStep);
-                counts.put(new Source(group, member, report.session(), ""), report.own());
+                Group group = groupOf(counted.get(member), currentStep);
+                counts.put(new Source(group, member, report.session(), ""), report.countsByClass());
               }
             });
     return counts;
@@ -61,7 +62,7 @@
     }
   }
 
-  private static Map<String, ReleaseTargetView> countedTargets(ReleaseView release) {
+  private static Map<String, ReleaseTargetView> findCountedTargets(ReleaseView release) {
     Set<String> zones = new HashSet<>();
     for (ReleaseTargetView target : release.targets()) {
       if (target.version() == TargetVersion.NEW && target.isSettled()) {
@@ -80,7 +81,7 @@
   }
 
   /** The group of a target's counts, or null where they don't count. */
-  private static Group group(ReleaseTargetView target, int currentStep) {
+  private static Group groupOf(ReleaseTargetView target, int currentStep) {
     if (target == null) {
       return null;
     }
--- a/src/main/java/leadferry/release/CanaryJudge.java
+++ b/src/main/java/leadferry/release/CanaryEvaluator.java
@@ -9,18 +9,18 @@
  * Judges the step that bakes, by what members have counted since it began to. It remembers the
  * reading from then; a new driver begins with a reading of its own.
  */
-final class CanaryJudge {
+final class CanaryEvaluator {
   private static final EnumSet<CanaryCounts.Group> NEW =
       EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP, CanaryCounts.Group.NEW_IN_EARLIER_STEPS);
 
   /** Reports that are older are not fresh. */
   private final long maxReportAgeMillis;
 
-  private long bakingSince;
+  private long bakingSinceChange;
   private CanaryCounts baseline = CanaryCounts.NONE;
   private Optional<Long> bakedAtNanos = Optional.empty();
 
-  CanaryJudge(long maxReportAgeMillis) {
+  CanaryEvaluator(long maxReportAgeMillis) {
     this.maxReportAgeMillis = maxReportAgeMillis;
   }
 
@@ -30,19 +30,19 @@
    * @param reports what members tell; empty where they were not asked
    * @param nowNanos of a monotonic clock
    */
-  Optional<ReleaseCommand.RecordVerdict> judge(
+  Optional<ReleaseCommand.RecordVerdict> evaluate(
       ReleaseView release, Optional<MemberReports> reports, long nowNanos) {
     ReleaseView.Progress progress = release.progress();
-    if (progress.bakingSince() == 0 || !progress.isForward()) {
-      bakingSince = 0;
+    if (progress.bakingSinceChange() == 0 || !progress.isForward()) {
+      bakingSinceChange = 0;
       return Optional.empty();
     }
     if (reports.isEmpty()) {
       return Optional.empty();
     }
     CanaryCounts counts = CanaryCounts.of(release, reports.get());
-    if (bakingSince != progress.bakingSince()) {
-      bakingSince = progress.bakingSince();
+    if (bakingSinceChange != progress.bakingSinceChange()) {
+      bakingSinceChange = progress.bakingSinceChange();
       baseline = counts;
       bakedAtNanos = Optional.empty();
       return Optional.empty();
@@ -64,24 +64,24 @@
       compared = counts.since(baseline, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
     }
     return new CanaryAnalysis(release.plan().canaryBounds())
-        .judge(canary, compared, reports.withoutFreshReport(maxReportAgeMillis));
+        .evaluate(canary, compared, reports.membersWithoutFreshReport(maxReportAgeMillis));
   }
 
   private Optional<ReleaseCommand.RecordVerdict> decide(
       ReleaseView release, CanaryAnalysis.Verdict verdict, long nowNanos) {
     boolean baked = release.progress().baked();
     long waitNanos = TimeUnit.MILLISECONDS.toNanos(release.plan().canaryBounds().waitMillis());
-    boolean waitedInVain =
+    boolean waitExpired =
         baked
             && verdict.decision() == CanaryAnalysis.Decision.WAIT
             && nowNanos - bakedAtNanos.orElse(nowNanos) > waitNanos;
     boolean proceed = verdict.decision() == CanaryAnalysis.Decision.PROCEED;
     boolean due =
-        verdict.decision() == CanaryAnalysis.Decision.HALT || waitedInVain || (baked && proceed);
+        verdict.decision() == CanaryAnalysis.Decision.HALT || waitExpired || (baked && proceed);
     if (!due) {
       return Optional.empty();
     }
-    String evidence = waitedInVain ? "waited in vain: " + verdict.evidence() : verdict.evidence();
+    String evidence = waitExpired ? "waited in vain: " + verdict.evidence() : verdict.evidence();
     return Optional.of(
         new ReleaseCommand.RecordVerdict(
             release.name(), release.fence(), release.progress().currentStep(), proceed, evidence));
--- a/src/main/java/leadferry/release/ChangeCommands.java
+++ b/src/main/java/leadferry/release/ChangeCommands.java
@@ -9,13 +9,16 @@
  * How targets are changed, by the {@code carry} of a plan.
  *
  * @param executor who changes them
- * @param change the program that changes a target, with its arguments; empty for agents
- * @param check the program that prints a target's version, with its arguments; empty where targets
- *     tell their version themselves
+ * @param changeCommand the program that changes a target, with its arguments; empty for agents
+ * @param checkCommand the program that prints a target's version, with its arguments; empty where
+ *     targets tell their version themselves
  * @param timeoutMillis how long either may run
  */
 public record ChangeCommands(
-    Executor executor, List<String> change, Optional<List<String>> check, long timeoutMillis) {
+    Executor executor,
+    List<String> changeCommand,
+    Optional<List<String>> checkCommand,
+    long timeoutMillis) {
   private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
   private static final String AGENT = "agent";
 
@@ -32,14 +35,14 @@
     JsonNode check = json.path("check");
     return new ChangeCommands(
         json.path("by").asText().equals(AGENT) ? Executor.AGENT : Executor.DRIVER,
-        words(json.path("command")),
-        check.isArray() ? Optional.of(words(check)) : Optional.empty(),
+        readArguments(json.path("command")),
+        check.isArray() ? Optional.of(readArguments(check)) : Optional.empty(),
         json.path("timeout_ms").asLong(DEFAULT_TIMEOUT_MILLIS));
   }
 
-  private static List<String> words(JsonNode json) {
-    List<String> words = new ArrayList<>();
-    json.forEach(word -> words.add(word.asText()));
-    return words;
+  private static List<String> readArguments(JsonNode json) {
+    List<String> arguments = new ArrayList<>();
+    json.forEach(argument -> arguments.add(argument.asText()));
+    return arguments;
   }
 }
--- a/src/main/java/leadferry/release/CommandResult.java
+++ b/src/main/java/leadferry/release/CommandResult.java
@@ -4,6 +4,6 @@
  * What became of a command that changes a target.
  *
  * @param succeeded whether it ended with status 0
- * @param text what it said, for people
+ * @param output what it said, for people
  */
-public record CommandResult(boolean succeeded, String text) {}
+public record CommandResult(boolean succeeded, String output) {}
--- a/src/main/java/leadferry/release/DriverAction.java
+++ b/src/main/java/leadferry/release/DriverAction.java
@@ -6,7 +6,7 @@
   record SubmitCommand(ReleaseCommand command) implements DriverAction {}
 
   /**
-   * Run the command that changes a target, and tell {@link ReleaseController#changeEnded}.
+   * Run the command that changes a target, and tell {@link ReleaseController#onChangeEnded}.
    *
    * @param target its name
    * @param action the number of the action on it
@@ -18,7 +18,7 @@
       implements DriverAction {}
 
   /**
-   * Check which version a target runs, and tell {@link ReleaseController#versionChecked}.
+   * Check which version a target runs, and tell {@link ReleaseController#onVersionChecked}.
    *
    * @param target its name
    * @param action the number of the action on it
--- a/src/main/java/leadferry/release/DriverCommands.java
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -30,7 +30,7 @@
   /** A driver asks for the lease; {@code nextFence} is the fence that it would get. */
   Outcome acquireLease(ReleaseCommand.AcquireLease command, long nextFence) {
     DriverLease lease = release.lease;
-    if (release.state.isOver()) {
+    if (release.state.isClosed()) {
       return Outcome.of(Status.REFUSED, release.describe());
     }
     if (lease.isHeldBy(command.driver())) {
@@ -56,14 +56,14 @@
     if (target == null) {
       return Outcome.of(Status.UNKNOWN, "no target '" + command.target() + "'");
     }
-    boolean askedAgain =
+    boolean isRepeated =
         !target.isInService() && target.fence == command.fence() && target.attempts == 0;
-    if (askedAgain) {
-      return new Outcome(Status.GRANTED, target.grant, List.of(), target.action);
+    if (isRepeated) {
+      return new Outcome(Status.GRANTED, target.grantId, List.of(), target.action);
     }
     return rejectionWhileNotRunning(true)
         .or(() -> rejectionOfTurn(target))
-        .orElseGet(() -> takeOut(target, nextAction, command.fence()));
+        .orElseGet(() -> drainTarget(target, nextAction, command.fence()));
   }
 
   private Optional<Outcome> rejectionWhileNotRunning(boolean withReason) {
@@ -80,42 +80,44 @@
     boolean stuckInRollback =
         target.phase == TargetPhase.RESTORING && !release.progress.isForward();
     if ((!target.isInService() && !stuckInRollback)
-        || release.progress.isAsWanted(target)
-        || target.gone) {
+        || release.progress.hasDesiredVersion(target)
+        || target.removed) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is not to be changed now"));
     }
     long underWay =
         release.targets().stream().filter(other -> other != target && !other.isInService()).count();
-    int atOnce = plan.steps().get(target.step).atOnce();
+    int atOnce = plan.steps().get(target.step).maxConcurrent();
     return underWay >= atOnce
         ? Optional.of(
             Outcome.of(Status.REFUSED, underWay + " of " + atOnce + " at once are under way"))
         : Optional.empty();
   }
 
-  private Outcome takeOut(ReleaseTarget target, long action, long fence) {
+  private Outcome drainTarget(ReleaseTarget target, long action, long fence) {
     String requester = "release " + plan.name();
-    String unavailable = disruption.out(plan.targetType(), target.name);
+    String unavailable = disruption.unavailabilityReason(plan.targetType(), target.name);
     if (unavailable != null) {
       // A rollback does not wait for a lost target, lost by the new version perhaps: it counts as
       // unavailable already.
       String grant =
           release.progress.isForward()
               ? ""
-              : disruption.hold(plan.targetType(), target.name, requester, "the way back");
+              : disruption.keepOutOfService(
+                  plan.targetType(), target.name, requester, "the way back");
       return grant.isEmpty()
           ? Outcome.of(Status.REFUSED, target.name + " is out: " + unavailable)
-          : granted(target, grant, action, fence);
+          : beginDraining(target, grant, action, fence);
     }
     String reason = plan.version() + ", step " + plan.steps().get(target.step).name();
     Outcome drained = disruption.drain(plan.targetType(), target.name, 0, false, requester, reason);
     return drained.status() == Status.GRANTED
-        ? granted(target, drained.permit(), action, fence)
+        ? beginDraining(target, drained.grantId(), action, fence)
         : drained;
   }
 
-  private static Outcome granted(ReleaseTarget target, String grant, long action, long fence) {
-    target.drain(grant, action, fence);
+  private static Outcome beginDraining(
+      ReleaseTarget target, String grant, long action, long fence) {
+    target.beginDraining(grant, action, fence);
     return new Outcome(Status.GRANTED, grant, List.of(), action);
   }
 
@@ -129,29 +131,31 @@
     if (target == null
         || target.action != command.action()
         || (target.phase != TargetPhase.DRAINING && target.phase != TargetPhase.CHANGING)) {
-      return notThisAction(command.target(), command.action());
+      return rejectAction(command.target(), command.action());
     }
     return rejectionWhileNotRunning(false)
         .or(() -> rejectionOfChange(target, command.fence()))
         .orElseGet(
             () -> {
-              target.beginChange(command.fence(), disruption.changes());
+              target.beginChange(command.fence(), disruption.changeNumber());
               return Outcome.numbered(Status.DONE, command.action());
             });
   }
 
   private Optional<Outcome> rejectionOfChange(ReleaseTarget target, long fence) {
-    if (!disruption.carriedOut(target.grant)) {
+    if (!disruption.isCarriedOut(target.grantId)) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is not out everywhere yet"));
     }
-    if (release.progress.isAsWanted(target)) {
+    if (release.progress.hasDesiredVersion(target)) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is what it is to be"));
     }
     // After the loss of its driver the next may begin it anew: that raises the fence by which old
     // commands are rejected.
-    boolean notLookedAt =
-        target.phase == TargetPhase.CHANGING && target.found.isEmpty() && target.fence == fence;
-    if (notLookedAt) {
+    boolean isUnobserved =
+        target.phase == TargetPhase.CHANGING
+            && target.observation.isEmpty()
+            && target.fence == fence;
+    if (isUnobserved) {
       return Optional.of(
           Outcome.of(Status.REFUSED, target.name + " was acted on and not looked at since"));
     }
@@ -168,27 +172,27 @@
     }
     ReleaseTarget target = release.target(command.target());
     if (target == null || target.action != command.action()) {
-      return notThisAction(command.target(), command.action());
+      return rejectAction(command.target(), command.action());
     }
-    boolean toldAgain = target.phase == TargetPhase.RESTORING || target.isInService();
-    if (!toldAgain) {
-      observe(target, command);
+    boolean isRepeated = target.phase == TargetPhase.RESTORING || target.isInService();
+    if (!isRepeated) {
+      applyObservation(target, command);
     }
     return Outcome.numbered(Status.DONE, command.action());
   }
 
-  private void observe(ReleaseTarget target, ReleaseCommand.RecordObservation command) {
-    String found = command.found().isEmpty() ? NOTHING_FOUND : command.found();
-    target.observe(command.fence(), plan.classify(command.found()), found);
-    boolean mayServeAsItIs =
-        target.version != TargetVersion.UNKNOWN && !release.isRunning() && !target.held;
-    if (release.progress.isAsWanted(target) || mayServeAsItIs) {
+  private void applyObservation(ReleaseTarget target, ReleaseCommand.RecordObservation command) {
+    String found = command.foundVersion().isEmpty() ? NOTHING_FOUND : command.foundVersion();
+    target.recordObservation(command.fence(), plan.classify(command.foundVersion()), found);
+    boolean canServeUnchanged =
+        target.version != TargetVersion.UNKNOWN && !release.isRunning() && !target.keptOutOfService;
+    if (release.progress.hasDesiredVersion(target) || canServeUnchanged) {
       boolean untouched = target.phase == TargetPhase.DRAINING;
-      String reason = untouched ? "given back untouched" : target.found;
-      disruption.undo(target.grant, "release " + plan.name() + ": " + reason);
-      target.restore();
+      String reason = untouched ? "given back untouched" : target.observation;
+      disruption.undo(target.grantId, "release " + plan.name() + ": " + reason);
+      target.beginRestoring();
     } else if (release.isRunning()) {
-      release.haltPolicy.reasonAfterObservation(target, command.text()).ifPresent(release::halt);
+      release.haltPolicy.reasonAfterObservation(target, command.detail()).ifPresent(release::halt);
     }
   }
 
@@ -211,7 +215,7 @@
               + " is not under way"
               + Optional.ofNullable(target).map(expected).orElse(""));
     }
-    target.report(command.found());
+    target.recordReport(command.foundVersion());
     return Outcome.of(Status.DONE);
   }
 
@@ -240,7 +244,7 @@
     return Outcome.of(Status.DONE);
   }
 
-  private static Outcome notThisAction(String target, long action) {
+  private static Outcome rejectAction(String target, long action) {
     return Outcome.of(Status.CONFLICT, target + ": not action " + action);
   }
 }
--- a/src/main/java/leadferry/release/DriverSituation.java
+++ b/src/main/java/leadferry/release/DriverContext.java
@@ -7,4 +7,4 @@
  * @param leaseHolds whether its lease holds at this moment; commands begin only then
  * @param nowNanos of a monotonic clock
  */
-record DriverSituation(ReleaseView release, boolean leaseHolds, long nowNanos) {}
+record DriverContext(ReleaseView release, boolean leaseHolds, long nowNanos) {}
--- a/src/main/java/leadferry/release/DriverLease.java
+++ b/src/main/java/leadferry/release/DriverLease.java
@@ -40,7 +40,7 @@
   }
 
   /** The holder gives it back. */
-  void yield(long holderFence) {
+  void giveBack(long holderFence) {
     end(holderFence, false);
   }
 
--- a/src/main/java/leadferry/release/FleetChangeObserver.java
+++ b/src/main/java/leadferry/release/FleetChangeObserver.java
@@ -14,42 +14,42 @@
   private final ReleasePlan plan;
   private final ReleaseProgress progress;
   private final DisruptionState disruption;
-  private final LongSupplier actions;
+  private final LongSupplier nextActionNumber;
 
   /**
    * For one entry.
    *
-   * @param actions gives numbers of actions
+   * @param nextActionNumber gives numbers of actions
    */
-  FleetChangeObserver(Release release, DisruptionState disruption, LongSupplier actions) {
+  FleetChangeObserver(Release release, DisruptionState disruption, LongSupplier nextActionNumber) {
     this.release = release;
     this.plan = release.plan;
     this.progress = release.progress;
     this.disruption = disruption;
-    this.actions = actions;
+    this.nextActionNumber = nextActionNumber;
   }
 
   /**
    * Takes note of what the last entry has changed in the fleet.
    *
-   * @param newest whether no later release has any of its targets: only then a completed one still
-   *     counts
+   * @param isNewest whether no later release has any of its targets: only then a completed one
+   *     still counts
    */
-  void observe(boolean newest) {
-    boolean settled =
+  void onFleetChange(boolean isNewest) {
+    boolean isClosed =
         release.state == ReleaseState.ABANDONED
             || release.state == ReleaseState.ROLLED_BACK
-            || (release.state == ReleaseState.COMPLETED && !newest);
-    if (settled) {
+            || (release.state == ReleaseState.COMPLETED && !isNewest);
+    if (isClosed) {
       return;
     }
-    Set<String> known = disruption.byName(plan.targetType()).keySet();
+    Set<String> known = disruption.targetsByName(plan.targetType()).keySet();
     for (ReleaseTarget target : release.targets()) {
       if (target.phase == TargetPhase.RESTORING && isAvailable(target)) {
-        target.returnToService(++release.returns);
+        target.returnToService(++release.returnCount);
       }
-      target.gone = target.isInService() && !known.contains(target.name);
-      noteOwnVersion(target);
+      target.removed = target.isInService() && !known.contains(target.name);
+      detectVersionChange(target);
     }
     if (release.state == ReleaseState.COMPLETED) {
       reopenForWrongVersion();
@@ -62,56 +62,61 @@
           .ifPresent(release::halt);
     }
     if (release.isRunning()) {
-      followProgress();
+      updateProgress();
     }
   }
 
   /** A completed release takes up a target that came back with another version. */
   private void reopenForWrongVersion() {
     release.targets().stream()
-        .filter(target -> !target.gone && target.version != TargetVersion.NEW)
+        .filter(target -> !target.removed && target.version != TargetVersion.NEW)
         .findFirst()
         .ifPresent(
             target ->
-                release.become(
-                    ReleaseState.RUNNING, target.name + " came back with " + target.found));
+                release.transitionTo(
+                    ReleaseState.RUNNING, target.name + " came back with " + target.observation));
   }
 
   /**
    * A proxy in service that tells another version than it was given was down while it was changed,
    * or was changed by somebody else.
    */
-  private void noteOwnVersion(ReleaseTarget target) {
+  private void detectVersionChange(ReleaseTarget target) {
     if (plan.targetType() != TargetType.PROXY || !target.isInService()) {
       return;
     }
-    String told = disruption.version(target.name, -1);
-    TargetVersion version = plan.classify(told);
-    if (told.isEmpty() || told.equals(DisruptionState.NO_VERSION) || version == target.version) {
+    String reportedVersion = disruption.version(target.name, -1);
+    TargetVersion version = plan.classify(reportedVersion);
+    if (reportedVersion.isEmpty()
+        || reportedVersion.equals(DisruptionState.NO_VERSION)
+        || version == target.version) {
       return;
     }
-    target.changeVersion(version, told);
-    if (plan.policies().holdWrongVersions() && !progress.isAsWanted(target)) {
+    target.recordVersionChange(version, reportedVersion);
+    if (plan.policies().keepWrongVersionsOut() && !progress.hasDesiredVersion(target)) {
       String grant =
-          disruption.hold(
-              plan.targetType(), target.name, "release " + plan.name(), "came back with " + told);
+          disruption.keepOutOfService(
+              plan.targetType(),
+              target.name,
+              "release " + plan.name(),
+              "came back with " + reportedVersion);
       if (!grant.isEmpty()) {
-        target.holdOut(grant, actions.getAsLong(), told);
+        target.keepOutOfService(grant, nextActionNumber.getAsLong(), reportedVersion);
       }
     }
   }
 
-  private void followProgress() {
+  private void updateProgress() {
     boolean complete = isCurrentGoalReached();
     if (progress.isForward()) {
       if (!complete) {
         progress.resetBaking();
-      } else if (progress.bakingSince == 0) {
-        progress.beginBaking(disruption.changes() + 1);
+      } else if (progress.bakingSinceChange == 0) {
+        progress.beginBaking(disruption.changeNumber() + 1);
       }
     } else if (complete
         && release.targets().stream()
-            .allMatch(target -> target.gone || progress.isAsWanted(target))) {
+            .allMatch(target -> target.removed || progress.hasDesiredVersion(target))) {
       release.finishRollback();
     }
   }
@@ -121,20 +126,21 @@
    * and serves.
    */
   private boolean isCurrentGoalReached() {
-    Set<String> lost = disruption.lost();
+    Set<String> lost = disruption.lostTargets();
     return release.targets().stream()
-        .filter(target -> !target.gone)
-        .filter(target -> !progress.isForward() || target.step < progress.goal)
+        .filter(target -> !target.removed)
+        .filter(target -> !progress.isForward() || target.step < progress.goalStepCount)
         .filter(
             target ->
                 !plan.policies().skipLostTargets()
                     || !target.isInService()
                     || !lost.contains(target.name))
         .allMatch(
-            target -> target.isInService() && progress.isAsWanted(target) && isAvailable(target));
+            target ->
+                target.isInService() && progress.hasDesiredVersion(target) && isAvailable(target));
   }
 
   private boolean isAvailable(ReleaseTarget target) {
-    return disruption.out(plan.targetType(), target.name) == null;
+    return disruption.unavailabilityReason(plan.targetType(), target.name) == null;
   }
 }
--- a/src/main/java/leadferry/release/HaltPolicy.java
+++ b/src/main/java/leadferry/release/HaltPolicy.java
@@ -27,11 +27,11 @@
   /** Why a running release halts by the state of the fleet, if it does. */
   Optional<String> reasonInFleet(
       Collection<ReleaseTarget> targets, ReleaseProgress progress, DisruptionState disruption) {
-    if (!disruption.halted().isEmpty()) {
-      return Optional.of("the fleet is halted: " + disruption.halted());
+    if (!disruption.haltReason().isEmpty()) {
+      return Optional.of("the fleet is halted: " + disruption.haltReason());
     }
     Set<String> lost = unexpectedlyLost(targets, disruption);
-    int lostLimit = plan.limits().lostTargets();
+    int lostLimit = plan.limits().lostTargetsToHalt();
     if (lostLimit > 0 && lost.size() >= lostLimit) {
       return Optional.of("lost meanwhile: " + String.join(", ", lost));
     }
@@ -49,7 +49,7 @@
   /** Lost members that this release did not take out itself and no operator has set aside. */
   private Set<String> unexpectedlyLost(
       Collection<ReleaseTarget> targets, DisruptionState disruption) {
-    Set<String> lost = new TreeSet<>(disruption.lost());
+    Set<String> lost = new TreeSet<>(disruption.lostTargets());
     targets.stream()
         .filter(target -> !target.isInService())
         .forEach(target -> lost.remove(target.name));
@@ -64,7 +64,7 @@
 
   /** Forgets what was acknowledged of members that are not lost any more. */
   void forgetRecovered(DisruptionState disruption) {
-    acknowledgedLost.retainAll(disruption.lost());
+    acknowledgedLost.retainAll(disruption.lostTargets());
   }
 
   Set<String> acknowledgedLost() {
@@ -82,7 +82,7 @@
   Optional<String> reasonBeforeAttempt(ReleaseTarget target) {
     return target.attempts >= MAX_ATTEMPTS
         ? Optional.of(
-            target.name + ": begun " + target.attempts + " times, and found " + target.found)
+            target.name + ": begun " + target.attempts + " times, and found " + target.observation)
         : Optional.empty();
   }
 
@@ -96,7 +96,7 @@
             + " after "
             + target.attempts
             + " tries: found "
-            + target.found
+            + target.observation
             + (text.isEmpty() ? "" : "; " + text));
   }
 
@@ -109,14 +109,14 @@
   String reasonOverdue(ReleaseTarget target) {
     return target.name
         + " is not back in service after "
-        + plan.limits().actionMillis()
+        + plan.limits().actionTimeoutMillis()
         + " ms: "
-        + target.phase.word()
-        + (target.found.isEmpty() ? "" : ", found " + target.found);
+        + target.phase.storedName()
+        + (target.observation.isEmpty() ? "" : ", found " + target.observation);
   }
 
   /** Why it halts when the whole release takes too long. */
   String reasonTimeLimit() {
-    return "its time of " + plan.limits().releaseMillis() + " ms is over";
+    return "its time of " + plan.limits().releaseTimeoutMillis() + " ms is over";
   }
 }
--- a/src/main/java/leadferry/release/MemberReports.java
+++ b/src/main/java/leadferry/release/MemberReports.java
@@ -10,23 +10,23 @@
 /**
  * What members have counted, as the leader keeps it.
  *
- * @param missing live members without a report
+ * @param unreportedMembers live members without a report
  * @param byMember the latest report of each other member
  */
-public record MemberReports(List<String> missing, Map<String, MemberReport> byMember) {
+public record MemberReports(List<String> unreportedMembers, Map<String, MemberReport> byMember) {
   /**
    * One member's counts since it began.
    *
    * @param session the member's session; counts of another begin anew
    * @param ageMillis time since the report came in
-   * @param own outcomes of its own requests, by request class
-   * @param byHost outcomes by upstream host and request class
+   * @param countsByClass outcomes of its own requests, by request class
+   * @param countsByEndpoint outcomes by upstream host and request class
    */
   public record MemberReport(
       String session,
       long ageMillis,
-      Map<String, OutcomeCount> own,
-      Map<String, Map<String, OutcomeCount>> byHost) {}
+      Map<String, OutcomeCount> countsByClass,
+      Map<String, Map<String, OutcomeCount>> countsByEndpoint) {}
 
   /** Reads the response of a replica to {@code reports}. */
   public static MemberReports read(JsonNode json) {
@@ -40,16 +40,17 @@
   }
 
   private static MemberReport readReport(JsonNode json) {
-    JsonNode told = json.path("told");
-    Map<String, Map<String, OutcomeCount>> byHost = new LinkedHashMap<>();
-    told.path("hosts")
+    JsonNode reported = json.path("told");
+    Map<String, Map<String, OutcomeCount>> countsByEndpoint = new LinkedHashMap<>();
+    reported
+        .path("hosts")
         .properties()
-        .forEach(host -> byHost.put(host.getKey(), readCounts(host.getValue())));
+        .forEach(host -> countsByEndpoint.put(host.getKey(), readCounts(host.getValue())));
     return new MemberReport(
         json.path("session").asText(),
         json.path("age_ms").asLong(),
-        readCounts(told.path("own")),
-        byHost);
+        readCounts(reported.path("own")),
+        countsByEndpoint);
   }
 
   /** Each request class has an array of its total and its bad outcomes. */
@@ -67,8 +68,8 @@
   }
 
   /** Members without a report, or with one that is older. */
-  List<String> withoutFreshReport(long maxAgeMillis) {
-    List<String> members = new ArrayList<>(missing);
+  List<String> membersWithoutFreshReport(long maxAgeMillis) {
+    List<String> members = new ArrayList<>(unreportedMembers);
     byMember.forEach(
         (member, report) -> {
           if (report.ageMillis() > maxAgeMillis) {
--- a/src/main/java/leadferry/release/NextTargetSelector.java
+++ b/src/main/java/leadferry/release/NextTargetSelector.java
@@ -18,7 +18,8 @@
         release.targets().stream().filter(target -> isCandidate(target, forward));
     Optional<ReleaseTargetView> next =
         forward ? candidates.findFirst() : candidates.sorted(LATEST_FIRST).findFirst();
-    return next.filter(target -> underWay < release.plan().steps().get(target.step()).atOnce());
+    return next.filter(
+        target -> underWay < release.plan().steps().get(target.step()).maxConcurrent());
   }
 
   private static final Comparator<ReleaseTargetView> LATEST_FIRST =
@@ -27,8 +28,8 @@
   /** A rollback also takes what is missing, perhaps by the new version. */
   private static boolean isCandidate(ReleaseTargetView target, boolean forward) {
     return target.isInService()
-        && !target.gone()
-        && !target.isAsWanted()
+        && !target.removed()
+        && !target.hasDesiredVersion()
         && (target.isAvailable() || (!forward && target.isMissing()));
   }
 }
--- a/src/main/java/leadferry/release/OperatorCommands.java
+++ b/src/main/java/leadferry/release/OperatorCommands.java
@@ -19,27 +19,27 @@
 
   Outcome pause(ReleaseCommand.PauseRelease command) {
     if (!release.isRunning()) {
-      return notNow("running");
+      return refuse("running");
     }
-    release.become(ReleaseState.PAUSED, command.why());
+    release.transitionTo(ReleaseState.PAUSED, command.reason());
     return Outcome.of(Status.DONE);
   }
 
   Outcome resume(ReleaseCommand.ResumeRelease command) {
     if (release.state != ReleaseState.PAUSED && release.state != ReleaseState.HALTED) {
-      return notNow("paused or halted");
+      return refuse("paused or halted");
     }
-    release.become(ReleaseState.RUNNING, command.why());
-    release.retryActions();
-    release.timeLimitPassed = false;
+    release.transitionTo(ReleaseState.RUNNING, command.reason());
+    release.allowRetries();
+    release.timeLimitExceeded = false;
     return Outcome.of(Status.DONE);
   }
 
   Outcome halt(ReleaseCommand.HaltRelease command) {
-    if (release.state.isOver()) {
-      return notNow("under way");
+    if (release.state.isClosed()) {
+      return refuse("under way");
     }
-    release.halt(command.why().isEmpty() ? "halted" : command.why());
+    release.halt(command.reason().isEmpty() ? "halted" : command.reason());
     return Outcome.of(Status.DONE);
   }
 
@@ -51,9 +51,9 @@
           Status.MALFORMED, "to_step: " + toStep + " (expected: 0 to " + (steps - 1) + ")");
     }
     if (release.state == ReleaseState.ROLLED_BACK || release.state == ReleaseState.ABANDONED) {
-      return notNow("under way or done");
+      return refuse("under way or done");
     }
-    release.rollBack(toStep, command.why());
+    release.rollBack(toStep, command.reason());
     return Outcome.of(Status.DONE);
   }
 
@@ -62,12 +62,12 @@
     switch (command.check()) {
       case CHECK_VERDICT -> {
         boolean waits =
-            release.progress.isForward() && !release.state.isOver() && release.progress.baked;
+            release.progress.isForward() && !release.state.isClosed() && release.progress.baked;
         if (!waits) {
-          return notNow("waiting for a verdict on a step that has baked");
+          return refuse("waiting for a verdict on a step that has baked");
         }
-        release.become(ReleaseState.RUNNING, command.why());
-        release.advance("overridden: " + command.why());
+        release.transitionTo(ReleaseState.RUNNING, command.reason());
+        release.advance("overridden: " + command.reason());
       }
       case CHECK_LOST -> release.haltPolicy.acknowledgeLost(release.targets(), disruption);
       default -> {
@@ -84,11 +84,11 @@
       return Outcome.of(
           Status.REFUSED, "targets are under way: halt it, and wait until they are back");
     }
-    release.become(ReleaseState.ABANDONED, command.why());
+    release.transitionTo(ReleaseState.ABANDONED, command.reason());
     return Outcome.of(Status.DONE);
   }
 
-  private Outcome notNow(String expected) {
+  private Outcome refuse(String expected) {
     return Outcome.of(Status.REFUSED, release.describe() + " (expected: " + expected + ")");
   }
 }
--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -30,10 +30,10 @@
   final long number;
 
   /** Who started it. */
-  final String who;
+  final String requestedBy;
 
   /** Why it was started. */
-  final String why;
+  final String requestReason;
 
   final DriverLease lease = new DriverLease();
   final ReleaseProgress progress = new ReleaseProgress();
@@ -43,18 +43,18 @@
   String stateReason = "";
 
   /** Whether the whole took longer than the plan allows. */
-  boolean timeLimitPassed;
+  boolean timeLimitExceeded;
 
   /** How many returns to service there were. */
-  long returns;
+  long returnCount;
 
   private final Map<String, ReleaseTarget> targets = new LinkedHashMap<>();
 
-  Release(ReleasePlan plan, long number, String who, String why) {
+  Release(ReleasePlan plan, long number, String requestedBy, String requestReason) {
     this.plan = plan;
     this.number = number;
-    this.who = who;
-    this.why = why;
+    this.requestedBy = requestedBy;
+    this.requestReason = requestReason;
     this.haltPolicy = new HaltPolicy(plan);
     for (int step = 0; step < plan.steps().size(); step++) {
       for (String target : plan.steps().get(step).targets()) {
@@ -78,85 +78,89 @@
 
   /** For reasons: which release, and where it stands. */
   String describe() {
-    return "release " + plan.name() + " is " + state.word();
+    return "release " + plan.name() + " is " + state.storedName();
   }
 
-  boolean holds(String grant) {
+  boolean holdsGrant(String grant) {
     return !grant.isEmpty()
         && targets().stream()
-            .anyMatch(target -> target.grant.equals(grant) && !target.isInService());
+            .anyMatch(target -> target.grantId.equals(grant) && !target.isInService());
   }
 
-  boolean sharesTargets(ReleasePlan other) {
+  boolean hasTargetsInCommonWith(ReleasePlan other) {
     return plan.targetType() == other.targetType()
         && other.targets().stream().anyMatch(targets::containsKey);
   }
 
   // Transitions of the state.
 
-  void become(ReleaseState next, String reason) {
+  void transitionTo(ReleaseState next, String reason) {
     state = next;
     stateReason = reason;
   }
 
   void halt(String reason) {
-    become(ReleaseState.HALTED, reason);
+    transitionTo(ReleaseState.HALTED, reason);
   }
 
   /** Operators want it tried again: each action has its time anew, and one more attempt. */
-  void retryActions() {
+  void allowRetries() {
     targets().forEach(target -> target.allowAnotherAttempt(HaltPolicy.MAX_ATTEMPTS));
   }
 
   /** The current step has passed. */
   void advance(String evidence) {
     progress.resetBaking();
-    if (progress.goal < plan.steps().size()) {
+    if (progress.goalStepCount < plan.steps().size()) {
       progress.advance();
     } else if (targets().stream()
-        .allMatch(target -> target.gone || target.version == TargetVersion.NEW)) {
-      become(ReleaseState.COMPLETED, evidence);
+        .allMatch(target -> target.removed || target.version == TargetVersion.NEW)) {
+      transitionTo(ReleaseState.COMPLETED, evidence);
     }
   }
 
   /** Turns back, until only the first {@code steps} steps run the new version. */
   void rollBack(int steps, String reason) {
     progress.rollBackTo(steps);
-    become(ReleaseState.RUNNING, reason);
-    retryActions();
+    transitionTo(ReleaseState.RUNNING, reason);
+    allowRetries();
   }
 
   /** Every target runs the version that the rollback was to bring. */
   void finishRollback() {
-    if (progress.goal == 0) {
-      become(ReleaseState.ROLLED_BACK, stateReason);
+    if (progress.goalStepCount == 0) {
+      transitionTo(ReleaseState.ROLLED_BACK, stateReason);
     } else {
-      become(ReleaseState.HALTED, "back to step " + progress.goal + ", as asked");
-      progress.goForward();
+      transitionTo(ReleaseState.HALTED, "back to step " + progress.goalStepCount + ", as asked");
+      progress.resumeForward();
     }
   }
 
   // Time.
 
   /** Puts what runs out, and after how long (ms). */
-  void timers(Map<String, Long> timers) {
+  void putTimers(Map<String, Long> timers) {
     if (lease.isHeld()) {
       putTimer(timers, ReleaseTimer.Kind.DRIVER_LEASE, lease.fence, lease.leaseMillis);
     }
     if (!isRunning()) {
       return;
     }
-    if (!timeLimitPassed) {
-      putTimer(timers, ReleaseTimer.Kind.RELEASE_LIMIT, number, plan.limits().releaseMillis());
+    if (!timeLimitExceeded) {
+      putTimer(
+          timers, ReleaseTimer.Kind.RELEASE_LIMIT, number, plan.limits().releaseTimeoutMillis());
     }
     if (progress.isBaking()) {
       long bakeMillis = plan.steps().get(progress.currentStep()).bakeMillis();
-      putTimer(timers, ReleaseTimer.Kind.BAKING, progress.bakingSince, bakeMillis);
+      putTimer(timers, ReleaseTimer.Kind.BAKING, progress.bakingSinceChange, bakeMillis);
     }
     for (ReleaseTarget target : targets()) {
-      if (!target.isInService() && !target.overdue && !target.held) {
+      if (!target.isInService() && !target.overdue && !target.keptOutOfService) {
         putTimer(
-            timers, ReleaseTimer.Kind.ACTION_LIMIT, target.action, plan.limits().actionMillis());
+            timers,
+            ReleaseTimer.Kind.ACTION_LIMIT,
+            target.action,
+            plan.limits().actionTimeoutMillis());
       }
     }
   }
@@ -166,19 +170,19 @@
     timers.put(new ReleaseTimer(kind, plan.name(), timerNumber).name(), millis);
   }
 
-  void timeout(ReleaseTimer timer) {
+  void onTimerExpired(ReleaseTimer timer) {
     switch (timer.kind()) {
       case DRIVER_LEASE -> lease.expire(timer.number());
       case RELEASE_LIMIT -> {
-        timeLimitPassed = true;
+        timeLimitExceeded = true;
         halt(haltPolicy.reasonTimeLimit());
       }
       case BAKING -> progress.finishBaking();
-      case ACTION_LIMIT -> actionTimeout(timer.number());
+      case ACTION_LIMIT -> onActionTimeout(timer.number());
     }
   }
 
-  private void actionTimeout(long action) {
+  private void onActionTimeout(long action) {
     for (ReleaseTarget target : targets()) {
       if (target.action == action && !target.isInService()) {
         target.markOverdue();
--- a/src/main/java/leadferry/release/ReleaseCommand.java
+++ b/src/main/java/leadferry/release/ReleaseCommand.java
@@ -9,7 +9,8 @@
   String release();
 
   /** An operator starts a release by a plan that is sound in itself. */
-  record StartRelease(ReleasePlan plan, String who, String why) implements ReleaseCommand {
+  record StartRelease(ReleasePlan plan, String requestedBy, String reason)
+      implements ReleaseCommand {
     @Override
     public String release() {
       return plan.name();
@@ -31,11 +32,11 @@
 
   /** A driver has seen which version a target runs; {@code found} is "" where it saw none. */
   record RecordObservation(
-      String release, long fence, String target, long action, String found, String text)
+      String release, long fence, String target, long action, String foundVersion, String detail)
       implements ReleaseCommand {}
 
   /** A target's supervisor tells by itself which version it started. */
-  record RecordReport(String release, String target, long action, int attempt, String found)
+  record RecordReport(String release, String target, long action, int attempt, String foundVersion)
       implements ReleaseCommand {}
 
   /** A driver's canary analysis of a step: go on, or not, with the evidence. */
@@ -43,20 +44,20 @@
       implements ReleaseCommand {}
 
   /** An operator pauses the release. */
-  record PauseRelease(String release, String why) implements ReleaseCommand {}
+  record PauseRelease(String release, String reason) implements ReleaseCommand {}
 
   /** An operator lets a paused or halted release go on. */
-  record ResumeRelease(String release, String why) implements ReleaseCommand {}
+  record ResumeRelease(String release, String reason) implements ReleaseCommand {}
 
   /** An operator halts the release. */
-  record HaltRelease(String release, String why) implements ReleaseCommand {}
+  record HaltRelease(String release, String reason) implements ReleaseCommand {}
 
   /** An operator wants the old version back, down to that step. */
-  record RollBack(String release, int toStep, String why) implements ReleaseCommand {}
+  record RollBack(String release, int toStep, String reason) implements ReleaseCommand {}
 
   /** An operator sets aside what keeps the release from going on: a verdict, or lost targets. */
-  record OverrideCheck(String release, String check, String why) implements ReleaseCommand {}
+  record OverrideCheck(String release, String check, String reason) implements ReleaseCommand {}
 
   /** An operator gives the release up as it stands. */
-  record EndRelease(String release, String why) implements ReleaseCommand {}
+  record EndRelease(String release, String reason) implements ReleaseCommand {}
 }
--- a/src/main/java/leadferry/release/ReleaseCommandCodec.java
+++ b/src/main/java/leadferry/release/ReleaseCommandCodec.java
@@ -49,30 +49,33 @@
    * Reads an entry whose operation is one of {@link #DRIVER_OPERATIONS} or {@link
    * #OPERATOR_OPERATIONS}.
    *
-   * @param faults gets what is wrong with a plan
+   * @param errors gets what is wrong with a plan
    * @return the command, or null where there was a fault
    */
-  public static ReleaseCommand decode(String operation, JsonNode entry, List<String> faults) {
+  public static ReleaseCommand decode(String operation, JsonNode entry, List<String> errors) {
     String release = entry.path("release").isTextual() ? entry.path("release").asText() : "";
-    String why = entry.path("why").asText();
+    String reason = entry.path("why").asText();
     return switch (operation) {
       case START -> {
-        ReleasePlan plan = ReleasePlanCodec.read(entry.path("plan"), faults);
+        ReleasePlan plan = ReleasePlanCodec.read(entry.path("plan"), errors);
         yield plan == null
             ? null
-            : new ReleaseCommand.StartRelease(plan, entry.path("who").asText(), why);
+            : new ReleaseCommand.StartRelease(plan, entry.path("who").asText(), reason);
       }
-      case PAUSE -> new ReleaseCommand.PauseRelease(release, why);
-      case RESUME -> new ReleaseCommand.ResumeRelease(release, why);
-      case HALT -> new ReleaseCommand.HaltRelease(release, why);
-      case ROLL_BACK -> new ReleaseCommand.RollBack(release, entry.path("to_step").asInt(0), why);
-      case OVERRIDE -> new ReleaseCommand.OverrideCheck(release, entry.path("what").asText(), why);
-      case END -> new ReleaseCommand.EndRelease(release, why);
-      default -> decodeOfDriver(operation, release, entry);
+      case PAUSE -> new ReleaseCommand.PauseRelease(release, reason);
+      case RESUME -> new ReleaseCommand.ResumeRelease(release, reason);
+      case HALT -> new ReleaseCommand.HaltRelease(release, reason);
+      case ROLL_BACK ->
+          new ReleaseCommand.RollBack(release, entry.path("to_step").asInt(0), reason);
+      case OVERRIDE ->
+          new ReleaseCommand.OverrideCheck(release, entry.path("what").asText(), reason);
+      case END -> new ReleaseCommand.EndRelease(release, reason);
+      default -> decodeDriverCommand(operation, release, entry);
     };
   }
 
-  private static ReleaseCommand decodeOfDriver(String operation, String release, JsonNode entry) {
+  private static ReleaseCommand decodeDriverCommand(
+      String operation, String release, JsonNode entry) {
     long fence = entry.path("fence").asLong();
     String target = entry.path("target").asText();
     long action = entry.path("action").asLong();
@@ -121,30 +124,32 @@
     if (command instanceof ReleaseCommand.StartRelease start) {
       ObjectNode plan = JsonNodeFactory.instance.objectNode();
       ReleasePlanCodec.write(start.plan(), plan);
-      return encodeStart(plan).put("who", start.who()).put("why", start.why());
+      return encodeStart(plan).put("who", start.requestedBy()).put("why", start.reason());
     }
     if (command instanceof ReleaseCommand.PauseRelease pause) {
-      return entry(PAUSE, command).put("why", pause.why());
+      return entry(PAUSE, command).put("why", pause.reason());
     }
     if (command instanceof ReleaseCommand.ResumeRelease resume) {
-      return entry(RESUME, command).put("why", resume.why());
+      return entry(RESUME, command).put("why", resume.reason());
     }
     if (command instanceof ReleaseCommand.HaltRelease halt) {
-      return entry(HALT, command).put("why", halt.why());
+      return entry(HALT, command).put("why", halt.reason());
     }
     if (command instanceof ReleaseCommand.RollBack rollback) {
-      return entry(ROLL_BACK, command).put("to_step", rollback.toStep()).put("why", rollback.why());
+      return entry(ROLL_BACK, command)
+          .put("to_step", rollback.toStep())
+          .put("why", rollback.reason());
     }
     if (command instanceof ReleaseCommand.OverrideCheck override) {
-      return entry(OVERRIDE, command).put("what", override.check()).put("why", override.why());
+      return entry(OVERRIDE, command).put("what", override.check()).put("why", override.reason());
     }
     if (command instanceof ReleaseCommand.EndRelease end) {
-      return entry(END, command).put("why", end.why());
+      return entry(END, command).put("why", end.reason());
     }
-    return encodeOfDriver(command);
+    return encodeDriverCommand(command);
   }
 
-  private static ObjectNode encodeOfDriver(ReleaseCommand command) {
+  private static ObjectNode encodeDriverCommand(ReleaseCommand command) {
     if (command instanceof ReleaseCommand.AcquireLease lease) {
       return entry(ACQUIRE_LEASE, command)
           .put("driver", lease.driver())
@@ -160,10 +165,10 @@
           .put("step", verdict.step())
           .put("text", verdict.evidence());
     }
-    return encodeOfChange(command);
+    return encodeChangeCommand(command);
   }
 
-  private static ObjectNode encodeOfChange(ReleaseCommand command) {
+  private static ObjectNode encodeChangeCommand(ReleaseCommand command) {
     if (command instanceof ReleaseCommand.IntendChange intent) {
       return entry(INTEND_CHANGE, command)
           .put("fence", intent.fence())
@@ -179,16 +184,16 @@
       return entry(RECORD_OBSERVATION, command)
           .put("action", observation.action())
           .put("fence", observation.fence())
-          .put("found", observation.found())
+          .put("found", observation.foundVersion())
           .put("target", observation.target())
-          .put("text", observation.text());
+          .put("text", observation.detail());
     }
     if (command instanceof ReleaseCommand.RecordReport report) {
       return entry(RECORD_REPORT, command)
           .put("target", report.target())
           .put("action", report.action())
           .put("tries", report.attempt())
-          .put("found", report.found());
+          .put("found", report.foundVersion());
     }
     throw new IllegalArgumentException("command: " + command + " (expected: one of a release)");
   }
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -6,11 +6,11 @@
 
 /**
  * Decides what the driver of one release does next, by the release's status; it remembers only what
- * it has begun itself. Without I/O: whoever runs it carries out what {@link #next} returns and
- * tells what came of commands and checks.
+ * it has begun itself. Without I/O: whoever runs it carries out what {@link #nextActions} returns
+ * and tells what came of commands and checks.
  *
  * <p>Targets on their way are the {@link TargetReconciler}'s, who goes next the {@link
- * NextTargetSelector}'s, verdicts on steps the {@link CanaryJudge}'s.
+ * NextTargetSelector}'s, verdicts on steps the {@link CanaryEvaluator}'s.
  *
  * <p>Two drivers never both believe that they may run a command, since only the holder of the fence
  * can have written the entry that allows it; a driver whose lease is over and who does not know it
@@ -19,9 +19,9 @@
 public final class ReleaseController {
   private final String driver;
   private final long leaseMillis;
-  private final TargetObserver observer;
+  private final VersionObserver observer;
   private final TargetReconciler reconciler;
-  private final CanaryJudge judge;
+  private final CanaryEvaluator canaryEvaluator;
 
   /**
    * A driver.
@@ -32,23 +32,23 @@
   public ReleaseController(String driver, long leaseMillis) {
     this.driver = driver;
     this.leaseMillis = leaseMillis;
-    this.observer = new TargetObserver(leaseMillis);
+    this.observer = new VersionObserver(leaseMillis);
     this.reconciler = new TargetReconciler(observer);
-    this.judge = new CanaryJudge(leaseMillis);
+    this.canaryEvaluator = new CanaryEvaluator(leaseMillis);
   }
 
   /** The command of a change has ended. */
-  public void changeEnded(DriverAction.RunChange change, CommandResult result) {
-    reconciler.changeEnded(new ActionAttempt(change.action(), change.attempt()), result);
+  public void onChangeEnded(DriverAction.RunChange change, CommandResult result) {
+    reconciler.onChangeEnded(new ActionAttempt(change.action(), change.attempt()), result);
   }
 
   /** A check has seen a version, or "" where there was none; empty where it could not look. */
-  public void versionChecked(DriverAction.CheckVersion check, Optional<String> version) {
-    observer.checked(new ActionAttempt(check.action(), check.attempt()), version);
+  public void onVersionChecked(DriverAction.CheckVersion check, Optional<String> version) {
+    observer.onVersionChecked(new ActionAttempt(check.action(), check.attempt()), version);
   }
 
   /** Whether this driver holds the release's lease, as the replicas tell. */
-  public boolean drives(ReleaseView release) {
+  public boolean isDriverOf(ReleaseView release) {
     return release.driver().equals(driver);
   }
 
@@ -60,16 +60,16 @@
    * @param leaseHolds whether this driver's lease holds at this moment; commands begin only then
    * @param nowNanos of a monotonic clock
    */
-  public List<DriverAction> next(
+  public List<DriverAction> nextActions(
       ReleaseView release, Optional<MemberReports> reports, boolean leaseHolds, long nowNanos) {
-    if (release.state().isOver()) {
+    if (release.state().isClosed()) {
       return List.of();
     }
-    if (!drives(release)) {
-      return release.isDriven() ? List.of() : List.of(acquireLease(release));
+    if (!isDriverOf(release)) {
+      return release.hasDriver() ? List.of() : List.of(acquireLease(release));
     }
     List<DriverAction> actions = new ArrayList<>();
-    DriverSituation situation = new DriverSituation(release, leaseHolds, nowNanos);
+    DriverContext situation = new DriverContext(release, leaseHolds, nowNanos);
     for (ReleaseTargetView target : release.targets()) {
       reconciler.reconcile(situation, target, actions);
     }
@@ -77,8 +77,8 @@
       NextTargetSelector.select(release)
           .map(target -> TargetReconciler.intendChange(release, target))
           .ifPresent(actions::add);
-      judge
-          .judge(release, reports, nowNanos)
+      canaryEvaluator
+          .evaluate(release, reports, nowNanos)
           .map(DriverAction.SubmitCommand::new)
           .ifPresent(actions::add);
     }
--- a/src/main/java/leadferry/release/ReleaseDirection.java
+++ b/src/main/java/leadferry/release/ReleaseDirection.java
@@ -1,20 +1,20 @@
 package leadferry.release;
 
 /** Which way a release changes its targets. */
-public enum ReleaseDirection implements StoredWord {
+public enum ReleaseDirection implements StoredName {
   /** From the previous version to the new one. */
   FORWARD("forward"),
   /** From the new version to the previous one. */
   ROLLBACK("back");
 
-  private final String word;
+  private final String storedName;
 
-  ReleaseDirection(String word) {
-    this.word = word;
+  ReleaseDirection(String storedName) {
+    this.storedName = storedName;
   }
 
   @Override
-  public String word() {
-    return word;
+  public String storedName() {
+    return storedName;
   }
 }
--- a/src/main/java/leadferry/release/ReleasePlan.java
+++ b/src/main/java/leadferry/release/ReleasePlan.java
@@ -40,10 +40,10 @@
    *
    * @param name its own in the plan
    * @param targets names of proxies or hosts
-   * @param atOnce how many may be out by this release at the same time
+   * @param maxConcurrent how many may be out by this release at the same time
    * @param bakeMillis how long all must run well before the step is judged
    */
-  public record Step(String name, List<String> targets, int atOnce, long bakeMillis) {
+  public record Step(String name, List<String> targets, int maxConcurrent, long bakeMillis) {
     /** Keeps a copy of the targets. */
     public Step {
       targets = List.copyOf(targets);
@@ -53,26 +53,27 @@
   /**
    * What halts a release when passed.
    *
-   * @param actionMillis time for one target, from its grant until it is back in service
-   * @param releaseMillis time for the whole release; begins anew after a pause
-   * @param lostTargets how many targets lost by other causes halt it; 0 for never
+   * @param actionTimeoutMillis time for one target, from its grant until it is back in service
+   * @param releaseTimeoutMillis time for the whole release; begins anew after a pause
+   * @param lostTargetsToHalt how many targets lost by other causes halt it; 0 for never
    */
-  public record Limits(long actionMillis, long releaseMillis, int lostTargets) {}
+  public record Limits(
+      long actionTimeoutMillis, long releaseTimeoutMillis, int lostTargetsToHalt) {}
 
   /**
    * What to do when something unexpected happens.
    *
    * @param haltOnTakeover whether it halts when a driver was lost; otherwise the next one goes on
    * @param skipLostTargets whether steps go on without lost targets; otherwise they wait
-   * @param holdWrongVersions whether a target that comes back with another version is kept out of
-   *     service; otherwise it is changed once more
+   * @param keepWrongVersionsOut whether a target that comes back with another version is kept out
+   *     of service; otherwise it is changed once more
    * @param rollBackOnVerdict whether a verdict against the new version begins a rollback; otherwise
    *     it halts
    */
   public record Policies(
       boolean haltOnTakeover,
       boolean skipLostTargets,
-      boolean holdWrongVersions,
+      boolean keepWrongVersionsOut,
       boolean rollBackOnVerdict) {}
 
   /** Keeps a copy of the steps. */
--- a/src/main/java/leadferry/release/ReleasePlanCodec.java
+++ b/src/main/java/leadferry/release/ReleasePlanCodec.java
@@ -31,10 +31,10 @@
   private static final long DEFAULT_ACTION_MILLIS = 300_000;
   private static final long DEFAULT_RELEASE_MILLIS = 24 * 3_600_000L;
 
-  private final List<String> faults;
+  private final List<String> errors;
 
-  private ReleasePlanCodec(List<String> faults) {
-    this.faults = faults;
+  private ReleasePlanCodec(List<String> errors) {
+    this.errors = errors;
   }
 
   /** Writes a plan as the log holds it. */
@@ -42,15 +42,15 @@
     ReleasePlan.Limits limits = plan.limits();
     ReleasePlan.Policies policies = plan.policies();
     json.put("name", plan.name())
-        .put("of", plan.targetType().word())
+        .put("of", plan.targetType().storedName())
         .put("version", plan.version())
         .put("from", plan.previousVersion())
-        .put("action_ms", limits.actionMillis())
-        .put("longest_ms", limits.releaseMillis())
-        .put("halt_lost", limits.lostTargets())
+        .put("action_ms", limits.actionTimeoutMillis())
+        .put("longest_ms", limits.releaseTimeoutMillis())
+        .put("halt_lost", limits.lostTargetsToHalt())
         .put("on_takeover", policies.haltOnTakeover() ? "halt" : "go")
         .put("on_missing", policies.skipLostTargets() ? "skip" : "wait")
-        .put("on_wrong", policies.holdWrongVersions() ? "hold" : "queue")
+        .put("on_wrong", policies.keepWrongVersionsOut() ? "hold" : "queue")
         .put("on_verdict", policies.rollBackOnVerdict() ? "back" : "halt");
     CanaryBoundsCodec.write(plan.canaryBounds(), json.putObject("guard"));
     json.set("carry", plan.changeCommands());
@@ -60,7 +60,7 @@
           steps
               .addObject()
               .put("name", step.name())
-              .put("at_once", step.atOnce())
+              .put("at_once", step.maxConcurrent())
               .put("bake_ms", step.bakeMillis());
       step.targets().forEach(stepJson.putArray("targets")::add);
     }
@@ -69,31 +69,31 @@
   /**
    * Reads a plan.
    *
-   * @param faults gets everything that is wrong with it
+   * @param errors gets everything that is wrong with it
    * @return the plan, or null where there was a fault
    */
-  public static ReleasePlan read(JsonNode json, List<String> faults) {
-    int before = faults.size();
-    ReleasePlan plan = new ReleasePlanCodec(faults).plan(json);
-    return faults.size() > before ? null : plan;
+  public static ReleasePlan read(JsonNode json, List<String> errors) {
+    int errorsBefore = errors.size();
+    ReleasePlan plan = new ReleasePlanCodec(errors).readPlan(json);
+    return errors.size() > errorsBefore ? null : plan;
   }
 
-  private ReleasePlan plan(JsonNode json) {
-    String name = text(json, "name", ReleasePlan.NAME_PATTERN);
-    String version = text(json, "version", DisruptionState.NAME);
-    String previousVersion = text(json, "from", DisruptionState.NAME);
+  private ReleasePlan readPlan(JsonNode json) {
+    String name = readText(json, "name", ReleasePlan.NAME_PATTERN);
+    String version = readText(json, "version", DisruptionState.NAME_PATTERN);
+    String previousVersion = readText(json, "from", DisruptionState.NAME_PATTERN);
     if (version.equals(previousVersion) && !version.isEmpty()) {
-      faults.add("from: '" + previousVersion + "' (expected: another than version)");
+      errors.add("from: '" + previousVersion + "' (expected: another than version)");
     }
-    TargetType targetType = TargetType.of(json.path("of").asText(""));
+    TargetType targetType = TargetType.fromStoredName(json.path("of").asText(""));
     if (targetType == null) {
-      faults.add("of: '" + json.path("of").asText("") + "' (expected: proxy or host)");
+      errors.add("of: '" + json.path("of").asText("") + "' (expected: proxy or host)");
     }
     // Faults are told in the order of these reads, so each has a line of its own.
-    List<ReleasePlan.Step> steps = steps(json.path("steps"));
-    CanaryAnalysis.Bounds canaryBounds = CanaryBoundsCodec.read(json.path("guard"), faults);
-    ReleasePlan.Limits limits = limits(json);
-    ReleasePlan.Policies policies = policies(json);
+    List<ReleasePlan.Step> steps = readSteps(json.path("steps"));
+    CanaryAnalysis.Bounds canaryBounds = CanaryBoundsCodec.read(json.path("guard"), errors);
+    ReleasePlan.Limits limits = readLimits(json);
+    ReleasePlan.Policies policies = readPolicies(json);
     return new ReleasePlan(
         name,
         targetType,
@@ -106,22 +106,22 @@
         json.path("carry").deepCopy());
   }
 
-  private List<ReleasePlan.Step> steps(JsonNode json) {
+  private List<ReleasePlan.Step> readSteps(JsonNode json) {
     List<ReleasePlan.Step> steps = new ArrayList<>();
     Map<String, String> stepByTarget = new HashMap<>();
     Set<String> names = new HashSet<>();
     for (JsonNode stepJson : json) {
-      String name = text(stepJson, "name", ReleasePlan.NAME_PATTERN);
+      String name = readText(stepJson, "name", ReleasePlan.NAME_PATTERN);
       if (!names.add(name)) {
-        faults.add("step " + name + ": a second time (expected: a name of its own)");
+        errors.add("step " + name + ": a second time (expected: a name of its own)");
       }
-      List<String> targets = targets(stepJson, name, stepByTarget);
-      int atOnce = (int) number(stepJson, "at_once", 1, 1, MAX_AT_ONCE);
-      long bakeMillis = number(stepJson, "bake_ms", 0, 0, MAX_LIMIT_MILLIS);
+      List<String> targets = readTargets(stepJson, name, stepByTarget);
+      int atOnce = (int) readNumber(stepJson, "at_once", 1, 1, MAX_AT_ONCE);
+      long bakeMillis = readNumber(stepJson, "bake_ms", 0, 0, MAX_LIMIT_MILLIS);
       steps.add(new ReleasePlan.Step(name, targets, atOnce, bakeMillis));
     }
     if (steps.isEmpty() || stepByTarget.size() > MAX_TARGETS) {
-      faults.add(
+      errors.add(
           "steps: "
               + steps.size()
               + " with "
@@ -133,13 +133,14 @@
     return steps;
   }
 
-  private List<String> targets(JsonNode stepJson, String step, Map<String, String> stepByTarget) {
+  private List<String> readTargets(
+      JsonNode stepJson, String step, Map<String, String> stepByTarget) {
     List<String> targets = new ArrayList<>();
     for (JsonNode targetJson : stepJson.path("targets")) {
       String target = targetJson.asText();
       String other = stepByTarget.putIfAbsent(target, step);
       if (other != null) {
-        faults.add(
+        errors.add(
             "step "
                 + step
                 + ", targets: "
@@ -151,51 +152,51 @@
       targets.add(target);
     }
     if (targets.isEmpty()) {
-      faults.add("step " + step + ": no targets (expected: one or more)");
+      errors.add("step " + step + ": no targets (expected: one or more)");
     }
     return targets;
   }
 
-  private ReleasePlan.Limits limits(JsonNode json) {
+  private ReleasePlan.Limits readLimits(JsonNode json) {
     return new ReleasePlan.Limits(
-        number(json, "action_ms", DEFAULT_ACTION_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
-        number(json, "longest_ms", DEFAULT_RELEASE_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
-        (int) number(json, "halt_lost", DEFAULT_LOST_TARGETS, 0, MAX_LOST_TARGETS));
+        readNumber(json, "action_ms", DEFAULT_ACTION_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
+        readNumber(json, "longest_ms", DEFAULT_RELEASE_MILLIS, MIN_LIMIT_MILLIS, MAX_LIMIT_MILLIS),
+        (int) readNumber(json, "halt_lost", DEFAULT_LOST_TARGETS, 0, MAX_LOST_TARGETS));
   }
 
-  private ReleasePlan.Policies policies(JsonNode json) {
+  private ReleasePlan.Policies readPolicies(JsonNode json) {
     return new ReleasePlan.Policies(
-        isSecond(json, "on_takeover", "go", "halt"),
-        isSecond(json, "on_missing", "wait", "skip"),
-        isSecond(json, "on_wrong", "queue", "hold"),
-        isSecond(json, "on_verdict", "halt", "back"));
+        isSecondChoice(json, "on_takeover", "go", "halt"),
+        isSecondChoice(json, "on_missing", "wait", "skip"),
+        isSecondChoice(json, "on_wrong", "queue", "hold"),
+        isSecondChoice(json, "on_verdict", "halt", "back"));
   }
 
-  private String text(JsonNode json, String key, String pattern) {
+  private String readText(JsonNode json, String key, String pattern) {
     String text = json.path(key).asText("");
     if (!text.matches(pattern)) {
-      faults.add(key + ": '" + text + "' (expected: letters, digits, _, - and ., at most 64)");
+      errors.add(key + ": '" + text + "' (expected: letters, digits, _, - and ., at most 64)");
     }
     return text;
   }
 
-  private long number(JsonNode json, String key, long otherwise, long min, long max) {
+  private long readNumber(JsonNode json, String key, long defaultValue, long min, long max) {
     JsonNode value = json.path(key);
     if (value.isMissingNode()) {
-      return otherwise;
+      return defaultValue;
     }
     if (!value.canConvertToLong() || value.asLong() < min || value.asLong() > max) {
-      faults.add(key + ": " + value + " (expected: " + min + " to " + max + ")");
-      return otherwise;
+      errors.add(key + ": " + value + " (expected: " + min + " to " + max + ")");
+      return defaultValue;
     }
     return value.asLong();
   }
 
   /** Whether a choice of two is the second one; the first is the default. */
-  private boolean isSecond(JsonNode json, String key, String first, String second) {
+  private boolean isSecondChoice(JsonNode json, String key, String first, String second) {
     String text = json.path(key).asText(first).toLowerCase(Locale.ROOT);
     if (!text.equals(first) && !text.equals(second)) {
-      faults.add(key + ": '" + text + "' (expected: " + first + " or " + second + ")");
+      errors.add(key + ": '" + text + "' (expected: " + first + " or " + second + ")");
     }
     return text.equals(second);
   }
--- a/src/main/java/leadferry/release/ReleaseProgress.java
+++ b/src/main/java/leadferry/release/ReleaseProgress.java
@@ -10,13 +10,13 @@
   ReleaseDirection direction = ReleaseDirection.FORWARD;
 
   /** How many steps, from the first one on, are to run the new version. */
-  int goal = 1;
+  int goalStepCount = 1;
 
   /**
    * The change number of the fleet's state from which on all targets of these steps run what they
    * should and serve; 0 while some do not.
    */
-  long bakingSince;
+  long bakingSinceChange;
 
   /** Whether that has lasted for the step's baking time. */
   boolean baked;
@@ -27,24 +27,24 @@
 
   /** The index of the step that is baking or being changed, going forward. */
   int currentStep() {
-    return goal - 1;
+    return goalStepCount - 1;
   }
 
   /** The version that a target is to run. */
-  TargetVersion wantedVersion(ReleaseTarget target) {
-    return target.step < goal ? TargetVersion.NEW : TargetVersion.PREVIOUS;
+  TargetVersion desiredVersion(ReleaseTarget target) {
+    return target.step < goalStepCount ? TargetVersion.NEW : TargetVersion.PREVIOUS;
   }
 
-  boolean isAsWanted(ReleaseTarget target) {
-    return target.version == wantedVersion(target);
+  boolean hasDesiredVersion(ReleaseTarget target) {
+    return target.version == desiredVersion(target);
   }
 
   void beginBaking(long changeNumber) {
-    bakingSince = changeNumber;
+    bakingSinceChange = changeNumber;
   }
 
   boolean isBaking() {
-    return bakingSince > 0 && !baked;
+    return bakingSinceChange > 0 && !baked;
   }
 
   void finishBaking() {
@@ -52,24 +52,24 @@
   }
 
   void resetBaking() {
-    bakingSince = 0;
+    bakingSinceChange = 0;
     baked = false;
   }
 
   /** Takes the next step up. */
   void advance() {
-    goal++;
+    goalStepCount++;
   }
 
   /** Turns back, until only the first {@code steps} steps run the new version. */
   void rollBackTo(int steps) {
     direction = ReleaseDirection.ROLLBACK;
-    goal = Math.min(goal, steps);
+    goalStepCount = Math.min(goalStepCount, steps);
     resetBaking();
   }
 
   /** A rollback that an operator bounded has come to its step: what follows goes forward again. */
-  void goForward() {
+  void resumeForward() {
     direction = ReleaseDirection.FORWARD;
   }
 }
--- a/src/main/java/leadferry/release/Releases.java
+++ b/src/main/java/leadferry/release/ReleaseRegistry.java
@@ -20,21 +20,21 @@
  * <p>Invariant: no two releases that are under way have a target in common; the one that comes
  * later in the log is rejected.
  */
-public final class Releases {
+public final class ReleaseRegistry {
   /** How many releases are under way at most. */
   private static final int MAX_ACTIVE = 32;
 
   /** How many releases that are over are remembered. */
-  private static final int MAX_REMEMBERED = 50;
+  private static final int MAX_CLOSED = 50;
 
   private static final int MAX_DRIVER_NAME_CHARACTERS = 128;
   private static final long MIN_LEASE_MILLIS = 200;
   private static final long MAX_LEASE_MILLIS = 600_000;
 
   private final Map<String, Release> releases = new TreeMap<>();
-  private long numbers;
-  private long fences;
-  private long actions;
+  private long lastReleaseNumber;
+  private long lastFence;
+  private long lastActionNumber;
 
   /** Applies a command and tells what became of it. */
   public Outcome apply(ReleaseCommand command, DisruptionState disruption) {
@@ -55,12 +55,12 @@
       return acquireLease(driver, lease);
     }
     if (command instanceof ReleaseCommand.YieldLease lease) {
-      release.lease.yield(lease.fence());
+      release.lease.giveBack(lease.fence());
       return Outcome.of(Status.DONE);
     }
     if (command instanceof ReleaseCommand.IntendChange intent) {
-      Outcome outcome = driver.intendChange(intent, actions + 1);
-      actions = Math.max(actions, outcome.number());
+      Outcome outcome = driver.intendChange(intent, lastActionNumber + 1);
+      lastActionNumber = Math.max(lastActionNumber, outcome.number());
       return outcome;
     }
     if (command instanceof ReleaseCommand.BeginChange change) {
@@ -103,41 +103,42 @@
   }
 
   private Outcome start(ReleaseCommand.StartRelease command, DisruptionState disruption) {
-    List<String> faults = faultsOfStart(command.plan(), disruption);
-    if (!faults.isEmpty()) {
-      return new Outcome(Status.REFUSED, "", faults);
+    List<String> errors = findStartErrors(command.plan(), disruption);
+    if (!errors.isEmpty()) {
+      return new Outcome(Status.REFUSED, "", errors);
     }
-    Release release = new Release(command.plan(), ++numbers, command.who(), command.why());
+    Release release =
+        new Release(command.plan(), ++lastReleaseNumber, command.requestedBy(), command.reason());
     releases.put(command.plan().name(), release);
-    while (releases.size() - activeCount() > MAX_REMEMBERED) {
+    while (releases.size() - activeCount() > MAX_CLOSED) {
       releases.values().stream()
-          .filter(other -> other.state.isOver())
+          .filter(other -> other.state.isClosed())
           .min(Comparator.comparingLong(other -> other.number))
           .ifPresent(oldest -> releases.remove(oldest.plan.name()));
     }
     return Outcome.of(Status.DONE);
   }
 
-  private List<String> faultsOfStart(ReleasePlan plan, DisruptionState disruption) {
-    List<String> faults = new ArrayList<>();
-    Set<String> known = disruption.byName(plan.targetType()).keySet();
+  private List<String> findStartErrors(ReleasePlan plan, DisruptionState disruption) {
+    List<String> errors = new ArrayList<>();
+    Set<String> known = disruption.targetsByName(plan.targetType()).keySet();
     for (String target : plan.targets()) {
       if (!known.contains(target)) {
-        faults.add("no " + plan.targetType().word() + " '" + target + "'");
+        errors.add("no " + plan.targetType().storedName() + " '" + target + "'");
       }
     }
     if (releases.containsKey(plan.name())) {
-      faults.add("the name " + plan.name() + " was used before");
+      errors.add("the name " + plan.name() + " was used before");
     }
     for (Release other : releases.values()) {
-      if (!other.state.isOver() && other.sharesTargets(plan)) {
-        faults.add(other.describe() + " and has some of these targets");
+      if (!other.state.isClosed() && other.hasTargetsInCommonWith(plan)) {
+        errors.add(other.describe() + " and has some of these targets");
       }
     }
     if (activeCount() >= MAX_ACTIVE) {
-      faults.add(activeCount() + " releases are under way (expected: fewer)");
+      errors.add(activeCount() + " releases are under way (expected: fewer)");
     }
-    return faults;
+    return errors;
   }
 
   /** Whether any release is not over. */
@@ -146,7 +147,7 @@
   }
 
   private long activeCount() {
-    return releases.values().stream().filter(release -> !release.state.isOver()).count();
+    return releases.values().stream().filter(release -> !release.state.isClosed()).count();
   }
 
   private Outcome acquireLease(DriverCommands driver, ReleaseCommand.AcquireLease command) {
@@ -160,17 +161,19 @@
     if (!valid) {
       return Outcome.of(Status.MALFORMED, "driver: a name or a lease_ms that can't be");
     }
-    Outcome outcome = driver.acquireLease(command, fences + 1);
-    fences = Math.max(fences, outcome.number());
+    Outcome outcome = driver.acquireLease(command, lastFence + 1);
+    lastFence = Math.max(lastFence, outcome.number());
     return outcome;
   }
 
   /** A completed release may be rolled back as long as no other has its targets. */
   private Outcome rollBack(
       Release release, OperatorCommands operator, ReleaseCommand.RollBack command) {
-    if (release.state.isOver()) {
+    if (release.state.isClosed()) {
       for (Release other : releases.values()) {
-        if (other != release && !other.state.isOver() && other.sharesTargets(release.plan)) {
+        if (other != release
+            && !other.state.isClosed()
+            && other.hasTargetsInCommonWith(release.plan)) {
           return Outcome.of(Status.REFUSED, other.describe() + " and has some of its targets");
         }
       }
@@ -182,19 +185,20 @@
   public void onFleetChange(DisruptionState disruption) {
     for (Release release : releases.values()) {
       boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
-      new FleetChangeObserver(release, disruption, () -> ++actions).observe(newest);
+      new FleetChangeObserver(release, disruption, () -> ++lastActionNumber).onFleetChange(newest);
     }
   }
 
   private boolean isNewest(Release release) {
     return releases.values().stream()
-        .noneMatch(other -> other.number > release.number && other.sharesTargets(release.plan));
+        .noneMatch(
+            other -> other.number > release.number && other.hasTargetsInCommonWith(release.plan));
   }
 
   /** Which release holds this eviction grant, or null: nobody else gives it back. */
-  public String releaseHolding(String grant) {
+  public String findReleaseHolding(String grant) {
     return releases.values().stream()
-        .filter(release -> release.holds(grant))
+        .filter(release -> release.holdsGrant(grant))
         .map(release -> release.plan.name())
         .findFirst()
         .orElse(null);
@@ -207,53 +211,57 @@
   }
 
   /** The name of the timer of a driver's lease. */
-  public static String driverLeaseTimer(String release, long fence) {
+  public static String driverLeaseTimerName(String release, long fence) {
     return new ReleaseTimer(ReleaseTimer.Kind.DRIVER_LEASE, release, fence).name();
   }
 
   /** Puts what runs out, by name, and after how long (ms). */
-  public void timers(Map<String, Long> timers) {
-    releases.values().forEach(release -> release.timers(timers));
+  public void putTimers(Map<String, Long> timers) {
+    releases.values().forEach(release -> release.putTimers(timers));
   }
 
   /** A timer of a release, by its name, has run out. */
-  public void timeout(String timerName) {
+  public void onTimerExpired(String timerName) {
     ReleaseTimer timer = ReleaseTimer.parse(timerName);
     Release release = releases.get(timer.release());
     if (release != null) {
-      release.timeout(timer);
+      release.onTimerExpired(timer);
     }
   }
 
   /** Writes one release whole, or all in a line each where {@code name} is empty. */
-  public void status(String name, ObjectNode json, DisruptionState disruption) {
+  public void writeStatus(String name, ObjectNode json, DisruptionState disruption) {
     if (name.isEmpty()) {
       ArrayNode all = json.putArray("releases");
       releases.values().stream()
           .sorted(Comparator.comparingLong(release -> release.number))
-          .forEach(release -> ReleaseStatusView.writeSummary(release, all.addObject()));
+          .forEach(release -> ReleaseStatusWriter.writeSummary(release, all.addObject()));
       return;
     }
     Release release = releases.get(name);
     if (release == null) {
-      json.put("status", Status.UNKNOWN.word()).putArray("why").add("no release '" + name + "'");
+      json.put("status", Status.UNKNOWN.storedName())
+          .putArray("why")
+          .add("no release '" + name + "'");
     } else {
-      new ReleaseStatusView(release, disruption).write(json);
+      new ReleaseStatusWriter(release, disruption).write(json);
     }
   }
 
   /** Writes the whole state; {@link #restore} of it gives the same state. */
-  public void snapshot(ObjectNode json) {
-    json.put("numbers", numbers).put("fences", fences).put("actions", actions);
+  public void writeSnapshot(ObjectNode json) {
+    json.put("numbers", lastReleaseNumber)
+        .put("fences", lastFence)
+        .put("actions", lastActionNumber);
     ArrayNode all = json.putArray("releases");
     releases.values().forEach(release -> ReleaseSnapshotCodec.write(release, all.addObject()));
   }
 
   /** Takes the state from a snapshot, in place of all that is known. */
   public void restore(JsonNode json) {
-    numbers = json.path("numbers").asLong();
-    fences = json.path("fences").asLong();
-    actions = json.path("actions").asLong();
+    lastReleaseNumber = json.path("numbers").asLong();
+    lastFence = json.path("fences").asLong();
+    lastActionNumber = json.path("actions").asLong();
     releases.clear();
     for (JsonNode releaseJson : json.path("releases")) {
       Release release = ReleaseSnapshotCodec.read(releaseJson);
--- a/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
+++ b/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
@@ -17,7 +17,7 @@
  *   <li>{@code forgiven}, {@code lost_driver}, {@code longest_over}, {@code orders}: acknowledged
  *       losses, whether the lease's holder was lost, whether the time limit passed, the count of
  *       returns;
- *   <li>enums by their {@link StoredWord} in upper case: {@code IN}, {@code LEAVING}, {@code
+ *   <li>enums by their {@link StoredName} in upper case: {@code IN}, {@code LEAVING}, {@code
  *       ACTING} and {@code COMING} are the phases, {@code OLD} is the previous version, {@code
  *       DONE}, {@code RETURNED} and {@code ENDED} are {@link ReleaseState#COMPLETED}, {@link
  *       ReleaseState#ROLLED_BACK} and {@link ReleaseState#ABANDONED}.
@@ -29,20 +29,20 @@
   static void write(Release release, ObjectNode json) {
     ReleasePlanCodec.write(release.plan, json.putObject("plan"));
     json.put("number", release.number)
-        .put("who", release.who)
-        .put("why", release.why)
-        .put("state", storedName(release.state))
+        .put("who", release.requestedBy)
+        .put("why", release.requestReason)
+        .put("state", snapshotName(release.state))
         .put("state_why", release.stateReason)
         .put("forward", release.progress.isForward())
-        .put("goal", release.progress.goal)
+        .put("goal", release.progress.goalStepCount)
         .put("driver", release.lease.driver)
         .put("driver_lease_ms", release.lease.leaseMillis)
         .put("fence", release.lease.fence)
-        .put("baking", release.progress.bakingSince)
+        .put("baking", release.progress.bakingSinceChange)
         .put("baked", release.progress.baked)
-        .put("longest_over", release.timeLimitPassed)
+        .put("longest_over", release.timeLimitExceeded)
         .put("lost_driver", release.lease.holderWasLost)
-        .put("orders", release.returns);
+        .put("orders", release.returnCount);
     release.haltPolicy.acknowledgedLost().forEach(json.putArray("forgiven")::add);
     ArrayNode targets = json.putArray("items");
     release.targets().forEach(target -> writeTarget(target, targets.addObject()));
@@ -50,18 +50,18 @@
 
   private static void writeTarget(ReleaseTarget target, ObjectNode json) {
     json.put("name", target.name)
-        .put("phase", storedName(target.phase))
-        .put("at", storedName(target.version))
-        .put("permit", target.grant)
+        .put("phase", snapshotName(target.phase))
+        .put("at", snapshotName(target.version))
+        .put("permit", target.grantId)
         .put("action", target.action)
         .put("fence", target.fence)
-        .put("acted_at", target.changedAt)
+        .put("acted_at", target.startChange)
         .put("tries", target.attempts)
-        .put("found", target.found)
-        .put("reported", target.reported)
+        .put("found", target.observation)
+        .put("reported", target.reportedVersion)
         .put("late", target.overdue)
-        .put("held", target.held)
-        .put("gone", target.gone)
+        .put("held", target.keptOutOfService)
+        .put("gone", target.removed)
         .put("order", target.returnOrder);
   }
 
@@ -74,8 +74,8 @@
             json.path("why").asText());
     release.state = parse(ReleaseState.class, json.path("state"));
     release.stateReason = json.path("state_why").asText();
-    release.timeLimitPassed = json.path("longest_over").asBoolean();
-    release.returns = json.path("orders").asLong();
+    release.timeLimitExceeded = json.path("longest_over").asBoolean();
+    release.returnCount = json.path("orders").asLong();
     readProgress(json, release.progress);
     readLease(json, release.lease);
     for (JsonNode member : json.path("forgiven")) {
@@ -90,8 +90,8 @@
   private static void readProgress(JsonNode json, ReleaseProgress progress) {
     progress.direction =
         json.path("forward").asBoolean() ? ReleaseDirection.FORWARD : ReleaseDirection.ROLLBACK;
-    progress.goal = json.path("goal").asInt();
-    progress.bakingSince = json.path("baking").asLong();
+    progress.goalStepCount = json.path("goal").asInt();
+    progress.bakingSinceChange = json.path("baking").asLong();
     progress.baked = json.path("baked").asBoolean();
   }
 
@@ -105,24 +105,24 @@
   private static void readTarget(JsonNode json, ReleaseTarget target) {
     target.phase = parse(TargetPhase.class, json.path("phase"));
     target.version = parse(TargetVersion.class, json.path("at"));
-    target.grant = json.path("permit").asText();
+    target.grantId = json.path("permit").asText();
     target.action = json.path("action").asLong();
     target.fence = json.path("fence").asLong();
-    target.changedAt = json.path("acted_at").asLong();
+    target.startChange = json.path("acted_at").asLong();
     target.attempts = json.path("tries").asInt();
-    target.found = json.path("found").asText();
-    target.reported = json.path("reported").asText();
+    target.observation = json.path("found").asText();
+    target.reportedVersion = json.path("reported").asText();
     target.overdue = json.path("late").asBoolean();
-    target.held = json.path("held").asBoolean();
-    target.gone = json.path("gone").asBoolean();
+    target.keptOutOfService = json.path("held").asBoolean();
+    target.removed = json.path("gone").asBoolean();
     target.returnOrder = json.path("order").asLong();
   }
 
-  private static String storedName(StoredWord constant) {
-    return constant.word().toUpperCase(Locale.ROOT);
+  private static String snapshotName(StoredName constant) {
+    return constant.storedName().toUpperCase(Locale.ROOT);
   }
 
-  private static <E extends Enum<E> & StoredWord> E parse(Class<E> type, JsonNode storedName) {
-    return StoredWord.parse(type, storedName.asText().toLowerCase(Locale.ROOT));
+  private static <E extends Enum<E> & StoredName> E parse(Class<E> type, JsonNode snapshotName) {
+    return StoredName.parse(type, snapshotName.asText().toLowerCase(Locale.ROOT));
   }
 }
--- a/src/main/java/leadferry/release/ReleaseState.java
+++ b/src/main/java/leadferry/release/ReleaseState.java
@@ -1,7 +1,7 @@
 package leadferry.release;
 
 /** Where a release as a whole stands. */
-public enum ReleaseState implements StoredWord {
+public enum ReleaseState implements StoredName {
   /** Targets are changed, forward or as a rollback. */
   RUNNING("running"),
   /** An operator stopped it; no new target goes out until it is resumed. */
@@ -15,19 +15,19 @@
   /** An operator gave it up as it stood. */
   ABANDONED("ended");
 
-  private final String word;
+  private final String storedName;
 
-  ReleaseState(String word) {
-    this.word = word;
+  ReleaseState(String storedName) {
+    this.storedName = storedName;
   }
 
   @Override
-  public String word() {
-    return word;
+  public String storedName() {
+    return storedName;
   }
 
   /** Whether drivers have nothing left to do. */
-  public boolean isOver() {
+  public boolean isClosed() {
     return this == COMPLETED || this == ROLLED_BACK || this == ABANDONED;
   }
 }
--- a/src/main/java/leadferry/release/ReleaseStatusView.java
+++ b/src/main/java/leadferry/release/ReleaseStatusWriter.java
@@ -13,11 +13,11 @@
  * The keys are older than the names in the code: {@code at} is a target's version, {@code permit}
  * its grant, {@code tries} its attempts.
  */
-final class ReleaseStatusView {
+final class ReleaseStatusWriter {
   private final Release release;
   private final DisruptionState disruption;
 
-  ReleaseStatusView(Release release, DisruptionState disruption) {
+  ReleaseStatusWriter(Release release, DisruptionState disruption) {
     this.release = release;
     this.disruption = disruption;
   }
@@ -27,13 +27,13 @@
     ReleasePlan plan = release.plan;
     json.put("name", plan.name())
         .put("number", release.number)
-        .put("of", plan.targetType().word())
+        .put("of", plan.targetType().storedName())
         .put("version", plan.version())
-        .put("state", release.state.word())
+        .put("state", release.state.storedName())
         .put("state_why", release.stateReason)
-        .put("direction", release.progress.direction.word())
+        .put("direction", release.progress.direction.storedName())
         .put("driver", release.lease.driver)
-        .put("goal", release.progress.goal)
+        .put("goal", release.progress.goalStepCount)
         .put("steps", plan.steps().size());
   }
 
@@ -41,18 +41,18 @@
   void write(ObjectNode json) {
     ReleasePlanCodec.write(release.plan, json);
     json.put("number", release.number)
-        .put("who", release.who)
-        .put("why", release.why)
-        .put("state", release.state.word())
+        .put("who", release.requestedBy)
+        .put("why", release.requestReason)
+        .put("state", release.state.storedName())
         .put("state_why", release.stateReason)
-        .put("direction", release.progress.direction.word())
-        .put("goal", release.progress.goal)
+        .put("direction", release.progress.direction.storedName())
+        .put("goal", release.progress.goalStepCount)
         .put("driver", release.lease.driver)
         .put("fence", release.lease.fence)
-        .put("baking", release.progress.bakingSince)
+        .put("baking", release.progress.bakingSinceChange)
         .put("baked", release.progress.baked);
-    Set<String> lost = disruption.lost();
-    Map<String, Target> known = disruption.byName(release.plan.targetType());
+    Set<String> lost = disruption.lostTargets();
+    Map<String, Target> known = disruption.targetsByName(release.plan.targetType());
     ArrayNode targets = json.putArray("targets");
     for (ReleaseTarget target : release.targets()) {
       ObjectNode targetJson = targets.addObject();
@@ -64,17 +64,17 @@
   private void writeTarget(ReleaseTarget target, ObjectNode json) {
     json.put("name", target.name)
         .put("step", target.step)
-        .put("phase", target.phase.word())
-        .put("at", target.version.word())
-        .put("wanted", release.progress.wantedVersion(target).word())
-        .put("permit", target.grant)
+        .put("phase", target.phase.storedName())
+        .put("at", target.version.storedName())
+        .put("wanted", release.progress.desiredVersion(target).storedName())
+        .put("permit", target.grantId)
         .put("action", target.action)
         .put("fence", target.fence)
         .put("tries", target.attempts)
-        .put("found", target.found)
+        .put("found", target.observation)
         .put("late", target.overdue)
-        .put("held", target.held)
-        .put("gone", target.gone)
+        .put("held", target.keptOutOfService)
+        .put("gone", target.removed)
         .put("order", target.returnOrder);
   }
 
@@ -82,21 +82,21 @@
     TargetType targetType = release.plan.targetType();
     boolean draining = target.phase == TargetPhase.DRAINING;
     json.put("lost", lost)
-        .put("out", disruption.out(targetType, target.name))
+        .put("out", disruption.unavailabilityReason(targetType, target.name))
         .put("zone", known == null ? Target.NONE : known.zone())
-        .put("carried_out", draining && disruption.carriedOut(target.grant))
-        .put("told", toldVersion(target));
+        .put("carried_out", draining && disruption.isCarriedOut(target.grantId))
+        .put("told", reportedVersion(target));
     if (draining && targetType == TargetType.HOST) {
       ObjectNode awaited = json.putObject("awaited");
-      disruption.awaited(target.grant).forEach(awaited::put);
+      disruption.pendingProxies(target.grantId).forEach(awaited::put);
     }
   }
 
   /** What a proxy or an agent has told of the target since its action began, or "". */
-  private String toldVersion(ReleaseTarget target) {
-    boolean tellsItself =
+  private String reportedVersion(ReleaseTarget target) {
+    boolean reportsItself =
         release.plan.targetType() == TargetType.PROXY && target.phase == TargetPhase.CHANGING;
-    String told = tellsItself ? disruption.version(target.name, target.changedAt) : "";
-    return told.isEmpty() ? target.reported : told;
+    String proxyVersion = reportsItself ? disruption.version(target.name, target.startChange) : "";
+    return proxyVersion.isEmpty() ? target.reportedVersion : proxyVersion;
   }
 }
