--- a/src/main/java/leadferry/release/ReleaseTarget.java
+++ b/src/main/java/leadferry/release/ReleaseTarget.java
@@ -24,7 +24,7 @@
   TargetVersion version = TargetVersion.PREVIOUS;
 
   /** The eviction grant that it is out by, or "". */
-  String grant = "";
+  String grantId = "";
 
   /** The number of the action on it, unique in the fleet; given with its grant. */
   long action;
@@ -33,25 +33,25 @@
   long fence;
 
   /** The change number of the fleet's state at which its action began to be carried out. */
-  long changedAt;
+  long startChange;
 
   /** How often its action was begun. */
   int attempts;
 
   /** What was last observed of it, for people. */
-  String found = "";
+  String observation = "";
 
   /** The version that an agent reported after its action; "" before. */
-  String reported = "";
+  String reportedVersion = "";
 
   /** Whether its action took longer than the plan allows. */
   boolean overdue;
 
   /** Whether it is kept out of service since it came back with another version. */
-  boolean held;
+  boolean keptOutOfService;
 
   /** Whether the fleet does not know it any more. */
-  boolean gone;
+  boolean removed;
 
   /** Its place in the order of returns to service; a rollback begins with the highest. */
   long returnOrder;
@@ -66,62 +66,62 @@
   }
 
   /** A grant takes it out of service, to be changed. */
-  void drain(String newGrant, long newAction, long driverFence) {
+  void beginDraining(String newGrantId, long newAction, long driverFence) {
     phase = TargetPhase.DRAINING;
-    grant = newGrant;
+    grantId = newGrantId;
     action = newAction;
     fence = driverFence;
     attempts = 0;
     overdue = false;
-    found = "";
+    observation = "";
   }
 
   /** It came back with a version that it was not given, and is kept out; no driver has it yet. */
-  void holdOut(String newGrant, long newAction, String foundVersion) {
-    drain(newGrant, newAction, 0);
-    found = foundVersion;
-    held = true;
+  void keepOutOfService(String newGrantId, long newAction, String foundVersion) {
+    beginDraining(newGrantId, newAction, 0);
+    observation = foundVersion;
+    keptOutOfService = true;
   }
 
   /** From here on the command that changes it may have run. */
-  void beginChange(long driverFence, long changeNumber) {
+  void beginChange(long driverFence, long newStartChange) {
     phase = TargetPhase.CHANGING;
     version = TargetVersion.UNKNOWN;
     fence = driverFence;
-    found = "";
-    reported = "";
+    observation = "";
+    reportedVersion = "";
     attempts++;
-    changedAt = changeNumber;
+    startChange = newStartChange;
   }
 
   /** A driver has looked at it. */
-  void observe(long driverFence, TargetVersion seen, String text) {
+  void recordObservation(long driverFence, TargetVersion observedVersion, String text) {
     fence = driverFence;
-    found = text;
-    version = seen;
+    observation = text;
+    version = observedVersion;
   }
 
   /** It tells by itself, in service, that it runs another version. */
-  void changeVersion(TargetVersion told, String text) {
-    version = told;
-    found = text;
+  void recordVersionChange(TargetVersion reported, String text) {
+    version = reported;
+    observation = text;
   }
 
   /** An agent reports the version after its action. */
-  void report(String reportedVersion) {
-    reported = reportedVersion;
+  void recordReport(String newReportedVersion) {
+    reportedVersion = newReportedVersion;
   }
 
   /** Its grant has been given back. */
-  void restore() {
+  void beginRestoring() {
     phase = TargetPhase.RESTORING;
-    held = false;
+    keptOutOfService = false;
   }
 
   /** It serves as before. */
   void returnToService(long order) {
     phase = TargetPhase.IN_SERVICE;
-    grant = "";
+    grantId = "";
     overdue = false;
     returnOrder = order;
   }
--- a/src/main/java/leadferry/release/ReleaseTargetView.java
+++ b/src/main/java/leadferry/release/ReleaseTargetView.java
@@ -10,12 +10,12 @@
  * @param step the index of its step in the plan
  * @param phase where it stands
  * @param version which version it runs, as far as seen
- * @param wantedVersion which version it is to run
+ * @param desiredVersion which version it is to run
  * @param action the action on it
- * @param found what was last observed of it, or ""
+ * @param observation what was last observed of it, or ""
  * @param overdue whether its action took longer than the plan allows
- * @param held whether it is kept out of service since it came back with another version
- * @param gone whether the fleet does not know it any more
+ * @param keptOutOfService whether it is kept out of service since it came back with another version
+ * @param removed whether the fleet does not know it any more
  * @param returnOrder its place in the order of returns to service
  * @param availability how it stands in the fleet
  */
@@ -24,12 +24,12 @@
     int step,
     TargetPhase phase,
     TargetVersion version,
-    TargetVersion wantedVersion,
+    TargetVersion desiredVersion,
     Action action,
-    String found,
+    String observation,
     boolean overdue,
-    boolean held,
-    boolean gone,
+    boolean keptOutOfService,
+    boolean removed,
     long returnOrder,
     Availability availability) {
   /**
@@ -46,17 +46,17 @@
    * How a target stands in the fleet.
    *
    * @param lost whether nothing is heard of it
-   * @param unavailableBecause why it is out of service; empty where it serves
+   * @param unavailabilityReason why it is out of service; empty where it serves
    * @param zone its zone
-   * @param carriedOut whether every proxy knows that it is out
-   * @param awaited the proxies that do not know it yet, each with the reason
+   * @param drained whether every proxy knows that it is out
+   * @param pendingProxies the proxies that do not know it yet, each with the reason
    */
   public record Availability(
       boolean lost,
-      Optional<String> unavailableBecause,
+      Optional<String> unavailabilityReason,
       String zone,
-      boolean carriedOut,
-      Map<String, String> awaited) {}
+      boolean drained,
+      Map<String, String> pendingProxies) {}
 
   /** How the fleet's reasons begin for a proxy that is lost or has left. */
   private static final String MISSING_PREFIX = "l";
@@ -69,8 +69,8 @@
   }
 
   /** Whether it runs what it is to run. */
-  boolean isAsWanted() {
-    return version == wantedVersion;
+  boolean hasDesiredVersion() {
+    return version == desiredVersion;
   }
 
   /** Whether it serves, and the release does nothing to it. */
@@ -80,12 +80,12 @@
 
   /** Whether it serves. */
   boolean isAvailable() {
-    return availability.unavailableBecause().isEmpty();
+    return availability.unavailabilityReason().isEmpty();
   }
 
   /** Whether it is not there: lost, ended, or up and not serving. */
   boolean isMissing() {
-    String reason = availability.unavailableBecause().orElse("");
+    String reason = availability.unavailabilityReason().orElse("");
     return availability.lost() || reason.startsWith(MISSING_PREFIX) || reason.equals(NOT_SERVING);
   }
 
--- a/src/main/java/leadferry/release/ReleaseTimer.java
+++ b/src/main/java/leadferry/release/ReleaseTimer.java
@@ -23,15 +23,15 @@
     /** A target's action, from its grant until it is back in service. */
     ACTION_LIMIT("release-action");
 
-    private final String word;
+    private final String storedName;
 
-    Kind(String word) {
-      this.word = word;
+    Kind(String storedName) {
+      this.storedName = storedName;
     }
 
-    private static Kind of(String word) {
+    private static Kind fromStoredName(String storedName) {
       for (Kind kind : values()) {
-        if (kind.word.equals(word)) {
+        if (kind.storedName.equals(storedName)) {
           return kind;
         }
       }
@@ -42,10 +42,10 @@
   /** The timer of that name. */
   static ReleaseTimer parse(String name) {
     String[] parts = name.split(SEPARATOR);
-    return new ReleaseTimer(Kind.of(parts[0]), parts[1], Long.parseLong(parts[2]));
+    return new ReleaseTimer(Kind.fromStoredName(parts[0]), parts[1], Long.parseLong(parts[2]));
   }
 
   String name() {
-    return kind.word + SEPARATOR + release + SEPARATOR + number;
+    return kind.storedName + SEPARATOR + release + SEPARATOR + number;
   }
 }
--- a/src/main/java/leadferry/release/ReleaseView.java
+++ b/src/main/java/leadferry/release/ReleaseView.java
@@ -27,17 +27,19 @@
    * How far a release has come.
    *
    * @param direction forward or rollback
-   * @param goal how many steps, from the first one on, are to run the new version
-   * @param bakingSince the change number from which on all of them do and serve; 0 while some don't
+   * @param goalStepCount how many steps, from the first one on, are to run the new version
+   * @param bakingSinceChange the change number from which on all of them do and serve; 0 while some
+   *     don't
    * @param baked whether that has lasted for the step's baking time
    */
-  public record Progress(ReleaseDirection direction, int goal, long bakingSince, boolean baked) {
+  public record Progress(
+      ReleaseDirection direction, int goalStepCount, long bakingSinceChange, boolean baked) {
     boolean isForward() {
       return direction == ReleaseDirection.FORWARD;
     }
 
     int currentStep() {
-      return goal - 1;
+      return goalStepCount - 1;
     }
   }
 
@@ -57,7 +59,7 @@
   }
 
   /** Whether a driver holds its lease. */
-  public boolean isDriven() {
+  public boolean hasDriver() {
     return !driver.isEmpty();
   }
 
--- a/src/main/java/leadferry/release/ReleaseViewCodec.java
+++ b/src/main/java/leadferry/release/ReleaseViewCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the status JSON of a release, as {@link ReleaseStatusView} writes it. */
+/** Reads the status JSON of a release, as {@link ReleaseStatusWriter} writes it. */
 public final class ReleaseViewCodec {
   private ReleaseViewCodec() {}
 
@@ -22,17 +22,17 @@
    * @throws IllegalArgumentException where it isn't one that this version understands
    */
   public static ReleaseView read(JsonNode json) {
-    List<String> faults = new ArrayList<>();
-    ReleasePlan plan = ReleasePlanCodec.read(json, faults);
+    List<String> errors = new ArrayList<>();
+    ReleasePlan plan = ReleasePlanCodec.read(json, errors);
     if (plan == null) {
-      throw new IllegalArgumentException("status of a release: " + String.join("; ", faults));
+      throw new IllegalArgumentException("status of a release: " + String.join("; ", errors));
     }
     List<ReleaseTargetView> targets = new ArrayList<>();
     json.path("targets").forEach(target -> targets.add(readTarget(target)));
     return new ReleaseView(
         plan,
         ChangeCommands.read(plan.changeCommands()),
-        StoredWord.parse(ReleaseState.class, json.path("state").asText()),
+        StoredName.parse(ReleaseState.class, json.path("state").asText()),
         json.path("state_why").asText(),
         new ReleaseView.Progress(
             readDirection(json),
@@ -46,16 +46,16 @@
 
   /** Reads the direction from the status of a release, or from its line in a list. */
   public static ReleaseDirection readDirection(JsonNode json) {
-    return StoredWord.parse(ReleaseDirection.class, json.path("direction").asText());
+    return StoredName.parse(ReleaseDirection.class, json.path("direction").asText());
   }
 
   private static ReleaseTargetView readTarget(JsonNode json) {
     return new ReleaseTargetView(
         json.path("name").asText(),
         json.path("step").asInt(),
-        StoredWord.parse(TargetPhase.class, json.path("phase").asText()),
-        StoredWord.parse(TargetVersion.class, json.path("at").asText()),
-        StoredWord.parse(TargetVersion.class, json.path("wanted").asText()),
+        StoredName.parse(TargetPhase.class, json.path("phase").asText()),
+        StoredName.parse(TargetVersion.class, json.path("at").asText()),
+        StoredName.parse(TargetVersion.class, json.path("wanted").asText()),
         new ReleaseTargetView.Action(
             json.path("action").asLong(),
             json.path("fence").asLong(),
--- a/src/main/java/leadferry/release/StoredWord.java
+++ b/src/main/java/leadferry/release/StoredName.java
@@ -7,26 +7,26 @@
  * An enum whose constants have a word of their own in entries, status views and snapshots. Those
  * words are stored in logs and sent to other versions, so they stay when a constant is renamed.
  */
-interface StoredWord {
+interface StoredName {
   /** The word in entries and status views; snapshots hold it in upper case. */
-  String word();
+  String storedName();
 
   /**
    * The constant that a word stands for.
    *
    * @throws IllegalArgumentException where no constant has this word
    */
-  static <E extends Enum<E> & StoredWord> E parse(Class<E> type, String word) {
+  static <E extends Enum<E> & StoredName> E parse(Class<E> type, String storedName) {
     for (E constant : type.getEnumConstants()) {
-      if (constant.word().equals(word)) {
+      if (constant.storedName().equals(storedName)) {
         return constant;
       }
     }
     String expected =
         Arrays.stream(type.getEnumConstants())
-            .map(StoredWord::word)
+            .map(StoredName::storedName)
             .collect(Collectors.joining(", "));
     throw new IllegalArgumentException(
-        type.getSimpleName() + ": '" + word + "' (expected: " + expected + ")");
+        type.getSimpleName() + ": '" + storedName + "' (expected: " + expected + ")");
   }
 }
--- a/src/main/java/leadferry/release/TargetPhase.java
+++ b/src/main/java/leadferry/release/TargetPhase.java
@@ -1,7 +1,7 @@
 package leadferry.release;
 
 /** Where one target of a release stands; {@link ReleaseTarget} holds the transitions. */
-public enum TargetPhase implements StoredWord {
+public enum TargetPhase implements StoredName {
   /** The release does nothing to it now. */
   IN_SERVICE("in"),
   /** It holds an eviction grant and is on its way out. */
@@ -11,14 +11,14 @@
   /** Its grant was given back: it counts as unavailable until it serves as before. */
   RESTORING("coming");
 
-  private final String word;
+  private final String storedName;
 
-  TargetPhase(String word) {
-    this.word = word;
+  TargetPhase(String storedName) {
+    this.storedName = storedName;
   }
 
   @Override
-  public String word() {
-    return word;
+  public String storedName() {
+    return storedName;
   }
 }
--- a/src/main/java/leadferry/release/TargetReconciler.java
+++ b/src/main/java/leadferry/release/TargetReconciler.java
@@ -20,21 +20,21 @@
  * driver's own fence with nothing found since, and once for each such entry.
  */
 final class TargetReconciler {
-  private final TargetObserver observer;
+  private final VersionObserver observer;
   private final Set<ActionAttempt> changesUnderWay = new HashSet<>();
   private final Map<ActionAttempt, CommandResult> results = new HashMap<>();
 
-  TargetReconciler(TargetObserver observer) {
+  TargetReconciler(VersionObserver observer) {
     this.observer = observer;
   }
 
   /** The command of an attempt has ended. */
-  void changeEnded(ActionAttempt attempt, CommandResult result) {
+  void onChangeEnded(ActionAttempt attempt, CommandResult result) {
     changesUnderWay.remove(attempt);
     results.put(attempt, result);
   }
 
-  void reconcile(DriverSituation situation, ReleaseTargetView target, List<DriverAction> actions) {
+  void reconcile(DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
     switch (target.phase()) {
       case IN_SERVICE -> {}
       case DRAINING -> reconcileDraining(situation.release(), target, actions);
@@ -45,31 +45,31 @@
 
   private static void reconcileDraining(
       ReleaseView release, ReleaseTargetView target, List<DriverAction> actions) {
-    if (!release.isRunning() && target.held()) {
+    if (!release.isRunning() && target.keptOutOfService()) {
       return;
     }
-    if (!release.isRunning() || target.isAsWanted()) {
+    if (!release.isRunning() || target.hasDesiredVersion()) {
       String version = release.versionName(target.version());
       actions.add(recordObservation(release, target, version, "not touched"));
-    } else if (target.availability().carriedOut()) {
+    } else if (target.availability().drained()) {
       actions.add(beginChange(release, target));
     }
   }
 
   private void reconcileChanging(
-      DriverSituation situation, ReleaseTargetView target, List<DriverAction> actions) {
+      DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
     ReleaseView release = situation.release();
     ActionAttempt attempt = target.attempt();
-    boolean mine = target.action().fence() == release.fence();
-    String found = target.found();
+    boolean isOwnAction = target.action().fence() == release.fence();
+    String found = target.observation();
     if (changesUnderWay.contains(attempt)) {
       return;
     }
     Optional<CommandResult> result = Optional.ofNullable(results.get(attempt));
-    boolean observedHere = mine && !found.isEmpty();
-    if (mine && found.isEmpty() && result.isEmpty()) {
+    boolean observedHere = isOwnAction && !found.isEmpty();
+    if (isOwnAction && found.isEmpty() && result.isEmpty()) {
       runChange(situation, target, actions);
-    } else if (observedHere && mayBeBegunAnew(release, target)) {
+    } else if (observedHere && canRetryChange(release, target)) {
       actions.add(beginChange(release, target));
     } else if (observedHere && target.version() == TargetVersion.UNKNOWN) {
       observer.observe(situation, target, result, found, actions); // it may still come up
@@ -82,7 +82,7 @@
   }
 
   private void runChange(
-      DriverSituation situation, ReleaseTargetView target, List<DriverAction> actions) {
+      DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
     if (!situation.leaseHolds()) {
       return;
     }
@@ -95,25 +95,25 @@
             attempt.action(),
             attempt.attempt(),
             release.fence(),
-            release.versionName(target.wantedVersion())));
+            release.versionName(target.desiredVersion())));
   }
 
   /**
    * Whether it was seen to be as before: the action did not take place, or in vain. What was found
    * and is neither version halts the release; that it runs again is an operator's word to try anew.
    */
-  private static boolean mayBeBegunAnew(ReleaseView release, ReleaseTargetView target) {
+  private static boolean canRetryChange(ReleaseView release, ReleaseTargetView target) {
     String reported = target.action().reportedVersion();
     return release.isRunning()
-        && !target.isAsWanted()
-        && (reported.isEmpty() || reported.equals(target.found()));
+        && !target.hasDesiredVersion()
+        && (reported.isEmpty() || reported.equals(target.observation()));
   }
 
   /** A rollback does not wait for what did not come up. */
   private static void reconcileRestoring(
       ReleaseView release, ReleaseTargetView target, List<DriverAction> actions) {
     boolean rollingBack = release.isRunning() && !release.progress().isForward();
-    if (rollingBack && !target.isAsWanted() && target.isMissing()) {
+    if (rollingBack && !target.hasDesiredVersion() && target.isMissing()) {
       actions.add(intendChange(release, target));
     }
   }
--- a/src/main/java/leadferry/release/TargetVersion.java
+++ b/src/main/java/leadferry/release/TargetVersion.java
@@ -1,7 +1,7 @@
 package leadferry.release;
 
 /** Which of a release's two versions a target runs, as far as that has been seen. */
-public enum TargetVersion implements StoredWord {
+public enum TargetVersion implements StoredName {
   /** The version from before the release. */
   PREVIOUS("old"),
   /** The version that the release brings. */
@@ -9,14 +9,14 @@
   /** Changed, or being changed, and not seen since; or a version that is neither. */
   UNKNOWN("unknown");
 
-  private final String word;
+  private final String storedName;
 
-  TargetVersion(String word) {
-    this.word = word;
+  TargetVersion(String storedName) {
+    this.storedName = storedName;
   }
 
   @Override
-  public String word() {
-    return word;
+  public String storedName() {
+    return storedName;
   }
 }
--- a/src/main/java/leadferry/release/TargetObserver.java
+++ b/src/main/java/leadferry/release/VersionObserver.java
@@ -12,7 +12,7 @@
  * Finds out which version a target runs after its action, and records it: by the target's own word,
  * by a check that the plan names, or by the result of the command that changed it.
  */
-final class TargetObserver {
+final class VersionObserver {
   /** What an observation without any version is recorded as. */
   private static final String NOTHING_FOUND = "nothing that tells its version";
 
@@ -24,12 +24,12 @@
   private final Map<ActionAttempt, String> checkedVersions = new HashMap<>();
   private final Map<ActionAttempt, Long> observedSinceNanos = new HashMap<>();
 
-  TargetObserver(long leaseMillis) {
+  VersionObserver(long leaseMillis) {
     this.leaseNanos = TimeUnit.MILLISECONDS.toNanos(leaseMillis);
   }
 
   /** A check has seen a version, or "" where there was none; empty where it could not look. */
-  void checked(ActionAttempt attempt, Optional<String> version) {
+  void onVersionChecked(ActionAttempt attempt, Optional<String> version) {
     checksUnderWay.remove(attempt);
     version.ifPresentOrElse(
         seen -> checkedVersions.put(attempt, seen), () -> checkedVersions.remove(attempt));
@@ -39,27 +39,28 @@
    * Observes a target after its action.
    *
    * @param result of the command that changed it; empty where another driver began that
-   * @param known what was recorded already, or "" where it is to be recorded in any case
+   * @param recordedObservation what was recorded already, or "" where it is to be recorded in any
+   *     case
    */
   void observe(
-      DriverSituation situation,
+      DriverContext situation,
       ReleaseTargetView target,
       Optional<CommandResult> result,
-      String known,
+      String recordedObservation,
       List<DriverAction> actions) {
     String reported = target.action().reportedVersion();
     Optional<String> version;
     if (!reported.isEmpty()) {
       version = Optional.of(reported); // newer than any check, since it was told after the action
-    } else if (situation.release().changeCommands().check().isPresent()) {
-      version = versionByCheck(situation, target, !known.isEmpty(), actions);
+    } else if (situation.release().changeCommands().checkCommand().isPresent()) {
+      version = versionByCheck(situation, target, !recordedObservation.isEmpty(), actions);
     } else {
       version = versionByResult(situation, target, result, actions);
     }
-    if (version.isPresent() && !describe(version.get()).equals(known)) {
+    if (version.isPresent() && !describe(version.get()).equals(recordedObservation)) {
       String text =
           result
-              .map(ended -> ended.succeeded() ? "" : ended.text())
+              .map(ended -> ended.succeeded() ? "" : ended.output())
               .orElse("begun by a driver that was lost");
       actions.add(
           TargetReconciler.recordObservation(situation.release(), target, version.get(), text));
@@ -71,7 +72,7 @@
   }
 
   private Optional<String> versionByCheck(
-      DriverSituation situation,
+      DriverContext situation,
       ReleaseTargetView target,
       boolean mayRepeat,
       List<DriverAction> actions) {
@@ -102,7 +103,7 @@
    * time, unless its command failed.
    */
   private Optional<String> versionByResult(
-      DriverSituation situation,
+      DriverContext situation,
       ReleaseTargetView target,
       Optional<CommandResult> result,
       List<DriverAction> actions) {
--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -115,7 +115,7 @@
         process.reportNumber = 0;
         process.reports.clear();
         process.pushedViews.clear();
-        process.view.forget();
+        process.view.onSessionStarted();
         take(name, outcome.path("view"));
       }
     }
@@ -123,8 +123,8 @@
     /** Goes by a pushed view, or by an answer to its joining, and reports so. */
     void take(String name, JsonNode view) {
       Process process = processes.get(name);
-      if (process.view.take(view, stateMachine.isSessionLive(name, process.session), 0)) {
-        process.serves = !process.view.away();
+      if (process.view.applyView(view, stateMachine.isSessionLive(name, process.session), 0)) {
+        process.serves = !process.view.isOutOfService();
         report(name);
       }
     }
@@ -205,7 +205,7 @@
             new Step(
                 "join " + name,
                 () -> {
-                  process.serves &= process.runs || !process.view.away();
+                  process.serves &= process.runs || !process.view.isOutOfService();
                   process.runs = true;
                   join(name);
                 }));
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -38,7 +38,7 @@
             .put("digest", "d");
     ArrayNode hosts = entry.putArray("hosts");
     for (int i = 1; i <= 6; i++) {
-      DisruptionState.write(
+      DisruptionState.writeTarget(
           new Target(
               TargetType.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
           hosts.addObject());
--- a/src/test/java/leadferry/consensus/ReleaseModel.java
+++ b/src/test/java/leadferry/consensus/ReleaseModel.java
@@ -44,7 +44,7 @@
     long fence;
 
     boolean serves() {
-      return runs && !view.away();
+      return runs && !view.isOutOfService();
     }
   }
 
@@ -157,7 +157,7 @@
                 .put("lease_ms", LEASE_MILLIS)
                 .put("runs", process.version));
     process.session = outcome.path("session").asLong();
-    process.view.take(outcome.path("view"), true, nowNanos);
+    process.view.applyView(outcome.path("view"), true, nowNanos);
     report(name);
   }
 
@@ -179,7 +179,7 @@
     Process process = processes.get(name);
     if (process.runs
         && hasSession(name)
-        && process.view.take(log.stateMachine().view(), true, nowNanos)) {
+        && process.view.applyView(log.stateMachine().view(), true, nowNanos)) {
       report(name);
     }
   }
@@ -229,13 +229,13 @@
   }
 
   boolean holdsLease(Driver driver) {
-    return driver.controller.drives(view());
+    return driver.controller.isDriverOf(view());
   }
 
   void pollController(Driver driver) {
     nowNanos += LOOK_NANOS;
     driver.pending.addAll(
-        driver.controller.next(view(), Optional.empty(), !driver.stalled, nowNanos));
+        driver.controller.nextActions(view(), Optional.empty(), !driver.stalled, nowNanos));
   }
 
   void performNextAction(Driver driver) {
@@ -256,14 +256,14 @@
       process.fence = Math.max(process.fence, check.fence());
       Optional<String> version =
           check.fence() < process.fence ? Optional.empty() : Optional.of(process.version);
-      flight.sender().versionChecked(check, version);
+      flight.sender().onVersionChecked(check, version);
     }
   }
 
   private void deliver(DriverAction.RunChange change, ReleaseController sender) {
     Process process = processes.get(change.target());
     if (change.fence() < process.fence) {
-      sender.changeEnded(change, new CommandResult(false, "fence"));
+      sender.onChangeEnded(change, new CommandResult(false, "fence"));
       return;
     }
     process.fence = change.fence();
@@ -273,7 +273,7 @@
       log.recordViolation(change + " ran twice");
     }
     restart(change.target(), change.version());
-    sender.changeEnded(change, new CommandResult(true, ""));
+    sender.onChangeEnded(change, new CommandResult(true, ""));
   }
 
   // --- for the explorer
@@ -294,7 +294,7 @@
             text.append(name)
                 .append(process.version)
                 .append(process.runs)
-                .append(process.view.away())
+                .append(process.view.isOutOfService())
                 .append(process.fence));
     drivers.forEach(
         (name, driver) -> text.append(name).append(driver.stalled).append(driver.pending));
--- a/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
+++ b/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
@@ -24,12 +24,12 @@
   private void proxy(String name, String... ejectedHosts) {
     ProxyReport report = new ProxyReport(1, 0, Set.of(), Set.of(ejectedHosts));
     tables.members.put(
-        ProxyMember.joinedFirst(name, new ProxyMember.Session("z", "v", 1))
-            .reported(report, true, 2));
+        ProxyMember.newMember(name, new ProxyMember.Session("z", "v", 1))
+            .withReport(report, true, 2));
   }
 
   private void hosts(Target... hosts) {
-    tables.catalogues.add("digest", List.of(hosts));
+    tables.catalogs.add("digest", List.of(hosts));
   }
 
   private void budget(String groupBy, int maxUnavailable) {
@@ -50,9 +50,9 @@
   void withoutABudgetOfTheTypeOneMayBeUnavailable() {
     hosts(host("h1", "a", "p"), host("h2", "a", "p"), host("h3", "a", "p"));
 
-    assertThat(evaluator.refusals(host("h1", "a", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(host("h1", "a", "p"))).isEmpty();
     tables.warmUps.begin("h2", 1);
-    assertThat(evaluator.refusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
         .containsExactly("no budget of host: one at a time: 1 out, 1 allowed: h2 (warming up)");
   }
 
@@ -62,9 +62,9 @@
     budget("zone", 1);
     tables.warmUps.begin("h2", 1);
 
-    assertThat(evaluator.refusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
         .containsExactly("budget b0: 1 out, 1 allowed: h2 (warming up)");
-    assertThat(evaluator.refusals(host("h3", "b", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(host("h3", "b", "p"))).isEmpty();
   }
 
   @Test
@@ -74,7 +74,7 @@
     budget("all", 1);
     tables.warmUps.begin("h2", 1);
 
-    assertThat(evaluator.refusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
         .containsExactly("budget b1: 1 out, 1 allowed: h2 (warming up)");
   }
 
@@ -83,7 +83,7 @@
     hosts(host("h1", "a", "p"), host("h2", "a", "other"));
     budget("all", 10);
 
-    assertThat(evaluator.refusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
         .containsExactly("the last host of pool p: 0 out, 0 allowed");
   }
 
@@ -92,7 +92,7 @@
     hosts(host("h1", "a", "p"), host("h2", "a", "p"));
     tables.warmUps.begin("h1", 1);
 
-    assertThat(evaluator.refusals(host("h1", "a", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(host("h1", "a", "p"))).isEmpty();
   }
 
   @Test
@@ -102,10 +102,10 @@
     proxy("c");
 
     assertThat(ejections.isLost("h1")).isFalse();
-    assertThat(ejections.isOneShortOfLost("h1")).isTrue();
+    assertThat(ejections.isOneEjectionBelowLost("h1")).isTrue();
     proxy("b", "h1");
     assertThat(ejections.isLost("h1")).isTrue();
-    assertThat(ejections.lostHosts()).containsExactly("h1");
+    assertThat(ejections.lostEndpoints()).containsExactly("h1");
     assertThat(unavailability.of(TargetType.HOST, "h1"))
         .contains(new Unavailability(Unavailability.Cause.EJECTED, "2"));
   }
@@ -115,7 +115,7 @@
     proxy("a", "h1");
 
     assertThat(ejections.isLost("h1")).isTrue();
-    assertThat(ejections.ejectionsOf("h2")).isZero();
+    assertThat(ejections.countEjections("h2")).isZero();
   }
 
   @Test
--- a/src/test/java/leadferry/disruption/BudgetTest.java
+++ b/src/test/java/leadferry/disruption/BudgetTest.java
@@ -66,9 +66,9 @@
   void targetsShareAGroupWhereTheyAgreeInTheGroupingLabel() {
     Budget byZone = new Budget("zones", TargetType.HOST, Map.of(), "zone", 1, 2, 0);
 
-    assertThat(byZone.sameGroup(host("h1", "a", "x"), host("h2", "a", "y"))).isTrue();
-    assertThat(byZone.sameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isFalse();
-    assertThat(hosts(1, 2, 0).sameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isTrue();
+    assertThat(byZone.isSameGroup(host("h1", "a", "x"), host("h2", "a", "y"))).isTrue();
+    assertThat(byZone.isSameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isFalse();
+    assertThat(hosts(1, 2, 0).isSameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isTrue();
   }
 
   @Test
--- a/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
@@ -65,20 +65,21 @@
     tables.grants.beginRestoring(second, 4, "done");
     tables.budgets.restore(
         List.of(new Budget("b", TargetType.HOST, Map.of("zone", "z"), "pod", 1, 0.5, 2)), 3);
-    tables.catalogues.add("digest", List.of(host));
+    tables.catalogs.add("digest", List.of(host));
     tables.warmUps.begin("h1", 7);
 
     DisruptionState.Times times = DisruptionSnapshotCodec.decode(snapshot(), restored);
 
     assertThat(times).isEqualTo(TIMES);
     assertThat(restored.revision.version()).isEqualTo(8);
-    assertThat(restored.revision.change()).isEqualTo(9);
+    assertThat(restored.revision.changeNumber()).isEqualTo(9);
     assertThat(restored.haltReason()).isEqualTo("incident");
     assertThat(restored.grants.all()).containsExactlyElementsOf(tables.grants.all());
     assertThat(restored.grants.nextId()).isEqualTo(3);
     assertThat(restored.budgets.all()).isEqualTo(tables.budgets.all());
     assertThat(restored.budgets.version()).isEqualTo(3);
-    assertThat(restored.catalogues.byDigest()).isEqualTo(tables.catalogues.byDigest());
-    assertThat(restored.warmUps.sinceByHost()).isEqualTo(Map.of("h1", 7L));
+    assertThat(restored.catalogs.endpointsByDigest())
+        .isEqualTo(tables.catalogs.endpointsByDigest());
+    assertThat(restored.warmUps.startChangeByEndpoint()).isEqualTo(Map.of("h1", 7L));
   }
 }
--- a/src/test/java/leadferry/disruption/DisruptionTimersTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionTimersTest.java
@@ -32,10 +32,10 @@
     join("a");
     state.drain(TargetType.HOST, "h:1", 50, false, "operator", "disk");
 
-    assertThat(state.timers()).isEqualTo(Map.of("permit:1", 150L));
+    assertThat(state.timerDurationsMillis()).isEqualTo(Map.of("permit:1", 150L));
     state.onTimerExpired("permit:1");
-    assertThat(state.out(TargetType.HOST, "h:1")).isEqualTo("permit 1, ending");
-    assertThat(state.timers()).isEmpty();
+    assertThat(state.unavailabilityReason(TargetType.HOST, "h:1")).isEqualTo("permit 1, ending");
+    assertThat(state.timerDurationsMillis()).isEmpty();
   }
 
   @Test
@@ -43,12 +43,12 @@
     join("a:b");
     state.onSessionEnded("a:b", false);
     join("a:b");
-    assertThat(state.timers()).isEmpty();
+    assertThat(state.timerDurationsMillis()).isEmpty();
     report("a:b", 1);
 
-    assertThat(state.timers()).isEqualTo(Map.of("settle:a:b:4", 500L));
+    assertThat(state.timerDurationsMillis()).isEqualTo(Map.of("settle:a:b:4", 500L));
     state.onTimerExpired("settle:a:b:4");
-    assertThat(state.out(TargetType.PROXY, "a:b")).isNull();
+    assertThat(state.unavailabilityReason(TargetType.PROXY, "a:b")).isNull();
   }
 
   @Test
@@ -59,18 +59,18 @@
     report("b", 1, "h:1");
     report("a", 2);
 
-    assertThat(state.timers()).isEqualTo(Map.of("warm:h:1:5", 700L));
+    assertThat(state.timerDurationsMillis()).isEqualTo(Map.of("warm:h:1:5", 700L));
     state.onTimerExpired("warm:h:1:5");
-    assertThat(state.out(TargetType.HOST, "h:1")).isNull();
+    assertThat(state.unavailabilityReason(TargetType.HOST, "h:1")).isNull();
   }
 
   @Test
   void aTimerThatDoesNotRunChangesNothing() {
     join("a");
-    long changes = state.changes();
+    long changes = state.changeNumber();
 
     state.onTimerExpired("permit:1");
 
-    assertThat(state.changes()).isEqualTo(changes);
+    assertThat(state.changeNumber()).isEqualTo(changes);
   }
 }
--- a/src/test/java/leadferry/disruption/EvictionGrantTest.java
+++ b/src/test/java/leadferry/disruption/EvictionGrantTest.java
@@ -41,9 +41,9 @@
 
   @Test
   void aGrantDoesNotBeginToRestoreTwice() {
-    EvictionGrant restoring = EvictionGrant.granted("1", REQUEST, 4).restoring(9, "done");
+    EvictionGrant restoring = EvictionGrant.granted("1", REQUEST, 4).beginRestoring(9, "done");
 
-    assertThatThrownBy(() -> restoring.restoring(10, "again"))
+    assertThatThrownBy(() -> restoring.beginRestoring(10, "again"))
         .isInstanceOf(IllegalStateException.class)
         .hasMessage("grant 1: RESTORING (expected: GRANTED)");
   }
--- a/src/test/java/leadferry/disruption/MemberStateTest.java
+++ b/src/test/java/leadferry/disruption/MemberStateTest.java
@@ -11,7 +11,7 @@
   @ParameterizedTest
   @EnumSource(MemberState.class)
   void aNewSessionIsLiveAndDoesNotServeYet(MemberState state) {
-    assertThat(state.joined()).isEqualTo(MemberState.NOT_SERVING);
+    assertThat(state.afterJoin()).isEqualTo(MemberState.NOT_SERVING);
   }
 
   @ParameterizedTest
@@ -20,11 +20,11 @@
       names = {"NOT_SERVING", "SERVING"})
   void aLiveSessionReportsAndEnds(MemberState state) {
     assertThat(state.isLive()).isTrue();
-    assertThat(state.reported(true)).isEqualTo(MemberState.SERVING);
-    assertThat(state.reported(false)).isEqualTo(MemberState.NOT_SERVING);
-    assertThat(state.sessionEnded(true)).isEqualTo(MemberState.LEFT);
-    assertThat(state.sessionEnded(false)).isEqualTo(MemberState.LOST);
-    assertThatThrownBy(state::fenced).isInstanceOf(IllegalStateException.class);
+    assertThat(state.afterReport(true)).isEqualTo(MemberState.SERVING);
+    assertThat(state.afterReport(false)).isEqualTo(MemberState.NOT_SERVING);
+    assertThat(state.afterSessionEnd(true)).isEqualTo(MemberState.LEFT);
+    assertThat(state.afterSessionEnd(false)).isEqualTo(MemberState.LOST);
+    assertThatThrownBy(state::afterFence).isInstanceOf(IllegalStateException.class);
   }
 
   @ParameterizedTest
@@ -33,23 +33,23 @@
       names = {"LEFT", "LEFT_FENCED", "LOST", "LOST_FENCED"})
   void aSessionThatHasEndedNeitherReportsNorEndsAgain(MemberState state) {
     assertThat(state.isLive()).isFalse();
-    assertThatThrownBy(() -> state.reported(true)).isInstanceOf(IllegalStateException.class);
-    assertThatThrownBy(() -> state.sessionEnded(true)).isInstanceOf(IllegalStateException.class);
+    assertThatThrownBy(() -> state.afterReport(true)).isInstanceOf(IllegalStateException.class);
+    assertThatThrownBy(() -> state.afterSessionEnd(true)).isInstanceOf(IllegalStateException.class);
   }
 
   @Test
   void fencingKeepsWhetherTheProxyHadLeft() {
-    assertThat(MemberState.LEFT.fenced()).isEqualTo(MemberState.LEFT_FENCED);
-    assertThat(MemberState.LOST.fenced()).isEqualTo(MemberState.LOST_FENCED);
-    assertThat(MemberState.LEFT_FENCED.fenced()).isEqualTo(MemberState.LEFT_FENCED);
-    assertThat(MemberState.LOST_FENCED.fenced()).isEqualTo(MemberState.LOST_FENCED);
+    assertThat(MemberState.LEFT.afterFence()).isEqualTo(MemberState.LEFT_FENCED);
+    assertThat(MemberState.LOST.afterFence()).isEqualTo(MemberState.LOST_FENCED);
+    assertThat(MemberState.LEFT_FENCED.afterFence()).isEqualTo(MemberState.LEFT_FENCED);
+    assertThat(MemberState.LOST_FENCED.afterFence()).isEqualTo(MemberState.LOST_FENCED);
   }
 
   @Test
   void onlyALostProxyThatIsNotFencedMayStillRun() {
-    assertThat(MemberState.LOST.isGone()).isFalse();
-    assertThat(MemberState.LOST_FENCED.isGone()).isTrue();
-    assertThat(MemberState.LEFT.isGone()).isTrue();
-    assertThat(MemberState.LEFT_FENCED.isGone()).isTrue();
+    assertThat(MemberState.LOST.isTerminated()).isFalse();
+    assertThat(MemberState.LOST_FENCED.isTerminated()).isTrue();
+    assertThat(MemberState.LEFT.isTerminated()).isTrue();
+    assertThat(MemberState.LEFT_FENCED.isTerminated()).isTrue();
   }
 }
--- a/src/test/java/leadferry/disruption/ProxyMemberTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberTest.java
@@ -7,61 +7,61 @@
 
 class ProxyMemberTest {
   private static final ProxyMember FIRST =
-      ProxyMember.joinedFirst("a", new ProxyMember.Session("z", "v1", 3));
+      ProxyMember.newMember("a", new ProxyMember.Session("z", "v1", 3));
 
   private static ProxyReport report(long number, long acknowledgedVersion) {
     return new ProxyReport(number, acknowledgedVersion, Set.of("h1"), Set.of("h2"));
   }
 
   private static ProxyMember rejoinedAt(long change) {
-    return FIRST.sessionEnded(false).rejoined(new ProxyMember.Session("z", "v2", change));
+    return FIRST.withSessionEnded(false).withNewSession(new ProxyMember.Session("z", "v2", change));
   }
 
   @Test
   void aProxyThatIsNewDoesNotStabilize() {
-    assertThat(FIRST.reported(report(1, 0), true, 5).isStabilizing()).isFalse();
+    assertThat(FIRST.withReport(report(1, 0), true, 5).isStabilizing()).isFalse();
   }
 
   @Test
   void aProxyThatComesBackStabilizesFromWhenItServes() {
     ProxyMember back = rejoinedAt(10);
 
-    assertThat(back.stabilizingSince()).isEqualTo(10);
-    assertThat(back.reported(report(1, 0), false, 11).stabilizingSince()).isEqualTo(10);
-    assertThat(back.reported(report(1, 0), true, 12).stabilizingSince()).isEqualTo(12);
+    assertThat(back.stabilizingSinceChange()).isEqualTo(10);
+    assertThat(back.withReport(report(1, 0), false, 11).stabilizingSinceChange()).isEqualTo(10);
+    assertThat(back.withReport(report(1, 0), true, 12).stabilizingSinceChange()).isEqualTo(12);
   }
 
   @Test
   void anotherReportThatItServesDoesNotBeginTheTimeAnew() {
-    ProxyMember serving = rejoinedAt(10).reported(report(1, 0), true, 12);
+    ProxyMember serving = rejoinedAt(10).withReport(report(1, 0), true, 12);
 
-    assertThat(serving.reported(report(2, 0), true, 20).stabilizingSince()).isEqualTo(12);
+    assertThat(serving.withReport(report(2, 0), true, 20).stabilizingSinceChange()).isEqualTo(12);
   }
 
   @Test
   void aSessionThatEndsKeepsWhatWasAcknowledgedAndDropsItsHosts() {
-    ProxyMember ended = FIRST.reported(report(1, 7), true, 5).sessionEnded(true);
+    ProxyMember ended = FIRST.withReport(report(1, 7), true, 5).withSessionEnded(true);
 
     assertThat(ended.hasAcknowledged(7)).isTrue();
-    assertThat(ended.lastReport().busyHosts()).isEmpty();
-    assertThat(ended.lastReport().ejectedHosts()).isEmpty();
+    assertThat(ended.lastReport().busyEndpoints()).isEmpty();
+    assertThat(ended.lastReport().ejectedEndpoints()).isEmpty();
   }
 
   @Test
   void anAcknowledgedVersionNeitherGoesBackNorPassesTheAgreedOne() {
-    ProxyReport first = report(1, 4).after(ProxyReport.NONE, 5);
+    ProxyReport first = report(1, 4).mergeAfter(ProxyReport.NONE, 5);
 
     assertThat(first.acknowledgedVersion()).isEqualTo(4);
-    assertThat(report(2, 3).after(first, 5).acknowledgedVersion()).isEqualTo(4);
-    assertThat(report(2, 9).after(first, 5).acknowledgedVersion()).isEqualTo(5);
+    assertThat(report(2, 3).mergeAfter(first, 5).acknowledgedVersion()).isEqualTo(4);
+    assertThat(report(2, 9).mergeAfter(first, 5).acknowledgedVersion()).isEqualTo(5);
   }
 
   @Test
   void aVersionCountsOnceItsSessionHasBroughtAReport() {
     assertThat(FIRST.hasReportedInSessionAfter(2)).isFalse();
-    ProxyMember reported = FIRST.reported(report(1, 0), false, 5);
+    ProxyMember reported = FIRST.withReport(report(1, 0), false, 5);
     assertThat(reported.hasReportedInSessionAfter(2)).isTrue();
     assertThat(reported.hasReportedInSessionAfter(3)).isFalse();
-    assertThat(reported.sessionEnded(true).hasReportedInSessionAfter(2)).isFalse();
+    assertThat(reported.withSessionEnded(true).hasReportedInSessionAfter(2)).isFalse();
   }
 }
--- a/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
@@ -24,39 +24,39 @@
 
   @Test
   void aGrantIsNotActedOnWithoutALeaseAndIsOnceThereIsOne() {
-    view.take(viewOf(1, 0, "a"), false, 0);
-    assertThat(view.away()).isFalse();
-    assertThat(view.look(false, 1)).isFalse();
-    assertThat(view.look(true, 2)).isTrue();
-    assertThat(view.away()).isTrue();
+    view.applyView(viewOf(1, 0, "a"), false, 0);
+    assertThat(view.isOutOfService()).isFalse();
+    assertThat(view.refresh(false, 1)).isFalse();
+    assertThat(view.refresh(true, 2)).isTrue();
+    assertThat(view.isOutOfService()).isTrue();
   }
 
   @Test
   void aNewSessionForgetsAGrantThatWaited() {
-    view.take(viewOf(1, 0, "a"), false, 0);
-    view.forget();
-    view.take(viewOf(3, 0), true, 1);
-    assertThat(view.look(true, 2)).isFalse();
-    assertThat(view.away()).isFalse();
+    view.applyView(viewOf(1, 0, "a"), false, 0);
+    view.onSessionStarted();
+    view.applyView(viewOf(3, 0), true, 1);
+    assertThat(view.refresh(true, 2)).isFalse();
+    assertThat(view.isOutOfService()).isFalse();
   }
 
   @Test
   void hostsGoOutWithoutALeaseAndAnOlderViewChangesNothing() {
-    assertThat(view.take(viewOf(5, 0, "h1"), false, 0)).isTrue();
-    assertThat(view.hostsOut()).containsExactly("h1");
-    assertThat(view.take(viewOf(4, 0), false, 0)).isFalse();
-    assertThat(view.hostsOut()).containsExactly("h1");
+    assertThat(view.applyView(viewOf(5, 0, "h1"), false, 0)).isTrue();
+    assertThat(view.drainedEndpoints()).containsExactly("h1");
+    assertThat(view.applyView(viewOf(4, 0), false, 0)).isFalse();
+    assertThat(view.drainedEndpoints()).containsExactly("h1");
   }
 
   @Test
   void aGrantExpiresByItsHoldersOwnClockWhenNoReplicaAnswers() {
-    view.take(viewOf(1, 10, "a"), true, 1_000_000);
-    assertThat(view.look(false, 10_999_999)).isFalse();
-    assertThat(view.look(false, 11_000_000)).isTrue();
-    assertThat(view.away()).isFalse();
-    assertThat(view.take(viewOf(1, 10, "a"), true, 12_000_000))
+    view.applyView(viewOf(1, 10, "a"), true, 1_000_000);
+    assertThat(view.refresh(false, 10_999_999)).isFalse();
+    assertThat(view.refresh(false, 11_000_000)).isTrue();
+    assertThat(view.isOutOfService()).isFalse();
+    assertThat(view.applyView(viewOf(1, 10, "a"), true, 12_000_000))
         .as("the same grant takes it out no second time")
         .isFalse();
-    assertThat(view.away()).isFalse();
+    assertThat(view.isOutOfService()).isFalse();
   }
 }
--- a/src/test/java/leadferry/release/CanaryAnalysisTest.java
+++ b/src/test/java/leadferry/release/CanaryAnalysisTest.java
@@ -47,7 +47,7 @@
             random,
             new Side(freshPart, base + surge + worse, fresh),
             new Side(oldPart, base + surge + oldWorse, old));
-        Decision decision = analysis.judge(fresh, old, List.of()).decision();
+        Decision decision = analysis.evaluate(fresh, old, List.of()).decision();
         if (decision == Decision.HALT) {
           return share;
         }
@@ -110,7 +110,7 @@
         Map.of("claim", new OutcomeCount(60, 20), "list", new OutcomeCount(5_000, 10));
     Map<String, OutcomeCount> old =
         Map.of("claim", new OutcomeCount(600, 6), "list", new OutcomeCount(50_000, 100));
-    assertThat(new CanaryAnalysis(BOUNDS).judge(fresh, old, List.of()))
+    assertThat(new CanaryAnalysis(BOUNDS).evaluate(fresh, old, List.of()))
         .satisfies(
             verdict -> {
               assertThat(verdict.decision()).isEqualTo(Decision.HALT);
@@ -122,13 +122,15 @@
   void itWaitsForReportsThatAreMissingAndForRequests() {
     CanaryAnalysis analysis = new CanaryAnalysis(BOUNDS);
     Map<String, OutcomeCount> well = Map.of("list", new OutcomeCount(5_000, 10));
-    assertThat(analysis.judge(well, well, List.of("p3")))
+    assertThat(analysis.evaluate(well, well, List.of("p3")))
         .isEqualTo(new CanaryAnalysis.Verdict(Decision.WAIT, "no fresh report of p3"));
-    assertThat(analysis.judge(Map.of("list", new OutcomeCount(399, 0)), well, List.of()).decision())
+    assertThat(
+            analysis.evaluate(Map.of("list", new OutcomeCount(399, 0)), well, List.of()).decision())
         .isEqualTo(Decision.WAIT);
-    assertThat(analysis.judge(well, Map.of("list", new OutcomeCount(10, 0)), List.of()).decision())
+    assertThat(
+            analysis.evaluate(well, Map.of("list", new OutcomeCount(10, 0)), List.of()).decision())
         .isEqualTo(Decision.WAIT);
-    assertThat(analysis.judge(well, well, List.of()).decision()).isEqualTo(Decision.PROCEED);
+    assertThat(analysis.evaluate(well, well, List.of()).decision()).isEqualTo(Decision.PROCEED);
   }
 
   @Test
@@ -136,12 +138,12 @@
     CanaryAnalysis analysis = new CanaryAnalysis(BOUNDS);
     assertThat(
             analysis
-                .judge(Map.of("list", new OutcomeCount(1_000, 20)), Map.of(), List.of())
+                .evaluate(Map.of("list", new OutcomeCount(1_000, 20)), Map.of(), List.of())
                 .decision())
         .isEqualTo(Decision.PROCEED);
     assertThat(
             analysis
-                .judge(Map.of("list", new OutcomeCount(1_000, 120)), Map.of(), List.of())
+                .evaluate(Map.of("list", new OutcomeCount(1_000, 120)), Map.of(), List.of())
                 .decision())
         .isEqualTo(Decision.HALT);
   }
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -25,7 +25,7 @@
 
   private final DisruptionState disruption =
       new DisruptionState(new DisruptionState.Times(0, 0, 0));
-  private final Releases releases = new Releases();
+  private final ReleaseRegistry releases = new ReleaseRegistry();
   private final Map<String, Long> words = new TreeMap<>();
   private ObjectNode plan;
   private long fence;
@@ -38,7 +38,7 @@
     List<String> faults = new ArrayList<>();
     JsonNode budget =
         MAPPER.createObjectNode().put("name", "proxies").put("of", "proxy").put("max_out", 2);
-    disruption.budgets(List.of(Budget.read(budget, faults)), 0);
+    disruption.replaceBudgets(List.of(Budget.read(budget, faults)), 0);
     plan =
         MAPPER
             .createObjectNode()
@@ -71,7 +71,7 @@
   }
 
   private void settle() {
-    List.copyOf(disruption.timers().keySet()).forEach(disruption::onTimerExpired);
+    List.copyOf(disruption.timerDurationsMillis().keySet()).forEach(disruption::onTimerExpired);
   }
 
   private Outcome apply(String operation, Object... with) {
@@ -106,7 +106,7 @@
 
   private ObjectNode status() {
     ObjectNode status = MAPPER.createObjectNode();
-    releases.status("r", status, disruption);
+    releases.writeStatus("r", status, disruption);
     return status;
   }
 
@@ -151,13 +151,13 @@
 
   private void time(String kind) {
     Map<String, Long> timers = new TreeMap<>();
-    releases.timers(timers);
+    releases.putTimers(timers);
     String timer =
         timers.keySet().stream()
             .filter(t -> t.startsWith(kind))
             .findFirst()
             .orElseThrow(() -> new AssertionError(kind + " of " + timers));
-    releases.timeout(timer);
+    releases.onTimerExpired(timer);
     releases.onFleetChange(disruption);
   }
 
@@ -190,7 +190,7 @@
         .satisfies(
             outcome -> {
               assertThat(outcome.status()).isEqualTo(Status.REFUSED);
-              assertThat(outcome.why().toString()).contains("budget proxies", "d (permit");
+              assertThat(outcome.reasons().toString()).contains("budget proxies", "d (permit");
             });
   }
 
@@ -272,7 +272,7 @@
     judged(1);
     apply("back", "to_step", 1);
     ReleaseController controller = new ReleaseController("x", 1_000);
-    assertThat(controller.next(ReleaseViewCodec.read(status()), Optional.empty(), true, 0))
+    assertThat(controller.nextActions(ReleaseViewCodec.read(status()), Optional.empty(), true, 0))
         .containsExactly(
             new DriverAction.SubmitCommand(new ReleaseCommand.IntendChange("r", fence, "c")));
     change("c", "v1");
@@ -302,7 +302,7 @@
       disruption.onSessionEnded("a", true);
       join("a", rule.equals("queue") ? "v1" : "v7");
       ObjectNode now = MAPPER.createObjectNode();
-      releases.status(plan.path("name").asText(), now, disruption);
+      releases.writeStatus(plan.path("name").asText(), now, disruption);
       JsonNode target = now.path("targets").path(0);
       if (rule.equals("queue")) {
         assertThat(target.path("phase").asText()).isEqualTo("in");
@@ -311,7 +311,7 @@
         assertThat(target.path("at").asText()).isEqualTo("unknown");
         assertThat(target.path("phase").asText()).isEqualTo("leaving");
         assertThat(target.path("held").asBoolean()).isTrue();
-        assertThat(disruption.out(TargetType.PROXY, "a")).startsWith("permit");
+        assertThat(disruption.unavailabilityReason(TargetType.PROXY, "a")).startsWith("permit");
       }
     }
   }
@@ -335,7 +335,7 @@
     begin();
     out("a");
     assertThat(apply("end").status()).isEqualTo(Status.REFUSED);
-    assertThat(releases.releaseHolding(target("a").path("permit").asText())).isEqualTo("r");
+    assertThat(releases.findReleaseHolding(target("a").path("permit").asText())).isEqualTo("r");
   }
 
   @Test
@@ -374,7 +374,7 @@
   void targetsThatAreNotKnownAndNamesThatWereUsedAreRefused() {
     begin();
     plan.withArray("steps").addObject().put("name", "more").putArray("targets").add("nobody");
-    assertThat(apply("start", "plan", plan).why().toString())
+    assertThat(apply("start", "plan", plan).reasons().toString())
         .contains("no proxy 'nobody'", "was used before", "has some of these targets");
   }
 }
