--- a/src/main/java/leadferry/adapter/Adapter.java
+++ b/src/main/java/leadferry/adapter/Adapter.java
@@ -43,34 +43,34 @@
         throw events.malformed("a batch starts with 'sync'");
       }
       nowMillis = events.nowMillis();
-      boolean alive = answerBatch();
+      boolean isAlive = processBatch();
       reply.flush(output);
-      if (!alive) {
+      if (!isAlive) {
         return;
       }
     }
   }
 
   /** Answers the events of a batch; false once the decisions have failed. */
-  private boolean answerBatch() throws IOException {
-    boolean alive = true;
+  private boolean processBatch() throws IOException {
+    boolean isAlive = true;
     while (true) {
       if (!events.next()) {
         throw new MalformedInputException("the input ends in the middle of a batch");
       }
       WireEvent event = events.event();
       if (event == WireEvent.BATCH_END) {
-        reply.word("ok").end();
-        return alive;
+        reply.writeWord("ok").endLine();
+        return isAlive;
       }
-      if (alive) {
-        alive = answer(event);
+      if (isAlive) {
+        isAlive = processEvent(event);
       }
     }
   }
 
   /** Answers an event; false where the decisions have failed. */
-  private boolean answer(WireEvent event) throws IOException {
+  private boolean processEvent(WireEvent event) throws IOException {
     try {
       dispatch(event);
       return true;
@@ -79,7 +79,7 @@
     } catch (RuntimeException e) {
       // A failure of the decisions must be seen, never swallowed.
       e.printStackTrace(errors);
-      CommandWriter.crash(reply, events.instanceOrZero(), e.toString());
+      CommandWriter.writeCrash(reply, events.instanceOrZero(), e.toString());
       return false;
     }
   }
@@ -89,7 +89,7 @@
       case ATTEMPT_OUTCOME -> onOutcome();
       case REQUEST_ARRIVAL -> onRequest();
       case TIMER -> onTimer();
-      case ENDPOINT_BUFFER -> events.bufferEndpoints();
+      case ENDPOINT_BUFFER -> events.readEndpointBuffer();
       case ENDPOINT_LIST -> onEndpointList();
       case LOAD_REPORT -> onLoadReport();
       case CLIENT_DISCONNECT -> onClientDisconnect();
@@ -98,7 +98,7 @@
       case INSTANCE_START -> startInstance();
       case INSTANCE_STOP -> instances.remove(events.instance());
       case BATCH_START, ENDPOINT_ENTRY ->
-          throw events.malformed("'" + events.word() + "' is out of place");
+          throw events.malformed("'" + events.eventName() + "' is out of place");
       case BATCH_END, UNKNOWN -> {} // an event that is not known is skipped
     }
   }
@@ -115,7 +115,7 @@
     Instance instance =
         new Instance(
             SettingsReader.read(settings),
-            SettingsReader.peers(settings),
+            SettingsReader.canMessagePeers(settings),
             seed,
             new CommandWriter(id, reply));
     instances.put(id, instance);
@@ -128,16 +128,17 @@
     int attempt = events.attempt();
     AttemptOutcome outcome = events.outcome();
     double spentMillis = events.spentMillis();
-    boolean over = events.requestOver();
+    boolean isRequestOver = events.isRequestOver();
     if (instance == null) {
       return;
     }
-    if (instance.gossips() && outcome != null && outcome.answered()) {
+    if (instance.hasGossip() && outcome != null && outcome.hasResponse()) {
       instance.onResponse(nowMillis, events.endpoint());
     }
     // A reason that is not known proves nothing: as an error, it may have run.
-    AttemptOutcome known = outcome == null ? AttemptOutcome.ERROR : outcome;
-    instance.onOutcome(nowMillis, request, attempt, known, spentMillis, over, events.loadReport());
+    AttemptOutcome knownOutcome = outcome == null ? AttemptOutcome.ERROR : outcome;
+    instance.onOutcome(
+        nowMillis, request, attempt, knownOutcome, spentMillis, isRequestOver, events.loadReport());
   }
 
   private void onRequest() {
@@ -165,7 +166,7 @@
       return;
     }
     List<EndpointUpdate> updates =
-        event == EndpointListEvent.FAILED ? List.of() : events.bufferedEndpoints();
+        event == EndpointListEvent.FAILED ? List.of() : events.endpointUpdates();
     instance.onEndpointList(nowMillis, event, updates);
   }
 
@@ -196,8 +197,8 @@
 
   private void onMessage() {
     Instance instance = instance();
-    if (instance != null && instance.gossips()) {
-      instance.onMessage(nowMillis, events.sender(), events.message());
+    if (instance != null && instance.hasGossip()) {
+      instance.onMessage(nowMillis, events.senderIndex(), events.message());
     }
   }
 }
--- a/src/main/java/leadferry/adapter/CommandWriter.java
+++ b/src/main/java/leadferry/adapter/CommandWriter.java
@@ -23,50 +23,65 @@
   }
 
   void send(long request, long endpoint) {
-    start("transmit").word(" txn=").number(request).word(" host=").number(endpoint).end();
+    start("transmit")
+        .writeWord(" txn=")
+        .writeNumber(request)
+        .writeWord(" host=")
+        .writeNumber(endpoint)
+        .endLine();
   }
 
   /** A wait of 0 or less is not told. */
   void reject(long request, double retryAfterMillis) {
-    start("shed").word(" txn=").number(request);
+    start("shed").writeWord(" txn=").writeNumber(request);
     if (retryAfterMillis > 0) {
-      reply.word(" coolDown=").time(retryAfterMillis);
+      reply.writeWord(" coolDown=").writeMillis(retryAfterMillis);
     }
-    reply.end();
+    reply.endLine();
   }
 
   void fail(long request) {
-    start("abort").word(" txn=").number(request).end();
+    start("abort").writeWord(" txn=").writeNumber(request).endLine();
   }
 
   void cancel(long request, int attempt) {
-    start("cancel").word(" txn=").number(request).word(" sendNo=").number(attempt).end();
+    start("cancel")
+        .writeWord(" txn=")
+        .writeNumber(request)
+        .writeWord(" sendNo=")
+        .writeNumber(attempt)
+        .endLine();
   }
 
   void schedule(double delayMillis, long token) {
-    start("set_timer").word(" sleepFor=").time(Math.max(0, delayMillis));
-    reply.word(" token=").number(token).end();
+    start("set_timer").writeWord(" sleepFor=").writeMillis(Math.max(0, delayMillis));
+    reply.writeWord(" token=").writeNumber(token).endLine();
   }
 
   void broadcast(byte[] message) {
     String encoded = Base64.getEncoder().encodeToString(message);
-    start("memo_to").word(" recipient=all raw=").word(encoded).end();
+    start("memo_to").writeWord(" recipient=all raw=").writeWord(encoded).endLine();
   }
 
   void watchEndpoints() {
-    start("follow").word(" active=1").end();
+    start("follow").writeWord(" active=1").endLine();
   }
 
   void log(String text) {
-    start("say_log").word(" text=").text(text).end();
+    start("say_log").writeWord(" text=").writeText(text).endLine();
   }
 
   /** Tells that the decisions have failed; the adapter ends with it. */
-  static void crash(ReplyWriter reply, long instance, String text) {
-    reply.word("crash who=").number(instance).word(" text=").text(text).end();
+  static void writeCrash(ReplyWriter reply, long instance, String text) {
+    reply
+        .writeWord("crash who=")
+        .writeNumber(instance)
+        .writeWord(" text=")
+        .writeText(text)
+        .endLine();
   }
 
   private ReplyWriter start(String command) {
-    return reply.word(command).word(" who=").number(instance);
+    return reply.writeWord(command).writeWord(" who=").writeNumber(instance);
   }
 }
--- a/src/main/java/leadferry/adapter/EventReader.java
+++ b/src/main/java/leadferry/adapter/EventReader.java
@@ -28,7 +28,7 @@
   private static final String[] LOAD_FIGURES = {"rif", "q", "busy", "lat_ms", "rate", "fail_rate"};
 
   private final LineReader lines;
-  private final Line line = new Line();
+  private final WireLine line = new WireLine();
   private final Map<Long, List<EndpointUpdate>> endpointBuffers = new HashMap<>();
 
   EventReader(LineReader lines) {
@@ -46,11 +46,11 @@
   }
 
   /** An error about the line. */
-  MalformedInputException malformed(String why) {
-    return line.malformed(why);
+  MalformedInputException malformed(String reason) {
+    return line.malformed(reason);
   }
 
-  String word() {
+  String eventName() {
     return line.name();
   }
 
@@ -92,8 +92,8 @@
   }
 
   /** Whether the request is over with this outcome, or was before. */
-  boolean requestOver() {
-    return line.flag("terminal");
+  boolean isRequestOver() {
+    return line.isSet("terminal");
   }
 
   long timerToken() {
@@ -101,7 +101,7 @@
   }
 
   /** Number of the proxy that a message comes from. */
-  int sender() {
+  int senderIndex() {
     return (int) line.number("from");
   }
 
@@ -130,7 +130,7 @@
         line.string("org", null),
         budgetMillis,
         line.decimal("estimate", Double.NaN),
-        line.flag("resent"));
+        line.isSet("resent"));
   }
 
   /** The outcome, or null where the reason is not known. */
@@ -150,7 +150,7 @@
 
   /** The load report, or null where there is none. */
   LoadReport loadReport() {
-    double[] figures = line.report("load", LOAD_FIGURES);
+    double[] figures = line.figures("load", LOAD_FIGURES);
     return figures == null
         ? null
         : new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
@@ -168,7 +168,7 @@
   }
 
   /** The entries of the buffer that the line names. */
-  List<EndpointUpdate> bufferedEndpoints() {
+  List<EndpointUpdate> endpointUpdates() {
     List<EndpointUpdate> updates = endpointBuffers.get(line.number("buffer"));
     if (updates == null) {
       throw line.malformed("no ledger with this number has come");
@@ -177,7 +177,7 @@
   }
 
   /** Reads the entries that follow the line, and keeps them. */
-  void bufferEndpoints() throws IOException {
+  void readEndpointBuffer() throws IOException {
     long buffer = line.number("buffer");
     long records = line.number("records");
     List<EndpointUpdate> updates = new ArrayList<>();
--- a/src/main/java/leadferry/adapter/Instance.java
+++ b/src/main/java/leadferry/adapter/Instance.java
@@ -27,15 +27,19 @@
   private final SuspicionProtocol gossip;
 
   /** What gossip made of an event while the load balancer was still about it. */
-  private final List<Hint> hints = new ArrayList<>();
+  private final List<Hint> pendingHints = new ArrayList<>();
 
-  Instance(Settings settings, boolean gossips, long seed, CommandWriter commands) {
+  Instance(Settings settings, boolean hasGossip, long seed, CommandWriter commands) {
     this.commands = commands;
     this.loadBalancer = new LoadBalancer(settings, seed, this);
     this.gossip =
-        gossips
+        hasGossip
             ? new SuspicionProtocol(
-                settings.zone(), settings.balancers(), settings.shortestAimMillis(), seed, this)
+                settings.zone(),
+                settings.proxyCount(),
+                settings.shortestObjectiveMillis(),
+                seed,
+                this)
             : null;
   }
 
@@ -43,7 +47,7 @@
     loadBalancer.onStart(nowMillis);
   }
 
-  boolean gossips() {
+  boolean hasGossip() {
     return gossip != null;
   }
 
@@ -62,9 +66,10 @@
       int attempt,
       AttemptOutcome outcome,
       double spentMillis,
-      boolean over,
+      boolean isRequestOver,
       LoadReport report) {
-    loadBalancer.onOutcome(nowMillis, request, attempt, outcome, spentMillis, over, report);
+    loadBalancer.onOutcome(
+        nowMillis, request, attempt, outcome, spentMillis, isRequestOver, report);
     deliverHints(nowMillis);
   }
 
@@ -102,11 +107,11 @@
   }
 
   private void deliverHints(double nowMillis) {
-    for (int i = 0; i < hints.size(); i++) {
-      Hint hint = hints.get(i);
+    for (int i = 0; i < pendingHints.size(); i++) {
+      Hint hint = pendingHints.get(i);
       loadBalancer.onGossip(nowMillis, hint.endpoint(), hint.ejectionMillis());
     }
-    hints.clear();
+    pendingHints.clear();
   }
 
   @Override
@@ -161,12 +166,12 @@
 
   @Override
   public void eject(long endpoint, double lengthMillis, boolean again) {
-    hints.add(new Hint(endpoint, lengthMillis));
+    pendingHints.add(new Hint(endpoint, lengthMillis));
   }
 
   @Override
   public void readmit(long endpoint) {
-    hints.add(new Hint(endpoint, 0));
+    pendingHints.add(new Hint(endpoint, 0));
   }
 
   @Override
--- a/src/main/java/leadferry/adapter/LineReader.java
+++ b/src/main/java/leadferry/adapter/LineReader.java
@@ -16,7 +16,7 @@
   }
 
   /** Points {@code line} at the next line; false at the end of the input. */
-  boolean next(Line line) throws IOException {
+  boolean next(WireLine line) throws IOException {
     int scanned = position;
     while (true) {
       for (int i = scanned; i < limit; i++) {
--- a/src/main/java/leadferry/adapter/ReplyWriter.java
+++ b/src/main/java/leadferry/adapter/ReplyWriter.java
@@ -10,17 +10,17 @@
   private byte[] buffer = new byte[1 << 14];
   private int size;
 
-  ReplyWriter word(String word) {
+  ReplyWriter writeWord(String word) {
     int count = word.length();
-    ensureRoom(count);
+    ensureCapacity(count);
     for (int i = 0; i < count; i++) {
       buffer[size++] = (byte) word.charAt(i);
     }
     return this;
   }
 
-  ReplyWriter number(long value) {
-    ensureRoom(20);
+  ReplyWriter writeNumber(long value) {
+    ensureCapacity(20);
     if (value < 0) {
       buffer[size++] = '-';
       value = -value;
@@ -39,16 +39,16 @@
   }
 
   /** A time in ms with microseconds. */
-  ReplyWriter time(double millis) {
+  ReplyWriter writeMillis(double millis) {
     long micros = Math.round(millis * 1000);
     if (micros < 0) {
-      word("-");
+      writeWord("-");
       micros = -micros;
     }
-    number(micros / 1000);
+    writeNumber(micros / 1000);
     long rest = micros % 1000;
     if (rest > 0) {
-      ensureRoom(4);
+      ensureCapacity(4);
       buffer[size++] = '.';
       buffer[size++] = (byte) ('0' + rest / 100);
       buffer[size++] = (byte) ('0' + rest / 10 % 10);
@@ -58,20 +58,20 @@
   }
 
   /** Free text, kept to one line. */
-  ReplyWriter text(String text) {
+  ReplyWriter writeText(String text) {
     byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
-    ensureRoom(bytes.length);
+    ensureCapacity(bytes.length);
     System.arraycopy(bytes, 0, buffer, size, bytes.length);
     size += bytes.length;
     return this;
   }
 
-  void end() {
-    ensureRoom(1);
+  void endLine() {
+    ensureCapacity(1);
     buffer[size++] = '\n';
   }
 
-  private void ensureRoom(int count) {
+  private void ensureCapacity(int count) {
     if (size + count > buffer.length) {
       buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + count));
     }
--- a/src/main/java/leadferry/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -27,7 +27,7 @@
   }
 
   /** Whether the deployment lets proxies send each other messages. */
-  public static boolean peers(JsonNode root) {
+  public static boolean canMessagePeers(JsonNode root) {
     return root.path("limits").path("peers").asBoolean(false);
   }
 
@@ -84,8 +84,8 @@
         node.path("streamsPerConn").asInt(1));
   }
 
-  private static Settings.Rules rules(JsonNode node) {
-    return new Settings.Rules(
+  private static Settings.WarmUpRules rules(JsonNode node) {
+    return new Settings.WarmUpRules(
         node.path("cold").asDouble(0),
         node.path("startCapacity").asDouble(1),
         node.path("fall").asDouble(0),
@@ -101,11 +101,11 @@
           case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
           default -> Settings.Semantics.AT_MOST_ONCE; // the strictest, where a name is new
         };
-    Settings.Scope scope =
+    Settings.KeyScope scope =
         switch (node.path("keyScope").asText()) {
-          case "all" -> Settings.Scope.ALL;
-          case "zone" -> Settings.Scope.ZONE;
-          default -> Settings.Scope.CELL;
+          case "all" -> Settings.KeyScope.ALL;
+          case "zone" -> Settings.KeyScope.ZONE;
+          default -> Settings.KeyScope.CELL;
         };
     return new Settings.RequestClass(
         node.path("name").asText(),
--- a/src/main/java/leadferry/adapter/WireEvent.java
+++ b/src/main/java/leadferry/adapter/WireEvent.java
@@ -30,9 +30,9 @@
   }
 
   /** What the line is. */
-  static WireEvent of(Line line) {
+  static WireEvent of(WireLine line) {
     for (WireEvent event : ALL) {
-      if (line.named(event.word)) {
+      if (line.hasName(event.word)) {
         return event;
       }
     }
--- a/src/main/java/leadferry/adapter/Line.java
+++ b/src/main/java/leadferry/adapter/WireLine.java
@@ -4,20 +4,20 @@
 import java.util.Arrays;
 
 /** One line of the wire, taken apart in place: a name and name=value fields. */
-final class Line {
+final class WireLine {
   /** How much of a malformed line is shown. */
-  private static final int MOST_SHOWN_BYTES = 60;
+  private static final int MAX_SHOWN_BYTES = 60;
 
   /** Digits that a whole number, or a decimal read without the slow way, may have. */
-  private static final int MOST_WHOLE_DIGITS = 18;
+  private static final int MAX_INTEGER_DIGITS = 18;
 
-  private static final int MOST_DECIMAL_DIGITS = 16;
+  private static final int MAX_DECIMAL_DIGITS = 16;
 
   private byte[] buffer = {};
   private int start;
   private int end;
   private int nameEnd;
-  private int fields;
+  private int fieldCount;
   private int[] keyStart = new int[16];
   private int[] keyEnd = new int[16];
   private int[] valueEnd = new int[16];
@@ -29,7 +29,7 @@
     buffer = bytes;
     start = from;
     end = limit;
-    fields = 0;
+    fieldCount = 0;
     nameEnd = indexOf(' ', start, end);
     if (nameEnd == start) {
       throw malformed("a line without a name");
@@ -56,15 +56,15 @@
   }
 
   private void add(int key, int equals, int stop) {
-    if (fields == keyStart.length) {
-      keyStart = Arrays.copyOf(keyStart, 2 * fields);
-      keyEnd = Arrays.copyOf(keyEnd, 2 * fields);
-      valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
+    if (fieldCount == keyStart.length) {
+      keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+      keyEnd = Arrays.copyOf(keyEnd, 2 * fieldCount);
+      valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
     }
-    keyStart[fields] = key;
-    keyEnd[fields] = equals;
-    valueEnd[fields] = stop;
-    fields++;
+    keyStart[fieldCount] = key;
+    keyEnd[fieldCount] = equals;
+    valueEnd[fieldCount] = stop;
+    fieldCount++;
   }
 
   /** Where the byte first stands in that range; {@code limit} where it does not. */
@@ -88,7 +88,7 @@
     return true;
   }
 
-  boolean named(String name) {
+  boolean hasName(String name) {
     return matches(start, nameEnd, name);
   }
 
@@ -96,8 +96,8 @@
     return text(start, nameEnd);
   }
 
-  private int find(String key) {
-    for (int i = 0; i < fields; i++) {
+  private int indexOfField(String key) {
+    for (int i = 0; i < fieldCount; i++) {
       if (matches(keyStart[i], keyEnd[i], key)) {
         return i;
       }
@@ -105,8 +105,8 @@
     return -1;
   }
 
-  private int require(String key) {
-    int field = find(key);
+  private int requireField(String key) {
+    int field = indexOfField(key);
     if (field < 0) {
       throw malformed("field '" + key + "' is missing");
     }
@@ -114,19 +114,19 @@
   }
 
   long number(String key) {
-    int field = require(key);
+    int field = requireField(key);
     return integer(keyEnd[field] + 1, valueEnd[field], key);
   }
 
-  long number(String key, long absent) {
-    int field = find(key);
-    return field < 0 ? absent : integer(keyEnd[field] + 1, valueEnd[field], key);
+  long number(String key, long defaultValue) {
+    int field = indexOfField(key);
+    return field < 0 ? defaultValue : integer(keyEnd[field] + 1, valueEnd[field], key);
   }
 
   private long integer(int from, int limit, String key) {
     boolean negative = from < limit && buffer[from] == '-';
     int first = negative ? from + 1 : from;
-    if (first >= limit || limit - first > MOST_WHOLE_DIGITS) {
+    if (first >= limit || limit - first > MAX_INTEGER_DIGITS) {
       throw malformed("field '" + key + "' is not a whole number");
     }
     long value = 0;
@@ -141,19 +141,19 @@
   }
 
   double decimal(String key) {
-    int field = require(key);
+    int field = requireField(key);
     return decimal(keyEnd[field] + 1, valueEnd[field], key);
   }
 
-  double decimal(String key, double absent) {
-    int field = find(key);
-    return field < 0 ? absent : decimal(keyEnd[field] + 1, valueEnd[field], key);
+  double decimal(String key, double defaultValue) {
+    int field = indexOfField(key);
+    return field < 0 ? defaultValue : decimal(keyEnd[field] + 1, valueEnd[field], key);
   }
 
   /** Plain digits with a fraction are the rule; anything else goes the slow way. */
   private double decimal(int from, int limit, String key) {
     if (from >= limit) {
-      throw notNumber(key);
+      throw notANumber(key);
     }
     long whole = 0;
     double scale = 1;
@@ -162,51 +162,51 @@
       int digit = buffer[i];
       if (digit == '.' && !fraction && limit - from > 1) {
         fraction = true;
-      } else if (digit >= '0' && digit <= '9' && limit - from <= MOST_DECIMAL_DIGITS) {
+      } else if (digit >= '0' && digit <= '9' && limit - from <= MAX_DECIMAL_DIGITS) {
         whole = 10 * whole + (digit - '0');
         scale = fraction ? 10 * scale : scale;
       } else {
-        return anyDecimal(from, limit, key);
+        return parseDecimal(from, limit, key);
       }
     }
     return whole / scale;
   }
 
-  private double anyDecimal(int from, int limit, String key) {
+  private double parseDecimal(int from, int limit, String key) {
     double value;
     try {
       value = Double.parseDouble(text(from, limit));
     } catch (NumberFormatException e) {
-      throw notNumber(key);
+      throw notANumber(key);
     }
     if (!Double.isFinite(value)) {
-      throw notNumber(key);
+      throw notANumber(key);
     }
     return value;
   }
 
-  private MalformedInputException notNumber(String key) {
+  private MalformedInputException notANumber(String key) {
     return malformed("field '" + key + "' is not a number");
   }
 
-  boolean flag(String key) {
-    int field = find(key);
+  boolean isSet(String key) {
+    int field = indexOfField(key);
     return field >= 0 && valueEnd[field] == keyEnd[field] + 2 && buffer[keyEnd[field] + 1] == '1';
   }
 
   String string(String key) {
-    int field = require(key);
+    int field = requireField(key);
     return text(keyEnd[field] + 1, valueEnd[field]);
   }
 
-  String string(String key, String absent) {
-    int field = find(key);
-    return field < 0 ? absent : text(keyEnd[field] + 1, valueEnd[field]);
+  String string(String key, String defaultValue) {
+    int field = indexOfField(key);
+    return field < 0 ? defaultValue : text(keyEnd[field] + 1, valueEnd[field]);
   }
 
   /** The figures of a report field, by the order of {@code names}; null if there is none. */
-  double[] report(String key, String... names) {
-    int field = find(key);
+  double[] figures(String key, String... names) {
+    int field = indexOfField(key);
     if (field < 0) {
       return null;
     }
@@ -240,8 +240,8 @@
     return new String(buffer, from, limit - from, StandardCharsets.UTF_8);
   }
 
-  MalformedInputException malformed(String why) {
-    String shown = text(start, Math.min(end, start + MOST_SHOWN_BYTES));
-    return new MalformedInputException("malformed line: " + why + ": " + shown);
+  MalformedInputException malformed(String reason) {
+    String shown = text(start, Math.min(end, start + MAX_SHOWN_BYTES));
+    return new MalformedInputException("malformed line: " + reason + ": " + shown);
   }
 }
--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -173,7 +173,7 @@
     if (type.semantics() == Settings.Semantics.DEDUPLICATED && (key == null || key.isBlank())) {
       return FilterResult.respond(400, 0, origin); // nothing tells its repeats apart
     }
-    double timeout = type.deadline();
+    double timeout = type.deadlineMillis();
     if (h.contains("X-Timeout-Ms")) {
       timeout = Math.min(timeout, Framing.parseWholeNumber(Framing.singleValue(h, "X-Timeout-Ms")));
     }
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -306,9 +306,9 @@
                 case UNSAFE -> Settings.Semantics.AT_MOST_ONCE;
               },
               switch (within) {
-                case POD -> Settings.Scope.CELL;
-                case ZONE -> Settings.Scope.ZONE;
-                case ALL -> Settings.Scope.ALL;
+                case POD -> Settings.KeyScope.CELL;
+                case ZONE -> Settings.KeyScope.ZONE;
+                case ALL -> Settings.KeyScope.ALL;
               },
               window,
               s.number("worth", 1, 0.001, 1e6),
@@ -323,7 +323,7 @@
               1_000,
               5_000,
               Settings.Semantics.AT_MOST_ONCE,
-              Settings.Scope.CELL,
+              Settings.KeyScope.CELL,
               0,
               1,
               0));
--- a/src/main/java/leadferry/daemon/PoolReader.java
+++ b/src/main/java/leadferry/daemon/PoolReader.java
@@ -44,7 +44,7 @@
               List.of(),
               new Settings.Limits(
                   true, true, s.flag("parallel", false), s.integer("max_attempts", 3, 1, 20), 0, 1),
-              new Settings.Rules(
+              new Settings.WarmUpRules(
                   cold.number("for_ms", 0, 0, 3_600_000),
                   cold.number("start_capacity", 0.3, 0.01, 1),
                   cold.number("fall_ms", 1_500, 1, 600_000),
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -181,7 +181,7 @@
         new Dispatcher(
             c.name(),
             loop,
-            c.settings().at(c.settings().position() + number),
+            c.settings().withProxyIndex(c.settings().proxyIndex() + number),
             seeds++,
             upstreams,
             budget,
--- a/src/main/java/leadferry/engine/AttemptPhase.java
+++ b/src/main/java/leadferry/engine/AttemptPhase.java
@@ -54,6 +54,6 @@
     if (isOver()) {
       return this;
     }
-    return outcome.neverRan() ? NEVER_RAN : MAY_HAVE_RUN;
+    return outcome.hasNoEffect() ? NEVER_RAN : MAY_HAVE_RUN;
   }
 }
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -210,7 +210,7 @@
     settings = next;
     reporter.updateSettings(next);
     if (suspicions != null) {
-      suspicions.onSettings(next.shortestAimMillis());
+      suspicions.onSettings(next.shortestObjectiveMillis());
     }
     deliver(null, () -> balancer.onSettings(next));
   }
@@ -235,23 +235,23 @@
   public void submit(ClientCall call, RequestArrival arrival, FallbackPools fallback) {
     long id = nextId++;
     Exchange e =
-        new Exchange(id, this, call, arrival.className(), now() + arrival.budget(), fallback);
+        new Exchange(id, this, call, arrival.className(), now() + arrival.budgetMillis(), fallback);
     exchanges.put(id, e);
     RequestArrival numbered =
         new RequestArrival(
             id,
             arrival.className(),
             arrival.tenant(),
-            arrival.budget(),
-            arrival.estimate(),
-            arrival.repeat());
+            arrival.budgetMillis(),
+            arrival.estimateMillis(),
+            arrival.isRepeat());
     deliver(e, () -> balancer.onRequest(now(), numbered));
   }
 
   void onAttemptOutcome(
       Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
     int number = a.number();
-    if (suspicions != null && result.answered()) {
+    if (suspicions != null && result.hasResponse()) {
       suspicions.onResponse(now(), a.host.id);
     }
     reporter.onAttemptEnded(e, a, result, spent);
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -130,8 +130,8 @@
   /** An attempt has ended with this outcome, {@code spent} ms after it was sent. */
   void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, double spent, LoadReport report) {
     attempts.onAttemptEnded();
-    mayHaveRun |= !outcome.neverRan();
-    if (state.isResolved() && !outcome.neverRan() && outcome != AttemptOutcome.CANCELLED) {
+    mayHaveRun |= !outcome.hasNoEffect();
+    if (state.isResolved() && !outcome.hasNoEffect() && outcome != AttemptOutcome.CANCELLED) {
       // Its response is the one that the client has had, or has had a part of.
       count(outcome == AttemptOutcome.OK);
     }
@@ -197,7 +197,7 @@
     }
     state = state.moved();
     forgetIfDone();
-    next.dispatcher().submit(call, next.arrival().within(left), next.fallback());
+    next.dispatcher().submit(call, next.arrival().withBudget(left), next.fallback());
     return true;
   }
 
--- a/src/main/java/leadferry/engine/OutcomeReporter.java
+++ b/src/main/java/leadferry/engine/OutcomeReporter.java
@@ -90,7 +90,7 @@
   private double objectiveMillis(String className) {
     for (Settings.RequestClass declared : settings.classes()) {
       if (declared.name().equals(className)) {
-        return declared.aim();
+        return declared.latencyObjectiveMillis();
       }
     }
     return Double.MAX_VALUE;
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -30,7 +30,7 @@
     this.peers = peers;
     this.protocol =
         new SuspicionProtocol(
-            settings.zone(), settings.balancers(), settings.shortestAimMillis(), seed, this);
+            settings.zone(), settings.proxyCount(), settings.shortestObjectiveMillis(), seed, this);
   }
 
   // --- what this pool has seen
--- a/src/main/java/leadferry/gossip/EndpointSuspicion.java
+++ b/src/main/java/leadferry/gossip/EndpointSuspicion.java
@@ -15,7 +15,7 @@
   /** Since when each proxy that lost a request there takes the endpoint for silent. */
   final Map<Integer, Double> silentSinceByWitness = new HashMap<>(4);
 
-  double answeredAtMillis = Double.NEGATIVE_INFINITY;
+  double lastResponseMillis = Double.NEGATIVE_INFINITY;
 
   /** When a refutation is to be told; infinity where none is. */
   double refuteAtMillis = Double.POSITIVE_INFINITY;
@@ -24,7 +24,7 @@
   double decideAtMillis = Double.POSITIVE_INFINITY;
 
   /** The time in aims over which the proxies' trials of it are spread. */
-  double trialSpreadAims;
+  double trialSpreadObjectives;
 
   private double ejectedAtMillis = Double.NaN;
 
@@ -42,7 +42,7 @@
   }
 
   /** How long ago it was ejected last; NaN where it is not. */
-  double ejectedForMillis(double nowMillis) {
+  double sinceEjectionMillis(double nowMillis) {
     return nowMillis - ejectedAtMillis;
   }
 
--- a/src/main/java/leadferry/gossip/Suspicion.java
+++ b/src/main/java/leadferry/gossip/SuspicionMessage.java
@@ -13,19 +13,19 @@
  *
  * @param zone a byte that the senders of one zone share; 0 where there are no zones
  * @param endpoint the number by which all proxies of the tier know the endpoint
- * @param ageMillis how long ago (at most {@link #MOST_AGE_MILLIS}) the unanswered request went out,
+ * @param ageMillis how long ago (at most {@link #MAX_AGE_MILLIS}) the unanswered request went out,
  *     or the response came
- * @param answers whether the endpoint answers
+ * @param isAlive whether the endpoint answers
  */
-public record Suspicion(byte zone, long endpoint, int ageMillis, boolean answers) {
+public record SuspicionMessage(byte zone, long endpoint, int ageMillis, boolean isAlive) {
   /** Bytes of a message. */
-  public static final int BYTES = 12;
+  public static final int SIZE_BYTES = 12;
 
   /** The longest age (ms) that a message can tell; older ones are told as this. */
-  public static final int MOST_AGE_MILLIS = 0x7fff;
+  public static final int MAX_AGE_MILLIS = 0x7fff;
 
-  private static final byte FORM = (byte) 0xA7;
-  private static final int ANSWERS = 0x8000;
+  private static final byte MAGIC = (byte) 0xA7;
+  private static final int ALIVE_BIT = 0x8000;
 
   /** The byte for a zone of that name, never 0; 0 for null. */
   public static byte zoneByte(String zone) {
@@ -33,25 +33,26 @@
   }
 
   /** The message as it travels. */
-  public byte[] bytes() {
-    int told = Math.max(0, Math.min(MOST_AGE_MILLIS, ageMillis)) | (answers ? ANSWERS : 0);
-    return ByteBuffer.allocate(BYTES)
-        .put(FORM)
+  public byte[] encode() {
+    int ageAndFlag = Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)) | (isAlive ? ALIVE_BIT : 0);
+    return ByteBuffer.allocate(SIZE_BYTES)
+        .put(MAGIC)
         .put(zone)
         .putLong(endpoint)
-        .putShort((short) told)
+        .putShort((short) ageAndFlag)
         .array();
   }
 
   /** The message that these bytes are, or null where they are none. */
-  public static Suspicion read(byte[] bytes) {
-    if (bytes.length != BYTES || bytes[0] != FORM) {
+  public static SuspicionMessage decode(byte[] bytes) {
+    if (bytes.length != SIZE_BYTES || bytes[0] != MAGIC) {
       return null;
     }
-    ByteBuffer buffer = ByteBuffer.wrap(bytes, 1, BYTES - 1);
+    ByteBuffer buffer = ByteBuffer.wrap(bytes, 1, SIZE_BYTES - 1);
     byte zone = buffer.get();
     long endpoint = buffer.getLong();
-    int told = buffer.getShort() & 0xffff;
-    return new Suspicion(zone, endpoint, told & MOST_AGE_MILLIS, (told & ANSWERS) != 0);
+    int ageAndFlag = buffer.getShort() & 0xffff;
+    return new SuspicionMessage(
+        zone, endpoint, ageAndFlag & MAX_AGE_MILLIS, (ageAndFlag & ALIVE_BIT) != 0);
   }
 }
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -30,8 +30,8 @@
  * refutes waits for a chance part of that time and stays still where another was faster. What a
  * zone can reach is known to that zone alone: messages of others are ignored.
  *
- * <p>Bounds: a record for each endpoint that is in the list; at most {@link #MOST_WITNESSES}
- * witnesses in it; as many messages as attempts, saved up to {@link #MOST_SAVED_MESSAGES}. Not safe
+ * <p>Bounds: a record for each endpoint that is in the list; at most {@link #MAX_WITNESSES}
+ * witnesses in it; as many messages as attempts, saved up to {@link #MAX_MESSAGE_TOKENS}. Not safe
  * for use from several threads at once. Times are milliseconds; an aim is the shortest latency
  * objective.
  */
@@ -45,7 +45,7 @@
      * The endpoint should get nothing for so long, then a trial; {@code again} where it was ejected
      * before.
      */
-    void eject(long endpoint, double lengthMillis, boolean again);
+    void eject(long endpoint, double lengthMillis, boolean isRepeated);
 
     /** The endpoint answers others: it may get requests again. */
     void readmit(long endpoint);
@@ -55,28 +55,28 @@
   }
 
   /** Distinct witnesses that are enough: one can be cut off itself, or have lost one response. */
-  private static final int ENOUGH_WITNESSES = 2;
+  private static final int MIN_WITNESSES = 2;
 
-  private static final int MOST_WITNESSES = 8;
-  private static final int MOST_SAVED_MESSAGES = 20;
+  private static final int MAX_WITNESSES = 8;
+  private static final int MAX_MESSAGE_TOKENS = 20;
 
   /** A silence that began longer ago is no witness any more. */
-  private static final double WITNESS_MEMORY_AIMS = 4;
+  private static final double WITNESS_MEMORY_OBJECTIVES = 4;
 
   /** The time over which those spread that could refute. */
-  private static final double REFUTE_WITHIN_AIMS = 0.25;
+  private static final double REFUTE_WITHIN_OBJECTIVES = 0.25;
 
   /** Witnesses have to stand so long: refutations come within the above, and travel. */
-  private static final double DECIDE_AFTER_AIMS = 0.35;
+  private static final double DECIDE_AFTER_OBJECTIVES = 0.35;
 
   /**
    * Where responses get lost at chance, most of what a proxy says is refuted and paid for all the
    * same: it says ever less of it, down to this share. Of an endpoint that hangs, so many proxies
    * lose requests that a part of them is enough.
    */
-  private static final double LEAST_TELL_SHARE = 0.2;
+  private static final double MIN_BROADCAST_SHARE = 0.2;
 
-  private static final double TELL_SHARE_STEP = 0.2;
+  private static final double BROADCAST_SHARE_STEP = 0.2;
 
   /** This proxy as a witness. */
   private static final int SELF = -1;
@@ -86,30 +86,31 @@
   private final SplittableRandom random;
   private final Actions actions;
   private final Map<Long, EndpointSuspicion> suspicions = new HashMap<>();
-  private double aimMillis;
-  private double savedMessages = MOST_SAVED_MESSAGES;
-  private double tellShare = 1;
+  private double objectiveMillis;
+  private double messageTokens = MAX_MESSAGE_TOKENS;
+  private double broadcastShare = 1;
 
   /**
    * One proxy's share in it.
    *
    * @param zone its own zone, or null
-   * @param proxies how many there are in the tier, itself included
-   * @param aimMillis the shortest latency objective
+   * @param proxyCount how many there are in the tier, itself included
+   * @param objectiveMillis the shortest latency objective
    * @param seed of its waits, which should differ from proxy to proxy
    * @param actions what carries out its decisions
    */
-  public SuspicionProtocol(String zone, int proxies, double aimMillis, long seed, Actions actions) {
-    this.zone = Suspicion.zoneByte(zone);
-    this.trialSpread = new TrialSpread(proxies);
-    this.aimMillis = aimMillis;
+  public SuspicionProtocol(
+      String zone, int proxyCount, double objectiveMillis, long seed, Actions actions) {
+    this.zone = SuspicionMessage.zoneByte(zone);
+    this.trialSpread = new TrialSpread(proxyCount);
+    this.objectiveMillis = objectiveMillis;
     this.random = new SplittableRandom(seed);
     this.actions = actions;
   }
 
   /** Another shortest latency objective holds from now on. */
-  public void onSettings(double newAimMillis) {
-    aimMillis = newAimMillis;
+  public void onSettings(double newObjectiveMillis) {
+    objectiveMillis = newObjectiveMillis;
   }
 
   /**
@@ -124,7 +125,7 @@
     for (EndpointUpdate update : updates) {
       if (update.condition() == EndpointUpdate.Condition.READY) {
         ready.add(update.id());
-        suspicions.compute(update.id(), (id, known) -> sameProcess(known, update));
+        suspicions.compute(update.id(), (id, known) -> retainIfSameProcess(known, update));
       } else {
         suspicions.remove(update.id());
       }
@@ -134,10 +135,11 @@
     }
   }
 
-  private static EndpointSuspicion sameProcess(EndpointSuspicion known, EndpointUpdate update) {
-    return known != null && known.onlineSinceMillis == update.onlineSince()
+  private static EndpointSuspicion retainIfSameProcess(
+      EndpointSuspicion known, EndpointUpdate update) {
+    return known != null && known.onlineSinceMillis == update.onlineSinceMillis()
         ? known
-        : new EndpointSuspicion(update.onlineSince());
+        : new EndpointSuspicion(update.onlineSinceMillis());
   }
 
   /** The endpoint is another than it was, for a reason that no list tells. */
@@ -147,7 +149,7 @@
 
   /** An own attempt has begun: it earns a message. */
   public void onAttempt() {
-    savedMessages = Math.min(MOST_SAVED_MESSAGES, savedMessages + 1);
+    messageTokens = Math.min(MAX_MESSAGE_TOKENS, messageTokens + 1);
   }
 
   /** The endpoint has answered an own request, whatever it said. */
@@ -157,9 +159,9 @@
       return;
     }
     if (suspicion.isEjected()) {
-      tell(endpoint, 0, true); // the trial that all wait for
+      broadcast(endpoint, 0, true); // the trial that all wait for
     }
-    noteAnswer(suspicion, nowMillis);
+    recordResponse(suspicion, nowMillis);
   }
 
   /**
@@ -169,19 +171,19 @@
   public void onNoResponse(double nowMillis, long endpoint, double sentAtMillis) {
     EndpointSuspicion suspicion = suspicions.get(endpoint);
     if (suspicion == null
-        || suspicion.answeredAtMillis >= sentAtMillis
+        || suspicion.lastResponseMillis >= sentAtMillis
         || (suspicion.isEjected() && !suspicion.isEjectedBefore(sentAtMillis))) {
       return; // others know better, or know it by now
     }
-    if (random.nextDouble() < tellShare) {
-      tell(endpoint, nowMillis - sentAtMillis, false);
+    if (random.nextDouble() < broadcastShare) {
+      broadcast(endpoint, nowMillis - sentAtMillis, false);
     }
     addWitness(suspicion, endpoint, SELF, sentAtMillis, nowMillis);
   }
 
   /** A message has come from the proxy of that number; what is no message is ignored. */
   public void onMessage(double nowMillis, int proxy, byte[] bytes) {
-    Suspicion message = Suspicion.read(bytes);
+    SuspicionMessage message = SuspicionMessage.decode(bytes);
     if (message == null || message.zone() != zone) {
       return;
     }
@@ -190,9 +192,9 @@
       return;
     }
     double sinceMillis = nowMillis - message.ageMillis();
-    if (message.answers()) {
-      onAnswerTold(suspicion, message.endpoint(), sinceMillis);
-    } else if (suspicion.answeredAtMillis > sinceMillis) {
+    if (message.isAlive()) {
+      onAliveMessage(suspicion, message.endpoint(), sinceMillis);
+    } else if (suspicion.lastResponseMillis > sinceMillis) {
       scheduleRefutation(suspicion, nowMillis);
     } else {
       addWitness(suspicion, message.endpoint(), proxy, sinceMillis, nowMillis);
@@ -205,11 +207,11 @@
         (endpoint, suspicion) -> {
           if (suspicion.refuteAtMillis <= nowMillis) {
             suspicion.refuteAtMillis = Double.POSITIVE_INFINITY;
-            tell(endpoint, nowMillis - suspicion.answeredAtMillis, true);
+            broadcast(endpoint, nowMillis - suspicion.lastResponseMillis, true);
           }
           if (suspicion.decideAtMillis <= nowMillis) {
             suspicion.decideAtMillis = Double.POSITIVE_INFINITY;
-            if (suspicion.silentSinceByWitness.size() >= ENOUGH_WITNESSES) {
+            if (suspicion.silentSinceByWitness.size() >= MIN_WITNESSES) {
               eject(suspicion, endpoint, nowMillis);
             }
           }
@@ -222,10 +224,10 @@
     return suspicion != null && suspicion.isEjected();
   }
 
-  private void onAnswerTold(EndpointSuspicion suspicion, long endpoint, double atMillis) {
+  private void onAliveMessage(EndpointSuspicion suspicion, long endpoint, double atMillis) {
     boolean readmitted = suspicion.isEjectedBefore(atMillis);
-    if (atMillis > suspicion.answeredAtMillis) {
-      noteAnswer(suspicion, atMillis);
+    if (atMillis > suspicion.lastResponseMillis) {
+      recordResponse(suspicion, atMillis);
     }
     if (readmitted) {
       actions.readmit(endpoint);
@@ -234,18 +236,19 @@
 
   private void scheduleRefutation(EndpointSuspicion suspicion, double nowMillis) {
     if (suspicion.refuteAtMillis == Double.POSITIVE_INFINITY) {
-      double delayMillis = random.nextDouble() * REFUTE_WITHIN_AIMS * aimMillis;
+      double delayMillis = random.nextDouble() * REFUTE_WITHIN_OBJECTIVES * objectiveMillis;
       suspicion.refuteAtMillis = nowMillis + delayMillis;
       actions.scheduleTimer(delayMillis);
     }
   }
 
-  private void noteAnswer(EndpointSuspicion suspicion, double atMillis) {
-    suspicion.answeredAtMillis = atMillis;
+  private void recordResponse(EndpointSuspicion suspicion, double atMillis) {
+    suspicion.lastResponseMillis = atMillis;
     suspicion.refuteAtMillis = Double.POSITIVE_INFINITY;
     Double ownSinceMillis = suspicion.silentSinceByWitness.get(SELF);
     if (ownSinceMillis != null && ownSinceMillis <= atMillis) {
-      tellShare = Math.max(LEAST_TELL_SHARE, tellShare - TELL_SHARE_STEP * tellShare);
+      broadcastShare =
+          Math.max(MIN_BROADCAST_SHARE, broadcastShare - BROADCAST_SHARE_STEP * broadcastShare);
     }
     suspicion.silentSinceByWitness.values().removeIf(sinceMillis -> sinceMillis <= atMillis);
     if (suspicion.isEjectedBefore(atMillis)) {
@@ -256,40 +259,44 @@
   private void addWitness(
       EndpointSuspicion suspicion, long endpoint, int proxy, double sinceMillis, double nowMillis) {
     Map<Integer, Double> witnesses = suspicion.silentSinceByWitness;
-    witnesses.values().removeIf(each -> each < nowMillis - WITNESS_MEMORY_AIMS * aimMillis);
-    if (witnesses.size() < MOST_WITNESSES) {
+    witnesses
+        .values()
+        .removeIf(each -> each < nowMillis - WITNESS_MEMORY_OBJECTIVES * objectiveMillis);
+    if (witnesses.size() < MAX_WITNESSES) {
       witnesses.put(proxy, sinceMillis);
     }
     if (suspicion.isEjectedBefore(sinceMillis)) {
       eject(suspicion, endpoint, nowMillis); // a trial was lost
     } else if (!suspicion.isEjected()
-        && witnesses.size() >= ENOUGH_WITNESSES
+        && witnesses.size() >= MIN_WITNESSES
         && suspicion.decideAtMillis == Double.POSITIVE_INFINITY) {
-      suspicion.decideAtMillis = nowMillis + DECIDE_AFTER_AIMS * aimMillis;
-      actions.scheduleTimer(DECIDE_AFTER_AIMS * aimMillis);
+      suspicion.decideAtMillis = nowMillis + DECIDE_AFTER_OBJECTIVES * objectiveMillis;
+      actions.scheduleTimer(DECIDE_AFTER_OBJECTIVES * objectiveMillis);
     }
   }
 
   private void eject(EndpointSuspicion suspicion, long endpoint, double nowMillis) {
     if (suspicion.silentSinceByWitness.containsKey(SELF)) {
-      tellShare = Math.min(1, tellShare + TELL_SHARE_STEP);
+      broadcastShare = Math.min(1, broadcastShare + BROADCAST_SHARE_STEP);
     }
-    boolean again = suspicion.isEjected();
-    suspicion.trialSpreadAims =
-        again
-            ? trialSpread.nextAims(
-                suspicion.trialSpreadAims, suspicion.ejectedForMillis(nowMillis) / aimMillis)
-            : trialSpread.initialAims();
+    boolean isRepeated = suspicion.isEjected();
+    suspicion.trialSpreadObjectives =
+        isRepeated
+            ? trialSpread.nextObjectives(
+                suspicion.trialSpreadObjectives,
+                suspicion.sinceEjectionMillis(nowMillis) / objectiveMillis)
+            : trialSpread.initialObjectives();
     suspicion.eject(nowMillis);
-    double lengthMillis = aimMillis * (1 + random.nextDouble() * suspicion.trialSpreadAims);
-    actions.eject(endpoint, lengthMillis, again);
+    double lengthMillis =
+        objectiveMillis * (1 + random.nextDouble() * suspicion.trialSpreadObjectives);
+    actions.eject(endpoint, lengthMillis, isRepeated);
   }
 
-  private void tell(long endpoint, double ageMillis, boolean answers) {
-    if (savedMessages >= 1) {
-      savedMessages--;
-      int toldMillis = (int) Math.round(Math.min(Suspicion.MOST_AGE_MILLIS, ageMillis));
-      actions.broadcast(new Suspicion(zone, endpoint, toldMillis, answers).bytes());
+  private void broadcast(long endpoint, double ageMillis, boolean isAlive) {
+    if (messageTokens >= 1) {
+      messageTokens--;
+      int cappedAgeMillis = (int) Math.round(Math.min(SuspicionMessage.MAX_AGE_MILLIS, ageMillis));
+      actions.broadcast(new SuspicionMessage(zone, endpoint, cappedAgeMillis, isAlive).encode());
     }
   }
 }
--- a/src/main/java/leadferry/gossip/TrialSpread.java
+++ b/src/main/java/leadferry/gossip/TrialSpread.java
@@ -8,38 +8,39 @@
  */
 final class TrialSpread {
   /** The most that an endpoint is ejected on others' word; the load balancer's own longest time. */
-  private static final double MOST_AIMS = 20; // as OutlierDetector.LONGEST_EJECTION_AIMS
+  private static final double MAX_OBJECTIVES = 20; // as OutlierDetector.LONGEST_EJECTION_AIMS
 
   /** It begins with one trial in two aims where one proxy in so many sends to an endpoint. */
-  private static final double PROXIES_PER_AIM = 10;
+  private static final double PROXIES_PER_OBJECTIVE = 10;
 
   /** Trials closer than this were too many. */
-  private static final double CLOSE_AIMS = 2;
+  private static final double MIN_GAP_OBJECTIVES = 2;
 
   /** Trials further apart than this were too few. */
-  private static final double FAR_AIMS = 4;
+  private static final double MAX_GAP_OBJECTIVES = 4;
 
-  private static final double STEP = 1.5;
+  private static final double STEP_FACTOR = 1.5;
 
-  private final double initialAims;
+  private final double initialObjectives;
 
-  TrialSpread(int proxies) {
-    this.initialAims = Math.max(1, Math.min(MOST_AIMS, proxies / PROXIES_PER_AIM));
+  TrialSpread(int proxyCount) {
+    this.initialObjectives =
+        Math.max(1, Math.min(MAX_OBJECTIVES, proxyCount / PROXIES_PER_OBJECTIVE));
   }
 
   /** That of an endpoint's first ejection. */
-  double initialAims() {
-    return initialAims;
+  double initialObjectives() {
+    return initialObjectives;
   }
 
   /** The next one, after a trial was lost {@code sinceLastAims} after the ejection before. */
-  double nextAims(double spreadAims, double sinceLastAims) {
-    if (sinceLastAims < CLOSE_AIMS) {
-      return Math.min(MOST_AIMS, spreadAims * STEP);
+  double nextObjectives(double spreadObjectives, double sinceEjectionObjectives) {
+    if (sinceEjectionObjectives < MIN_GAP_OBJECTIVES) {
+      return Math.min(MAX_OBJECTIVES, spreadObjectives * STEP_FACTOR);
     }
-    if (sinceLastAims > FAR_AIMS) {
-      return Math.max(1, spreadAims / STEP);
+    if (sinceEjectionObjectives > MAX_GAP_OBJECTIVES) {
+      return Math.max(1, spreadObjectives / STEP_FACTOR);
     }
-    return spreadAims;
+    return spreadObjectives;
   }
 }
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -186,7 +186,7 @@
   private void dispatchStreamed(FilterResult result, Dispatcher pool) {
     RequestArrival arrival = result.arrival();
     boolean large = result.streaming() == Streaming.LARGE;
-    double announcedMillis = large ? arrival.budget() : 0;
+    double announcedMillis = large ? arrival.budgetMillis() : 0;
     upload = new RequestBodyUpload(this, pool, buffer.take(), server.budget());
     HttpCall call =
         new HttpCall(
@@ -201,7 +201,7 @@
     client.beginCall(call);
     pool.submit(
         call,
-        large ? arrival.within(arrival.budget() + MAX_UPLOAD_MILLIS) : arrival,
+        large ? arrival.withBudget(arrival.budgetMillis() + MAX_UPLOAD_MILLIS) : arrival,
         result.fallback());
   }
 
@@ -299,14 +299,14 @@
   private void dispatch(HttpRequest request, Body body, HttpHeaders trailers, long atNanos) {
     FilterResult result = head.filterResult();
     double elapsedMillis = (System.nanoTime() - atNanos) / NANOS_PER_MILLI;
-    double remainingMillis = result.arrival().budget() - elapsedMillis;
+    double remainingMillis = result.arrival().budgetMillis() - elapsedMillis;
     if (remainingMillis < MIN_REMAINING_MILLIS) {
       rejectUnsent(body); // its time went by behind those that were sent ahead of it
       return;
     }
     HttpCall call = new HttpCall(responses, request, body, null, trailers, result.streaming(), 0);
     client.beginCall(call);
-    result.target().submit(call, result.arrival().within(remainingMillis), result.fallback());
+    result.target().submit(call, result.arrival().withBudget(remainingMillis), result.fallback());
   }
 
   /** Rejects a whole request that the engine has not been given. */
--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -10,14 +10,14 @@
  * request is useful. Late work would take the place of work that still can be in time.
  *
  * <p>Asked in two steps, as chance is drawn before the endpoint is: {@link #onArrival}, then {@link
- * #admits} with the endpoint.
+ * #shouldAdmit} with the endpoint.
  */
 final class AdmissionController {
   /** The most of a mean class that is shed: the rest finds out when the overload is over. */
-  private static final double MOST_SHED_SHARE = 0.9;
+  private static final double MAX_SHED_SHARE = 0.9;
 
   /** Least priority weight against the mean: what is worth little is not all shed at once. */
-  private static final double LEAST_RELATIVE_WEIGHT = 0.2;
+  private static final double MIN_RELATIVE_WEIGHT = 0.2;
 
   /** Smoothing of the mean value of a request: about the last fifty. */
   private static final double VALUE_SMOOTHING = 0.02;
@@ -51,37 +51,37 @@
   void onArrival(RequestState request, String tenant, double nowMillis) {
     quotas.onArrival(tenant, nowMillis);
     arrivals.onArrival(nowMillis);
-    meanValue += VALUE_SMOOTHING * (request.rules().value() - meanValue);
+    meanValue += VALUE_SMOOTHING * (request.requestClass().value() - meanValue);
     request.priorityWeight = quotas.priorityWeight(tenant);
-    request.drawnForShedding = shedsByPressure(request, nowMillis);
+    request.isDrawnForShedding = shouldShedByPressure(request, nowMillis);
   }
 
   /** Whether the request may begin at the endpoint that was chosen for it, null where none was. */
-  boolean admits(RequestState request, Endpoint endpoint, double nowMillis) {
-    if (request.drawnForShedding) {
+  boolean shouldAdmit(RequestState request, Endpoint endpoint, double nowMillis) {
+    if (request.isDrawnForShedding) {
       // Guards against an overload that only memory holds up: known room at the endpoint admits.
-      boolean admitted = endpoint != null && loadReports.isIdle(endpoint, nowMillis);
-      if (!admitted) {
+      boolean isAdmitted = endpoint != null && loadReports.isIdle(endpoint, nowMillis);
+      if (!isAdmitted) {
         arrivals.onOutcome(false);
       }
-      return admitted;
+      return isAdmitted;
     }
-    return endpoint != null && !queueDelay.isTooLong(request, endpoint, nowMillis);
+    return endpoint != null && !queueDelay.isQueueTooLong(request, endpoint, nowMillis);
   }
 
-  private boolean shedsByPressure(RequestState request, double nowMillis) {
+  private boolean shouldShedByPressure(RequestState request, double nowMillis) {
     double excess = pressure.shedExcess(nowMillis);
-    boolean turned =
-        overloadLogged ? pressure.recovered(nowMillis) : PressureEstimate.isOverload(excess);
-    if (turned) {
+    boolean hasChanged =
+        overloadLogged ? pressure.hasRecovered(nowMillis) : PressureEstimate.isOverload(excess);
+    if (hasChanged) {
       overloadLogged = !overloadLogged;
       actions.log(overloadLogged ? "overload: refusing early" : "overload over");
     }
     if (excess <= 0) {
       return false;
     }
-    double value = request.priorityWeight * request.rules().value();
-    double relativeWeight = meanValue > 0 ? Math.max(LEAST_RELATIVE_WEIGHT, value / meanValue) : 1;
-    return random.nextDouble() < Math.min(MOST_SHED_SHARE, excess / relativeWeight);
+    double value = request.priorityWeight * request.requestClass().value();
+    double relativeWeight = meanValue > 0 ? Math.max(MIN_RELATIVE_WEIGHT, value / meanValue) : 1;
+    return random.nextDouble() < Math.min(MAX_SHED_SHARE, excess / relativeWeight);
   }
 }
--- a/src/main/java/leadferry/loadbalancer/ArrivalRate.java
+++ b/src/main/java/leadferry/loadbalancer/ArrivalRate.java
@@ -9,7 +9,7 @@
   private static final double MEMORY_MILLIS = 3_000;
 
   /** The least share taken to be served: else a warming fleet that fails once is never tried. */
-  private static final double LEAST_SERVED_SHARE = 0.05;
+  private static final double MIN_SERVED_SHARE = 0.05;
 
   /** Smoothing of the served share: about the last ten attempts. */
   private static final double SERVED_SMOOTHING = 0.1;
@@ -25,13 +25,13 @@
   }
 
   /** An attempt has ended, or a request was shed; {@code served} tells whether it was of use. */
-  void onOutcome(boolean served) {
-    servedShare += SERVED_SMOOTHING * ((served ? 1 : 0) - servedShare);
+  void onOutcome(boolean isServed) {
+    servedShare += SERVED_SMOOTHING * ((isServed ? 1 : 0) - servedShare);
   }
 
   /** Requests per millisecond that get served: in an overload far fewer than those that come. */
   double servedPerMilli(double nowMillis) {
-    return perMilli(nowMillis) * Math.max(LEAST_SERVED_SHARE, servedShare);
+    return perMilli(nowMillis) * Math.max(MIN_SERVED_SHARE, servedShare);
   }
 
   private double perMilli(double nowMillis) {
--- a/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
@@ -19,19 +19,19 @@
   /** It was never sent, for no fault of the endpoint. */
   MOOT(true);
 
-  private final boolean neverRan;
+  private final boolean hasNoEffect;
 
-  AttemptOutcome(boolean neverRan) {
-    this.neverRan = neverRan;
+  AttemptOutcome(boolean hasNoEffect) {
+    this.hasNoEffect = hasNoEffect;
   }
 
   /** Whether the endpoint has given an answer of its own making: a sign of life. */
-  public boolean answered() {
+  public boolean hasResponse() {
     return this == OK || this == ERROR;
   }
 
   /** Whether this outcome proves that the attempt had no effect. */
-  public boolean neverRan() {
-    return neverRan;
+  public boolean hasNoEffect() {
+    return hasNoEffect;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/AttemptState.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptState.java
@@ -13,12 +13,12 @@
   final double sentAtMillis;
 
   /** Own requests in flight there before it. */
-  final int ownBefore;
+  final int ownInFlightAtSend;
 
-  boolean open = true;
+  boolean isOpen = true;
   boolean mayHaveRun = true;
-  boolean cancelled;
-  private boolean inFlight = true;
+  boolean isCancelled;
+  private boolean isInFlight = true;
 
   AttemptState(RequestState request, int number, Endpoint endpoint, double nowMillis) {
     this.request = request;
@@ -27,23 +27,23 @@
     this.zone = endpoint.zone;
     this.cell = endpoint.cell;
     this.sentAtMillis = nowMillis;
-    this.ownBefore = endpoint.inFlight;
+    this.ownInFlightAtSend = endpoint.inFlight;
     endpoint.inFlight++;
   }
 
   /** Ends it; 1 if it was in flight still, else 0. */
   int end(AttemptOutcome outcome) {
-    open = false;
-    mayHaveRun = !outcome.neverRan();
+    isOpen = false;
+    mayHaveRun = !outcome.hasNoEffect();
     request.openAttempts--;
-    return leaveInFlight();
+    return removeFromInFlight();
   }
 
   /** Takes it off what is in flight at the endpoint: 1 if it was, else 0. */
-  int leaveInFlight() {
-    int one = inFlight ? 1 : 0;
-    inFlight = false;
-    endpoint.inFlight -= one;
-    return one;
+  int removeFromInFlight() {
+    int removed = isInFlight ? 1 : 0;
+    isInFlight = false;
+    endpoint.inFlight -= removed;
+    return removed;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/ClassEjections.java
+++ b/src/main/java/leadferry/loadbalancer/ClassEjections.java
@@ -11,7 +11,7 @@
  */
 final class ClassEjections {
   /** The longest ejection of a class; a trial costs little. */
-  private static final double LONGEST_EJECTION_AIMS = 5;
+  private static final double MAX_EJECTION_OBJECTIVES = 5;
 
   private final LiveSettings settings;
   private final SplittableRandom random;
@@ -24,35 +24,35 @@
   }
 
   /** Whether the class may be sent there; on trial, once in a latency objective of the class. */
-  boolean takes(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
+  boolean isAvailable(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
-    return ejection == null || nowMillis >= ejection.untilMillis;
+    return ejection == null || nowMillis >= ejection.ejectedUntilMillis;
   }
 
   /** The endpoint refuses the class. */
   void eject(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection =
         endpoint.classEjections.computeIfAbsent(requestClass.name(), name -> new EjectionBackoff());
-    if (!ejection.onTrial) {
+    if (!ejection.isHalfOpen) {
       actions.log("host " + endpoint.id + " closed to " + requestClass.name());
     }
-    ejection.begin(nowMillis, settings.shortestAimMillis(), LONGEST_EJECTION_AIMS, random);
+    ejection.eject(nowMillis, settings.shortestObjectiveMillis(), MAX_EJECTION_OBJECTIVES, random);
   }
 
   /** A request of the class goes to the endpoint. */
   void onSend(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
-    if (ejection != null && ejection.onTrial) {
-      ejection.untilMillis = nowMillis + requestClass.aim();
+    if (ejection != null && ejection.isHalfOpen) {
+      ejection.ejectedUntilMillis = nowMillis + requestClass.latencyObjectiveMillis();
     }
   }
 
   /** The endpoint has served a request of the class. */
   void onSuccess(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
-    if (ejection != null && ejection.onTrial) {
-      ejection.onTrial = false;
-      ejection.untilMillis = nowMillis;
+    if (ejection != null && ejection.isHalfOpen) {
+      ejection.isHalfOpen = false;
+      ejection.ejectedUntilMillis = nowMillis;
     }
   }
 }
--- a/src/main/java/leadferry/loadbalancer/Endpoint.java
+++ b/src/main/java/leadferry/loadbalancer/Endpoint.java
@@ -19,10 +19,10 @@
 
   // EndpointTable
   String zone;
-  String kind;
+  String machineKind;
   long cell;
-  boolean ready;
-  int lastUpdate;
+  boolean isReady;
+  int lastListNumber;
 
   // AttemptState
   int inFlight;
@@ -33,21 +33,21 @@
 
   // ResponseTimeEstimate
   double slowness = 1;
-  int samples;
-  double sampledAtMillis = Double.NEGATIVE_INFINITY;
+  int sampleCount;
+  double lastSampleMillis = Double.NEGATIVE_INFINITY;
 
   // LoadReportEstimate
   double othersInFlight;
   double reportedAtMillis = Double.NEGATIVE_INFINITY;
-  double ownPeak;
-  double ownPeakAtMillis;
+  double ownInFlightPeak;
+  double ownInFlightPeakAtMillis;
 
   // FailurePenalty
-  double penalty;
+  double penaltyRequests;
   double penaltyAtMillis;
 
   // OutlierDetector
-  double failureShare;
+  double failureRate;
   final EjectionBackoff ejection = new EjectionBackoff();
 
   // ClassEjections
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -15,24 +15,24 @@
   static final int CHOICES = 5;
 
   /** Draws until the candidates are found: some draws meet the same endpoint or one not usable. */
-  private static final int MOST_DRAWS = 4 * CHOICES;
+  private static final int MAX_DRAWS = 4 * CHOICES;
 
   /** One pick in so many ignores connections: an endpoint without one would never be learnt of. */
-  private static final int EXPLORE_ONE_IN = 4;
+  private static final int EXPLORE_INTERVAL = 4;
 
   /** Counts closer than this are equal. */
-  private static final double COUNT_TIE = 0.5;
+  private static final double COUNT_TIE_MARGIN = 0.5;
 
   /** Waits closer than this share are equal, and chance decides: avoids herding. */
   private static final double WAIT_TIE_SHARE = 0.1;
 
   /** Requests an endpoint is taken to hold without queueing, when waits are compared. */
-  private static final double BASE_HELD = 4;
+  private static final double BASE_HELD_REQUESTS = 4;
 
   private final LiveSettings settings;
   private final EndpointTable endpoints;
   private final EndpointSubset subset;
-  private final IdempotencyWindow idempotency;
+  private final IdempotencyPolicy idempotencyPolicy;
   private final OutlierDetector outliers;
   private final ClassEjections classEjections;
   private final SlowStartBudget slowStart;
@@ -47,19 +47,19 @@
   private Endpoint best;
   private double bestCount;
   private double bestWait;
-  private int equals;
+  private int tieCount;
   private boolean prefersOpenConnections;
 
   EndpointPicker(
       LoadBalancerContext context,
-      IdempotencyWindow idempotency,
+      IdempotencyPolicy idempotencyPolicy,
       OutlierDetector outliers,
       ClassEjections classEjections,
       SlowStartBudget slowStart) {
     this.settings = context.settings;
     this.endpoints = context.endpoints;
     this.subset = new EndpointSubset(context);
-    this.idempotency = idempotency;
+    this.idempotencyPolicy = idempotencyPolicy;
     this.outliers = outliers;
     this.classEjections = classEjections;
     this.slowStart = slowStart;
@@ -74,11 +74,11 @@
   /** The endpoint for the next attempt of the request, or null where none may or should get it. */
   Endpoint pick(RequestState request, double nowMillis) {
     drawCandidates(request, nowMillis);
-    prefersOpenConnections = random.nextInt(EXPLORE_ONE_IN) > 0;
+    prefersOpenConnections = random.nextInt(EXPLORE_INTERVAL) > 0;
     best = null;
     for (int i = 0; i < candidates.size(); i++) {
       // A slow or silent endpoint that is full of our own requests gives way to one that is not.
-      if (!queueDelay.isOwnTooLong(request, candidates.get(i))) {
+      if (!queueDelay.isOwnQueueTooLong(request, candidates.get(i))) {
         compare(candidates.get(i), nowMillis);
       }
     }
@@ -95,22 +95,22 @@
     candidates.clear();
     Endpoint[] sameZone = subset.sameZone();
     boolean trial = draw(sameZone, sameZone.length, request, nowMillis);
-    if (!trial && (candidates.isEmpty() || pressure.spillsToOtherZones(nowMillis))) {
-      draw(subset.otherZones(), endpoints.ready().size(), request, nowMillis);
+    if (!trial && (candidates.isEmpty() || pressure.shouldSpillToOtherZones(nowMillis))) {
+      draw(subset.otherZones(), endpoints.readyEndpoints().size(), request, nowMillis);
     }
   }
 
   /**
    * Adds usable endpoints of the pool to the candidates; true if one of them is due for a trial.
    */
-  private boolean draw(Endpoint[] pool, int among, RequestState request, double nowMillis) {
+  private boolean draw(Endpoint[] pool, int endpointCount, RequestState request, double nowMillis) {
     int found = 0;
-    for (int i = 0; i < MOST_DRAWS && found < CHOICES && pool.length > 0; i++) {
+    for (int i = 0; i < MAX_DRAWS && found < CHOICES && pool.length > 0; i++) {
       Endpoint endpoint = pool[random.nextInt(pool.length)];
-      if (candidates.contains(endpoint) || !isUsable(endpoint, among, request, nowMillis)) {
+      if (candidates.contains(endpoint) || !isUsable(endpoint, endpointCount, request, nowMillis)) {
         continue;
       }
-      if (endpoint.ejection.onTrial && request.mayRunTwice()) {
+      if (endpoint.ejection.isHalfOpen && request.isRepeatable()) {
         // Alone: an ejected endpoint that lost the comparison each time would stay out for ever.
         candidates.clear();
         candidates.add(endpoint);
@@ -122,26 +122,27 @@
     return false;
   }
 
-  private boolean isUsable(Endpoint endpoint, int among, RequestState request, double nowMillis) {
-    return idempotency.maySend(request, endpoint, nowMillis)
+  private boolean isUsable(
+      Endpoint endpoint, int endpointCount, RequestState request, double nowMillis) {
+    return idempotencyPolicy.canSend(request, endpoint, nowMillis)
         && !request.hasTried(endpoint)
-        && outliers.isAvailable(endpoint, request.latency.silentAfterMillis(), nowMillis)
-        && classEjections.takes(endpoint, request.rules(), nowMillis)
-        && slowStart.allows(endpoint, among, nowMillis);
+        && outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
+        && classEjections.isAvailable(endpoint, request.requestClass(), nowMillis)
+        && slowStart.canSend(endpoint, endpointCount, nowMillis);
   }
 
   private void compare(Endpoint endpoint, double nowMillis) {
-    double count = endpoint.inFlight + penalty.requests(endpoint, nowMillis);
-    double wait = expectedWait(endpoint, nowMillis);
+    double count = endpoint.inFlight + penalty.penaltyRequests(endpoint, nowMillis);
+    double wait = expectedRelativeWait(endpoint, nowMillis);
     boolean wins;
-    if (best == null || count < bestCount - COUNT_TIE) {
+    if (best == null || count < bestCount - COUNT_TIE_MARGIN) {
       wins = true;
-      equals = 1;
-    } else if (count > bestCount + COUNT_TIE) {
+      tieCount = 1;
+    } else if (count > bestCount + COUNT_TIE_MARGIN) {
       wins = false;
     } else if (Math.abs(wait - bestWait) <= WAIT_TIE_SHARE * bestWait) {
-      equals++;
-      wins = random.nextInt(equals) == 0;
+      tieCount++;
+      wins = random.nextInt(tieCount) == 0;
     } else {
       wins = wait < bestWait;
     }
@@ -156,7 +157,7 @@
    * Expected wait, as a multiple of the mean response time; slowness alone where no endpoint
    * reports load.
    */
-  private double expectedWait(Endpoint endpoint, double nowMillis) {
+  private double expectedRelativeWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
     if (!loadReports.hasReports()) {
       return slowness;
@@ -166,21 +167,22 @@
         endpoint.inFlight > 0
             || nowMillis - endpoint.lastResponseMillis >= settings.idleTimeoutMillis();
     int connections = prefersOpenConnections && opensConnection ? 1 : 0;
-    return slowness * (BASE_HELD + loadReports.held(endpoint, nowMillis) + connections);
+    return slowness
+        * (BASE_HELD_REQUESTS + loadReports.heldRequests(endpoint, nowMillis) + connections);
   }
 
   private Endpoint pickInPanic(RequestState request, double nowMillis) {
-    List<Endpoint> all = endpoints.ready();
+    List<Endpoint> all = endpoints.readyEndpoints();
     int count = all.size();
     int start = count == 0 ? 0 : random.nextInt(count);
     Endpoint lastResort = null;
     for (int i = 0; i < count; i++) {
       Endpoint endpoint = all.get((start + i) % count);
-      if (!idempotency.maySend(request, endpoint, nowMillis)
-          || !slowStart.allows(endpoint, count, nowMillis)) {
+      if (!idempotencyPolicy.canSend(request, endpoint, nowMillis)
+          || !slowStart.canSend(endpoint, count, nowMillis)) {
         continue;
       }
-      if (outliers.isAvailable(endpoint, request.latency.silentAfterMillis(), nowMillis)
+      if (outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
           && !request.hasTried(endpoint)) {
         return endpoint;
       }
--- a/src/main/java/leadferry/loadbalancer/EndpointSubset.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointSubset.java
@@ -11,13 +11,13 @@
  */
 final class EndpointSubset {
   /** Endpoints for a proxy with no load; enough to lose a fifth of them and still choose. */
-  private static final int LEAST_ENDPOINTS = 6;
+  private static final int MIN_ENDPOINTS = 6;
 
   /** More for each own attempt in flight at the recent peak. */
   private static final double ENDPOINTS_PER_IN_FLIGHT = 1.5;
 
   /** The most proxies that may share an endpoint where subsets can be kept so small. */
-  private static final double MOST_PROXIES_PER_ENDPOINT = 60;
+  private static final double MAX_PROXIES_PER_ENDPOINT = 60;
 
   private final LiveSettings settings;
   private final EndpointTable endpoints;
@@ -36,11 +36,14 @@
   /** Brings the subset up to date with the endpoints and the load. */
   void refresh(double nowMillis) {
     // Guards against many proxies that use up the endpoints' connections together.
-    double most = MOST_PROXIES_PER_ENDPOINT * endpoints.ready().size() / settings.now().balancers();
-    double needed = LEAST_ENDPOINTS + ENDPOINTS_PER_IN_FLIGHT * inFlight.peak(nowMillis);
-    int wanted = (int) Math.max(EndpointPicker.CHOICES, Math.min(needed, most));
-    if (builtFromVersion != endpoints.version() || wanted > size || wanted < size / 2) {
-      rebuild(wanted);
+    double maxSize =
+        MAX_PROXIES_PER_ENDPOINT
+            * endpoints.readyEndpoints().size()
+            / settings.current().proxyCount();
+    double neededSize = MIN_ENDPOINTS + ENDPOINTS_PER_IN_FLIGHT * inFlight.peak(nowMillis);
+    int newSize = (int) Math.max(EndpointPicker.CHOICES, Math.min(neededSize, maxSize));
+    if (builtFromVersion != endpoints.version() || newSize > size || newSize < size / 2) {
+      rebuild(newSize);
     }
   }
 
@@ -54,24 +57,28 @@
     return otherZones;
   }
 
-  private void rebuild(int wanted) {
-    size = wanted;
+  private void rebuild(int newSize) {
+    size = newSize;
     builtFromVersion = endpoints.version();
-    List<Endpoint> ring = endpoints.ready();
-    String zone = settings.now().zone();
-    Predicate<Endpoint> near = endpoint -> zone == null || zone.equals(endpoint.zone);
-    sameZone = window(ring.stream().filter(near).toArray(Endpoint[]::new), wanted);
-    otherZones = window(ring.stream().filter(near.negate()).toArray(Endpoint[]::new), wanted);
+    List<Endpoint> ring = endpoints.readyEndpoints();
+    String zone = settings.current().zone();
+    Predicate<Endpoint> isSameZone = endpoint -> zone == null || zone.equals(endpoint.zone);
+    sameZone = window(ring.stream().filter(isSameZone).toArray(Endpoint[]::new), newSize);
+    otherZones =
+        window(ring.stream().filter(isSameZone.negate()).toArray(Endpoint[]::new), newSize);
   }
 
-  private Endpoint[] window(Endpoint[] ring, int wanted) {
-    if (ring.length <= wanted) {
+  private Endpoint[] window(Endpoint[] ring, int windowSize) {
+    if (ring.length <= windowSize) {
       return ring;
     }
     int start =
-        (int) ((double) settings.now().position() * ring.length / settings.now().balancers());
-    Endpoint[] window = new Endpoint[wanted];
-    for (int i = 0; i < wanted; i++) {
+        (int)
+            ((double) settings.current().proxyIndex()
+                * ring.length
+                / settings.current().proxyCount());
+    Endpoint[] window = new Endpoint[windowSize];
+    for (int i = 0; i < windowSize; i++) {
       window[i] = ring[Math.floorMod(start + i, ring.length)];
     }
     return window;
--- a/src/main/java/leadferry/loadbalancer/EndpointTable.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointTable.java
@@ -9,8 +9,8 @@
 /** Which endpoints there are, by the endpoint lists of discovery, and which may get requests. */
 final class EndpointTable {
   private final Map<Long, Endpoint> byId = new HashMap<>();
-  private final List<Endpoint> ready = new ArrayList<>();
-  private int updates;
+  private final List<Endpoint> readyEndpoints = new ArrayList<>();
+  private int listNumber;
   private int version;
 
   /** The endpoint of that id, or null. */
@@ -19,8 +19,8 @@
   }
 
   /** Endpoints that may get requests, in ring order. */
-  List<Endpoint> ready() {
-    return ready;
+  List<Endpoint> readyEndpoints() {
+    return readyEndpoints;
   }
 
   /** Grows each time that the set of ready endpoints changes. */
@@ -31,53 +31,54 @@
   /** Takes a list, or changes to one. */
   void apply(
       EndpointListEvent event,
-      List<EndpointUpdate> list,
+      List<EndpointUpdate> updates,
       double nowMillis,
       SplittableRandom random) {
     if (event == EndpointListEvent.FAILED) {
       return;
     }
-    updates++;
-    boolean changed = false;
-    for (EndpointUpdate update : list) {
+    listNumber++;
+    boolean isChanged = false;
+    for (EndpointUpdate update : updates) {
       if (update.condition() == EndpointUpdate.Condition.GONE) {
-        changed |= byId.remove(update.id()) != null;
+        isChanged |= byId.remove(update.id()) != null;
       } else {
-        changed |= put(update, nowMillis, random);
+        isChanged |= put(update, nowMillis, random);
       }
     }
     if (event != EndpointListEvent.DELTA) {
-      changed |= byId.values().removeIf(endpoint -> endpoint.lastUpdate != updates);
+      isChanged |= byId.values().removeIf(endpoint -> endpoint.lastListNumber != listNumber);
     }
-    if (changed) {
+    if (isChanged) {
       rebuild();
     }
   }
 
   private boolean put(EndpointUpdate update, double nowMillis, SplittableRandom random) {
     Endpoint endpoint = byId.get(update.id());
-    boolean changed = false;
-    if (endpoint == null || update.onlineSince() != endpoint.onlineSinceMillis) {
+    boolean isChanged = false;
+    if (endpoint == null || update.onlineSinceMillis() != endpoint.onlineSinceMillis) {
       // A new process owes nothing to what the old one did; its credit starts at chance, so that
       // many proxies told at once do not all send at once.
-      endpoint = new Endpoint(update.id(), update.onlineSince(), nowMillis, random.nextDouble());
+      endpoint =
+          new Endpoint(update.id(), update.onlineSinceMillis(), nowMillis, random.nextDouble());
       byId.put(endpoint.id, endpoint);
-      changed = true;
+      isChanged = true;
     }
-    boolean nowReady = update.condition() == EndpointUpdate.Condition.READY;
+    boolean isReadyNow = update.condition() == EndpointUpdate.Condition.READY;
     endpoint.zone = update.zone();
-    endpoint.kind = update.kind();
+    endpoint.machineKind = update.machineKind();
     endpoint.cell = update.cell();
-    endpoint.lastUpdate = updates;
-    changed |= nowReady != endpoint.ready;
-    endpoint.ready = nowReady;
-    return changed;
+    endpoint.lastListNumber = listNumber;
+    isChanged |= isReadyNow != endpoint.isReady;
+    endpoint.isReady = isReadyNow;
+    return isChanged;
   }
 
   private void rebuild() {
-    ready.clear();
-    byId.values().stream().filter(endpoint -> endpoint.ready).forEach(ready::add);
-    ready.sort(
+    readyEndpoints.clear();
+    byId.values().stream().filter(endpoint -> endpoint.isReady).forEach(readyEndpoints::add);
+    readyEndpoints.sort(
         (one, other) ->
             one.ringPosition != other.ringPosition
                 ? Long.compare(one.ringPosition, other.ringPosition)
--- a/src/main/java/leadferry/loadbalancer/FailurePenalty.java
+++ b/src/main/java/leadferry/loadbalancer/FailurePenalty.java
@@ -9,10 +9,10 @@
   private static final double REQUESTS_PER_FAILURE = 2;
 
   /** Time constant at which the penalty fades. */
-  private static final double FADE_AIMS = 5;
+  private static final double DECAY_OBJECTIVES = 5;
 
   /** A penalty below this counts as none. */
-  private static final double LEAST_REQUESTS = 0.05;
+  private static final double MIN_REQUESTS = 0.05;
 
   private final LiveSettings settings;
 
@@ -22,22 +22,22 @@
 
   /** The endpoint has failed, or turned a request away. */
   void onFailure(Endpoint endpoint, double nowMillis) {
-    endpoint.penalty = requests(endpoint, nowMillis) + REQUESTS_PER_FAILURE;
+    endpoint.penaltyRequests = penaltyRequests(endpoint, nowMillis) + REQUESTS_PER_FAILURE;
     endpoint.penaltyAtMillis = nowMillis;
   }
 
   /** Takes the endpoint's penalty off. */
   void clear(Endpoint endpoint) {
-    endpoint.penalty = 0;
+    endpoint.penaltyRequests = 0;
   }
 
   /** The penalty, in requests. */
-  double requests(Endpoint endpoint, double nowMillis) {
-    return endpoint.penalty < LEAST_REQUESTS
+  double penaltyRequests(Endpoint endpoint, double nowMillis) {
+    return endpoint.penaltyRequests < MIN_REQUESTS
         ? 0
-        : endpoint.penalty
+        : endpoint.penaltyRequests
             * Math.exp(
                 -(nowMillis - endpoint.penaltyAtMillis)
-                    / (settings.shortestAimMillis() * FADE_AIMS));
+                    / (settings.shortestObjectiveMillis() * DECAY_OBJECTIVES));
   }
 }
--- a/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
@@ -16,10 +16,10 @@
   }
 
   /** After so many attempts a request is not hedged any more. */
-  private static final int MOST_ATTEMPTS = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
   /** Silence counts from this share of the time on: timers come due a little early. */
-  private static final double SILENT_FROM_SHARE = 0.99;
+  private static final double SILENCE_SHARE = 0.99;
 
   private final LiveSettings settings;
   private final PressureEstimate pressure;
@@ -40,29 +40,29 @@
    * will not be hedged.
    */
   double overdueAfterMillis(RequestState request, Endpoint endpoint, double nowMillis) {
-    double dueMillis =
-        request.latency.overdueAfterMillis()
+    double overdueMillis =
+        request.latencyEstimate.overdueAfterMillis()
             * Math.max(1, responseTimes.slowness(endpoint, nowMillis));
-    boolean hedged =
-        request.mayRunTwice()
-            && nowMillis + dueMillis < request.deadlineMillis
-            && request.attempts.size() < MOST_ATTEMPTS;
-    return hedged ? dueMillis : Double.POSITIVE_INFINITY;
+    boolean isHedged =
+        request.isRepeatable()
+            && nowMillis + overdueMillis < request.deadlineMillis
+            && request.attempts.size() < MAX_ATTEMPTS;
+    return isHedged ? overdueMillis : Double.POSITIVE_INFINITY;
   }
 
   /** What to do about the last attempt, now overdue; HEDGE takes a retry from the budget. */
   Decision decide(RequestState request, double nowMillis) {
     AttemptState last = request.lastAttempt();
-    double allowedMillis = SILENT_FROM_SHARE * request.latency.overdueAfterMillis();
+    double allowedMillis = SILENCE_SHARE * request.latencyEstimate.overdueAfterMillis();
     if (!request.hasTimeForAttempt(nowMillis)
-        || pressure.shedding(nowMillis)
+        || pressure.isShedding(nowMillis)
         || !pendingResponses.isSilent(last.endpoint, allowedMillis, nowMillis)) {
       return Decision.WAIT;
     }
-    Settings.Limits limits = settings.now().limits();
-    if (limits.parallelTries()) {
-      return budget.take() ? Decision.HEDGE : Decision.WAIT;
+    Settings.Limits limits = settings.current().limits();
+    if (limits.canRunParallelAttempts()) {
+      return budget.tryAcquire() ? Decision.HEDGE : Decision.WAIT;
     }
-    return limits.cancel() && !last.cancelled ? Decision.CANCEL : Decision.WAIT;
+    return limits.canCancel() && !last.isCancelled ? Decision.CANCEL : Decision.WAIT;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/IdempotencyWindow.java
+++ b/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
@@ -13,27 +13,27 @@
  *   <li>of any other class never.
  * </ul>
  */
-final class IdempotencyWindow {
+final class IdempotencyPolicy {
   /** Time kept back from a window, for clocks and queues on the way. */
-  private static final double MARGIN_MILLIS = 20;
+  private static final double WINDOW_MARGIN_MILLIS = 20;
 
   private final LiveSettings settings;
 
-  IdempotencyWindow(LiveSettings settings) {
+  IdempotencyPolicy(LiveSettings settings) {
     this.settings = settings;
   }
 
   /** Whether another attempt of the request may go to the endpoint. */
-  boolean maySend(RequestState request, Endpoint endpoint, double nowMillis) {
-    return isUnanswered(request)
-        && endpoint.ready
+  boolean canSend(RequestState request, Endpoint endpoint, double nowMillis) {
+    return isAwaitingResponse(request)
+        && endpoint.isReady
         && isWithinLimits(request, nowMillis)
         && isSafe(request, endpoint, nowMillis);
   }
 
   /** Whether the client may be told that trying again does no harm, wherever it tries. */
-  boolean mayReject(RequestState request, double nowMillis) {
-    return isUnanswered(request) && isSafe(request, null, nowMillis);
+  boolean canReject(RequestState request, double nowMillis) {
+    return isAwaitingResponse(request) && isSafe(request, null, nowMillis);
   }
 
   /**
@@ -41,23 +41,23 @@
    * milliseconds; never where it is not positive.
    */
   static double windowMillis(Settings.RequestClass rules) {
-    return rules.repeatsWithin() - MARGIN_MILLIS;
+    return rules.repeatWindowMillis() - WINDOW_MARGIN_MILLIS;
   }
 
-  private static boolean isUnanswered(RequestState request) {
-    return !request.ended && !request.isStreaming();
+  private static boolean isAwaitingResponse(RequestState request) {
+    return !request.isEnded && !request.isStreaming();
   }
 
   private boolean isWithinLimits(RequestState request, double nowMillis) {
-    Settings.Limits limits = settings.now().limits();
+    Settings.Limits limits = settings.current().limits();
     return request.attempts.size() < Math.min(request.maxAttempts, limits.maxAttempts())
-        && (request.openAttempts == 0 || limits.parallelTries())
+        && (request.openAttempts == 0 || limits.canRunParallelAttempts())
         && nowMillis < request.deadlineMillis;
   }
 
   /** Whether no attempt so far forbids another at the endpoint, or with null, anywhere. */
   private static boolean isSafe(RequestState request, Endpoint endpoint, double nowMillis) {
-    Settings.RequestClass rules = request.rules();
+    Settings.RequestClass rules = request.requestClass();
     if (rules.semantics() == Settings.Semantics.IDEMPOTENT) {
       return true;
     }
@@ -66,15 +66,15 @@
       AttemptState attempt = request.attempts.get(i);
       if (attempt.mayHaveRun
           && (nowMillis - attempt.sentAtMillis >= windowMillis
-              || !sharesMemory(rules.scope(), attempt, endpoint))) {
+              || !sharesDeduplicationMemory(rules.keyScope(), attempt, endpoint))) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean sharesMemory(
-      Settings.Scope scope, AttemptState attempt, Endpoint endpoint) {
+  private static boolean sharesDeduplicationMemory(
+      Settings.KeyScope scope, AttemptState attempt, Endpoint endpoint) {
     return switch (scope) {
       case ALL -> true;
       case ZONE -> endpoint != null && attempt.zone != null && attempt.zone.equals(endpoint.zone);
--- a/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
@@ -3,10 +3,10 @@
 /** How long a class of requests takes: mean response time and mean deviation, in milliseconds. */
 final class LatencyEstimate {
   /** Until responses come, they are assumed to take this share of the latency objective. */
-  private static final double INITIAL_AIM_SHARE = 0.25;
+  private static final double INITIAL_OBJECTIVE_SHARE = 0.25;
 
   /** Least weight of a response: about the last twenty count. */
-  private static final double LEAST_WEIGHT = 0.05;
+  private static final double MIN_WEIGHT = 0.05;
 
   /** The first responses weigh less than all by this many assumed ones. */
   private static final int PRIOR_SAMPLES = 4;
@@ -17,7 +17,7 @@
   final Settings.RequestClass requestClass;
   private double meanMillis;
   private double deviationMillis;
-  private int samples;
+  private int sampleCount;
 
   /**
    * Begins with what was learnt before.
@@ -27,19 +27,19 @@
   LatencyEstimate(Settings.RequestClass requestClass, LatencyEstimate previous) {
     this.requestClass = requestClass;
     if (previous == null) {
-      this.meanMillis = requestClass.aim() * INITIAL_AIM_SHARE;
+      this.meanMillis = requestClass.latencyObjectiveMillis() * INITIAL_OBJECTIVE_SHARE;
       this.deviationMillis = meanMillis;
     } else {
       this.meanMillis = previous.meanMillis;
       this.deviationMillis = previous.deviationMillis;
-      this.samples = previous.samples;
+      this.sampleCount = previous.sampleCount;
     }
   }
 
   /** A response has come after so long. */
   void onResponse(double spentMillis) {
-    samples++;
-    double weight = Math.max(1.0 / (samples + PRIOR_SAMPLES), LEAST_WEIGHT);
+    sampleCount++;
+    double weight = Math.max(1.0 / (sampleCount + PRIOR_SAMPLES), MIN_WEIGHT);
     deviationMillis += weight * (Math.abs(spentMillis - meanMillis) - deviationMillis);
     meanMillis += weight * (spentMillis - meanMillis);
   }
@@ -55,6 +55,6 @@
 
   /** Silence of an endpoint past this is held against it: what comes after the aim is useless. */
   double silentAfterMillis() {
-    return Math.min(requestClass.aim(), overdueAfterMillis());
+    return Math.min(requestClass.latencyObjectiveMillis(), overdueAfterMillis());
   }
 }
--- a/src/main/java/leadferry/loadbalancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -2,27 +2,27 @@
 
 /** The settings in force. They change as a whole, between two events. */
 final class LiveSettings {
-  private Settings now;
-  private double shortestAimMillis;
+  private Settings current;
+  private double shortestObjectiveMillis;
   private double idleTimeoutMillis;
 
-  LiveSettings(Settings first) {
-    set(first);
+  LiveSettings(Settings initial) {
+    set(initial);
   }
 
   void set(Settings next) {
-    now = next;
-    shortestAimMillis = next.shortestAimMillis();
+    current = next;
+    shortestObjectiveMillis = next.shortestObjectiveMillis();
     idleTimeoutMillis = next.idleTimeoutMillis(Double.POSITIVE_INFINITY);
   }
 
-  Settings now() {
-    return now;
+  Settings current() {
+    return current;
   }
 
-  /** {@link Settings#shortestAimMillis} of those in force. */
-  double shortestAimMillis() {
-    return shortestAimMillis;
+  /** {@link Settings#shortestObjectiveMillis} of those in force. */
+  double shortestObjectiveMillis() {
+    return shortestObjectiveMillis;
   }
 
   /** {@link Settings#idleTimeoutMillis} of those in force. */
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -64,12 +64,13 @@
     this.outliers = new OutlierDetector(context);
     this.classEjections = new ClassEjections(context);
     this.slowStart = new SlowStartBudget(context);
-    IdempotencyWindow idempotency = new IdempotencyWindow(this.settings);
-    this.picker = new EndpointPicker(context, idempotency, outliers, classEjections, slowStart);
+    IdempotencyPolicy idempotencyPolicy = new IdempotencyPolicy(this.settings);
+    this.picker =
+        new EndpointPicker(context, idempotencyPolicy, outliers, classEjections, slowStart);
     this.retryBudget = new RetryBudget();
     this.retries = new RetryPolicy(context, retryBudget);
     this.hedging = new HedgingPolicy(context, retryBudget);
-    this.termination = new TerminationPolicy(context, idempotency);
+    this.termination = new TerminationPolicy(context, idempotencyPolicy);
     this.observer = new OutcomeObserver(context, outliers, classEjections);
     this.watchBackoff = new WatchBackoff(context);
     onSettings(settings);
@@ -79,12 +80,12 @@
    * Other settings hold from now on; open requests keep their class, and no more attempts than
    * then.
    */
-  public void onSettings(Settings next) {
-    settings.set(next);
+  public void onSettings(Settings newSettings) {
+    settings.set(newSettings);
     quotas.onSettings();
     Map<String, LatencyEstimate> previous = Map.copyOf(latencies);
     latencies.clear();
-    for (Settings.RequestClass requestClass : next.classes()) {
+    for (Settings.RequestClass requestClass : newSettings.classes()) {
       String name = requestClass.name();
       latencies.put(name, new LatencyEstimate(requestClass, previous.get(name)));
     }
@@ -92,7 +93,7 @@
 
   /** Called once after creation, when actions may be taken. */
   public void onStart(double nowMillis) {
-    if (settings.now().mustFollow()) {
+    if (settings.current().shouldWatchDiscovery()) {
       actions.watchEndpoints();
     }
   }
@@ -104,7 +105,7 @@
     switch (event) {
       case FAILED -> {
         if (watchBackoff.shouldWait()) {
-          actions.schedule(watchBackoff.beginMillis(), DISCOVERY_TIMER);
+          actions.schedule(watchBackoff.startWaitMillis(), DISCOVERY_TIMER);
         }
       }
       case DELTA, FULL -> watchBackoff.reset();
@@ -124,59 +125,64 @@
   public void onRequest(double nowMillis, RequestArrival arrival) {
     RequestState request =
         new RequestState(
-            arrival.id(), latencyOf(arrival), nowMillis, arrival.budget(), settings.now().limits());
+            arrival.id(),
+            latencyEstimateOf(arrival),
+            nowMillis,
+            arrival.budgetMillis(),
+            settings.current().limits());
     requests.put(request.id, request);
     retryBudget.onRequest();
     admission.onArrival(request, arrival.tenant(), nowMillis);
     Endpoint endpoint = picker.pick(request, nowMillis);
-    if (admission.admits(request, endpoint, nowMillis)) {
+    if (admission.shouldAdmit(request, endpoint, nowMillis)) {
       send(request, endpoint, nowMillis);
     } else {
       terminate(request, nowMillis);
     }
   }
 
-  private LatencyEstimate latencyOf(RequestArrival arrival) {
+  private LatencyEstimate latencyEstimateOf(RequestArrival arrival) {
     return latencies.computeIfAbsent(
         arrival.className(),
-        name -> new LatencyEstimate(Settings.RequestClass.unknown(name, arrival.budget()), null));
+        name ->
+            new LatencyEstimate(Settings.RequestClass.unknown(name, arrival.budgetMillis()), null));
   }
 
   /**
    * An attempt has ended, {@code spentMillis} after it was sent.
    *
-   * @param over whether the request is over with it, or was before
+   * @param isRequestOver whether the request is over with it, or was before
    * @param report the load that the endpoint told with it, or null
    */
   public void onOutcome(
       double nowMillis,
       long id,
-      int number,
+      int attemptNumber,
       AttemptOutcome outcome,
       double spentMillis,
-      boolean over,
+      boolean isRequestOver,
       LoadReport report) {
     RequestState request = requests.get(id);
-    AttemptState attempt = request == null ? null : request.attempt(number);
-    if (attempt == null || !attempt.open) {
+    AttemptState attempt = request == null ? null : request.attempt(attemptNumber);
+    if (attempt == null || !attempt.isOpen) {
       return;
     }
-    loadReports.noteOwnPeak(attempt.endpoint, nowMillis);
+    loadReports.updateOwnPeak(attempt.endpoint, nowMillis);
     inFlight.onChange(-attempt.end(outcome), nowMillis);
     loadReports.onReport(attempt.endpoint, report, nowMillis);
     observer.onOutcome(attempt, outcome, spentMillis, nowMillis);
-    if (over && !request.ended) {
-      request.ended = true;
+    if (isRequestOver && !request.isEnded) {
+      request.isEnded = true;
       cancelOthers(request, null);
-    } else if (!request.ended && !request.isStreaming() && request.openAttempts == 0) {
+    } else if (!request.isEnded && !request.isStreaming() && request.openAttempts == 0) {
       retryOrTerminate(request, nowMillis);
     }
-    forgetIfDone(request);
+    removeIfDone(request);
   }
 
   private void retryOrTerminate(RequestState request, double nowMillis) {
     Endpoint endpoint =
-        retries.retries(request, nowMillis) ? picker.pick(request, nowMillis) : null;
+        retries.tryAcquireRetry(request, nowMillis) ? picker.pick(request, nowMillis) : null;
     if (endpoint != null) {
       send(request, endpoint, nowMillis);
     } else {
@@ -185,14 +191,14 @@
   }
 
   /** The response to a streamed request has begun; the attempt now belongs to the client. */
-  public void onFirstByte(double nowMillis, long id, int number, double spentMillis) {
+  public void onFirstByte(double nowMillis, long id, int attemptNumber, double spentMillis) {
     RequestState request = requests.get(id);
-    AttemptState attempt = request == null ? null : request.attempt(number);
-    if (attempt == null || request.ended || request.isStreaming()) {
+    AttemptState attempt = request == null ? null : request.attempt(attemptNumber);
+    if (attempt == null || request.isEnded || request.isStreaming()) {
       return;
     }
     // Guards against slow readers of long responses that look like busy endpoints.
-    inFlight.onChange(-attempt.leaveInFlight(), nowMillis);
+    inFlight.onChange(-attempt.removeFromInFlight(), nowMillis);
     observer.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
     request.streamingAttempt = attempt;
     cancelOthers(request, attempt);
@@ -201,10 +207,10 @@
   /** The client has disconnected; attempts that are out still get their outcome. */
   public void onClientDisconnect(double nowMillis, long id) {
     RequestState request = requests.get(id);
-    if (request != null && !request.ended) {
-      request.ended = true;
+    if (request != null && !request.isEnded) {
+      request.isEnded = true;
       cancelOthers(request, null);
-      forgetIfDone(request);
+      removeIfDone(request);
     }
   }
 
@@ -232,7 +238,7 @@
       return;
     }
     RequestState request = requests.get(token);
-    if (request == null || request.ended || request.isStreaming() || request.openAttempts == 0) {
+    if (request == null || request.isEnded || request.isStreaming() || request.openAttempts == 0) {
       return;
     }
     switch (hedging.decide(request, nowMillis)) {
@@ -248,13 +254,13 @@
   }
 
   private void send(RequestState request, Endpoint endpoint, double nowMillis) {
-    request.begin(endpoint, nowMillis);
+    request.startAttempt(endpoint, nowMillis);
     slowStart.onSend(endpoint, nowMillis);
-    loadReports.noteOwnPeak(endpoint, nowMillis);
+    loadReports.updateOwnPeak(endpoint, nowMillis);
     pendingResponses.onSend(endpoint, nowMillis);
-    classEjections.onSend(endpoint, request.rules(), nowMillis);
+    classEjections.onSend(endpoint, request.requestClass(), nowMillis);
     inFlight.onChange(1, nowMillis);
-    actions.send(request.id, endpoint.id, IdempotencyWindow.windowMillis(request.rules()));
+    actions.send(request.id, endpoint.id, IdempotencyPolicy.windowMillis(request.requestClass()));
     double overdueAfterMillis = hedging.overdueAfterMillis(request, endpoint, nowMillis);
     if (overdueAfterMillis < Double.POSITIVE_INFINITY) {
       actions.schedule(overdueAfterMillis, request.id);
@@ -263,28 +269,28 @@
 
   private void terminate(RequestState request, double nowMillis) {
     termination.terminate(request, nowMillis);
-    forgetIfDone(request);
+    removeIfDone(request);
   }
 
   /** Cancels the request's open attempts but for one, which may be null. */
   private void cancelOthers(RequestState request, AttemptState kept) {
-    if (request.openAttempts == 0 || !settings.now().limits().cancel()) {
+    if (request.openAttempts == 0 || !settings.current().limits().canCancel()) {
       return;
     }
     for (AttemptState attempt : request.attempts) {
-      if (attempt.open && attempt != kept && !attempt.cancelled) {
+      if (attempt.isOpen && attempt != kept && !attempt.isCancelled) {
         cancel(attempt);
       }
     }
   }
 
   private void cancel(AttemptState attempt) {
-    attempt.cancelled = true;
+    attempt.isCancelled = true;
     actions.cancel(attempt.request.id, attempt.number);
   }
 
-  private void forgetIfDone(RequestState request) {
-    if (request.ended && request.openAttempts == 0) {
+  private void removeIfDone(RequestState request) {
+    if (request.isEnded && request.openAttempts == 0) {
       requests.remove(request.id);
     }
   }
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -6,7 +6,7 @@
  */
 final class OutcomeObserver {
   /** An endpoint that turns work away as full counts as a response after so many aims. */
-  private static final double FULL_PRESSURE_AIMS = 2;
+  private static final double FULL_PRESSURE_OBJECTIVES = 2;
 
   private final PendingResponseTracker pendingResponses;
   private final OutlierDetector outliers;
@@ -57,14 +57,14 @@
     Endpoint endpoint = attempt.endpoint;
     pendingResponses.onResponse(endpoint, nowMillis);
     outliers.onSuccess(endpoint);
-    classEjections.onSuccess(endpoint, request.rules(), nowMillis);
+    classEjections.onSuccess(endpoint, request.requestClass(), nowMillis);
     if (request.isStreaming()) {
       return; // its response time was taken at the first byte
     }
-    double meanMillis = request.latency.meanMillis();
-    request.latency.onResponse(spentMillis);
+    double meanMillis = request.latencyEstimate.meanMillis();
+    request.latencyEstimate.onResponse(spentMillis);
     responseTimes.onResponse(endpoint, spentMillis, meanMillis, nowMillis);
-    queueDelay.onResponse(endpoint, attempt.ownBefore, spentMillis);
+    queueDelay.onResponse(endpoint, attempt.ownInFlightAtSend, spentMillis);
     addPressure(request, spentMillis, nowMillis);
   }
 
@@ -77,13 +77,16 @@
   // pressure.
   private void onFull(AttemptState attempt, double nowMillis) {
     Endpoint endpoint = attempt.endpoint;
-    Settings.RequestClass rules = attempt.request.rules();
+    Settings.RequestClass rules = attempt.request.requestClass();
     pendingResponses.onResponse(endpoint, nowMillis);
     if (loadReports.isIdle(endpoint, nowMillis)) {
       classEjections.eject(endpoint, rules, nowMillis);
     } else {
       outliers.onOverloaded(endpoint, nowMillis);
-      pressure.onResponse(FULL_PRESSURE_AIMS * rules.aim(), rules.aim(), nowMillis);
+      pressure.onResponse(
+          FULL_PRESSURE_OBJECTIVES * rules.latencyObjectiveMillis(),
+          rules.latencyObjectiveMillis(),
+          nowMillis);
     }
   }
 
@@ -99,15 +102,15 @@
     if (endpoint.lastResponseMillis <= attempt.sentAtMillis) {
       onNoResponse(attempt, nowMillis);
       if (hasRoom) {
-        classEjections.eject(endpoint, request.rules(), nowMillis);
+        classEjections.eject(endpoint, request.requestClass(), nowMillis);
       }
     }
   }
 
   // Guards against clients that give up before their time-out would tell of a silent endpoint.
   private void onCancelled(AttemptState attempt, double nowMillis) {
-    double allowedMillis = attempt.request.latency.silentAfterMillis();
-    if (pendingResponses.isUnanswered(attempt.endpoint, allowedMillis, nowMillis)) {
+    double allowedMillis = attempt.request.latencyEstimate.silentAfterMillis();
+    if (pendingResponses.isUnresponsive(attempt.endpoint, allowedMillis, nowMillis)) {
       onNoResponse(attempt, nowMillis);
     }
   }
@@ -119,6 +122,6 @@
 
   private void addPressure(RequestState request, double spentMillis, double nowMillis) {
     double elapsedMillis = spentMillis + pendingResponses.readLagMillis(nowMillis);
-    pressure.onResponse(elapsedMillis, request.rules().aim(), nowMillis);
+    pressure.onResponse(elapsedMillis, request.requestClass().latencyObjectiveMillis(), nowMillis);
   }
 }
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -9,16 +9,16 @@
  */
 final class OutlierDetector {
   /** Smoothed share of failures that ejects: three in a row, or half of the last few. */
-  private static final double EJECT_FAILURE_SHARE = 0.48;
+  private static final double EJECTION_FAILURE_RATE = 0.48;
 
   /** Smoothing of that share: about the last five outcomes. */
   private static final double FAILURE_SMOOTHING = 0.2;
 
   /** Share of the endpoints that may be ejected at once: about what breaks together. */
-  private static final double MOST_EJECTED_SHARE = 0.4;
+  private static final double MAX_EJECTED_SHARE = 0.4;
 
   /** The longest ejection. */
-  private static final double LONGEST_EJECTION_AIMS = 20;
+  private static final double MAX_EJECTION_OBJECTIVES = 20;
 
   private final LiveSettings settings;
   private final EndpointTable endpoints;
@@ -41,10 +41,10 @@
    * while silent for longer than {@code allowedMillis}.
    */
   boolean isAvailable(Endpoint endpoint, double allowedMillis, double nowMillis) {
-    if (nowMillis < endpoint.ejection.untilMillis) {
+    if (nowMillis < endpoint.ejection.ejectedUntilMillis) {
       return false;
     }
-    if (endpoint.ejection.onTrial) {
+    if (endpoint.ejection.isHalfOpen) {
       return endpoint.inFlight == 0;
     }
     return !pendingResponses.isSilent(endpoint, allowedMillis, nowMillis);
@@ -52,20 +52,20 @@
 
   /** The endpoint has served a request. */
   void onSuccess(Endpoint endpoint) {
-    endpoint.failureShare -= FAILURE_SMOOTHING * endpoint.failureShare;
-    if (endpoint.ejection.onTrial) {
-      endpoint.failureShare = 0;
+    endpoint.failureRate -= FAILURE_SMOOTHING * endpoint.failureRate;
+    if (endpoint.ejection.isHalfOpen) {
+      endpoint.failureRate = 0;
       readmit(endpoint);
     }
   }
 
   /** The endpoint has failed a request, or never answered it. */
   void onFailure(Endpoint endpoint, double nowMillis) {
-    endpoint.failureShare += FAILURE_SMOOTHING * (1 - endpoint.failureShare);
+    endpoint.failureRate += FAILURE_SMOOTHING * (1 - endpoint.failureRate);
     penalty.onFailure(endpoint, nowMillis);
-    if (nowMillis >= endpoint.ejection.untilMillis
-        && (endpoint.ejection.onTrial || endpoint.failureShare >= EJECT_FAILURE_SHARE)
-        && mayEjectAnother(nowMillis)) {
+    if (nowMillis >= endpoint.ejection.ejectedUntilMillis
+        && (endpoint.ejection.isHalfOpen || endpoint.failureRate >= EJECTION_FAILURE_RATE)
+        && canEjectAnother(nowMillis)) {
       eject(endpoint, nowMillis);
     }
   }
@@ -73,7 +73,7 @@
   /** The endpoint turned a request away as full: it is penalized, but not held to be failing. */
   void onOverloaded(Endpoint endpoint, double nowMillis) {
     penalty.onFailure(endpoint, nowMillis);
-    if (endpoint.ejection.onTrial) {
+    if (endpoint.ejection.isHalfOpen) {
       readmit(endpoint);
     }
   }
@@ -83,40 +83,44 @@
    * answers: it is taken back as if it had answered here.
    */
   void onGossip(Endpoint endpoint, double ejectionMillis, double nowMillis) {
-    boolean heeded = ejectionMillis > 0 ? mayEjectAnother(nowMillis) : endpoint.ejection.onTrial;
-    if (!heeded) {
+    boolean isApplicable =
+        ejectionMillis > 0 ? canEjectAnother(nowMillis) : endpoint.ejection.isHalfOpen;
+    if (!isApplicable) {
       return;
     }
     EjectionBackoff ejection = endpoint.ejection;
-    ejection.untilMillis =
-        ejectionMillis > 0 ? Math.max(ejection.untilMillis, nowMillis + ejectionMillis) : nowMillis;
-    ejection.onTrial = true;
+    ejection.ejectedUntilMillis =
+        ejectionMillis > 0
+            ? Math.max(ejection.ejectedUntilMillis, nowMillis + ejectionMillis)
+            : nowMillis;
+    ejection.isHalfOpen = true;
     if (ejectionMillis == 0) {
-      endpoint.failureShare = 0;
+      endpoint.failureRate = 0;
       penalty.clear(endpoint);
       readmit(endpoint);
     }
   }
 
   // Guards against an overload that is taken for outliers: the few left would get all the load.
-  private boolean mayEjectAnother(double nowMillis) {
-    List<Endpoint> ready = endpoints.ready();
+  private boolean canEjectAnother(double nowMillis) {
+    List<Endpoint> ready = endpoints.readyEndpoints();
     int ejected = 0;
     for (int i = 0; i < ready.size(); i++) {
-      ejected += nowMillis < ready.get(i).ejection.untilMillis ? 1 : 0;
+      ejected += nowMillis < ready.get(i).ejection.ejectedUntilMillis ? 1 : 0;
     }
-    return 1 + ejected <= Math.max(1, MOST_EJECTED_SHARE * ready.size());
+    return 1 + ejected <= Math.max(1, MAX_EJECTED_SHARE * ready.size());
   }
 
   private void readmit(Endpoint endpoint) {
-    endpoint.ejection.onTrial = false;
+    endpoint.ejection.isHalfOpen = false;
     actions.log("host " + endpoint.id + " readmitted");
   }
 
   private void eject(Endpoint endpoint, double nowMillis) {
-    if (!endpoint.ejection.onTrial) {
+    if (!endpoint.ejection.isHalfOpen) {
       actions.log("host " + endpoint.id + " ejected");
     }
-    endpoint.ejection.begin(nowMillis, settings.shortestAimMillis(), LONGEST_EJECTION_AIMS, random);
+    endpoint.ejection.eject(
+        nowMillis, settings.shortestObjectiveMillis(), MAX_EJECTION_OBJECTIVES, random);
   }
 }
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -10,7 +10,7 @@
  */
 final class PendingResponseTracker {
   /** Silence shorter than this is never held against an endpoint: pauses and jitter. */
-  private static final double LEAST_SILENCE_MILLIS = 40;
+  private static final double MIN_SILENCE_MILLIS = 40;
 
   /** Until when all that came has been read; what came since may still stand in this process. */
   private double readUntilMillis = Double.POSITIVE_INFINITY;
@@ -38,15 +38,15 @@
 
   /** Whether the endpoint holds a request of ours and is silent. */
   boolean isSilent(Endpoint endpoint, double allowedMillis, double nowMillis) {
-    return endpoint.inFlight > 0 && isUnanswered(endpoint, allowedMillis, nowMillis);
+    return endpoint.inFlight > 0 && isUnresponsive(endpoint, allowedMillis, nowMillis);
   }
 
   /**
    * Whether the endpoint has answered nothing since a request went there, for longer than {@code
    * allowedMillis} of an endpoint of mean speed.
    */
-  boolean isUnanswered(Endpoint endpoint, double allowedMillis, double nowMillis) {
+  boolean isUnresponsive(Endpoint endpoint, double allowedMillis, double nowMillis) {
     return Math.min(nowMillis, readUntilMillis) - endpoint.pendingSinceMillis
-        > Math.max(LEAST_SILENCE_MILLIS, allowedMillis * Math.max(1, endpoint.slowness));
+        > Math.max(MIN_SILENCE_MILLIS, allowedMillis * Math.max(1, endpoint.slowness));
   }
 }
--- a/src/main/java/leadferry/loadbalancer/PressureEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/PressureEstimate.java
@@ -2,7 +2,7 @@
 
 /**
  * How close the upstream is to overload: recent response time as a share of the latency objective
- * (aim), from 0 to {@value #MOST}. It fades while no responses come.
+ * (aim), from 0 to {@value #MAX_PRESSURE}. It fades while no responses come.
  *
  * <pre>
  *   0 ....... 0.4 ................ 0.7 ............. 1.0
@@ -12,7 +12,7 @@
  */
 final class PressureEstimate {
   /** Pressure from which load is shed and no request is hedged. */
-  private static final double SHED_FROM = 0.4;
+  private static final double SHED_THRESHOLD = 0.4;
 
   /** Pressure above that at which every request of mean priority would be shed. */
   private static final double SHED_SPAN = 0.6;
@@ -21,28 +21,31 @@
   private static final double OVERLOADED_SPAN_SHARE = 0.5;
 
   /** Pressure past which a retry would only feed the overload. */
-  private static final double OVERLOADED_FROM = SHED_FROM + OVERLOADED_SPAN_SHARE * SHED_SPAN;
+  private static final double OVERLOADED_THRESHOLD =
+      SHED_THRESHOLD + OVERLOADED_SPAN_SHARE * SHED_SPAN;
 
-  /** Below this share of {@link #SHED_FROM} an overload is over: a gap keeps it from flapping. */
+  /**
+   * Below this share of {@link #SHED_THRESHOLD} an overload is over: a gap keeps it from flapping.
+   */
   private static final double RECOVERED_SHARE = 0.5;
 
   /** Pressure from which endpoints of other zones are candidates too. */
-  private static final double SPILL_FROM = 0.35;
+  private static final double SPILL_THRESHOLD = 0.35;
 
   /** The most that one response can tell. */
-  private static final double MOST = 2;
+  private static final double MAX_PRESSURE = 2;
 
   /** Least weight of a response: about the last ten count. */
-  private static final double LEAST_WEIGHT = 0.1;
+  private static final double MIN_WEIGHT = 0.1;
 
   /** Most weight of a response: one alone proves no overload. */
-  private static final double MOST_WEIGHT = 0.3;
+  private static final double MAX_WEIGHT = 0.3;
 
   /** Responses further apart than a tenth of this weigh more, or an overload is noticed late. */
-  private static final double MEMORY_AIMS = 7.5;
+  private static final double MEMORY_OBJECTIVES = 7.5;
 
   /** Time constant at which pressure fades without responses: queues drain slowly. */
-  private static final double FADE_AIMS = 25;
+  private static final double DECAY_OBJECTIVES = 25;
 
   private final LiveSettings settings;
   private double pressure;
@@ -53,21 +56,22 @@
   }
 
   /** A response has come after {@code elapsedMillis}, or none by then. */
-  void onResponse(double elapsedMillis, double aimMillis, double nowMillis) {
+  void onResponse(double elapsedMillis, double objectiveMillis, double nowMillis) {
     double gapMillis = nowMillis - updatedAtMillis;
     pressure = pressure(nowMillis);
     // A proxy with few requests weighs each one more, or it would learn of an overload after it.
     double weight =
         Math.min(
-            MOST_WEIGHT,
-            Math.max(LEAST_WEIGHT, gapMillis / (MEMORY_AIMS * settings.shortestAimMillis())));
-    pressure += weight * (Math.min(MOST, elapsedMillis / aimMillis) - pressure);
+            MAX_WEIGHT,
+            Math.max(
+                MIN_WEIGHT, gapMillis / (MEMORY_OBJECTIVES * settings.shortestObjectiveMillis())));
+    pressure += weight * (Math.min(MAX_PRESSURE, elapsedMillis / objectiveMillis) - pressure);
     updatedAtMillis = nowMillis;
   }
 
   /** How far into the span of shedding the pressure is: 0 or less where nothing is shed. */
   double shedExcess(double nowMillis) {
-    return (pressure(nowMillis) - SHED_FROM) / SHED_SPAN;
+    return (pressure(nowMillis) - SHED_THRESHOLD) / SHED_SPAN;
   }
 
   /** Whether an excess of {@link #shedExcess} is an overload. */
@@ -75,24 +79,26 @@
     return shedExcess > OVERLOADED_SPAN_SHARE;
   }
 
-  boolean overloaded(double nowMillis) {
-    return pressure(nowMillis) > OVERLOADED_FROM;
+  boolean isOverloaded(double nowMillis) {
+    return pressure(nowMillis) > OVERLOADED_THRESHOLD;
   }
 
-  boolean recovered(double nowMillis) {
-    return pressure(nowMillis) < SHED_FROM * RECOVERED_SHARE;
+  boolean hasRecovered(double nowMillis) {
+    return pressure(nowMillis) < SHED_THRESHOLD * RECOVERED_SHARE;
   }
 
-  boolean shedding(double nowMillis) {
-    return pressure(nowMillis) > SHED_FROM;
+  boolean isShedding(double nowMillis) {
+    return pressure(nowMillis) > SHED_THRESHOLD;
   }
 
-  boolean spillsToOtherZones(double nowMillis) {
-    return pressure(nowMillis) > SPILL_FROM;
+  boolean shouldSpillToOtherZones(double nowMillis) {
+    return pressure(nowMillis) > SPILL_THRESHOLD;
   }
 
   private double pressure(double nowMillis) {
     return pressure
-        * Math.exp(-(nowMillis - updatedAtMillis) / (FADE_AIMS * settings.shortestAimMillis()));
+        * Math.exp(
+            -(nowMillis - updatedAtMillis)
+                / (DECAY_OBJECTIVES * settings.shortestObjectiveMillis()));
   }
 }
--- a/src/main/java/leadferry/loadbalancer/RequestState.java
+++ b/src/main/java/leadferry/loadbalancer/RequestState.java
@@ -6,12 +6,12 @@
 /** A client's request while it waits for its final answer or has attempts open. */
 final class RequestState {
   /** Nothing new is started this close to the client's deadline. */
-  private static final double LAST_SEND_MILLIS = 5;
+  private static final double MIN_ATTEMPT_MILLIS = 5;
 
   final long id;
 
   /** The latency of its class, as the settings were when it came. */
-  final LatencyEstimate latency;
+  final LatencyEstimate latencyEstimate;
 
   final double deadlineMillis;
 
@@ -24,31 +24,31 @@
   double priorityWeight = 1;
 
   /** Pressure sheds it, unless the endpoint picked for it has room. */
-  boolean drawnForShedding;
+  boolean isDrawnForShedding;
 
   /** Attempts without an outcome. */
   int openAttempts;
 
   /** It has had its final answer, or its client has disconnected. */
-  boolean ended;
+  boolean isEnded;
 
   /** Attempt whose response has begun to reach the client, or null. */
   AttemptState streamingAttempt;
 
   RequestState(
       long id,
-      LatencyEstimate latency,
+      LatencyEstimate latencyEstimate,
       double nowMillis,
       double budgetMillis,
       Settings.Limits limits) {
     this.id = id;
-    this.latency = latency;
+    this.latencyEstimate = latencyEstimate;
     this.deadlineMillis = nowMillis + budgetMillis;
     this.maxAttempts = limits.maxAttempts();
   }
 
-  Settings.RequestClass rules() {
-    return latency.requestClass;
+  Settings.RequestClass requestClass() {
+    return latencyEstimate.requestClass;
   }
 
   /** Whether its response has begun to reach the client. */
@@ -57,13 +57,13 @@
   }
 
   /** Whether its class may be repeated in any case. */
-  boolean mayRunTwice() {
-    return rules().semantics() != Settings.Semantics.AT_MOST_ONCE;
+  boolean isRepeatable() {
+    return requestClass().semantics() != Settings.Semantics.AT_MOST_ONCE;
   }
 
   /** Whether there is time left for another attempt. */
   boolean hasTimeForAttempt(double nowMillis) {
-    return nowMillis < deadlineMillis - LAST_SEND_MILLIS;
+    return nowMillis < deadlineMillis - MIN_ATTEMPT_MILLIS;
   }
 
   boolean hasTried(Endpoint endpoint) {
@@ -85,7 +85,7 @@
   }
 
   /** Begins an attempt at the endpoint. */
-  void begin(Endpoint endpoint, double nowMillis) {
+  void startAttempt(Endpoint endpoint, double nowMillis) {
     attempts.add(new AttemptState(this, attempts.size(), endpoint, nowMillis));
     openAttempts++;
   }
--- a/src/main/java/leadferry/loadbalancer/RetryPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/RetryPolicy.java
@@ -15,7 +15,9 @@
   }
 
   /** Whether to retry; a yes takes a retry from the budget. */
-  boolean retries(RequestState request, double nowMillis) {
-    return request.hasTimeForAttempt(nowMillis) && !pressure.overloaded(nowMillis) && budget.take();
+  boolean tryAcquireRetry(RequestState request, double nowMillis) {
+    return request.hasTimeForAttempt(nowMillis)
+        && !pressure.isOverloaded(nowMillis)
+        && budget.tryAcquire();
   }
 }
--- a/src/main/java/leadferry/loadbalancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -7,72 +7,76 @@
     List<RequestClass> classes,
     List<Tenant> tenants,
     Limits limits,
-    Rules rules,
-    boolean mustFollow,
+    WarmUpRules warmUpRules,
+    boolean shouldWatchDiscovery,
     String zone,
-    int position,
-    int balancers,
-    double overShareWorth,
-    boolean worthByWork) {
+    int proxyIndex,
+    int proxyCount,
+    double minPriorityWeight,
+    boolean isValueByWork) {
 
   /** Copies the lists, so that settings never change. */
   public Settings {
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
-    balancers = Math.max(1, balancers);
+    proxyCount = Math.max(1, proxyCount);
   }
 
   /** The same for the instance at this position of the tier. */
-  public Settings at(int place) {
+  public Settings withProxyIndex(int index) {
     return new Settings(
         classes,
         tenants,
         limits,
-        rules,
-        mustFollow,
+        warmUpRules,
+        shouldWatchDiscovery,
         zone,
-        place,
-        balancers,
-        overShareWorth,
-        worthByWork);
+        index,
+        proxyCount,
+        minPriorityWeight,
+        isValueByWork);
   }
 
   /** The same with these classes. */
-  public Settings with(List<RequestClass> others) {
+  public Settings withClasses(List<RequestClass> newClasses) {
     return new Settings(
-        others,
+        newClasses,
         tenants,
         limits,
-        rules,
-        mustFollow,
+        warmUpRules,
+        shouldWatchDiscovery,
         zone,
-        position,
-        balancers,
-        overShareWorth,
-        worthByWork);
+        proxyIndex,
+        proxyCount,
+        minPriorityWeight,
+        isValueByWork);
   }
 
   /** A connection that carries nothing is worth its place at an endpoint for so long. */
-  private static final double IDLE_TIMEOUT_AIMS = 2;
+  private static final double IDLE_TIMEOUT_OBJECTIVES = 2;
 
   /** Where aims are short, peaks come and go within them, and each would cost handshakes. */
-  private static final double LEAST_IDLE_TIMEOUT_MILLIS = 1_000;
+  private static final double MIN_IDLE_TIMEOUT_MILLIS = 1_000;
 
   /** What the shortest aim is taken for where there is no class. */
-  private static final double DEFAULT_AIM_MILLIS = 400;
+  private static final double DEFAULT_OBJECTIVE_MILLIS = 400;
 
   /**
    * How long (ms) a connection to an endpoint is kept that carries nothing: {@code most} where that
    * is less.
    */
-  public double idleTimeoutMillis(double most) {
+  public double idleTimeoutMillis(double maxMillis) {
     return Math.min(
-        most, Math.max(LEAST_IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_AIMS * shortestAimMillis()));
+        maxMillis,
+        Math.max(MIN_IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_OBJECTIVES * shortestObjectiveMillis()));
   }
 
   /** The shortest latency objective (aim) of all classes, by which the module's times go. */
-  public double shortestAimMillis() {
-    return classes.stream().mapToDouble(RequestClass::aim).min().orElse(DEFAULT_AIM_MILLIS);
+  public double shortestObjectiveMillis() {
+    return classes.stream()
+        .mapToDouble(RequestClass::latencyObjectiveMillis)
+        .min()
+        .orElse(DEFAULT_OBJECTIVE_MILLIS);
   }
 
   /** What may be repeated. */
@@ -83,7 +87,7 @@
   }
 
   /** The endpoints that share the memory of a deduplicated request. */
-  public enum Scope {
+  public enum KeyScope {
     ALL,
     ZONE,
     CELL
@@ -92,56 +96,76 @@
   /** A class of requests. */
   public record RequestClass(
       String name,
-      double aim,
-      double deadline,
+      double latencyObjectiveMillis,
+      double deadlineMillis,
       Semantics semantics,
-      Scope scope,
-      double repeatWindow,
+      KeyScope keyScope,
+      double deduplicationWindowMillis,
       double value,
-      double lateWorth) {
+      double lateValue) {
     /**
      * How long (ms) after an attempt that may have run another one may go out: for ever, the
      * window, or never.
      */
-    public double repeatsWithin() {
+    public double repeatWindowMillis() {
       return switch (semantics) {
         case IDEMPOTENT -> Double.MAX_VALUE;
-        case DEDUPLICATED -> repeatWindow;
+        case DEDUPLICATED -> deduplicationWindowMillis;
         case AT_MOST_ONCE -> 0;
       };
     }
 
     /** The same under another name. */
-    public RequestClass named(String other) {
+    public RequestClass withName(String newName) {
       return new RequestClass(
-          other, aim, deadline, semantics, scope, repeatWindow, value, lateWorth);
+          newName,
+          latencyObjectiveMillis,
+          deadlineMillis,
+          semantics,
+          keyScope,
+          deduplicationWindowMillis,
+          value,
+          lateValue);
     }
 
     /** The same with so much time (ms) for an answer to be of use, and to come at all. */
-    public RequestClass within(double time) {
-      return new RequestClass(name, time, time, semantics, scope, repeatWindow, value, lateWorth);
+    public RequestClass withTimeLimit(double timeLimitMillis) {
+      return new RequestClass(
+          name,
+          timeLimitMillis,
+          timeLimitMillis,
+          semantics,
+          keyScope,
+          deduplicationWindowMillis,
+          value,
+          lateValue);
     }
 
     /** A class that the settings do not name: taken for the strictest kind. */
-    static RequestClass unknown(String name, double budget) {
-      double wait = Math.max(1, budget);
-      return new RequestClass(name, wait, wait, Semantics.AT_MOST_ONCE, Scope.ALL, 0, 1, 0);
+    static RequestClass unknown(String name, double budgetMillis) {
+      double timeLimitMillis = Math.max(1, budgetMillis);
+      return new RequestClass(
+          name, timeLimitMillis, timeLimitMillis, Semantics.AT_MOST_ONCE, KeyScope.ALL, 0, 1, 0);
     }
   }
 
   /** A tenant and its share. */
-  public record Tenant(String name, double quotaPerSecond, double portion) {}
+  public record Tenant(String name, double quotaPerSecond, double quotaShare) {}
 
   /** What the deployment permits. */
   public record Limits(
-      boolean cancel,
-      boolean retryAfter,
-      boolean parallelTries,
+      boolean canCancel,
+      boolean canSendRetryAfter,
+      boolean canRunParallelAttempts,
       int maxAttempts,
-      double maxRetryAfter,
+      double maxRetryAfterMillis,
       int streamsPerConnection) {}
 
   /** The figures of the drain and slow-start rules. */
-  public record Rules(
-      double cold, double startCapacity, double fall, double fallMultiple, double askWithin) {}
+  public record WarmUpRules(
+      double warmUpMillis,
+      double initialCapacityShare,
+      double overloadWindowMillis,
+      double overloadMultiple,
+      double maxWatchDelayMillis) {}
 }
--- a/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
+++ b/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
@@ -25,9 +25,9 @@
   /**
    * Whether the endpoint is warm, or has credit; {@code among} endpoints share this proxy's load.
    */
-  boolean allows(Endpoint endpoint, int among, double nowMillis) {
+  boolean canSend(Endpoint endpoint, int endpointCount, double nowMillis) {
     double capacityShare = capacityShare(endpoint, nowMillis);
-    return capacityShare >= 1 || hasCredit(endpoint, capacityShare, among, nowMillis);
+    return capacityShare >= 1 || hasCredit(endpoint, capacityShare, endpointCount, nowMillis);
   }
 
   /** A request goes to the endpoint: it uses credit up while the endpoint is warming up. */
@@ -35,29 +35,30 @@
     endpoint.credit -= capacityShare(endpoint, nowMillis) < 1 ? 1 : 0;
   }
 
-  private boolean hasCredit(Endpoint endpoint, double capacityShare, int among, double nowMillis) {
-    Settings.Rules rules = settings.now().rules();
-    double meanPerMilli = arrivals.servedPerMilli(nowMillis) / Math.max(1, among);
-    double gain =
+  private boolean hasCredit(
+      Endpoint endpoint, double capacityShare, int endpointCount, double nowMillis) {
+    Settings.WarmUpRules rules = settings.current().warmUpRules();
+    double meanPerMilli = arrivals.servedPerMilli(nowMillis) / Math.max(1, endpointCount);
+    double earned =
         USED_SHARE
-            * rules.fallMultiple()
+            * rules.overloadMultiple()
             * capacityShare
             * meanPerMilli
             * (nowMillis - endpoint.creditAtMillis);
     endpoint.creditAtMillis = nowMillis;
-    double most = 1 + meanPerMilli * rules.fall() / 2;
-    endpoint.credit = Math.min(endpoint.credit + gain, most);
+    double maxCredit = 1 + meanPerMilli * rules.overloadWindowMillis() / 2;
+    endpoint.credit = Math.min(endpoint.credit + earned, maxCredit);
     return endpoint.credit >= 1;
   }
 
   /** The least share of its capacity that an endpoint has now: 1 when warm. */
   private double capacityShare(Endpoint endpoint, double nowMillis) {
     double ageMillis = nowMillis - endpoint.onlineSinceMillis;
-    double warmUpMillis = settings.now().rules().cold();
+    double warmUpMillis = settings.current().warmUpRules().warmUpMillis();
     if (endpoint.onlineSinceMillis <= 0 || ageMillis >= warmUpMillis) {
       return 1;
     }
-    double initial = settings.now().rules().startCapacity();
-    return initial + (1 - initial) * Math.max(0, ageMillis) / warmUpMillis;
+    double initialShare = settings.current().warmUpRules().initialCapacityShare();
+    return initialShare + (1 - initialShare) * Math.max(0, ageMillis) / warmUpMillis;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/TenantQuotas.java
+++ b/src/main/java/leadferry/loadbalancer/TenantQuotas.java
@@ -6,7 +6,7 @@
 /**
  * What a tenant's request weighs when load is shed: 1 within the tenant's share of the recent
  * requests, less the further the tenant is over it, never less than {@link
- * Settings#overShareWorth}.
+ * Settings#minPriorityWeight}.
  *
  * <p>Guards against a burst of one tenant that takes the place of the others' requests.
  */
@@ -20,7 +20,7 @@
   /** The recent requests of one tenant. */
   private static final class Usage {
     final double quotaShare;
-    double requests;
+    double requestCount;
     double lastArrivalMillis;
 
     Usage(double quotaShare) {
@@ -30,7 +30,7 @@
 
   private final LiveSettings settings;
   private final Map<String, Usage> usages = new HashMap<>();
-  private double allRequests;
+  private double totalRequests;
   private double lastArrivalMillis;
 
   TenantQuotas(LiveSettings settings) {
@@ -40,20 +40,20 @@
   /** Takes the tenants of the settings in force; their usage is counted anew. */
   void onSettings() {
     usages.clear();
-    for (Settings.Tenant tenant : settings.now().tenants()) {
-      usages.put(tenant.name(), new Usage(tenant.portion()));
+    for (Settings.Tenant tenant : settings.current().tenants()) {
+      usages.put(tenant.name(), new Usage(tenant.quotaShare()));
     }
   }
 
   /** A request of the tenant has come; {@code tenant} may be null or unknown. */
   void onArrival(String tenant, double nowMillis) {
-    double fade = Math.exp(-(nowMillis - lastArrivalMillis) / MEMORY_MILLIS);
-    allRequests = allRequests * fade + 1;
+    double decay = Math.exp(-(nowMillis - lastArrivalMillis) / MEMORY_MILLIS);
+    totalRequests = totalRequests * decay + 1;
     lastArrivalMillis = nowMillis;
     Usage usage = usages.get(tenant);
     if (usage != null) {
-      double ownFade = Math.exp(-(nowMillis - usage.lastArrivalMillis) / MEMORY_MILLIS);
-      usage.requests = usage.requests * ownFade + 1;
+      double tenantDecay = Math.exp(-(nowMillis - usage.lastArrivalMillis) / MEMORY_MILLIS);
+      usage.requestCount = usage.requestCount * tenantDecay + 1;
       usage.lastArrivalMillis = nowMillis;
     }
   }
@@ -65,7 +65,8 @@
       return 1;
     }
     double usedShare =
-        (usage.requests + PRIOR_REQUESTS * usage.quotaShare) / (allRequests + PRIOR_REQUESTS);
-    return Math.min(1, Math.max(settings.now().overShareWorth(), usage.quotaShare / usedShare));
+        (usage.requestCount + PRIOR_REQUESTS * usage.quotaShare) / (totalRequests + PRIOR_REQUESTS);
+    return Math.min(
+        1, Math.max(settings.current().minPriorityWeight(), usage.quotaShare / usedShare));
   }
 }
--- a/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
@@ -7,26 +7,30 @@
  */
 final class TerminationPolicy {
   /** A client that is back at once meets the same queue; much later its request is of no use. */
-  private static final double RETRY_AFTER_AIM_SHARE = 0.25;
+  private static final double RETRY_AFTER_OBJECTIVE_SHARE = 0.25;
 
   private final LiveSettings settings;
-  private final IdempotencyWindow idempotency;
+  private final IdempotencyPolicy idempotencyPolicy;
   private final LoadBalancerActions actions;
 
-  TerminationPolicy(LoadBalancerContext context, IdempotencyWindow idempotency) {
+  TerminationPolicy(LoadBalancerContext context, IdempotencyPolicy idempotencyPolicy) {
     this.settings = context.settings;
-    this.idempotency = idempotency;
+    this.idempotencyPolicy = idempotencyPolicy;
     this.actions = context.actions;
   }
 
   /** Gives the request its final answer. */
   void terminate(RequestState request, double nowMillis) {
-    if (idempotency.mayReject(request, nowMillis)) {
-      boolean advises = settings.now().limits().retryAfter();
-      actions.reject(request.id, advises ? RETRY_AFTER_AIM_SHARE * request.rules().aim() : 0);
+    if (idempotencyPolicy.canReject(request, nowMillis)) {
+      boolean sendsRetryAfter = settings.current().limits().canSendRetryAfter();
+      actions.reject(
+          request.id,
+          sendsRetryAfter
+              ? RETRY_AFTER_OBJECTIVE_SHARE * request.requestClass().latencyObjectiveMillis()
+              : 0);
     } else {
       actions.fail(request.id);
     }
-    request.ended = true;
+    request.isEnded = true;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/WatchBackoff.java
+++ b/src/main/java/leadferry/loadbalancer/WatchBackoff.java
@@ -8,15 +8,15 @@
  */
 final class WatchBackoff {
   /** The first wait; each further one is twice as long. */
-  private static final double FIRST_MILLIS = 500;
+  private static final double FIRST_WAIT_MILLIS = 500;
 
   /** Jitter: a wait is drawn from this share of the nominal one to one more. */
-  private static final double LEAST_JITTER = 0.5;
+  private static final double MIN_JITTER = 0.5;
 
   private final LiveSettings settings;
   private final SplittableRandom random;
-  private double nextMillis = FIRST_MILLIS;
-  private boolean pending;
+  private double nextWaitMillis = FIRST_WAIT_MILLIS;
+  private boolean isWaiting;
 
   WatchBackoff(LoadBalancerContext context) {
     this.settings = context.settings;
@@ -25,24 +25,27 @@
 
   /** Whether a failure now should begin a wait: one has not begun, and there is to be a watch. */
   boolean shouldWait() {
-    return settings.now().mustFollow() && !pending;
+    return settings.current().shouldWatchDiscovery() && !isWaiting;
   }
 
   /** Begins a wait and gives its length. */
-  double beginMillis() {
-    pending = true;
-    double waitMillis = nextMillis * (LEAST_JITTER + random.nextDouble());
-    nextMillis = Math.min(2 * nextMillis, Math.max(1, settings.now().rules().askWithin() / 2));
+  double startWaitMillis() {
+    isWaiting = true;
+    double waitMillis = nextWaitMillis * (MIN_JITTER + random.nextDouble());
+    nextWaitMillis =
+        Math.min(
+            2 * nextWaitMillis,
+            Math.max(1, settings.current().warmUpRules().maxWatchDelayMillis() / 2));
     return waitMillis;
   }
 
   /** The wait is over. */
   void onTimer() {
-    pending = false;
+    isWaiting = false;
   }
 
   /** Discovery has sent a list. */
   void reset() {
-    nextMillis = FIRST_MILLIS;
+    nextWaitMillis = FIRST_WAIT_MILLIS;
   }
 }
--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -130,13 +130,13 @@
     JsonNode peers = root.path("peers");
     InetSocketAddress listen = Addresses.parse(root.path("peer_listen").asText(""));
     InetSocketAddress all = Addresses.parse(root.path("peers_all").asText(""));
-    if (!SettingsReader.peers(root.path("settings")) || listen == null || all == null) {
+    if (!SettingsReader.canMessagePeers(root.path("settings")) || listen == null || all == null) {
       return null;
     }
     Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     for (int i = 0; i < peers.size(); i++) {
       InetSocketAddress peer = Addresses.parse(peers.path(i).asText(""));
-      if (peer != null && i != settings.position()) {
+      if (peer != null && i != settings.proxyIndex()) {
         numbers.put(peer, i);
       }
     }
--- a/src/main/java/leadferry/proxy/Discovery.java
+++ b/src/main/java/leadferry/proxy/Discovery.java
@@ -84,7 +84,7 @@
     this.dispatcher = dispatcher;
     this.log = log;
     this.address = config.discovery();
-    this.polled = config.settings().mustFollow();
+    this.polled = config.settings().shouldWatchDiscovery();
     this.backoff = new ReconnectBackoff(config.drainGraceMillis());
     this.bootstrap =
         new Bootstrap()
--- a/src/main/java/leadferry/proxy/GracefulShutdown.java
+++ b/src/main/java/leadferry/proxy/GracefulShutdown.java
@@ -70,7 +70,7 @@
   private static double longestDeadlineMillis(Settings settings) {
     double longest = 0;
     for (Settings.RequestClass requestClass : settings.classes()) {
-      longest = Math.max(longest, requestClass.deadline());
+      longest = Math.max(longest, requestClass.deadlineMillis());
     }
     return Math.min(longest, MAX_DEADLINE_MILLIS);
   }
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -112,7 +112,7 @@
 
   /** The deadline of the class or of the request, the shorter; NaN for a malformed header. */
   private static double timeoutMillis(HttpHeaders headers, Settings.RequestClass requestClass) {
-    double deadlineMillis = requestClass.deadline();
+    double deadlineMillis = requestClass.deadlineMillis();
     return headers.contains(TIMEOUT_MILLIS)
         ? Math.min(
             deadlineMillis, Framing.parseWholeNumber(Framing.singleValue(headers, TIMEOUT_MILLIS)))
--- a/src/main/java/leadferry/proxy/SettingsReload.java
+++ b/src/main/java/leadferry/proxy/SettingsReload.java
@@ -47,13 +47,13 @@
     for (Settings.RequestClass old : replaced.values()) {
       Settings.RequestClass current = classes.get(old.name());
       if (current == null || current.semantics() != old.semantics()) {
-        Settings.RequestClass renamed = old.named(old.name() + FORMER_SUFFIX);
+        Settings.RequestClass renamed = old.withName(old.name() + FORMER_SUFFIX);
         former.put(old.name(), renamed);
         all.add(renamed);
       }
     }
     formerClasses = former;
-    return next.with(all);
+    return next.withClasses(all);
   }
 
   /**
--- a/src/main/java/leadferry/proxy/WarmUp.java
+++ b/src/main/java/leadferry/proxy/WarmUp.java
@@ -103,9 +103,9 @@
   }
 
   private static Settings withLongDeadlines(Settings settings) {
-    return settings.with(
+    return settings.withClasses(
         settings.classes().stream()
-            .map(requestClass -> requestClass.within(DEADLINE_MILLIS))
+            .map(requestClass -> requestClass.withTimeLimit(DEADLINE_MILLIS))
             .toList());
   }
 
--- a/src/test/java/leadferry/adapter/AdapterScenario.java
+++ b/src/test/java/leadferry/adapter/AdapterScenario.java
@@ -36,17 +36,17 @@
   private final Map<Long, ScenarioRequest> requests = new HashMap<>();
   private final VirtualTime time = new VirtualTime(1_000);
   private final StringBuilder batch = new StringBuilder();
-  private final Set<Integer> alive = new HashSet<>();
-  private final boolean subscribes;
-  private final boolean parallel;
+  private final Set<Integer> runningInstances = new HashSet<>();
+  private final boolean shouldWatchDiscovery;
+  private final boolean canRunParallelAttempts;
   private long nextId = 100;
-  private int stamp = 1;
+  private int listVersion = 1;
 
   AdapterScenario(long seed) {
     this.seed = seed;
     this.random = new Random(seed);
-    this.subscribes = seed % 2 == 0;
-    this.parallel = seed % 3 != 0;
+    this.shouldWatchDiscovery = seed % 2 == 0;
+    this.canRunParallelAttempts = seed % 3 != 0;
   }
 
   /**
@@ -63,9 +63,9 @@
               String.format(Locale.ROOT, "sync wall=%.3f%n", nowMillis()) + batch + "eob\n";
           batch.setLength(0);
           input.append(text);
-          for (String line : adapter.answer(text)) {
+          for (String line : adapter.exchange(text)) {
             output.append(line).append('\n');
-            command(new WireCommand(line));
+            runCommand(new WireCommand(line));
           }
           output.append("ok\n");
         }
@@ -78,20 +78,20 @@
     return time.nowMillis();
   }
 
-  private void at(double whenMillis, Runnable what) {
-    time.at(whenMillis, what);
+  private void schedule(double timeMillis, Runnable action) {
+    time.schedule(timeMillis, action);
   }
 
-  private void event(String format, Object... args) {
+  private void addEvent(String format, Object... args) {
     batch.append(String.format(Locale.ROOT, format, args)).append('\n');
   }
 
   private void start() {
-    servers.addAll(SimulatedServer.initial());
-    for (int who = 0; who < INSTANCES; who++) {
-      int instance = who;
-      at(nowMillis(), () -> startInstance(instance));
-      arrivals(instance);
+    servers.addAll(SimulatedServer.createInitial());
+    for (int instance = 0; instance < INSTANCES; instance++) {
+      int startedInstance = instance;
+      schedule(nowMillis(), () -> startInstance(startedInstance));
+      scheduleFirstArrival(startedInstance);
     }
     scheduleFaults();
     scheduleOverload();
@@ -99,119 +99,121 @@
   }
 
   private void scheduleFaults() {
-    at(2_000, () -> servers.get(1).meanMillis = SimulatedServer.SILENT);
-    at(2_500, () -> servers.get(4).meanMillis = SimulatedServer.FAILING);
-    at(3_000, () -> drain(servers.get(2)));
-    at(3_300, () -> join());
-    at(3_800, () -> servers.get(6).meanMillis = 400); // slow
-    at(4_400, () -> servers.get(1).meanMillis = 9);
-    at(
+    schedule(2_000, () -> servers.get(1).meanMillis = SimulatedServer.SILENT);
+    schedule(2_500, () -> servers.get(4).meanMillis = SimulatedServer.FAILING);
+    schedule(3_000, () -> drain(servers.get(2)));
+    schedule(3_300, () -> addServer());
+    schedule(3_800, () -> servers.get(6).meanMillis = 400); // slow
+    schedule(4_400, () -> servers.get(1).meanMillis = 9);
+    schedule(
         4_800,
         () -> {
           servers.get(5).onlineSinceMillis = nowMillis();
-          tellAll("full");
+          addEndpointListForAll("full");
         });
-    at(
+    schedule(
         5_200,
         () -> {
-          event("retire who=2");
-          alive.remove(2);
+          addEvent("retire who=2");
+          runningInstances.remove(2);
         });
-    at(5_400, () -> startInstance(2));
-    at(5_600, () -> servers.get(7).meanMillis = SimulatedServer.UNREACHABLE);
+    schedule(5_400, () -> startInstance(2));
+    schedule(5_600, () -> servers.get(7).meanMillis = SimulatedServer.UNREACHABLE);
   }
 
   private void scheduleOverload() {
-    at(6_000, () -> servers.forEach(SimulatedServer::overload));
-    at(7_200, () -> servers.forEach(SimulatedServer::recover));
+    schedule(6_000, () -> servers.forEach(SimulatedServer::slowDown));
+    schedule(7_200, () -> servers.forEach(SimulatedServer::recover));
   }
 
   private void scheduleProbes() {
     for (double when = 1_500; when < END_MILLIS; when += 700) {
-      at(
+      schedule(
           when,
           () -> {
-            int who = random.nextInt(INSTANCES);
+            int instance = random.nextInt(INSTANCES);
             SimulatedServer server = servers.get(random.nextInt(servers.size()));
-            event(
+            addEvent(
                 "probed who=%d host=%d spent=2.5 reason=1 load=%s",
-                who, server.id, server.loadReport());
+                instance, server.id, server.loadReport());
           });
     }
   }
 
-  private void startInstance(int who) {
-    event(
+  private void startInstance(int instance) {
+    addEvent(
         "new_instance who=%d prng=%d conf=%s",
-        who,
-        1_000 * seed + who + (long) nowMillis(),
-        ScenarioSettings.json(seed, INSTANCES, who, subscribes, parallel));
-    alive.add(who);
-    ledger(servers);
-    event("membership who=%d buffer=0 how=cached stamp=%d", who, stamp);
+        instance,
+        1_000 * seed + instance + (long) nowMillis(),
+        ScenarioSettings.json(
+            seed, INSTANCES, instance, shouldWatchDiscovery, canRunParallelAttempts));
+    runningInstances.add(instance);
+    addEndpointBuffer(servers);
+    addEvent("membership who=%d buffer=0 how=cached stamp=%d", instance, listVersion);
   }
 
-  private void ledger(List<SimulatedServer> list) {
-    event("ledger buffer=0 records=%d", list.size());
+  private void addEndpointBuffer(List<SimulatedServer> list) {
+    addEvent("ledger buffer=0 records=%d", list.size());
     for (SimulatedServer server : list) {
-      event("%s", server.entry());
+      addEvent("%s", server.endpointEntry());
     }
   }
 
-  private void tellAll(String how) {
-    stamp++;
-    ledger(servers);
-    for (int who : alive) {
-      event("membership who=%d buffer=0 how=%s stamp=%d", who, how, stamp);
+  private void addEndpointListForAll(String listKind) {
+    listVersion++;
+    addEndpointBuffer(servers);
+    for (int instance : runningInstances) {
+      addEvent("membership who=%d buffer=0 how=%s stamp=%d", instance, listKind, listVersion);
     }
   }
 
   private void drain(SimulatedServer server) {
     server.condition = "Terminating";
-    stamp++;
-    ledger(List.of(server));
-    for (int who : alive) {
-      event("membership who=%d buffer=0 how=delta stamp=%d", who, stamp);
+    listVersion++;
+    addEndpointBuffer(List.of(server));
+    for (int instance : runningInstances) {
+      addEvent("membership who=%d buffer=0 how=delta stamp=%d", instance, listVersion);
     }
-    at(
+    schedule(
         nowMillis() + 1_500,
         () -> {
           server.condition = "Gone";
-          ledger(List.of(server));
-          alive.forEach(
+          addEndpointBuffer(List.of(server));
+          runningInstances.forEach(
               instance ->
-                  event("membership who=%d buffer=0 how=delta stamp=%d", instance, ++stamp));
+                  addEvent(
+                      "membership who=%d buffer=0 how=delta stamp=%d", instance, ++listVersion));
           servers.remove(server);
         });
   }
 
-  private void join() {
-    servers.add(SimulatedServer.joined(nowMillis()));
-    tellAll("full");
+  private void addServer() {
+    servers.add(SimulatedServer.createStarted(nowMillis()));
+    addEndpointListForAll("full");
   }
 
-  private void arrivals(int who) {
+  private void scheduleFirstArrival(int instance) {
     double gapMillis = -Math.log(1 - random.nextDouble()) * 28;
-    arrive(who, nowMillis() + 50 + gapMillis);
+    scheduleArrival(instance, nowMillis() + 50 + gapMillis);
   }
 
-  private void arrive(int who, double whenMillis) {
+  private void scheduleArrival(int instance, double whenMillis) {
     if (whenMillis > END_MILLIS) {
       return;
     }
-    at(
+    schedule(
         whenMillis,
         () -> {
-          request(who);
-          arrive(
-              who,
+          addRequest(instance);
+          scheduleArrival(
+              instance,
               whenMillis
                   - Math.log(1 - random.nextDouble())
                       * (nowMillis() > 6_000 && nowMillis() < 7_000 ? 9 : 28));
         });
   }
 
-  private void request(int who) {
+  private void addRequest(int instance) {
     ScenarioRequest request = new ScenarioRequest();
     request.id = nextId++;
     String type =
@@ -219,40 +221,40 @@
             .get(random.nextInt(8));
     double budgetMillis = type.equals("claim") ? 500 : random.nextInt(6) == 0 ? 90 : 400;
     request.deadlineMillis = nowMillis() + budgetMillis;
-    request.streamed = type.equals("stream");
-    if (!alive.contains(who)) {
+    request.isStreamed = type.equals("stream");
+    if (!runningInstances.contains(instance)) {
       return;
     }
     requests.put(request.id, request);
-    event(
+    addEvent(
         "inbound who=%d txn=%d class=%s%s budget=%.1f%s",
-        who,
+        instance,
         request.id,
         type,
         random.nextInt(4) == 0 ? "" : " org=t" + (1 + random.nextInt(2)),
         budgetMillis,
         random.nextBoolean() ? " estimate=12.0" : "");
     if (random.nextInt(12) == 0) {
-      at(
+      schedule(
           nowMillis() + 10 + random.nextInt(60),
           () -> {
-            if (!request.over && alive.contains(who)) {
-              request.over = true;
-              event("gone who=%d txn=%d", who, request.id);
+            if (!request.isOver && runningInstances.contains(instance)) {
+              request.isOver = true;
+              addEvent("gone who=%d txn=%d", instance, request.id);
             }
           });
     }
   }
 
-  private void command(WireCommand command) {
-    int who = (int) command.number("who");
+  private void runCommand(WireCommand command) {
+    int instance = (int) command.number("who");
     switch (command.name()) {
-      case "transmit" -> transmit(who, command.number("txn"), command.number("host"));
-      case "shed", "abort" -> requests.get(command.number("txn")).over = true;
+      case "transmit" -> send(instance, command.number("txn"), command.number("host"));
+      case "shed", "abort" -> requests.get(command.number("txn")).isOver = true;
       case "cancel" -> cancel(command);
-      case "set_timer" -> setTimer(who, command);
-      case "memo_to" -> broadcast(who, command.field("raw"));
-      case "follow" -> watchEndpoints(who);
+      case "set_timer" -> setTimer(instance, command);
+      case "memo_to" -> broadcast(instance, command.field("raw"));
+      case "follow" -> watchEndpoints(instance);
       default -> {}
     }
   }
@@ -260,55 +262,56 @@
   private void cancel(WireCommand command) {
     ScenarioRequest.Attempt attempt =
         requests.get(command.number("txn")).attempts.get((int) command.number("sendNo"));
-    at(nowMillis() + BATCH_MILLIS, () -> end(attempt, CANCELLED));
+    schedule(nowMillis() + BATCH_MILLIS, () -> end(attempt, CANCELLED));
   }
 
-  private void setTimer(int who, WireCommand command) {
+  private void setTimer(int instance, WireCommand command) {
     String token = command.field("token");
-    at(
+    schedule(
         nowMillis() + Math.max(BATCH_MILLIS, Double.parseDouble(command.field("sleepFor"))),
         () -> {
-          if (alive.contains(who)) {
-            event("wake who=%d token=%s", who, token);
+          if (runningInstances.contains(instance)) {
+            addEvent("wake who=%d token=%s", instance, token);
           }
         });
   }
 
-  private void broadcast(int who, String message) {
-    for (int other : List.copyOf(alive)) {
-      if (other != who && random.nextInt(10) > 0) {
-        at(
+  private void broadcast(int instance, String message) {
+    for (int other : List.copyOf(runningInstances)) {
+      if (other != instance && random.nextInt(10) > 0) {
+        schedule(
             nowMillis() + BATCH_MILLIS,
-            () -> event("heard who=%d from=%d raw=%s", other, who, message));
+            () -> addEvent("heard who=%d from=%d raw=%s", other, instance, message));
       }
     }
   }
 
-  private void watchEndpoints(int who) {
+  private void watchEndpoints(int instance) {
     boolean fails = random.nextInt(2) == 0;
-    at(
+    schedule(
         nowMillis() + BATCH_MILLIS,
         () -> {
           if (!fails) {
-            ledger(servers);
+            addEndpointBuffer(servers);
           }
-          event(
-              "membership who=%d buffer=0 how=%s stamp=%d", who, fails ? "failed" : "full", stamp);
+          addEvent(
+              "membership who=%d buffer=0 how=%s stamp=%d",
+              instance, fails ? "failed" : "full", listVersion);
         });
   }
 
-  private void transmit(int who, long requestId, long endpoint) {
+  private void send(int instance, long requestId, long endpoint) {
     ScenarioRequest request = requests.get(requestId);
     ScenarioRequest.Attempt attempt = new ScenarioRequest.Attempt();
-    attempt.who = who;
-    attempt.request = requestId;
+    attempt.instance = instance;
+    attempt.requestId = requestId;
     attempt.number = request.attempts.size();
     attempt.server =
         servers.stream().filter(server -> server.id == endpoint).findFirst().orElse(null);
     attempt.sentAtMillis = nowMillis();
     request.attempts.add(attempt);
     if (attempt.server == null) {
-      at(nowMillis() + BATCH_MILLIS, () -> end(attempt, CONNECT_FAILED));
+      schedule(nowMillis() + BATCH_MILLIS, () -> end(attempt, CONNECT_FAILED));
     } else {
       serve(request, attempt);
     }
@@ -322,8 +325,8 @@
             server.meanMillis
                 * server.slowness(nowMillis())
                 * (0.3 - Math.log(1 - random.nextDouble()))
-                * (1 + server.held / 4.0));
-    server.held++;
+                * (1 + server.heldRequests / 4.0));
+    server.heldRequests++;
     int reason = reasonOf(server);
     double takenMillis =
         switch (reason) {
@@ -335,10 +338,10 @@
     double leftMillis = request.deadlineMillis - nowMillis();
     int inTime = takenMillis < leftMillis ? reason : TIMEOUT;
     double endMillis = nowMillis() + Math.min(takenMillis, Math.max(1, leftMillis));
-    if (request.streamed && inTime == OK && !request.over) {
-      at(nowMillis() + takenMillis / 2, () -> firstByte(request, attempt));
+    if (request.isStreamed && inTime == OK && !request.isOver) {
+      schedule(nowMillis() + takenMillis / 2, () -> firstByte(request, attempt));
     }
-    at(endMillis, () -> end(attempt, inTime));
+    schedule(endMillis, () -> end(attempt, inTime));
   }
 
   private int reasonOf(SimulatedServer server) {
@@ -355,10 +358,10 @@
   }
 
   private void firstByte(ScenarioRequest request, ScenarioRequest.Attempt attempt) {
-    if (!attempt.ended && !request.over && alive.contains(attempt.who)) {
-      event(
+    if (!attempt.isEnded && !request.isOver && runningInstances.contains(attempt.instance)) {
+      addEvent(
           "first_byte who=%d txn=%d sendNo=%d host=%d spent=%.1f",
-          attempt.who,
+          attempt.instance,
           request.id,
           attempt.number,
           attempt.server.id,
@@ -367,23 +370,23 @@
   }
 
   private void end(ScenarioRequest.Attempt attempt, int reason) {
-    if (attempt.ended) {
+    if (attempt.isEnded) {
       return;
     }
-    attempt.ended = true;
+    attempt.isEnded = true;
     if (attempt.server != null) {
-      attempt.server.held--;
+      attempt.server.heldRequests--;
     }
-    if (!alive.contains(attempt.who)) {
+    if (!runningInstances.contains(attempt.instance)) {
       return;
     }
-    ScenarioRequest request = requests.get(attempt.request);
-    boolean over = request.over || reason == OK;
-    request.over = over;
-    event(
+    ScenarioRequest request = requests.get(attempt.requestId);
+    boolean over = request.isOver || reason == OK;
+    request.isOver = over;
+    addEvent(
         "outcome who=%d txn=%d sendNo=%d host=%d reason=%d spent=%.1f%s%s",
-        attempt.who,
-        attempt.request,
+        attempt.instance,
+        attempt.requestId,
         attempt.number,
         attempt.server == null ? 0 : attempt.server.id,
         reason,
--- a/src/test/java/leadferry/adapter/AdapterTest.java
+++ b/src/test/java/leadferry/adapter/AdapterTest.java
@@ -29,16 +29,16 @@
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private static String start(int who) {
+  private static String startEvents(int instance) {
     return "new_instance who="
-        + who
+        + instance
         + " prng=5 conf="
         + CONF
         + "\n"
         + "ledger buffer=0 records=1\n"
         + "host host=77 hall=z1 model=m group=0 condition=Ready capacityHint=1 later=1\n"
         + "membership who="
-        + who
+        + instance
         + " buffer=0 how=cached stamp=1\n";
   }
 
@@ -49,11 +49,11 @@
   }
 
   @Test
-  void sendsAndEndsARequest() throws IOException {
+  void requestIsSentAndEnded() throws IOException {
     String reply =
         run(
             "sync wall=10\n"
-                + start(3)
+                + startEvents(3)
                 + "eob\n"
                 + "sync wall=11\ninbound who=3 txn=4000000000 class=c routeKey=a=b budget=400\neob\n"
                 + "sync wall=12\noutcome who=3 txn=4000000000 sendNo=0 host=77 reason=1 spent=1.0"
@@ -69,63 +69,66 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void instancesTalkWhereTheDeploymentLetsThem(boolean allowed) throws IOException {
+  void instancesSendGossipOnlyIfAllowed(boolean allowed) throws IOException {
     String reply =
         run(
             "sync wall=10\n"
-                + start(3).replace("\"cancel\":true", "\"cancel\":true,\"peers\":" + allowed)
+                + startEvents(3).replace("\"cancel\":true", "\"cancel\":true,\"peers\":" + allowed)
                 + "eob\n"
                 + "sync wall=11\ninbound who=3 txn=4 class=c budget=400\neob\n"
                 + "sync wall=400\noutcome who=3 txn=4 sendNo=0 host=77 reason=4 spent=389 terminal=1\neob\n"
                 + "sync wall=401\nheard who=3 from=1 raw=AAA=\neob\n");
-    String tells = "memo_to who=3 recipient=all raw=";
-    assertThat(reply.contains(tells)).isEqualTo(allowed);
+    String gossipCommand = "memo_to who=3 recipient=all raw=";
+    assertThat(reply.contains(gossipCommand)).isEqualTo(allowed);
     assertThat(reply).endsWith("ok\n").doesNotContain("crash");
   }
 
   @Test
-  void aMessageThatIsNoBase64IsMalformedAndATimerOfOneThatHasGoneIsNothing() throws IOException {
-    String talks = start(3).replace("\"cancel\":true", "\"cancel\":true,\"peers\":true");
-    assertThat(run("sync wall=10\n" + talks + "retire who=3\nwake who=3 token=-2\neob\n"))
+  void invalidBase64IsMalformedAndTimerOfRetiredInstanceIsIgnored() throws IOException {
+    String eventsWithGossip =
+        startEvents(3).replace("\"cancel\":true", "\"cancel\":true,\"peers\":true");
+    assertThat(
+            run("sync wall=10\n" + eventsWithGossip + "retire who=3\nwake who=3 token=-2\neob\n"))
         .isEqualTo("ok\n");
-    assertThatThrownBy(() -> run("sync wall=10\n" + talks + "heard who=3 from=1 raw=%%\neob\n"))
+    assertThatThrownBy(
+            () -> run("sync wall=10\n" + eventsWithGossip + "heard who=3 from=1 raw=%%\neob\n"))
         .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining("raw");
   }
 
   @Test
-  void refusesWhenTheOnlyHostIsFullTwice() throws IOException {
+  void requestIsRejectedIfOnlyEndpointIsFull() throws IOException {
     String reply =
         run(
             "sync wall=10\n"
-                + start(3)
+                + startEvents(3)
                 + "inbound who=3 txn=1 class=c budget=400\n"
                 + "outcome who=3 txn=1 sendNo=0 host=77 reason=3 spent=1\neob\n");
     assertThat(reply).contains("shed who=3 txn=1");
   }
 
   @Test
-  void retiredAndUnknownIdsArePassedOver() throws IOException {
+  void eventsForRetiredAndUnknownIdsAreIgnored() throws IOException {
     String reply =
         run(
             "sync wall=10\n"
-                + start(3)
+                + startEvents(3)
                 + "gone who=3 txn=99\noutcome who=3 txn=98 sendNo=0 host=1 reason=2 spent=1\n"
                 + "wake who=3 token=12\nprobed who=3 host=5 spent=1 reason=1\n"
                 + "heard who=3 from=1 raw=-\nnovel who=3 thing=2\n"
                 + "retire who=3\n"
-                + start(3)
+                + startEvents(3)
                 + "retire who=3\n"
                 + "inbound who=3 txn=1 class=c budget=400\neob\n");
     assertThat(reply).isEqualTo("ok\n");
   }
 
   @Test
-  void ledgersAreReusedInABatch() throws IOException {
+  void endpointListUsesLatestBuffer() throws IOException {
     String reply =
         run(
             "sync wall=10\n"
-                + start(0)
+                + startEvents(0)
                 + "ledger buffer=0 records=1\nhost host=88\n"
                 + "membership who=0 buffer=0 how=full stamp=2\n"
                 + "inbound who=0 txn=1 class=c budget=400\neob\n");
@@ -147,7 +150,7 @@
         "sync wall=1\neo",
         "sync wall=1\n\neob\n"
       })
-  void malformedInputEndsWithOnePlainLine(String input) {
+  void malformedInputFailsWithOneLineMessage(String input) {
     assertThatThrownBy(() -> run(input))
         .isInstanceOf(MalformedInputException.class)
         .message()
--- a/src/test/java/leadferry/adapter/AdapterThread.java
+++ b/src/test/java/leadferry/adapter/AdapterThread.java
@@ -21,9 +21,9 @@
 
   AdapterThread() throws IOException {
     PipedInputStream input = new PipedInputStream(events, PIPE_BYTES);
-    PipedInputStream answers = new PipedInputStream(PIPE_BYTES);
-    OutputStream output = new PipedOutputStream(answers);
-    commands = new BufferedReader(new InputStreamReader(answers, StandardCharsets.UTF_8));
+    PipedInputStream replies = new PipedInputStream(PIPE_BYTES);
+    OutputStream output = new PipedOutputStream(replies);
+    commands = new BufferedReader(new InputStreamReader(replies, StandardCharsets.UTF_8));
     thread = new Thread(() -> run(input, output), "adapter");
     thread.start();
   }
@@ -38,15 +38,15 @@
   }
 
   /** Has the adapter answer a batch, and gives the commands. */
-  List<String> answer(String batch) throws IOException {
+  List<String> exchange(String batch) throws IOException {
     events.write(batch.getBytes(StandardCharsets.UTF_8));
     events.flush();
-    List<String> answer = new ArrayList<>();
+    List<String> receivedCommands = new ArrayList<>();
     String line;
     while (!(line = commands.readLine()).equals("ok")) {
-      answer.add(line);
+      receivedCommands.add(line);
     }
-    return answer;
+    return receivedCommands;
   }
 
   @Override
--- a/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
+++ b/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
@@ -18,7 +18,7 @@
 class RecordedAdapterRunTest {
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5})
-  void recordedEventsGetTheRecordedCommands(int seed) throws IOException {
+  void recordedEventsProduceRecordedCommands(int seed) throws IOException {
     byte[] events = recording("seed-" + seed + ".in.gz");
     String expected = new String(recording("seed-" + seed + ".out.gz"), StandardCharsets.UTF_8);
     ByteArrayOutputStream commands = new ByteArrayOutputStream();
--- a/src/test/java/leadferry/adapter/ScenarioRequest.java
+++ b/src/test/java/leadferry/adapter/ScenarioRequest.java
@@ -7,17 +7,17 @@
 final class ScenarioRequest {
   /** One send of it, to a server or to one that is not there any more. */
   static final class Attempt {
-    int who;
-    long request;
+    int instance;
+    long requestId;
     int number;
     SimulatedServer server;
     double sentAtMillis;
-    boolean ended;
+    boolean isEnded;
   }
 
   long id;
   double deadlineMillis;
-  boolean over;
-  boolean streamed;
+  boolean isOver;
+  boolean isStreamed;
   final List<Attempt> attempts = new ArrayList<>();
 }
--- a/src/test/java/leadferry/adapter/ScenarioSettings.java
+++ b/src/test/java/leadferry/adapter/ScenarioSettings.java
@@ -5,7 +5,12 @@
   private ScenarioSettings() {}
 
   /** Those of the instance at this position of the tier; they differ from seed to seed. */
-  static String json(long seed, int instances, int position, boolean subscribes, boolean parallel) {
+  static String json(
+      long seed,
+      int instances,
+      int position,
+      boolean shouldWatchDiscovery,
+      boolean canRunParallelAttempts) {
     return "{\"balancers\":"
         + instances
         + ",\"position\":"
@@ -14,7 +19,7 @@
         + (1 + position % 2)
         + "\","
         + "\"membershipMode\":\""
-        + (subscribes ? "subscribe" : "automatic")
+        + (shouldWatchDiscovery ? "subscribe" : "automatic")
         + "\",\"overShareWorth\":0.1,"
         + "\"worthBy\":\""
         + (seed % 2 == 0 ? "request" : "work")
@@ -28,7 +33,7 @@
         + "{\"name\":\"claim\",\"aim\":200,\"deadline\":500,\"semantics\":\"at_most_once\",\"value\":8},"
         + "{\"name\":\"stream\",\"aim\":100,\"deadline\":400,\"semantics\":\"idempotent\",\"streamed\":true,\"value\":1}],"
         + "\"limits\":{\"maxAttempts\":4,\"parallelTries\":"
-        + parallel
+        + canRunParallelAttempts
         + ",\"cancel\":"
         + (seed % 5 != 0)
         + ",\"retryAfter\":true,\"maxRetryAfter\":1200,\"peers\":true,\"streamsPerConn\":1},"
--- a/src/test/java/leadferry/adapter/SimulatedServer.java
+++ b/src/test/java/leadferry/adapter/SimulatedServer.java
@@ -15,7 +15,7 @@
   static final double UNREACHABLE = -2;
 
   /** Requests that it holds at most; more are turned away. */
-  private static final int MOST_HELD = 6;
+  private static final int MAX_HELD_REQUESTS = 6;
 
   private static final double WARM_UP_MILLIS = 2_000;
 
@@ -25,7 +25,7 @@
   double onlineSinceMillis;
   String condition = "Ready";
   double meanMillis;
-  int held;
+  int heldRequests;
 
   private SimulatedServer(long id, String zone, long cell, double meanMillis) {
     this.id = id;
@@ -35,7 +35,7 @@
   }
 
   /** The servers at the beginning, of two zones and four cells. */
-  static List<SimulatedServer> initial() {
+  static List<SimulatedServer> createInitial() {
     List<SimulatedServer> servers = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
       servers.add(
@@ -45,14 +45,14 @@
   }
 
   /** One that has just come up. */
-  static SimulatedServer joined(double nowMillis) {
+  static SimulatedServer createStarted(double nowMillis) {
     SimulatedServer server = new SimulatedServer(9_001, "z1", 9, 9);
     server.onlineSinceMillis = nowMillis;
     return server;
   }
 
   /** From now on it takes six times as long, if it serves at all. */
-  void overload() {
+  void slowDown() {
     meanMillis = meanMillis > 0 ? 6 * meanMillis : meanMillis;
   }
 
@@ -67,11 +67,11 @@
   }
 
   boolean isFull() {
-    return held > MOST_HELD;
+    return heldRequests > MAX_HELD_REQUESTS;
   }
 
   /** Its entry in an endpoint list, on the wire. */
-  String entry() {
+  String endpointEntry() {
     return "host host="
         + id
         + " hall="
@@ -89,11 +89,11 @@
   /** Its report of load, on the wire. */
   String loadReport() {
     return "rif:"
-        + held
+        + heldRequests
         + ",q:"
-        + Math.max(0, held - 3)
+        + Math.max(0, heldRequests - 3)
         + ",busy:0."
-        + Math.min(9, held)
+        + Math.min(9, heldRequests)
         + ",lat_ms:"
         + (meanMillis > 0 && meanMillis < 1e6 ? Math.round(meanMillis) : 5)
         + ",rate:40,fail_rate:0.5";
--- a/src/test/java/leadferry/adapter/VirtualTime.java
+++ b/src/test/java/leadferry/adapter/VirtualTime.java
@@ -5,13 +5,13 @@
 
 /** A clock in milliseconds that is moved on by hand, and what is to happen when. */
 final class VirtualTime {
-  private record Event(double atMillis, long order, Runnable what) {}
+  private record Event(double timeMillis, long sequenceNumber, Runnable action) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          Comparator.comparingDouble(Event::atMillis).thenComparingLong(Event::order));
+          Comparator.comparingDouble(Event::timeMillis).thenComparingLong(Event::sequenceNumber));
   private double nowMillis;
-  private long order;
+  private long nextSequenceNumber;
 
   VirtualTime(double nowMillis) {
     this.nowMillis = nowMillis;
@@ -22,14 +22,14 @@
   }
 
   /** Has that happen then; what is due at the same time happens in the order of the calls. */
-  void at(double whenMillis, Runnable what) {
-    events.add(new Event(whenMillis, order++, what));
+  void schedule(double timeMillis, Runnable action) {
+    events.add(new Event(timeMillis, nextSequenceNumber++, action));
   }
 
   /** Has all happen that is due by now. */
   void runDue() {
-    while (!events.isEmpty() && events.peek().atMillis() <= nowMillis) {
-      events.poll().what().run();
+    while (!events.isEmpty() && events.peek().timeMillis() <= nowMillis) {
+      events.poll().action().run();
     }
   }
 
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -233,7 +233,7 @@
 
     void outcome(Job j, AttemptOutcome result, boolean over, LoadReport load) {
       open.remove(j.request, j);
-      if (talk && result.answered()) {
+      if (talk && result.hasResponse()) {
         suspicions.onResponse(now, j.host.id);
       }
       module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
@@ -426,19 +426,26 @@
     return new Settings(
         List.of(
             new Settings.RequestClass(
-                CLAIM, AIM, DEADLINE, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 8, 0),
+                CLAIM,
+                AIM,
+                DEADLINE,
+                Settings.Semantics.AT_MOST_ONCE,
+                Settings.KeyScope.ALL,
+                0,
+                8,
+                0),
             new Settings.RequestClass(
                 LOG,
                 AIM,
                 DEADLINE,
                 Settings.Semantics.DEDUPLICATED,
-                Settings.Scope.CELL,
+                Settings.KeyScope.CELL,
                 750,
                 5,
                 0)),
         List.of(),
         new Settings.Limits(true, true, true, 6, 1_200, 1),
-        new Settings.Rules(COLD, COLD_FROM, FALL, FALL_MULTIPLE, 6_000),
+        new Settings.WarmUpRules(COLD, COLD_FROM, FALL, FALL_MULTIPLE, 6_000),
         false,
         null,
         position,
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -43,10 +43,10 @@
     return new Settings(
         List.of(
             new Settings.RequestClass(
-                "c", 400, 800, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.CELL, 0, 1, 0)),
+                "c", 400, 800, Settings.Semantics.AT_MOST_ONCE, Settings.KeyScope.CELL, 0, 1, 0)),
         List.of(),
         new Settings.Limits(true, true, false, 3, 0, 1),
-        new Settings.Rules(0, 1, 1_000, 3, 0),
+        new Settings.WarmUpRules(0, 1, 1_000, 3, 0),
         false,
         null,
         0,
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -53,7 +53,7 @@
       int worker = w;
       modules[w] =
           new LoadBalancer(
-              PickBenchmark.settings().at(0),
+              PickBenchmark.settings().withProxyIndex(0),
               w + 1,
               new PickBenchmark.Nothing() {
                 @Override
--- a/src/test/java/leadferry/engine/AttemptPhaseTest.java
+++ b/src/test/java/leadferry/engine/AttemptPhaseTest.java
@@ -47,6 +47,6 @@
     AttemptPhase ended = AttemptPhase.ATTACHED.ended(outcome);
 
     assertThat(ended.isOver()).isTrue();
-    assertThat(ended.mayHaveRun()).isEqualTo(!outcome.neverRan());
+    assertThat(ended.mayHaveRun()).isEqualTo(!outcome.hasNoEffect());
   }
 }
--- a/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
+++ b/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
@@ -67,7 +67,7 @@
             new ScarceTransport(),
             4,
             new Settings.RequestClass(
-                "c", 400, 60_000, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
+                "c", 400, 60_000, Settings.Semantics.AT_MOST_ONCE, Settings.KeyScope.ALL, 0, 1, 0));
   }
 
   @AfterEach
--- a/src/test/java/leadferry/engine/EngineFixture.java
+++ b/src/test/java/leadferry/engine/EngineFixture.java
@@ -76,7 +76,7 @@
             List.of(type),
             List.of(),
             new Settings.Limits(true, true, true, 3, 1_000, 1),
-            new Settings.Rules(1_000, 1, 1_000, 3, 6_000),
+            new Settings.WarmUpRules(1_000, 1, 1_000, 3, 6_000),
             false,
             "z",
             0,
--- a/src/test/java/leadferry/engine/UnfinishedWritesTest.java
+++ b/src/test/java/leadferry/engine/UnfinishedWritesTest.java
@@ -35,7 +35,7 @@
                 100,
                 60_000,
                 Settings.Semantics.DEDUPLICATED,
-                Settings.Scope.ALL,
+                Settings.KeyScope.ALL,
                 WINDOW,
                 1,
                 0));
--- a/src/test/java/leadferry/http/LoadReportHeadersTest.java
+++ b/src/test/java/leadferry/http/LoadReportHeadersTest.java
@@ -9,6 +9,6 @@
   void invalidValue_discardsWholeReport() {
     assertThat(LoadReportHeaders.parse("inflight=1e300")).isNull();
     assertThat(LoadReportHeaders.parse("inflight=3,eps=none")).isNull();
-    assertThat(LoadReportHeaders.parse("inflight=3,other=none").held()).isEqualTo(3);
+    assertThat(LoadReportHeaders.parse("inflight=3,other=none").heldRequests()).isEqualTo(3);
   }
 }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayDeque;
 import java.util.List;
-import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
@@ -13,19 +13,19 @@
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
   @Test
-  void rejectsAtOnceWithoutEndpoints() {
-    LoadBalancer balancer = fixture.safe(0);
+  void requestWithoutEndpointsIsRejectedAtOnce() {
+    LoadBalancer balancer = fixture.createIdempotent(0);
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(1, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(1, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.rejected).containsExactly(1L);
   }
 
   @Test
-  void rejectsEarlyInOverloadAndRecovers() {
-    LoadBalancer balancer = fixture.safe(4);
+  void overloadShedsRequestsUntilItEnds() {
+    LoadBalancer balancer = fixture.createIdempotent(4);
     for (int i = 0; i < 60; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
     }
     fixture.nowMillis += 790;
     for (int i = 0; i < 60; i++) {
@@ -34,7 +34,7 @@
     int sent = fixture.sends.size();
     for (int i = 1_000; i < 1_050; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
     }
     assertThat(fixture.rejected).hasSizeGreaterThan(20);
     assertThat(fixture.sends).hasSizeGreaterThan(sent);
@@ -49,10 +49,10 @@
   /** Between two time-outs of a light proxy an overload must not be forgotten. */
   @Test
   void overloadIsRememberedBetweenTimeouts() {
-    LoadBalancer balancer = fixture.safe(4);
+    LoadBalancer balancer = fixture.createIdempotent(4);
     for (int i = 0; i < 60; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
     }
     fixture.nowMillis += 790;
     for (int i = 0; i < 60; i++) {
@@ -61,18 +61,18 @@
     fixture.nowMillis += 3_000;
     for (int i = 1_000; i < 1_100; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
     }
     assertThat(fixture.rejected).hasSizeGreaterThan(60);
   }
 
   /** Guards against a few heavy requests that make every queue look too long to begin. */
   @Test
-  void heavyAnswersDoNotMakeQueuesLookLong() {
-    LoadBalancer balancer = fixture.safe(3);
+  void heavyRequestsDoNotInflateQueueDelay() {
+    LoadBalancer balancer = fixture.createIdempotent(3);
     for (int i = 0; i < 120; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       LoadBalancerFixture.Send send = fixture.last();
       double spentMillis = i % 10 == 9 ? 780 : 60;
       fixture.nowMillis += spentMillis;
@@ -83,35 +83,35 @@
           AttemptOutcome.OK,
           spentMillis,
           true,
-          LoadBalancerFixture.reportOfHeld(10));
+          LoadBalancerFixture.loadReport(10));
     }
     // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does
     // not.
     int rejected = fixture.rejected.size();
     fixture.nowMillis += 15_000; // pressure fades
     for (long id = 0; id < 3; id++) {
-      balancer.onLoadReport(fixture.nowMillis, id, LoadBalancerFixture.reportOfHeld(25));
+      balancer.onLoadReport(fixture.nowMillis, id, LoadBalancerFixture.loadReport(25));
     }
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(900, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(900, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.rejected).hasSize(rejected);
   }
 
   /** Guards against a tenant's burst that takes the place of requests within their share. */
   @Test
-  void rejectsATenantOverItsShareFirst() {
+  void tenantOverItsQuotaIsRejectedFirst() {
     LoadBalancer balancer =
-        fixture.balancer(
+        fixture.create(
             LoadBalancerFixture.settings(
                 List.of(new Settings.Tenant("x", 10, 0.5), new Settings.Tenant("y", 10, 0.5)),
                 LoadBalancerFixture.requestClass(
-                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                    LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
             LoadBalancerFixture.endpoints(4));
     for (int i = 0; i < 90; i++) {
       balancer.onRequest(
           fixture.nowMillis,
           new RequestArrival(
-              i, LoadBalancerFixture.SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
+              i, LoadBalancerFixture.IDEMPOTENT, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
     }
     fixture.nowMillis += 790;
     for (int i = 0; i < 90; i++) {
@@ -124,7 +124,12 @@
       balancer.onRequest(
           fixture.nowMillis,
           new RequestArrival(
-              1_000 + i, LoadBalancerFixture.SAFE, within ? "y" : "x", 800, Double.NaN, false));
+              1_000 + i,
+              LoadBalancerFixture.IDEMPOTENT,
+              within ? "y" : "x",
+              800,
+              Double.NaN,
+              false));
       rejected[within ? 1 : 0] += fixture.rejected.size() - before;
     }
     // 160 of x, 20 of y
@@ -135,11 +140,11 @@
    * One crowded endpoint among idle ones costs no request, and its old report is not believed long.
    */
   @Test
-  void aCrowdedEndpointIsPassedOverAndTriedAgain() {
-    LoadBalancer balancer = fixture.safe(3);
+  void crowdedEndpointIsAvoidedAndRetriedLater() {
+    LoadBalancer balancer = fixture.createIdempotent(3);
     int id = 0;
     for (; id < 300; id++) {
-      fixture.report(balancer, id, fixture.nowMillis, 1);
+      fixture.serveWithReport(balancer, id, fixture.nowMillis, 1);
     }
     // Host 1 tells of a queue far past the aim; nothing is sent to it while others have room.
     boolean told = false;
@@ -153,14 +158,14 @@
           AttemptOutcome.OK,
           100,
           true,
-          LoadBalancerFixture.reportOfHeld(first ? 60 : 1));
+          LoadBalancerFixture.loadReport(first ? 60 : 1));
     }
     assertThat(told).isTrue();
     assertThat(fixture.rejected).isEmpty();
     fixture.nowMillis += 20_000;
     int before = fixture.sends.size();
     for (; id < 660; id++) {
-      fixture.report(balancer, id, fixture.nowMillis, 1);
+      fixture.serveWithReport(balancer, id, fixture.nowMillis, 1);
     }
     assertThat(fixture.rejected).isEmpty();
     assertThat(fixture.sends.subList(before, fixture.sends.size()))
@@ -171,8 +176,8 @@
    * Time-outs of an endpoint that answers nothing at all say nothing of how busy the others are.
    */
   @Test
-  void aSilentEndpointIsNoReasonToShedWhileOthersHaveRoom() {
-    LoadBalancer balancer = fixture.safe(6);
+  void silentEndpointCausesNoSheddingWhileOthersHaveRoom() {
+    LoadBalancer balancer = fixture.createIdempotent(6);
     for (int i = 0; i < 400; i++) {
       fixture.nowMillis += 5;
       if (fixture.request(balancer, i) == 2) {
@@ -185,7 +190,7 @@
             AttemptOutcome.OK,
             100,
             true,
-            LoadBalancerFixture.reportOfHeld(1));
+            LoadBalancerFixture.loadReport(1));
       }
     }
     assertThat(fixture.rejected).isEmpty();
@@ -196,8 +201,8 @@
    * rejected for them.
    */
   @Test
-  void anAnswerLostOnTheWayIsNoOverload() {
-    LoadBalancer balancer = fixture.safe(4);
+  void lostResponsesAreNotTakenForOverload() {
+    LoadBalancer balancer = fixture.createIdempotent(4);
     double[] lost = new double[4];
     for (int i = 0; i < 600; i++) {
       fixture.nowMillis += 10;
@@ -212,7 +217,7 @@
             AttemptOutcome.OK,
             100,
             true,
-            LoadBalancerFixture.reportOfHeld(1));
+            LoadBalancerFixture.loadReport(1));
         if (lost[endpoint] > 0) {
           balancer.onOutcome(
               fixture.nowMillis,
@@ -231,12 +236,12 @@
 
   /** Our own requests in flight are at the endpoint, whatever its report, which is late, says. */
   @Test
-  void anOldReportDoesNotHideOurOwnRequests() {
-    LoadBalancer balancer = fixture.safe(1);
+  void staleReportDoesNotHideOwnRequests() {
+    LoadBalancer balancer = fixture.createIdempotent(1);
     for (int i = 0; i < 200; i++) {
       fixture.nowMillis += 1;
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       if (fixture.last().request() == i) {
         balancer.onOutcome(
             fixture.nowMillis,
@@ -245,14 +250,14 @@
             AttemptOutcome.OK,
             160,
             true,
-            LoadBalancerFixture.reportOfHeld(7)); // 20 ms for each held
+            LoadBalancerFixture.loadReport(7)); // 20 ms for each held
       }
     }
     ArrayDeque<Long> open = new ArrayDeque<>();
     int most = 0;
     for (long i = 200; i < 400; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       if (fixture.last().request() == i) {
         open.add(i);
       }
@@ -266,22 +271,23 @@
             AttemptOutcome.OK,
             spentMillis,
             true,
-            LoadBalancerFixture.reportOfHeld(0));
+            LoadBalancerFixture.loadReport(0));
       }
     }
     assertThat(most).isBetween(2, 30);
   }
 
   @Test
-  void clientsThatReadNothingOfLongAnswersCostOthersNothing() {
+  void slowReadersOfStreamedResponsesDoNotAffectOthers() {
     Settings.RequestClass stream =
-        new Settings.RequestClass("stream", 400, 4_000, Semantics.IDEMPOTENT, Scope.ALL, 300, 1, 0);
+        new Settings.RequestClass(
+            "stream", 400, 4_000, Semantics.IDEMPOTENT, KeyScope.ALL, 300, 1, 0);
     LoadBalancer balancer =
-        fixture.balancer(
+        fixture.create(
             LoadBalancerFixture.settings(
                 stream,
                 LoadBalancerFixture.requestClass(
-                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                    LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
             LoadBalancerFixture.endpoints(1));
     for (int i = 0; i < 30; i++) {
       balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(i, "stream", 4_000));
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -8,7 +8,7 @@
 
 /** Builds settings and endpoints for tests, and records what a load balancer asks for. */
 final class LoadBalancerFixture implements LoadBalancerActions {
-  static final String SAFE = "safe";
+  static final String IDEMPOTENT = "safe";
 
   record Send(long request, int number, long endpoint, double atMillis) {}
 
@@ -19,11 +19,11 @@
   final List<String> logs = new ArrayList<>();
   final List<Long> cancelled = new ArrayList<>();
   final TreeMap<Double, List<Long>> timers = new TreeMap<>();
-  int watches;
-  private final Map<Long, Integer> numbers = new HashMap<>();
+  int watchCount;
+  private final Map<Long, Integer> attemptCounts = new HashMap<>();
 
   static Settings.RequestClass requestClass(
-      String name, Settings.Semantics semantics, Settings.Scope scope) {
+      String name, Settings.Semantics semantics, Settings.KeyScope scope) {
     return new Settings.RequestClass(name, 400, 800, semantics, scope, 300, 1, 0);
   }
 
@@ -36,22 +36,25 @@
   }
 
   static Settings settings(
-      boolean parallel, int maxAttempts, boolean mustFollow, Settings.RequestClass... classes) {
-    return settings(List.of(), parallel, maxAttempts, mustFollow, classes);
+      boolean canRunParallelAttempts,
+      int maxAttempts,
+      boolean shouldWatchDiscovery,
+      Settings.RequestClass... classes) {
+    return settings(List.of(), canRunParallelAttempts, maxAttempts, shouldWatchDiscovery, classes);
   }
 
   private static Settings settings(
       List<Settings.Tenant> tenants,
-      boolean parallel,
+      boolean canRunParallelAttempts,
       int maxAttempts,
-      boolean mustFollow,
+      boolean shouldWatchDiscovery,
       Settings.RequestClass... classes) {
     return new Settings(
         List.of(classes),
         tenants,
-        new Settings.Limits(true, true, parallel, maxAttempts, 1_000, 1),
-        new Settings.Rules(8_000, 0.3, 1_500, 3, 10_000),
-        mustFollow,
+        new Settings.Limits(true, true, canRunParallelAttempts, maxAttempts, 1_000, 1),
+        new Settings.WarmUpRules(8_000, 0.3, 1_500, 3, 10_000),
+        shouldWatchDiscovery,
         "a",
         0,
         1,
@@ -82,23 +85,23 @@
   }
 
   /** A load balancer that knows these endpoints and acts on this fixture. */
-  LoadBalancer balancer(Settings settings, List<EndpointUpdate> endpoints) {
+  LoadBalancer create(Settings settings, List<EndpointUpdate> endpoints) {
     LoadBalancer balancer = new LoadBalancer(settings, 7, this);
     balancer.onStart(nowMillis);
     balancer.onEndpointList(nowMillis, EndpointListEvent.CACHED, endpoints);
     return balancer;
   }
 
-  /** The same with so many endpoints and one idempotent class, {@link #SAFE}. */
-  LoadBalancer safe(int endpoints) {
-    return balancer(
-        settings(requestClass(SAFE, Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
+  /** The same with so many endpoints and one idempotent class, {@link #IDEMPOTENT}. */
+  LoadBalancer createIdempotent(int endpoints) {
+    return create(
+        settings(requestClass(IDEMPOTENT, Settings.Semantics.IDEMPOTENT, Settings.KeyScope.ALL)),
         endpoints(endpoints));
   }
 
   /** Serves a request in so long. */
   void serve(LoadBalancer balancer, long id, double spentMillis) {
-    balancer.onRequest(nowMillis, request(id, SAFE, 800));
+    balancer.onRequest(nowMillis, request(id, IDEMPOTENT, 800));
     Send send = last();
     nowMillis += spentMillis;
     balancer.onOutcome(nowMillis, id, send.number(), AttemptOutcome.OK, spentMillis, true, null);
@@ -106,18 +109,18 @@
 
   /** Sends a request and gives the endpoint that was picked last. */
   long request(LoadBalancer balancer, int id) {
-    balancer.onRequest(nowMillis, request(id, SAFE, 800));
+    balancer.onRequest(nowMillis, request(id, IDEMPOTENT, 800));
     return last().endpoint();
   }
 
   /** Serves a request in 100 ms; the endpoint reports so many held. */
-  void report(LoadBalancer balancer, int id, double atMillis, double held) {
+  void serveWithReport(LoadBalancer balancer, int id, double atMillis, double heldRequests) {
     request(balancer, id);
-    balancer.onOutcome(atMillis, id, 0, AttemptOutcome.OK, 100, true, reportOfHeld(held));
+    balancer.onOutcome(atMillis, id, 0, AttemptOutcome.OK, 100, true, loadReport(heldRequests));
   }
 
-  static LoadReport reportOfHeld(double requests) {
-    return new LoadReport(requests, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+  static LoadReport loadReport(double heldRequests) {
+    return new LoadReport(heldRequests, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
   }
 
   Send last() {
@@ -126,7 +129,8 @@
 
   @Override
   public void send(long request, long endpoint, double windowMillis) {
-    sends.add(new Send(request, numbers.merge(request, 1, Integer::sum) - 1, endpoint, nowMillis));
+    sends.add(
+        new Send(request, attemptCounts.merge(request, 1, Integer::sum) - 1, endpoint, nowMillis));
   }
 
   @Override
@@ -151,7 +155,7 @@
 
   @Override
   public void watchEndpoints() {
-    watches++;
+    watchCount++;
   }
 
   @Override
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import leadferry.loadbalancer.EndpointUpdate.Condition;
-import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
@@ -15,13 +15,13 @@
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
   @Test
-  void leavesOutEndpointThatIsSilent() {
-    LoadBalancer balancer = fixture.safe(4);
+  void silentEndpointGetsNoRequests() {
+    LoadBalancer balancer = fixture.createIdempotent(4);
     for (int i = 0; i < 200; i++) {
       fixture.serve(balancer, i, 10);
     }
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.IDEMPOTENT, 800));
     long silent = fixture.last().endpoint();
     fixture.nowMillis += 300;
     for (int i = 2_000; i < 2_100; i++) {
@@ -31,8 +31,8 @@
   }
 
   @Test
-  void ejectsFastFailingEndpointAndTriesItAgain() {
-    LoadBalancer balancer = fixture.safe(5);
+  void fastFailingEndpointIsEjectedAndRetried() {
+    LoadBalancer balancer = fixture.createIdempotent(5);
     long bad = 2;
     int first = 0;
     int later = 0;
@@ -40,7 +40,7 @@
     for (int i = 0; i < 2_000; i++) {
       fixture.nowMillis += 5;
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = 0; k < 3; k++) {
         LoadBalancerFixture.Send send = fixture.last();
         if (send.request() != i || send.number() != k) {
@@ -71,16 +71,16 @@
    * When all endpoints fail alike it is no outlier's fault: the few left must not get all the load.
    */
   @Test
-  void ejectsOnlyAPartOfTheEndpointsAtOnce() {
-    LoadBalancer balancer = fixture.safe(3);
+  void ejectedShareOfEndpointsIsLimited() {
+    LoadBalancer balancer = fixture.createIdempotent(3);
     for (int i = 0; i < 60; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       balancer.onOutcome(fixture.nowMillis, i, 0, AttemptOutcome.ERROR, 1, true, null);
     }
     int before = fixture.sends.size();
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(100, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(100, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.sends).hasSizeGreaterThan(before);
     balancer.onOutcome(fixture.nowMillis, 100, 0, AttemptOutcome.OK, 1, true, null);
     assertThat(fixture.logs).filteredOn(line -> line.endsWith("ejected")).hasSize(1);
@@ -94,11 +94,11 @@
   /** Full endpoints are busy, not broken: none is ejected, and what piles up is rejected early. */
   @Test
   void fullEndpointsAreNotEjected() {
-    LoadBalancer balancer = fixture.safe(4);
+    LoadBalancer balancer = fixture.createIdempotent(4);
     for (int i = 0; i < 60; i++) {
       fixture.nowMillis += 20;
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = 0; k < 4 && fixture.last().request() == i && fixture.last().number() == k; k++) {
         balancer.onOutcome(fixture.nowMillis, i, k, AttemptOutcome.FULL, 1, false, null);
       }
@@ -113,14 +113,14 @@
    * there.
    */
   @Test
-  void anEndpointThatLimitsAClassKeepsTheOthers() {
+  void endpointThatLimitsOneClassKeepsOtherClasses() {
     String limited = "limited";
     LoadBalancer balancer =
-        fixture.balancer(
+        fixture.create(
             LoadBalancerFixture.settings(
-                LoadBalancerFixture.requestClass(limited, Semantics.AT_MOST_ONCE, Scope.ALL),
+                LoadBalancerFixture.requestClass(limited, Semantics.AT_MOST_ONCE, KeyScope.ALL),
                 LoadBalancerFixture.requestClass(
-                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                    LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
             List.of(
                 LoadBalancerFixture.endpoint(0),
                 LoadBalancerFixture.endpoint(1),
@@ -132,7 +132,8 @@
       fixture.nowMillis += 10;
       balancer.onRequest(
           fixture.nowMillis,
-          LoadBalancerFixture.request(i, i % 2 == 0 ? limited : LoadBalancerFixture.SAFE, 800));
+          LoadBalancerFixture.request(
+              i, i % 2 == 0 ? limited : LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = 0; k < 4 && fixture.last().request() == i && fixture.last().number() == k; k++) {
         boolean limits = i % 2 == 0 && fixture.last().endpoint() < 2;
         turned += limits ? 1 : 0;
@@ -145,7 +146,7 @@
             limits ? AttemptOutcome.FULL : AttemptOutcome.OK,
             5,
             !limits,
-            LoadBalancerFixture.reportOfHeld(1));
+            LoadBalancerFixture.loadReport(1));
       }
     }
     assertThat(fixture.rejected).isEmpty();
@@ -158,8 +159,8 @@
    * again.
    */
   @Test
-  void anEndpointThatTakesAClassAgainGetsItsPart() {
-    LoadBalancer balancer = fixture.safe(2);
+  void endpointThatAcceptsClassAgainGetsItsShare() {
+    LoadBalancer balancer = fixture.createIdempotent(2);
     int turned = 0;
     int served = 0;
     for (int i = 0; i < 1_000; i++) {
@@ -176,16 +177,10 @@
           full ? AttemptOutcome.FULL : AttemptOutcome.OK,
           5,
           !full,
-          LoadBalancerFixture.reportOfHeld(1));
+          LoadBalancerFixture.loadReport(1));
       if (full) {
         balancer.onOutcome(
-            fixture.nowMillis,
-            i,
-            1,
-            AttemptOutcome.OK,
-            5,
-            true,
-            LoadBalancerFixture.reportOfHeld(1));
+            fixture.nowMillis, i, 1, AttemptOutcome.OK, 5, true, LoadBalancerFixture.loadReport(1));
       }
     }
     assertThat(turned).isBetween(2, 12);
@@ -197,8 +192,8 @@
    * endpoint.
    */
   @Test
-  void anEndpointThatAnswersOthersIsNotEjectedForTimeOuts() {
-    LoadBalancer balancer = fixture.safe(1);
+  void respondingEndpointIsNotEjectedForTimeouts() {
+    LoadBalancer balancer = fixture.createIdempotent(1);
     int both = 0;
     for (int i = 0; i < 200; i += 2) {
       fixture.request(balancer, i);
@@ -211,7 +206,7 @@
           AttemptOutcome.OK,
           20,
           true,
-          LoadBalancerFixture.reportOfHeld(1));
+          LoadBalancerFixture.loadReport(1));
       fixture.nowMillis += 800;
       // Where the second was rejected, nobody has answered beside the first.
       boolean beside = !fixture.rejected.contains(i + 1L);
@@ -233,8 +228,8 @@
    * An endpoint that is gone leaves nothing behind, and its id may come back as another endpoint's.
    */
   @Test
-  void anIdThatComesBackInheritsNothing() {
-    LoadBalancer balancer = fixture.safe(2);
+  void reusedEndpointIdStartsWithoutHistory() {
+    LoadBalancer balancer = fixture.createIdempotent(2);
     for (int i = 0; i < 60 && fixture.logs.isEmpty(); i++) {
       fixture.nowMillis +=
           5_000; // so that the charge of a failure fades and the host is drawn again
@@ -258,26 +253,26 @@
   }
 
   @Test
-  void anEndpointIsNotSilentWhileThisProcessHearsNothing() {
-    LoadBalancer balancer = fixture.safe(2);
+  void endpointIsNotSilentWhileProxyReadsNothing() {
+    LoadBalancer balancer = fixture.createIdempotent(2);
     for (int i = 0; i < 200; i++) {
       fixture.serve(balancer, i, 10);
     }
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.IDEMPOTENT, 800));
     long busy = fixture.last().endpoint();
     balancer.onReadUntil(fixture.nowMillis + 1);
     fixture.nowMillis += 150;
     Map<Long, Integer> counts = new HashMap<>();
     for (int i = 2_000; i < 2_020; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       counts.merge(fixture.last().endpoint(), 1, Integer::sum);
     }
     assertThat(counts.get(busy)).isGreaterThan(5); // its answer may stand here
     balancer.onReadUntil(fixture.nowMillis); // and now it is known that none has come
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(3_000, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(3_000, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.last().endpoint()).isNotEqualTo(busy);
   }
 }
