--- a/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -18,8 +18,8 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 7, 24})
   void randomLegalEventsBreakNoRule(int endpoints) {
-    Set<String> faults = new HashSet<>();
-    int answered = 0;
+    Set<String> violations = new HashSet<>();
+    int finishedRequests = 0;
     for (long seed = 0; seed < 12; seed++) {
       LoadBalancerSimulation simulation = new LoadBalancerSimulation(seed * 31 + endpoints);
       if (endpoints == 0) {
@@ -27,12 +27,12 @@
       } else {
         simulation.run(endpoints, 4_000);
       }
-      faults.addAll(simulation.faults);
-      answered += simulation.answered;
-      checkWarmingUpShare(simulation, endpoints, faults);
+      violations.addAll(simulation.violations);
+      finishedRequests += simulation.finishedRequests;
+      checkWarmingUpShare(simulation, endpoints, violations);
     }
-    assertThat(faults).isEmpty();
-    assertThat(answered).isGreaterThan(10);
+    assertThat(violations).isEmpty();
+    assertThat(finishedRequests).isGreaterThan(10);
   }
 
   /**
@@ -41,20 +41,23 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 9, 24})
-  void drawnSettingsBreakNoRule(int endpoints) {
-    int answered = 0;
+  void randomSettingsBreakNoRule(int endpoints) {
+    int finishedRequests = 0;
     for (long seed = 0; seed < 40; seed++) {
       Random random = new Random(1_000 * endpoints + seed);
       LoadBalancerSimulation simulation =
-          new LoadBalancerSimulation(seed * 31 + endpoints, drawn(random), random.nextInt(1_500));
+          new LoadBalancerSimulation(
+              seed * 31 + endpoints, randomSettings(random), random.nextInt(1_500));
       simulation.run(endpoints, 3_000);
-      assertThat(simulation.faults).as("seed %d, settings %s", seed, simulation.settings).isEmpty();
-      answered += simulation.answered;
+      assertThat(simulation.violations)
+          .as("seed %d, settings %s", seed, simulation.settings)
+          .isEmpty();
+      finishedRequests += simulation.finishedRequests;
     }
-    assertThat(answered).isGreaterThan(10_000);
+    assertThat(finishedRequests).isGreaterThan(10_000);
   }
 
-  private static Settings drawn(Random random) {
+  private static Settings randomSettings(Random random) {
     List<Settings.RequestClass> classes = new ArrayList<>();
     int count = 1 + random.nextInt(20);
     for (int i = 0; i < count; i++) {
@@ -66,7 +69,7 @@
               aimMillis,
               deadlineMillis,
               Semantics.values()[random.nextInt(3)],
-              Scope.values()[random.nextInt(3)],
+              KeyScope.values()[random.nextInt(3)],
               5 + random.nextInt(3_000),
               random.nextInt(10),
               random.nextInt(2)));
@@ -81,7 +84,7 @@
             1 + random.nextInt(8),
             random.nextInt(2_000),
             1),
-        new Settings.Rules(
+        new Settings.WarmUpRules(
             1 + random.nextInt(20_000),
             0.1 + 0.9 * random.nextDouble(),
             100 + random.nextInt(3_000),
@@ -99,12 +102,12 @@
    * Rule 4: 125 requests a second over the endpoints; the proxy's own share of a warming endpoint.
    */
   private static void checkWarmingUpShare(
-      LoadBalancerSimulation simulation, int endpoints, Set<String> faults) {
+      LoadBalancerSimulation simulation, int endpoints, Set<String> violations) {
     if (endpoints < 2) {
       return;
     }
     for (Map.Entry<Long, List<Double>> entry : simulation.sendsWhileWarmingUp.entrySet()) {
-      double onlineSinceMillis = simulation.endpointList.get(entry.getKey()).onlineSince();
+      double onlineSinceMillis = simulation.endpointList.get(entry.getKey()).onlineSinceMillis();
       List<Double> sends = entry.getValue();
       for (int i = 0; i < sends.size(); i++) {
         int inWindow = 0;
@@ -117,7 +120,7 @@
         double warm = 0.3 + 0.7 * Math.max(0, sends.get(i) + 1_500 - onlineSinceMillis) / 8_000;
         double share = 125.0 / Math.max(1, endpoints / 2.0) * 1.5;
         if (inWindow > 3 * Math.min(1, warm) * share + 3) {
-          faults.add("rule 4: " + inWindow + " sends to an endpoint warming up");
+          violations.add("rule 4: " + inWindow + " sends to an endpoint warming up");
         }
       }
     }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.TreeSet;
 import leadferry.loadbalancer.EndpointUpdate.Condition;
-import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 
 /** A load balancer under random legal events, with what it does judged against the rules. */
@@ -22,111 +22,111 @@
     /** When its first byte went out; NaN before. */
     double sentAtMillis = Double.NaN;
 
-    AttemptOutcome result;
+    AttemptOutcome outcome;
 
     AttemptRecord(long endpoint) {
       this.endpoint = endpoint;
     }
 
     boolean mayHaveRun() {
-      return result == null
+      return outcome == null
           ? !Double.isNaN(sentAtMillis)
-          : !(result == AttemptOutcome.FULL
-              || result == AttemptOutcome.CONNECT_FAILED
-              || result == AttemptOutcome.MOOT);
+          : !(outcome == AttemptOutcome.FULL
+              || outcome == AttemptOutcome.CONNECT_FAILED
+              || outcome == AttemptOutcome.MOOT);
     }
   }
 
   private static final class RequestRecord {
     Settings.RequestClass requestClass;
     double deadlineMillis;
-    boolean ended;
+    boolean isEnded;
     final List<AttemptRecord> attempts = new ArrayList<>();
   }
 
   final Random random;
   final Settings settings;
-  final boolean parallel;
+  final boolean isParallel;
   final int maxAttempts;
 
   /** How long (ms) a connection may take to come up; in between much happens. */
-  final double mostConnectMillis;
+  final double maxConnectMillis;
 
   final Map<Long, RequestRecord> requests = new HashMap<>();
   final Map<Long, EndpointUpdate> endpointList = new HashMap<>();
   final Map<Long, List<Double>> sendsWhileWarmingUp = new HashMap<>();
-  final List<Object[]> due = new ArrayList<>();
-  final List<String> faults = new ArrayList<>();
+  final List<Object[]> dueEvents = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   double nowMillis = 500;
   LoadBalancer balancer;
   long nextId;
-  int answered;
+  int finishedRequests;
 
   LoadBalancerSimulation(long seed) {
     random = new Random(seed);
-    parallel = random.nextBoolean();
+    isParallel = random.nextBoolean();
     maxAttempts = 1 + random.nextInt(5);
-    mostConnectMillis = 0;
+    maxConnectMillis = 0;
     settings =
         LoadBalancerFixture.settings(
-            parallel,
+            isParallel,
             maxAttempts,
             random.nextBoolean(),
-            LoadBalancerFixture.requestClass("safe", Semantics.IDEMPOTENT, Scope.ALL),
-            LoadBalancerFixture.requestClass("all", Semantics.DEDUPLICATED, Scope.ALL),
-            LoadBalancerFixture.requestClass("zone", Semantics.DEDUPLICATED, Scope.ZONE),
-            LoadBalancerFixture.requestClass("cell", Semantics.DEDUPLICATED, Scope.CELL),
-            LoadBalancerFixture.requestClass("once", Semantics.AT_MOST_ONCE, Scope.ALL));
+            LoadBalancerFixture.requestClass("safe", Semantics.IDEMPOTENT, KeyScope.ALL),
+            LoadBalancerFixture.requestClass("all", Semantics.DEDUPLICATED, KeyScope.ALL),
+            LoadBalancerFixture.requestClass("zone", Semantics.DEDUPLICATED, KeyScope.ZONE),
+            LoadBalancerFixture.requestClass("cell", Semantics.DEDUPLICATED, KeyScope.CELL),
+            LoadBalancerFixture.requestClass("once", Semantics.AT_MOST_ONCE, KeyScope.ALL));
   }
 
   /** One of a deployment that nobody has. */
-  LoadBalancerSimulation(long seed, Settings drawn, double mostConnectMillis) {
+  LoadBalancerSimulation(long seed, Settings settings, double maxConnectMillis) {
     this.random = new Random(seed);
-    this.settings = drawn;
-    this.parallel = drawn.limits().parallelTries();
-    this.maxAttempts = drawn.limits().maxAttempts();
-    this.mostConnectMillis = mostConnectMillis;
+    this.settings = settings;
+    this.isParallel = settings.limits().canRunParallelAttempts();
+    this.maxAttempts = settings.limits().maxAttempts();
+    this.maxConnectMillis = maxConnectMillis;
   }
 
-  void at(double delay, Runnable what) {
-    due.add(new Object[] {nowMillis + delay, what});
+  void after(double delayMillis, Runnable event) {
+    dueEvents.add(new Object[] {nowMillis + delayMillis, event});
   }
 
   @Override
   public void send(long id, long endpointId, double windowMillis) {
     RequestRecord request = requests.get(id);
     EndpointUpdate endpoint = endpointList.get(endpointId);
-    judgeSend(request, endpoint);
+    checkSend(request, endpoint);
     if (endpoint != null
-        && endpoint.onlineSince() > 0
-        && nowMillis - endpoint.onlineSince() < 8_000) {
+        && endpoint.onlineSinceMillis() > 0
+        && nowMillis - endpoint.onlineSinceMillis() < 8_000) {
       sendsWhileWarmingUp.computeIfAbsent(endpointId, key -> new ArrayList<>()).add(nowMillis);
     }
     int number = request.attempts.size();
     AttemptRecord attempt = new AttemptRecord(endpointId);
     request.attempts.add(attempt);
-    if (mostConnectMillis > 0 && random.nextInt(3) == 0) {
-      at(
-          Math.min(request.deadlineMillis - nowMillis, mostConnectMillis * random.nextDouble()),
-          () -> comesUp(id, request, attempt, number, windowMillis));
+    if (maxConnectMillis > 0 && random.nextInt(3) == 0) {
+      after(
+          Math.min(request.deadlineMillis - nowMillis, maxConnectMillis * random.nextDouble()),
+          () -> onConnected(id, request, attempt, number, windowMillis));
     } else {
       write(id, request, attempt, number);
     }
   }
 
-  private void judgeSend(RequestRecord request, EndpointUpdate endpoint) {
-    if (request.ended) {
-      faults.add("rule 1: sent after the end");
+  private void checkSend(RequestRecord request, EndpointUpdate endpoint) {
+    if (request.isEnded) {
+      violations.add("rule 1: sent after the end");
     }
     if (endpoint == null || endpoint.condition() != Condition.READY) {
-      faults.add("rule 3: sent to an endpoint that drains or is gone");
+      violations.add("rule 3: sent to an endpoint that drains or is gone");
     }
     if (request.attempts.size() >= maxAttempts) {
-      faults.add("more attempts than allowed");
+      violations.add("more attempts than allowed");
     }
     for (AttemptRecord attempt : request.attempts) {
-      if (attempt.result == null && !parallel) {
-        faults.add("rule 2: two attempts out");
+      if (attempt.outcome == null && !isParallel) {
+        violations.add("rule 2: two attempts out");
       }
     }
   }
@@ -135,17 +135,17 @@
    * What an engine asks at the last moment: whether its client waits still, and how far apart it is
    * from others.
    */
-  private void comesUp(
+  private void onConnected(
       long id, RequestRecord request, AttemptRecord attempt, int number, double windowMillis) {
-    boolean goes = !request.ended && nowMillis < request.deadlineMillis;
+    boolean canSend = !request.isEnded && nowMillis < request.deadlineMillis;
     for (AttemptRecord other : request.attempts) {
-      goes &=
+      canSend &=
           other == attempt || !other.mayHaveRun() || nowMillis - other.sentAtMillis < windowMillis;
     }
-    if (attempt.result == null && goes) {
+    if (attempt.outcome == null && canSend) {
       write(id, request, attempt, number);
     } else {
-      settle(id, request, attempt, number, AttemptOutcome.MOOT, 0);
+      endAttempt(id, request, attempt, number, AttemptOutcome.MOOT, 0);
     }
   }
 
@@ -154,8 +154,8 @@
     for (AttemptRecord other : request.attempts) {
       if (other != attempt
           && other.mayHaveRun()
-          && !repeatable(request, other, endpointList.get(attempt.endpoint))) {
-        faults.add("rule 2: repeated where it may have run");
+          && !isRepeatable(request, other, endpointList.get(attempt.endpoint))) {
+        violations.add("rule 2: repeated where it may have run");
       }
     }
     double leftMillis = request.deadlineMillis - nowMillis;
@@ -171,61 +171,61 @@
     }
     AttemptOutcome result = end;
     double tookMillis = spentMillis;
-    at(spentMillis, () -> settle(id, request, attempt, number, result, tookMillis));
+    after(spentMillis, () -> endAttempt(id, request, attempt, number, result, tookMillis));
   }
 
-  private boolean repeatable(
+  private boolean isRepeatable(
       RequestRecord request, AttemptRecord attempt, EndpointUpdate endpoint) {
     if (request.requestClass.semantics() == Semantics.IDEMPOTENT) {
       return true;
     }
     if (request.requestClass.semantics() == Semantics.AT_MOST_ONCE
-        || nowMillis - attempt.sentAtMillis >= request.requestClass.repeatWindow()) {
+        || nowMillis - attempt.sentAtMillis >= request.requestClass.deduplicationWindowMillis()) {
       return false;
     }
     EndpointUpdate first = endpointList.get(attempt.endpoint);
-    return switch (request.requestClass.scope()) {
+    return switch (request.requestClass.keyScope()) {
       case ALL -> true;
       case ZONE -> first.zone().equals(endpoint.zone());
       case CELL -> first.cell() == endpoint.cell();
     };
   }
 
-  private void settle(
+  private void endAttempt(
       long id,
       RequestRecord request,
       AttemptRecord attempt,
       int number,
       AttemptOutcome result,
       double spentMillis) {
-    if (attempt.result != null) {
+    if (attempt.outcome != null) {
       return;
     }
-    attempt.result = result;
-    boolean over = request.ended || result == AttemptOutcome.OK;
-    request.ended |= over;
+    attempt.outcome = result;
+    boolean isOver = request.isEnded || result == AttemptOutcome.OK;
+    request.isEnded |= isOver;
     if (result == AttemptOutcome.OK) {
-      answered++;
+      finishedRequests++;
     }
-    LoadReport report = held(random.nextInt(9));
+    LoadReport report = loadReport(random.nextInt(9));
     balancer.onOutcome(
-        nowMillis, id, number, result, spentMillis, over, random.nextBoolean() ? report : null);
+        nowMillis, id, number, result, spentMillis, isOver, random.nextBoolean() ? report : null);
   }
 
-  private static LoadReport held(double requestCount) {
-    return new LoadReport(requestCount, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+  private static LoadReport loadReport(double heldRequests) {
+    return new LoadReport(heldRequests, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
   }
 
-  private void end(long id) {
+  private void endRequest(long id) {
     RequestRecord request = requests.get(id);
-    if (request.ended) {
-      faults.add("rule 1: answered twice");
+    if (request.isEnded) {
+      violations.add("rule 1: answered twice");
     }
     if (nowMillis > request.deadlineMillis + SLACK_MILLIS) {
-      faults.add("rule 1: answered too late");
+      violations.add("rule 1: answered too late");
     }
-    request.ended = true;
-    answered++;
+    request.isEnded = true;
+    finishedRequests++;
   }
 
   @Override
@@ -235,34 +235,35 @@
       if (attempt.mayHaveRun()
           && request.requestClass.semantics() != Semantics.IDEMPOTENT
           && !(request.requestClass.semantics() == Semantics.DEDUPLICATED
-              && request.requestClass.scope() == Scope.ALL
-              && nowMillis - attempt.sentAtMillis < request.requestClass.repeatWindow())) {
-        faults.add("rule 2: rejected where it may have run");
+              && request.requestClass.keyScope() == KeyScope.ALL
+              && nowMillis - attempt.sentAtMillis
+                  < request.requestClass.deduplicationWindowMillis())) {
+        violations.add("rule 2: rejected where it may have run");
       }
     }
-    end(id);
+    endRequest(id);
   }
 
   @Override
   public void fail(long id) {
-    end(id);
+    endRequest(id);
   }
 
   @Override
   public void cancel(long id, int number) {
     RequestRecord request = requests.get(id);
     AttemptRecord attempt = request.attempts.get(number);
-    if (!settings.limits().cancel()) {
-      faults.add("cancelled where that is not allowed");
+    if (!settings.limits().canCancel()) {
+      violations.add("cancelled where that is not allowed");
     }
     if (Double.isNaN(attempt.sentAtMillis)) {
-      at(0, () -> settle(id, request, attempt, number, AttemptOutcome.MOOT, 0));
+      after(0, () -> endAttempt(id, request, attempt, number, AttemptOutcome.MOOT, 0));
       return;
     }
-    at(
+    after(
         0,
         () ->
-            settle(
+            endAttempt(
                 id,
                 request,
                 attempt,
@@ -272,19 +273,19 @@
   }
 
   @Override
-  public void schedule(double delay, long token) {
-    at(Math.max(delay, 0.001), () -> balancer.onTimer(nowMillis, token));
+  public void schedule(double delayMillis, long token) {
+    after(Math.max(delayMillis, 0.001), () -> balancer.onTimer(nowMillis, token));
   }
 
   @Override
   public void watchEndpoints() {
-    at(50, () -> balancer.onEndpointList(nowMillis, EndpointListEvent.FAILED, List.of()));
+    after(50, () -> balancer.onEndpointList(nowMillis, EndpointListEvent.FAILED, List.of()));
   }
 
   @Override
   public void log(String line) {}
 
-  void change(int endpoints) {
+  void changeEndpoint(int endpoints) {
     long id = random.nextInt(endpoints);
     EndpointUpdate old = endpointList.get(id);
     Condition condition =
@@ -294,7 +295,7 @@
           default -> Condition.READY;
         };
     double onlineSinceMillis =
-        random.nextInt(3) == 0 ? nowMillis : old == null ? 0 : old.onlineSince();
+        random.nextInt(3) == 0 ? nowMillis : old == null ? 0 : old.onlineSinceMillis();
     EndpointUpdate update = LoadBalancerFixture.endpoint(id, condition, onlineSinceMillis);
     endpointList.put(id, update);
     if (random.nextInt(4) > 0) {
@@ -309,7 +310,8 @@
       }
       if (random.nextInt(10) == 0) {
         endpointList.put(
-            known, LoadBalancerFixture.endpoint(known, Condition.GONE, endpoint.onlineSince()));
+            known,
+            LoadBalancerFixture.endpoint(known, Condition.GONE, endpoint.onlineSinceMillis()));
       } else {
         all.add(endpoint);
       }
@@ -328,32 +330,32 @@
     double stopMillis = nowMillis + lengthMillis;
     arrive(stopMillis);
     for (double delay = 100; delay < lengthMillis; delay += 100 + random.nextInt(400)) {
-      at(delay, () -> change(endpoints));
+      after(delay, () -> changeEndpoint(endpoints));
     }
     // What peers say is a hint, true or not, of endpoints that exist or don't: no rule may rest on
     // it.
     for (double delay = 50; delay < lengthMillis; delay += 1 + random.nextInt(200)) {
       long id = random.nextInt(endpoints + 1);
       double ejectionMillis = random.nextInt(3) == 0 ? 0 : random.nextInt(8_000);
-      at(delay, () -> balancer.onGossip(nowMillis, id, ejectionMillis));
+      after(delay, () -> balancer.onGossip(nowMillis, id, ejectionMillis));
     }
     runEvents(stopMillis);
     for (RequestRecord request : requests.values()) {
-      if (!request.ended) {
-        faults.add("rule 1: lost");
+      if (!request.isEnded) {
+        violations.add("rule 1: lost");
       }
     }
   }
 
   private void runEvents(double stopMillis) {
-    while (!due.isEmpty()) {
+    while (!dueEvents.isEmpty()) {
       int first = 0;
-      for (int i = 1; i < due.size(); i++) {
-        if ((double) due.get(i)[0] < (double) due.get(first)[0]) {
+      for (int i = 1; i < dueEvents.size(); i++) {
+        if ((double) dueEvents.get(i)[0] < (double) dueEvents.get(first)[0]) {
           first = i;
         }
       }
-      Object[] next = due.remove(first);
+      Object[] next = dueEvents.remove(first);
       nowMillis = Math.max(nowMillis, (double) next[0]);
       if (nowMillis > stopMillis + 12_000) {
         break;
@@ -368,7 +370,7 @@
     }
     RequestRecord request = new RequestRecord();
     request.requestClass = settings.classes().get(random.nextInt(settings.classes().size()));
-    double longestMillis = request.requestClass.deadline();
+    double longestMillis = request.requestClass.deadlineMillis();
     double budgetMillis =
         random.nextInt(20) == 0
             ? random.nextInt(3) - 1
@@ -380,15 +382,15 @@
         nowMillis, LoadBalancerFixture.request(id, request.requestClass.name(), budgetMillis));
     // A client may leave early; what is out still ends.
     if (random.nextInt(30) == 0) {
-      at(
+      after(
           random.nextInt(100),
           () -> {
-            if (!request.ended) {
-              request.ended = true;
+            if (!request.isEnded) {
+              request.isEnded = true;
               balancer.onClientDisconnect(nowMillis, id);
             }
           });
     }
-    at(-8 * Math.log(1 - random.nextDouble()), () -> arrive(stopMillis));
+    after(-8 * Math.log(1 - random.nextDouble()), () -> arrive(stopMillis));
   }
 }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import leadferry.loadbalancer.EndpointUpdate.Condition;
-import leadferry.loadbalancer.Settings.Scope;
+import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
@@ -17,34 +17,34 @@
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
   @Test
-  void spreadsOpenRequestsByOwnCount() {
-    LoadBalancer balancer = fixture.safe(4);
+  void openRequestsAreSpreadByOwnCount() {
+    LoadBalancer balancer = fixture.createIdempotent(4);
     Map<Long, Integer> counts = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       counts.merge(fixture.last().endpoint(), 1, Integer::sum);
     }
     assertThat(counts.values()).allSatisfy(count -> assertThat(count).isBetween(7, 13));
   }
 
   @Test
-  void sendsNothingToDrainingEndpoint() {
-    LoadBalancer balancer = fixture.safe(3);
+  void drainingEndpointGetsNoRequests() {
+    LoadBalancer balancer = fixture.createIdempotent(3);
     balancer.onEndpointList(
         fixture.nowMillis,
         EndpointListEvent.DELTA,
         List.of(LoadBalancerFixture.endpoint(1, Condition.TERMINATING, 0)));
     for (int i = 0; i < 60; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       assertThat(fixture.last().endpoint()).isNotEqualTo(1);
     }
   }
 
   @Test
-  void warmsARestartedEndpointUp() {
-    LoadBalancer balancer = fixture.safe(6);
+  void restartedEndpointIsWarmedUp() {
+    LoadBalancer balancer = fixture.createIdempotent(6);
     for (int i = 0; i < 1_000; i++) {
       fixture.serve(balancer, i, 4);
     }
@@ -64,9 +64,9 @@
   @Test
   void unsafeRequestIsNeverRepeatedAfterTimeout() {
     LoadBalancer balancer =
-        fixture.balancer(
+        fixture.create(
             LoadBalancerFixture.settings(
-                LoadBalancerFixture.requestClass("once", Semantics.AT_MOST_ONCE, Scope.ALL)),
+                LoadBalancerFixture.requestClass("once", Semantics.AT_MOST_ONCE, KeyScope.ALL)),
             LoadBalancerFixture.endpoints(4));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(1, "once", 400));
     balancer.onOutcome(fixture.nowMillis + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
@@ -78,17 +78,17 @@
   }
 
   @Test
-  void watchesAgainAfterFailureWithBackoff() {
+  void failedWatchIsRepeatedWithBackoff() {
     LoadBalancer balancer =
-        fixture.balancer(
+        fixture.create(
             LoadBalancerFixture.settings(
                 true,
                 4,
                 true,
                 LoadBalancerFixture.requestClass(
-                    LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                    LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
             LoadBalancerFixture.endpoints(2));
-    assertThat(fixture.watches).isEqualTo(1);
+    assertThat(fixture.watchCount).isEqualTo(1);
     double last = 0;
     for (int i = 0; i < 6; i++) {
       balancer.onEndpointList(fixture.nowMillis, EndpointListEvent.FAILED, List.of());
@@ -96,7 +96,7 @@
       last = timer.getKey() - fixture.nowMillis;
       fixture.nowMillis = timer.getKey();
       timer.getValue().forEach(token -> balancer.onTimer(fixture.nowMillis, token));
-      assertThat(fixture.watches).isEqualTo(i + 2);
+      assertThat(fixture.watchCount).isEqualTo(i + 2);
     }
     assertThat(last).isBetween(2_000.0, 10_000.0);
   }
@@ -109,14 +109,14 @@
           new LoadBalancer(
               LoadBalancerFixture.settings(
                   LoadBalancerFixture.requestClass(
-                      LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                      LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
               3,
               each);
       balancer.onEndpointList(
           each.nowMillis, EndpointListEvent.FULL, LoadBalancerFixture.endpoints(9));
       for (int i = 0; i < 100; i++) {
         balancer.onRequest(
-            each.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+            each.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       }
     }
     assertThat(other.sends).isEqualTo(fixture.sends);
@@ -124,8 +124,8 @@
 
   /** Guards against an overload's flood of retries that pushes an endpoint that warms up over. */
   @Test
-  void overloadSendsAWarmingUpEndpointNoMoreThanWarmOnesServe() {
-    LoadBalancer balancer = fixture.safe(5);
+  void overloadDoesNotFloodWarmingEndpoint() {
+    LoadBalancer balancer = fixture.createIdempotent(5);
     int cold = 0;
     int served = 0;
     for (int i = 0; i < 4_000; i++) {
@@ -138,7 +138,7 @@
       }
       int before = fixture.sends.size();
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = before; k < fixture.sends.size(); k++) {
         LoadBalancerFixture.Send send = fixture.sends.get(k);
         boolean serves = k % 10 == 0; // hosts serve a tenth of what comes
@@ -166,20 +166,20 @@
     Settings one =
         LoadBalancerFixture.settings(
             LoadBalancerFixture.requestClass(
-                LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+                LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL));
     Settings many =
         new Settings(
             one.classes(),
             one.tenants(),
             one.limits(),
-            one.rules(),
+            one.warmUpRules(),
             false,
             "a",
             17,
             1_500,
             1,
             false);
-    LoadBalancer balancer = fixture.balancer(many, LoadBalancerFixture.endpoints(40));
+    LoadBalancer balancer = fixture.create(many, LoadBalancerFixture.endpoints(40));
     for (int i = 0; i < 500; i++) {
       fixture.serve(balancer, i, 10);
     }
@@ -188,13 +188,13 @@
   }
 
   @Test
-  void anAnswerThatHasBegunLeavesTheCount() {
-    LoadBalancer balancer = fixture.safe(2);
+  void streamingResponseIsNotCountedInFlight() {
+    LoadBalancer balancer = fixture.createIdempotent(2);
     Map<Long, Integer> reading = new HashMap<>();
     int widest = 0;
     for (int i = 0; i < 100; i++) {
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       fixture.nowMillis += 10;
       balancer.onFirstByte(fixture.nowMillis, i, 0, 10);
       reading.merge(fixture.last().endpoint(), 1, Integer::sum);
@@ -210,38 +210,39 @@
    * Requests that endpoint 0 of two gets of 400, where its answers, and no others, stand here
    * unread for 40 ms.
    */
-  private int pickedThoughUnread(boolean told) {
-    LoadBalancer balancer = fixture.safe(2);
+  private int countPicksWithUnreadResponses(boolean isLagReported) {
+    LoadBalancer balancer = fixture.createIdempotent(2);
     fixture.sends.clear();
-    for (int n = 0; n < 400; n++) {
-      int id = told ? n : 1_000 + n; // an id is one request's
+    for (int index = 0; index < 400; index++) {
+      int id = isLagReported ? index : 1_000 + index; // an id is one request's
       balancer.onReadUntil(fixture.nowMillis);
       balancer.onRequest(
-          fixture.nowMillis, LoadBalancerFixture.request(id, LoadBalancerFixture.SAFE, 800));
+          fixture.nowMillis, LoadBalancerFixture.request(id, LoadBalancerFixture.IDEMPOTENT, 800));
       LoadBalancerFixture.Send send = fixture.last();
-      double unread = send.endpoint() == 0 ? 40 : 0;
-      fixture.nowMillis += 10 + unread;
-      balancer.onReadUntil(fixture.nowMillis - (told ? unread : 0));
+      double unreadMillis = send.endpoint() == 0 ? 40 : 0;
+      fixture.nowMillis += 10 + unreadMillis;
+      balancer.onReadUntil(fixture.nowMillis - (isLagReported ? unreadMillis : 0));
       balancer.onOutcome(
-          fixture.nowMillis, id, send.number(), AttemptOutcome.OK, 10 + unread, true, null);
+          fixture.nowMillis, id, send.number(), AttemptOutcome.OK, 10 + unreadMillis, true, null);
     }
     return (int) fixture.sends.stream().filter(send -> send.endpoint() == 0).count();
   }
 
   @Test
-  void whatStoodHereUnreadIsNoSlownessOfAnEndpoint() {
-    assertThat(pickedThoughUnread(true)).isBetween(100, 300);
-    assertThat(pickedThoughUnread(false)).isLessThan(50); // the same, taken for the host's
+  void readLagIsNotCountedAsSlownessOfEndpoint() {
+    assertThat(countPicksWithUnreadResponses(true)).isBetween(100, 300);
+    assertThat(countPicksWithUnreadResponses(false))
+        .isLessThan(50); // the same, taken for the host's
   }
 
   @Test
-  void openRequestsKeepTheirClassAndNewOnesHaveTheNew() {
+  void newSettingsApplyOnlyToNewRequests() {
     Settings.RequestClass loose =
-        LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, Scope.ALL);
+        LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, KeyScope.ALL);
     Settings.RequestClass strict =
-        LoadBalancerFixture.requestClass("c", Semantics.AT_MOST_ONCE, Scope.ALL);
+        LoadBalancerFixture.requestClass("c", Semantics.AT_MOST_ONCE, KeyScope.ALL);
     LoadBalancer balancer =
-        fixture.balancer(LoadBalancerFixture.settings(loose), LoadBalancerFixture.endpoints(4));
+        fixture.create(LoadBalancerFixture.settings(loose), LoadBalancerFixture.endpoints(4));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(1, "c", 800));
     balancer.onSettings(LoadBalancerFixture.settings(strict));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(2, "c", 800));
@@ -252,13 +253,13 @@
   }
 
   @Test
-  void openRequestsGetTheSmallerOfBothNumbersOfAttempts() {
+  void openRequestsGetSmallerAttemptLimitOfOldAndNewSettings() {
     Settings.RequestClass type =
-        LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, Scope.ALL);
+        LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, KeyScope.ALL);
     for (int[] change : new int[][] {{2, 4}, {4, 2}}) {
       fixture.sends.clear();
       LoadBalancer balancer =
-          fixture.balancer(
+          fixture.create(
               LoadBalancerFixture.settings(true, change[0], false, type),
               LoadBalancerFixture.endpoints(6));
       balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(change[0], "c", 800));
@@ -272,18 +273,18 @@
   }
 
   @Test
-  void whatIsKnownOfEndpointsOutlivesTheSettings() {
-    LoadBalancer balancer = fixture.safe(4);
+  void endpointStateSurvivesNewSettings() {
+    LoadBalancer balancer = fixture.createIdempotent(4);
     for (int i = 0; i < 200; i++) {
       fixture.serve(balancer, i, 10);
     }
     balancer.onRequest(
-        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.SAFE, 800));
+        fixture.nowMillis, LoadBalancerFixture.request(1_000, LoadBalancerFixture.IDEMPOTENT, 800));
     long silent = fixture.last().endpoint();
     balancer.onSettings(
         LoadBalancerFixture.settings(
             LoadBalancerFixture.requestClass(
-                LoadBalancerFixture.SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
+                LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)));
     fixture.nowMillis += 300;
     for (int i = 2_000; i < 2_100; i++) {
       fixture.serve(balancer, i, 1);
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import leadferry.engine.LineLog;
-import leadferry.gossip.Suspicion;
+import leadferry.gossip.SuspicionMessage;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -59,11 +59,11 @@
     return w;
   }
 
-  private Suspicion hear() throws Exception {
+  private SuspicionMessage hear() throws Exception {
     DatagramPacket p = new DatagramPacket(new byte[300], 300);
     peer.receive(p);
     assertThat(p.getSocketAddress()).isEqualTo(proxy);
-    return Suspicion.read(Arrays.copyOf(p.getData(), p.getLength()));
+    return SuspicionMessage.decode(Arrays.copyOf(p.getData(), p.getLength()));
   }
 
   private void say(DatagramSocket from, byte[] message) throws Exception {
@@ -71,7 +71,7 @@
   }
 
   /** Asks until the silent host has lost a request, and returns what the proxy says of it. */
-  private Suspicion loseOne(ProxyFixture w, ProxyFixture.Host silent) throws Exception {
+  private SuspicionMessage loseOne(ProxyFixture w, ProxyFixture.Host silent) throws Exception {
     // Of its own requests: a proxy of another run on this machine may look for its discovery at a
     // port that is this host's now.
     for (int i = 0;
@@ -79,8 +79,8 @@
         i++) {
       w.ask(ProxyFixture.claim("lost" + i));
     }
-    Suspicion said = hear();
-    assertThat(said.answers()).isFalse();
+    SuspicionMessage said = hear();
+    assertThat(said.isAlive()).isFalse();
     return said;
   }
 
@@ -104,14 +104,14 @@
     try (ProxyFixture w = world()) {
       ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
-      Suspicion said = loseOne(w, silent);
+      SuspicionMessage said = loseOne(w, silent);
       assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
-      say(peer, new Suspicion(said.zone(), said.endpoint(), 100, false).bytes());
+      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
                   .contains("h" + silent.port() + " silent to several proxies"));
-      say(peer, new Suspicion(said.zone(), said.endpoint(), 0, true).bytes());
+      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 0, true).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
@@ -125,8 +125,8 @@
     try (ProxyFixture w = world()) {
       ProxyFixture.Host silent = w.new Host(h -> null);
       run(w, silent, log);
-      Suspicion said = loseOne(w, silent);
-      byte[] silence = new Suspicion(said.zone(), said.endpoint(), 100, false).bytes();
+      SuspicionMessage said = loseOne(w, silent);
+      byte[] silence = new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode();
       try (DatagramSocket stranger = new DatagramSocket(0, LOOPBACK)) {
         for (int i = 0; i < 50; i++) {
           say(stranger, silence);
@@ -161,8 +161,8 @@
           () -> log.toString(StandardCharsets.UTF_8).contains("peers can't be heard"));
       holder.close();
       ProxyFixture.await(this::taken);
-      Suspicion said = loseOne(w, silent);
-      say(peer, new Suspicion(said.zone(), said.endpoint(), 100, false).bytes());
+      SuspicionMessage said = loseOne(w, silent);
+      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
