--- a/src/main/java/leadferry/adapter/Adapter.java
+++ b/src/main/java/leadferry/adapter/Adapter.java
@@ -14,8 +14,8 @@
 import leadferry.loadbalancer.LoadBalancer;
 
 /**
- * Hosts one {@link LoadBalancer} for each instance named on the simulator's wire: takes batches of
- * events, and answers each with the commands that came of it.
+ * Runs one {@link LoadBalancer} per instance of the simulator. Reads batches of events and replies
+ * to each with the commands that result from it.
  */
 public final class Adapter {
   private final EventReader events;
@@ -25,7 +25,7 @@
   private final Map<Long, Instance> instances = new HashMap<>();
   private double nowMillis;
 
-  /** Creates an adapter on these streams. */
+  /** Creates an adapter that reads and writes these streams. */
   public Adapter(InputStream input, OutputStream output, PrintStream errors) {
     this.events = new EventReader(new LineReader(input));
     this.output = output;
@@ -33,14 +33,14 @@
   }
 
   /**
-   * Answers batches until the input ends.
+   * Processes batches until the input ends.
    *
-   * @throws MalformedInputException if the input is not of the wire
+   * @throws MalformedInputException if the input violates the wire format
    */
   public void run() throws IOException {
     while (events.next()) {
       if (events.event() != WireEvent.BATCH_START) {
-        throw events.malformed("a batch starts with 'sync'");
+        throw events.malformed("unexpected event (expected: 'sync' at the start of a batch)");
       }
       nowMillis = events.nowMillis();
       boolean isAlive = processBatch();
@@ -51,12 +51,15 @@
     }
   }
 
-  /** Answers the events of a batch; false once the decisions have failed. */
+  /**
+   * Processes the events of a batch. Returns false after an unexpected exception in the load
+   * balancer.
+   */
   private boolean processBatch() throws IOException {
     boolean isAlive = true;
     while (true) {
       if (!events.next()) {
-        throw new MalformedInputException("the input ends in the middle of a batch");
+        throw new MalformedInputException("input ends in the middle of a batch (expected: 'eob')");
       }
       WireEvent event = events.event();
       if (event == WireEvent.BATCH_END) {
@@ -69,7 +72,7 @@
     }
   }
 
-  /** Answers an event; false where the decisions have failed. */
+  /** Processes an event. Returns false if the load balancer threw an unexpected exception. */
   private boolean processEvent(WireEvent event) throws IOException {
     try {
       dispatch(event);
@@ -77,7 +80,7 @@
     } catch (MalformedInputException e) {
       throw e;
     } catch (RuntimeException e) {
-      // A failure of the decisions must be seen, never swallowed.
+      // Reports the exception to the simulator, which must not miss it.
       e.printStackTrace(errors);
       CommandWriter.writeCrash(reply, events.instanceOrZero(), e.toString());
       return false;
@@ -98,12 +101,12 @@
       case INSTANCE_START -> startInstance();
       case INSTANCE_STOP -> instances.remove(events.instance());
       case BATCH_START, ENDPOINT_ENTRY ->
-          throw events.malformed("'" + events.eventName() + "' is out of place");
-      case BATCH_END, UNKNOWN -> {} // an event that is not known is skipped
+          throw events.malformed("event '" + events.eventName() + "' is not allowed here");
+      case BATCH_END, UNKNOWN -> {} // unknown events are skipped
     }
   }
 
-  /** The instance that the event is for, or null: it may have been retired. */
+  /** Returns the instance that the event is for, or null if it has been retired. */
   private Instance instance() {
     return instances.get(events.instance());
   }
@@ -135,7 +138,8 @@
     if (instance.hasGossip() && outcome != null && outcome.hasResponse()) {
       instance.onResponse(nowMillis, events.endpoint());
     }
-    // A reason that is not known proves nothing: as an error, it may have run.
+    // An unknown reason proves nothing, so it counts as an error after which the request may have
+    // been executed.
     AttemptOutcome knownOutcome = outcome == null ? AttemptOutcome.ERROR : outcome;
     instance.onOutcome(
         nowMillis, request, attempt, knownOutcome, spentMillis, isRequestOver, events.loadReport());
--- a/src/main/java/leadferry/adapter/CommandWriter.java
+++ b/src/main/java/leadferry/adapter/CommandWriter.java
@@ -3,8 +3,8 @@
 import java.util.Base64;
 
 /**
- * Writes the commands of one instance in the order in which they are made. The one place that maps
- * its actions to the words of the simulator's wire.
+ * Writes the commands of one instance in the order of the calls. This is the only class that maps
+ * the load balancer's actions to the names in the simulator's wire format.
  *
  * <pre>
  *   send      transmit  who txn host          broadcast       memo_to    who recipient raw
@@ -31,7 +31,7 @@
         .endLine();
   }
 
-  /** A wait of 0 or less is not told. */
+  /** Writes a rejection. A {@code retryAfterMillis} of 0 or less is omitted. */
   void reject(long request, double retryAfterMillis) {
     start("shed").writeWord(" txn=").writeNumber(request);
     if (retryAfterMillis > 0) {
@@ -71,7 +71,7 @@
     start("say_log").writeWord(" text=").writeText(text).endLine();
   }
 
-  /** Tells that the decisions have failed; the adapter ends with it. */
+  /** Reports an unexpected exception in the load balancer. The adapter ends after this command. */
   static void writeCrash(ReplyWriter reply, long instance, String text) {
     reply
         .writeWord("crash who=")
--- a/src/main/java/leadferry/adapter/EventReader.java
+++ b/src/main/java/leadferry/adapter/EventReader.java
@@ -13,13 +13,13 @@
 import leadferry.loadbalancer.RequestArrival;
 
 /**
- * Reads the fields of the simulator's events. The one place that maps them to the load balancer's
- * terms; {@link WireEvent} maps the events' names.
+ * Reads the fields of the simulator's events. This is the only class that maps the fields to the
+ * terms of the load balancer; {@link WireEvent} maps the names of the events.
  *
  * <pre>
  *   txn     request          sendNo  attempt          host    endpoint
  *   class   request class    org     tenant           resent  repeat
- *   hall    zone             model   kind             group   cell
+ *   hall    zone             model   machine kind     group   cell
  *   rif, q, busy, lat_ms, rate, fail_rate             load report
  *   how     endpoint list event                       reason  attempt outcome
  * </pre>
@@ -35,17 +35,17 @@
     this.lines = lines;
   }
 
-  /** Goes to the next line; false at the end of the input. */
+  /** Reads the next line. Returns false at the end of the input. */
   boolean next() throws IOException {
     return lines.next(line);
   }
 
-  /** What the line is. */
+  /** Returns the event of the current line. */
   WireEvent event() {
     return WireEvent.of(line);
   }
 
-  /** An error about the line. */
+  /** Returns an exception that quotes the current line. */
   MalformedInputException malformed(String reason) {
     return line.malformed(reason);
   }
@@ -62,7 +62,7 @@
     return line.number("who");
   }
 
-  /** The same for an error message, where the line may lack it. */
+  /** Returns the instance, or 0 if the line has none. For use in error messages. */
   long instanceOrZero() {
     return line.number("who", 0);
   }
@@ -91,7 +91,7 @@
     return line.decimal("spent", 0);
   }
 
-  /** Whether the request is over with this outcome, or was before. */
+  /** Returns whether the request is over with this outcome or was over before. */
   boolean isRequestOver() {
     return line.isSet("terminal");
   }
@@ -100,17 +100,17 @@
     return line.number("token");
   }
 
-  /** Number of the proxy that a message comes from. */
+  /** Returns the index of the proxy that sent the message. */
   int senderIndex() {
     return (int) line.number("from");
   }
 
-  /** The bytes of a message. */
+  /** Returns the bytes of the message. */
   byte[] message() {
     try {
       return Base64.getDecoder().decode(line.string("raw", ""));
     } catch (IllegalArgumentException e) {
-      throw line.malformed("field 'raw' is not base64");
+      throw line.malformed("field 'raw' is not valid base64");
     }
   }
 
@@ -122,7 +122,7 @@
     return line.decimal("budget");
   }
 
-  /** The request, by what has been read of it and the fields that may be absent. */
+  /** Returns the arrival, with the fields already read and the optional fields of the line. */
   RequestArrival arrival(long request, String className, double budgetMillis) {
     return new RequestArrival(
         request,
@@ -133,7 +133,7 @@
         line.isSet("resent"));
   }
 
-  /** The outcome, or null where the reason is not known. */
+  /** Returns the outcome, or null if the reason is unknown. */
   AttemptOutcome outcome() {
     return switch ((int) line.number("reason")) {
       case 1 -> AttemptOutcome.OK;
@@ -148,7 +148,7 @@
     };
   }
 
-  /** The load report, or null where there is none. */
+  /** Returns the load report, or null if the line has none. */
   LoadReport loadReport() {
     double[] figures = line.figures("load", LOAD_FIGURES);
     return figures == null
@@ -156,7 +156,7 @@
         : new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
   }
 
-  /** The kind of an endpoint list, or null where it is not known. */
+  /** Returns the kind of the endpoint list, or null if it is unknown. */
   EndpointListEvent endpointListEvent() {
     return switch (line.string("how")) {
       case "delta" -> EndpointListEvent.DELTA;
@@ -167,26 +167,27 @@
     };
   }
 
-  /** The entries of the buffer that the line names. */
+  /** Returns the entries of the endpoint buffer that the line names. */
   List<EndpointUpdate> endpointUpdates() {
     List<EndpointUpdate> updates = endpointBuffers.get(line.number("buffer"));
     if (updates == null) {
-      throw line.malformed("no ledger with this number has come");
+      throw line.malformed(
+          "field 'buffer': unknown number (expected: the number of an earlier 'ledger')");
     }
     return updates;
   }
 
-  /** Reads the entries that follow the line, and keeps them. */
+  /** Reads the entries that follow the line and stores them under the buffer's number. */
   void readEndpointBuffer() throws IOException {
     long buffer = line.number("buffer");
     long records = line.number("records");
     List<EndpointUpdate> updates = new ArrayList<>();
     for (long i = 0; i < records; i++) {
       if (!next()) {
-        throw new MalformedInputException("the input ends in the middle of a ledger");
+        throw new MalformedInputException("input ends in the middle of a ledger");
       }
       if (event() != WireEvent.ENDPOINT_ENTRY) {
-        throw line.malformed("a ledger has fewer 'host' lines than it says");
+        throw line.malformed("ledger has fewer 'host' lines than its 'records' field states");
       }
       updates.add(endpointUpdate());
     }
@@ -208,7 +209,7 @@
     return switch (word) {
       case "Ready" -> EndpointUpdate.Condition.READY;
       case "Gone" -> EndpointUpdate.Condition.GONE;
-      default -> EndpointUpdate.Condition.TERMINATING; // nothing new goes to a state not known
+      default -> EndpointUpdate.Condition.TERMINATING; // an unknown condition gets no new requests
     };
   }
 }
--- a/src/main/java/leadferry/adapter/Instance.java
+++ b/src/main/java/leadferry/adapter/Instance.java
@@ -12,21 +12,24 @@
 import leadferry.loadbalancer.RequestArrival;
 import leadferry.loadbalancer.Settings;
 
-/** One proxy of the simulated tier: its load balancer and, where permitted, its gossip. */
+/** One proxy of the simulated tier: a load balancer and, if permitted, gossip. */
 final class Instance implements LoadBalancerActions, SuspicionProtocol.Actions {
-  /** A token that the load balancer does not use: its own are ids of requests, and -1. */
+  /** Token of the gossip timer. The load balancer uses request ids and -1 as tokens. */
   private static final long GOSSIP_TIMER = -2;
 
-  /** An endpoint to be ejected for so long, or, with 0, readmitted. */
+  /**
+   * A hint from gossip to eject an endpoint for {@code ejectionMillis}, or to readmit it if that is
+   * 0.
+   */
   private record Hint(long endpoint, double ejectionMillis) {}
 
   private final CommandWriter commands;
   private final LoadBalancer loadBalancer;
 
-  /** Null where the deployment permits no messages between proxies. */
+  /** Null if the deployment permits no messages between proxies. */
   private final SuspicionProtocol gossip;
 
-  /** What gossip made of an event while the load balancer was still about it. */
+  /** Hints produced while the load balancer processes an event; delivered after the event. */
   private final List<Hint> pendingHints = new ArrayList<>();
 
   Instance(Settings settings, boolean hasGossip, long seed, CommandWriter commands) {
@@ -55,7 +58,9 @@
     loadBalancer.onRequest(nowMillis, arrival);
   }
 
-  /** The endpoint has answered an attempt; to be called before its outcome is told. */
+  /**
+   * Records a response of the endpoint. Must be called before {@link #onOutcome} of the attempt.
+   */
   void onResponse(double nowMillis, long endpoint) {
     gossip.onResponse(nowMillis, endpoint);
   }
--- a/src/main/java/leadferry/adapter/LineReader.java
+++ b/src/main/java/leadferry/adapter/LineReader.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Cuts a stream into lines without copying them; a line is valid until the next call. */
+/** Splits a stream into lines without copying them. A line is valid until the next call. */
 final class LineReader {
   private final InputStream input;
   private byte[] buffer = new byte[1 << 16];
@@ -15,7 +15,7 @@
     this.input = input;
   }
 
-  /** Points {@code line} at the next line; false at the end of the input. */
+  /** Points {@code line} to the next line. Returns false at the end of the input. */
   boolean next(WireLine line) throws IOException {
     int scanned = position;
     while (true) {
@@ -39,7 +39,8 @@
       int count = input.read(buffer, limit, buffer.length - limit);
       if (count < 0) {
         if (limit > position) {
-          throw new MalformedInputException("the input ends in the middle of a line");
+          throw new MalformedInputException(
+              "input ends in the middle of a line (expected: a line break)");
         }
         return false;
       }
--- a/src/main/java/leadferry/adapter/MalformedInputException.java
+++ b/src/main/java/leadferry/adapter/MalformedInputException.java
@@ -1,10 +1,10 @@
 package leadferry.adapter;
 
-/** Input that is not of the wire; its message is one plain line. */
+/** Thrown if the input violates the wire format. The message is a single line. */
 public final class MalformedInputException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates it with a message for people. */
+  /** Creates an exception with a message for operators. */
   public MalformedInputException(String message) {
     super(message);
   }
--- a/src/main/java/leadferry/adapter/ReplyWriter.java
+++ b/src/main/java/leadferry/adapter/ReplyWriter.java
@@ -38,7 +38,7 @@
     return this;
   }
 
-  /** A time in ms with microseconds. */
+  /** Writes a time in milliseconds with up to three decimals. */
   ReplyWriter writeMillis(double millis) {
     long micros = Math.round(millis * 1000);
     if (micros < 0) {
@@ -57,7 +57,7 @@
     return this;
   }
 
-  /** Free text, kept to one line. */
+  /** Writes free text. Line breaks are replaced by spaces. */
   ReplyWriter writeText(String text) {
     byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
     ensureCapacity(bytes.length);
--- a/src/main/java/leadferry/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -8,16 +8,16 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Reads the settings of an instance; what is not known is skipped, what is absent is harmless. The
- * one place that maps the keys of the simulator's configuration to {@link Settings}: {@code conf}
- * is the wire's JSON.
+ * Reads the settings of an instance from {@code conf}, the JSON configuration of the wire format.
+ * This is the only class that maps its keys to {@link Settings}. Unknown keys are skipped, and
+ * missing keys get harmless defaults.
  */
 public final class SettingsReader {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private SettingsReader() {}
 
-  /** The tree of a configuration in JSON. */
+  /** Returns the parsed JSON configuration. */
   static JsonNode parse(String conf) {
     try {
       return JSON.readTree(conf);
@@ -26,15 +26,15 @@
     }
   }
 
-  /** Whether the deployment lets proxies send each other messages. */
+  /** Returns whether the deployment permits messages between proxies. */
   public static boolean canMessagePeers(JsonNode root) {
     return root.path("limits").path("peers").asBoolean(false);
   }
 
   /**
-   * Reads settings that are parsed already.
+   * Reads settings from a parsed configuration.
    *
-   * @throws MalformedInputException if they are no JSON object
+   * @throws MalformedInputException if the configuration is not a JSON object
    */
   public static Settings read(JsonNode root) {
     if (root == null || !root.isObject()) {
@@ -99,7 +99,8 @@
         switch (node.path("semantics").asText()) {
           case "idempotent" -> Settings.Semantics.IDEMPOTENT;
           case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
-          default -> Settings.Semantics.AT_MOST_ONCE; // the strictest, where a name is new
+          // an unknown name gets the strictest semantics
+          default -> Settings.Semantics.AT_MOST_ONCE;
         };
     Settings.KeyScope scope =
         switch (node.path("keyScope").asText()) {
--- a/src/main/java/leadferry/adapter/WireEvent.java
+++ b/src/main/java/leadferry/adapter/WireEvent.java
@@ -1,11 +1,13 @@
 package leadferry.adapter;
 
-/** The lines of the simulator's wire that reach the adapter: the field's term, the wire's word. */
+/**
+ * Events of the simulator's wire format that the adapter receives, with their names on the wire.
+ */
 enum WireEvent {
   ATTEMPT_OUTCOME("outcome"),
   REQUEST_ARRIVAL("inbound"),
   TIMER("wake"),
-  /** The entries of an endpoint list, kept under a number until a list names it. */
+  /** The entries of an endpoint list, stored under a number until an endpoint list refers to it. */
   ENDPOINT_BUFFER("ledger"),
   /** One entry of an endpoint buffer. */
   ENDPOINT_ENTRY("host"),
@@ -18,7 +20,7 @@
   GOSSIP_MESSAGE("heard"),
   BATCH_START("sync"),
   BATCH_END("eob"),
-  /** A word that a later wire may bring. */
+  /** An event that this version does not know. */
   UNKNOWN("");
 
   private static final WireEvent[] ALL = values();
@@ -29,7 +31,7 @@
     this.word = word;
   }
 
-  /** What the line is. */
+  /** Returns the event of the line. */
   static WireEvent of(WireLine line) {
     for (WireEvent event : ALL) {
       if (line.hasName(event.word)) {
--- a/src/main/java/leadferry/adapter/WireLine.java
+++ b/src/main/java/leadferry/adapter/WireLine.java
@@ -3,12 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One line of the wire, taken apart in place: a name and name=value fields. */
+/** One line of the wire format, parsed in place: a name and name=value fields. */
 final class WireLine {
-  /** How much of a malformed line is shown. */
+  /** Largest part of a malformed line that an error message quotes. */
   private static final int MAX_SHOWN_BYTES = 60;
 
-  /** Digits that a whole number, or a decimal read without the slow way, may have. */
+  /**
+   * Most digits of an integer, and most characters of a decimal that is parsed without {@link
+   * Double#parseDouble}.
+   */
   private static final int MAX_INTEGER_DIGITS = 18;
 
   private static final int MAX_DECIMAL_DIGITS = 16;
@@ -23,7 +26,8 @@
   private int[] valueEnd = new int[16];
 
   /**
-   * Points this at {@code bytes[from, limit)} and finds the fields; {@code conf} runs to the end.
+   * Points this line to {@code bytes[from, limit)} and finds its fields. The value of {@code conf}
+   * or {@code text} extends to the end of the line.
    */
   void parse(byte[] bytes, int from, int limit) {
     buffer = bytes;
@@ -32,7 +36,7 @@
     fieldCount = 0;
     nameEnd = indexOf(' ', start, end);
     if (nameEnd == start) {
-      throw malformed("a line without a name");
+      throw malformed("line has no name");
     }
     int index = nameEnd;
     while (index < end) {
@@ -40,14 +44,14 @@
     }
   }
 
-  /** Finds the field that begins at {@code key} and gives its end. */
+  /** Finds the field that begins at {@code key}. Returns the index of its end. */
   private int parseField(int key) {
     int equals = key;
     while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
       equals++;
     }
     if (equals >= end || buffer[equals] != '=' || equals == key) {
-      throw malformed("a field is not name=value");
+      throw malformed("field is not of the form name=value");
     }
     boolean runsToTheEnd = matches(key, equals, "conf") || matches(key, equals, "text");
     int stop = runsToTheEnd ? end : indexOf(' ', equals, end);
@@ -67,7 +71,10 @@
     fieldCount++;
   }
 
-  /** Where the byte first stands in that range; {@code limit} where it does not. */
+  /**
+   * Returns the first index of the byte in the range, or {@code limit} if the range does not
+   * contain it.
+   */
   private int indexOf(char wanted, int from, int limit) {
     int index = from;
     while (index < limit && buffer[index] != wanted) {
@@ -127,13 +134,13 @@
     boolean negative = from < limit && buffer[from] == '-';
     int first = negative ? from + 1 : from;
     if (first >= limit || limit - first > MAX_INTEGER_DIGITS) {
-      throw malformed("field '" + key + "' is not a whole number");
+      throw malformed("field '" + key + "' is not an integer");
     }
     long value = 0;
     for (int i = first; i < limit; i++) {
       int digit = buffer[i] - '0';
       if (digit < 0 || digit > 9) {
-        throw malformed("field '" + key + "' is not a whole number");
+        throw malformed("field '" + key + "' is not an integer");
       }
       value = 10 * value + digit;
     }
@@ -150,7 +157,10 @@
     return field < 0 ? defaultValue : decimal(keyEnd[field] + 1, valueEnd[field], key);
   }
 
-  /** Plain digits with a fraction are the rule; anything else goes the slow way. */
+  /**
+   * Parses a decimal. Plain digits with an optional fraction are the common case; anything else is
+   * left to {@link Double#parseDouble}.
+   */
   private double decimal(int from, int limit, String key) {
     if (from >= limit) {
       throw notANumber(key);
@@ -204,7 +214,10 @@
     return field < 0 ? defaultValue : text(keyEnd[field] + 1, valueEnd[field]);
   }
 
-  /** The figures of a report field, by the order of {@code names}; null if there is none. */
+  /**
+   * Returns the figures of a report field in the order of {@code names}, NaN for missing ones; null
+   * if there is no such field.
+   */
   double[] figures(String key, String... names) {
     int field = indexOfField(key);
     if (field < 0) {
@@ -222,7 +235,7 @@
     return figures;
   }
 
-  /** Reads one name:value of a report; a name that is not known is skipped, and so is "-". */
+  /** Reads one name:value pair of a report. Unknown names and "-" are skipped. */
   private void readFigure(int from, int limit, String key, String[] names, double[] figures) {
     int colon = indexOf(':', from, limit);
     if (colon < limit) {
@@ -232,7 +245,7 @@
         }
       }
     } else if (limit > from && !matches(from, limit, "-")) {
-      throw malformed("field '" + key + "' is not name:value pairs");
+      throw malformed("field '" + key + "' is not a list of name:value pairs");
     }
   }
 
--- a/src/main/java/leadferry/adapter/package-info.java
+++ b/src/main/java/leadferry/adapter/package-info.java
@@ -1,9 +1,11 @@
 /**
- * The decision module on the simulator's wire: batches of events on standard input, commands on
- * standard output. Begin with {@link leadferry.adapter.Adapter}. The wire's words are mapped to the
- * field's terms in one class each: {@link leadferry.adapter.EventReader} the events' fields and
- * {@link leadferry.adapter.WireEvent} their names, {@link leadferry.adapter.CommandWriter} the
- * commands, {@link leadferry.adapter.SettingsReader} the settings. Decides nothing, and must not
- * know sockets or the engine.
+ * Runs the load balancer on the simulator's wire format: batches of events on standard input,
+ * commands on standard output. The entry point is {@link leadferry.adapter.Adapter}.
+ *
+ * <p>The names of the wire format are mapped to the terms of this project in one class each: {@link
+ * leadferry.adapter.EventReader} for the fields of events, {@link leadferry.adapter.WireEvent} for
+ * the names of events, {@link leadferry.adapter.CommandWriter} for commands, and {@link
+ * leadferry.adapter.SettingsReader} for settings. The package makes no load-balancing decisions and
+ * must not depend on sockets or the engine.
  */
 package leadferry.adapter;
--- a/src/main/java/leadferry/gossip/EndpointSuspicion.java
+++ b/src/main/java/leadferry/gossip/EndpointSuspicion.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * What is known of one endpoint's silence: who lost a request there and since when, when it last
- * answered, and whether it is ejected on the word of several. A plain record of state that {@link
- * SuspicionProtocol} changes. Times are milliseconds.
+ * What this proxy knows about the silence of one endpoint: which proxies lost a request there and
+ * since when, the time of the last response, and whether the endpoint is ejected after suspicions
+ * of several proxies. {@link SuspicionProtocol} changes the fields. Times are milliseconds.
  */
 final class EndpointSuspicion {
-  /** When the endpoint's process came up; what is known ends with it. */
+  /** Start time of the endpoint's process. A restart of the process resets this state. */
   final double onlineSinceMillis;
 
-  /** Since when each proxy that lost a request there takes the endpoint for silent. */
+  /** Start of the silence by proxy, for each proxy that lost a request at the endpoint. */
   final Map<Integer, Double> silentSinceByWitness = new HashMap<>(4);
 
   double lastResponseMillis = Double.NEGATIVE_INFINITY;
 
-  /** When a refutation is to be told; infinity where none is. */
+  /** Time at which to broadcast a refutation; infinity if none is due. */
   double refuteAtMillis = Double.POSITIVE_INFINITY;
 
-  /** When the witnesses have stood long enough; infinity where there are not enough. */
+  /** Time at which the suspicions count as unrefuted; infinity if there are too few witnesses. */
   double decideAtMillis = Double.POSITIVE_INFINITY;
 
-  /** The time in aims over which the proxies' trials of it are spread. */
+  /** Time, in shortest latency objectives, over which the proxies' trial requests are spread. */
   double trialSpreadObjectives;
 
   private double ejectedAtMillis = Double.NaN;
@@ -36,12 +36,17 @@
     return !Double.isNaN(ejectedAtMillis);
   }
 
-  /** Whether it is ejected, and was so before that time; a comparison with NaN is false. */
+  /**
+   * Returns whether the endpoint is ejected and the ejection started before {@code atMillis}. A
+   * comparison with NaN is false.
+   */
   boolean isEjectedBefore(double atMillis) {
     return atMillis > ejectedAtMillis;
   }
 
-  /** How long ago it was ejected last; NaN where it is not. */
+  /**
+   * Returns the time since the last ejection in milliseconds; NaN if the endpoint is not ejected.
+   */
   double sinceEjectionMillis(double nowMillis) {
     return nowMillis - ejectedAtMillis;
   }
--- a/src/main/java/leadferry/gossip/SuspicionMessage.java
+++ b/src/main/java/leadferry/gossip/SuspicionMessage.java
@@ -3,36 +3,37 @@
 import java.nio.ByteBuffer;
 
 /**
- * One message between proxies: an endpoint has said nothing to the sender for so long, or has
- * answered so long ago. Fixed size, as a receiver pays for each byte.
+ * A message between proxies. It is a suspicion (the endpoint has not responded to the sender for
+ * {@code ageMillis}) or a refutation (the endpoint responded {@code ageMillis} ago). The size is
+ * fixed, because every byte costs every receiver.
  *
  * <pre>
  *   0      1      2                  10        12
- *   | 0xA7 | zone | endpoint, 8 bytes | age, ms |      the top bit of the age: the endpoint answers
+ *   | 0xA7 | zone | endpoint, 8 bytes | age, ms |      top bit of the age: the endpoint is alive
  * </pre>
  *
- * @param zone a byte that the senders of one zone share; 0 where there are no zones
- * @param endpoint the number by which all proxies of the tier know the endpoint
- * @param ageMillis how long ago (at most {@link #MAX_AGE_MILLIS}) the unanswered request went out,
- *     or the response came
- * @param isAlive whether the endpoint answers
+ * @param zone a byte shared by the senders of one zone; 0 if there are no zones
+ * @param endpoint the endpoint id, the same for all proxies of the tier
+ * @param ageMillis the time since the unanswered request was sent or the response arrived, at most
+ *     {@link #MAX_AGE_MILLIS}
+ * @param isAlive whether the message is a refutation
  */
 public record SuspicionMessage(byte zone, long endpoint, int ageMillis, boolean isAlive) {
-  /** Bytes of a message. */
+  /** Size of a message in bytes. */
   public static final int SIZE_BYTES = 12;
 
-  /** The longest age (ms) that a message can tell; older ones are told as this. */
+  /** Largest age in milliseconds that a message can carry; a larger age is sent as this. */
   public static final int MAX_AGE_MILLIS = 0x7fff;
 
   private static final byte MAGIC = (byte) 0xA7;
   private static final int ALIVE_BIT = 0x8000;
 
-  /** The byte for a zone of that name, never 0; 0 for null. */
+  /** Returns the byte for a zone name, never 0; 0 for null. */
   public static byte zoneByte(String zone) {
     return zone == null ? 0 : (byte) (1 + Math.floorMod(zone.hashCode(), 255));
   }
 
-  /** The message as it travels. */
+  /** Returns the encoded message. */
   public byte[] encode() {
     int ageAndFlag = Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)) | (isAlive ? ALIVE_BIT : 0);
     return ByteBuffer.allocate(SIZE_BYTES)
@@ -43,7 +44,7 @@
         .array();
   }
 
-  /** The message that these bytes are, or null where they are none. */
+  /** Returns the decoded message, or null if the bytes are not a message. */
   public static SuspicionMessage decode(byte[] bytes) {
     if (bytes.length != SIZE_BYTES || bytes[0] != MAGIC) {
       return null;
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -10,75 +10,89 @@
 import leadferry.loadbalancer.EndpointUpdate;
 
 /**
- * Silent endpoints, found by all proxies together: suspicion and refutation, as in SWIM (Das,
- * Gupta, Motivala, 2002), over the requests that are sent anyway in place of probes.
+ * Detects silent endpoints together with the other proxies: suspicion and refutation as in SWIM
+ * (Das, Gupta, Motivala, 2002), based on regular requests instead of probes.
  *
- * <p>Why: one proxy of many sends an endpoint too few requests to find it silent soon. Two proxies
- * that lost one each know enough for all.
+ * <p>A single proxy of many sends an endpoint too few requests to detect its silence quickly. Two
+ * proxies that lost one request each suffice for all proxies.
  *
  * <pre>
- *   A: request ---- no response -> tells "silent since t"
- *   B: request ---- no response -> tells "silent since t'"       C, D, ...: two witnesses that stand: ejected
- *   E: has had a response since t -> tells "answers" instead     C, D, ...: the witnesses are forgotten
+ *   A: request ---- no response -> broadcasts a suspicion, "silent since t"
+ *   B: request ---- no response -> broadcasts a suspicion, "silent since t'"
+ *   C, D, ...: two witnesses without a refutation -> eject the endpoint
+ *   E: has had a response since t -> broadcasts a refutation; C, D, ... remove the witnesses
  *
- *   ejected ....... each tries it again after one to its spread of aims, at chance
- *   the first whose trial is lost says so: the others wait on; the first that is answered says so: all readmit it
+ *   After a random ejection of 1 to (1 + spread) latency objectives, each proxy sends a trial.
+ *   A lost trial is broadcast: the others extend the ejection.
+ *   A successful trial is broadcast: all proxies readmit the endpoint.
  * </pre>
  *
- * <p>What a response refutes is a silence that began before it. So a lost response, of an endpoint
- * that serves others, is refuted within a quarter of an aim; an endpoint that hangs is not. Who
- * refutes waits for a chance part of that time and stays still where another was faster. What a
- * zone can reach is known to that zone alone: messages of others are ignored.
+ * <p>A response refutes a silence that began before the response. Thus, a lost response of an
+ * endpoint that serves others is refuted within a quarter of a latency objective, and an endpoint
+ * that hangs is not refuted. A proxy that can refute waits for a random part of that time and sends
+ * nothing if another proxy was faster. Which endpoints are reachable can differ between zones, so
+ * messages of other zones are ignored.
  *
- * <p>Bounds: a record for each endpoint that is in the list; at most {@link #MAX_WITNESSES}
- * witnesses in it; as many messages as attempts, saved up to {@link #MAX_MESSAGE_TOKENS}. Not safe
- * for use from several threads at once. Times are milliseconds; an aim is the shortest latency
- * objective.
+ * <p>Bounds: one record per endpoint in the list; at most {@link #MAX_WITNESSES} witnesses per
+ * record; one message per attempt, saved up to {@link #MAX_MESSAGE_TOKENS}. Not thread-safe. Times
+ * are milliseconds. "Latency objective" means the shortest one of all request classes.
  */
 public final class SuspicionProtocol {
-  /** What it asks of its proxy; called from within the event methods. */
+  /**
+   * Actions that the protocol requests from its proxy. They are called from within the event
+   * methods.
+   */
   public interface Actions {
     /** Sends a message to every proxy of the tier. */
     void broadcast(byte[] message);
 
     /**
-     * The endpoint should get nothing for so long, then a trial; {@code again} where it was ejected
-     * before.
+     * Ejects the endpoint for {@code lengthMillis}, after which it gets a trial request; {@code
+     * isRepeated} states whether the endpoint is already ejected.
      */
     void eject(long endpoint, double lengthMillis, boolean isRepeated);
 
-    /** The endpoint answers others: it may get requests again. */
+    /** Readmits the endpoint, which responds to other proxies. */
     void readmit(long endpoint);
 
-    /** Asks for {@link SuspicionProtocol#onTimer} after so long. */
+    /** Schedules a call of {@link SuspicionProtocol#onTimer} after {@code delayMillis}. */
     void scheduleTimer(double delayMillis);
   }
 
-  /** Distinct witnesses that are enough: one can be cut off itself, or have lost one response. */
+  /**
+   * Number of distinct witnesses for an ejection. A single proxy may be cut off or have lost one
+   * response.
+   */
   private static final int MIN_WITNESSES = 2;
 
   private static final int MAX_WITNESSES = 8;
   private static final int MAX_MESSAGE_TOKENS = 20;
 
-  /** A silence that began longer ago is no witness any more. */
+  /** Age of a silence after which its witness expires, in latency objectives. */
   private static final double WITNESS_MEMORY_OBJECTIVES = 4;
 
-  /** The time over which those spread that could refute. */
+  /**
+   * Time over which the proxies that can refute spread their refutations, in latency objectives.
+   */
   private static final double REFUTE_WITHIN_OBJECTIVES = 0.25;
 
-  /** Witnesses have to stand so long: refutations come within the above, and travel. */
+  /**
+   * Time for which witnesses must stay unrefuted, in latency objectives. It covers {@link
+   * #REFUTE_WITHIN_OBJECTIVES} and the transmission of a refutation.
+   */
   private static final double DECIDE_AFTER_OBJECTIVES = 0.35;
 
   /**
-   * Where responses get lost at chance, most of what a proxy says is refuted and paid for all the
-   * same: it says ever less of it, down to this share. Of an endpoint that hangs, so many proxies
-   * lose requests that a part of them is enough.
+   * Least share of own losses that is broadcast. If responses get lost at random, most suspicions
+   * are refuted but still cost messages, so a proxy broadcasts fewer and fewer of them, down to
+   * this share. If an endpoint hangs, many proxies lose requests and a part of their suspicions
+   * suffices.
    */
   private static final double MIN_BROADCAST_SHARE = 0.2;
 
   private static final double BROADCAST_SHARE_STEP = 0.2;
 
-  /** This proxy as a witness. */
+  /** Key of this proxy as a witness. */
   private static final int SELF = -1;
 
   private final byte zone;
@@ -91,13 +105,13 @@
   private double broadcastShare = 1;
 
   /**
-   * One proxy's share in it.
+   * Creates the protocol instance of one proxy.
    *
-   * @param zone its own zone, or null
-   * @param proxyCount how many there are in the tier, itself included
+   * @param zone the zone of the proxy, or null
+   * @param proxyCount the number of proxies in the tier, including this one
    * @param objectiveMillis the shortest latency objective
-   * @param seed of its waits, which should differ from proxy to proxy
-   * @param actions what carries out its decisions
+   * @param seed the seed of the random waits, which should differ between proxies
+   * @param actions the receiver of the actions
    */
   public SuspicionProtocol(
       String zone, int proxyCount, double objectiveMillis, long seed, Actions actions) {
@@ -108,13 +122,13 @@
     this.actions = actions;
   }
 
-  /** Another shortest latency objective holds from now on. */
+  /** Replaces the shortest latency objective. */
   public void onSettings(double newObjectiveMillis) {
     objectiveMillis = newObjectiveMillis;
   }
 
   /**
-   * A list of endpoints, or changes to one, as the load balancer gets it. What is known of an
+   * Processes an endpoint list or changes to it, as received by the load balancer. State about an
    * endpoint ends with its process.
    */
   public void onEndpointList(EndpointListEvent event, List<EndpointUpdate> updates) {
@@ -142,38 +156,39 @@
         : new EndpointSuspicion(update.onlineSinceMillis());
   }
 
-  /** The endpoint is another than it was, for a reason that no list tells. */
+  /** Removes the state of an endpoint that was replaced without a change in the endpoint list. */
   public void forget(long endpoint) {
     suspicions.remove(endpoint);
   }
 
-  /** An own attempt has begun: it earns a message. */
+  /** Records an attempt of this proxy, which earns one message. */
   public void onAttempt() {
     messageTokens = Math.min(MAX_MESSAGE_TOKENS, messageTokens + 1);
   }
 
-  /** The endpoint has answered an own request, whatever it said. */
+  /** Records that the endpoint responded to this proxy, successfully or not. */
   public void onResponse(double nowMillis, long endpoint) {
     EndpointSuspicion suspicion = suspicions.get(endpoint);
     if (suspicion == null) {
       return;
     }
     if (suspicion.isEjected()) {
-      broadcast(endpoint, 0, true); // the trial that all wait for
+      broadcast(endpoint, 0, true); // successful trial
     }
     recordResponse(suspicion, nowMillis);
   }
 
   /**
-   * An own request to the endpoint, sent at that time, got no response, and nothing else came from
-   * there since.
+   * Records that a request of this proxy, sent at {@code sentAtMillis}, got no response, and that
+   * the endpoint has sent this proxy no other response since.
    */
   public void onNoResponse(double nowMillis, long endpoint, double sentAtMillis) {
     EndpointSuspicion suspicion = suspicions.get(endpoint);
     if (suspicion == null
         || suspicion.lastResponseMillis >= sentAtMillis
         || (suspicion.isEjected() && !suspicion.isEjectedBefore(sentAtMillis))) {
-      return; // others know better, or know it by now
+      // another proxy had a response since, or the endpoint is already ejected for this silence
+      return;
     }
     if (random.nextDouble() < broadcastShare) {
       broadcast(endpoint, nowMillis - sentAtMillis, false);
@@ -181,7 +196,7 @@
     addWitness(suspicion, endpoint, SELF, sentAtMillis, nowMillis);
   }
 
-  /** A message has come from the proxy of that number; what is no message is ignored. */
+  /** Processes a message of the proxy with this index. Malformed messages are ignored. */
   public void onMessage(double nowMillis, int proxy, byte[] bytes) {
     SuspicionMessage message = SuspicionMessage.decode(bytes);
     if (message == null || message.zone() != zone) {
@@ -201,7 +216,7 @@
     }
   }
 
-  /** Time has passed that was asked for. */
+  /** Broadcasts due refutations and ejects endpoints whose witnesses were not refuted. */
   public void onTimer(double nowMillis) {
     suspicions.forEach(
         (endpoint, suspicion) -> {
@@ -218,7 +233,7 @@
         });
   }
 
-  /** Whether the endpoint is ejected on the word of several. */
+  /** Returns whether the endpoint is ejected after suspicions of several proxies. */
   public boolean isEjected(long endpoint) {
     EndpointSuspicion suspicion = suspicions.get(endpoint);
     return suspicion != null && suspicion.isEjected();
--- a/src/main/java/leadferry/gossip/TrialSpread.java
+++ b/src/main/java/leadferry/gossip/TrialSpread.java
@@ -1,22 +1,26 @@
 package leadferry.gossip;
 
 /**
- * Over which time are the proxies' trials of an ejected endpoint spread? How many proxies send to
- * it is known to none, so the time is found: lost trials that come close to each other were too
- * many, and everybody, having heard the same, waits longer; after some that come far apart, less
- * long. Measured in aims (the shortest latency objective).
+ * Computes the time over which the proxies spread their trial requests to an ejected endpoint. No
+ * proxy knows how many proxies send to the endpoint, so the spread adapts: if lost trials follow
+ * each other closely, there are too many, and all proxies, which received the same messages, wait
+ * longer. If lost trials are far apart, they wait for a shorter time. Measured in shortest latency
+ * objectives.
  */
 final class TrialSpread {
-  /** The most that an endpoint is ejected on others' word; the load balancer's own longest time. */
-  private static final double MAX_OBJECTIVES = 20; // as OutlierDetector.LONGEST_EJECTION_AIMS
+  /** Longest spread, equal to the longest ejection of the load balancer. */
+  private static final double MAX_OBJECTIVES = 20; // see OutlierDetector.MAX_EJECTION_OBJECTIVES
 
-  /** It begins with one trial in two aims where one proxy in so many sends to an endpoint. */
+  /**
+   * Initial spread as a number of proxies per latency objective: one trial per two objectives if
+   * one in this many proxies sends to the endpoint.
+   */
   private static final double PROXIES_PER_OBJECTIVE = 10;
 
-  /** Trials closer than this were too many. */
+  /** Lost trials closer than this are too frequent. */
   private static final double MIN_GAP_OBJECTIVES = 2;
 
-  /** Trials further apart than this were too few. */
+  /** Lost trials further apart than this are too rare. */
   private static final double MAX_GAP_OBJECTIVES = 4;
 
   private static final double STEP_FACTOR = 1.5;
@@ -28,12 +32,16 @@
         Math.max(1, Math.min(MAX_OBJECTIVES, proxyCount / PROXIES_PER_OBJECTIVE));
   }
 
-  /** That of an endpoint's first ejection. */
+  /** Returns the spread of the first ejection of an endpoint. */
   double initialObjectives() {
     return initialObjectives;
   }
 
-  /** The next one, after a trial was lost {@code sinceLastAims} after the ejection before. */
+  /**
+   * Returns the next spread after a trial was lost.
+   *
+   * @param sinceEjectionObjectives the time between the previous ejection and the lost trial
+   */
   double nextObjectives(double spreadObjectives, double sinceEjectionObjectives) {
     if (sinceEjectionObjectives < MIN_GAP_OBJECTIVES) {
       return Math.min(MAX_OBJECTIVES, spreadObjectives * STEP_FACTOR);
--- a/src/main/java/leadferry/gossip/package-info.java
+++ b/src/main/java/leadferry/gossip/package-info.java
@@ -1,11 +1,12 @@
 /**
- * What the proxies of one tier know of each other. Begin with {@link
- * leadferry.gossip.SuspicionProtocol}: which of a proxy's own losses are worth telling the others,
- * and when what they tell is enough to act on.
+ * Gossip between the proxies of one tier about silent endpoints. The entry point is {@link
+ * leadferry.gossip.SuspicionProtocol}, which decides which lost requests of a proxy are broadcast
+ * and when the messages of other proxies suffice for an ejection.
  *
- * <p>Decides without I/O: time is passed in, messages are bytes, sockets stand beside the caller.
- * Needs the JDK alone. What comes out of it are hints to the decision module, which may eject an
- * endpoint for a while and never widens what may be sent; no rule rests on them, and any message
- * may be late, lost or made up.
+ * <p>The package does no I/O: time is passed in, messages are byte arrays, and the caller owns the
+ * sockets. It depends only on the JDK and {@link leadferry.loadbalancer}. Its results are hints to
+ * the load balancer, which may eject an endpoint for a while but never sends more than it would
+ * without them. No correctness rule depends on a message, because any message may be late, lost or
+ * forged.
  */
 package leadferry.gossip;
--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -3,23 +3,30 @@
 import java.util.SplittableRandom;
 
 /**
- * Admit a new request, or shed it?
+ * Decides whether a new request is admitted or shed.
  *
- * <p>Shed is what cannot be answered in time: by chance as pressure rises, those of the lowest
- * priority weight first, and always where even the endpoint chosen has a queue longer than the
- * request is useful. Late work would take the place of work that still can be in time.
+ * <p>Requests that cannot be served in time are shed. As pressure rises, requests are shed at
+ * random, those with the lowest priority weight first. A request is always shed if even the
+ * endpoint chosen for it has a queue that takes longer than the request is useful: late work would
+ * take the place of work that can still be in time.
  *
- * <p>Asked in two steps, as chance is drawn before the endpoint is: {@link #onArrival}, then {@link
- * #shouldAdmit} with the endpoint.
+ * <p>The decision has two steps because the random draw precedes the choice of the endpoint: {@link
+ * #onArrival}, then {@link #shouldAdmit} with the endpoint.
  */
 final class AdmissionController {
-  /** The most of a mean class that is shed: the rest finds out when the overload is over. */
+  /**
+   * Largest share of requests of mean value that is shed. The remaining requests detect the end of
+   * the overload.
+   */
   private static final double MAX_SHED_SHARE = 0.9;
 
-  /** Least priority weight against the mean: what is worth little is not all shed at once. */
+  /**
+   * Least priority weight relative to the mean. Keeps requests of low value from all being shed at
+   * once.
+   */
   private static final double MIN_RELATIVE_WEIGHT = 0.2;
 
-  /** Smoothing of the mean value of a request: about the last fifty. */
+  /** Smoothing factor of the mean value of a request: covers about the last 50 requests. */
   private static final double VALUE_SMOOTHING = 0.02;
 
   private final PressureEstimate pressure;
@@ -32,8 +39,8 @@
   private double meanValue;
 
   /**
-   * Whether the log line of an overload was written: from pressure 0.7 until below 0.2. Some load
-   * is shed from 0.4 on without it.
+   * Whether the start of the current overload has been logged. It is logged at pressure 0.7, and
+   * its end below 0.2. Pressure from 0.4 to 0.7 sheds some load without a log line.
    */
   private boolean overloadLogged;
 
@@ -47,7 +54,7 @@
     this.actions = context.actions;
   }
 
-  /** Counts a request that has come, weighs it and draws whether pressure sheds it. */
+  /** Counts a new request, computes its priority weight and draws whether pressure sheds it. */
   void onArrival(RequestState request, String tenant, double nowMillis) {
     quotas.onArrival(tenant, nowMillis);
     arrivals.onArrival(nowMillis);
@@ -56,10 +63,13 @@
     request.isDrawnForShedding = shouldShedByPressure(request, nowMillis);
   }
 
-  /** Whether the request may begin at the endpoint that was chosen for it, null where none was. */
+  /**
+   * Returns whether the request may be sent to {@code endpoint}, which is null if none was chosen.
+   */
   boolean shouldAdmit(RequestState request, Endpoint endpoint, double nowMillis) {
     if (request.isDrawnForShedding) {
-      // Guards against an overload that only memory holds up: known room at the endpoint admits.
+      // Guards against an overload estimate that outlives the overload: an endpoint known to be
+      // idle admits the request.
       boolean isAdmitted = endpoint != null && loadReports.isIdle(endpoint, nowMillis);
       if (!isAdmitted) {
         arrivals.onOutcome(false);
--- a/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptOutcome.java
@@ -1,22 +1,22 @@
 package leadferry.loadbalancer;
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 public enum AttemptOutcome {
-  /** The endpoint served it. */
+  /** The endpoint served the request. */
   OK(false),
-  /** The endpoint answered with an error of its own. */
+  /** The endpoint responded with an error. */
   ERROR(false),
-  /** The endpoint turned it away as overloaded, before any effect. */
+  /** The endpoint rejected the request as overloaded, before any effect. */
   FULL(true),
-  /** No response came before the deadline. */
+  /** No response arrived before the deadline. */
   TIMEOUT(false),
-  /** No connection came about. */
+  /** No connection could be established. */
   CONNECT_FAILED(true),
   /** The connection broke. */
   RESET(false),
-  /** This proxy stopped waiting. */
+  /** This proxy cancelled the attempt. */
   CANCELLED(false),
-  /** It was never sent, for no fault of the endpoint. */
+  /** The attempt was never sent, for a reason unrelated to the endpoint. */
   MOOT(true);
 
   private final boolean hasNoEffect;
@@ -25,12 +25,12 @@
     this.hasNoEffect = hasNoEffect;
   }
 
-  /** Whether the endpoint has given an answer of its own making: a sign of life. */
+  /** Returns whether the endpoint itself produced a response, which proves that it is alive. */
   public boolean hasResponse() {
     return this == OK || this == ERROR;
   }
 
-  /** Whether this outcome proves that the attempt had no effect. */
+  /** Returns whether this outcome proves that the attempt had no effect. */
   public boolean hasNoEffect() {
     return hasNoEffect;
   }
--- a/src/main/java/leadferry/loadbalancer/AttemptState.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptState.java
@@ -1,18 +1,20 @@
 package leadferry.loadbalancer;
 
-/** One send of a request to an endpoint. */
+/** State of one attempt of a request at an endpoint. */
 final class AttemptState {
   final RequestState request;
   final int number;
   final Endpoint endpoint;
 
-  /** Where the endpoint stood when the attempt went out: lists may say otherwise by now. */
+  /**
+   * Zone of the endpoint when the attempt was sent. A later endpoint list may state another zone.
+   */
   final String zone;
 
   final long cell;
   final double sentAtMillis;
 
-  /** Own requests in flight there before it. */
+  /** Number of this proxy's requests in flight at the endpoint just before this attempt. */
   final int ownInFlightAtSend;
 
   boolean isOpen = true;
@@ -31,7 +33,7 @@
     endpoint.inFlight++;
   }
 
-  /** Ends it; 1 if it was in flight still, else 0. */
+  /** Ends the attempt. Returns 1 if it was still counted as in flight, else 0. */
   int end(AttemptOutcome outcome) {
     isOpen = false;
     mayHaveRun = !outcome.hasNoEffect();
@@ -39,7 +41,10 @@
     return removeFromInFlight();
   }
 
-  /** Takes it off what is in flight at the endpoint: 1 if it was, else 0. */
+  /**
+   * Removes the attempt from the in-flight count of its endpoint. Returns 1 if it was counted, else
+   * 0.
+   */
   int removeFromInFlight() {
     int removed = isInFlight ? 1 : 0;
     isInFlight = false;
--- a/src/main/java/leadferry/loadbalancer/ClassEjections.java
+++ b/src/main/java/leadferry/loadbalancer/ClassEjections.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Does an endpoint take requests of this class? Not where it turned one away, or never answered it,
- * with room to spare; then that class, and no other, is ejected there for a growing time.
+ * Tracks which endpoints do not serve a request class. An endpoint that rejects a class as full, or
+ * never responds to it, while it reports room is ejected for that class only. The length of the
+ * ejection grows.
  *
- * <p>Guards against endpoints that limit or lose one class: ejected as a whole they would lose the
- * classes that they serve as well, and the other endpoints would be overloaded.
+ * <p>Guards against endpoints that limit or lose one class. Ejecting the whole endpoint would
+ * withdraw it from the classes that it serves well, and would overload the other endpoints.
  */
 final class ClassEjections {
-  /** The longest ejection of a class; a trial costs little. */
+  /** Longest ejection of a class, in shortest latency objectives. A trial request costs little. */
   private static final double MAX_EJECTION_OBJECTIVES = 5;
 
   private final LiveSettings settings;
@@ -23,13 +24,16 @@
     this.actions = context.actions;
   }
 
-  /** Whether the class may be sent there; on trial, once in a latency objective of the class. */
+  /**
+   * Returns whether requests of the class may be sent to the endpoint. While half-open, the
+   * endpoint gets one such request per latency objective of the class.
+   */
   boolean isAvailable(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
     return ejection == null || nowMillis >= ejection.ejectedUntilMillis;
   }
 
-  /** The endpoint refuses the class. */
+  /** Ejects the class from the endpoint, which refuses it. */
   void eject(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection =
         endpoint.classEjections.computeIfAbsent(requestClass.name(), name -> new EjectionBackoff());
@@ -39,7 +43,7 @@
     ejection.eject(nowMillis, settings.shortestObjectiveMillis(), MAX_EJECTION_OBJECTIVES, random);
   }
 
-  /** A request of the class goes to the endpoint. */
+  /** Records that a request of the class is sent to the endpoint. */
   void onSend(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
     if (ejection != null && ejection.isHalfOpen) {
@@ -47,7 +51,7 @@
     }
   }
 
-  /** The endpoint has served a request of the class. */
+  /** Records that the endpoint has served a request of the class. */
   void onSuccess(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection = endpoint.classEjections.get(requestClass.name());
     if (ejection != null && ejection.isHalfOpen) {
--- a/src/main/java/leadferry/loadbalancer/EjectionBackoff.java
+++ b/src/main/java/leadferry/loadbalancer/EjectionBackoff.java
@@ -3,32 +3,40 @@
 import java.util.SplittableRandom;
 
 /**
- * How long an endpoint stays ejected: longer each time in a row, then trials until one is answered.
- * Times are milliseconds, lengths are measured in aims (the shortest latency objective).
+ * Computes how long an endpoint stays ejected. Consecutive ejections get longer. Afterwards the
+ * endpoint is half-open: it gets trial requests until it responds to one. Points in time are
+ * milliseconds; durations are multiples of the shortest latency objective.
  */
 final class EjectionBackoff {
-  /** Length of the first ejection; each further one in a row is twice as long. */
+  /** Length of the first ejection. Each consecutive one is twice as long. */
   private static final double FIRST_EJECTION_OBJECTIVES = 2.5;
 
-  /** After this long without an ejection the next counts as the first again. */
+  /** Time without an ejection after which the next one counts as the first again. */
   private static final double RESET_OBJECTIVES = 75;
 
-  /** Jitter: a length is drawn from this share of the nominal one ... */
+  /** Least random factor of the length of an ejection. */
   private static final double MIN_JITTER = 0.75;
 
-  /** ... to this much more. Spread, so that many proxies do not try an endpoint at once. */
+  /**
+   * Range of the random factor above {@link #MIN_JITTER}. Jitter keeps many proxies from trying an
+   * endpoint at the same time.
+   */
   private static final double JITTER_SPAN = 0.5;
 
   private int consecutiveEjections;
   private double lastEjectionMillis = Double.NEGATIVE_INFINITY;
 
-  /** The endpoint gets nothing before this time. */
+  /** End of the ejection: the endpoint gets no requests before this time. */
   double ejectedUntilMillis;
 
-  /** Whether the endpoint, after that, is half-open: on trial until it answers. */
+  /**
+   * Whether the endpoint is half-open after the ejection: it gets trial requests until it responds.
+   */
   boolean isHalfOpen;
 
-  /** Begins an ejection of at most {@code mostAims}. */
+  /**
+   * Starts an ejection of at most {@code maxObjectives} shortest latency objectives, before jitter.
+   */
   void eject(
       double nowMillis, double objectiveMillis, double maxObjectives, SplittableRandom random) {
     consecutiveEjections =
--- a/src/main/java/leadferry/loadbalancer/Endpoint.java
+++ b/src/main/java/leadferry/loadbalancer/Endpoint.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * One server process as this proxy knows it. A plain record of state: each group of fields belongs
- * to the class named above it, which alone changes them. Times are milliseconds of the module's
- * clock; negative infinity means never.
+ * State of one server process as this proxy knows it. The comment above each group of fields names
+ * the only class that changes them. Times are milliseconds of the load balancer's clock; negative
+ * infinity means never.
  */
 final class Endpoint {
   final long id;
 
-  /** Place on the ring of endpoints, the same in every proxy. */
+  /** Position on the ring of endpoints, the same in every proxy. */
   final long ringPosition;
 
-  /** When the process came up; 0 or less means long ago. */
+  /** Start time of the process; 0 or less means that it has been running for a long time. */
   final double onlineSinceMillis;
 
   // EndpointTable
@@ -65,7 +65,7 @@
     this.ringPosition = mix(id);
   }
 
-  /** The finalizer of SplitMix64 (Steele, Lea, Flood, 2014): spreads ids evenly over the ring. */
+  /** The finalizer of SplitMix64 (Steele, Lea, Flood, 2014). Spreads ids evenly over the ring. */
   private static long mix(long id) {
     long bits = id * 0x9E3779B97F4A7C15L;
     bits = (bits ^ (bits >>> 30)) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/leadferry/loadbalancer/EndpointListEvent.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointListEvent.java
@@ -1,12 +1,12 @@
 package leadferry.loadbalancer;
 
-/** What kind of list discovery has sent, if any. */
+/** Kind of an event from discovery. */
 public enum EndpointListEvent {
-  /** Only the changed entries. */
+  /** A list of changed entries only. */
   DELTA,
-  /** The complete list; endpoints not in it are gone. */
+  /** A complete list. Endpoints that it does not contain are gone. */
   FULL,
-  /** The complete list as last known, possibly old. */
+  /** The last known complete list, which may be outdated. */
   CACHED,
   /** A call to discovery failed, or the watch broke. */
   FAILED
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -5,28 +5,44 @@
 import java.util.SplittableRandom;
 
 /**
- * Which endpoint gets the attempt? Power of d choices (Mitzenmacher, 2001): of {@value #CHOICES}
- * usable endpoints drawn from the subset, the one with the fewest own requests in flight wins.
- * Equal counts are decided by the expected wait, equal waits by chance. Where nobody is drawn, any
- * endpoint that may get the request is taken, healthy ones first (panic mode).
+ * Chooses the endpoint of an attempt by the power of d choices (Mitzenmacher, 2001): of {@value
+ * #CHOICES} usable endpoints drawn from the subset, the one with the fewest of this proxy's
+ * requests in flight is chosen. Equal counts are decided by the expected wait, and equal waits at
+ * random. If no endpoint is drawn, any endpoint that may get the request is chosen, healthy ones
+ * first (panic mode).
  */
 final class EndpointPicker {
-  /** Candidates: two would do but for light proxies, whose counts tie; far more would herd. */
+  /**
+   * Number of candidates. Two suffice for busy proxies, but the counts of a light proxy often tie.
+   * Many more would cause herding.
+   */
   static final int CHOICES = 5;
 
-  /** Draws until the candidates are found: some draws meet the same endpoint or one not usable. */
+  /**
+   * Maximum number of draws for the candidates, because draws may repeat an endpoint or hit an
+   * unusable one.
+   */
   private static final int MAX_DRAWS = 4 * CHOICES;
 
-  /** One pick in so many ignores connections: an endpoint without one would never be learnt of. */
+  /**
+   * One pick in this many ignores open connections. Otherwise, an endpoint without a connection
+   * would never be measured.
+   */
   private static final int EXPLORE_INTERVAL = 4;
 
-  /** Counts closer than this are equal. */
+  /** Request counts that differ by no more than this are equal. */
   private static final double COUNT_TIE_MARGIN = 0.5;
 
-  /** Waits closer than this share are equal, and chance decides: avoids herding. */
+  /**
+   * Expected waits that differ by no more than this share are equal and decided at random, which
+   * avoids herding.
+   */
   private static final double WAIT_TIE_SHARE = 0.1;
 
-  /** Requests an endpoint is taken to hold without queueing, when waits are compared. */
+  /**
+   * Number of requests that an endpoint is assumed to hold without queueing when expected waits are
+   * compared.
+   */
   private static final double BASE_HELD_REQUESTS = 4;
 
   private final LiveSettings settings;
@@ -71,13 +87,17 @@
     this.random = context.random;
   }
 
-  /** The endpoint for the next attempt of the request, or null where none may or should get it. */
+  /**
+   * Returns the endpoint for the next attempt of the request, or null if no endpoint may or should
+   * get it.
+   */
   Endpoint pick(RequestState request, double nowMillis) {
     drawCandidates(request, nowMillis);
     prefersOpenConnections = random.nextInt(EXPLORE_INTERVAL) > 0;
     best = null;
     for (int i = 0; i < candidates.size(); i++) {
-      // A slow or silent endpoint that is full of our own requests gives way to one that is not.
+      // Prefers other candidates over a slow or silent endpoint whose queue of this proxy's own
+      // requests is too long.
       if (!queueDelay.isOwnQueueTooLong(request, candidates.get(i))) {
         compare(candidates.get(i), nowMillis);
       }
@@ -101,7 +121,8 @@
   }
 
   /**
-   * Adds usable endpoints of the pool to the candidates; true if one of them is due for a trial.
+   * Adds usable endpoints of the pool to the candidates. Returns true if one of them is half-open
+   * and due for a trial request; that endpoint is then the only candidate.
    */
   private boolean draw(Endpoint[] pool, int endpointCount, RequestState request, double nowMillis) {
     int found = 0;
@@ -111,7 +132,8 @@
         continue;
       }
       if (endpoint.ejection.isHalfOpen && request.isRepeatable()) {
-        // Alone: an ejected endpoint that lost the comparison each time would stay out for ever.
+        // The only candidate: an ejected endpoint that lost every comparison would stay ejected
+        // forever.
         candidates.clear();
         candidates.add(endpoint);
         return true;
@@ -154,15 +176,16 @@
   }
 
   /**
-   * Expected wait, as a multiple of the mean response time; slowness alone where no endpoint
-   * reports load.
+   * Returns the expected wait as a multiple of the mean response time; only the slowness of the
+   * endpoint if no endpoint reports load.
    */
   private double expectedRelativeWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
     if (!loadReports.hasReports()) {
       return slowness;
     }
-    // A new connection costs the endpoint work, and one of its few places: as one request more.
+    // A new connection costs the endpoint work and one of its few connection slots, so it counts
+    // as one more request.
     boolean opensConnection =
         endpoint.inFlight > 0
             || nowMillis - endpoint.lastResponseMillis >= settings.idleTimeoutMillis();
--- a/src/main/java/leadferry/loadbalancer/EndpointSubset.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointSubset.java
@@ -4,19 +4,23 @@
 import java.util.function.Predicate;
 
 /**
- * Which endpoints does this proxy send to? A window of the ring of endpoints, as large as its load
- * needs: counts stay telling, connections few. Proxies start evenly spread over the ring, so the
- * subsets are balanced, and a window moves little when endpoints come and go. There is one window
- * of the proxy's own zone and one of the others.
+ * Selects the endpoints that this proxy sends to (subsetting): a window of the ring of endpoints
+ * that is as large as the load of the proxy requires. A small subset keeps the request counts
+ * meaningful and the connections few. The windows of the proxies start evenly spaced on the ring,
+ * so the subsets are balanced, and a window moves little when endpoints come and go. There is one
+ * window for the proxy's own zone and one for the other zones.
  */
 final class EndpointSubset {
-  /** Endpoints for a proxy with no load; enough to lose a fifth of them and still choose. */
+  /**
+   * Subset size of a proxy without load. Large enough to lose a fifth of these endpoints and still
+   * choose between several.
+   */
   private static final int MIN_ENDPOINTS = 6;
 
-  /** More for each own attempt in flight at the recent peak. */
+  /** Endpoints added for each of this proxy's attempts in flight at the recent peak. */
   private static final double ENDPOINTS_PER_IN_FLIGHT = 1.5;
 
-  /** The most proxies that may share an endpoint where subsets can be kept so small. */
+  /** Target for the most proxies that share an endpoint, unless the subset would get too small. */
   private static final double MAX_PROXIES_PER_ENDPOINT = 60;
 
   private final LiveSettings settings;
@@ -33,9 +37,9 @@
     this.inFlight = context.inFlight;
   }
 
-  /** Brings the subset up to date with the endpoints and the load. */
+  /** Updates the subset to the current endpoints and load. */
   void refresh(double nowMillis) {
-    // Guards against many proxies that use up the endpoints' connections together.
+    // Guards against many proxies that together exhaust the endpoints' connections.
     double maxSize =
         MAX_PROXIES_PER_ENDPOINT
             * endpoints.readyEndpoints().size()
@@ -47,12 +51,14 @@
     }
   }
 
-  /** Those of the proxy's own zone; all of them where it has none. */
+  /**
+   * Returns the subset in the proxy's own zone; endpoints of all zones if the proxy has no zone.
+   */
   Endpoint[] sameZone() {
     return sameZone;
   }
 
-  /** Those of other zones. */
+  /** Returns the subset in the other zones. */
   Endpoint[] otherZones() {
     return otherZones;
   }
--- a/src/main/java/leadferry/loadbalancer/EndpointTable.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointTable.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Which endpoints there are, by the endpoint lists of discovery, and which may get requests. */
+/** The endpoints known from discovery, and which of them may receive requests. */
 final class EndpointTable {
   private final Map<Long, Endpoint> byId = new HashMap<>();
   private final List<Endpoint> readyEndpoints = new ArrayList<>();
   private int listNumber;
   private int version;
 
-  /** The endpoint of that id, or null. */
+  /** Returns the endpoint with this id, or null. */
   Endpoint get(long id) {
     return byId.get(id);
   }
 
-  /** Endpoints that may get requests, in ring order. */
+  /** Returns the endpoints that may receive requests, in ring order. */
   List<Endpoint> readyEndpoints() {
     return readyEndpoints;
   }
 
-  /** Grows each time that the set of ready endpoints changes. */
+  /** Returns a number that increases each time the set of ready endpoints changes. */
   int version() {
     return version;
   }
 
-  /** Takes a list, or changes to one. */
+  /** Applies an endpoint list or changes to it. */
   void apply(
       EndpointListEvent event,
       List<EndpointUpdate> updates,
@@ -58,8 +58,8 @@
     Endpoint endpoint = byId.get(update.id());
     boolean isChanged = false;
     if (endpoint == null || update.onlineSinceMillis() != endpoint.onlineSinceMillis) {
-      // A new process owes nothing to what the old one did; its credit starts at chance, so that
-      // many proxies told at once do not all send at once.
+      // A new process starts without the history of the old one. Its slow-start credit is random,
+      // so that many proxies that learn of it at the same time do not all send at once.
       endpoint =
           new Endpoint(update.id(), update.onlineSinceMillis(), nowMillis, random.nextDouble());
       byId.put(endpoint.id, endpoint);
--- a/src/main/java/leadferry/loadbalancer/EndpointUpdate.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointUpdate.java
@@ -4,13 +4,13 @@
  * One entry of an endpoint list.
  *
  * @param id the number of the endpoint in its pool
- * @param zone where it runs; null or empty where that is not told
- * @param machineKind its kind of machine, as a prior for its speed
- * @param cell the group of endpoints that share the memory of deduplicated requests
- * @param condition whether it may get requests
- * @param capacityHint its capacity against others, not used in decisions
- * @param onlineSinceMillis when its process came up, by the module's clock in milliseconds; 0 means
- *     long ago
+ * @param zone the zone of the endpoint; null or empty if discovery does not state one
+ * @param machineKind the machine type, used as the prior for the speed of the endpoint
+ * @param cell the group of endpoints that share the deduplication memory
+ * @param condition whether the endpoint may receive requests
+ * @param capacityHint the capacity relative to other endpoints; not used in decisions
+ * @param onlineSinceMillis the start time of the endpoint's process on the load balancer's clock,
+ *     in milliseconds; 0 means that the process has been running for a long time
  */
 public record EndpointUpdate(
     long id,
@@ -20,7 +20,7 @@
     Condition condition,
     double capacityHint,
     double onlineSinceMillis) {
-  /** What discovery says of the endpoint. */
+  /** State of an endpoint as reported by discovery. */
   public enum Condition {
     READY,
     TERMINATING,
--- a/src/main/java/leadferry/loadbalancer/FailurePenalty.java
+++ b/src/main/java/leadferry/loadbalancer/FailurePenalty.java
@@ -1,17 +1,18 @@
 package leadferry.loadbalancer;
 
 /**
- * Requests that an endpoint counts as holding beside its real ones, for its recent failures: an
- * endpoint that fails fast is empty, and must not attract requests by that.
+ * Computes a number of requests that is added to the in-flight count of an endpoint because of its
+ * recent failures. An endpoint that fails fast holds few requests and must not attract more for
+ * that reason.
  */
 final class FailurePenalty {
-  /** What one failure adds, in requests. */
+  /** Penalty of one failure, in requests. */
   private static final double REQUESTS_PER_FAILURE = 2;
 
-  /** Time constant at which the penalty fades. */
+  /** Time constant of the decay of the penalty, in shortest latency objectives. */
   private static final double DECAY_OBJECTIVES = 5;
 
-  /** A penalty below this counts as none. */
+  /** A penalty below this counts as 0. */
   private static final double MIN_REQUESTS = 0.05;
 
   private final LiveSettings settings;
@@ -20,18 +21,18 @@
     this.settings = settings;
   }
 
-  /** The endpoint has failed, or turned a request away. */
+  /** Records that the endpoint failed or rejected a request. */
   void onFailure(Endpoint endpoint, double nowMillis) {
     endpoint.penaltyRequests = penaltyRequests(endpoint, nowMillis) + REQUESTS_PER_FAILURE;
     endpoint.penaltyAtMillis = nowMillis;
   }
 
-  /** Takes the endpoint's penalty off. */
+  /** Resets the penalty of the endpoint. */
   void clear(Endpoint endpoint) {
     endpoint.penaltyRequests = 0;
   }
 
-  /** The penalty, in requests. */
+  /** Returns the current penalty, in requests. */
   double penaltyRequests(Endpoint endpoint, double nowMillis) {
     return endpoint.penaltyRequests < MIN_REQUESTS
         ? 0
--- a/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
@@ -1,24 +1,27 @@
 package leadferry.loadbalancer;
 
 /**
- * What about an attempt that is overdue? Where attempts may run in parallel it is hedged: a second
- * one goes out. Where only one may be out at a time, it is cancelled, so that it can be retried.
+ * Decides what to do with an overdue attempt. If attempts may run in parallel, the request is
+ * hedged with a second attempt. If only one attempt may be open at a time, the attempt is
+ * cancelled, so that the request can be retried.
  *
- * <p>Guards against copies of costly requests that feed an overload: only an endpoint that is
- * silent altogether earns its request a second attempt, and only while no load is shed.
+ * <p>Guards against copies of costly requests that add to an overload: a request is only hedged if
+ * its endpoint sends no responses at all, and only while no load is shed.
  */
 final class HedgingPolicy {
-  /** What is done about an overdue attempt. */
+  /** What to do with an overdue attempt. */
   enum Decision {
     WAIT,
     HEDGE,
     CANCEL
   }
 
-  /** After so many attempts a request is not hedged any more. */
+  /** Number of attempts after which a request is no longer hedged. */
   private static final int MAX_ATTEMPTS = 3;
 
-  /** Silence counts from this share of the time on: timers come due a little early. */
+  /**
+   * Share of the allowed time from which an endpoint counts as silent. Timers fire a little early.
+   */
   private static final double SILENCE_SHARE = 0.99;
 
   private final LiveSettings settings;
@@ -36,8 +39,8 @@
   }
 
   /**
-   * Milliseconds after which the attempt just begun at the endpoint is overdue; infinite where it
-   * will not be hedged.
+   * Returns the time in milliseconds after which the attempt just sent to the endpoint is overdue;
+   * infinity if it will not be hedged.
    */
   double overdueAfterMillis(RequestState request, Endpoint endpoint, double nowMillis) {
     double overdueMillis =
@@ -50,7 +53,10 @@
     return isHedged ? overdueMillis : Double.POSITIVE_INFINITY;
   }
 
-  /** What to do about the last attempt, now overdue; HEDGE takes a retry from the budget. */
+  /**
+   * Returns what to do with the last attempt, which is overdue. HEDGE takes a token from the retry
+   * budget.
+   */
   Decision decide(RequestState request, double nowMillis) {
     AttemptState last = request.lastAttempt();
     double allowedMillis = SILENCE_SHARE * request.latencyEstimate.overdueAfterMillis();
--- a/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
@@ -1,20 +1,24 @@
 package leadferry.loadbalancer;
 
 /**
- * May a request be sent, or rejected as one that had no effect? The only place that knows what may
- * have run.
+ * Decides whether a request may be sent, or rejected as safe to retry. This is the only class that
+ * evaluates which attempts may have been executed.
  *
- * <p>Rule 1: nothing is sent after the final answer. Rule 2: no effect happens twice. An attempt
- * that may have run allows another one
+ * <p>Rule 1: nothing is sent after the final response. Rule 2: no effect happens twice. After an
+ * attempt that may have been executed, another attempt is allowed
  *
  * <ul>
- *   <li>of an idempotent class at any time,
- *   <li>of a deduplicated class within its window, at endpoints that share the memory of it,
- *   <li>of any other class never.
+ *   <li>for an idempotent class at any time,
+ *   <li>for a deduplicated class within its window, at endpoints that share the deduplication
+ *       memory,
+ *   <li>for any other class never.
  * </ul>
  */
 final class IdempotencyPolicy {
-  /** Time kept back from a window, for clocks and queues on the way. */
+  /**
+   * Safety margin subtracted from a deduplication window for clock differences and queues on the
+   * way.
+   */
   private static final double WINDOW_MARGIN_MILLIS = 20;
 
   private final LiveSettings settings;
@@ -23,7 +27,7 @@
     this.settings = settings;
   }
 
-  /** Whether another attempt of the request may go to the endpoint. */
+  /** Returns whether another attempt of the request may go to the endpoint. */
   boolean canSend(RequestState request, Endpoint endpoint, double nowMillis) {
     return isAwaitingResponse(request)
         && endpoint.isReady
@@ -31,14 +35,14 @@
         && isSafe(request, endpoint, nowMillis);
   }
 
-  /** Whether the client may be told that trying again does no harm, wherever it tries. */
+  /** Returns whether the client may be told that a retry is safe through any proxy or endpoint. */
   boolean canReject(RequestState request, double nowMillis) {
     return isAwaitingResponse(request) && isSafe(request, null, nowMillis);
   }
 
   /**
-   * How long after an attempt that may have run another one of the class may leave this process, in
-   * milliseconds; never where it is not positive.
+   * Returns the time in milliseconds after an attempt that may have been executed within which
+   * another attempt of the class may leave this process; 0 or less if never.
    */
   static double windowMillis(Settings.RequestClass rules) {
     return rules.repeatWindowMillis() - WINDOW_MARGIN_MILLIS;
@@ -55,7 +59,10 @@
         && nowMillis < request.deadlineMillis;
   }
 
-  /** Whether no attempt so far forbids another at the endpoint, or with null, anywhere. */
+  /**
+   * Returns whether every earlier attempt permits another one at {@code endpoint}, or at any
+   * endpoint if it is null.
+   */
   private static boolean isSafe(RequestState request, Endpoint endpoint, double nowMillis) {
     Settings.RequestClass rules = request.requestClass();
     if (rules.semantics() == Settings.Semantics.IDEMPOTENT) {
--- a/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
@@ -1,17 +1,20 @@
 package leadferry.loadbalancer;
 
-/** How long a class of requests takes: mean response time and mean deviation, in milliseconds. */
+/** Estimates the mean response time of a request class and its mean deviation, in milliseconds. */
 final class LatencyEstimate {
-  /** Until responses come, they are assumed to take this share of the latency objective. */
+  /** Initial mean response time as a share of the latency objective. */
   private static final double INITIAL_OBJECTIVE_SHARE = 0.25;
 
-  /** Least weight of a response: about the last twenty count. */
+  /** Least weight of a response: the mean covers about the last 20 responses. */
   private static final double MIN_WEIGHT = 0.05;
 
-  /** The first responses weigh less than all by this many assumed ones. */
+  /** Number of assumed earlier responses, which limit the weight of the first ones. */
   private static final int PRIOR_SAMPLES = 4;
 
-  /** An attempt is overdue this many mean deviations past the mean: repeating wastes its work. */
+  /**
+   * An attempt is overdue when it exceeds the mean by this many mean deviations. Repeating it
+   * earlier would waste the work already done.
+   */
   private static final double OVERDUE_DEVIATIONS = 5;
 
   final Settings.RequestClass requestClass;
@@ -20,9 +23,9 @@
   private int sampleCount;
 
   /**
-   * Begins with what was learnt before.
+   * Creates an estimate that continues from an earlier one.
    *
-   * @param previous the estimate for the class of that name under the settings before, or null
+   * @param previous the estimate of the class of this name under the previous settings, or null
    */
   LatencyEstimate(Settings.RequestClass requestClass, LatencyEstimate previous) {
     this.requestClass = requestClass;
@@ -36,7 +39,7 @@
     }
   }
 
-  /** A response has come after so long. */
+  /** Records a response that took {@code spentMillis}. */
   void onResponse(double spentMillis) {
     sampleCount++;
     double weight = Math.max(1.0 / (sampleCount + PRIOR_SAMPLES), MIN_WEIGHT);
@@ -48,12 +51,18 @@
     return meanMillis;
   }
 
-  /** Past this an attempt is overdue, at an endpoint of mean speed. */
+  /**
+   * Returns the time in milliseconds after which an attempt at an endpoint of mean speed is
+   * overdue.
+   */
   double overdueAfterMillis() {
     return meanMillis + OVERDUE_DEVIATIONS * deviationMillis;
   }
 
-  /** Silence of an endpoint past this is held against it: what comes after the aim is useless. */
+  /**
+   * Returns the time in milliseconds after which a missing response counts as silence of the
+   * endpoint. It is at most the latency objective, because a later response is of no use.
+   */
   double silentAfterMillis() {
     return Math.min(requestClass.latencyObjectiveMillis(), overdueAfterMillis());
   }
--- a/src/main/java/leadferry/loadbalancer/LiveSettings.java
+++ b/src/main/java/leadferry/loadbalancer/LiveSettings.java
@@ -1,6 +1,9 @@
 package leadferry.loadbalancer;
 
-/** The settings in force. They change as a whole, between two events. */
+/**
+ * The current settings with values derived from them. Settings are replaced as a whole, between two
+ * events.
+ */
 final class LiveSettings {
   private Settings current;
   private double shortestObjectiveMillis;
@@ -20,12 +23,12 @@
     return current;
   }
 
-  /** {@link Settings#shortestObjectiveMillis} of those in force. */
+  /** Returns {@link Settings#shortestObjectiveMillis} of the current settings. */
   double shortestObjectiveMillis() {
     return shortestObjectiveMillis;
   }
 
-  /** {@link Settings#idleTimeoutMillis} of those in force. */
+  /** Returns {@link Settings#idleTimeoutMillis} of the current settings. */
   double idleTimeoutMillis() {
     return idleTimeoutMillis;
   }
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -6,23 +6,23 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one client proxy. Feed it events with a clock in milliseconds that never goes
- * back; it answers through {@link LoadBalancerActions}. Not safe for use from several threads at
- * once.
+ * Makes the load-balancing decisions of one client proxy. The caller passes in events with the time
+ * in milliseconds, which must never decrease. The load balancer responds by calling {@link
+ * LoadBalancerActions}. Not thread-safe.
  *
- * <p>It keeps the open requests and asks one class a question:
+ * <p>This class keeps the open requests and delegates each decision to one class:
  *
  * <pre>
- *   admit or shed on arrival?   AdmissionController
- *   which endpoint?             EndpointPicker
- *   may it be sent (again)?     IdempotencyWindow
- *   retry?  hedge?              RetryPolicy, HedgingPolicy
- *   give up, with what?         TerminationPolicy
- *   what does an outcome tell?  OutcomeObserver
+ *   admit or shed a new request           AdmissionController
+ *   choose an endpoint                    EndpointPicker
+ *   permit a send or a repeated send      IdempotencyPolicy
+ *   retry or hedge                        RetryPolicy, HedgingPolicy
+ *   final response without a result       TerminationPolicy
+ *   update estimates after an outcome     OutcomeObserver
  * </pre>
  */
 public final class LoadBalancer {
-  /** Token of the timer for discovery; other tokens are ids of requests. */
+  /** Token of the discovery timer. Other tokens are request ids. */
   private static final long DISCOVERY_TIMER = -1;
 
   private final LiveSettings settings;
@@ -48,7 +48,7 @@
   private final OutcomeObserver observer;
   private final WatchBackoff watchBackoff;
 
-  /** Creates an instance that knows no endpoint yet. */
+  /** Creates a load balancer without endpoints. */
   public LoadBalancer(Settings settings, long seed, LoadBalancerActions actions) {
     LoadBalancerContext context = new LoadBalancerContext(settings, seed, actions);
     this.settings = context.settings;
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Other settings hold from now on; open requests keep their class, and no more attempts than
-   * then.
+   * Replaces the settings. Open requests keep the class with which they arrived, and may use no
+   * more attempts than the smaller of the old and the new limit.
    */
   public void onSettings(Settings newSettings) {
     settings.set(newSettings);
@@ -91,14 +91,16 @@
     }
   }
 
-  /** Called once after creation, when actions may be taken. */
+  /**
+   * Starts the load balancer. Must be called once after creation, when actions can be carried out.
+   */
   public void onStart(double nowMillis) {
     if (settings.current().shouldWatchDiscovery()) {
       actions.watchEndpoints();
     }
   }
 
-  /** Discovery has sent a list of endpoints or changes to it, or has failed. */
+  /** Processes an endpoint list, changes to it, or a failure of discovery. */
   public void onEndpointList(
       double nowMillis, EndpointListEvent event, List<EndpointUpdate> updates) {
     endpoints.apply(event, updates, nowMillis, random);
@@ -109,19 +111,19 @@
         }
       }
       case DELTA, FULL -> watchBackoff.reset();
-      case CACHED -> {} // tells nothing of discovery
+      case CACHED -> {} // a cached list is no sign that discovery works
     }
   }
 
   /**
-   * All bytes received until {@code untilMillis} have been processed. Later ones may be unread in
-   * this process, and no endpoint is judged silent for them.
+   * Records that all bytes received until {@code untilMillis} have been processed. Later bytes may
+   * still be unread in this process, so no endpoint counts as silent for the time after it.
    */
   public void onReadUntil(double untilMillis) {
     pendingResponses.onReadUntil(untilMillis);
   }
 
-  /** A client's request has come. */
+  /** Admits a new client request and sends it, or rejects it. */
   public void onRequest(double nowMillis, RequestArrival arrival) {
     RequestState request =
         new RequestState(
@@ -149,10 +151,11 @@
   }
 
   /**
-   * An attempt has ended, {@code spentMillis} after it was sent.
+   * Processes the outcome of an attempt.
    *
-   * @param isRequestOver whether the request is over with it, or was before
-   * @param report the load that the endpoint told with it, or null
+   * @param spentMillis the time since the attempt was sent
+   * @param isRequestOver whether the request is over with this outcome or was over before
+   * @param report the load report that came with the response, or null
    */
   public void onOutcome(
       double nowMillis,
@@ -190,21 +193,24 @@
     }
   }
 
-  /** The response to a streamed request has begun; the attempt now belongs to the client. */
+  /**
+   * Processes the first byte of a streamed response. From then on, the duration of the attempt
+   * depends on how fast the client reads.
+   */
   public void onFirstByte(double nowMillis, long id, int attemptNumber, double spentMillis) {
     RequestState request = requests.get(id);
     AttemptState attempt = request == null ? null : request.attempt(attemptNumber);
     if (attempt == null || request.isEnded || request.isStreaming()) {
       return;
     }
-    // Guards against slow readers of long responses that look like busy endpoints.
+    // Guards against clients that read long responses slowly and make their endpoints look busy.
     inFlight.onChange(-attempt.removeFromInFlight(), nowMillis);
     observer.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
     request.streamingAttempt = attempt;
     cancelOthers(request, attempt);
   }
 
-  /** The client has disconnected; attempts that are out still get their outcome. */
+  /** Ends a request whose client has disconnected. Open attempts still receive their outcome. */
   public void onClientDisconnect(double nowMillis, long id) {
     RequestState request = requests.get(id);
     if (request != null && !request.isEnded) {
@@ -214,14 +220,17 @@
     }
   }
 
-  /** An endpoint has told its load outside of an attempt. */
+  /** Processes a load report that an endpoint sent outside of an attempt. */
   public void onLoadReport(double nowMillis, long endpoint, LoadReport report) {
     loadReports.onReport(endpoints.get(endpoint), report, nowMillis);
   }
 
   /**
-   * Gossip among proxies: the endpoint is silent, and should get nothing for so long, or, with 0,
-   * it answers. A hint, no more.
+   * Processes a hint from the gossip between proxies. The hint affects only the choice of
+   * endpoints.
+   *
+   * @param ejectionMillis how long the silent endpoint should get no requests; 0 if the endpoint
+   *     responds again
    */
   public void onGossip(double nowMillis, long id, double ejectionMillis) {
     Endpoint endpoint = endpoints.get(id);
@@ -230,7 +239,7 @@
     }
   }
 
-  /** A timer has come due. */
+  /** Processes a timer that was scheduled with this token. */
   public void onTimer(double nowMillis, long token) {
     if (token == DISCOVERY_TIMER) {
       watchBackoff.onTimer();
@@ -272,7 +281,7 @@
     removeIfDone(request);
   }
 
-  /** Cancels the request's open attempts but for one, which may be null. */
+  /** Cancels the open attempts of the request except {@code kept}, which may be null. */
   private void cancelOthers(RequestState request, AttemptState kept) {
     if (request.openAttempts == 0 || !settings.current().limits().canCancel()) {
       return;
--- a/src/main/java/leadferry/loadbalancer/LoadBalancerActions.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancerActions.java
@@ -1,44 +1,45 @@
 package leadferry.loadbalancer;
 
 /**
- * What a {@link LoadBalancer} asks its proxy to do. Calls are made from within the event methods.
- * Times are milliseconds.
+ * Actions that a {@link LoadBalancer} requests from its proxy. The load balancer calls them from
+ * within its event methods. Times are milliseconds.
  */
 public interface LoadBalancerActions {
   /**
-   * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls.
+   * Starts an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of the
+   * calls.
    *
-   * <p>It may have to wait for a connection: when its first byte is to go out, each other attempt
-   * that may have run, or may yet, has to have gone out less than {@code windowMillis} before, or
-   * this one must not.
+   * <p>The attempt may have to wait for a connection. Before its first byte is sent, the proxy must
+   * check every other attempt of the request that may have been executed or may still be: each must
+   * have been sent less than {@code windowMillis} ago. Otherwise, this attempt must not be sent.
    */
   void send(long request, long endpoint, double windowMillis);
 
   /**
-   * Final answer "no, and trying again does no harm".
+   * Sends the final response "rejected, safe to retry".
    *
-   * @param retryAfterMillis when the client should try again; 0 gives no advice
+   * @param retryAfterMillis the time after which the client should retry; 0 for no hint
    */
   void reject(long request, double retryAfterMillis);
 
-  /** Final answer "failed", which promises nothing about the effect. */
+  /** Sends the final response "failed", which leaves open whether the request had an effect. */
   void fail(long request);
 
-  /** Stops the wait for an attempt. */
+  /** Cancels an open attempt. */
   void cancel(long request, int attempt);
 
-  /** Asks for {@link LoadBalancer#onTimer} with this token after so long. */
+  /** Schedules a call of {@link LoadBalancer#onTimer} with this token after {@code delayMillis}. */
   void schedule(double delayMillis, long token);
 
-  /** Asks discovery for changes from now on. */
+  /** Subscribes to changes from discovery. */
   void watchEndpoints();
 
   /**
-   * An attempt that went out at {@code sentAtMillis} got no response, and the endpoint has answered
-   * nothing since.
+   * Reports that an attempt sent at {@code sentAtMillis} got no response, and that the endpoint has
+   * sent no other response since.
    */
   default void onNoResponse(long endpoint, double nowMillis, double sentAtMillis) {}
 
-  /** Writes a line for the people on call. */
+  /** Writes a log line for operators. */
   void log(String line);
 }
--- a/src/main/java/leadferry/loadbalancer/LoadBalancerContext.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancerContext.java
@@ -3,14 +3,17 @@
 import java.util.SplittableRandom;
 
 /**
- * What the rules of one {@link LoadBalancer} share: its settings, its way out, its source of chance
- * and what it has measured. Owned by the load balancer and confined to its thread.
+ * Dependencies and estimates that the rules of one {@link LoadBalancer} share. Owned by the load
+ * balancer and confined to its thread.
  */
 final class LoadBalancerContext {
   final LiveSettings settings;
   final LoadBalancerActions actions;
 
-  /** The one source of chance: the same events and seed give the same draws in the same order. */
+  /**
+   * The only source of randomness: the same events and seed produce the same draws in the same
+   * order.
+   */
   final SplittableRandom random;
 
   final EndpointTable endpoints = new EndpointTable();
--- a/src/main/java/leadferry/loadbalancer/LoadReport.java
+++ b/src/main/java/leadferry/loadbalancer/LoadReport.java
@@ -1,6 +1,9 @@
 package leadferry.loadbalancer;
 
-/** Figures an endpoint reports of itself; {@code NaN} where a figure is not reported. */
+/**
+ * Load figures that an endpoint reports about itself; {@code NaN} for a figure that is not
+ * reported.
+ */
 public record LoadReport(
     double inFlight,
     double queued,
@@ -8,7 +11,10 @@
     double latencyMillis,
     double servedPerSecond,
     double failureRate) {
-  /** Requests the endpoint holds, from whichever figure tells it, or {@code NaN}. */
+  /**
+   * Returns the number of requests that the endpoint holds: those in flight if reported, else those
+   * queued; {@code NaN} if neither is reported.
+   */
   public double heldRequests() {
     return Double.isNaN(inFlight) ? queued : inFlight;
   }
--- a/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
@@ -1,28 +1,38 @@
 package leadferry.loadbalancer;
 
 /**
- * How many requests an endpoint holds: our own in flight, and those of other proxies as it last
- * reported. A report fades towards the mean of all endpoints as it grows old.
+ * Estimates how many requests an endpoint holds: those of this proxy in flight, and those of other
+ * proxies as last reported by the endpoint. A report decays towards the mean of all endpoints as it
+ * ages.
  */
 final class LoadReportEstimate {
-  /** Held requests from which an endpoint is taken to have a queue, whatever its cores. */
+  /** Held requests from which an endpoint is assumed to have a queue, regardless of its cores. */
   static final double QUEUE_THRESHOLD = 6;
 
-  /** Time constant at which a report fades towards the mean of all; older, it tells nothing. */
+  /**
+   * Time constant, in shortest latency objectives, with which a report decays towards the mean of
+   * all endpoints. A report older than this is ignored for queue delays.
+   */
   private static final double DECAY_OBJECTIVES = 7.5;
 
-  /** Time constant at which the mean of all follows newer reports. */
+  /** Time constant of the mean of all endpoints, in shortest latency objectives. */
   private static final double MEAN_MEMORY_OBJECTIVES = 2;
 
-  /** Least and most weight of a report in the mean. */
+  /** Least weight of a report in the mean. */
   private static final double MIN_WEIGHT = 0.02;
 
   private static final double MAX_WEIGHT = 0.3;
 
-  /** A report younger than this says more of an endpoint than recent response times. */
+  /**
+   * Age in shortest latency objectives below which a report is a better sign of the load of an
+   * endpoint than recent response times.
+   */
   private static final double FRESH_OBJECTIVES = 0.5;
 
-  /** A report of more than this many times a queue over the mean is cut to that. */
+  /**
+   * Upper bound of a report, as a multiple of the mean of all endpoints plus {@link
+   * #QUEUE_THRESHOLD}.
+   */
   private static final double MAX_PLAUSIBLE_MULTIPLE = 4;
 
   private final LiveSettings settings;
@@ -34,12 +44,12 @@
   }
 
   /**
-   * The endpoint has reported its load.
+   * Records a load report of an endpoint.
    *
-   * <p>Guards against an overload that is our own echo: late reports count requests of ours that
-   * are gone, so only what is over our own peak counts as the others'. It reads too little where
-   * others come and go with us. No single report counts for far more than endpoints are known to
-   * hold.
+   * <p>Guards against an overload estimate caused by this proxy's own load. A late report still
+   * counts requests of this proxy that have ended, so only the excess over this proxy's own peak
+   * counts as the load of others. The estimate is too low if the load of others rises and falls
+   * together with that of this proxy. A single report is capped at a plausible value.
    */
   void onReport(Endpoint endpoint, LoadReport report, double nowMillis) {
     if (endpoint == null || report == null || Double.isNaN(report.heldRequests())) {
@@ -48,8 +58,8 @@
     double maxOthers = MAX_PLAUSIBLE_MULTIPLE * (meanOthersInFlight + QUEUE_THRESHOLD);
     endpoint.othersInFlight =
         Math.min(maxOthers, Math.max(0, report.heldRequests() - ownPeak(endpoint, nowMillis)));
-    // A proxy with few responses weighs each one more: its mean would be older than the reports
-    // that it stands in for.
+    // A proxy with few responses gives each report more weight. Otherwise its mean would be older
+    // than the reports that the mean replaces.
     double meanMemoryMillis = MEAN_MEMORY_OBJECTIVES * settings.shortestObjectiveMillis();
     double weight =
         Math.min(
@@ -59,13 +69,19 @@
     meanOthersInFlight += weight * (endpoint.othersInFlight - meanOthersInFlight);
   }
 
-  /** To be called after an attempt has begun at the endpoint, and before one ends there. */
+  /**
+   * Updates the peak of this proxy's requests at the endpoint. Must be called after an attempt
+   * starts at the endpoint and before one ends there.
+   */
   void updateOwnPeak(Endpoint endpoint, double nowMillis) {
     endpoint.ownInFlightPeak = ownPeak(endpoint, nowMillis);
     endpoint.ownInFlightPeakAtMillis = nowMillis;
   }
 
-  /** The recent peak of own requests at the endpoint, which late reports may still count. */
+  /**
+   * Returns the recent peak of this proxy's requests at the endpoint, which late reports may
+   * include.
+   */
   private double ownPeak(Endpoint endpoint, double nowMillis) {
     return Math.max(
         endpoint.inFlight,
@@ -75,12 +91,14 @@
                     / settings.shortestObjectiveMillis()));
   }
 
-  /** Whether any endpoint reports its load. */
+  /** Returns whether any endpoint reports its load. */
   boolean hasReports() {
     return lastReportMillis >= 0;
   }
 
-  /** Requests the endpoint holds, ours and others'. */
+  /**
+   * Returns the estimated number of requests that the endpoint holds, from this and other proxies.
+   */
   double heldRequests(Endpoint endpoint, double nowMillis) {
     double freshness =
         Math.exp(
@@ -91,23 +109,29 @@
         + freshness * (endpoint.othersInFlight - meanOthersInFlight);
   }
 
-  /** The same where the last report is not too old, else our own requests alone. */
+  /**
+   * Returns {@link #heldRequests} if the last report is recent, else only the requests of this
+   * proxy.
+   */
   double heldRequestsByRecentReport(Endpoint endpoint, double nowMillis) {
-    // An endpoint that nobody sends to would stay crowded by its last report for ever.
+    // Otherwise, an endpoint that gets no requests would keep its last, crowded report forever.
     boolean isStale =
         nowMillis - endpoint.reportedAtMillis
             > (DECAY_OBJECTIVES * settings.shortestObjectiveMillis());
     return isStale ? endpoint.inFlight : heldRequests(endpoint, nowMillis);
   }
 
-  /** Whether the endpoint has just reported that it has room at once. */
+  /** Returns whether the endpoint has just reported that it has free capacity. */
   boolean isIdle(Endpoint endpoint, double nowMillis) {
     return nowMillis - endpoint.reportedAtMillis
             < FRESH_OBJECTIVES * settings.shortestObjectiveMillis()
         && heldRequests(endpoint, nowMillis) < QUEUE_THRESHOLD / 2;
   }
 
-  /** Whether reports tell of no queue there; where they are old, those of all endpoints do. */
+  /**
+   * Returns whether reports indicate no queue at the endpoint. If its reports are old, the mean of
+   * all endpoints is used.
+   */
   boolean hasRoom(Endpoint endpoint, double nowMillis) {
     return hasReports() && heldRequests(endpoint, nowMillis) < QUEUE_THRESHOLD;
   }
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -1,11 +1,12 @@
 package leadferry.loadbalancer;
 
 /**
- * What the outcome of an attempt tells each estimate. Times spent are the endpoint's alone;
- * pressure goes by all of the time, as this process, too, may be what has no room.
+ * Updates the estimates with the outcome of an attempt. The response time of an endpoint excludes
+ * the time for which its response was unread in this process. Pressure includes that time, because
+ * this process may itself be the bottleneck.
  */
 final class OutcomeObserver {
-  /** An endpoint that turns work away as full counts as a response after so many aims. */
+  /** A rejection by a full endpoint counts as a response after this many latency objectives. */
   private static final double FULL_PRESSURE_OBJECTIVES = 2;
 
   private final PendingResponseTracker pendingResponses;
@@ -31,13 +32,13 @@
     this.actions = context.actions;
   }
 
-  /** The attempt has ended so, or its response has begun, after so long. */
+  /** Records the end of an attempt, or the start of its response, after {@code elapsedMillis}. */
   void onOutcome(
       AttemptState attempt, AttemptOutcome outcome, double elapsedMillis, double nowMillis) {
     if (attempt.request.streamingAttempt == attempt && outcome == AttemptOutcome.CANCELLED) {
-      return; // it waited for its client
+      return; // the attempt depended on its client's reading speed
     }
-    // What came may have stood here unread for a while.
+    // The response may have been unread in this process for a while.
     double spentMillis = Math.max(0, elapsedMillis - pendingResponses.readLagMillis(nowMillis));
     arrivals.onOutcome(outcome == AttemptOutcome.OK);
     switch (outcome) {
@@ -48,7 +49,7 @@
       case RESET -> outliers.onFailure(attempt.endpoint, nowMillis);
       case CONNECT_FAILED -> onNoResponse(attempt, nowMillis);
       case CANCELLED -> onCancelled(attempt, nowMillis);
-      case MOOT -> {} // the endpoint had no part in it
+      case MOOT -> {} // the endpoint was not involved
     }
   }
 
@@ -59,7 +60,7 @@
     outliers.onSuccess(endpoint);
     classEjections.onSuccess(endpoint, request.requestClass(), nowMillis);
     if (request.isStreaming()) {
-      return; // its response time was taken at the first byte
+      return; // the response time was recorded at the first byte
     }
     double meanMillis = request.latencyEstimate.meanMillis();
     request.latencyEstimate.onResponse(spentMillis);
@@ -73,8 +74,8 @@
     outliers.onFailure(attempt.endpoint, nowMillis);
   }
 
-  // Guards against an overload that spreads: a full endpoint is busy, not broken, and the worst
-  // pressure.
+  // Guards against an overload that spreads: a full endpoint is busy, not broken, and counts as
+  // the highest pressure.
   private void onFull(AttemptState attempt, double nowMillis) {
     Endpoint endpoint = attempt.endpoint;
     Settings.RequestClass rules = attempt.request.requestClass();
@@ -93,12 +94,13 @@
   private void onTimeout(AttemptState attempt, double spentMillis, double nowMillis) {
     RequestState request = attempt.request;
     Endpoint endpoint = attempt.endpoint;
-    // Guards against responses lost on the way that look like an overload.
+    // Guards against lost responses that look like an overload.
     boolean hasRoom = loadReports.hasRoom(endpoint, nowMillis);
     if (!request.isStreaming() && !hasRoom) {
       addPressure(request, spentMillis, nowMillis);
     }
-    // An endpoint that has answered others since is busy, or lost this one; a silent one is broken.
+    // An endpoint that has responded to other requests since is busy or lost this response. A
+    // silent endpoint is broken.
     if (endpoint.lastResponseMillis <= attempt.sentAtMillis) {
       onNoResponse(attempt, nowMillis);
       if (hasRoom) {
@@ -107,7 +109,8 @@
     }
   }
 
-  // Guards against clients that give up before their time-out would tell of a silent endpoint.
+  // Guards against a silent endpoint that goes undetected because clients disconnect before the
+  // timeout.
   private void onCancelled(AttemptState attempt, double nowMillis) {
     double allowedMillis = attempt.request.latencyEstimate.silentAfterMillis();
     if (pendingResponses.isUnresponsive(attempt.endpoint, allowedMillis, nowMillis)) {
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -4,20 +4,27 @@
 import java.util.SplittableRandom;
 
 /**
- * Is an endpoint an outlier, to be ejected? It is after too large a share of failures. It stays out
- * for a growing time, then is half-open: one request at a time until one is answered.
+ * Detects failing endpoints and ejects them. An endpoint is ejected when its failure rate is too
+ * high. After an ejection, which grows with each consecutive one, the endpoint is half-open: it
+ * gets one request at a time until it responds to one.
  */
 final class OutlierDetector {
-  /** Smoothed share of failures that ejects: three in a row, or half of the last few. */
+  /**
+   * Smoothed failure rate that causes an ejection: three failures in a row, or half of the last few
+   * outcomes.
+   */
   private static final double EJECTION_FAILURE_RATE = 0.48;
 
-  /** Smoothing of that share: about the last five outcomes. */
+  /** Smoothing factor of the failure rate: covers about the last five outcomes. */
   private static final double FAILURE_SMOOTHING = 0.2;
 
-  /** Share of the endpoints that may be ejected at once: about what breaks together. */
+  /**
+   * Largest share of the endpoints that may be ejected at the same time: about as many as usually
+   * fail together.
+   */
   private static final double MAX_EJECTED_SHARE = 0.4;
 
-  /** The longest ejection. */
+  /** Longest ejection, in shortest latency objectives. */
   private static final double MAX_EJECTION_OBJECTIVES = 20;
 
   private final LiveSettings settings;
@@ -37,8 +44,9 @@
   }
 
   /**
-   * Whether the endpoint may get a request: not while ejected, one at a time on trial, and not
-   * while silent for longer than {@code allowedMillis}.
+   * Returns whether the endpoint may get a request. It may not while ejected. While half-open, it
+   * gets one request at a time. Otherwise, it must not be silent for longer than {@code
+   * allowedMillis}.
    */
   boolean isAvailable(Endpoint endpoint, double allowedMillis, double nowMillis) {
     if (nowMillis < endpoint.ejection.ejectedUntilMillis) {
@@ -50,7 +58,7 @@
     return !pendingResponses.isSilent(endpoint, allowedMillis, nowMillis);
   }
 
-  /** The endpoint has served a request. */
+  /** Records that the endpoint has served a request. */
   void onSuccess(Endpoint endpoint) {
     endpoint.failureRate -= FAILURE_SMOOTHING * endpoint.failureRate;
     if (endpoint.ejection.isHalfOpen) {
@@ -59,7 +67,7 @@
     }
   }
 
-  /** The endpoint has failed a request, or never answered it. */
+  /** Records that the endpoint failed a request or never responded to it. */
   void onFailure(Endpoint endpoint, double nowMillis) {
     endpoint.failureRate += FAILURE_SMOOTHING * (1 - endpoint.failureRate);
     penalty.onFailure(endpoint, nowMillis);
@@ -70,7 +78,10 @@
     }
   }
 
-  /** The endpoint turned a request away as full: it is penalized, but not held to be failing. */
+  /**
+   * Records that the endpoint rejected a request as full. The endpoint gets a penalty, but the
+   * rejection does not count as a failure.
+   */
   void onOverloaded(Endpoint endpoint, double nowMillis) {
     penalty.onFailure(endpoint, nowMillis);
     if (endpoint.ejection.isHalfOpen) {
@@ -79,8 +90,10 @@
   }
 
   /**
-   * Other proxies found the endpoint silent: it is left out for so long. With 0 they found that it
-   * answers: it is taken back as if it had answered here.
+   * Applies a hint of other proxies about the endpoint.
+   *
+   * @param ejectionMillis how long the silent endpoint gets no requests; 0 if other proxies got a
+   *     response, which readmits the endpoint as a response to this proxy does
    */
   void onGossip(Endpoint endpoint, double ejectionMillis, double nowMillis) {
     boolean isApplicable =
@@ -101,7 +114,8 @@
     }
   }
 
-  // Guards against an overload that is taken for outliers: the few left would get all the load.
+  // Guards against an overload that looks like many outliers: the few endpoints left would get all
+  // the load.
   private boolean canEjectAnother(double nowMillis) {
     List<Endpoint> ready = endpoints.readyEndpoints();
     int ejected = 0;
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -1,49 +1,56 @@
 package leadferry.loadbalancer;
 
 /**
- * Is an endpoint silent? It is where it has answered nothing for too long since the first request
- * that was sent to it, however that request ended.
+ * Detects silent endpoints. An endpoint is silent if it has sent no response for too long since the
+ * first request sent to it after its last response, however that request ended.
  *
- * <p>Guards against endpoints that take work and answer nothing, hung or behind a queue of requests
- * that nobody waits for any more: time-outs tell of them too late. It can hurt where single
- * responses regularly take longer than the latency objective.
+ * <p>Guards against endpoints that accept requests and send no responses, because they hang or
+ * because their queue is full of requests that no client waits for any more. Timeouts detect them
+ * too late. The check misjudges endpoints whose responses regularly take longer than the latency
+ * objective.
  */
 final class PendingResponseTracker {
-  /** Silence shorter than this is never held against an endpoint: pauses and jitter. */
+  /** Shorter silence never counts, which tolerates pauses and jitter. */
   private static final double MIN_SILENCE_MILLIS = 40;
 
-  /** Until when all that came has been read; what came since may still stand in this process. */
+  /**
+   * Time until which all received bytes have been processed. Bytes received later may be unread in
+   * this process.
+   */
   private double readUntilMillis = Double.POSITIVE_INFINITY;
 
-  /** All that came by then has been read. */
+  /** Records that all bytes received until {@code untilMillis} have been processed. */
   void onReadUntil(double untilMillis) {
     readUntilMillis = untilMillis;
   }
 
-  /** How long ago what came was last read: no endpoint can be blamed for this time. */
+  /**
+   * Returns how long ago received bytes were last processed. Endpoints are not blamed for this
+   * time.
+   */
   double readLagMillis(double nowMillis) {
     return Math.max(0, nowMillis - readUntilMillis);
   }
 
-  /** A request has gone to the endpoint. */
+  /** Records that a request is sent to the endpoint. */
   void onSend(Endpoint endpoint, double nowMillis) {
     endpoint.pendingSinceMillis = Math.min(endpoint.pendingSinceMillis, nowMillis);
   }
 
-  /** The endpoint has given a sign of life; other requests of ours may still be there. */
+  /** Records that the endpoint responded. Other requests of this proxy may still be open there. */
   void onResponse(Endpoint endpoint, double nowMillis) {
     endpoint.lastResponseMillis = nowMillis;
     endpoint.pendingSinceMillis = endpoint.inFlight > 0 ? nowMillis : Double.POSITIVE_INFINITY;
   }
 
-  /** Whether the endpoint holds a request of ours and is silent. */
+  /** Returns whether the endpoint holds a request of this proxy and is silent. */
   boolean isSilent(Endpoint endpoint, double allowedMillis, double nowMillis) {
     return endpoint.inFlight > 0 && isUnresponsive(endpoint, allowedMillis, nowMillis);
   }
 
   /**
-   * Whether the endpoint has answered nothing since a request went there, for longer than {@code
-   * allowedMillis} of an endpoint of mean speed.
+   * Returns whether the endpoint has sent no response since a request was sent to it for longer
+   * than {@code allowedMillis}, which applies to an endpoint of mean speed.
    */
   boolean isUnresponsive(Endpoint endpoint, double allowedMillis, double nowMillis) {
     return Math.min(nowMillis, readUntilMillis) - endpoint.pendingSinceMillis
--- a/src/main/java/leadferry/loadbalancer/PressureEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/PressureEstimate.java
@@ -1,50 +1,57 @@
 package leadferry.loadbalancer;
 
 /**
- * How close the upstream is to overload: recent response time as a share of the latency objective
- * (aim), from 0 to {@value #MAX_PRESSURE}. It fades while no responses come.
+ * Estimates how close the upstream is to overload: the recent response time as a share of the
+ * latency objective, from 0 to {@value #MAX_PRESSURE}. Pressure decays while no responses arrive.
  *
  * <pre>
  *   0 ....... 0.4 ................ 0.7 ............. 1.0
- *             shedding begins      overloaded:       shedding is at its most
- *             no hedged requests   no retries
+ *             shedding begins      overloaded:       shedding is at its maximum
+ *             no hedging           no retries
  * </pre>
  */
 final class PressureEstimate {
-  /** Pressure from which load is shed and no request is hedged. */
+  /** Pressure above which load is shed and no request is hedged. */
   private static final double SHED_THRESHOLD = 0.4;
 
-  /** Pressure above that at which every request of mean priority would be shed. */
+  /**
+   * Pressure above {@link #SHED_THRESHOLD} at which every request of mean priority would be shed.
+   */
   private static final double SHED_SPAN = 0.6;
 
-  /** Share of that span from which the upstream counts as overloaded. */
+  /** Share of {@link #SHED_SPAN} above which the upstream is overloaded. */
   private static final double OVERLOADED_SPAN_SHARE = 0.5;
 
-  /** Pressure past which a retry would only feed the overload. */
+  /** Pressure above which a retry would only add to the overload. */
   private static final double OVERLOADED_THRESHOLD =
       SHED_THRESHOLD + OVERLOADED_SPAN_SHARE * SHED_SPAN;
 
-  /**
-   * Below this share of {@link #SHED_THRESHOLD} an overload is over: a gap keeps it from flapping.
-   */
+  /** An overload ends below this share of {@link #SHED_THRESHOLD}. The gap prevents flapping. */
   private static final double RECOVERED_SHARE = 0.5;
 
-  /** Pressure from which endpoints of other zones are candidates too. */
+  /** Pressure above which endpoints of other zones are candidates too. */
   private static final double SPILL_THRESHOLD = 0.35;
 
-  /** The most that one response can tell. */
+  /** Upper bound of the pressure from one response. */
   private static final double MAX_PRESSURE = 2;
 
-  /** Least weight of a response: about the last ten count. */
+  /** Least weight of a response: the pressure covers about the last ten responses. */
   private static final double MIN_WEIGHT = 0.1;
 
-  /** Most weight of a response: one alone proves no overload. */
+  /** Largest weight of a response. A single response does not prove an overload. */
   private static final double MAX_WEIGHT = 0.3;
 
-  /** Responses further apart than a tenth of this weigh more, or an overload is noticed late. */
+  /**
+   * Time constant, in shortest latency objectives, that sets the weight of a response by the time
+   * since the previous one. Responses more than a tenth of it apart get a larger weight, because an
+   * overload would be detected late otherwise.
+   */
   private static final double MEMORY_OBJECTIVES = 7.5;
 
-  /** Time constant at which pressure fades without responses: queues drain slowly. */
+  /**
+   * Time constant of the decay of pressure without responses, in shortest latency objectives.
+   * Queues drain slowly.
+   */
   private static final double DECAY_OBJECTIVES = 25;
 
   private final LiveSettings settings;
@@ -55,11 +62,12 @@
     this.settings = settings;
   }
 
-  /** A response has come after {@code elapsedMillis}, or none by then. */
+  /** Records a response after {@code elapsedMillis}, or that none arrived by then. */
   void onResponse(double elapsedMillis, double objectiveMillis, double nowMillis) {
     double gapMillis = nowMillis - updatedAtMillis;
     pressure = pressure(nowMillis);
-    // A proxy with few requests weighs each one more, or it would learn of an overload after it.
+    // A proxy with few requests gives each response more weight. Otherwise, it would detect an
+    // overload after its end.
     double weight =
         Math.min(
             MAX_WEIGHT,
@@ -69,12 +77,15 @@
     updatedAtMillis = nowMillis;
   }
 
-  /** How far into the span of shedding the pressure is: 0 or less where nothing is shed. */
+  /**
+   * Returns how far the pressure is into the range that sheds load, as a share of {@link
+   * #SHED_SPAN}; 0 or less if no load is shed.
+   */
   double shedExcess(double nowMillis) {
     return (pressure(nowMillis) - SHED_THRESHOLD) / SHED_SPAN;
   }
 
-  /** Whether an excess of {@link #shedExcess} is an overload. */
+  /** Returns whether a {@link #shedExcess} of this size is an overload. */
   static boolean isOverload(double shedExcess) {
     return shedExcess > OVERLOADED_SPAN_SHARE;
   }
--- a/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
@@ -4,26 +4,31 @@
 import java.util.Map;
 
 /**
- * How long the queue at an endpoint takes, and whether that is too long for a request to be useful.
- * Learnt for each kind of machine as milliseconds per request held.
+ * Estimates how long the queue at an endpoint takes, and whether that is too long for a request to
+ * be useful. The time per held request is learned for each kind of machine.
  */
 final class QueueDelayEstimate {
-  /** A queue that takes more than this share of a request's useful time is too long to join. */
+  /** Longest queue that a request may join, as a share of the request's useful time. */
   private static final double MAX_QUEUE_SHARE = 0.7;
 
-  /** The same for a queue of our own requests alone, whose length needs no guess. */
+  /**
+   * Longest queue of only this proxy's requests, as a share of the request's useful time. The
+   * length of this queue is known exactly.
+   */
   private static final double MAX_OWN_QUEUE_SHARE = 0.45;
 
-  /** The least share of the allowed queue left to a tenant far over its quota. */
+  /** Least share of the allowed queue for requests of a tenant far over its quota. */
   private static final double MIN_PRIORITY_WEIGHT = 0.4;
 
-  /** Share by which each response moves the median of the time per request held. */
+  /** Least share by which a response moves the median time per held request. */
   private static final double MIN_STEP_SHARE = 0.01;
 
-  /** The first responses move it more. */
+  /**
+   * Number of assumed earlier responses. The first responses move the median more than later ones.
+   */
   private static final int PRIOR_SAMPLES = 4;
 
-  /** What is known of a kind of machine. */
+  /** Estimate for one kind of machine. */
   private static final class MachineKind {
     int sampleCount;
     double millisPerHeldRequest;
@@ -36,7 +41,10 @@
     this.loadReports = loadReports;
   }
 
-  /** A response has come after so long, with {@code ownBefore} of ours in flight there before. */
+  /**
+   * Records a response after {@code spentMillis}, with {@code ownInFlightAtSend} requests of this
+   * proxy in flight at the endpoint before the attempt.
+   */
   void onResponse(Endpoint endpoint, int ownInFlightAtSend, double spentMillis) {
     double held = ownInFlightAtSend + endpoint.othersInFlight;
     if (held < LoadReportEstimate.QUEUE_THRESHOLD) {
@@ -45,7 +53,7 @@
     MachineKind kind =
         machineKinds.computeIfAbsent(endpoint.machineKind, name -> new MachineKind());
     double millisPerHeldRequest = spentMillis / (held + 1);
-    // The median: a few heavy requests say nothing of how long the next one will take.
+    // Uses the median, because a few heavy requests do not predict the time of the next one.
     kind.sampleCount++;
     double step = Math.max(MIN_STEP_SHARE, 1.0 / (kind.sampleCount + PRIOR_SAMPLES));
     if (kind.millisPerHeldRequest == 0) {
@@ -56,13 +64,13 @@
     }
   }
 
-  /** Whether the queue at the endpoint can't be through while the request is useful. */
+  /** Returns whether the queue at the endpoint takes longer than the request is useful. */
   boolean isQueueTooLong(RequestState request, Endpoint endpoint, double nowMillis) {
     return isOwnQueueTooLong(request, endpoint)
         || queueDelayMillis(endpoint, nowMillis) > MAX_QUEUE_SHARE * usefulTimeMillis(request);
   }
 
-  /** Whether our own requests at the endpoint alone are such a queue. */
+  /** Returns whether the queue of only this proxy's requests at the endpoint takes too long. */
   boolean isOwnQueueTooLong(RequestState request, Endpoint endpoint) {
     return ownQueueDelayMillis(endpoint) > MAX_OWN_QUEUE_SHARE * usefulTimeMillis(request);
   }
@@ -72,7 +80,9 @@
         * Math.max(MIN_PRIORITY_WEIGHT, request.priorityWeight);
   }
 
-  /** The time that the queue there will take; 0 where nothing tells of one. */
+  /**
+   * Returns the expected time of the queue at the endpoint in milliseconds; 0 if no queue is known.
+   */
   private double queueDelayMillis(Endpoint endpoint, double nowMillis) {
     MachineKind kind = machineKinds.get(endpoint.machineKind);
     double held = loadReports.heldRequestsByRecentReport(endpoint, nowMillis);
@@ -81,7 +91,10 @@
         : kind.millisPerHeldRequest * (held + 1);
   }
 
-  /** The time that our own requests there will take by themselves. */
+  /**
+   * Returns the expected time of this proxy's own requests at the endpoint in milliseconds; 0 if
+   * there are few or nothing has been learned.
+   */
   private double ownQueueDelayMillis(Endpoint endpoint) {
     MachineKind kind = machineKinds.get(endpoint.machineKind);
     return kind == null || endpoint.inFlight < LoadReportEstimate.QUEUE_THRESHOLD / 2
--- a/src/main/java/leadferry/loadbalancer/RequestArrival.java
+++ b/src/main/java/leadferry/loadbalancer/RequestArrival.java
@@ -1,14 +1,16 @@
 package leadferry.loadbalancer;
 
 /**
- * A client's request.
+ * A request received from a client.
  *
- * @param id its number, unique among open requests
- * @param className the class that the settings name; an unknown one is taken for the strictest
- * @param tenant whom it counts for, or null
- * @param budgetMillis the time (ms) in which its client wants an answer
- * @param estimateMillis the work (ms) that its client expects, or NaN; not used in decisions
- * @param isRepeat whether its client has sent it before; not used in decisions
+ * @param id the request number, unique among open requests
+ * @param className the name of the request class; an unknown class is treated as at-most-once, the
+ *     strictest semantics
+ * @param tenant the tenant that the request counts towards, or null
+ * @param budgetMillis the time in milliseconds within which the client expects the final response
+ * @param estimateMillis the processing time in milliseconds that the client expects, or NaN; not
+ *     used in decisions
+ * @param isRepeat whether the client has sent the request before; not used in decisions
  */
 public record RequestArrival(
     long id,
@@ -17,7 +19,7 @@
     double budgetMillis,
     double estimateMillis,
     boolean isRepeat) {
-  /** The same with so much time (ms) left. */
+  /** Returns a copy of this arrival with {@code remainingMillis} as its budget. */
   public RequestArrival withBudget(double remainingMillis) {
     return new RequestArrival(id, className, tenant, remainingMillis, estimateMillis, isRepeat);
   }
--- a/src/main/java/leadferry/loadbalancer/RequestState.java
+++ b/src/main/java/leadferry/loadbalancer/RequestState.java
@@ -3,19 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request while it waits for its final answer or has attempts open. */
+/** State of a client's request until it has its final response and no open attempts. */
 final class RequestState {
-  /** Nothing new is started this close to the client's deadline. */
+  /** Least time before the client's deadline at which an attempt may still start. */
   private static final double MIN_ATTEMPT_MILLIS = 5;
 
   final long id;
 
-  /** The latency of its class, as the settings were when it came. */
+  /**
+   * Latency estimate of the request's class, under the settings in force when the request arrived.
+   */
   final LatencyEstimate latencyEstimate;
 
   final double deadlineMillis;
 
-  /** The most attempts that the settings allowed when it came. */
+  /** Maximum number of attempts under the settings in force when the request arrived. */
   final int maxAttempts;
 
   final List<AttemptState> attempts = new ArrayList<>(2);
@@ -23,16 +25,16 @@
   /** See {@link TenantQuotas#priorityWeight}. */
   double priorityWeight = 1;
 
-  /** Pressure sheds it, unless the endpoint picked for it has room. */
+  /** Whether pressure sheds the request, unless the endpoint chosen for it is idle. */
   boolean isDrawnForShedding;
 
-  /** Attempts without an outcome. */
+  /** Number of attempts without an outcome. */
   int openAttempts;
 
-  /** It has had its final answer, or its client has disconnected. */
+  /** Whether the request has had its final response, or its client has disconnected. */
   boolean isEnded;
 
-  /** Attempt whose response has begun to reach the client, or null. */
+  /** Attempt whose response has started to reach the client, or null. */
   AttemptState streamingAttempt;
 
   RequestState(
@@ -51,17 +53,17 @@
     return latencyEstimate.requestClass;
   }
 
-  /** Whether its response has begun to reach the client. */
+  /** Returns whether the response has started to reach the client. */
   boolean isStreaming() {
     return streamingAttempt != null;
   }
 
-  /** Whether its class may be repeated in any case. */
+  /** Returns whether requests of the class may be repeated at all. */
   boolean isRepeatable() {
     return requestClass().semantics() != Settings.Semantics.AT_MOST_ONCE;
   }
 
-  /** Whether there is time left for another attempt. */
+  /** Returns whether enough time is left for another attempt. */
   boolean hasTimeForAttempt(double nowMillis) {
     return nowMillis < deadlineMillis - MIN_ATTEMPT_MILLIS;
   }
@@ -75,7 +77,7 @@
     return false;
   }
 
-  /** The attempt of that number, or null. */
+  /** Returns the attempt with this number, or null. */
   AttemptState attempt(int number) {
     return number < 0 || number >= attempts.size() ? null : attempts.get(number);
   }
@@ -84,7 +86,7 @@
     return attempts.get(attempts.size() - 1);
   }
 
-  /** Begins an attempt at the endpoint. */
+  /** Adds an attempt at the endpoint. */
   void startAttempt(Endpoint endpoint, double nowMillis) {
     attempts.add(new AttemptState(this, attempts.size(), endpoint, nowMillis));
     openAttempts++;
--- a/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
@@ -4,32 +4,42 @@
 import java.util.Map;
 
 /**
- * How slowly an endpoint answers: its response times as a multiple of their class's mean. An
- * endpoint's own figure fades towards that of its kind of machine, or one that was slow once would
- * never be chosen again by a proxy that sends little.
+ * Estimates the slowness of an endpoint: its response times as a multiple of the mean of their
+ * class. The estimate of an endpoint decays towards that of its kind of machine. Otherwise, a proxy
+ * with little traffic would never again choose an endpoint that was slow once.
  */
 final class ResponseTimeEstimate {
-  /** Least weight of a response: about the endpoint's last ten count. */
+  /**
+   * Least weight of a response: the estimate covers about the last ten responses of the endpoint.
+   */
   private static final double MIN_WEIGHT = 0.1;
 
-  /** The same for the kind of machine: about the last twenty. */
+  /**
+   * Least weight of a response in the estimate of the kind of machine: covers about the last 20.
+   */
   private static final double MIN_KIND_WEIGHT = 0.05;
 
-  /** The first responses weigh more: a light proxy would otherwise take a minute to learn. */
+  /**
+   * Number of assumed earlier responses. The first responses weigh more; otherwise, a proxy with
+   * little traffic would take a minute to learn.
+   */
   private static final int PRIOR_SAMPLES = 2;
 
   private static final int PRIOR_KIND_SAMPLES = 4;
 
-  /** Time constant at which an endpoint's own figure fades towards its kind's. */
+  /**
+   * Time constant with which the estimate of an endpoint decays towards that of its kind of
+   * machine.
+   */
   private static final double DECAY_MILLIS = 10_000;
 
-  /** The most that a single response can tell. */
+  /** Upper bound of the multiple from a single response. */
   private static final double MAX_MULTIPLE = 8;
 
-  /** A class whose mean is shorter than this counts as this long. */
+  /** Lower bound of the mean response time of a class. */
   private static final double MIN_MEAN_MILLIS = 0.1;
 
-  /** The slowness of a kind of machine, the prior for endpoints with few responses. */
+  /** Slowness of a kind of machine: the prior for endpoints with few responses. */
   private static final class MachineKind {
     double slowness = 1;
     int sampleCount;
@@ -37,7 +47,7 @@
 
   private final Map<String, MachineKind> machineKinds = new HashMap<>();
 
-  /** A response has come after so long, where its class takes {@code meanMillis} in the mean. */
+  /** Records a response after {@code spentMillis} of a class whose mean is {@code meanMillis}. */
   void onResponse(Endpoint endpoint, double spentMillis, double meanMillis, double nowMillis) {
     double multiple = spentMillis / Math.max(MIN_MEAN_MILLIS, meanMillis);
     double capped = Math.min(multiple, MAX_MULTIPLE);
@@ -53,7 +63,7 @@
     kind.slowness += kindWeight * (capped - kind.slowness);
   }
 
-  /** The multiple of the mean response time expected of the endpoint. */
+  /** Returns the expected multiple of the mean response time at the endpoint. */
   double slowness(Endpoint endpoint, double nowMillis) {
     MachineKind kind = machineKinds.get(endpoint.machineKind);
     double prior = kind == null ? 1 : kind.slowness;
--- a/src/main/java/leadferry/loadbalancer/RetryBudget.java
+++ b/src/main/java/leadferry/loadbalancer/RetryBudget.java
@@ -1,21 +1,24 @@
 package leadferry.loadbalancer;
 
-/** Retries and hedged requests are earned by new requests; unlimited, they feed an overload. */
+/**
+ * A token bucket that limits retries and hedged requests to a share of the new requests. Unlimited
+ * retries would add to an overload.
+ */
 final class RetryBudget {
-  /** What each new request earns. */
+  /** Tokens added by each new request. */
   private static final double TOKENS_PER_REQUEST = 0.2;
 
-  /** The most that can be saved up. */
+  /** Capacity of the bucket. */
   private static final double MAX_TOKENS = 10;
 
   private double tokens = MAX_TOKENS;
 
-  /** A new request has come. */
+  /** Adds the tokens of a new request. */
   void onRequest() {
     tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
-  /** Takes one retry; false where there is none. */
+  /** Takes a token for one retry or hedged request; returns false if there is none. */
   boolean tryAcquire() {
     boolean isAvailable = tokens >= 1;
     tokens -= isAvailable ? 1 : 0;
--- a/src/main/java/leadferry/loadbalancer/RetryPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/RetryPolicy.java
@@ -1,9 +1,10 @@
 package leadferry.loadbalancer;
 
 /**
- * Is a request retried whose attempt has failed? It is while there is time, the upstream is not
- * overloaded and the retry budget allows: where responses come late, another attempt would only
- * feed the overload. Which endpoint may get it, if any, is then {@link EndpointPicker}'s question.
+ * Decides whether a request is retried after a failed attempt. A retry needs time left before the
+ * deadline, an upstream that is not overloaded, and a token of the retry budget. In an overload,
+ * when responses are late, another attempt would only add load. {@link EndpointPicker} then decides
+ * which endpoint gets the retry, if any.
  */
 final class RetryPolicy {
   private final PressureEstimate pressure;
@@ -14,7 +15,7 @@
     this.budget = budget;
   }
 
-  /** Whether to retry; a yes takes a retry from the budget. */
+  /** Returns whether to retry; if so, takes a token from the retry budget. */
   boolean tryAcquireRetry(RequestState request, double nowMillis) {
     return request.hasTimeForAttempt(nowMillis)
         && !pressure.isOverloaded(nowMillis)
--- a/src/main/java/leadferry/loadbalancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -2,7 +2,21 @@
 
 import java.util.List;
 
-/** What a deployment states at start. All times are milliseconds. */
+/**
+ * Configuration of a load balancer as the deployment states it. All times are milliseconds.
+ *
+ * @param classes the request classes
+ * @param tenants the tenants with a quota
+ * @param limits what the deployment permits
+ * @param warmUpRules the limits for endpoints that warm up and for retries of the discovery watch
+ * @param shouldWatchDiscovery whether the load balancer itself subscribes to changes from discovery
+ * @param zone the zone of this proxy, or null
+ * @param proxyIndex the index of this proxy in its tier, starting at 0
+ * @param proxyCount the number of proxies in the tier, at least 1
+ * @param minPriorityWeight the least priority weight of a request of a tenant over its quota
+ * @param isValueByWork whether a request's value counts per unit of work instead of per request;
+ *     not used in decisions
+ */
 public record Settings(
     List<RequestClass> classes,
     List<Tenant> tenants,
@@ -15,14 +29,16 @@
     double minPriorityWeight,
     boolean isValueByWork) {
 
-  /** Copies the lists, so that settings never change. */
+  /**
+   * Copies the lists, which makes the settings immutable, and raises the proxy count to at least 1.
+   */
   public Settings {
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
     proxyCount = Math.max(1, proxyCount);
   }
 
-  /** The same for the instance at this position of the tier. */
+  /** Returns these settings for the proxy with this index in the tier. */
   public Settings withProxyIndex(int index) {
     return new Settings(
         classes,
@@ -37,7 +53,7 @@
         isValueByWork);
   }
 
-  /** The same with these classes. */
+  /** Returns these settings with other request classes. */
   public Settings withClasses(List<RequestClass> newClasses) {
     return new Settings(
         newClasses,
@@ -52,18 +68,24 @@
         isValueByWork);
   }
 
-  /** A connection that carries nothing is worth its place at an endpoint for so long. */
+  /**
+   * Idle timeout of a connection, in shortest latency objectives. Later, the connection is not
+   * worth its slot at the endpoint.
+   */
   private static final double IDLE_TIMEOUT_OBJECTIVES = 2;
 
-  /** Where aims are short, peaks come and go within them, and each would cost handshakes. */
+  /**
+   * Lower bound of the idle timeout. With short latency objectives, traffic peaks come and go
+   * within an objective, and each peak would cost new handshakes.
+   */
   private static final double MIN_IDLE_TIMEOUT_MILLIS = 1_000;
 
-  /** What the shortest aim is taken for where there is no class. */
+  /** Value used for the shortest latency objective if there are no classes. */
   private static final double DEFAULT_OBJECTIVE_MILLIS = 400;
 
   /**
-   * How long (ms) a connection to an endpoint is kept that carries nothing: {@code most} where that
-   * is less.
+   * Returns the time in milliseconds for which an idle connection to an endpoint is kept open, at
+   * most {@code maxMillis}.
    */
   public double idleTimeoutMillis(double maxMillis) {
     return Math.min(
@@ -71,7 +93,10 @@
         Math.max(MIN_IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_OBJECTIVES * shortestObjectiveMillis()));
   }
 
-  /** The shortest latency objective (aim) of all classes, by which the module's times go. */
+  /**
+   * Returns the shortest latency objective of all classes in milliseconds. It is the unit of the
+   * time constants in this package.
+   */
   public double shortestObjectiveMillis() {
     return classes.stream()
         .mapToDouble(RequestClass::latencyObjectiveMillis)
@@ -79,21 +104,32 @@
         .orElse(DEFAULT_OBJECTIVE_MILLIS);
   }
 
-  /** What may be repeated. */
+  /** Whether a request may be repeated after an attempt that may have been executed. */
   public enum Semantics {
     IDEMPOTENT,
     DEDUPLICATED,
     AT_MOST_ONCE
   }
 
-  /** The endpoints that share the memory of a deduplicated request. */
+  /** The endpoints that share the deduplication memory of a request class. */
   public enum KeyScope {
     ALL,
     ZONE,
     CELL
   }
 
-  /** A class of requests. */
+  /**
+   * A class of requests.
+   *
+   * @param name the name of the class
+   * @param latencyObjectiveMillis the response time up to which a response has its full value
+   * @param deadlineMillis the longest time for which clients wait for a response
+   * @param semantics whether requests of the class may be repeated
+   * @param keyScope the endpoints that recognize a repeated request of a deduplicated class
+   * @param deduplicationWindowMillis how long endpoints recognize a repeated request
+   * @param value the value of a response within the latency objective, relative to other classes
+   * @param lateValue the value of a response after the latency objective; not used in decisions
+   */
   public record RequestClass(
       String name,
       double latencyObjectiveMillis,
@@ -104,8 +140,9 @@
       double value,
       double lateValue) {
     /**
-     * How long (ms) after an attempt that may have run another one may go out: for ever, the
-     * window, or never.
+     * Returns the time in milliseconds after an attempt that may have been executed within which
+     * another attempt is safe: unlimited for idempotent classes, the deduplication window for
+     * deduplicated ones, and 0 for at-most-once ones.
      */
     public double repeatWindowMillis() {
       return switch (semantics) {
@@ -115,7 +152,7 @@
       };
     }
 
-    /** The same under another name. */
+    /** Returns this class under another name. */
     public RequestClass withName(String newName) {
       return new RequestClass(
           newName,
@@ -128,7 +165,10 @@
           lateValue);
     }
 
-    /** The same with so much time (ms) for an answer to be of use, and to come at all. */
+    /**
+     * Returns this class with {@code timeLimitMillis} as both its latency objective and its
+     * deadline.
+     */
     public RequestClass withTimeLimit(double timeLimitMillis) {
       return new RequestClass(
           name,
@@ -141,7 +181,10 @@
           lateValue);
     }
 
-    /** A class that the settings do not name: taken for the strictest kind. */
+    /**
+     * Returns a class for a name that the settings do not contain, with at-most-once semantics,
+     * which are the strictest.
+     */
     static RequestClass unknown(String name, double budgetMillis) {
       double timeLimitMillis = Math.max(1, budgetMillis);
       return new RequestClass(
@@ -149,10 +192,25 @@
     }
   }
 
-  /** A tenant and its share. */
+  /**
+   * A tenant and its quota.
+   *
+   * @param name the name of the tenant
+   * @param quotaPerSecond the requests per second that the tenant may send; not used in decisions
+   * @param quotaShare the share of all requests that the tenant may send, from 0 to 1
+   */
   public record Tenant(String name, double quotaPerSecond, double quotaShare) {}
 
-  /** What the deployment permits. */
+  /**
+   * Features and limits that the deployment permits.
+   *
+   * @param canCancel whether attempts may be cancelled
+   * @param canSendRetryAfter whether rejections may carry a Retry-After hint
+   * @param canRunParallelAttempts whether two attempts of a request may be open at the same time
+   * @param maxAttempts the most attempts per request
+   * @param maxRetryAfterMillis the largest Retry-After hint
+   * @param streamsPerConnection the requests that one connection carries at the same time
+   */
   public record Limits(
       boolean canCancel,
       boolean canSendRetryAfter,
@@ -161,7 +219,16 @@
       double maxRetryAfterMillis,
       int streamsPerConnection) {}
 
-  /** The figures of the drain and slow-start rules. */
+  /**
+   * Limits for endpoints that warm up and for retries of the discovery watch.
+   *
+   * @param warmUpMillis how long an endpoint warms up after its process started
+   * @param initialCapacityShare the share of its full capacity that an endpoint has when it starts
+   * @param overloadWindowMillis the window over which the load of a warming endpoint is counted
+   * @param overloadMultiple the multiple of its capacity that overloads a warming endpoint
+   * @param maxWatchDelayMillis the time within which discovery must be asked again after a failed
+   *     watch
+   */
   public record WarmUpRules(
       double warmUpMillis,
       double initialCapacityShare,
--- a/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
+++ b/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
@@ -1,14 +1,15 @@
 package leadferry.loadbalancer;
 
 /**
- * May an endpoint that is warming up get a request? It may while this proxy has credit for it: each
- * proxy lends it a share of its own mean rate an endpoint, as far as the endpoint's capacity while
- * warming up and the permitted multiple of a falling capacity allow, so the sum over all proxies
- * stays inside without agreement.
+ * Limits the requests to an endpoint that is warming up. Such an endpoint gets requests only while
+ * this proxy has credit for it. Credit is counted in requests. Each proxy earns credit at a share
+ * of its own mean rate per endpoint. The share is limited by the capacity of the endpoint while
+ * warming up and by the permitted multiple of that capacity, so the sum over all proxies stays
+ * within the limit without coordination.
  *
- * <p>An endpoint of this proxy's subset is shared with few proxies, and gets what those would have
- * given to all others. What counts is what endpoints serve, not what clients ask for: their retries
- * multiply in an overload. Credit is counted in requests.
+ * <p>An endpoint in this proxy's subset is shared with few proxies and gets the load that those
+ * would have sent to all other endpoints. The rate counts requests that endpoints serve rather than
+ * requests that clients send, because client retries multiply in an overload.
  */
 final class SlowStartBudget {
   /** Share of the permitted multiple that all proxies together use on a warming endpoint. */
@@ -23,14 +24,18 @@
   }
 
   /**
-   * Whether the endpoint is warm, or has credit; {@code among} endpoints share this proxy's load.
+   * Returns whether the endpoint is warm or has credit.
+   *
+   * @param endpointCount the number of endpoints that share this proxy's load
    */
   boolean canSend(Endpoint endpoint, int endpointCount, double nowMillis) {
     double capacityShare = capacityShare(endpoint, nowMillis);
     return capacityShare >= 1 || hasCredit(endpoint, capacityShare, endpointCount, nowMillis);
   }
 
-  /** A request goes to the endpoint: it uses credit up while the endpoint is warming up. */
+  /**
+   * Records that a request is sent to the endpoint, which uses credit while the endpoint warms up.
+   */
   void onSend(Endpoint endpoint, double nowMillis) {
     endpoint.credit -= capacityShare(endpoint, nowMillis) < 1 ? 1 : 0;
   }
@@ -51,7 +56,7 @@
     return endpoint.credit >= 1;
   }
 
-  /** The least share of its capacity that an endpoint has now: 1 when warm. */
+  /** Returns the least share of its full capacity that the endpoint has now; 1 if it is warm. */
   private double capacityShare(Endpoint endpoint, double nowMillis) {
     double ageMillis = nowMillis - endpoint.onlineSinceMillis;
     double warmUpMillis = settings.current().warmUpRules().warmUpMillis();
--- a/src/main/java/leadferry/loadbalancer/TenantQuotas.java
+++ b/src/main/java/leadferry/loadbalancer/TenantQuotas.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * What a tenant's request weighs when load is shed: 1 within the tenant's share of the recent
- * requests, less the further the tenant is over it, never less than {@link
- * Settings#minPriorityWeight}.
+ * Computes the priority weight of a tenant's requests for load shedding. The weight is 1 while the
+ * tenant is within its share of the recent requests. Beyond the share, the weight falls with the
+ * excess, down to {@link Settings#minPriorityWeight}.
  *
- * <p>Guards against a burst of one tenant that takes the place of the others' requests.
+ * <p>Guards against a burst of one tenant that displaces the requests of other tenants.
  */
 final class TenantQuotas {
   /** Time constant of a tenant's share of the recent requests. */
   private static final double MEMORY_MILLIS = 10_000;
 
-  /** Requests assumed to have come by quota before any is counted: a few arrivals prove nothing. */
+  /** Number of assumed earlier requests that match the quotas. A few arrivals prove nothing. */
   private static final double PRIOR_REQUESTS = 8;
 
-  /** The recent requests of one tenant. */
+  /** Recent requests of one tenant. */
   private static final class Usage {
     final double quotaShare;
     double requestCount;
@@ -37,7 +37,7 @@
     this.settings = settings;
   }
 
-  /** Takes the tenants of the settings in force; their usage is counted anew. */
+  /** Takes over the tenants of the current settings and resets their usage. */
   void onSettings() {
     usages.clear();
     for (Settings.Tenant tenant : settings.current().tenants()) {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** A request of the tenant has come; {@code tenant} may be null or unknown. */
+  /** Counts a request of the tenant; {@code tenant} may be null or unknown. */
   void onArrival(String tenant, double nowMillis) {
     double decay = Math.exp(-(nowMillis - lastArrivalMillis) / MEMORY_MILLIS);
     totalRequests = totalRequests * decay + 1;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** The priority weight of a request of the tenant, above 0 and at most 1. */
+  /** Returns the priority weight of a request of the tenant, above 0 and at most 1. */
   double priorityWeight(String tenant) {
     Usage usage = usages.get(tenant);
     if (usage == null || usage.quotaShare <= 0) {
--- a/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/TerminationPolicy.java
@@ -1,12 +1,15 @@
 package leadferry.loadbalancer;
 
 /**
- * Which final answer does a request get that no attempt can serve? It is rejected, with
- * Retry-After, where trying again does no harm; else it fails, which promises nothing about its
+ * Chooses the final response of a request that no attempt can serve. The request is rejected, with
+ * a Retry-After hint, if a retry is safe. Otherwise it fails, which leaves open whether it had an
  * effect.
  */
 final class TerminationPolicy {
-  /** A client that is back at once meets the same queue; much later its request is of no use. */
+  /**
+   * Retry-After hint as a share of the latency objective. A client that returns at once finds the
+   * same queue, and a request that returns much later is of no use.
+   */
   private static final double RETRY_AFTER_OBJECTIVE_SHARE = 0.25;
 
   private final LiveSettings settings;
@@ -19,7 +22,7 @@
     this.actions = context.actions;
   }
 
-  /** Gives the request its final answer. */
+  /** Sends the final response of the request. */
   void terminate(RequestState request, double nowMillis) {
     if (idempotencyPolicy.canReject(request, nowMillis)) {
       boolean sendsRetryAfter = settings.current().limits().canSendRetryAfter();
--- a/src/main/java/leadferry/loadbalancer/WatchBackoff.java
+++ b/src/main/java/leadferry/loadbalancer/WatchBackoff.java
@@ -3,14 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * When is discovery asked again after its watch failed? Later each time, at chance, as discovery is
- * scarce, but never past what the settings allow.
+ * Computes when to call discovery again after its watch failed. Waits grow exponentially with
+ * jitter, because the capacity of discovery is small, up to the limit in the settings.
  */
 final class WatchBackoff {
-  /** The first wait; each further one is twice as long. */
+  /** Length of the first wait, before jitter. Each further wait is twice as long. */
   private static final double FIRST_WAIT_MILLIS = 500;
 
-  /** Jitter: a wait is drawn from this share of the nominal one to one more. */
+  /** Least random factor of a wait. The largest is 1 more. */
   private static final double MIN_JITTER = 0.5;
 
   private final LiveSettings settings;
@@ -23,12 +23,15 @@
     this.random = context.random;
   }
 
-  /** Whether a failure now should begin a wait: one has not begun, and there is to be a watch. */
+  /**
+   * Returns whether a failure now should start a wait: no wait is running, and discovery is
+   * watched.
+   */
   boolean shouldWait() {
     return settings.current().shouldWatchDiscovery() && !isWaiting;
   }
 
-  /** Begins a wait and gives its length. */
+  /** Starts a wait and returns its length in milliseconds. */
   double startWaitMillis() {
     isWaiting = true;
     double waitMillis = nextWaitMillis * (MIN_JITTER + random.nextDouble());
@@ -39,12 +42,12 @@
     return waitMillis;
   }
 
-  /** The wait is over. */
+  /** Ends the wait. */
   void onTimer() {
     isWaiting = false;
   }
 
-  /** Discovery has sent a list. */
+  /** Resets the backoff after discovery has sent a list. */
   void reset() {
     nextWaitMillis = FIRST_WAIT_MILLIS;
   }
--- a/src/main/java/leadferry/loadbalancer/package-info.java
+++ b/src/main/java/leadferry/loadbalancer/package-info.java
@@ -1,10 +1,15 @@
 /**
- * The decision module: which endpoint an attempt goes to, whether a request is tried again, what is
- * rejected. Begin with {@link leadferry.loadbalancer.LoadBalancer}; each rule stands in a class
- * named for it, with its constants.
+ * Load-balancing decisions: which endpoint gets an attempt, whether a request is retried, and which
+ * requests are rejected. The entry point is {@link leadferry.loadbalancer.LoadBalancer}. Each rule
+ * is a class of its own that contains its constants.
  *
- * <p>Power of d choices: of a few endpoints drawn at random, the one with the fewest of this
- * proxy's own requests in flight wins. Time is passed in and randomness is seeded; no I/O, no
- * clock, no thread, and no knowledge of any protocol.
+ * <p>Endpoints are chosen by the power of d choices: of a few endpoints drawn at random, the one
+ * with the fewest of this proxy's own requests in flight is chosen. Time is passed in and
+ * randomness is seeded. The package does no I/O, reads no clock, starts no thread, and knows no
+ * protocol.
+ *
+ * <p>Latency objective: the response time up to which a response of a request class has its full
+ * value ({@code aim} in the settings). Time constants are multiples of the shortest latency
+ * objective of all classes; their names end in {@code OBJECTIVES}.
  */
 package leadferry.loadbalancer;
--- a/src/test/java/leadferry/adapter/AdapterRecorder.java
+++ b/src/test/java/leadferry/adapter/AdapterRecorder.java
@@ -6,11 +6,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.GZIPOutputStream;
 
-/** Makes the recordings that {@link RecordedAdapterRunTest} holds the adapter to. */
+/** Creates the recordings that {@link RecordedAdapterRunTest} compares with. */
 final class AdapterRecorder {
   private AdapterRecorder() {}
 
-  /** Writes the transcripts of seeds 1 to 5 into the folder that is named. */
+  /** Writes the transcripts of seeds 1 to 5 to the folder in the first argument. */
   public static void main(String[] args) throws IOException {
     for (int seed = 1; seed <= 5; seed++) {
       StringBuilder input = new StringBuilder();
--- a/src/test/java/leadferry/adapter/AdapterScenario.java
+++ b/src/test/java/leadferry/adapter/AdapterScenario.java
@@ -11,17 +11,17 @@
 import java.util.Set;
 
 /**
- * A small simulated deployment on the adapter's wire: four instances, two zones, servers that are
- * slow, silent, full, failing, draining or warming up. Made the transcripts of {@code
- * fixtures/adapter}, by {@link AdapterRecorder}; the same seed gives the same events as long as the
- * adapter answers the same.
+ * A small simulated deployment on the adapter's wire format: four instances, two zones, and servers
+ * that are slow, silent, full, failing, draining or warming up. {@link AdapterRecorder} used it to
+ * create the transcripts in {@code fixtures/adapter}. The same seed produces the same events as
+ * long as the adapter sends the same commands.
  */
 final class AdapterScenario {
   private static final int INSTANCES = 4;
   private static final double END_MILLIS = 9_000;
   private static final double BATCH_MILLIS = 5;
 
-  // How an attempt ended, by the wire's numbers.
+  // Outcomes of an attempt, by their numbers on the wire.
   private static final int OK = 1;
   private static final int ERROR = 2;
   private static final int FULL = 3;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Runs the adapter through the scenario; the events go to {@code input}, its answers to {@code
-   * output}.
+   * Runs the adapter through the scenario. Writes the events to {@code input} and the adapter's
+   * replies to {@code output}.
    */
   void run(StringBuilder input, StringBuilder output) throws IOException {
     try (AdapterThread adapter = new AdapterThread()) {
--- a/src/test/java/leadferry/adapter/AdapterTest.java
+++ b/src/test/java/leadferry/adapter/AdapterTest.java
@@ -64,8 +64,8 @@
   }
 
   /**
-   * The attempt that timed out is told to the others, and what they say is heard; without leave,
-   * nobody talks.
+   * An attempt that timed out is broadcast to the other proxies, and messages of others are
+   * processed. If the deployment does not permit messages, none is sent.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
--- a/src/test/java/leadferry/adapter/AdapterThread.java
+++ b/src/test/java/leadferry/adapter/AdapterThread.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An adapter in a thread of its own, which ends when this is closed. */
+/** An adapter that runs in its own thread until {@link #close}. */
 final class AdapterThread implements AutoCloseable {
   private static final int PIPE_BYTES = 1 << 16;
 
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Has the adapter answer a batch, and gives the commands. */
+  /** Sends a batch to the adapter and returns the commands of its reply. */
   List<String> exchange(String batch) throws IOException {
     events.write(batch.getBytes(StandardCharsets.UTF_8));
     events.flush();
--- a/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
+++ b/src/test/java/leadferry/adapter/RecordedAdapterRunTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events that an earlier build was given, and the commands it answered: the same draws from the
- * same seed, byte for byte. {@link AdapterRecorder} made them.
+ * Guards against unintended changes of behavior. The adapter must reply to the events of a recorded
+ * run with the recorded commands, byte for byte, which requires the same random draws from the same
+ * seed. {@link AdapterRecorder} created the recordings with an earlier build.
  */
 class RecordedAdapterRunTest {
   @ParameterizedTest
--- a/src/test/java/leadferry/adapter/ScenarioRequest.java
+++ b/src/test/java/leadferry/adapter/ScenarioRequest.java
@@ -5,7 +5,7 @@
 
 /** A client's request in the scenario, with its attempts. */
 final class ScenarioRequest {
-  /** One send of it, to a server or to one that is not there any more. */
+  /** An attempt at a server, or at a server that no longer exists. */
   static final class Attempt {
     int instance;
     long requestId;
--- a/src/test/java/leadferry/adapter/ScenarioSettings.java
+++ b/src/test/java/leadferry/adapter/ScenarioSettings.java
@@ -1,10 +1,10 @@
 package leadferry.adapter;
 
-/** The settings of the simulated deployment, as JSON of the wire. */
+/** Settings of the simulated deployment as JSON of the wire format. */
 final class ScenarioSettings {
   private ScenarioSettings() {}
 
-  /** Those of the instance at this position of the tier; they differ from seed to seed. */
+  /** Returns the settings of the instance with this index in the tier. They depend on the seed. */
   static String json(
       long seed,
       int instances,
--- a/src/test/java/leadferry/adapter/SimulatedServer.java
+++ b/src/test/java/leadferry/adapter/SimulatedServer.java
@@ -5,16 +5,16 @@
 
 /** A server of the simulated deployment. */
 final class SimulatedServer {
-  /** A mean response time that tells: answers nothing. */
+  /** Mean response time of a server that sends no responses. */
   static final double SILENT = 1e9;
 
-  /** A mean response time that tells: answers with errors. */
+  /** Marks a server that responds with errors. */
   static final double FAILING = -1;
 
-  /** A mean response time that tells: no connection comes up. */
+  /** Marks a server that accepts no connections. */
   static final double UNREACHABLE = -2;
 
-  /** Requests that it holds at most; more are turned away. */
+  /** Requests that a server may hold before it rejects further ones. */
   private static final int MAX_HELD_REQUESTS = 6;
 
   private static final double WARM_UP_MILLIS = 2_000;
@@ -34,7 +34,7 @@
     this.meanMillis = meanMillis;
   }
 
-  /** The servers at the beginning, of two zones and four cells. */
+  /** Returns the initial servers, in two zones and four cells. */
   static List<SimulatedServer> createInitial() {
     List<SimulatedServer> servers = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
@@ -44,24 +44,24 @@
     return servers;
   }
 
-  /** One that has just come up. */
+  /** Returns a server that has just started. */
   static SimulatedServer createStarted(double nowMillis) {
     SimulatedServer server = new SimulatedServer(9_001, "z1", 9, 9);
     server.onlineSinceMillis = nowMillis;
     return server;
   }
 
-  /** From now on it takes six times as long, if it serves at all. */
+  /** Makes a server that serves requests six times slower. */
   void slowDown() {
     meanMillis = meanMillis > 0 ? 6 * meanMillis : meanMillis;
   }
 
-  /** The overload is over, and so is what was wrong with it. */
+  /** Ends the overload and every other fault of the server. */
   void recover() {
     meanMillis = meanMillis > 0 && meanMillis < SILENT ? meanMillis / 6 : 10;
   }
 
-  /** How much longer than warm it takes. */
+  /** Returns the factor by which the server is slower than a warm one. */
   double slowness(double nowMillis) {
     return onlineSinceMillis > 0 && nowMillis - onlineSinceMillis < WARM_UP_MILLIS ? 2 : 1;
   }
@@ -70,7 +70,7 @@
     return heldRequests > MAX_HELD_REQUESTS;
   }
 
-  /** Its entry in an endpoint list, on the wire. */
+  /** Returns the entry of the server in an endpoint list, in the wire format. */
   String endpointEntry() {
     return "host host="
         + id
@@ -86,7 +86,7 @@
         + (onlineSinceMillis > 0 ? " onlineSince=" + onlineSinceMillis : "");
   }
 
-  /** Its report of load, on the wire. */
+  /** Returns the load report of the server, in the wire format. */
   String loadReport() {
     return "rif:"
         + heldRequests
--- a/src/test/java/leadferry/adapter/VirtualTime.java
+++ b/src/test/java/leadferry/adapter/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock in milliseconds that is moved on by hand, and what is to happen when. */
+/** A manually advanced clock in milliseconds with scheduled actions. */
 final class VirtualTime {
   private record Event(double timeMillis, long sequenceNumber, Runnable action) {}
 
@@ -21,12 +21,12 @@
     return nowMillis;
   }
 
-  /** Has that happen then; what is due at the same time happens in the order of the calls. */
+  /** Schedules an action. Actions of the same time run in the order of the calls. */
   void schedule(double timeMillis, Runnable action) {
     events.add(new Event(timeMillis, nextSequenceNumber++, action));
   }
 
-  /** Has all happen that is due by now. */
+  /** Runs all actions that are due. */
   void runDue() {
     while (!events.isEmpty() && events.peek().timeMillis() <= nowMillis) {
       events.poll().action().run();
--- a/src/test/java/leadferry/adapter/WireCommand.java
+++ b/src/test/java/leadferry/adapter/WireCommand.java
@@ -1,12 +1,12 @@
 package leadferry.adapter;
 
-/** A command that the adapter has written: a name and name=value fields. */
+/** A command written by the adapter: a name and name=value fields. */
 record WireCommand(String line) {
   String name() {
     return line.substring(0, line.indexOf(' '));
   }
 
-  /** The value of the field, or an empty string. */
+  /** Returns the value of the field, or an empty string. */
   String field(String key) {
     for (String part : line.split(" ")) {
       if (part.startsWith(key + "=")) {
--- a/src/test/java/leadferry/gossip/RecordedDatagramTest.java
+++ b/src/test/java/leadferry/gossip/RecordedDatagramTest.java
@@ -7,7 +7,10 @@
 import leadferry.RecordedText;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between proxies, to bytes and back, as an earlier build wrote and read them. */
+/**
+ * Guards against changes of the datagram format between proxies. Encoding and decoding are compared
+ * with recordings of an earlier build.
+ */
 class RecordedDatagramTest {
   private static final HexFormat HEX = HexFormat.of();
   private static final List<Byte> ZONES = List.of((byte) 0, (byte) 1, (byte) 127, (byte) -1);
--- a/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
+++ b/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a proxy says of silent endpoints, and on whose word it ejects or readmits one. */
+/**
+ * Tests when a proxy broadcasts suspicions and refutations, and when it ejects or readmits an
+ * endpoint.
+ */
 class SuspicionProtocolTest {
   private static final long ENDPOINT_ID = 77;
   private static final double OBJECTIVE_MILLIS = 500;
@@ -68,7 +71,7 @@
         .encode();
   }
 
-  /** The time in which two witnesses could be refuted goes by. */
+  /** Advances the time past the point at which unrefuted witnesses cause an ejection. */
   private void passDecisionTime(double fromMillis) {
     protocol.onTimer(fromMillis + 0.4 * OBJECTIVE_MILLIS);
   }
@@ -166,8 +169,8 @@
   }
 
   /**
-   * What an overload looks like: two lost a request each, and the endpoint serves others all the
-   * while.
+   * Guards against ejections during an overload: two proxies lose one request each while the
+   * endpoint keeps serving other requests.
    */
   @Test
   void refutationBeforeDecisionPreventsEjection() {
@@ -187,7 +190,8 @@
     protocol.onMessage(1_020, 5, suspicion("a", 450));
     protocol.onMessage(1_030, 6, suspicion("a", 450));
     passDecisionTime(1_030);
-    protocol.onMessage(1_200, 7, refutation("b", 0)); // what the cut-off zone itself hears
+    // a response received in the zone that is cut off
+    protocol.onMessage(1_200, 7, refutation("b", 0));
     assertThat(actions.commands).containsExactly("eject 77");
   }
 
@@ -204,7 +208,8 @@
     protocol.onMessage(1_000, 3, suspicion("a", 450));
     protocol.onMessage(1_010, 4, suspicion("a", 450));
     passDecisionTime(1_010);
-    protocol.onNoResponse(1_300, ENDPOINT_ID, 900); // was on its way before: news to nobody
+    // sent before the ejection, so not reported again
+    protocol.onNoResponse(1_300, ENDPOINT_ID, 900);
     assertThat(actions.messages).isEmpty();
     protocol.onNoResponse(2_300, ENDPOINT_ID, 1_800);
     assertThat(actions.messages).hasSize(1);
@@ -217,7 +222,8 @@
     protocol.onMessage(1_000, 3, suspicion("a", 450));
     protocol.onMessage(1_010, 4, suspicion("a", 450));
     passDecisionTime(1_010);
-    protocol.onMessage(1_220, 5, refutation("a", 400)); // from before: it was silent since
+    // sent before the ejection, so it does not readmit the endpoint
+    protocol.onMessage(1_220, 5, refutation("a", 400));
     assertThat(protocol.isEjected(ENDPOINT_ID)).isTrue();
     protocol.onMessage(4_000, 5, refutation("a", 0));
     assertThat(actions.commands).containsExactly("eject 77", "readmit 77");
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
@@ -8,7 +8,10 @@
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
-/** What is admitted and what is shed, as load, its reports and its tenants come and go. */
+/**
+ * Tests which requests are admitted and which are shed, depending on load, load reports and
+ * tenants.
+ */
 class LoadBalancerAdmissionTest {
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
@@ -46,7 +49,7 @@
     assertThat(fixture.rejected).hasSize(rejected);
   }
 
-  /** Between two time-outs of a light proxy an overload must not be forgotten. */
+  /** Guards against a proxy with little traffic that forgets an overload between two timeouts. */
   @Test
   void overloadIsRememberedBetweenTimeouts() {
     LoadBalancer balancer = fixture.createIdempotent(4);
@@ -66,7 +69,7 @@
     assertThat(fixture.rejected).hasSizeGreaterThan(60);
   }
 
-  /** Guards against a few heavy requests that make every queue look too long to begin. */
+  /** Guards against a few heavy requests that make every queue look too long to join. */
   @Test
   void heavyRequestsDoNotInflateQueueDelay() {
     LoadBalancer balancer = fixture.createIdempotent(3);
@@ -85,10 +88,10 @@
           true,
           LoadBalancerFixture.loadReport(10));
     }
-    // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does
-    // not.
+    // A mean of 132 ms for 11 held requests would make a queue of 25 too long for the latency
+    // objective; a median of 60 ms does not.
     int rejected = fixture.rejected.size();
-    fixture.nowMillis += 15_000; // pressure fades
+    fixture.nowMillis += 15_000; // pressure decays
     for (long id = 0; id < 3; id++) {
       balancer.onLoadReport(fixture.nowMillis, id, LoadBalancerFixture.loadReport(25));
     }
@@ -97,7 +100,7 @@
     assertThat(fixture.rejected).hasSize(rejected);
   }
 
-  /** Guards against a tenant's burst that takes the place of requests within their share. */
+  /** Guards against a burst of one tenant that displaces requests of tenants within their share. */
   @Test
   void tenantOverItsQuotaIsRejectedFirst() {
     LoadBalancer balancer =
@@ -132,12 +135,13 @@
               false));
       rejected[within ? 1 : 0] += fixture.rejected.size() - before;
     }
-    // 160 of x, 20 of y
+    // 160 requests of x, 20 of y
     assertThat(rejected[0] / 160.0).isGreaterThan(1.3 * rejected[1] / 20.0);
   }
 
   /**
-   * One crowded endpoint among idle ones costs no request, and its old report is not believed long.
+   * Guards against requests shed because of one crowded endpoint among idle ones, and against an
+   * old report that keeps an endpoint from getting requests.
    */
   @Test
   void crowdedEndpointIsAvoidedAndRetriedLater() {
@@ -146,7 +150,8 @@
     for (; id < 300; id++) {
       fixture.serveWithReport(balancer, id, fixture.nowMillis, 1);
     }
-    // Host 1 tells of a queue far past the aim; nothing is sent to it while others have room.
+    // Endpoint 1 reports a queue far beyond the latency objective and gets nothing while others
+    // have room.
     boolean told = false;
     for (; id < 600; id++) {
       boolean first = fixture.request(balancer, id) == 1 && !told;
@@ -172,9 +177,7 @@
         .anyMatch(send -> send.endpoint() == 1);
   }
 
-  /**
-   * Time-outs of an endpoint that answers nothing at all say nothing of how busy the others are.
-   */
+  /** Guards against timeouts of one silent endpoint that look like an overload of all endpoints. */
   @Test
   void silentEndpointCausesNoSheddingWhileOthersHaveRoom() {
     LoadBalancer balancer = fixture.createIdempotent(6);
@@ -197,8 +200,8 @@
   }
 
   /**
-   * Answers that get lost on the way, from endpoints that tell of room, are no overload: nothing is
-   * rejected for them.
+   * Guards against lost responses that look like an overload. The endpoints report that they have
+   * room, so no request may be rejected.
    */
   @Test
   void lostResponsesAreNotTakenForOverload() {
@@ -234,7 +237,7 @@
     assertThat(fixture.rejected).isEmpty();
   }
 
-  /** Our own requests in flight are at the endpoint, whatever its report, which is late, says. */
+  /** Guards against a late load report that hides this proxy's own requests at the endpoint. */
   @Test
   void staleReportDoesNotHideOwnRequests() {
     LoadBalancer balancer = fixture.createIdempotent(1);
@@ -250,7 +253,7 @@
             AttemptOutcome.OK,
             160,
             true,
-            LoadBalancerFixture.loadReport(7)); // 20 ms for each held
+            LoadBalancerFixture.loadReport(7)); // 20 ms per held request
       }
     }
     ArrayDeque<Long> open = new ArrayDeque<>();
@@ -304,6 +307,6 @@
       fixture.serve(balancer, i, 10);
     }
     assertThat(fixture.rejected).isEmpty();
-    assertThat(fixture.logs).isEmpty(); // nobody is ejected either
+    assertThat(fixture.logs).isEmpty(); // no endpoint is ejected either
   }
 }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Builds settings and endpoints for tests, and records what a load balancer asks for. */
+/** Creates settings and endpoints for tests, and records the actions of a load balancer. */
 final class LoadBalancerFixture implements LoadBalancerActions {
   static final String IDEMPOTENT = "safe";
 
@@ -84,7 +84,7 @@
     return new RequestArrival(id, className, null, budgetMillis, Double.NaN, false);
   }
 
-  /** A load balancer that knows these endpoints and acts on this fixture. */
+  /** Returns a load balancer that knows these endpoints and acts on this fixture. */
   LoadBalancer create(Settings settings, List<EndpointUpdate> endpoints) {
     LoadBalancer balancer = new LoadBalancer(settings, 7, this);
     balancer.onStart(nowMillis);
@@ -92,14 +92,16 @@
     return balancer;
   }
 
-  /** The same with so many endpoints and one idempotent class, {@link #IDEMPOTENT}. */
+  /**
+   * Returns a load balancer with this number of endpoints and the single class {@link #IDEMPOTENT}.
+   */
   LoadBalancer createIdempotent(int endpoints) {
     return create(
         settings(requestClass(IDEMPOTENT, Settings.Semantics.IDEMPOTENT, Settings.KeyScope.ALL)),
         endpoints(endpoints));
   }
 
-  /** Serves a request in so long. */
+  /** Sends a request and ends it successfully after {@code spentMillis}. */
   void serve(LoadBalancer balancer, long id, double spentMillis) {
     balancer.onRequest(nowMillis, request(id, IDEMPOTENT, 800));
     Send send = last();
@@ -107,13 +109,13 @@
     balancer.onOutcome(nowMillis, id, send.number(), AttemptOutcome.OK, spentMillis, true, null);
   }
 
-  /** Sends a request and gives the endpoint that was picked last. */
+  /** Sends a request and returns the endpoint of the last attempt. */
   long request(LoadBalancer balancer, int id) {
     balancer.onRequest(nowMillis, request(id, IDEMPOTENT, 800));
     return last().endpoint();
   }
 
-  /** Serves a request in 100 ms; the endpoint reports so many held. */
+  /** Serves a request in 100 ms with a load report of {@code heldRequests}. */
   void serveWithReport(LoadBalancer balancer, int id, double atMillis, double heldRequests) {
     request(balancer, id);
     balancer.onOutcome(atMillis, id, 0, AttemptOutcome.OK, 100, true, loadReport(heldRequests));
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
@@ -10,7 +10,10 @@
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are left out as silent, failing or closed to a class, and when they are back. */
+/**
+ * Tests which endpoints are avoided because they are silent, failing or closed to a class, and when
+ * they are used again.
+ */
 class LoadBalancerOutlierTest {
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
@@ -68,7 +71,8 @@
   }
 
   /**
-   * When all endpoints fail alike it is no outlier's fault: the few left must not get all the load.
+   * Guards against ejections when all endpoints fail alike: the few endpoints left would get all
+   * the load.
    */
   @Test
   void ejectedShareOfEndpointsIsLimited() {
@@ -91,7 +95,10 @@
     assertThat(fixture.logs).filteredOn(line -> line.endsWith("readmitted")).hasSize(1);
   }
 
-  /** Full endpoints are busy, not broken: none is ejected, and what piles up is rejected early. */
+  /**
+   * Guards against ejections of full endpoints, which are busy but not broken. Excess requests are
+   * rejected early instead.
+   */
   @Test
   void fullEndpointsAreNotEjected() {
     LoadBalancer balancer = fixture.createIdempotent(4);
@@ -109,8 +116,9 @@
   }
 
   /**
-   * Half the endpoints limit one class: it goes elsewhere within a few attempts, the other goes on
-   * there.
+   * Guards against the ejection of a whole endpoint that limits one class. Half of the endpoints
+   * limit a class: within a few attempts it goes elsewhere, while the other class still uses all
+   * endpoints.
    */
   @Test
   void endpointThatLimitsOneClassKeepsOtherClasses() {
@@ -155,8 +163,8 @@
   }
 
   /**
-   * The limit is gone: after one trial that is served the endpoint has its whole part of the class
-   * again.
+   * Guards against an endpoint that stays closed to a class after its limit ended: one served trial
+   * must restore its full share of the class.
    */
   @Test
   void endpointThatAcceptsClassAgainGetsItsShare() {
@@ -184,12 +192,12 @@
       }
     }
     assertThat(turned).isBetween(2, 12);
-    assertThat(served).isGreaterThan(60); // of 400, where its one connection goes on being used
+    assertThat(served).isGreaterThan(60); // of 400; its one open connection remains preferred
   }
 
   /**
-   * Time-outs beside answers tell of a queue, or of requests that got lost, not of a broken
-   * endpoint.
+   * Guards against ejections for timeouts while other requests get responses. Such timeouts
+   * indicate a queue or lost requests, not a broken endpoint.
    */
   @Test
   void respondingEndpointIsNotEjectedForTimeouts() {
@@ -208,7 +216,7 @@
           true,
           LoadBalancerFixture.loadReport(1));
       fixture.nowMillis += 800;
-      // Where the second was rejected, nobody has answered beside the first.
+      // If the second request was rejected, no other response proves that the endpoint is alive.
       boolean beside = !fixture.rejected.contains(i + 1L);
       both += beside && !fixture.rejected.contains((long) i) ? 1 : 0;
       balancer.onOutcome(
@@ -225,14 +233,15 @@
   }
 
   /**
-   * An endpoint that is gone leaves nothing behind, and its id may come back as another endpoint's.
+   * Guards against state of a removed endpoint that is inherited by a new endpoint with the same
+   * id.
    */
   @Test
   void reusedEndpointIdStartsWithoutHistory() {
     LoadBalancer balancer = fixture.createIdempotent(2);
     for (int i = 0; i < 60 && fixture.logs.isEmpty(); i++) {
       fixture.nowMillis +=
-          5_000; // so that the charge of a failure fades and the host is drawn again
+          5_000; // lets the failure penalty decay, so that the endpoint is picked again
       boolean bad = fixture.request(balancer, i) == 0;
       balancer.onOutcome(
           fixture.nowMillis, i, 0, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100, true, null);
@@ -269,8 +278,8 @@
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       counts.merge(fixture.last().endpoint(), 1, Integer::sum);
     }
-    assertThat(counts.get(busy)).isGreaterThan(5); // its answer may stand here
-    balancer.onReadUntil(fixture.nowMillis); // and now it is known that none has come
+    assertThat(counts.get(busy)).isGreaterThan(5); // its response may be unread here
+    balancer.onReadUntil(fixture.nowMillis); // no response has arrived
     balancer.onRequest(
         fixture.nowMillis, LoadBalancerFixture.request(3_000, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.last().endpoint()).isNotEqualTo(busy);
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events against a load balancer, judged by a checker that shares no code with it. */
+/**
+ * Guards against violations of the safety rules in rare sequences of events. Random valid events
+ * are run against a load balancer and checked by code that is independent of it.
+ */
 class LoadBalancerRulesTest {
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 7, 24})
@@ -23,7 +26,7 @@
     for (long seed = 0; seed < 12; seed++) {
       LoadBalancerSimulation simulation = new LoadBalancerSimulation(seed * 31 + endpoints);
       if (endpoints == 0) {
-        simulation.run(1, 0.5); // one endpoint that the first change may remove
+        simulation.run(1, 0.5); // a single endpoint, which the first change may remove
       } else {
         simulation.run(endpoints, 4_000);
       }
@@ -36,8 +39,8 @@
   }
 
   /**
-   * Other customers': each of the settings drawn for itself, connections that come up late, and
-   * what clients allow.
+   * Tests unusual deployments: each setting is drawn independently, connections are established
+   * late, and the permitted features vary.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 9, 24})
@@ -99,7 +102,8 @@
   }
 
   /**
-   * Rule 4: 125 requests a second over the endpoints; the proxy's own share of a warming endpoint.
+   * Checks rule 4 at 125 requests per second over all endpoints: the proxy's share of the load of a
+   * warming endpoint.
    */
   private static void checkWarmingUpShare(
       LoadBalancerSimulation simulation, int endpoints, Set<String> violations) {
@@ -114,9 +118,8 @@
         for (int k = i; k < sends.size() && sends.get(k) < sends.get(i) + 1_500; k++) {
           inWindow++;
         }
-        // A third of the endpoints can be out, so the mean share may grow by half; the rate that
-        // the
-        // proxy judges by wanders too. All in all well under the multiple of 3.
+        // A third of the endpoints can be ejected, so the mean share may grow by half. The
+        // estimated arrival rate varies too. The sum stays well below the multiple of 3.
         double warm = 0.3 + 0.7 * Math.max(0, sends.get(i) + 1_500 - onlineSinceMillis) / 8_000;
         double share = 125.0 / Math.max(1, endpoints / 2.0) * 1.5;
         if (inWindow > 3 * Math.min(1, warm) * share + 3) {
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
@@ -10,16 +10,20 @@
 import leadferry.loadbalancer.Settings.KeyScope;
 import leadferry.loadbalancer.Settings.Semantics;
 
-/** A load balancer under random legal events, with what it does judged against the rules. */
+/**
+ * Runs a load balancer under random valid events and checks its actions against the rules: 1, a
+ * request gets exactly one final response, in time, and no attempt after it; 2, no effect happens
+ * twice; 3, only ready endpoints get attempts; 4, a warming endpoint is not overloaded.
+ */
 final class LoadBalancerSimulation implements LoadBalancerActions {
-  /** How late a final answer may be: timers are no exact clocks. */
+  /** Tolerance for a late final response, because timers are inexact. */
   private static final double SLACK_MILLIS = 20;
 
-  /** What the checker itself knows of an attempt. */
+  /** State of an attempt as known to the checker. */
   private static final class AttemptRecord {
     final long endpoint;
 
-    /** When its first byte went out; NaN before. */
+    /** Time at which the first byte was sent; NaN before. */
     double sentAtMillis = Double.NaN;
 
     AttemptOutcome outcome;
@@ -49,7 +53,7 @@
   final boolean isParallel;
   final int maxAttempts;
 
-  /** How long (ms) a connection may take to come up; in between much happens. */
+  /** Longest time (ms) to establish a connection, during which other events occur. */
   final double maxConnectMillis;
 
   final Map<Long, RequestRecord> requests = new HashMap<>();
@@ -79,7 +83,7 @@
             LoadBalancerFixture.requestClass("once", Semantics.AT_MOST_ONCE, KeyScope.ALL));
   }
 
-  /** One of a deployment that nobody has. */
+  /** Creates a simulation of an unusual deployment with drawn settings. */
   LoadBalancerSimulation(long seed, Settings settings, double maxConnectMillis) {
     this.random = new Random(seed);
     this.settings = settings;
@@ -116,24 +120,24 @@
 
   private void checkSend(RequestRecord request, EndpointUpdate endpoint) {
     if (request.isEnded) {
-      violations.add("rule 1: sent after the end");
+      violations.add("rule 1: attempt sent after the final response");
     }
     if (endpoint == null || endpoint.condition() != Condition.READY) {
-      violations.add("rule 3: sent to an endpoint that drains or is gone");
+      violations.add("rule 3: attempt sent to a draining or removed endpoint");
     }
     if (request.attempts.size() >= maxAttempts) {
-      violations.add("more attempts than allowed");
+      violations.add("more attempts than permitted");
     }
     for (AttemptRecord attempt : request.attempts) {
       if (attempt.outcome == null && !isParallel) {
-        violations.add("rule 2: two attempts out");
+        violations.add("rule 2: two attempts open, parallel attempts not permitted");
       }
     }
   }
 
   /**
-   * What an engine asks at the last moment: whether its client waits still, and how far apart it is
-   * from others.
+   * Checks, as the engine does before it sends the first byte, whether the client still waits and
+   * whether the other attempts are recent enough.
    */
   private void onConnected(
       long id, RequestRecord request, AttemptRecord attempt, int number, double windowMillis) {
@@ -155,7 +159,7 @@
       if (other != attempt
           && other.mayHaveRun()
           && !isRepeatable(request, other, endpointList.get(attempt.endpoint))) {
-        violations.add("rule 2: repeated where it may have run");
+        violations.add("rule 2: unsafe repeat of an attempt that may have been executed");
       }
     }
     double leftMillis = request.deadlineMillis - nowMillis;
@@ -219,10 +223,10 @@
   private void endRequest(long id) {
     RequestRecord request = requests.get(id);
     if (request.isEnded) {
-      violations.add("rule 1: answered twice");
+      violations.add("rule 1: second final response");
     }
     if (nowMillis > request.deadlineMillis + SLACK_MILLIS) {
-      violations.add("rule 1: answered too late");
+      violations.add("rule 1: final response after the deadline");
     }
     request.isEnded = true;
     finishedRequests++;
@@ -238,7 +242,7 @@
               && request.requestClass.keyScope() == KeyScope.ALL
               && nowMillis - attempt.sentAtMillis
                   < request.requestClass.deduplicationWindowMillis())) {
-        violations.add("rule 2: rejected where it may have run");
+        violations.add("rule 2: rejected as safe to retry, but may have been executed");
       }
     }
     endRequest(id);
@@ -254,7 +258,7 @@
     RequestRecord request = requests.get(id);
     AttemptRecord attempt = request.attempts.get(number);
     if (!settings.limits().canCancel()) {
-      violations.add("cancelled where that is not allowed");
+      violations.add("attempt cancelled, but cancelling is not permitted");
     }
     if (Double.isNaN(attempt.sentAtMillis)) {
       after(0, () -> endAttempt(id, request, attempt, number, AttemptOutcome.MOOT, 0));
@@ -332,8 +336,8 @@
     for (double delay = 100; delay < lengthMillis; delay += 100 + random.nextInt(400)) {
       after(delay, () -> changeEndpoint(endpoints));
     }
-    // What peers say is a hint, true or not, of endpoints that exist or don't: no rule may rest on
-    // it.
+    // Hints of other proxies may be wrong and may name unknown endpoints: no rule may depend on
+    // them.
     for (double delay = 50; delay < lengthMillis; delay += 1 + random.nextInt(200)) {
       long id = random.nextInt(endpoints + 1);
       double ejectionMillis = random.nextInt(3) == 0 ? 0 : random.nextInt(8_000);
@@ -342,7 +346,7 @@
     runEvents(stopMillis);
     for (RequestRecord request : requests.values()) {
       if (!request.isEnded) {
-        violations.add("rule 1: lost");
+        violations.add("rule 1: no final response");
       }
     }
   }
@@ -380,7 +384,7 @@
     requests.put(id, request);
     balancer.onRequest(
         nowMillis, LoadBalancerFixture.request(id, request.requestClass.name(), budgetMillis));
-    // A client may leave early; what is out still ends.
+    // A client may disconnect early. Open attempts still end.
     if (random.nextInt(30) == 0) {
       after(
           random.nextInt(100),
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which endpoint a request goes to, when it is sent again, and what settings and discovery change.
+ * Tests the choice of endpoints, repeated attempts, and changes of settings and of the endpoint
+ * list.
  */
 class LoadBalancerTest {
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
@@ -57,7 +58,7 @@
       fixture.serve(balancer, i, 4);
       cold += fixture.last().endpoint() == 3 ? 1 : 0;
     }
-    // An even share would be 83; the endpoint has 30 to 50 parts in 100 of its capacity.
+    // An even share would be 83. The endpoint has 30% to 50% of its full capacity.
     assertThat(cold).isBetween(5, 55);
   }
 
@@ -122,7 +123,7 @@
     assertThat(other.sends).isEqualTo(fixture.sends);
   }
 
-  /** Guards against an overload's flood of retries that pushes an endpoint that warms up over. */
+  /** Guards against retries in an overload that overload an endpoint that is warming up. */
   @Test
   void overloadDoesNotFloodWarmingEndpoint() {
     LoadBalancer balancer = fixture.createIdempotent(5);
@@ -141,7 +142,7 @@
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = before; k < fixture.sends.size(); k++) {
         LoadBalancerFixture.Send send = fixture.sends.get(k);
-        boolean serves = k % 10 == 0; // hosts serve a tenth of what comes
+        boolean serves = k % 10 == 0; // endpoints serve a tenth of the attempts
         cold += i >= 2_000 && send.endpoint() == 3 ? 1 : 0;
         served += i >= 2_000 && serves ? 1 : 0;
         balancer.onOutcome(
@@ -154,13 +155,13 @@
             null);
       }
     }
-    // A warm endpoint serves a fifth of that, and a cold one may get at most three times as much.
+    // A warm endpoint serves a fifth of the total. A cold one may get at most three times as much.
     assertThat(cold).isLessThan(3 * Math.max(10, served / 5));
-    // It gets what it is lent: a draw for a request that is rejected takes nothing of it.
+    // It gets its full credit, because picking it for a request that is rejected uses no credit.
     assertThat(cold).isGreaterThan(5);
   }
 
-  /** Guards against many proxies that together use up the endpoints' connections. */
+  /** Guards against many proxies that together exhaust the endpoints' connections. */
   @Test
   void manyProxiesOnFewEndpointsKeepSmallSubsets() {
     Settings one =
@@ -201,20 +202,20 @@
       widest =
           Math.max(widest, Math.abs(reading.getOrDefault(0L, 0) - reading.getOrDefault(1L, 0)));
     }
-    // Were they counted, the next one would go to the other endpoint each time.
+    // If streaming responses counted, the next request would always go to the other endpoint.
     assertThat(widest).isGreaterThan(1);
     assertThat(fixture.rejected).isEmpty();
   }
 
   /**
-   * Requests that endpoint 0 of two gets of 400, where its answers, and no others, stand here
-   * unread for 40 ms.
+   * Returns how many of 400 requests go to endpoint 0 of two if only its responses are unread in
+   * this process for 40 ms each.
    */
   private int countPicksWithUnreadResponses(boolean isLagReported) {
     LoadBalancer balancer = fixture.createIdempotent(2);
     fixture.sends.clear();
     for (int index = 0; index < 400; index++) {
-      int id = isLagReported ? index : 1_000 + index; // an id is one request's
+      int id = isLagReported ? index : 1_000 + index; // ids must not repeat
       balancer.onReadUntil(fixture.nowMillis);
       balancer.onRequest(
           fixture.nowMillis, LoadBalancerFixture.request(id, LoadBalancerFixture.IDEMPOTENT, 800));
@@ -232,7 +233,7 @@
   void readLagIsNotCountedAsSlownessOfEndpoint() {
     assertThat(countPicksWithUnreadResponses(true)).isBetween(100, 300);
     assertThat(countPicksWithUnreadResponses(false))
-        .isLessThan(50); // the same, taken for the host's
+        .isLessThan(50); // the lag counts as response time of the endpoint
   }
 
   @Test
@@ -247,7 +248,8 @@
     balancer.onSettings(LoadBalancerFixture.settings(strict));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(2, "c", 800));
     balancer.onOutcome(fixture.nowMillis, 1, 0, AttemptOutcome.ERROR, 5, false, null);
-    assertThat(fixture.last().request()).isEqualTo(1L); // again: it came as one that may be
+    // retried, because it arrived with the idempotent class
+    assertThat(fixture.last().request()).isEqualTo(1L);
     balancer.onOutcome(fixture.nowMillis, 2, 0, AttemptOutcome.ERROR, 5, false, null);
     assertThat(fixture.failed).containsExactly(2L);
   }
