--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -65,7 +65,10 @@
    */
   private static final int MIN_WITNESSES = 2;
 
+  /** Bounds the memory of a record. */
   private static final int MAX_WITNESSES = 8;
+
+  /** Largest number of messages that can be sent without further attempts. */
   private static final int MAX_MESSAGE_TOKENS = 20;
 
   /** Age of a silence after which its witness expires, in latency objectives. */
@@ -90,6 +93,7 @@
    */
   private static final double MIN_BROADCAST_SHARE = 0.2;
 
+  /** Step by which the broadcast share rises or falls; a fall is relative to the current share. */
   private static final double BROADCAST_SHARE_STEP = 0.2;
 
   /** Key of this proxy as a witness. */
@@ -187,7 +191,7 @@
     if (suspicion == null
         || suspicion.lastResponseMillis >= sentAtMillis
         || (suspicion.isEjected() && !suspicion.isEjectedBefore(sentAtMillis))) {
-      // another proxy had a response since, or the endpoint is already ejected for this silence
+      // a response has arrived since, or the endpoint is already ejected for this silence
       return;
     }
     if (random.nextDouble() < broadcastShare) {
@@ -240,11 +244,11 @@
   }
 
   private void onAliveMessage(EndpointSuspicion suspicion, long endpoint, double atMillis) {
-    boolean readmitted = suspicion.isEjectedBefore(atMillis);
+    boolean isReadmitted = suspicion.isEjectedBefore(atMillis);
     if (atMillis > suspicion.lastResponseMillis) {
       recordResponse(suspicion, atMillis);
     }
-    if (readmitted) {
+    if (isReadmitted) {
       actions.readmit(endpoint);
     }
   }
@@ -276,7 +280,9 @@
     Map<Integer, Double> witnesses = suspicion.silentSinceByWitness;
     witnesses
         .values()
-        .removeIf(each -> each < nowMillis - WITNESS_MEMORY_OBJECTIVES * objectiveMillis);
+        .removeIf(
+            witnessSinceMillis ->
+                witnessSinceMillis < nowMillis - WITNESS_MEMORY_OBJECTIVES * objectiveMillis);
     if (witnesses.size() < MAX_WITNESSES) {
       witnesses.put(proxy, sinceMillis);
     }
--- a/src/main/java/leadferry/gossip/TrialSpread.java
+++ b/src/main/java/leadferry/gossip/TrialSpread.java
@@ -23,6 +23,7 @@
   /** Lost trials further apart than this are too rare. */
   private static final double MAX_GAP_OBJECTIVES = 4;
 
+  /** Factor by which the spread grows or shrinks after a lost trial. */
   private static final double STEP_FACTOR = 1.5;
 
   private final double initialObjectives;
--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -30,7 +30,7 @@
   private static final double VALUE_SMOOTHING = 0.02;
 
   private final PressureEstimate pressure;
-  private final TenantQuotas quotas;
+  private final TenantQuotas tenantQuotas;
   private final ArrivalRate arrivals;
   private final LoadReportEstimate loadReports;
   private final QueueDelayEstimate queueDelay;
@@ -42,11 +42,11 @@
    * Whether the start of the current overload has been logged. It is logged at pressure 0.7, and
    * its end below 0.2. Pressure from 0.4 to 0.7 sheds some load without a log line.
    */
-  private boolean overloadLogged;
+  private boolean isOverloadLogged;
 
-  AdmissionController(LoadBalancerContext context, TenantQuotas quotas) {
+  AdmissionController(LoadBalancerContext context, TenantQuotas tenantQuotas) {
     this.pressure = context.pressure;
-    this.quotas = quotas;
+    this.tenantQuotas = tenantQuotas;
     this.arrivals = context.arrivals;
     this.loadReports = context.loadReports;
     this.queueDelay = context.queueDelay;
@@ -56,10 +56,10 @@
 
   /** Counts a new request, computes its priority weight and draws whether pressure sheds it. */
   void onArrival(RequestState request, String tenant, double nowMillis) {
-    quotas.onArrival(tenant, nowMillis);
+    tenantQuotas.onArrival(tenant, nowMillis);
     arrivals.onArrival(nowMillis);
     meanValue += VALUE_SMOOTHING * (request.requestClass().value() - meanValue);
-    request.priorityWeight = quotas.priorityWeight(tenant);
+    request.priorityWeight = tenantQuotas.priorityWeight(tenant);
     request.isDrawnForShedding = shouldShedByPressure(request, nowMillis);
   }
 
@@ -82,10 +82,10 @@
   private boolean shouldShedByPressure(RequestState request, double nowMillis) {
     double excess = pressure.shedExcess(nowMillis);
     boolean hasChanged =
-        overloadLogged ? pressure.hasRecovered(nowMillis) : PressureEstimate.isOverload(excess);
+        isOverloadLogged ? pressure.hasRecovered(nowMillis) : PressureEstimate.isOverload(excess);
     if (hasChanged) {
-      overloadLogged = !overloadLogged;
-      actions.log(overloadLogged ? "overload: refusing early" : "overload over");
+      isOverloadLogged = !isOverloadLogged;
+      actions.log(isOverloadLogged ? "overload: refusing early" : "overload over");
     }
     if (excess <= 0) {
       return false;
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -49,10 +49,10 @@
   private final EndpointTable endpoints;
   private final EndpointSubset subset;
   private final IdempotencyPolicy idempotencyPolicy;
-  private final OutlierDetector outliers;
+  private final OutlierDetector outlierDetector;
   private final ClassEjections classEjections;
-  private final SlowStartBudget slowStart;
-  private final FailurePenalty penalty;
+  private final SlowStartBudget slowStartBudget;
+  private final FailurePenalty failurePenalty;
   private final PressureEstimate pressure;
   private final ResponseTimeEstimate responseTimes;
   private final LoadReportEstimate loadReports;
@@ -69,17 +69,17 @@
   EndpointPicker(
       LoadBalancerContext context,
       IdempotencyPolicy idempotencyPolicy,
-      OutlierDetector outliers,
+      OutlierDetector outlierDetector,
       ClassEjections classEjections,
-      SlowStartBudget slowStart) {
+      SlowStartBudget slowStartBudget) {
     this.settings = context.settings;
     this.endpoints = context.endpoints;
     this.subset = new EndpointSubset(context);
     this.idempotencyPolicy = idempotencyPolicy;
-    this.outliers = outliers;
+    this.outlierDetector = outlierDetector;
     this.classEjections = classEjections;
-    this.slowStart = slowStart;
-    this.penalty = context.penalty;
+    this.slowStartBudget = slowStartBudget;
+    this.failurePenalty = context.penalty;
     this.pressure = context.pressure;
     this.responseTimes = context.responseTimes;
     this.loadReports = context.loadReports;
@@ -114,8 +114,8 @@
     subset.refresh(nowMillis);
     candidates.clear();
     Endpoint[] sameZone = subset.sameZone();
-    boolean trial = draw(sameZone, sameZone.length, request, nowMillis);
-    if (!trial && (candidates.isEmpty() || pressure.shouldSpillToOtherZones(nowMillis))) {
+    boolean isTrial = draw(sameZone, sameZone.length, request, nowMillis);
+    if (!isTrial && (candidates.isEmpty() || pressure.shouldSpillToOtherZones(nowMillis))) {
       draw(subset.otherZones(), endpoints.readyEndpoints().size(), request, nowMillis);
     }
   }
@@ -125,8 +125,8 @@
    * and due for a trial request; that endpoint is then the only candidate.
    */
   private boolean draw(Endpoint[] pool, int endpointCount, RequestState request, double nowMillis) {
-    int found = 0;
-    for (int i = 0; i < MAX_DRAWS && found < CHOICES && pool.length > 0; i++) {
+    int foundCount = 0;
+    for (int i = 0; i < MAX_DRAWS && foundCount < CHOICES && pool.length > 0; i++) {
       Endpoint endpoint = pool[random.nextInt(pool.length)];
       if (candidates.contains(endpoint) || !isUsable(endpoint, endpointCount, request, nowMillis)) {
         continue;
@@ -138,7 +138,7 @@
         candidates.add(endpoint);
         return true;
       }
-      found++;
+      foundCount++;
       candidates.add(endpoint);
     }
     return false;
@@ -148,27 +148,28 @@
       Endpoint endpoint, int endpointCount, RequestState request, double nowMillis) {
     return idempotencyPolicy.canSend(request, endpoint, nowMillis)
         && !request.hasTried(endpoint)
-        && outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
+        && outlierDetector.isAvailable(
+            endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
         && classEjections.isAvailable(endpoint, request.requestClass(), nowMillis)
-        && slowStart.canSend(endpoint, endpointCount, nowMillis);
+        && slowStartBudget.canSend(endpoint, endpointCount, nowMillis);
   }
 
   private void compare(Endpoint endpoint, double nowMillis) {
-    double count = endpoint.inFlight + penalty.penaltyRequests(endpoint, nowMillis);
+    double count = endpoint.inFlight + failurePenalty.penaltyRequests(endpoint, nowMillis);
     double wait = expectedRelativeWait(endpoint, nowMillis);
-    boolean wins;
+    boolean isBetter;
     if (best == null || count < bestCount - COUNT_TIE_MARGIN) {
-      wins = true;
+      isBetter = true;
       tieCount = 1;
     } else if (count > bestCount + COUNT_TIE_MARGIN) {
-      wins = false;
+      isBetter = false;
     } else if (Math.abs(wait - bestWait) <= WAIT_TIE_SHARE * bestWait) {
       tieCount++;
-      wins = random.nextInt(tieCount) == 0;
+      isBetter = random.nextInt(tieCount) == 0;
     } else {
-      wins = wait < bestWait;
+      isBetter = wait < bestWait;
     }
-    if (wins) {
+    if (isBetter) {
       best = endpoint;
       bestCount = count;
       bestWait = wait;
@@ -186,12 +187,12 @@
     }
     // A new connection costs the endpoint work and one of its few connection slots, so it counts
     // as one more request.
-    boolean opensConnection =
+    boolean needsConnection =
         endpoint.inFlight > 0
             || nowMillis - endpoint.lastResponseMillis >= settings.idleTimeoutMillis();
-    int connections = prefersOpenConnections && opensConnection ? 1 : 0;
+    int newConnections = prefersOpenConnections && needsConnection ? 1 : 0;
     return slowness
-        * (BASE_HELD_REQUESTS + loadReports.heldRequests(endpoint, nowMillis) + connections);
+        * (BASE_HELD_REQUESTS + loadReports.heldRequests(endpoint, nowMillis) + newConnections);
   }
 
   private Endpoint pickInPanic(RequestState request, double nowMillis) {
@@ -202,10 +203,11 @@
     for (int i = 0; i < count; i++) {
       Endpoint endpoint = all.get((start + i) % count);
       if (!idempotencyPolicy.canSend(request, endpoint, nowMillis)
-          || !slowStart.canSend(endpoint, count, nowMillis)) {
+          || !slowStartBudget.canSend(endpoint, count, nowMillis)) {
         continue;
       }
-      if (outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
+      if (outlierDetector.isAvailable(
+              endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
           && !request.hasTried(endpoint)) {
         return endpoint;
       }
--- a/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
@@ -26,14 +26,14 @@
 
   private final LiveSettings settings;
   private final PressureEstimate pressure;
-  private final RetryBudget budget;
+  private final RetryBudget retryBudget;
   private final PendingResponseTracker pendingResponses;
   private final ResponseTimeEstimate responseTimes;
 
-  HedgingPolicy(LoadBalancerContext context, RetryBudget budget) {
+  HedgingPolicy(LoadBalancerContext context, RetryBudget retryBudget) {
     this.settings = context.settings;
     this.pressure = context.pressure;
-    this.budget = budget;
+    this.retryBudget = retryBudget;
     this.pendingResponses = context.pendingResponses;
     this.responseTimes = context.responseTimes;
   }
@@ -58,17 +58,17 @@
    * budget.
    */
   Decision decide(RequestState request, double nowMillis) {
-    AttemptState last = request.lastAttempt();
-    double allowedMillis = SILENCE_SHARE * request.latencyEstimate.overdueAfterMillis();
+    AttemptState lastAttempt = request.lastAttempt();
+    double allowedSilenceMillis = SILENCE_SHARE * request.latencyEstimate.overdueAfterMillis();
     if (!request.hasTimeForAttempt(nowMillis)
         || pressure.isShedding(nowMillis)
-        || !pendingResponses.isSilent(last.endpoint, allowedMillis, nowMillis)) {
+        || !pendingResponses.isSilent(lastAttempt.endpoint, allowedSilenceMillis, nowMillis)) {
       return Decision.WAIT;
     }
     Settings.Limits limits = settings.current().limits();
     if (limits.canRunParallelAttempts()) {
-      return budget.tryAcquire() ? Decision.HEDGE : Decision.WAIT;
+      return retryBudget.tryAcquire() ? Decision.HEDGE : Decision.WAIT;
     }
-    return limits.canCancel() && !last.isCancelled ? Decision.CANCEL : Decision.WAIT;
+    return limits.canCancel() && !lastAttempt.isCancelled ? Decision.CANCEL : Decision.WAIT;
   }
 }
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -32,20 +32,20 @@
   private final LoadReportEstimate loadReports;
   private final InFlightPeak inFlight;
   private final SplittableRandom random;
-  private final Map<String, LatencyEstimate> latencies = new HashMap<>();
+  private final Map<String, LatencyEstimate> latencyEstimates = new HashMap<>();
   private final Map<Long, RequestState> requests = new HashMap<>();
 
-  private final TenantQuotas quotas;
-  private final AdmissionController admission;
-  private final OutlierDetector outliers;
+  private final TenantQuotas tenantQuotas;
+  private final AdmissionController admissionController;
+  private final OutlierDetector outlierDetector;
   private final ClassEjections classEjections;
-  private final SlowStartBudget slowStart;
+  private final SlowStartBudget slowStartBudget;
   private final EndpointPicker picker;
   private final RetryBudget retryBudget;
-  private final RetryPolicy retries;
-  private final HedgingPolicy hedging;
-  private final TerminationPolicy termination;
-  private final OutcomeObserver observer;
+  private final RetryPolicy retryPolicy;
+  private final HedgingPolicy hedgingPolicy;
+  private final TerminationPolicy terminationPolicy;
+  private final OutcomeObserver outcomeObserver;
   private final WatchBackoff watchBackoff;
 
   /** Creates a load balancer without endpoints. */
@@ -59,19 +59,20 @@
     this.inFlight = context.inFlight;
     this.random = context.random;
 
-    this.quotas = new TenantQuotas(this.settings);
-    this.admission = new AdmissionController(context, quotas);
-    this.outliers = new OutlierDetector(context);
+    this.tenantQuotas = new TenantQuotas(this.settings);
+    this.admissionController = new AdmissionController(context, tenantQuotas);
+    this.outlierDetector = new OutlierDetector(context);
     this.classEjections = new ClassEjections(context);
-    this.slowStart = new SlowStartBudget(context);
+    this.slowStartBudget = new SlowStartBudget(context);
     IdempotencyPolicy idempotencyPolicy = new IdempotencyPolicy(this.settings);
     this.picker =
-        new EndpointPicker(context, idempotencyPolicy, outliers, classEjections, slowStart);
+        new EndpointPicker(
+            context, idempotencyPolicy, outlierDetector, classEjections, slowStartBudget);
     this.retryBudget = new RetryBudget();
-    this.retries = new RetryPolicy(context, retryBudget);
-    this.hedging = new HedgingPolicy(context, retryBudget);
-    this.termination = new TerminationPolicy(context, idempotencyPolicy);
-    this.observer = new OutcomeObserver(context, outliers, classEjections);
+    this.retryPolicy = new RetryPolicy(context, retryBudget);
+    this.hedgingPolicy = new HedgingPolicy(context, retryBudget);
+    this.terminationPolicy = new TerminationPolicy(context, idempotencyPolicy);
+    this.outcomeObserver = new OutcomeObserver(context, outlierDetector, classEjections);
     this.watchBackoff = new WatchBackoff(context);
     onSettings(settings);
   }
@@ -82,12 +83,12 @@
    */
   public void onSettings(Settings newSettings) {
     settings.set(newSettings);
-    quotas.onSettings();
-    Map<String, LatencyEstimate> previous = Map.copyOf(latencies);
-    latencies.clear();
+    tenantQuotas.onSettings();
+    Map<String, LatencyEstimate> previousEstimates = Map.copyOf(latencyEstimates);
+    latencyEstimates.clear();
     for (Settings.RequestClass requestClass : newSettings.classes()) {
       String name = requestClass.name();
-      latencies.put(name, new LatencyEstimate(requestClass, previous.get(name)));
+      latencyEstimates.put(name, new LatencyEstimate(requestClass, previousEstimates.get(name)));
     }
   }
 
@@ -134,9 +135,9 @@
             settings.current().limits());
     requests.put(request.id, request);
     retryBudget.onRequest();
-    admission.onArrival(request, arrival.tenant(), nowMillis);
+    admissionController.onArrival(request, arrival.tenant(), nowMillis);
     Endpoint endpoint = picker.pick(request, nowMillis);
-    if (admission.shouldAdmit(request, endpoint, nowMillis)) {
+    if (admissionController.shouldAdmit(request, endpoint, nowMillis)) {
       send(request, endpoint, nowMillis);
     } else {
       terminate(request, nowMillis);
@@ -144,7 +145,7 @@
   }
 
   private LatencyEstimate latencyEstimateOf(RequestArrival arrival) {
-    return latencies.computeIfAbsent(
+    return latencyEstimates.computeIfAbsent(
         arrival.className(),
         name ->
             new LatencyEstimate(Settings.RequestClass.unknown(name, arrival.budgetMillis()), null));
@@ -173,7 +174,7 @@
     loadReports.updateOwnPeak(attempt.endpoint, nowMillis);
     inFlight.onChange(-attempt.end(outcome), nowMillis);
     loadReports.onReport(attempt.endpoint, report, nowMillis);
-    observer.onOutcome(attempt, outcome, spentMillis, nowMillis);
+    outcomeObserver.onOutcome(attempt, outcome, spentMillis, nowMillis);
     if (isRequestOver && !request.isEnded) {
       request.isEnded = true;
       cancelOthers(request, null);
@@ -185,7 +186,7 @@
 
   private void retryOrTerminate(RequestState request, double nowMillis) {
     Endpoint endpoint =
-        retries.tryAcquireRetry(request, nowMillis) ? picker.pick(request, nowMillis) : null;
+        retryPolicy.tryAcquireRetry(request, nowMillis) ? picker.pick(request, nowMillis) : null;
     if (endpoint != null) {
       send(request, endpoint, nowMillis);
     } else {
@@ -205,7 +206,7 @@
     }
     // Guards against clients that read long responses slowly and make their endpoints look busy.
     inFlight.onChange(-attempt.removeFromInFlight(), nowMillis);
-    observer.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
+    outcomeObserver.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
     request.streamingAttempt = attempt;
     cancelOthers(request, attempt);
   }
@@ -235,7 +236,7 @@
   public void onGossip(double nowMillis, long id, double ejectionMillis) {
     Endpoint endpoint = endpoints.get(id);
     if (endpoint != null) {
-      outliers.onGossip(endpoint, ejectionMillis, nowMillis);
+      outlierDetector.onGossip(endpoint, ejectionMillis, nowMillis);
     }
   }
 
@@ -250,7 +251,7 @@
     if (request == null || request.isEnded || request.isStreaming() || request.openAttempts == 0) {
       return;
     }
-    switch (hedging.decide(request, nowMillis)) {
+    switch (hedgingPolicy.decide(request, nowMillis)) {
       case HEDGE -> {
         Endpoint endpoint = picker.pick(request, nowMillis);
         if (endpoint != null) {
@@ -264,20 +265,20 @@
 
   private void send(RequestState request, Endpoint endpoint, double nowMillis) {
     request.startAttempt(endpoint, nowMillis);
-    slowStart.onSend(endpoint, nowMillis);
+    slowStartBudget.onSend(endpoint, nowMillis);
     loadReports.updateOwnPeak(endpoint, nowMillis);
     pendingResponses.onSend(endpoint, nowMillis);
     classEjections.onSend(endpoint, request.requestClass(), nowMillis);
     inFlight.onChange(1, nowMillis);
     actions.send(request.id, endpoint.id, IdempotencyPolicy.windowMillis(request.requestClass()));
-    double overdueAfterMillis = hedging.overdueAfterMillis(request, endpoint, nowMillis);
+    double overdueAfterMillis = hedgingPolicy.overdueAfterMillis(request, endpoint, nowMillis);
     if (overdueAfterMillis < Double.POSITIVE_INFINITY) {
       actions.schedule(overdueAfterMillis, request.id);
     }
   }
 
   private void terminate(RequestState request, double nowMillis) {
-    termination.terminate(request, nowMillis);
+    terminationPolicy.terminate(request, nowMillis);
     removeIfDone(request);
   }
 
--- a/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
@@ -21,6 +21,7 @@
   /** Least weight of a report in the mean. */
   private static final double MIN_WEIGHT = 0.02;
 
+  /** Largest weight of a report in the mean. */
   private static final double MAX_WEIGHT = 0.3;
 
   /**
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -10,7 +10,7 @@
   private static final double FULL_PRESSURE_OBJECTIVES = 2;
 
   private final PendingResponseTracker pendingResponses;
-  private final OutlierDetector outliers;
+  private final OutlierDetector outlierDetector;
   private final ClassEjections classEjections;
   private final ArrivalRate arrivals;
   private final PressureEstimate pressure;
@@ -20,9 +20,9 @@
   private final LoadBalancerActions actions;
 
   OutcomeObserver(
-      LoadBalancerContext context, OutlierDetector outliers, ClassEjections classEjections) {
+      LoadBalancerContext context, OutlierDetector outlierDetector, ClassEjections classEjections) {
     this.pendingResponses = context.pendingResponses;
-    this.outliers = outliers;
+    this.outlierDetector = outlierDetector;
     this.classEjections = classEjections;
     this.arrivals = context.arrivals;
     this.pressure = context.pressure;
@@ -46,7 +46,7 @@
       case ERROR -> onError(attempt, nowMillis);
       case FULL -> onFull(attempt, nowMillis);
       case TIMEOUT -> onTimeout(attempt, spentMillis, nowMillis);
-      case RESET -> outliers.onFailure(attempt.endpoint, nowMillis);
+      case RESET -> outlierDetector.onFailure(attempt.endpoint, nowMillis);
       case CONNECT_FAILED -> onNoResponse(attempt, nowMillis);
       case CANCELLED -> onCancelled(attempt, nowMillis);
       case MOOT -> {} // the endpoint was not involved
@@ -57,7 +57,7 @@
     RequestState request = attempt.request;
     Endpoint endpoint = attempt.endpoint;
     pendingResponses.onResponse(endpoint, nowMillis);
-    outliers.onSuccess(endpoint);
+    outlierDetector.onSuccess(endpoint);
     classEjections.onSuccess(endpoint, request.requestClass(), nowMillis);
     if (request.isStreaming()) {
       return; // the response time was recorded at the first byte
@@ -71,7 +71,7 @@
 
   private void onError(AttemptState attempt, double nowMillis) {
     pendingResponses.onResponse(attempt.endpoint, nowMillis);
-    outliers.onFailure(attempt.endpoint, nowMillis);
+    outlierDetector.onFailure(attempt.endpoint, nowMillis);
   }
 
   // Guards against an overload that spreads: a full endpoint is busy, not broken, and counts as
@@ -83,7 +83,7 @@
     if (loadReports.isIdle(endpoint, nowMillis)) {
       classEjections.eject(endpoint, rules, nowMillis);
     } else {
-      outliers.onOverloaded(endpoint, nowMillis);
+      outlierDetector.onOverloaded(endpoint, nowMillis);
       pressure.onResponse(
           FULL_PRESSURE_OBJECTIVES * rules.latencyObjectiveMillis(),
           rules.latencyObjectiveMillis(),
@@ -112,14 +112,14 @@
   // Guards against a silent endpoint that goes undetected because clients disconnect before the
   // timeout.
   private void onCancelled(AttemptState attempt, double nowMillis) {
-    double allowedMillis = attempt.request.latencyEstimate.silentAfterMillis();
-    if (pendingResponses.isUnresponsive(attempt.endpoint, allowedMillis, nowMillis)) {
+    double allowedSilenceMillis = attempt.request.latencyEstimate.silentAfterMillis();
+    if (pendingResponses.isUnresponsive(attempt.endpoint, allowedSilenceMillis, nowMillis)) {
       onNoResponse(attempt, nowMillis);
     }
   }
 
   private void onNoResponse(AttemptState attempt, double nowMillis) {
-    outliers.onFailure(attempt.endpoint, nowMillis);
+    outlierDetector.onFailure(attempt.endpoint, nowMillis);
     actions.onNoResponse(attempt.endpoint.id, nowMillis, attempt.sentAtMillis);
   }
 
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -30,7 +30,7 @@
   private final LiveSettings settings;
   private final EndpointTable endpoints;
   private final PendingResponseTracker pendingResponses;
-  private final FailurePenalty penalty;
+  private final FailurePenalty failurePenalty;
   private final SplittableRandom random;
   private final LoadBalancerActions actions;
 
@@ -38,7 +38,7 @@
     this.settings = context.settings;
     this.endpoints = context.endpoints;
     this.pendingResponses = context.pendingResponses;
-    this.penalty = context.penalty;
+    this.failurePenalty = context.penalty;
     this.random = context.random;
     this.actions = context.actions;
   }
@@ -48,14 +48,14 @@
    * gets one request at a time. Otherwise, it must not be silent for longer than {@code
    * allowedMillis}.
    */
-  boolean isAvailable(Endpoint endpoint, double allowedMillis, double nowMillis) {
+  boolean isAvailable(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
     if (nowMillis < endpoint.ejection.ejectedUntilMillis) {
       return false;
     }
     if (endpoint.ejection.isHalfOpen) {
       return endpoint.inFlight == 0;
     }
-    return !pendingResponses.isSilent(endpoint, allowedMillis, nowMillis);
+    return !pendingResponses.isSilent(endpoint, allowedSilenceMillis, nowMillis);
   }
 
   /** Records that the endpoint has served a request. */
@@ -70,7 +70,7 @@
   /** Records that the endpoint failed a request or never responded to it. */
   void onFailure(Endpoint endpoint, double nowMillis) {
     endpoint.failureRate += FAILURE_SMOOTHING * (1 - endpoint.failureRate);
-    penalty.onFailure(endpoint, nowMillis);
+    failurePenalty.onFailure(endpoint, nowMillis);
     if (nowMillis >= endpoint.ejection.ejectedUntilMillis
         && (endpoint.ejection.isHalfOpen || endpoint.failureRate >= EJECTION_FAILURE_RATE)
         && canEjectAnother(nowMillis)) {
@@ -83,7 +83,7 @@
    * rejection does not count as a failure.
    */
   void onOverloaded(Endpoint endpoint, double nowMillis) {
-    penalty.onFailure(endpoint, nowMillis);
+    failurePenalty.onFailure(endpoint, nowMillis);
     if (endpoint.ejection.isHalfOpen) {
       readmit(endpoint);
     }
@@ -109,7 +109,7 @@
     ejection.isHalfOpen = true;
     if (ejectionMillis == 0) {
       endpoint.failureRate = 0;
-      penalty.clear(endpoint);
+      failurePenalty.clear(endpoint);
       readmit(endpoint);
     }
   }
@@ -118,11 +118,11 @@
   // the load.
   private boolean canEjectAnother(double nowMillis) {
     List<Endpoint> ready = endpoints.readyEndpoints();
-    int ejected = 0;
+    int ejectedCount = 0;
     for (int i = 0; i < ready.size(); i++) {
-      ejected += nowMillis < ready.get(i).ejection.ejectedUntilMillis ? 1 : 0;
+      ejectedCount += nowMillis < ready.get(i).ejection.ejectedUntilMillis ? 1 : 0;
     }
-    return 1 + ejected <= Math.max(1, MAX_EJECTED_SHARE * ready.size());
+    return 1 + ejectedCount <= Math.max(1, MAX_EJECTED_SHARE * ready.size());
   }
 
   private void readmit(Endpoint endpoint) {
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -44,16 +44,16 @@
   }
 
   /** Returns whether the endpoint holds a request of this proxy and is silent. */
-  boolean isSilent(Endpoint endpoint, double allowedMillis, double nowMillis) {
-    return endpoint.inFlight > 0 && isUnresponsive(endpoint, allowedMillis, nowMillis);
+  boolean isSilent(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
+    return endpoint.inFlight > 0 && isUnresponsive(endpoint, allowedSilenceMillis, nowMillis);
   }
 
   /**
    * Returns whether the endpoint has sent no response since a request was sent to it for longer
    * than {@code allowedMillis}, which applies to an endpoint of mean speed.
    */
-  boolean isUnresponsive(Endpoint endpoint, double allowedMillis, double nowMillis) {
+  boolean isUnresponsive(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
     return Math.min(nowMillis, readUntilMillis) - endpoint.pendingSinceMillis
-        > Math.max(MIN_SILENCE_MILLIS, allowedMillis * Math.max(1, endpoint.slowness));
+        > Math.max(MIN_SILENCE_MILLIS, allowedSilenceMillis * Math.max(1, endpoint.slowness));
   }
 }
--- a/src/main/java/leadferry/loadbalancer/PressureEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/PressureEstimate.java
@@ -90,18 +90,22 @@
     return shedExcess > OVERLOADED_SPAN_SHARE;
   }
 
+  /** Returns whether a retry would only add to an overload. */
   boolean isOverloaded(double nowMillis) {
     return pressure(nowMillis) > OVERLOADED_THRESHOLD;
   }
 
+  /** Returns whether an overload is over. */
   boolean hasRecovered(double nowMillis) {
     return pressure(nowMillis) < SHED_THRESHOLD * RECOVERED_SHARE;
   }
 
+  /** Returns whether load is shed. */
   boolean isShedding(double nowMillis) {
     return pressure(nowMillis) > SHED_THRESHOLD;
   }
 
+  /** Returns whether endpoints of other zones are candidates too. */
   boolean shouldSpillToOtherZones(double nowMillis) {
     return pressure(nowMillis) > SPILL_THRESHOLD;
   }
--- a/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
@@ -46,21 +46,21 @@
    * proxy in flight at the endpoint before the attempt.
    */
   void onResponse(Endpoint endpoint, int ownInFlightAtSend, double spentMillis) {
-    double held = ownInFlightAtSend + endpoint.othersInFlight;
-    if (held < LoadReportEstimate.QUEUE_THRESHOLD) {
+    double heldRequests = ownInFlightAtSend + endpoint.othersInFlight;
+    if (heldRequests < LoadReportEstimate.QUEUE_THRESHOLD) {
       return;
     }
-    MachineKind kind =
+    MachineKind machineKind =
         machineKinds.computeIfAbsent(endpoint.machineKind, name -> new MachineKind());
-    double millisPerHeldRequest = spentMillis / (held + 1);
+    double millisPerHeldRequest = spentMillis / (heldRequests + 1);
     // Uses the median, because a few heavy requests do not predict the time of the next one.
-    kind.sampleCount++;
-    double step = Math.max(MIN_STEP_SHARE, 1.0 / (kind.sampleCount + PRIOR_SAMPLES));
-    if (kind.millisPerHeldRequest == 0) {
-      kind.millisPerHeldRequest = millisPerHeldRequest;
+    machineKind.sampleCount++;
+    double step = Math.max(MIN_STEP_SHARE, 1.0 / (machineKind.sampleCount + PRIOR_SAMPLES));
+    if (machineKind.millisPerHeldRequest == 0) {
+      machineKind.millisPerHeldRequest = millisPerHeldRequest;
     } else {
-      kind.millisPerHeldRequest *=
-          millisPerHeldRequest > kind.millisPerHeldRequest ? 1 + step : 1 - step;
+      machineKind.millisPerHeldRequest *=
+          millisPerHeldRequest > machineKind.millisPerHeldRequest ? 1 + step : 1 - step;
     }
   }
 
@@ -84,11 +84,11 @@
    * Returns the expected time of the queue at the endpoint in milliseconds; 0 if no queue is known.
    */
   private double queueDelayMillis(Endpoint endpoint, double nowMillis) {
-    MachineKind kind = machineKinds.get(endpoint.machineKind);
-    double held = loadReports.heldRequestsByRecentReport(endpoint, nowMillis);
-    return kind == null || held <= LoadReportEstimate.QUEUE_THRESHOLD
+    MachineKind machineKind = machineKinds.get(endpoint.machineKind);
+    double heldRequests = loadReports.heldRequestsByRecentReport(endpoint, nowMillis);
+    return machineKind == null || heldRequests <= LoadReportEstimate.QUEUE_THRESHOLD
         ? 0
-        : kind.millisPerHeldRequest * (held + 1);
+        : machineKind.millisPerHeldRequest * (heldRequests + 1);
   }
 
   /**
@@ -96,9 +96,9 @@
    * there are few or nothing has been learned.
    */
   private double ownQueueDelayMillis(Endpoint endpoint) {
-    MachineKind kind = machineKinds.get(endpoint.machineKind);
-    return kind == null || endpoint.inFlight < LoadReportEstimate.QUEUE_THRESHOLD / 2
+    MachineKind machineKind = machineKinds.get(endpoint.machineKind);
+    return machineKind == null || endpoint.inFlight < LoadReportEstimate.QUEUE_THRESHOLD / 2
         ? 0
-        : kind.millisPerHeldRequest * (endpoint.inFlight + 1);
+        : machineKind.millisPerHeldRequest * (endpoint.inFlight + 1);
   }
 }
--- a/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
@@ -17,7 +17,7 @@
   /**
    * Least weight of a response in the estimate of the kind of machine: covers about the last 20.
    */
-  private static final double MIN_KIND_WEIGHT = 0.05;
+  private static final double MIN_MACHINE_KIND_WEIGHT = 0.05;
 
   /**
    * Number of assumed earlier responses. The first responses weigh more; otherwise, a proxy with
@@ -25,7 +25,8 @@
    */
   private static final int PRIOR_SAMPLES = 2;
 
-  private static final int PRIOR_KIND_SAMPLES = 4;
+  /** Number of assumed earlier responses of a kind of machine. */
+  private static final int PRIOR_MACHINE_KIND_SAMPLES = 4;
 
   /**
    * Time constant with which the estimate of an endpoint decays towards that of its kind of
@@ -50,23 +51,25 @@
   /** Records a response after {@code spentMillis} of a class whose mean is {@code meanMillis}. */
   void onResponse(Endpoint endpoint, double spentMillis, double meanMillis, double nowMillis) {
     double multiple = spentMillis / Math.max(MIN_MEAN_MILLIS, meanMillis);
-    double capped = Math.min(multiple, MAX_MULTIPLE);
+    double cappedMultiple = Math.min(multiple, MAX_MULTIPLE);
     double ownSlowness = slowness(endpoint, nowMillis);
     endpoint.sampleCount++;
     double weight = Math.max(MIN_WEIGHT, 1.0 / (endpoint.sampleCount + PRIOR_SAMPLES));
-    endpoint.slowness = ownSlowness + weight * (capped - ownSlowness);
+    endpoint.slowness = ownSlowness + weight * (cappedMultiple - ownSlowness);
     endpoint.lastSampleMillis = nowMillis;
-    MachineKind kind =
+    MachineKind machineKind =
         machineKinds.computeIfAbsent(endpoint.machineKind, name -> new MachineKind());
-    kind.sampleCount++;
-    double kindWeight = Math.max(MIN_KIND_WEIGHT, 1.0 / (kind.sampleCount + PRIOR_KIND_SAMPLES));
-    kind.slowness += kindWeight * (capped - kind.slowness);
+    machineKind.sampleCount++;
+    double kindWeight =
+        Math.max(
+            MIN_MACHINE_KIND_WEIGHT, 1.0 / (machineKind.sampleCount + PRIOR_MACHINE_KIND_SAMPLES));
+    machineKind.slowness += kindWeight * (cappedMultiple - machineKind.slowness);
   }
 
   /** Returns the expected multiple of the mean response time at the endpoint. */
   double slowness(Endpoint endpoint, double nowMillis) {
-    MachineKind kind = machineKinds.get(endpoint.machineKind);
-    double prior = kind == null ? 1 : kind.slowness;
+    MachineKind machineKind = machineKinds.get(endpoint.machineKind);
+    double prior = machineKind == null ? 1 : machineKind.slowness;
     return prior
         + (endpoint.slowness - prior)
             * Math.exp(-(nowMillis - endpoint.lastSampleMillis) / DECAY_MILLIS);
--- a/src/main/java/leadferry/loadbalancer/RetryPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/RetryPolicy.java
@@ -8,17 +8,17 @@
  */
 final class RetryPolicy {
   private final PressureEstimate pressure;
-  private final RetryBudget budget;
+  private final RetryBudget retryBudget;
 
-  RetryPolicy(LoadBalancerContext context, RetryBudget budget) {
+  RetryPolicy(LoadBalancerContext context, RetryBudget retryBudget) {
     this.pressure = context.pressure;
-    this.budget = budget;
+    this.retryBudget = retryBudget;
   }
 
   /** Returns whether to retry; if so, takes a token from the retry budget. */
   boolean tryAcquireRetry(RequestState request, double nowMillis) {
     return request.hasTimeForAttempt(nowMillis)
         && !pressure.isOverloaded(nowMillis)
-        && budget.tryAcquire();
+        && retryBudget.tryAcquire();
   }
 }
--- a/src/test/java/leadferry/adapter/AdapterScenario.java
+++ b/src/test/java/leadferry/adapter/AdapterScenario.java
@@ -171,8 +171,8 @@
     server.condition = "Terminating";
     listVersion++;
     addEndpointBuffer(List.of(server));
-    for (int instance : runningInstances) {
-      addEvent("membership who=%d buffer=0 how=delta stamp=%d", instance, listVersion);
+    for (int runningInstance : runningInstances) {
+      addEvent("membership who=%d buffer=0 how=delta stamp=%d", runningInstance, listVersion);
     }
     schedule(
         nowMillis() + 1_500,
@@ -180,9 +180,10 @@
           server.condition = "Gone";
           addEndpointBuffer(List.of(server));
           runningInstances.forEach(
-              instance ->
+              runningInstance ->
                   addEvent(
-                      "membership who=%d buffer=0 how=delta stamp=%d", instance, ++listVersion));
+                      "membership who=%d buffer=0 how=delta stamp=%d",
+                      runningInstance, ++listVersion));
           servers.remove(server);
         });
   }
@@ -216,12 +217,12 @@
   private void addRequest(int instance) {
     ScenarioRequest request = new ScenarioRequest();
     request.id = nextId++;
-    String type =
+    String className =
         List.of("read", "read", "log", "zonal", "key", "claim", "stream", "novel")
             .get(random.nextInt(8));
-    double budgetMillis = type.equals("claim") ? 500 : random.nextInt(6) == 0 ? 90 : 400;
+    double budgetMillis = className.equals("claim") ? 500 : random.nextInt(6) == 0 ? 90 : 400;
     request.deadlineMillis = nowMillis() + budgetMillis;
-    request.isStreamed = type.equals("stream");
+    request.isStreamed = className.equals("stream");
     if (!runningInstances.contains(instance)) {
       return;
     }
@@ -230,7 +231,7 @@
         "inbound who=%d txn=%d class=%s%s budget=%.1f%s",
         instance,
         request.id,
-        type,
+        className,
         random.nextInt(4) == 0 ? "" : " org=t" + (1 + random.nextInt(2)),
         budgetMillis,
         random.nextBoolean() ? " estimate=12.0" : "");
@@ -262,7 +263,7 @@
   private void cancel(WireCommand command) {
     ScenarioRequest.Attempt attempt =
         requests.get(command.number("txn")).attempts.get((int) command.number("sendNo"));
-    schedule(nowMillis() + BATCH_MILLIS, () -> end(attempt, CANCELLED));
+    schedule(nowMillis() + BATCH_MILLIS, () -> endAttempt(attempt, CANCELLED));
   }
 
   private void setTimer(int instance, WireCommand command) {
@@ -287,16 +288,16 @@
   }
 
   private void watchEndpoints(int instance) {
-    boolean fails = random.nextInt(2) == 0;
+    boolean isFailing = random.nextInt(2) == 0;
     schedule(
         nowMillis() + BATCH_MILLIS,
         () -> {
-          if (!fails) {
+          if (!isFailing) {
             addEndpointBuffer(servers);
           }
           addEvent(
               "membership who=%d buffer=0 how=%s stamp=%d",
-              instance, fails ? "failed" : "full", listVersion);
+              instance, isFailing ? "failed" : "full", listVersion);
         });
   }
 
@@ -311,7 +312,7 @@
     attempt.sentAtMillis = nowMillis();
     request.attempts.add(attempt);
     if (attempt.server == null) {
-      schedule(nowMillis() + BATCH_MILLIS, () -> end(attempt, CONNECT_FAILED));
+      schedule(nowMillis() + BATCH_MILLIS, () -> endAttempt(attempt, CONNECT_FAILED));
     } else {
       serve(request, attempt);
     }
@@ -319,7 +320,7 @@
 
   private void serve(ScenarioRequest request, ScenarioRequest.Attempt attempt) {
     SimulatedServer server = attempt.server;
-    double servedMillis =
+    double serviceMillis =
         Math.max(
             1,
             server.meanMillis
@@ -327,24 +328,24 @@
                 * (0.3 - Math.log(1 - random.nextDouble()))
                 * (1 + server.heldRequests / 4.0));
     server.heldRequests++;
-    int reason = reasonOf(server);
-    double takenMillis =
-        switch (reason) {
+    int serverOutcome = outcomeOf(server);
+    double responseMillis =
+        switch (serverOutcome) {
           case ERROR -> 3;
           case CONNECT_FAILED -> 40;
           case FULL -> 1;
-          default -> servedMillis;
+          default -> serviceMillis;
         };
-    double leftMillis = request.deadlineMillis - nowMillis();
-    int inTime = takenMillis < leftMillis ? reason : TIMEOUT;
-    double endMillis = nowMillis() + Math.min(takenMillis, Math.max(1, leftMillis));
-    if (request.isStreamed && inTime == OK && !request.isOver) {
-      schedule(nowMillis() + takenMillis / 2, () -> firstByte(request, attempt));
+    double remainingMillis = request.deadlineMillis - nowMillis();
+    int outcome = responseMillis < remainingMillis ? serverOutcome : TIMEOUT;
+    double endMillis = nowMillis() + Math.min(responseMillis, Math.max(1, remainingMillis));
+    if (request.isStreamed && outcome == OK && !request.isOver) {
+      schedule(nowMillis() + responseMillis / 2, () -> firstByte(request, attempt));
     }
-    schedule(endMillis, () -> end(attempt, inTime));
+    schedule(endMillis, () -> endAttempt(attempt, outcome));
   }
 
-  private int reasonOf(SimulatedServer server) {
+  private int outcomeOf(SimulatedServer server) {
     if (server.meanMillis == SimulatedServer.FAILING) {
       return ERROR;
     }
@@ -369,7 +370,7 @@
     }
   }
 
-  private void end(ScenarioRequest.Attempt attempt, int reason) {
+  private void endAttempt(ScenarioRequest.Attempt attempt, int outcome) {
     if (attempt.isEnded) {
       return;
     }
@@ -381,17 +382,17 @@
       return;
     }
     ScenarioRequest request = requests.get(attempt.requestId);
-    boolean over = request.isOver || reason == OK;
-    request.isOver = over;
+    boolean isOver = request.isOver || outcome == OK;
+    request.isOver = isOver;
     addEvent(
         "outcome who=%d txn=%d sendNo=%d host=%d reason=%d spent=%.1f%s%s",
         attempt.instance,
         attempt.requestId,
         attempt.number,
         attempt.server == null ? 0 : attempt.server.id,
-        reason,
+        outcome,
         nowMillis() - attempt.sentAtMillis,
-        over ? " terminal=1" : "",
-        reason <= ERROR && attempt.server != null ? " load=" + attempt.server.loadReport() : "");
+        isOver ? " terminal=1" : "",
+        outcome <= ERROR && attempt.server != null ? " load=" + attempt.server.loadReport() : "");
   }
 }
--- a/src/test/java/leadferry/adapter/AdapterTest.java
+++ b/src/test/java/leadferry/adapter/AdapterTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests the commands with which the adapter replies to batches of events, and malformed input. */
 class AdapterTest {
   private static final String CONF =
       "{\"balancers\":2,\"position\":0,\"zone\":\"z1\",\"novel\":[1],\"classes\":[{\"name\":\"c\","
--- a/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
+++ b/src/test/java/leadferry/gossip/SuspicionProtocolTest.java
@@ -78,9 +78,9 @@
 
   @Test
   void messageSurvivesEncodingAndDecoding() {
-    for (boolean answers : new boolean[] {true, false}) {
+    for (boolean isAlive : new boolean[] {true, false}) {
       SuspicionMessage suspicion =
-          new SuspicionMessage((byte) -3, Long.MAX_VALUE - 5, 1_234, answers);
+          new SuspicionMessage((byte) -3, Long.MAX_VALUE - 5, 1_234, isAlive);
       assertThat(SuspicionMessage.decode(suspicion.encode())).isEqualTo(suspicion);
       assertThat(suspicion.encode()).hasSize(SuspicionMessage.SIZE_BYTES);
     }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
@@ -123,17 +123,17 @@
     int[] rejected = new int[2];
     for (int i = 0; i < 180; i++) {
       int before = fixture.rejected.size();
-      boolean within = i % 9 == 0;
+      boolean isWithinQuota = i % 9 == 0;
       balancer.onRequest(
           fixture.nowMillis,
           new RequestArrival(
               1_000 + i,
               LoadBalancerFixture.IDEMPOTENT,
-              within ? "y" : "x",
+              isWithinQuota ? "y" : "x",
               800,
               Double.NaN,
               false));
-      rejected[within ? 1 : 0] += fixture.rejected.size() - before;
+      rejected[isWithinQuota ? 1 : 0] += fixture.rejected.size() - before;
     }
     // 160 requests of x, 20 of y
     assertThat(rejected[0] / 160.0).isGreaterThan(1.3 * rejected[1] / 20.0);
@@ -152,10 +152,10 @@
     }
     // Endpoint 1 reports a queue far beyond the latency objective and gets nothing while others
     // have room.
-    boolean told = false;
+    boolean hasReportedQueue = false;
     for (; id < 600; id++) {
-      boolean first = fixture.request(balancer, id) == 1 && !told;
-      told |= first;
+      boolean isFirstReport = fixture.request(balancer, id) == 1 && !hasReportedQueue;
+      hasReportedQueue |= isFirstReport;
       balancer.onOutcome(
           fixture.nowMillis,
           id,
@@ -163,9 +163,9 @@
           AttemptOutcome.OK,
           100,
           true,
-          LoadBalancerFixture.loadReport(first ? 60 : 1));
+          LoadBalancerFixture.loadReport(isFirstReport ? 60 : 1));
     }
-    assertThat(told).isTrue();
+    assertThat(hasReportedQueue).isTrue();
     assertThat(fixture.rejected).isEmpty();
     fixture.nowMillis += 20_000;
     int before = fixture.sends.size();
@@ -206,12 +206,12 @@
   @Test
   void lostResponsesAreNotTakenForOverload() {
     LoadBalancer balancer = fixture.createIdempotent(4);
-    double[] lost = new double[4];
+    double[] lostRequests = new double[4];
     for (int i = 0; i < 600; i++) {
       fixture.nowMillis += 10;
       int endpoint = (int) fixture.request(balancer, i);
-      if (i % 3 == 0 && lost[endpoint] == 0) {
-        lost[endpoint] = i + 1;
+      if (i % 3 == 0 && lostRequests[endpoint] == 0) {
+        lostRequests[endpoint] = i + 1;
       } else {
         balancer.onOutcome(
             fixture.nowMillis,
@@ -221,16 +221,16 @@
             100,
             true,
             LoadBalancerFixture.loadReport(1));
-        if (lost[endpoint] > 0) {
+        if (lostRequests[endpoint] > 0) {
           balancer.onOutcome(
               fixture.nowMillis,
-              (long) lost[endpoint] - 1,
+              (long) lostRequests[endpoint] - 1,
               0,
               AttemptOutcome.TIMEOUT,
               800,
               true,
               null);
-          lost[endpoint] = 0;
+          lostRequests[endpoint] = 0;
         }
       }
     }
@@ -257,14 +257,14 @@
       }
     }
     ArrayDeque<Long> open = new ArrayDeque<>();
-    int most = 0;
+    int maxOpen = 0;
     for (long i = 200; i < 400; i++) {
       balancer.onRequest(
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       if (fixture.last().request() == i) {
         open.add(i);
       }
-      most = Math.max(most, open.size());
+      maxOpen = Math.max(maxOpen, open.size());
       if (i % 2 == 1) {
         double spentMillis = 20 * open.size();
         balancer.onOutcome(
@@ -277,7 +277,7 @@
             LoadBalancerFixture.loadReport(0));
       }
     }
-    assertThat(most).isBetween(2, 30);
+    assertThat(maxOpen).isBetween(2, 30);
   }
 
   @Test
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerFixture.java
@@ -8,6 +8,7 @@
 
 /** Creates settings and endpoints for tests, and records the actions of a load balancer. */
 final class LoadBalancerFixture implements LoadBalancerActions {
+  /** Name of the class in {@link #createIdempotent}. */
   static final String IDEMPOTENT = "safe";
 
   record Send(long request, int number, long endpoint, double atMillis) {}
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
@@ -36,10 +36,10 @@
   @Test
   void fastFailingEndpointIsEjectedAndRetried() {
     LoadBalancer balancer = fixture.createIdempotent(5);
-    long bad = 2;
-    int first = 0;
-    int later = 0;
-    int trials = 0;
+    long failingEndpoint = 2;
+    int earlySends = 0;
+    int trialSends = 0;
+    int sendsAfterRecovery = 0;
     for (int i = 0; i < 2_000; i++) {
       fixture.nowMillis += 5;
       balancer.onRequest(
@@ -49,11 +49,11 @@
         if (send.request() != i || send.number() != k) {
           break;
         }
-        boolean fails = send.endpoint() == bad && fixture.nowMillis < 7_000;
-        if (send.endpoint() == bad) {
-          first += i < 100 ? 1 : 0;
-          later += i >= 100 && fixture.nowMillis < 7_000 ? 1 : 0;
-          trials += fixture.nowMillis >= 7_000 ? 1 : 0;
+        boolean fails = send.endpoint() == failingEndpoint && fixture.nowMillis < 7_000;
+        if (send.endpoint() == failingEndpoint) {
+          earlySends += i < 100 ? 1 : 0;
+          trialSends += i >= 100 && fixture.nowMillis < 7_000 ? 1 : 0;
+          sendsAfterRecovery += fixture.nowMillis >= 7_000 ? 1 : 0;
         }
         balancer.onOutcome(
             fixture.nowMillis,
@@ -65,9 +65,9 @@
             null);
       }
     }
-    assertThat(first).isLessThan(8);
-    assertThat(later).isBetween(1, 10);
-    assertThat(trials).isGreaterThan(50);
+    assertThat(earlySends).isLessThan(8);
+    assertThat(trialSends).isBetween(1, 10);
+    assertThat(sendsAfterRecovery).isGreaterThan(50);
   }
 
   /**
@@ -134,7 +134,7 @@
                 LoadBalancerFixture.endpoint(1),
                 LoadBalancerFixture.endpoint(2),
                 LoadBalancerFixture.endpoint(3)));
-    int turned = 0;
+    int rejected = 0;
     int others = 0;
     for (int i = 0; i < 1_000; i++) {
       fixture.nowMillis += 10;
@@ -143,22 +143,22 @@
           LoadBalancerFixture.request(
               i, i % 2 == 0 ? limited : LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = 0; k < 4 && fixture.last().request() == i && fixture.last().number() == k; k++) {
-        boolean limits = i % 2 == 0 && fixture.last().endpoint() < 2;
-        turned += limits ? 1 : 0;
+        boolean isLimited = i % 2 == 0 && fixture.last().endpoint() < 2;
+        rejected += isLimited ? 1 : 0;
         others += i % 2 == 1 && fixture.last().endpoint() < 2 ? 1 : 0;
         fixture.nowMillis += 5;
         balancer.onOutcome(
             fixture.nowMillis,
             i,
             k,
-            limits ? AttemptOutcome.FULL : AttemptOutcome.OK,
+            isLimited ? AttemptOutcome.FULL : AttemptOutcome.OK,
             5,
-            !limits,
+            !isLimited,
             LoadBalancerFixture.loadReport(1));
       }
     }
     assertThat(fixture.rejected).isEmpty();
-    assertThat(turned).isLessThan(40);
+    assertThat(rejected).isLessThan(40);
     assertThat(others).isBetween(150, 350);
   }
 
@@ -169,29 +169,29 @@
   @Test
   void endpointThatAcceptsClassAgainGetsItsShare() {
     LoadBalancer balancer = fixture.createIdempotent(2);
-    int turned = 0;
+    int rejected = 0;
     int served = 0;
     for (int i = 0; i < 1_000; i++) {
       fixture.nowMillis += 20;
-      boolean limits = fixture.nowMillis < 6_000;
+      boolean isLimited = fixture.nowMillis < 6_000;
       long endpoint = fixture.request(balancer, i);
-      boolean full = limits && endpoint == 0;
-      turned += full ? 1 : 0;
+      boolean isFull = isLimited && endpoint == 0;
+      rejected += isFull ? 1 : 0;
       served += fixture.nowMillis > 12_000 && endpoint == 0 ? 1 : 0;
       balancer.onOutcome(
           fixture.nowMillis,
           i,
           0,
-          full ? AttemptOutcome.FULL : AttemptOutcome.OK,
+          isFull ? AttemptOutcome.FULL : AttemptOutcome.OK,
           5,
-          !full,
+          !isFull,
           LoadBalancerFixture.loadReport(1));
-      if (full) {
+      if (isFull) {
         balancer.onOutcome(
             fixture.nowMillis, i, 1, AttemptOutcome.OK, 5, true, LoadBalancerFixture.loadReport(1));
       }
     }
-    assertThat(turned).isBetween(2, 12);
+    assertThat(rejected).isBetween(2, 12);
     assertThat(served).isGreaterThan(60); // of 400; its one open connection remains preferred
   }
 
@@ -202,7 +202,7 @@
   @Test
   void respondingEndpointIsNotEjectedForTimeouts() {
     LoadBalancer balancer = fixture.createIdempotent(1);
-    int both = 0;
+    int timeoutsWithResponse = 0;
     for (int i = 0; i < 200; i += 2) {
       fixture.request(balancer, i);
       fixture.request(balancer, i + 1);
@@ -217,18 +217,18 @@
           LoadBalancerFixture.loadReport(1));
       fixture.nowMillis += 800;
       // If the second request was rejected, no other response proves that the endpoint is alive.
-      boolean beside = !fixture.rejected.contains(i + 1L);
-      both += beside && !fixture.rejected.contains((long) i) ? 1 : 0;
+      boolean hasOtherResponse = !fixture.rejected.contains(i + 1L);
+      timeoutsWithResponse += hasOtherResponse && !fixture.rejected.contains((long) i) ? 1 : 0;
       balancer.onOutcome(
           fixture.nowMillis,
           i,
           0,
-          beside ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
+          hasOtherResponse ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
           820,
           true,
           null);
     }
-    assertThat(both).isGreaterThan(10);
+    assertThat(timeoutsWithResponse).isGreaterThan(10);
     assertThat(fixture.logs).noneMatch(line -> line.endsWith("ejected"));
   }
 
@@ -242,9 +242,15 @@
     for (int i = 0; i < 60 && fixture.logs.isEmpty(); i++) {
       fixture.nowMillis +=
           5_000; // lets the failure penalty decay, so that the endpoint is picked again
-      boolean bad = fixture.request(balancer, i) == 0;
+      boolean isFailing = fixture.request(balancer, i) == 0;
       balancer.onOutcome(
-          fixture.nowMillis, i, 0, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100, true, null);
+          fixture.nowMillis,
+          i,
+          0,
+          isFailing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+          100,
+          true,
+          null);
     }
     assertThat(fixture.logs).containsExactly("host 0 ejected");
     for (Condition condition : List.of(Condition.GONE, Condition.READY)) {
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerRulesTest.java
@@ -114,16 +114,17 @@
       double onlineSinceMillis = simulation.endpointList.get(entry.getKey()).onlineSinceMillis();
       List<Double> sends = entry.getValue();
       for (int i = 0; i < sends.size(); i++) {
-        int inWindow = 0;
+        int sendsInWindow = 0;
         for (int k = i; k < sends.size() && sends.get(k) < sends.get(i) + 1_500; k++) {
-          inWindow++;
+          sendsInWindow++;
         }
         // A third of the endpoints can be ejected, so the mean share may grow by half. The
         // estimated arrival rate varies too. The sum stays well below the multiple of 3.
-        double warm = 0.3 + 0.7 * Math.max(0, sends.get(i) + 1_500 - onlineSinceMillis) / 8_000;
-        double share = 125.0 / Math.max(1, endpoints / 2.0) * 1.5;
-        if (inWindow > 3 * Math.min(1, warm) * share + 3) {
-          violations.add("rule 4: " + inWindow + " sends to an endpoint warming up");
+        double capacityShare =
+            0.3 + 0.7 * Math.max(0, sends.get(i) + 1_500 - onlineSinceMillis) / 8_000;
+        double loadShare = 125.0 / Math.max(1, endpoints / 2.0) * 1.5;
+        if (sendsInWindow > 3 * Math.min(1, capacityShare) * loadShare + 3) {
+          violations.add("rule 4: " + sendsInWindow + " sends to an endpoint warming up");
         }
       }
     }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerSimulation.java
@@ -163,19 +163,20 @@
       }
     }
     double leftMillis = request.deadlineMillis - nowMillis;
-    double chance = random.nextDouble();
+    double draw = random.nextDouble();
     double spentMillis = Math.min(leftMillis, -60 * Math.log(1 - random.nextDouble()));
-    AttemptOutcome end =
-        chance < 0.5 && spentMillis < leftMillis
+    AttemptOutcome drawn =
+        draw < 0.5 && spentMillis < leftMillis
             ? AttemptOutcome.OK
-            : chance < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
-    if (end == AttemptOutcome.TIMEOUT || (end == AttemptOutcome.OK && spentMillis >= leftMillis)) {
-      end = AttemptOutcome.TIMEOUT;
+            : draw < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
+    if (drawn == AttemptOutcome.TIMEOUT
+        || (drawn == AttemptOutcome.OK && spentMillis >= leftMillis)) {
+      drawn = AttemptOutcome.TIMEOUT;
       spentMillis = leftMillis;
     }
-    AttemptOutcome result = end;
-    double tookMillis = spentMillis;
-    after(spentMillis, () -> endAttempt(id, request, attempt, number, result, tookMillis));
+    AttemptOutcome outcome = drawn;
+    double actualMillis = spentMillis;
+    after(spentMillis, () -> endAttempt(id, request, attempt, number, outcome, actualMillis));
   }
 
   private boolean isRepeatable(
@@ -200,20 +201,20 @@
       RequestRecord request,
       AttemptRecord attempt,
       int number,
-      AttemptOutcome result,
+      AttemptOutcome outcome,
       double spentMillis) {
     if (attempt.outcome != null) {
       return;
     }
-    attempt.outcome = result;
-    boolean isOver = request.isEnded || result == AttemptOutcome.OK;
+    attempt.outcome = outcome;
+    boolean isOver = request.isEnded || outcome == AttemptOutcome.OK;
     request.isEnded |= isOver;
-    if (result == AttemptOutcome.OK) {
+    if (outcome == AttemptOutcome.OK) {
       finishedRequests++;
     }
     LoadReport report = loadReport(random.nextInt(9));
     balancer.onOutcome(
-        nowMillis, id, number, result, spentMillis, isOver, random.nextBoolean() ? report : null);
+        nowMillis, id, number, outcome, spentMillis, isOver, random.nextBoolean() ? report : null);
   }
 
   private static LoadReport loadReport(double heldRequests) {
@@ -291,7 +292,7 @@
 
   void changeEndpoint(int endpoints) {
     long id = random.nextInt(endpoints);
-    EndpointUpdate old = endpointList.get(id);
+    EndpointUpdate previous = endpointList.get(id);
     Condition condition =
         switch (random.nextInt(5)) {
           case 0 -> Condition.TERMINATING;
@@ -299,14 +300,14 @@
           default -> Condition.READY;
         };
     double onlineSinceMillis =
-        random.nextInt(3) == 0 ? nowMillis : old == null ? 0 : old.onlineSinceMillis();
+        random.nextInt(3) == 0 ? nowMillis : previous == null ? 0 : previous.onlineSinceMillis();
     EndpointUpdate update = LoadBalancerFixture.endpoint(id, condition, onlineSinceMillis);
     endpointList.put(id, update);
     if (random.nextInt(4) > 0) {
       balancer.onEndpointList(nowMillis, EndpointListEvent.DELTA, List.of(update));
       return;
     }
-    List<EndpointUpdate> all = new ArrayList<>();
+    List<EndpointUpdate> fullList = new ArrayList<>();
     for (long known : new TreeSet<>(endpointList.keySet())) {
       EndpointUpdate endpoint = endpointList.get(known);
       if (endpoint.condition() == Condition.GONE) {
@@ -317,10 +318,10 @@
             known,
             LoadBalancerFixture.endpoint(known, Condition.GONE, endpoint.onlineSinceMillis()));
       } else {
-        all.add(endpoint);
+        fullList.add(endpoint);
       }
     }
-    balancer.onEndpointList(nowMillis, EndpointListEvent.FULL, all);
+    balancer.onEndpointList(nowMillis, EndpointListEvent.FULL, fullList);
   }
 
   void run(int endpoints, double lengthMillis) {
@@ -336,8 +337,7 @@
     for (double delay = 100; delay < lengthMillis; delay += 100 + random.nextInt(400)) {
       after(delay, () -> changeEndpoint(endpoints));
     }
-    // Hints of other proxies may be wrong and may name unknown endpoints: no rule may depend on
-    // them.
+    // Gossip hints may be wrong and may name unknown endpoints: no rule may depend on them.
     for (double delay = 50; delay < lengthMillis; delay += 1 + random.nextInt(200)) {
       long id = random.nextInt(endpoints + 1);
       double ejectionMillis = random.nextInt(3) == 0 ? 0 : random.nextInt(8_000);
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerTest.java
@@ -53,13 +53,13 @@
         fixture.nowMillis,
         EndpointListEvent.DELTA,
         List.of(LoadBalancerFixture.endpoint(3, Condition.READY, fixture.nowMillis)));
-    int cold = 0;
+    int sendsToColdEndpoint = 0;
     for (int i = 1_000; i < 1_500; i++) {
       fixture.serve(balancer, i, 4);
-      cold += fixture.last().endpoint() == 3 ? 1 : 0;
+      sendsToColdEndpoint += fixture.last().endpoint() == 3 ? 1 : 0;
     }
     // An even share would be 83. The endpoint has 30% to 50% of its full capacity.
-    assertThat(cold).isBetween(5, 55);
+    assertThat(sendsToColdEndpoint).isBetween(5, 55);
   }
 
   @Test
@@ -90,16 +90,16 @@
                     LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL)),
             LoadBalancerFixture.endpoints(2));
     assertThat(fixture.watchCount).isEqualTo(1);
-    double last = 0;
+    double lastWaitMillis = 0;
     for (int i = 0; i < 6; i++) {
       balancer.onEndpointList(fixture.nowMillis, EndpointListEvent.FAILED, List.of());
       Map.Entry<Double, List<Long>> timer = fixture.timers.pollFirstEntry();
-      last = timer.getKey() - fixture.nowMillis;
+      lastWaitMillis = timer.getKey() - fixture.nowMillis;
       fixture.nowMillis = timer.getKey();
       timer.getValue().forEach(token -> balancer.onTimer(fixture.nowMillis, token));
       assertThat(fixture.watchCount).isEqualTo(i + 2);
     }
-    assertThat(last).isBetween(2_000.0, 10_000.0);
+    assertThat(lastWaitMillis).isBetween(2_000.0, 10_000.0);
   }
 
   @Test
@@ -127,7 +127,7 @@
   @Test
   void overloadDoesNotFloodWarmingEndpoint() {
     LoadBalancer balancer = fixture.createIdempotent(5);
-    int cold = 0;
+    int sendsToColdEndpoint = 0;
     int served = 0;
     for (int i = 0; i < 4_000; i++) {
       fixture.nowMillis += 1;
@@ -142,45 +142,45 @@
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = before; k < fixture.sends.size(); k++) {
         LoadBalancerFixture.Send send = fixture.sends.get(k);
-        boolean serves = k % 10 == 0; // endpoints serve a tenth of the attempts
-        cold += i >= 2_000 && send.endpoint() == 3 ? 1 : 0;
-        served += i >= 2_000 && serves ? 1 : 0;
+        boolean isServed = k % 10 == 0; // endpoints serve a tenth of the attempts
+        sendsToColdEndpoint += i >= 2_000 && send.endpoint() == 3 ? 1 : 0;
+        served += i >= 2_000 && isServed ? 1 : 0;
         balancer.onOutcome(
             fixture.nowMillis,
             i,
             send.number(),
-            serves ? AttemptOutcome.OK : AttemptOutcome.FULL,
+            isServed ? AttemptOutcome.OK : AttemptOutcome.FULL,
             2,
-            serves,
+            isServed,
             null);
       }
     }
     // A warm endpoint serves a fifth of the total. A cold one may get at most three times as much.
-    assertThat(cold).isLessThan(3 * Math.max(10, served / 5));
+    assertThat(sendsToColdEndpoint).isLessThan(3 * Math.max(10, served / 5));
     // It gets its full credit, because picking it for a request that is rejected uses no credit.
-    assertThat(cold).isGreaterThan(5);
+    assertThat(sendsToColdEndpoint).isGreaterThan(5);
   }
 
   /** Guards against many proxies that together exhaust the endpoints' connections. */
   @Test
   void manyProxiesOnFewEndpointsKeepSmallSubsets() {
-    Settings one =
+    Settings singleProxy =
         LoadBalancerFixture.settings(
             LoadBalancerFixture.requestClass(
                 LoadBalancerFixture.IDEMPOTENT, Semantics.IDEMPOTENT, KeyScope.ALL));
-    Settings many =
+    Settings manyProxies =
         new Settings(
-            one.classes(),
-            one.tenants(),
-            one.limits(),
-            one.warmUpRules(),
+            singleProxy.classes(),
+            singleProxy.tenants(),
+            singleProxy.limits(),
+            singleProxy.warmUpRules(),
             false,
             "a",
             17,
             1_500,
             1,
             false);
-    LoadBalancer balancer = fixture.create(many, LoadBalancerFixture.endpoints(40));
+    LoadBalancer balancer = fixture.create(manyProxies, LoadBalancerFixture.endpoints(40));
     for (int i = 0; i < 500; i++) {
       fixture.serve(balancer, i, 10);
     }
@@ -191,19 +191,21 @@
   @Test
   void streamingResponseIsNotCountedInFlight() {
     LoadBalancer balancer = fixture.createIdempotent(2);
-    Map<Long, Integer> reading = new HashMap<>();
-    int widest = 0;
+    Map<Long, Integer> streamingCounts = new HashMap<>();
+    int maxDifference = 0;
     for (int i = 0; i < 100; i++) {
       balancer.onRequest(
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       fixture.nowMillis += 10;
       balancer.onFirstByte(fixture.nowMillis, i, 0, 10);
-      reading.merge(fixture.last().endpoint(), 1, Integer::sum);
-      widest =
-          Math.max(widest, Math.abs(reading.getOrDefault(0L, 0) - reading.getOrDefault(1L, 0)));
+      streamingCounts.merge(fixture.last().endpoint(), 1, Integer::sum);
+      maxDifference =
+          Math.max(
+              maxDifference,
+              Math.abs(streamingCounts.getOrDefault(0L, 0) - streamingCounts.getOrDefault(1L, 0)));
     }
     // If streaming responses counted, the next request would always go to the other endpoint.
-    assertThat(widest).isGreaterThan(1);
+    assertThat(maxDifference).isGreaterThan(1);
     assertThat(fixture.rejected).isEmpty();
   }
 
@@ -238,14 +240,15 @@
 
   @Test
   void newSettingsApplyOnlyToNewRequests() {
-    Settings.RequestClass loose =
+    Settings.RequestClass idempotentClass =
         LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, KeyScope.ALL);
-    Settings.RequestClass strict =
+    Settings.RequestClass atMostOnceClass =
         LoadBalancerFixture.requestClass("c", Semantics.AT_MOST_ONCE, KeyScope.ALL);
     LoadBalancer balancer =
-        fixture.create(LoadBalancerFixture.settings(loose), LoadBalancerFixture.endpoints(4));
+        fixture.create(
+            LoadBalancerFixture.settings(idempotentClass), LoadBalancerFixture.endpoints(4));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(1, "c", 800));
-    balancer.onSettings(LoadBalancerFixture.settings(strict));
+    balancer.onSettings(LoadBalancerFixture.settings(atMostOnceClass));
     balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(2, "c", 800));
     balancer.onOutcome(fixture.nowMillis, 1, 0, AttemptOutcome.ERROR, 5, false, null);
     // retried, because it arrived with the idempotent class
@@ -256,19 +259,21 @@
 
   @Test
   void openRequestsGetSmallerAttemptLimitOfOldAndNewSettings() {
-    Settings.RequestClass type =
+    Settings.RequestClass requestClass =
         LoadBalancerFixture.requestClass("c", Semantics.IDEMPOTENT, KeyScope.ALL);
-    for (int[] change : new int[][] {{2, 4}, {4, 2}}) {
+    for (int[] attemptLimits : new int[][] {{2, 4}, {4, 2}}) {
       fixture.sends.clear();
       LoadBalancer balancer =
           fixture.create(
-              LoadBalancerFixture.settings(true, change[0], false, type),
+              LoadBalancerFixture.settings(true, attemptLimits[0], false, requestClass),
               LoadBalancerFixture.endpoints(6));
-      balancer.onRequest(fixture.nowMillis, LoadBalancerFixture.request(change[0], "c", 800));
-      balancer.onSettings(LoadBalancerFixture.settings(true, change[1], false, type));
+      balancer.onRequest(
+          fixture.nowMillis, LoadBalancerFixture.request(attemptLimits[0], "c", 800));
+      balancer.onSettings(
+          LoadBalancerFixture.settings(true, attemptLimits[1], false, requestClass));
       for (int i = 0; i < fixture.sends.size(); i++) {
         balancer.onOutcome(
-            fixture.nowMillis, change[0], i, AttemptOutcome.CONNECT_FAILED, 5, false, null);
+            fixture.nowMillis, attemptLimits[0], i, AttemptOutcome.CONNECT_FAILED, 5, false, null);
       }
       assertThat(fixture.sends).hasSize(2);
     }
