--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -5,38 +5,54 @@
 import java.util.SplittableRandom;
 
 /**
- * Which endpoint gets the attempt? Power of d choices (Mitzenmacher, 2001): of {@value #CHOICES}
- * usable endpoints drawn from the subset, the one with the fewest own requests in flight wins.
- * Equal counts are decided by the expected wait, equal waits by chance. Where nobody is drawn, any
- * endpoint that may get the request is taken, healthy ones first (panic mode).
+ * Chooses the endpoint of an attempt by the power of d choices (Mitzenmacher, 2001): of {@value
+ * #CHOICES} usable endpoints drawn from the subset, the one with the fewest of this proxy's
+ * requests in flight is chosen. Equal counts are decided by the expected wait, and equal waits at
+ * random. If no endpoint is drawn, any endpoint that may get the request is chosen, healthy ones
+ * first (panic mode).
  */
 final class EndpointPicker {
-  /** Candidates: two would do but for light proxies, whose counts tie; far more would herd. */
+  /**
+   * Number of candidates. Two suffice for busy proxies, but the counts of a light proxy often tie.
+   * Many more would cause herding.
+   */
   static final int CHOICES = 5;
 
-  /** Draws until the candidates are found: some draws meet the same endpoint or one not usable. */
+  /**
+   * Maximum number of draws for the candidates, because draws may repeat an endpoint or hit an
+   * unusable one.
+   */
   private static final int MAX_DRAWS = 4 * CHOICES;
 
-  /** One pick in so many ignores connections: an endpoint without one would never be learnt of. */
+  /**
+   * One pick in this many ignores open connections. Otherwise, an endpoint without a connection
+   * would never be measured.
+   */
   private static final int EXPLORE_INTERVAL = 4;
 
-  /** Counts closer than this are equal. */
+  /** Request counts that differ by no more than this are equal. */
   private static final double COUNT_TIE_MARGIN = 0.5;
 
-  /** Waits closer than this share are equal, and chance decides: avoids herding. */
+  /**
+   * Expected waits that differ by no more than this share are equal and decided at random, which
+   * avoids herding.
+   */
   private static final double WAIT_TIE_SHARE = 0.1;
 
-  /** Requests an endpoint is taken to hold without queueing, when waits are compared. */
+  /**
+   * Number of requests that an endpoint is assumed to hold without queueing when expected waits are
+   * compared.
+   */
   private static final double BASE_HELD_REQUESTS = 4;
 
   private final LiveSettings settings;
   private final EndpointTable endpoints;
   private final EndpointSubset subset;
   private final IdempotencyPolicy idempotencyPolicy;
-  private final OutlierDetector outliers;
+  private final OutlierDetector outlierDetector;
   private final ClassEjections classEjections;
-  private final SlowStartBudget slowStart;
-  private final FailurePenalty penalty;
+  private final SlowStartBudget slowStartBudget;
+  private final FailurePenalty failurePenalty;
   private final PressureEstimate pressure;
   private final ResponseTimeEstimate responseTimes;
   private final LoadReportEstimate loadReports;
@@ -53,17 +69,17 @@
   EndpointPicker(
       LoadBalancerContext context,
       IdempotencyPolicy idempotencyPolicy,
-      OutlierDetector outliers,
+      OutlierDetector outlierDetector,
       ClassEjections classEjections,
-      SlowStartBudget slowStart) {
+      SlowStartBudget slowStartBudget) {
     this.settings = context.settings;
     this.endpoints = context.endpoints;
     this.subset = new EndpointSubset(context);
     this.idempotencyPolicy = idempotencyPolicy;
-    this.outliers = outliers;
+    this.outlierDetector = outlierDetector;
     this.classEjections = classEjections;
-    this.slowStart = slowStart;
-    this.penalty = context.penalty;
+    this.slowStartBudget = slowStartBudget;
+    this.failurePenalty = context.penalty;
     this.pressure = context.pressure;
     this.responseTimes = context.responseTimes;
     this.loadReports = context.loadReports;
@@ -71,13 +87,17 @@
     this.random = context.random;
   }
 
-  /** The endpoint for the next attempt of the request, or null where none may or should get it. */
+  /**
+   * Returns the endpoint for the next attempt of the request, or null if no endpoint may or should
+   * get it.
+   */
   Endpoint pick(RequestState request, double nowMillis) {
     drawCandidates(request, nowMillis);
     prefersOpenConnections = random.nextInt(EXPLORE_INTERVAL) > 0;
     best = null;
     for (int i = 0; i < candidates.size(); i++) {
-      // A slow or silent endpoint that is full of our own requests gives way to one that is not.
+      // Prefers other candidates over a slow or silent endpoint whose queue of this proxy's own
+      // requests is too long.
       if (!queueDelay.isOwnQueueTooLong(request, candidates.get(i))) {
         compare(candidates.get(i), nowMillis);
       }
@@ -94,29 +114,31 @@
     subset.refresh(nowMillis);
     candidates.clear();
     Endpoint[] sameZone = subset.sameZone();
-    boolean trial = draw(sameZone, sameZone.length, request, nowMillis);
-    if (!trial && (candidates.isEmpty() || pressure.shouldSpillToOtherZones(nowMillis))) {
+    boolean isTrial = draw(sameZone, sameZone.length, request, nowMillis);
+    if (!isTrial && (candidates.isEmpty() || pressure.shouldSpillToOtherZones(nowMillis))) {
       draw(subset.otherZones(), endpoints.readyEndpoints().size(), request, nowMillis);
     }
   }
 
   /**
-   * Adds usable endpoints of the pool to the candidates; true if one of them is due for a trial.
+   * Adds usable endpoints of the pool to the candidates. Returns true if one of them is half-open
+   * and due for a trial request; that endpoint is then the only candidate.
    */
   private boolean draw(Endpoint[] pool, int endpointCount, RequestState request, double nowMillis) {
-    int found = 0;
-    for (int i = 0; i < MAX_DRAWS && found < CHOICES && pool.length > 0; i++) {
+    int foundCount = 0;
+    for (int i = 0; i < MAX_DRAWS && foundCount < CHOICES && pool.length > 0; i++) {
       Endpoint endpoint = pool[random.nextInt(pool.length)];
       if (candidates.contains(endpoint) || !isUsable(endpoint, endpointCount, request, nowMillis)) {
         continue;
       }
       if (endpoint.ejection.isHalfOpen && request.isRepeatable()) {
-        // Alone: an ejected endpoint that lost the comparison each time would stay out for ever.
+        // The only candidate: an ejected endpoint that lost every comparison would stay ejected
+        // forever.
         candidates.clear();
         candidates.add(endpoint);
         return true;
       }
-      found++;
+      foundCount++;
       candidates.add(endpoint);
     }
     return false;
@@ -126,27 +148,28 @@
       Endpoint endpoint, int endpointCount, RequestState request, double nowMillis) {
     return idempotencyPolicy.canSend(request, endpoint, nowMillis)
         && !request.hasTried(endpoint)
-        && outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
+        && outlierDetector.isAvailable(
+            endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
         && classEjections.isAvailable(endpoint, request.requestClass(), nowMillis)
-        && slowStart.canSend(endpoint, endpointCount, nowMillis);
+        && slowStartBudget.canSend(endpoint, endpointCount, nowMillis);
   }
 
   private void compare(Endpoint endpoint, double nowMillis) {
-    double count = endpoint.inFlight + penalty.penaltyRequests(endpoint, nowMillis);
+    double count = endpoint.inFlight + failurePenalty.penaltyRequests(endpoint, nowMillis);
     double wait = expectedRelativeWait(endpoint, nowMillis);
-    boolean wins;
+    boolean isBetter;
     if (best == null || count < bestCount - COUNT_TIE_MARGIN) {
-      wins = true;
+      isBetter = true;
       tieCount = 1;
     } else if (count > bestCount + COUNT_TIE_MARGIN) {
-      wins = false;
+      isBetter = false;
     } else if (Math.abs(wait - bestWait) <= WAIT_TIE_SHARE * bestWait) {
       tieCount++;
-      wins = random.nextInt(tieCount) == 0;
+      isBetter = random.nextInt(tieCount) == 0;
     } else {
-      wins = wait < bestWait;
+      isBetter = wait < bestWait;
     }
-    if (wins) {
+    if (isBetter) {
       best = endpoint;
       bestCount = count;
       bestWait = wait;
@@ -154,21 +177,22 @@
   }
 
   /**
-   * Expected wait, as a multiple of the mean response time; slowness alone where no endpoint
-   * reports load.
+   * Returns the expected wait as a multiple of the mean response time; only the slowness of the
+   * endpoint if no endpoint reports load.
    */
   private double expectedRelativeWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
     if (!loadReports.hasReports()) {
       return slowness;
     }
-    // A new connection costs the endpoint work, and one of its few places: as one request more.
-    boolean opensConnection =
+    // A new connection costs the endpoint work and one of its few connection slots, so it counts
+    // as one more request.
+    boolean needsConnection =
         endpoint.inFlight > 0
             || nowMillis - endpoint.lastResponseMillis >= settings.idleTimeoutMillis();
-    int connections = prefersOpenConnections && opensConnection ? 1 : 0;
+    int newConnections = prefersOpenConnections && needsConnection ? 1 : 0;
     return slowness
-        * (BASE_HELD_REQUESTS + loadReports.heldRequests(endpoint, nowMillis) + connections);
+        * (BASE_HELD_REQUESTS + loadReports.heldRequests(endpoint, nowMillis) + newConnections);
   }
 
   private Endpoint pickInPanic(RequestState request, double nowMillis) {
@@ -179,10 +203,11 @@
     for (int i = 0; i < count; i++) {
       Endpoint endpoint = all.get((start + i) % count);
       if (!idempotencyPolicy.canSend(request, endpoint, nowMillis)
-          || !slowStart.canSend(endpoint, count, nowMillis)) {
+          || !slowStartBudget.canSend(endpoint, count, nowMillis)) {
         continue;
       }
-      if (outliers.isAvailable(endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
+      if (outlierDetector.isAvailable(
+              endpoint, request.latencyEstimate.silentAfterMillis(), nowMillis)
           && !request.hasTried(endpoint)) {
         return endpoint;
       }
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -6,23 +6,23 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one client proxy. Feed it events with a clock in milliseconds that never goes
- * back; it answers through {@link LoadBalancerActions}. Not safe for use from several threads at
- * once.
+ * Makes the load-balancing decisions of one client proxy. The caller passes in events with the time
+ * in milliseconds, which must never decrease. The load balancer responds by calling {@link
+ * LoadBalancerActions}. Not thread-safe.
  *
- * <p>It keeps the open requests and asks one class a question:
+ * <p>This class keeps the open requests and delegates each decision to one class:
  *
  * <pre>
- *   admit or shed on arrival?   AdmissionController
- *   which endpoint?             EndpointPicker
- *   may it be sent (again)?     IdempotencyWindow
- *   retry?  hedge?              RetryPolicy, HedgingPolicy
- *   give up, with what?         TerminationPolicy
- *   what does an outcome tell?  OutcomeObserver
+ *   admit or shed a new request           AdmissionController
+ *   choose an endpoint                    EndpointPicker
+ *   permit a send or a repeated send      IdempotencyPolicy
+ *   retry or hedge                        RetryPolicy, HedgingPolicy
+ *   final response without a result       TerminationPolicy
+ *   update estimates after an outcome     OutcomeObserver
  * </pre>
  */
 public final class LoadBalancer {
-  /** Token of the timer for discovery; other tokens are ids of requests. */
+  /** Token of the discovery timer. Other tokens are request ids. */
   private static final long DISCOVERY_TIMER = -1;
 
   private final LiveSettings settings;
@@ -32,23 +32,23 @@
   private final LoadReportEstimate loadReports;
   private final InFlightPeak inFlight;
   private final SplittableRandom random;
-  private final Map<String, LatencyEstimate> latencies = new HashMap<>();
+  private final Map<String, LatencyEstimate> latencyEstimates = new HashMap<>();
   private final Map<Long, RequestState> requests = new HashMap<>();
 
-  private final TenantQuotas quotas;
-  private final AdmissionController admission;
-  private final OutlierDetector outliers;
+  private final TenantQuotas tenantQuotas;
+  private final AdmissionController admissionController;
+  private final OutlierDetector outlierDetector;
   private final ClassEjections classEjections;
-  private final SlowStartBudget slowStart;
+  private final SlowStartBudget slowStartBudget;
   private final EndpointPicker picker;
   private final RetryBudget retryBudget;
-  private final RetryPolicy retries;
-  private final HedgingPolicy hedging;
-  private final TerminationPolicy termination;
-  private final OutcomeObserver observer;
+  private final RetryPolicy retryPolicy;
+  private final HedgingPolicy hedgingPolicy;
+  private final TerminationPolicy terminationPolicy;
+  private final OutcomeObserver outcomeObserver;
   private final WatchBackoff watchBackoff;
 
-  /** Creates an instance that knows no endpoint yet. */
+  /** Creates a load balancer without endpoints. */
   public LoadBalancer(Settings settings, long seed, LoadBalancerActions actions) {
     LoadBalancerContext context = new LoadBalancerContext(settings, seed, actions);
     this.settings = context.settings;
@@ -59,46 +59,49 @@
     this.inFlight = context.inFlight;
     this.random = context.random;
 
-    this.quotas = new TenantQuotas(this.settings);
-    this.admission = new AdmissionController(context, quotas);
-    this.outliers = new OutlierDetector(context);
+    this.tenantQuotas = new TenantQuotas(this.settings);
+    this.admissionController = new AdmissionController(context, tenantQuotas);
+    this.outlierDetector = new OutlierDetector(context);
     this.classEjections = new ClassEjections(context);
-    this.slowStart = new SlowStartBudget(context);
+    this.slowStartBudget = new SlowStartBudget(context);
     IdempotencyPolicy idempotencyPolicy = new IdempotencyPolicy(this.settings);
     this.picker =
-        new EndpointPicker(context, idempotencyPolicy, outliers, classEjections, slowStart);
+        new EndpointPicker(
+            context, idempotencyPolicy, outlierDetector, classEjections, slowStartBudget);
     this.retryBudget = new RetryBudget();
-    this.retries = new RetryPolicy(context, retryBudget);
-    this.hedging = new HedgingPolicy(context, retryBudget);
-    this.termination = new TerminationPolicy(context, idempotencyPolicy);
-    this.observer = new OutcomeObserver(context, outliers, classEjections);
+    this.retryPolicy = new RetryPolicy(context, retryBudget);
+    this.hedgingPolicy = new HedgingPolicy(context, retryBudget);
+    this.terminationPolicy = new TerminationPolicy(context, idempotencyPolicy);
+    this.outcomeObserver = new OutcomeObserver(context, outlierDetector, classEjections);
     this.watchBackoff = new WatchBackoff(context);
     onSettings(settings);
   }
 
   /**
-   * Other settings hold from now on; open requests keep their class, and no more attempts than
-   * then.
+   * Replaces the settings. Open requests keep the class with which they arrived, and may use no
+   * more attempts than the smaller of the old and the new limit.
    */
   public void onSettings(Settings newSettings) {
     settings.set(newSettings);
-    quotas.onSettings();
-    Map<String, LatencyEstimate> previous = Map.copyOf(latencies);
-    latencies.clear();
+    tenantQuotas.onSettings();
+    Map<String, LatencyEstimate> previousEstimates = Map.copyOf(latencyEstimates);
+    latencyEstimates.clear();
     for (Settings.RequestClass requestClass : newSettings.classes()) {
       String name = requestClass.name();
-      latencies.put(name, new LatencyEstimate(requestClass, previous.get(name)));
+      latencyEstimates.put(name, new LatencyEstimate(requestClass, previousEstimates.get(name)));
     }
   }
 
-  /** Called once after creation, when actions may be taken. */
+  /**
+   * Starts the load balancer. Must be called once after creation, when actions can be carried out.
+   */
   public void onStart(double nowMillis) {
     if (settings.current().shouldWatchDiscovery()) {
       actions.watchEndpoints();
     }
   }
 
-  /** Discovery has sent a list of endpoints or changes to it, or has failed. */
+  /** Processes an endpoint list, changes to it, or a failure of discovery. */
   public void onEndpointList(
       double nowMillis, EndpointListEvent event, List<EndpointUpdate> updates) {
     endpoints.apply(event, updates, nowMillis, random);
@@ -109,19 +112,19 @@
         }
       }
       case DELTA, FULL -> watchBackoff.reset();
-      case CACHED -> {} // tells nothing of discovery
+      case CACHED -> {} // a cached list is no sign that discovery works
     }
   }
 
   /**
-   * All bytes received until {@code untilMillis} have been processed. Later ones may be unread in
-   * this process, and no endpoint is judged silent for them.
+   * Records that all bytes received until {@code untilMillis} have been processed. Later bytes may
+   * still be unread in this process, so no endpoint counts as silent for the time after it.
    */
   public void onReadUntil(double untilMillis) {
     pendingResponses.onReadUntil(untilMillis);
   }
 
-  /** A client's request has come. */
+  /** Admits a new client request and sends it, or rejects it. */
   public void onRequest(double nowMillis, RequestArrival arrival) {
     RequestState request =
         new RequestState(
@@ -132,9 +135,9 @@
             settings.current().limits());
     requests.put(request.id, request);
     retryBudget.onRequest();
-    admission.onArrival(request, arrival.tenant(), nowMillis);
+    admissionController.onArrival(request, arrival.tenant(), nowMillis);
     Endpoint endpoint = picker.pick(request, nowMillis);
-    if (admission.shouldAdmit(request, endpoint, nowMillis)) {
+    if (admissionController.shouldAdmit(request, endpoint, nowMillis)) {
       send(request, endpoint, nowMillis);
     } else {
       terminate(request, nowMillis);
@@ -142,17 +145,18 @@
   }
 
   private LatencyEstimate latencyEstimateOf(RequestArrival arrival) {
-    return latencies.computeIfAbsent(
+    return latencyEstimates.computeIfAbsent(
         arrival.className(),
         name ->
             new LatencyEstimate(Settings.RequestClass.unknown(name, arrival.budgetMillis()), null));
   }
 
   /**
-   * An attempt has ended, {@code spentMillis} after it was sent.
+   * Processes the outcome of an attempt.
    *
-   * @param isRequestOver whether the request is over with it, or was before
-   * @param report the load that the endpoint told with it, or null
+   * @param spentMillis the time since the attempt was sent
+   * @param isRequestOver whether the request is over with this outcome or was over before
+   * @param report the load report that came with the response, or null
    */
   public void onOutcome(
       double nowMillis,
@@ -170,7 +174,7 @@
     loadReports.updateOwnPeak(attempt.endpoint, nowMillis);
     inFlight.onChange(-attempt.end(outcome), nowMillis);
     loadReports.onReport(attempt.endpoint, report, nowMillis);
-    observer.onOutcome(attempt, outcome, spentMillis, nowMillis);
+    outcomeObserver.onOutcome(attempt, outcome, spentMillis, nowMillis);
     if (isRequestOver && !request.isEnded) {
       request.isEnded = true;
       cancelOthers(request, null);
@@ -182,7 +186,7 @@
 
   private void retryOrTerminate(RequestState request, double nowMillis) {
     Endpoint endpoint =
-        retries.tryAcquireRetry(request, nowMillis) ? picker.pick(request, nowMillis) : null;
+        retryPolicy.tryAcquireRetry(request, nowMillis) ? picker.pick(request, nowMillis) : null;
     if (endpoint != null) {
       send(request, endpoint, nowMillis);
     } else {
@@ -190,21 +194,24 @@
     }
   }
 
-  /** The response to a streamed request has begun; the attempt now belongs to the client. */
+  /**
+   * Processes the first byte of a streamed response. From then on, the duration of the attempt
+   * depends on how fast the client reads.
+   */
   public void onFirstByte(double nowMillis, long id, int attemptNumber, double spentMillis) {
     RequestState request = requests.get(id);
     AttemptState attempt = request == null ? null : request.attempt(attemptNumber);
     if (attempt == null || request.isEnded || request.isStreaming()) {
       return;
     }
-    // Guards against slow readers of long responses that look like busy endpoints.
+    // Guards against clients that read long responses slowly and make their endpoints look busy.
     inFlight.onChange(-attempt.removeFromInFlight(), nowMillis);
-    observer.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
+    outcomeObserver.onOutcome(attempt, AttemptOutcome.OK, spentMillis, nowMillis);
     request.streamingAttempt = attempt;
     cancelOthers(request, attempt);
   }
 
-  /** The client has disconnected; attempts that are out still get their outcome. */
+  /** Ends a request whose client has disconnected. Open attempts still receive their outcome. */
   public void onClientDisconnect(double nowMillis, long id) {
     RequestState request = requests.get(id);
     if (request != null && !request.isEnded) {
@@ -214,23 +221,26 @@
     }
   }
 
-  /** An endpoint has told its load outside of an attempt. */
+  /** Processes a load report that an endpoint sent outside of an attempt. */
   public void onLoadReport(double nowMillis, long endpoint, LoadReport report) {
     loadReports.onReport(endpoints.get(endpoint), report, nowMillis);
   }
 
   /**
-   * Gossip among proxies: the endpoint is silent, and should get nothing for so long, or, with 0,
-   * it answers. A hint, no more.
+   * Processes a hint from the gossip between proxies. The hint affects only the choice of
+   * endpoints.
+   *
+   * @param ejectionMillis how long the silent endpoint should get no requests; 0 if the endpoint
+   *     responds again
    */
   public void onGossip(double nowMillis, long id, double ejectionMillis) {
     Endpoint endpoint = endpoints.get(id);
     if (endpoint != null) {
-      outliers.onGossip(endpoint, ejectionMillis, nowMillis);
+      outlierDetector.onGossip(endpoint, ejectionMillis, nowMillis);
     }
   }
 
-  /** A timer has come due. */
+  /** Processes a timer that was scheduled with this token. */
   public void onTimer(double nowMillis, long token) {
     if (token == DISCOVERY_TIMER) {
       watchBackoff.onTimer();
@@ -241,7 +251,7 @@
     if (request == null || request.isEnded || request.isStreaming() || request.openAttempts == 0) {
       return;
     }
-    switch (hedging.decide(request, nowMillis)) {
+    switch (hedgingPolicy.decide(request, nowMillis)) {
       case HEDGE -> {
         Endpoint endpoint = picker.pick(request, nowMillis);
         if (endpoint != null) {
@@ -255,24 +265,24 @@
 
   private void send(RequestState request, Endpoint endpoint, double nowMillis) {
     request.startAttempt(endpoint, nowMillis);
-    slowStart.onSend(endpoint, nowMillis);
+    slowStartBudget.onSend(endpoint, nowMillis);
     loadReports.updateOwnPeak(endpoint, nowMillis);
     pendingResponses.onSend(endpoint, nowMillis);
     classEjections.onSend(endpoint, request.requestClass(), nowMillis);
     inFlight.onChange(1, nowMillis);
     actions.send(request.id, endpoint.id, IdempotencyPolicy.windowMillis(request.requestClass()));
-    double overdueAfterMillis = hedging.overdueAfterMillis(request, endpoint, nowMillis);
+    double overdueAfterMillis = hedgingPolicy.overdueAfterMillis(request, endpoint, nowMillis);
     if (overdueAfterMillis < Double.POSITIVE_INFINITY) {
       actions.schedule(overdueAfterMillis, request.id);
     }
   }
 
   private void terminate(RequestState request, double nowMillis) {
-    termination.terminate(request, nowMillis);
+    terminationPolicy.terminate(request, nowMillis);
     removeIfDone(request);
   }
 
-  /** Cancels the request's open attempts but for one, which may be null. */
+  /** Cancels the open attempts of the request except {@code kept}, which may be null. */
   private void cancelOthers(RequestState request, AttemptState kept) {
     if (request.openAttempts == 0 || !settings.current().limits().canCancel()) {
       return;
--- a/src/test/java/leadferry/adapter/AdapterTest.java
+++ b/src/test/java/leadferry/adapter/AdapterTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests the commands with which the adapter replies to batches of events, and malformed input. */
 class AdapterTest {
   private static final String CONF =
       "{\"balancers\":2,\"position\":0,\"zone\":\"z1\",\"novel\":[1],\"classes\":[{\"name\":\"c\","
@@ -64,8 +65,8 @@
   }
 
   /**
-   * The attempt that timed out is told to the others, and what they say is heard; without leave,
-   * nobody talks.
+   * An attempt that timed out is broadcast to the other proxies, and messages of others are
+   * processed. If the deployment does not permit messages, none is sent.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerAdmissionTest.java
@@ -8,7 +8,10 @@
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
-/** What is admitted and what is shed, as load, its reports and its tenants come and go. */
+/**
+ * Tests which requests are admitted and which are shed, depending on load, load reports and
+ * tenants.
+ */
 class LoadBalancerAdmissionTest {
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
@@ -46,7 +49,7 @@
     assertThat(fixture.rejected).hasSize(rejected);
   }
 
-  /** Between two time-outs of a light proxy an overload must not be forgotten. */
+  /** Guards against a proxy with little traffic that forgets an overload between two timeouts. */
   @Test
   void overloadIsRememberedBetweenTimeouts() {
     LoadBalancer balancer = fixture.createIdempotent(4);
@@ -66,7 +69,7 @@
     assertThat(fixture.rejected).hasSizeGreaterThan(60);
   }
 
-  /** Guards against a few heavy requests that make every queue look too long to begin. */
+  /** Guards against a few heavy requests that make every queue look too long to join. */
   @Test
   void heavyRequestsDoNotInflateQueueDelay() {
     LoadBalancer balancer = fixture.createIdempotent(3);
@@ -85,10 +88,10 @@
           true,
           LoadBalancerFixture.loadReport(10));
     }
-    // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does
-    // not.
+    // A mean of 132 ms for 11 held requests would make a queue of 25 too long for the latency
+    // objective; a median of 60 ms does not.
     int rejected = fixture.rejected.size();
-    fixture.nowMillis += 15_000; // pressure fades
+    fixture.nowMillis += 15_000; // pressure decays
     for (long id = 0; id < 3; id++) {
       balancer.onLoadReport(fixture.nowMillis, id, LoadBalancerFixture.loadReport(25));
     }
@@ -97,7 +100,7 @@
     assertThat(fixture.rejected).hasSize(rejected);
   }
 
-  /** Guards against a tenant's burst that takes the place of requests within their share. */
+  /** Guards against a burst of one tenant that displaces requests of tenants within their share. */
   @Test
   void tenantOverItsQuotaIsRejectedFirst() {
     LoadBalancer balancer =
@@ -120,24 +123,25 @@
     int[] rejected = new int[2];
     for (int i = 0; i < 180; i++) {
       int before = fixture.rejected.size();
-      boolean within = i % 9 == 0;
+      boolean isWithinQuota = i % 9 == 0;
       balancer.onRequest(
           fixture.nowMillis,
           new RequestArrival(
               1_000 + i,
               LoadBalancerFixture.IDEMPOTENT,
-              within ? "y" : "x",
+              isWithinQuota ? "y" : "x",
               800,
               Double.NaN,
               false));
-      rejected[within ? 1 : 0] += fixture.rejected.size() - before;
+      rejected[isWithinQuota ? 1 : 0] += fixture.rejected.size() - before;
     }
-    // 160 of x, 20 of y
+    // 160 requests of x, 20 of y
     assertThat(rejected[0] / 160.0).isGreaterThan(1.3 * rejected[1] / 20.0);
   }
 
   /**
-   * One crowded endpoint among idle ones costs no request, and its old report is not believed long.
+   * Guards against requests shed because of one crowded endpoint among idle ones, and against an
+   * old report that keeps an endpoint from getting requests.
    */
   @Test
   void crowdedEndpointIsAvoidedAndRetriedLater() {
@@ -146,11 +150,12 @@
     for (; id < 300; id++) {
       fixture.serveWithReport(balancer, id, fixture.nowMillis, 1);
     }
-    // Host 1 tells of a queue far past the aim; nothing is sent to it while others have room.
-    boolean told = false;
+    // Endpoint 1 reports a queue far beyond the latency objective and gets nothing while others
+    // have room.
+    boolean hasReportedQueue = false;
     for (; id < 600; id++) {
-      boolean first = fixture.request(balancer, id) == 1 && !told;
-      told |= first;
+      boolean isFirstReport = fixture.request(balancer, id) == 1 && !hasReportedQueue;
+      hasReportedQueue |= isFirstReport;
       balancer.onOutcome(
           fixture.nowMillis,
           id,
@@ -158,9 +163,9 @@
           AttemptOutcome.OK,
           100,
           true,
-          LoadBalancerFixture.loadReport(first ? 60 : 1));
+          LoadBalancerFixture.loadReport(isFirstReport ? 60 : 1));
     }
-    assertThat(told).isTrue();
+    assertThat(hasReportedQueue).isTrue();
     assertThat(fixture.rejected).isEmpty();
     fixture.nowMillis += 20_000;
     int before = fixture.sends.size();
@@ -172,9 +177,7 @@
         .anyMatch(send -> send.endpoint() == 1);
   }
 
-  /**
-   * Time-outs of an endpoint that answers nothing at all say nothing of how busy the others are.
-   */
+  /** Guards against timeouts of one silent endpoint that look like an overload of all endpoints. */
   @Test
   void silentEndpointCausesNoSheddingWhileOthersHaveRoom() {
     LoadBalancer balancer = fixture.createIdempotent(6);
@@ -197,18 +200,18 @@
   }
 
   /**
-   * Answers that get lost on the way, from endpoints that tell of room, are no overload: nothing is
-   * rejected for them.
+   * Guards against lost responses that look like an overload. The endpoints report that they have
+   * room, so no request may be rejected.
    */
   @Test
   void lostResponsesAreNotTakenForOverload() {
     LoadBalancer balancer = fixture.createIdempotent(4);
-    double[] lost = new double[4];
+    double[] lostRequests = new double[4];
     for (int i = 0; i < 600; i++) {
       fixture.nowMillis += 10;
       int endpoint = (int) fixture.request(balancer, i);
-      if (i % 3 == 0 && lost[endpoint] == 0) {
-        lost[endpoint] = i + 1;
+      if (i % 3 == 0 && lostRequests[endpoint] == 0) {
+        lostRequests[endpoint] = i + 1;
       } else {
         balancer.onOutcome(
             fixture.nowMillis,
@@ -218,23 +221,23 @@
             100,
             true,
             LoadBalancerFixture.loadReport(1));
-        if (lost[endpoint] > 0) {
+        if (lostRequests[endpoint] > 0) {
           balancer.onOutcome(
               fixture.nowMillis,
-              (long) lost[endpoint] - 1,
+              (long) lostRequests[endpoint] - 1,
               0,
               AttemptOutcome.TIMEOUT,
               800,
               true,
               null);
-          lost[endpoint] = 0;
+          lostRequests[endpoint] = 0;
         }
       }
     }
     assertThat(fixture.rejected).isEmpty();
   }
 
-  /** Our own requests in flight are at the endpoint, whatever its report, which is late, says. */
+  /** Guards against a late load report that hides this proxy's own requests at the endpoint. */
   @Test
   void staleReportDoesNotHideOwnRequests() {
     LoadBalancer balancer = fixture.createIdempotent(1);
@@ -250,18 +253,18 @@
             AttemptOutcome.OK,
             160,
             true,
-            LoadBalancerFixture.loadReport(7)); // 20 ms for each held
+            LoadBalancerFixture.loadReport(7)); // 20 ms per held request
       }
     }
     ArrayDeque<Long> open = new ArrayDeque<>();
-    int most = 0;
+    int maxOpen = 0;
     for (long i = 200; i < 400; i++) {
       balancer.onRequest(
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       if (fixture.last().request() == i) {
         open.add(i);
       }
-      most = Math.max(most, open.size());
+      maxOpen = Math.max(maxOpen, open.size());
       if (i % 2 == 1) {
         double spentMillis = 20 * open.size();
         balancer.onOutcome(
@@ -274,7 +277,7 @@
             LoadBalancerFixture.loadReport(0));
       }
     }
-    assertThat(most).isBetween(2, 30);
+    assertThat(maxOpen).isBetween(2, 30);
   }
 
   @Test
@@ -304,6 +307,6 @@
       fixture.serve(balancer, i, 10);
     }
     assertThat(fixture.rejected).isEmpty();
-    assertThat(fixture.logs).isEmpty(); // nobody is ejected either
+    assertThat(fixture.logs).isEmpty(); // no endpoint is ejected either
   }
 }
--- a/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
+++ b/src/test/java/leadferry/loadbalancer/LoadBalancerOutlierTest.java
@@ -10,7 +10,10 @@
 import leadferry.loadbalancer.Settings.Semantics;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are left out as silent, failing or closed to a class, and when they are back. */
+/**
+ * Tests which endpoints are avoided because they are silent, failing or closed to a class, and when
+ * they are used again.
+ */
 class LoadBalancerOutlierTest {
   private final LoadBalancerFixture fixture = new LoadBalancerFixture();
 
@@ -33,10 +36,10 @@
   @Test
   void fastFailingEndpointIsEjectedAndRetried() {
     LoadBalancer balancer = fixture.createIdempotent(5);
-    long bad = 2;
-    int first = 0;
-    int later = 0;
-    int trials = 0;
+    long failingEndpoint = 2;
+    int earlySends = 0;
+    int trialSends = 0;
+    int sendsAfterRecovery = 0;
     for (int i = 0; i < 2_000; i++) {
       fixture.nowMillis += 5;
       balancer.onRequest(
@@ -46,11 +49,11 @@
         if (send.request() != i || send.number() != k) {
           break;
         }
-        boolean fails = send.endpoint() == bad && fixture.nowMillis < 7_000;
-        if (send.endpoint() == bad) {
-          first += i < 100 ? 1 : 0;
-          later += i >= 100 && fixture.nowMillis < 7_000 ? 1 : 0;
-          trials += fixture.nowMillis >= 7_000 ? 1 : 0;
+        boolean fails = send.endpoint() == failingEndpoint && fixture.nowMillis < 7_000;
+        if (send.endpoint() == failingEndpoint) {
+          earlySends += i < 100 ? 1 : 0;
+          trialSends += i >= 100 && fixture.nowMillis < 7_000 ? 1 : 0;
+          sendsAfterRecovery += fixture.nowMillis >= 7_000 ? 1 : 0;
         }
         balancer.onOutcome(
             fixture.nowMillis,
@@ -62,13 +65,14 @@
             null);
       }
     }
-    assertThat(first).isLessThan(8);
-    assertThat(later).isBetween(1, 10);
-    assertThat(trials).isGreaterThan(50);
+    assertThat(earlySends).isLessThan(8);
+    assertThat(trialSends).isBetween(1, 10);
+    assertThat(sendsAfterRecovery).isGreaterThan(50);
   }
 
   /**
-   * When all endpoints fail alike it is no outlier's fault: the few left must not get all the load.
+   * Guards against ejections when all endpoints fail alike: the few endpoints left would get all
+   * the load.
    */
   @Test
   void ejectedShareOfEndpointsIsLimited() {
@@ -91,7 +95,10 @@
     assertThat(fixture.logs).filteredOn(line -> line.endsWith("readmitted")).hasSize(1);
   }
 
-  /** Full endpoints are busy, not broken: none is ejected, and what piles up is rejected early. */
+  /**
+   * Guards against ejections of full endpoints, which are busy but not broken. Excess requests are
+   * rejected early instead.
+   */
   @Test
   void fullEndpointsAreNotEjected() {
     LoadBalancer balancer = fixture.createIdempotent(4);
@@ -109,8 +116,9 @@
   }
 
   /**
-   * Half the endpoints limit one class: it goes elsewhere within a few attempts, the other goes on
-   * there.
+   * Guards against the ejection of a whole endpoint that limits one class. Half of the endpoints
+   * limit a class: within a few attempts it goes elsewhere, while the other class still uses all
+   * endpoints.
    */
   @Test
   void endpointThatLimitsOneClassKeepsOtherClasses() {
@@ -126,7 +134,7 @@
                 LoadBalancerFixture.endpoint(1),
                 LoadBalancerFixture.endpoint(2),
                 LoadBalancerFixture.endpoint(3)));
-    int turned = 0;
+    int rejected = 0;
     int others = 0;
     for (int i = 0; i < 1_000; i++) {
       fixture.nowMillis += 10;
@@ -135,66 +143,66 @@
           LoadBalancerFixture.request(
               i, i % 2 == 0 ? limited : LoadBalancerFixture.IDEMPOTENT, 800));
       for (int k = 0; k < 4 && fixture.last().request() == i && fixture.last().number() == k; k++) {
-        boolean limits = i % 2 == 0 && fixture.last().endpoint() < 2;
-        turned += limits ? 1 : 0;
+        boolean isLimited = i % 2 == 0 && fixture.last().endpoint() < 2;
+        rejected += isLimited ? 1 : 0;
         others += i % 2 == 1 && fixture.last().endpoint() < 2 ? 1 : 0;
         fixture.nowMillis += 5;
         balancer.onOutcome(
             fixture.nowMillis,
             i,
             k,
-            limits ? AttemptOutcome.FULL : AttemptOutcome.OK,
+            isLimited ? AttemptOutcome.FULL : AttemptOutcome.OK,
             5,
-            !limits,
+            !isLimited,
             LoadBalancerFixture.loadReport(1));
       }
     }
     assertThat(fixture.rejected).isEmpty();
-    assertThat(turned).isLessThan(40);
+    assertThat(rejected).isLessThan(40);
     assertThat(others).isBetween(150, 350);
   }
 
   /**
-   * The limit is gone: after one trial that is served the endpoint has its whole part of the class
-   * again.
+   * Guards against an endpoint that stays closed to a class after its limit ended: one served trial
+   * must restore its full share of the class.
    */
   @Test
   void endpointThatAcceptsClassAgainGetsItsShare() {
     LoadBalancer balancer = fixture.createIdempotent(2);
-    int turned = 0;
+    int rejected = 0;
     int served = 0;
     for (int i = 0; i < 1_000; i++) {
       fixture.nowMillis += 20;
-      boolean limits = fixture.nowMillis < 6_000;
+      boolean isLimited = fixture.nowMillis < 6_000;
       long endpoint = fixture.request(balancer, i);
-      boolean full = limits && endpoint == 0;
-      turned += full ? 1 : 0;
+      boolean isFull = isLimited && endpoint == 0;
+      rejected += isFull ? 1 : 0;
       served += fixture.nowMillis > 12_000 && endpoint == 0 ? 1 : 0;
       balancer.onOutcome(
           fixture.nowMillis,
           i,
           0,
-          full ? AttemptOutcome.FULL : AttemptOutcome.OK,
+          isFull ? AttemptOutcome.FULL : AttemptOutcome.OK,
           5,
-          !full,
+          !isFull,
           LoadBalancerFixture.loadReport(1));
-      if (full) {
+      if (isFull) {
         balancer.onOutcome(
             fixture.nowMillis, i, 1, AttemptOutcome.OK, 5, true, LoadBalancerFixture.loadReport(1));
       }
     }
-    assertThat(turned).isBetween(2, 12);
-    assertThat(served).isGreaterThan(60); // of 400, where its one connection goes on being used
+    assertThat(rejected).isBetween(2, 12);
+    assertThat(served).isGreaterThan(60); // of 400; its one open connection remains preferred
   }
 
   /**
-   * Time-outs beside answers tell of a queue, or of requests that got lost, not of a broken
-   * endpoint.
+   * Guards against ejections for timeouts while other requests get responses. Such timeouts
+   * indicate a queue or lost requests, not a broken endpoint.
    */
   @Test
   void respondingEndpointIsNotEjectedForTimeouts() {
     LoadBalancer balancer = fixture.createIdempotent(1);
-    int both = 0;
+    int timeoutsWithResponse = 0;
     for (int i = 0; i < 200; i += 2) {
       fixture.request(balancer, i);
       fixture.request(balancer, i + 1);
@@ -208,34 +216,41 @@
           true,
           LoadBalancerFixture.loadReport(1));
       fixture.nowMillis += 800;
-      // Where the second was rejected, nobody has answered beside the first.
-      boolean beside = !fixture.rejected.contains(i + 1L);
-      both += beside && !fixture.rejected.contains((long) i) ? 1 : 0;
+      // If the second request was rejected, no other response proves that the endpoint is alive.
+      boolean hasOtherResponse = !fixture.rejected.contains(i + 1L);
+      timeoutsWithResponse += hasOtherResponse && !fixture.rejected.contains((long) i) ? 1 : 0;
       balancer.onOutcome(
           fixture.nowMillis,
           i,
           0,
-          beside ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
+          hasOtherResponse ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
           820,
           true,
           null);
     }
-    assertThat(both).isGreaterThan(10);
+    assertThat(timeoutsWithResponse).isGreaterThan(10);
     assertThat(fixture.logs).noneMatch(line -> line.endsWith("ejected"));
   }
 
   /**
-   * An endpoint that is gone leaves nothing behind, and its id may come back as another endpoint's.
+   * Guards against state of a removed endpoint that is inherited by a new endpoint with the same
+   * id.
    */
   @Test
   void reusedEndpointIdStartsWithoutHistory() {
     LoadBalancer balancer = fixture.createIdempotent(2);
     for (int i = 0; i < 60 && fixture.logs.isEmpty(); i++) {
       fixture.nowMillis +=
-          5_000; // so that the charge of a failure fades and the host is drawn again
-      boolean bad = fixture.request(balancer, i) == 0;
+          5_000; // lets the failure penalty decay, so that the endpoint is picked again
+      boolean isFailing = fixture.request(balancer, i) == 0;
       balancer.onOutcome(
-          fixture.nowMillis, i, 0, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100, true, null);
+          fixture.nowMillis,
+          i,
+          0,
+          isFailing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+          100,
+          true,
+          null);
     }
     assertThat(fixture.logs).containsExactly("host 0 ejected");
     for (Condition condition : List.of(Condition.GONE, Condition.READY)) {
@@ -269,8 +284,8 @@
           fixture.nowMillis, LoadBalancerFixture.request(i, LoadBalancerFixture.IDEMPOTENT, 800));
       counts.merge(fixture.last().endpoint(), 1, Integer::sum);
     }
-    assertThat(counts.get(busy)).isGreaterThan(5); // its answer may stand here
-    balancer.onReadUntil(fixture.nowMillis); // and now it is known that none has come
+    assertThat(counts.get(busy)).isGreaterThan(5); // its response may be unread here
+    balancer.onReadUntil(fixture.nowMillis); // no response has arrived
     balancer.onRequest(
         fixture.nowMillis, LoadBalancerFixture.request(3_000, LoadBalancerFixture.IDEMPOTENT, 800));
     assertThat(fixture.last().endpoint()).isNotEqualTo(busy);
