--- a/src/main/java/leadferry/disruption/BudgetCodec.java
+++ b/src/main/java/leadferry/disruption/BudgetCodec.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The stored form of a {@link Budget}, which is also that of the operator's file and of log
- * entries.
+ * Maps a {@link Budget} to and from its JSON form in snapshots, log entries and the operator's
+ * file.
  *
  * <pre>
  *   name       name
@@ -23,7 +23,7 @@
 final class BudgetCodec {
   private BudgetCodec() {}
 
-  /** Adds the budget's keys to a JSON object. */
+  /** Adds the keys of the budget to a JSON object. */
   static void encode(Budget budget, ObjectNode json) {
     json.put("name", budget.name())
         .put("of", budget.targetType().storedName())
@@ -38,8 +38,8 @@
   /**
    * Reads a budget.
    *
-   * @param errors receives one line for each thing that is wrong
-   * @return the budget, or null where there was an error
+   * @param errors receives one line for each invalid value
+   * @return the budget, or null if there was an error
    */
   static Budget decode(JsonNode json, List<String> errors) {
     int errorsBefore = errors.size();
--- a/src/main/java/leadferry/disruption/BudgetEvaluator.java
+++ b/src/main/java/leadferry/disruption/BudgetEvaluator.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Answers whether budgets would allow the eviction of a target, and if not, which forbid it. The
- * strictest bound wins. The last proxy and the last host of a pool stay whatever budgets say.
+ * Evaluates whether the budgets allow the eviction of a target, and which bounds forbid it. Every
+ * bound must allow it. The last available proxy and the last available endpoint of a pool are never
+ * evicted, whatever the budgets allow.
  */
 final class BudgetEvaluator {
-  /** How many may be unavailable of a type for which no budget is in force. */
+  /** Maximum number of unavailable targets of a type without a budget. */
   private static final int ALLOWED_WITHOUT_BUDGET = 1;
 
   private final BudgetTable budgets;
@@ -23,7 +24,7 @@
     this.unavailability = unavailability;
   }
 
-  /** The bounds that forbid the eviction, in words; empty where it is allowed. */
+  /** Returns the text of each bound that forbids the eviction; empty if it is allowed. */
   List<String> findRefusals(Target candidate) {
     return evaluateBounds(candidate).stream()
         .filter(BudgetBound::isExhausted)
@@ -31,7 +32,10 @@
         .toList();
   }
 
-  /** All bounds that the eviction meets: budgets in their order, then the rules above them. */
+  /**
+   * Returns all bounds that apply to the eviction: budgets in their configured order, then the
+   * built-in rules.
+   */
   List<BudgetBound> evaluateBounds(Target candidate) {
     Collection<Target> all = targets.byName(candidate.type()).values();
     List<BudgetBound> bounds = new ArrayList<>();
@@ -61,7 +65,8 @@
     if (candidate.type() == TargetType.PROXY) {
       return evaluateBound("the last proxy", all, all.size() - 1, candidate);
     }
-    List<Target> pool = all.stream().filter(host -> host.pool().equals(candidate.pool())).toList();
+    List<Target> pool =
+        all.stream().filter(endpoint -> endpoint.pool().equals(candidate.pool())).toList();
     return evaluateBound(
         "the last host of pool " + candidate.pool(), pool, pool.size() - 1, candidate);
   }
--- a/src/main/java/leadferry/disruption/BudgetTable.java
+++ b/src/main/java/leadferry/disruption/BudgetTable.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import leadferry.disruption.Outcome.Status;
 
-/** The budgets in force, in the order in which they were given, and their version. */
+/** The budgets in force, in their configured order, and their version. */
 final class BudgetTable {
   private final List<Budget> budgets = new ArrayList<>();
   private long version;
@@ -16,16 +16,17 @@
     return Collections.unmodifiableList(budgets);
   }
 
-  /** How often the budgets were replaced; an operator names the version that is to be replaced. */
+  /** Returns the number of replacements so far. A replacement names the version that it expects. */
   long version() {
     return version;
   }
 
   /**
-   * Puts these budgets in force in place of all others, all of them or none.
+   * Replaces all budgets, or none if one of them is rejected.
    *
-   * @param expectedVersion the version that is to be replaced
-   * @param revision counts the change
+   * @param expectedVersion version of the budgets to replace; another version gives {@link
+   *     Status#CONFLICT}
+   * @param revision counter that the replacement advances
    */
   Outcome replace(List<Budget> replacements, long expectedVersion, StateRevision revision) {
     if (expectedVersion != version) {
@@ -45,7 +46,7 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Takes the place of the budgets and their version. */
+  /** Replaces the budgets and their version by those of a snapshot. */
   void restore(List<Budget> restored, long restoredVersion) {
     budgets.clear();
     budgets.addAll(restored);
--- a/src/main/java/leadferry/disruption/DisruptionCommand.java
+++ b/src/main/java/leadferry/disruption/DisruptionCommand.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What an entry of the agreed log asks about who may be out of service. The codec of the log maps
- * each to and from its stored form.
+ * A command of the replicated log that changes which targets are or may be out of service. The
+ * codec of the log maps each command to and from its stored form.
  */
 public sealed interface DisruptionCommand {
   /**
-   * Take a proxy or host out of service.
+   * Takes a proxy or an endpoint out of service.
    *
-   * @param durationMillis how long, 0 until it is given back
-   * @param permanent a proxy that ends for good: it is forgotten once its session ends by its own
-   *     word
+   * @param durationMillis duration of the grant (ms); 0 for no expiry
+   * @param permanent whether a proxy shuts down for good; the member is then removed once the proxy
+   *     has closed its session itself
    */
   record Drain(
       TargetType type,
@@ -23,23 +23,24 @@
       String reason)
       implements DisruptionCommand {}
 
-  /** Give back what that eviction grant took out. */
+  /** Returns the target of an eviction grant to service. */
   record Undo(String grantId, String reason) implements DisruptionCommand {}
 
-  /** Grant nothing from here on. */
+  /** Stops all granting until {@link Resume}. */
   record Halt(String reason) implements DisruptionCommand {}
 
-  /** Grant again. */
+  /** Allows granting again after {@link Halt}. */
   record Resume() implements DisruptionCommand {}
 
-  /** An operator declares a proxy's process dead. */
+  /** Declares the process of a proxy dead, by an operator. */
   record Fence(String name) implements DisruptionCommand {}
 
-  /** Forget a proxy that is gone for good. */
+  /** Removes a proxy that will not return. */
   record Forget(String name) implements DisruptionCommand {}
 
-  /** Put these budgets in force in place of those of that version, all of them or none. */
+  /** Replaces all budgets if their version is {@code expectedVersion}; otherwise none. */
   record ReplaceBudgets(List<Budget> budgets, long expectedVersion) implements DisruptionCommand {
+    /** Keeps a copy of the budgets. */
     public ReplaceBudgets {
       budgets = List.copyOf(budgets);
     }
--- a/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
+++ b/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
@@ -12,20 +12,22 @@
 import leadferry.disruption.DisruptionState.Times;
 
 /**
- * The stored form of {@link DisruptionTables}. This class alone knows its keys; they stay as they
- * are, because snapshots of earlier builds hold them.
+ * Maps {@link DisruptionTables} to and from snapshots. Snapshots of earlier builds hold the same
+ * keys, so the keys must not change. Some differ from the names in the code:
  *
  * <pre>
  *   permits       grants; in each:
- *     of, who, why, for_ms, leaving   request: target, requestedBy, reason, durationMillis, leaving
+ *     of, who, why, for_ms, leaving   request: target, requestedBy, reason, durationMillis, permanent
  *     since                           grantedVersion
  *     end_since, end_why              restoringVersion, restoringReason
  *   members       members; in each:
- *     zone, version, joined           session: zone, version, joinedChange
+ *     zone, version, joined           session: zone, version, startChange
  *     alive, left, fenced, serving    state
- *     said, seen, busy, suspects      lastReport: number, acknowledgedVersion, busyHosts, ejectedHosts
- *     settling                        stabilizingSince
- *   warming       warm-ups: the change at which each host came back
+ *     said, seen, busy, suspects      lastReport: sequenceNumber, acknowledgedVersion, busyEndpoints,
+ *                                     ejectedEndpoints
+ *     settling                        stabilizingSinceChange
+ *   catalogues    catalogs: the endpoints of each digest
+ *   warming       warm-ups: the change number at which each endpoint returned
  *   settle_ms, warm_ms, fence_ms      times
  * </pre>
  */
@@ -93,9 +95,9 @@
   }
 
   /**
-   * Takes the place of all that the tables hold.
+   * Replaces the contents of the tables by those of a snapshot.
    *
-   * @return the times of the stored state
+   * @return the times stored in the snapshot
    */
   static Times decode(JsonNode json, DisruptionTables tables) {
     tables.revision.restore(json.path("version").asLong(), json.path("change").asLong());
@@ -117,7 +119,7 @@
         json.path("fence_ms").asLong());
   }
 
-  /** Reads a budget, which was checked before it was stored. */
+  /** Reads a budget. Errors are ignored because a budget is validated before it is stored. */
   private static Budget decodeBudget(JsonNode json) {
     return BudgetCodec.decode(json, new ArrayList<>());
   }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -11,36 +11,38 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * Who is unavailable, and who may be taken out of service: the part of the agreed state that the
- * log's entries on members, evictions and budgets are applied to. Deterministic; one thread applies
- * entries in their order.
+ * Part of the replicated state that knows which targets are unavailable and decides which may be
+ * taken out of service. Entries of the replicated log on members, evictions and budgets are applied
+ * to it. It is deterministic, and one thread applies the entries in log order.
  *
- * <p>An eviction is granted only where no budget then has more targets unavailable than it allows;
- * {@link UnavailabilityEvaluator} says what counts.
+ * <p>An eviction is granted only if no budget would then have more unavailable targets than it
+ * allows. {@link UnavailabilityEvaluator} defines when a target is unavailable.
  *
  * <pre>
- *   proxy:  unknown --joined--> available
- *           available --granted--> out --undone--> restoring --serves again--> stabilizing --time--> available
- *           available --lost--> lost --joined--> stabilizing --time--> available
- *   host:   available --granted--> out --undone--> restoring --all acknowledged--> warming up --time--> available
+ *   proxy:    unknown --session opened--> available
+ *             available --granted--> out --undone--> restoring --serves again--> stabilizing --timer--> available
+ *             available --session expired--> lost --session opened--> stabilizing --timer--> available
+ *   endpoint: available --granted--> out --undone--> restoring --all acknowledged--> warming up --timer--> available
  * </pre>
  *
- * <p>Time enters by {@link #timers}: the leader of the replicas counts them and writes their end
- * into the log.
+ * <p>The state reads no clock. The leader of the replicas runs the timers of {@link
+ * #timerDurationsMillis} and writes their expiry into the log.
  */
 public final class DisruptionState {
-  /** The form of names of proxies, hosts and budgets. */
+  /** Regular expression of the names of proxies, endpoints and budgets. */
   public static final String NAME_PATTERN = "[A-Za-z0-9_][A-Za-z0-9_.:-]{0,63}";
 
-  /** The version of a proxy that did not tell what it runs. */
+  /** Version of a proxy that has not reported its software version. */
   public static final String NO_VERSION = "-";
 
   /**
-   * The times of a fleet.
+   * Durations that apply to the whole fleet.
    *
-   * @param stabilizationMillis how long a proxy that came back and serves stays unavailable
-   * @param warmUpMillis how long a host that came back stays unavailable
-   * @param fenceMillis how much later than at its holder a grant with a duration expires here
+   * @param stabilizationMillis time (ms) for which a returned proxy counts as unavailable after it
+   *     serves again
+   * @param warmUpMillis time (ms) for which a returned endpoint counts as unavailable
+   * @param fenceMillis time (ms) by which a grant with a duration expires later here than at its
+   *     holder
    */
   public record Times(long stabilizationMillis, long warmUpMillis, long fenceMillis) {}
 
@@ -58,33 +60,36 @@
   private final DisruptionTimers timers = new DisruptionTimers(tables, evictions);
   private Times times;
 
-  /** An empty state; {@link #restore} may replace the times. */
+  /** Creates an empty state. {@link #restore} replaces the times by those of the snapshot. */
   public DisruptionState(Times times) {
     this.times = times;
   }
 
-  /** Grows with each change of what members go by. */
+  /**
+   * Returns the version of the state that members apply; it grows with each change that concerns
+   * them.
+   */
   public long version() {
     return tables.revision.version();
   }
 
-  /** Grows with each change of any kind; orders events. */
+  /** Returns the number of changes of any kind so far, which orders events. */
   public long changeNumber() {
     return tables.revision.changeNumber();
   }
 
-  /** Why nothing is granted, "" where grants are given. */
+  /** Returns the reason for the halt, or "" if the fleet is not halted. */
   public String haltReason() {
     return tables.haltReason();
   }
 
   /**
-   * The version that runs at a proxy.
+   * Returns the software version that a proxy runs.
    *
-   * @param afterChange the session must have begun after that change
-   * @return the version, or "" where it has no such session, or has not reported in it
+   * @param afterChange change number after which the session of the proxy must have begun
+   * @return the version, or "" if the proxy has no such session or has not reported in it
    */
-  public String version(String proxy, long afterChange) {
+  public String runningVersion(String proxy, long afterChange) {
     return tables
         .members
         .find(proxy)
@@ -93,7 +98,10 @@
         .orElse("");
   }
 
-  /** Proxies whose session expired and hosts that proxies have ejected, with and without grants. */
+  /**
+   * Returns the names of proxies whose session expired and of endpoints that proxies have ejected,
+   * with and without grants.
+   */
   public Set<String> lostTargets() {
     Set<String> names = new TreeSet<>(ejections.lostEndpoints());
     for (ProxyMember member : tables.members.all()) {
@@ -105,9 +113,9 @@
   }
 
   /**
-   * A proxy's session begins.
+   * Applies the beginning of a proxy's session.
    *
-   * @param digest digest of the list of hosts that it balances over
+   * @param digest digest of the list of endpoints that the proxy balances over
    */
   public void onSessionOpened(
       String name, String zone, String version, String digest, List<Target> endpoints) {
@@ -115,12 +123,12 @@
   }
 
   /**
-   * A proxy reported; an earlier report that comes late changes nothing.
+   * Applies the report of a proxy. A report that arrives after a later one is ignored.
    *
-   * @param sequenceNumber counts the reports of a session from 1
-   * @param acknowledgedVersion version of the agreed state that it goes by
-   * @param busyEndpoints hosts taken out of service on which it has requests in flight
-   * @param ejectedEndpoints hosts that its outlier detection has ejected
+   * @param sequenceNumber number of the report in its session, from 1
+   * @param acknowledgedVersion version of the replicated state that the proxy applies
+   * @param busyEndpoints endpoints out of service to which the proxy has requests in flight
+   * @param ejectedEndpoints endpoints that the outlier detection of the proxy has ejected
    */
   public void onMemberReport(
       String name,
@@ -134,15 +142,16 @@
     memberLifecycle.onReport(name, report, serving);
   }
 
-  /** The list of hosts that a proxy balances over has changed. */
+  /** Applies a change of the list of endpoints that a proxy balances over. */
   public void onCatalogChanged(String name, String digest, List<Target> endpoints) {
     memberLifecycle.onCatalogChanged(name, digest, endpoints);
   }
 
   /**
-   * A proxy's session ended.
+   * Applies the end of a proxy's session.
    *
-   * @param clean by the proxy's own word, without requests in flight; otherwise it expired
+   * @param clean whether the proxy closed the session itself, without requests in flight; otherwise
+   *     the session expired
    */
   public void onSessionEnded(String name, boolean clean) {
     memberLifecycle.onSessionEnded(name, clean);
@@ -174,7 +183,9 @@
     throw new IllegalArgumentException("command: " + command + " (expected: one of disruption)");
   }
 
-  /** Takes a target out of service if nothing forbids it, see {@link Drain}. */
+  /**
+   * Takes a target out of service unless a rule forbids it; {@link Drain} describes the parameters.
+   */
   public Outcome drain(
       TargetType type,
       String name,
@@ -186,28 +197,29 @@
   }
 
   /**
-   * Keeps a target out of service that has come back and still counts as unavailable, so that no
-   * budget is asked for more.
+   * Grants an eviction of a target that has returned and still counts as unavailable. Budgets are
+   * not checked, since the number of unavailable targets stays the same.
    *
-   * @return id of the grant, or "" where the target is available, holds a grant, or all is halted
+   * @return id of the grant, or "" if the target is unknown, available or holds a grant, or if the
+   *     fleet is halted
    */
   public String keepOutOfService(TargetType type, String name, String requestedBy, String reason) {
     return evictions.keepOutOfService(type, name, requestedBy, reason);
   }
 
-  /** Begins to take an eviction grant back. */
+  /** Begins to return the target of an eviction grant to service. */
   public Outcome undo(String grantId, String reason) {
     return evictions.undo(grantId, reason);
   }
 
-  /** From this entry on nothing is granted. */
+  /** Stops all granting from this entry on. */
   public Outcome halt(String reason) {
     tables.revision.advanceVersion();
     tables.setHaltReason(reason.isEmpty() ? "halted" : reason);
     return Outcome.of(Status.DONE);
   }
 
-  /** From this entry on grants are given again. */
+  /** Allows granting again from this entry on. */
   public Outcome resume() {
     tables.revision.advanceVersion();
     tables.setHaltReason("");
@@ -215,86 +227,106 @@
   }
 
   /**
-   * Puts budgets in force, all of them or none.
+   * Replaces all budgets, or none if one of them is rejected.
    *
-   * @param expectedVersion version of the budgets that they replace
+   * @param expectedVersion version of the budgets to replace
    */
   public Outcome replaceBudgets(List<Budget> replacements, long expectedVersion) {
     return tables.budgets.replace(replacements, expectedVersion, tables.revision);
   }
 
-  /** An operator declares a lost proxy's process dead: it can send nothing any more. */
+  /**
+   * Records an operator's declaration that the process of a lost proxy is dead and sends no more
+   * requests.
+   */
   public Outcome fence(String name) {
     return memberLifecycle.fence(name);
   }
 
-  /** Takes a proxy that is gone for good out of all counts. */
+  /** Removes a proxy that will not return from all counts. */
   public Outcome forget(String name) {
     return memberLifecycle.forget(name);
   }
 
-  /** The timers that run, and how long each takes from when it was first named (ms). */
+  /**
+   * Returns the running timers with their durations (ms), each counted from when the timer was
+   * first listed.
+   */
   public Map<String, Long> timerDurationsMillis() {
     return timers.durationsMillis(times);
   }
 
-  /** A timer of {@link #timers} has ended; one that does not run any more changes nothing. */
+  /**
+   * Applies the expiry of a timer of {@link #timerDurationsMillis}. A timer that no longer runs is
+   * ignored.
+   */
   public void onTimerExpired(String timerName) {
     timers.onExpired(timerName, times);
   }
 
-  /** Why that target is unavailable, in the stored words; null where it is available. */
+  /**
+   * Returns the stored text of the reason why the target is unavailable, or null if it is available
+   * or unknown.
+   */
   public String unavailabilityReason(TargetType type, String name) {
     return unavailability.of(type, name).map(Unavailability::text).orElse(null);
   }
 
-  /** All known targets of a type, in the order of their names. */
+  /** Returns all known targets of a type, in the order of their names. */
   public Collection<Target> targets(TargetType type) {
     return targetsByName(type).values();
   }
 
-  /** All known targets of a type by name; made anew at each call. */
+  /** Returns a new map of all known targets of a type by name. */
   public Map<String, Target> targetsByName(TargetType type) {
     return targets.byName(type);
   }
 
-  /** Writes what a drain would come to now, and each bound that it would meet. */
+  /** Writes the outcome that a drain would have now, and each bound that applies to it. */
   public void writeExplanation(TargetType type, String name, ObjectNode json) {
     new DrainExplanationWriter(tables, targets, unavailability, budgetEvaluator)
         .write(type, name, json);
   }
 
-  /** The proxies that may still send to a host that a grant takes out, by name with the reason. */
+  /**
+   * Returns the proxies that may still send requests to the endpoint of a grant, each name with the
+   * reason.
+   */
   public Map<String, String> pendingProxies(String grantId) {
     return progress.pendingProxies(grantId);
   }
 
-  /** Whether what a grant takes out is out: see {@link EvictionProgress#isCarriedOut}. */
+  /**
+   * Returns whether the eviction of a grant is complete, see {@link EvictionProgress#isCarriedOut}.
+   */
   public boolean isCarriedOut(String grantId) {
     return progress.isCarriedOut(grantId);
   }
 
-  /** Writes what every member must know, see {@link FleetViewCodec}. */
+  /** Writes the view that every member applies, see {@link FleetViewCodec}. */
   public void writeView(ObjectNode json) {
     FleetViewCodec.encode(FleetView.of(tables), json);
   }
 
-  /** Writes all that operators may want to see. */
+  /** Writes the status view for operators. */
   public void writeStatus(ObjectNode json) {
     new StatusWriter(tables, targets, unavailability, progress).write(json);
   }
 
-  /** Writes the whole state; {@link #restore} of it gives the same state and later outcomes. */
+  /**
+   * Writes the whole state. {@link #restore} of the result gives the same state and the same later
+   * outcomes.
+   */
   public void writeSnapshot(ObjectNode json) {
     DisruptionSnapshotCodec.encode(tables, times, json);
   }
 
-  /** Takes the place of the whole state, times included. */
+  /** Replaces the whole state, including the times, by that of a snapshot. */
   public void restore(JsonNode json) {
     times = DisruptionSnapshotCodec.decode(json, tables);
   }
 
-  /** Reads hosts in their stored form, see {@link TargetCodec}. */
+  /** Reads a JSON array of targets in their stored form, see {@link TargetCodec}. */
   public static List<Target> readTargets(JsonNode array) {
     return TargetCodec.decodeAll(array);
   }
--- a/src/main/java/leadferry/disruption/DisruptionTables.java
+++ b/src/main/java/leadferry/disruption/DisruptionTables.java
@@ -1,9 +1,9 @@
 package leadferry.disruption;
 
 /**
- * All that is agreed on who is out of service. {@link DisruptionState} owns it; the classes that
- * decide share it, and {@link DisruptionSnapshotCodec} stores it. Not safe for use by several
- * threads.
+ * Tables of the replicated state on which targets are out of service. {@link DisruptionState} owns
+ * the tables, the classes with the rules share them, and {@link DisruptionSnapshotCodec} stores
+ * them. Not thread-safe.
  */
 final class DisruptionTables {
   final StateRevision revision = new StateRevision();
@@ -14,7 +14,7 @@
   final EndpointWarmUpTracker warmUps = new EndpointWarmUpTracker();
   private String haltReason = "";
 
-  /** Why nothing is granted, "" where grants are given. */
+  /** Returns the reason for the halt, or "" if the fleet is not halted. */
   String haltReason() {
     return haltReason;
   }
--- a/src/main/java/leadferry/disruption/DisruptionTimer.java
+++ b/src/main/java/leadferry/disruption/DisruptionTimer.java
@@ -1,11 +1,14 @@
 package leadferry.disruption;
 
-/** Something that ends after a time; the leader of the replicas counts it and logs its end. */
+/**
+ * A timer of the replicated state. The leader of the replicas runs it and writes its expiry into
+ * the log.
+ */
 sealed interface DisruptionTimer {
-  /** The stored name, unique for ever. */
+  /** Returns the stored name, which is never used for another timer. */
   String name();
 
-  /** A grant with a duration expires. */
+  /** Expiry of a grant with a duration. */
   record GrantExpiry(String grantId) implements DisruptionTimer {
     @Override
     public String name() {
@@ -13,7 +16,7 @@
     }
   }
 
-  /** A proxy that came back and serves has stabilized. */
+  /** End of the stabilization time of a returned proxy that serves. */
   record Stabilization(String proxy, long sinceChange) implements DisruptionTimer {
     @Override
     public String name() {
@@ -21,7 +24,7 @@
     }
   }
 
-  /** A host that came back has warmed up. */
+  /** End of the warm-up time of a returned endpoint. */
   record WarmUp(String endpoint, long sinceChange) implements DisruptionTimer {
     @Override
     public String name() {
--- a/src/main/java/leadferry/disruption/DisruptionTimers.java
+++ b/src/main/java/leadferry/disruption/DisruptionTimers.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which timers run, how long each takes, and what its end changes. */
+/** Determines the running timers and their durations, and applies their expiry. */
 final class DisruptionTimers {
   private final DisruptionTables tables;
   private final EvictionController evictions;
@@ -14,7 +14,7 @@
   }
 
   /**
-   * The timers that run by their stored names, with how long each takes from when it began (ms).
+   * Returns the durations (ms) of the running timers by stored name, each counted from its start.
    */
   Map<String, Long> durationsMillis(DisruptionState.Times times) {
     Map<String, Long> durationsMillis = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     return timers;
   }
 
-  /** A timer has ended; one that does not run any more changes nothing. */
+  /** Applies the expiry of a timer. A timer that no longer runs is ignored. */
   void onExpired(String name, DisruptionState.Times times) {
     for (DisruptionTimer timer : runningTimers(times).keySet()) {
       if (timer.name().equals(name)) {
--- a/src/main/java/leadferry/disruption/DrainExplanationWriter.java
+++ b/src/main/java/leadferry/disruption/DrainExplanationWriter.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import leadferry.disruption.Outcome.Status;
 
-/** The explain view for operators: what a drain would come to now, and each bound that it meets. */
+/**
+ * Writes the explain view for operators: the outcome that a drain would have now, and each bound
+ * that applies to it.
+ */
 final class DrainExplanationWriter {
   private final DisruptionTables tables;
   private final TargetDirectory targets;
@@ -25,9 +28,9 @@
   }
 
   /**
-   * Explains a drain that nobody has asked for.
+   * Writes the explanation of a drain without carrying it out.
    *
-   * @param type null where the asker named none that is known
+   * @param type type of the target, or null if the caller named an unknown type
    */
   void write(TargetType type, String name, ObjectNode json) {
     Target target = type == null ? null : targets.find(type, name).orElse(null);
--- a/src/main/java/leadferry/disruption/EjectionCounter.java
+++ b/src/main/java/leadferry/disruption/EjectionCounter.java
@@ -4,8 +4,8 @@
 import java.util.TreeSet;
 
 /**
- * Which hosts count as lost because proxies have ejected them: two proxies, or all that are live
- * where fewer are.
+ * Determines which endpoints count as lost because proxies have ejected them: two proxies, or the
+ * only live proxy.
  */
 final class EjectionCounter {
   private static final int MIN_EJECTIONS_FOR_LOST = 2;
@@ -16,7 +16,10 @@
     this.members = members;
   }
 
-  /** How many live proxies have ejected a host, at least two where all of them have. */
+  /**
+   * Returns how many live proxies have ejected an endpoint; at least {@link
+   * #MIN_EJECTIONS_FOR_LOST} if all of them have.
+   */
   int countEjections(String endpoint) {
     int ejections = 0;
     int live = 0;
@@ -34,12 +37,12 @@
     return countEjections(endpoint) >= MIN_EJECTIONS_FOR_LOST;
   }
 
-  /** Whether one ejection more would make the host count as lost. */
+  /** Returns whether one more ejection would make the endpoint count as lost. */
   boolean isOneEjectionBelowLost(String endpoint) {
     return countEjections(endpoint) == MIN_EJECTIONS_FOR_LOST - 1;
   }
 
-  /** Hosts that count as lost, in the order of their names. */
+  /** Returns the endpoints that count as lost, in the order of their names. */
   Set<String> lostEndpoints() {
     Set<String> endpoints = new TreeSet<>();
     members.all().forEach(member -> endpoints.addAll(member.lastReport().ejectedEndpoints()));
--- a/src/main/java/leadferry/disruption/EndpointCatalogTable.java
+++ b/src/main/java/leadferry/disruption/EndpointCatalogTable.java
@@ -6,26 +6,29 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The lists of hosts that proxies balance over, by digest: proxies with the same list share it. */
+/**
+ * The lists of endpoints that proxies balance over, by digest. Proxies with the same list share one
+ * entry.
+ */
 final class EndpointCatalogTable {
   private final Map<String, List<Target>> endpointsByDigest = new TreeMap<>();
 
-  /** The lists in the order of their digests. */
+  /** Returns the lists in the order of their digests. */
   Map<String, List<Target>> endpointsByDigest() {
     return Collections.unmodifiableMap(endpointsByDigest);
   }
 
-  /** Adds a list, unless one of that digest is there. */
+  /** Adds a list unless the table has one with the same digest. */
   void add(String digest, List<Target> endpoints) {
     endpointsByDigest.putIfAbsent(digest, List.copyOf(endpoints));
   }
 
-  /** Drops lists that nobody balances over any more. */
+  /** Removes all lists but those with the given digests. */
   void retain(Set<String> usedDigests) {
     endpointsByDigest.keySet().retainAll(usedDigests);
   }
 
-  /** Takes the place of all lists. */
+  /** Replaces all lists by those of a snapshot. */
   void restore(Map<String, List<Target>> restored) {
     endpointsByDigest.clear();
     endpointsByDigest.putAll(restored);
--- a/src/main/java/leadferry/disruption/EndpointWarmUpTracker.java
+++ b/src/main/java/leadferry/disruption/EndpointWarmUpTracker.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * Hosts that came back into service and are warming up: each may have been restarted, and counts as
- * unavailable until its warm-up time is over.
+ * The endpoints that have returned to service and are warming up. Each may have been restarted and
+ * counts as unavailable until its warm-up time has passed.
  */
 final class EndpointWarmUpTracker {
   private final Map<String, Long> startChangeByEndpoint = new TreeMap<>();
 
-  /** The change at which each host came back, in the order of the hosts' names. */
+  /** Returns the change number at which each warm-up began, in the order of the endpoint names. */
   Map<String, Long> startChangeByEndpoint() {
     return Collections.unmodifiableMap(startChangeByEndpoint);
   }
@@ -20,17 +20,17 @@
     return startChangeByEndpoint.containsKey(endpoint);
   }
 
-  /** Begins a warm-up, from the beginning where one is under way. */
+  /** Begins a warm-up, or restarts the current one. */
   void begin(String endpoint, long changeNumber) {
     startChangeByEndpoint.put(endpoint, changeNumber);
   }
 
-  /** Ends a warm-up: its time is over, or the host is taken out of service again. */
+  /** Ends a warm-up because its time has passed or the endpoint is taken out of service again. */
   void end(String endpoint) {
     startChangeByEndpoint.remove(endpoint);
   }
 
-  /** Takes the place of all warm-ups. */
+  /** Replaces all warm-ups by those of a snapshot. */
   void restore(Map<String, Long> restored) {
     startChangeByEndpoint.clear();
     startChangeByEndpoint.putAll(restored);
--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -4,7 +4,9 @@
 import java.util.Optional;
 import leadferry.disruption.Outcome.Status;
 
-/** Gives eviction grants, takes them back, and releases those of hosts. */
+/**
+ * Grants evictions, begins to restore their targets, and releases the grants of restored endpoints.
+ */
 final class EvictionController {
   private static final long MAX_DURATION_MILLIS = 30L * 24 * 3_600_000;
 
@@ -24,7 +26,7 @@
     this.budgets = budgets;
   }
 
-  /** Takes a target out of service if nothing forbids it. */
+  /** Takes a target out of service unless a rule forbids it. */
   Outcome drain(DisruptionCommand.Drain drain) {
     Optional<Outcome> malformed = rejectMalformed(drain);
     if (malformed.isPresent()) {
@@ -48,8 +50,9 @@
                 drain.durationMillis(),
                 drain.permanent()),
             tables.revision.advanceVersion());
-    // A proxy's grant ends the warm-up of a host without a name, as in earlier builds: replicas of
-    // two builds must not differ about one log.
+    // A grant of a proxy ends the warm-up of the endpoint with the empty name, as in earlier
+    // builds.
+    // Replicas of different builds must compute the same state from the same log.
     tables.warmUps.end(target.type() == TargetType.HOST ? target.name() : "");
     return new Outcome(Status.GRANTED, grant.id(), List.of());
   }
@@ -99,10 +102,11 @@
   }
 
   /**
-   * Keeps a target out of service that has come back and still counts as unavailable; no budget is
-   * asked for more.
+   * Grants an eviction of a target that has returned and still counts as unavailable. Budgets are
+   * not checked, since the number of unavailable targets stays the same.
    *
-   * @return id of the grant, or "" where the target is available, holds a grant, or all is halted
+   * @return id of the grant, or "" if the target is unknown, available or holds a grant, or if the
+   *     fleet is halted
    */
   String keepOutOfService(TargetType type, String name, String requestedBy, String reason) {
     Target target = targets.find(type, name).orElse(null);
@@ -116,7 +120,7 @@
     return tables.grants.add(request, tables.revision.advanceVersion()).id();
   }
 
-  /** Begins to take a grant back; one that is being taken back stays as it is. */
+  /** Begins to restore the target of a grant. A grant that is restoring already stays unchanged. */
   Outcome undo(String grantId, String reason) {
     EvictionGrant grant = tables.grants.find(grantId).orElse(null);
     if (grant == null) {
@@ -125,7 +129,8 @@
     if (!grant.isRestoring()) {
       tables.grants.beginRestoring(grant, tables.revision.advanceVersion(), reason);
       if (isHeldByProxyWithoutSession(grant)) {
-        tables.grants.release(grant); // it counts as lost, and hears of this when it joins
+        tables.grants.release(
+            grant); // The proxy counts as lost and gets the current view with its next session.
       }
       releaseAcknowledgedEndpoints();
     }
@@ -142,8 +147,8 @@
   }
 
   /**
-   * Releases grants of hosts that are being taken back once all live proxies have acknowledged it;
-   * the host warms up from then on.
+   * Releases each restoring grant of an endpoint once all live proxies have acknowledged the
+   * restoration. The endpoint warms up from then on.
    */
   void releaseAcknowledgedEndpoints() {
     for (EvictionGrant grant : List.copyOf(tables.grants.all())) {
--- a/src/main/java/leadferry/disruption/EvictionGrant.java
+++ b/src/main/java/leadferry/disruption/EvictionGrant.java
@@ -1,21 +1,21 @@
 package leadferry.disruption;
 
 /**
- * The right of one proxy or host to be out of service.
+ * Permission for one proxy or endpoint to be out of service.
  *
  * <pre>
- *   GRANTED --(undo, expiry)--> RESTORING --(proxy: serves again; host: all acknowledged)--> released
+ *   GRANTED --(undo, expiry)--> RESTORING --(proxy: serves again; endpoint: all acknowledged)--> released
  * </pre>
  *
- * <p>A released grant is no longer in the {@link EvictionGrantTable}. A grant that is restoring
- * still counts against budgets. Guards against a holder that hears of its grant only after another
- * target was given the place.
+ * <p>A released grant is no longer in the {@link EvictionGrantTable}. A restoring grant still
+ * counts against budgets. Guards against a holder that learns of its grant late, when another
+ * target has been granted its eviction meanwhile.
  *
- * @param id number in decimal, unique for ever
- * @param request what was asked for
- * @param grantedVersion version of the agreed state that gave it
- * @param restoringVersion version of the agreed state that began to take it back, 0 before
- * @param restoringReason why it was taken back, for people; "" before
+ * @param id decimal number, never given to another grant
+ * @param request request that was granted
+ * @param grantedVersion version of the replicated state in which the grant was given
+ * @param restoringVersion version of the replicated state in which the restoration began; 0 before
+ * @param restoringReason human-readable reason for the restoration; "" before
  */
 record EvictionGrant(
     String id,
@@ -24,23 +24,23 @@
     long restoringVersion,
     String restoringReason) {
 
-  /** The states of a grant that counts. */
+  /** States of a grant that has not been released. */
   enum State {
-    /** Its target is to be out of service. */
+    /** The target is to be out of service. */
     GRANTED,
-    /** Its target is to be in service, and is not yet known to be. */
+    /** The target is to return to service and has not yet done so everywhere. */
     RESTORING
   }
 
-  /** A grant that was just given. */
+  /** Creates a grant in state {@link State#GRANTED}. */
   static EvictionGrant granted(String id, EvictionRequest request, long version) {
     return new EvictionGrant(id, request, version, 0, "");
   }
 
   /**
-   * The same grant, from here on taken back.
+   * Returns this grant in state {@link State#RESTORING}.
    *
-   * @throws IllegalStateException if that has begun already
+   * @throws IllegalStateException if the grant is restoring already
    */
   EvictionGrant beginRestoring(long version, String reason) {
     if (isRestoring()) {
--- a/src/main/java/leadferry/disruption/EvictionGrantTable.java
+++ b/src/main/java/leadferry/disruption/EvictionGrantTable.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The eviction grants that count, in the order of their ids as text. */
+/** The eviction grants that have not been released, in the lexicographic order of their ids. */
 final class EvictionGrantTable {
-  /** Guards against a state that grows without bound. */
+  /** Maximum number of grants. Guards against unbounded growth of the replicated state. */
   static final int MAX_GRANTS = 10_000;
 
   private final Map<String, EvictionGrant> grants = new TreeMap<>();
@@ -30,7 +30,7 @@
     return Optional.ofNullable(grants.get(id));
   }
 
-  /** The grant of that target; a target has at most one. */
+  /** Returns the grant of a target; a target has at most one. */
   Optional<EvictionGrant> heldBy(TargetType type, String name) {
     for (EvictionGrant grant : grants.values()) {
       if (grant.isForType(type) && grant.target().name().equals(name)) {
@@ -40,7 +40,7 @@
     return Optional.empty();
   }
 
-  /** Gives a grant under a new id. */
+  /** Adds a grant under a new id. */
   EvictionGrant add(EvictionRequest request, long version) {
     EvictionGrant grant = EvictionGrant.granted(Long.toString(nextId), request, version);
     nextId++;
@@ -48,17 +48,17 @@
     return grant;
   }
 
-  /** Begins to take a grant back. */
+  /** Begins to restore the target of a grant. */
   void beginRestoring(EvictionGrant grant, long version, String reason) {
     grants.put(grant.id(), grant.beginRestoring(version, reason));
   }
 
-  /** From here on the grant no longer counts. */
+  /** Removes a grant, which no longer counts against budgets. */
   void release(EvictionGrant grant) {
     grants.remove(grant.id());
   }
 
-  /** Takes the place of all grants. */
+  /** Replaces all grants by those of a snapshot. */
   void restore(Collection<EvictionGrant> restored, long restoredNextId) {
     grants.clear();
     restored.forEach(grant -> grants.put(grant.id(), grant));
--- a/src/main/java/leadferry/disruption/EvictionProgress.java
+++ b/src/main/java/leadferry/disruption/EvictionProgress.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Answers whether an eviction that was granted has been carried out, and whom it waits for. */
+/** Determines whether a granted eviction is complete, and which proxies it still waits for. */
 final class EvictionProgress {
   private final DisruptionTables tables;
 
@@ -13,10 +13,10 @@
   }
 
   /**
-   * The proxies that may still send to a host that was taken out of service; empty for proxies and
-   * for grants that are not known.
+   * Returns the proxies that may still send requests to the endpoint of a grant; empty for grants
+   * of proxies and for unknown grants.
    *
-   * @return reasons by the proxy's name
+   * @return reasons by name of the proxy
    */
   Map<String, String> pendingProxies(String grantId) {
     Map<String, String> reasons = new TreeMap<>();
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Whether what the grant takes out of service is out: the proxy serves no more, or no proxy may
-   * still send to the host.
+   * Returns whether the eviction of a grant is complete: the proxy no longer serves, or no proxy
+   * may still send requests to the endpoint. False for unknown and restoring grants.
    */
   boolean isCarriedOut(String grantId) {
     EvictionGrant grant = tables.grants.find(grantId).orElse(null);
--- a/src/main/java/leadferry/disruption/EvictionRequest.java
+++ b/src/main/java/leadferry/disruption/EvictionRequest.java
@@ -1,14 +1,14 @@
 package leadferry.disruption;
 
 /**
- * What an eviction was asked for.
+ * Request to take a target out of service.
  *
- * @param target the proxy or host that is taken out of service
- * @param requestedBy who asked, for people
- * @param reason why, for people
- * @param durationMillis how long it holds; 0 until it is undone
- * @param permanent whether a proxy ends for good: it is forgotten once its session ends by its own
- *     word
+ * @param target proxy or endpoint to take out of service
+ * @param requestedBy human-readable name of the requester
+ * @param reason human-readable reason
+ * @param durationMillis duration of the grant (ms); 0 for no expiry
+ * @param permanent whether a proxy shuts down for good; the member is then removed once the proxy
+ *     has closed its session itself
  */
 record EvictionRequest(
     Target target, String requestedBy, String reason, long durationMillis, boolean permanent) {}
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -7,20 +7,21 @@
 import java.util.Set;
 
 /**
- * What each proxy must know of the agreed state: what is taken out of service by decision. {@link
- * FleetViewCodec} is its form on the wire and in a proxy's state file.
+ * Part of the replicated state that each proxy applies: the targets that are out of service by a
+ * grant. {@link FleetViewCodec} maps the view to and from its form on the wire and in a proxy's
+ * state file.
  *
- * @param version version of the agreed state, {@link #NO_VERSION} where unknown
- * @param halted whether nothing more is granted
- * @param drainedEndpoints hosts that get no requests, in the order of their grants
- * @param proxyEvictions evictions of proxies by the proxy's name, in the order of their grants
+ * @param version version of the replicated state, {@link #NO_VERSION} if unknown
+ * @param halted whether granting is stopped
+ * @param drainedEndpoints endpoints that get no requests, in the order of their grants
+ * @param proxyEvictions evictions by name of the proxy, in the order of their grants
  */
 record FleetView(
     long version,
     boolean halted,
     Set<String> drainedEndpoints,
     Map<String, ProxyEviction> proxyEvictions) {
-  /** The version before any view was taken. */
+  /** Version before the first view. */
   static final long NO_VERSION = -1;
 
   FleetView {
@@ -28,7 +29,7 @@
     proxyEvictions = Collections.unmodifiableMap(new LinkedHashMap<>(proxyEvictions));
   }
 
-  /** What is taken out of service now: targets of grants that are not being taken back. */
+  /** Returns the current view. It holds the targets of all grants that are not restoring. */
   static FleetView of(DisruptionTables tables) {
     Set<String> drainedEndpoints = new LinkedHashSet<>();
     Map<String, ProxyEviction> proxyEvictions = new LinkedHashMap<>();
@@ -47,16 +48,17 @@
         tables.revision.version(), tables.isHalted(), drainedEndpoints, proxyEvictions);
   }
 
-  /** The eviction of that proxy, or {@link ProxyEviction#NONE}. */
+  /** Returns the eviction of a proxy, or {@link ProxyEviction#NONE}. */
   ProxyEviction evictionOf(String proxy) {
     return proxyEvictions.getOrDefault(proxy, ProxyEviction.NONE);
   }
 
   /**
-   * An eviction grant as its holder sees it.
+   * An eviction grant in the view of its holder.
    *
    * @param grantId id of the eviction grant, "" for none
-   * @param durationMillis how long it holds from when the holder hears of it; 0 until it is undone
+   * @param durationMillis duration of the grant (ms) from when the holder receives it; 0 for no
+   *     expiry
    */
   record ProxyEviction(String grantId, long durationMillis) {
     static final ProxyEviction NONE = new ProxyEviction("", 0);
--- a/src/main/java/leadferry/disruption/FleetViewCodec.java
+++ b/src/main/java/leadferry/disruption/FleetViewCodec.java
@@ -9,20 +9,20 @@
 import leadferry.disruption.FleetView.ProxyEviction;
 
 /**
- * The form of a {@link FleetView} on the wire and in a proxy's state file.
+ * Maps a {@link FleetView} to and from its form on the wire and in a proxy's state file.
  *
  * <pre>
  *   version                    version
  *   halted                     halted
- *   hosts_out                  hostsOut
- *   proxies_out.NAME.permit    proxiesOut, grantId
- *   proxies_out.NAME.for_ms    proxiesOut, durationMillis
+ *   hosts_out                  drainedEndpoints
+ *   proxies_out.NAME.permit    proxyEvictions, grantId
+ *   proxies_out.NAME.for_ms    proxyEvictions, durationMillis
  * </pre>
  */
 final class FleetViewCodec {
   private FleetViewCodec() {}
 
-  /** Adds the view's keys to a JSON object. */
+  /** Adds the keys of the view to a JSON object. */
   static void encode(FleetView view, ObjectNode json) {
     json.put("version", view.version()).put("halted", view.halted());
     view.drainedEndpoints().forEach(json.putArray("hosts_out")::add);
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Adds the keys that a proxy keeps on disk: a start without replicas knows nothing of halts, and
-   * takes its own eviction for one without a time.
+   * Adds the keys that a proxy stores on disk for a start without replicas. They leave out the halt
+   * and the durations of grants, so that the proxy reads its own eviction as one without expiry.
    */
   static void encodeForRestart(FleetView view, ObjectNode json) {
     json.put("version", view.version());
@@ -48,7 +48,7 @@
         .forEach((proxy, eviction) -> proxies.putObject(proxy).put("permit", eviction.grantId()));
   }
 
-  /** Reads a view; keys that are missing read as "nothing is out". */
+  /** Reads a view. Missing keys read as no evictions. */
   static FleetView decode(JsonNode json) {
     Set<String> drainedEndpoints = new LinkedHashSet<>();
     json.path("hosts_out").forEach(endpoint -> drainedEndpoints.add(endpoint.asText()));
--- a/src/main/java/leadferry/disruption/MemberLifecycle.java
+++ b/src/main/java/leadferry/disruption/MemberLifecycle.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import leadferry.disruption.Outcome.Status;
 
-/** Applies what proxies tell of themselves, and what operators declare of them. */
+/** Applies the sessions and reports of proxies, and the operators' declarations about them. */
 final class MemberLifecycle {
   private final DisruptionTables tables;
   private final EjectionCounter ejections;
@@ -18,7 +18,10 @@
     this.evictions = evictions;
   }
 
-  /** A session begins; one of a new name is passed over where there are too many members. */
+  /**
+   * Applies the beginning of a session. A session of an unknown name is ignored if the member table
+   * is full.
+   */
   void onSessionOpened(
       String name, String zone, String version, String digest, List<Target> endpoints) {
     Optional<ProxyMember> known = tables.members.find(name);
@@ -35,7 +38,8 @@
   }
 
   /**
-   * A report arrived; one that is older than the last, or outside of a session, changes nothing.
+   * Applies a report. A report that is older than the last one or outside a live session is
+   * ignored.
    */
   void onReport(String name, ProxyReport report, boolean serving) {
     ProxyMember member = tables.members.find(name).orElse(null);
@@ -54,7 +58,7 @@
     evictions.releaseAcknowledgedEndpoints();
   }
 
-  /** Hosts that no longer count as lost warm up. */
+  /** Begins the warm-up of endpoints that no longer count as lost. */
   private void beginWarmUps(Set<String> ejectedBefore, Set<String> ejectedNow, long changeNumber) {
     for (String endpoint : ejectedBefore) {
       if (!ejectedNow.contains(endpoint) && ejections.isOneEjectionBelowLost(endpoint)) {
@@ -74,7 +78,7 @@
     }
   }
 
-  /** The list of hosts that a proxy balances over has changed. */
+  /** Applies a change of the list of endpoints that a proxy balances over. */
   void onCatalogChanged(String name, String digest, List<Target> endpoints) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member != null) {
@@ -90,7 +94,8 @@
   }
 
   /**
-   * A session ended: by the proxy's own word, without requests in flight, or because it expired.
+   * Applies the end of a session: closed by the proxy without requests in flight ({@code clean}),
+   * or expired.
    */
   void onSessionEnded(String name, boolean clean) {
     ProxyMember member = tables.members.find(name).orElse(null);
@@ -101,7 +106,8 @@
     tables.members.put(member.withSessionEnded(clean));
     EvictionGrant grant = tables.grants.heldBy(TargetType.PROXY, name).orElse(null);
     if (grant != null && grant.isRestoring()) {
-      tables.grants.release(grant); // it counts as lost, and hears of this when it joins
+      tables.grants.release(
+          grant); // The proxy counts as lost and gets the current view with its next session.
     } else if (grant != null && grant.request().permanent() && clean) {
       tables.grants.release(grant);
       tables.members.remove(name);
@@ -109,7 +115,9 @@
     evictions.releaseAcknowledgedEndpoints();
   }
 
-  /** An operator declares the process of a proxy without a session dead. */
+  /**
+   * Records an operator's declaration that the process of a proxy without a live session is dead.
+   */
   Outcome fence(String name) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member == null) {
@@ -124,7 +132,7 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Takes a proxy that is gone for good, and its grant, out of all counts. */
+  /** Removes a proxy that will not return, and its grant, from all counts. */
   Outcome forget(String name) {
     ProxyMember member = tables.members.find(name).orElse(null);
     if (member == null) {
--- a/src/main/java/leadferry/disruption/MemberState.java
+++ b/src/main/java/leadferry/disruption/MemberState.java
@@ -1,28 +1,29 @@
 package leadferry.disruption;
 
 /**
- * What is known of a proxy's process.
+ * State of a proxy's session and process.
  *
  * <pre>
- *   any --joined--> NOT_SERVING &lt;--reported--> SERVING
- *   NOT_SERVING, SERVING --session ended by itself--> LEFT --fenced--> LEFT_FENCED
- *   NOT_SERVING, SERVING --session expired----------> LOST --fenced--> LOST_FENCED
+ *   any --session opened--> NOT_SERVING &lt;--reported--> SERVING
+ *   NOT_SERVING, SERVING --session closed by the proxy--> LEFT --fenced--> LEFT_FENCED
+ *   NOT_SERVING, SERVING --session expired--------------> LOST --fenced--> LOST_FENCED
  * </pre>
  */
 enum MemberState {
   /**
-   * Its session is live; it has not reported in it that it serves, or reported that it does not.
+   * The session is live, and the proxy has not yet reported in it or last reported that it does not
+   * serve.
    */
   NOT_SERVING,
-  /** Its session is live, and its last report said that it serves. */
+  /** The session is live, and the proxy last reported that it serves. */
   SERVING,
-  /** It ended its session itself and had no requests in flight. */
+  /** The proxy closed the session itself and had no requests in flight. */
   LEFT,
-  /** The same, and an operator declared its process dead. */
+  /** As {@link #LEFT}, and an operator declared the process dead. */
   LEFT_FENCED,
-  /** Its session expired; its process may still run. */
+  /** The session expired. The process may still run. */
   LOST,
-  /** The same, and an operator declared its process dead. */
+  /** As {@link #LOST}, and an operator declared the process dead. */
   LOST_FENCED;
 
   boolean isLive() {
@@ -41,29 +42,31 @@
     return this == LEFT_FENCED || this == LOST_FENCED;
   }
 
-  /** Whether its process can send nothing any more. */
+  /** Returns whether the process can no longer send requests. */
   boolean isTerminated() {
     return hasLeft() || isFenced();
   }
 
-  /** A new session begins. */
+  /** Returns the state after a new session has begun. */
   MemberState afterJoin() {
     return NOT_SERVING;
   }
 
-  /** A report arrived in a live session. */
+  /** Returns the state after a report in a live session. */
   MemberState afterReport(boolean serving) {
     requireState(isLive(), "a live session");
     return serving ? SERVING : NOT_SERVING;
   }
 
-  /** The live session ended: by the proxy's own word, or because it expired. */
+  /**
+   * Returns the state after the live session was closed by the proxy ({@code clean}) or expired.
+   */
   MemberState afterSessionEnd(boolean clean) {
     requireState(isLive(), "a live session");
     return clean ? LEFT : LOST;
   }
 
-  /** An operator declared the process dead. */
+  /** Returns the state after an operator declared the process dead. */
   MemberState afterFence() {
     requireState(!isLive(), "no live session");
     return hasLeft() ? LEFT_FENCED : LOST_FENCED;
--- a/src/main/java/leadferry/disruption/MemberTable.java
+++ b/src/main/java/leadferry/disruption/MemberTable.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The proxies that the agreed state knows, in the order of their names. */
+/** The proxies in the replicated state, in the order of their names. */
 final class MemberTable {
-  /** Guards against a state that grows without bound. */
+  /** Maximum number of members. Guards against unbounded growth of the replicated state. */
   private static final int MAX_MEMBERS = 100_000;
 
   private final Map<String, ProxyMember> members = new TreeMap<>();
@@ -27,7 +27,7 @@
     return members.size() >= MAX_MEMBERS;
   }
 
-  /** Adds a member, or takes the place of the one of that name. */
+  /** Adds a member, or replaces the member of the same name. */
   void put(ProxyMember member) {
     members.put(member.name(), member);
   }
@@ -36,14 +36,14 @@
     members.remove(name);
   }
 
-  /** Digests of the lists of hosts that any member balances over. */
+  /** Returns the digests of all lists of endpoints that members balance over. */
   Set<String> catalogDigests() {
     Set<String> digests = new TreeSet<>();
     members.values().forEach(member -> digests.add(member.catalogDigest()));
     return digests;
   }
 
-  /** Takes the place of all members. */
+  /** Replaces all members by those of a snapshot. */
   void restore(Collection<ProxyMember> restored) {
     members.clear();
     restored.forEach(this::put);
--- a/src/main/java/leadferry/disruption/Outcome.java
+++ b/src/main/java/leadferry/disruption/Outcome.java
@@ -4,48 +4,49 @@
 import java.util.Locale;
 
 /**
- * The result of a command; every replica comes to the same.
+ * Result of a command. Every replica computes the same result.
  *
- * @param status the kind of result
- * @param grantId id of the eviction grant that it is about, or ""
- * @param reasons reasons for people: of a refusal, with the names of those that are unavailable
- * @param number the fence or the action number that it gave, 0 for none
+ * @param status kind of the result
+ * @param grantId id of the eviction grant that the command concerns, or ""
+ * @param reasons human-readable reasons, in a refusal with the names of the unavailable targets;
+ *     stored and sent to callers
+ * @param number fencing token or action number that the command issued; 0 for none
  */
 public record Outcome(Status status, String grantId, List<String> reasons, long number) {
-  /** An outcome without a number. */
+  /** Creates an outcome without a number. */
   public Outcome(Status status, String grantId, List<String> reasons) {
     this(status, grantId, reasons, 0);
   }
 
-  /** An outcome that gives a number, such as a fence. */
+  /** Returns an outcome that issues a number, such as a fencing token. */
   public static Outcome numbered(Status status, long number) {
     return new Outcome(status, "", List.of(), number);
   }
 
-  /** The kinds of results. */
+  /** Kinds of results. */
   public enum Status {
     /** The command was carried out. */
     DONE,
-    /** An eviction grant was given. */
+    /** The eviction was granted. */
     GRANTED,
-    /** A budget, or a rule above all budgets, forbids it. */
+    /** A budget or another rule forbids the command. */
     REFUSED,
-    /** Nothing is granted until an operator resumes. */
+    /** Granting is stopped until an operator resumes it. */
     HALTED,
-    /** It names what is not known, or no longer. */
+    /** The command names something that is not known, or no longer known. */
     UNKNOWN,
-    /** It was made against another version, or its id was used for another command. */
+    /** The command was made against another version, or its id belongs to another command. */
     CONFLICT,
-    /** It is not well-formed. */
+    /** The command is not well-formed. */
     MALFORMED;
 
-    /** The word of the stored form and the wire: the name in lower case. */
+    /** Returns the name in stored data and on the wire: the constant's name in lower case. */
     public String storedName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** An outcome about no grant, with reasons for people. */
+  /** Returns an outcome without a grant, with human-readable reasons. */
   public static Outcome of(Status status, String... reasons) {
     return new Outcome(status, "", List.of(reasons));
   }
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -1,17 +1,17 @@
 package leadferry.disruption;
 
 /**
- * A proxy of the fleet as the agreed state knows it; immutable, replaced in the {@link MemberTable}
- * by each transition.
+ * A proxy of the fleet in the replicated state. It is immutable; each transition replaces it in the
+ * {@link MemberTable}.
  *
- * @param name unique in the fleet
- * @param session what it said of itself when its newest session began
- * @param state whether its session is live, and what became of it where it is not
- * @param lastReport its newest report of that session
- * @param stabilizingSinceChange the change at which it came back and began to stabilize, 0 once it
- *     has
- * @param catalogDigest the {@link EndpointCatalogTable list of hosts} that it balances over, ""
- *     before any
+ * @param name name of the proxy, unique in the fleet
+ * @param session data of the newest session, given when the session began
+ * @param state state of the newest session and of the process
+ * @param lastReport newest report of the session
+ * @param stabilizingSinceChange change number at which the returned proxy began to stabilize; 0 if
+ *     it is not stabilizing
+ * @param catalogDigest digest of the {@link EndpointCatalogTable list of endpoints} that the proxy
+ *     balances over; "" before the first
  */
 record ProxyMember(
     String name,
@@ -22,20 +22,27 @@
     String catalogDigest) {
 
   /**
-   * The beginning of a session.
+   * A session of a proxy.
    *
-   * @param zone label by which budgets select
-   * @param version version of the program, {@link DisruptionState#NO_VERSION} where it told none
-   * @param startChange the change with which the session began
+   * @param zone label {@code zone}, by which budgets select
+   * @param version software version of the proxy, {@link DisruptionState#NO_VERSION} if not
+   *     reported
+   * @param startChange change number at which the session began
    */
   record Session(String zone, String version, long startChange) {}
 
-  /** A proxy that was never known before: while it comes, it takes nothing away. */
+  /**
+   * Creates a member for a proxy that was unknown before. It does not stabilize, since its start
+   * does not reduce the number of serving proxies.
+   */
   static ProxyMember newMember(String name, Session session) {
     return new ProxyMember(name, session, MemberState.NOT_SERVING, ProxyReport.NONE, 0, "");
   }
 
-  /** A proxy that was known: it was missed, and stabilizes first. */
+  /**
+   * Returns this known proxy with a new session. It was unavailable meanwhile and must stabilize
+   * first.
+   */
   ProxyMember withNewSession(Session newSession) {
     return new ProxyMember(
         name,
@@ -47,10 +54,11 @@
   }
 
   /**
-   * Takes a report; the time to stabilize counts from when it serves.
+   * Returns this proxy with a new report. The stabilization time starts when the proxy begins to
+   * serve.
    *
-   * @param report the report, merged with the last one
-   * @param changeNumber the change that the report makes
+   * @param report report, already merged with the last one
+   * @param changeNumber change number of the report
    */
   ProxyMember withReport(ProxyReport report, boolean serving, long changeNumber) {
     MemberState next = state.afterReport(serving);
@@ -90,14 +98,17 @@
     return stabilizingSinceChange > 0;
   }
 
-  /** Whether its session is live, began after that change, and has brought a report. */
+  /** Returns whether the session is live, began after the given change and has brought a report. */
   boolean hasReportedInSessionAfter(long changeNumber) {
     return state.isLive()
         && lastReport.sequenceNumber() > 0
         && session.startChange() > changeNumber;
   }
 
-  /** Whether it has reported to go by that version of the agreed state or a later one. */
+  /**
+   * Returns whether the proxy has reported that it applies the given version of the replicated
+   * state or a later one.
+   */
   boolean hasAcknowledged(long version) {
     return lastReport.acknowledgedVersion() >= version;
   }
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -7,14 +7,14 @@
 import leadferry.disruption.FleetView.ProxyEviction;
 
 /**
- * What one proxy goes by: the newest {@link FleetView} that it has, and what follows for itself.
- * Times are passed in (ns, monotonic).
+ * The replicated state as one proxy applies it: the newest {@link FleetView} received, and whether
+ * the proxy itself is out of service. Callers pass in the time (ns, monotonic clock).
  *
- * <p>A view is acted on at once, whoever brings it, because it only narrows. One thing needs a
- * lease that holds at that moment: to go out of service itself. Guards against a process that was
- * suspended, resumes with an old grant in its socket, and goes out of service when the grant has
- * long been given to another. Coming back needs no lease: while it was out, it counted as
- * unavailable.
+ * <p>A view from any replica applies at once, because it only takes endpoints out of use. The proxy
+ * goes out of service itself only while its lease is valid. Guards against a process that was
+ * suspended, resumes with an old grant in its socket buffer, and goes out of service after the
+ * grant was released and another target evicted. Returning to service needs no lease, because the
+ * proxy counted as unavailable meanwhile.
  */
 public final class ProxyMemberView {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -23,31 +23,31 @@
   private long version = FleetView.NO_VERSION;
   private Set<String> drainedEndpoints = Set.of();
 
-  /** The grant that was last acted on, "" for none. */
+  /** Id of the grant that was last applied, "" for none. */
   private String grantId = "";
 
   private boolean grantUnlimited;
 
-  /** When the grant expires (ns); means nothing where it is unlimited. */
+  /** Expiry time of the grant (ns); unused if the grant is unlimited. */
   private long grantExpiryNanos;
 
   private boolean outOfService;
 
-  /** A view with a grant that waits for a lease that holds, or null. */
+  /** View with a grant that waits for a valid lease, or null. */
   private FleetView pendingView;
 
-  /** A view that knows nothing yet, of the proxy of that name. */
+  /** Creates the initial view of the proxy of the given name. */
   public ProxyMemberView(String name) {
     this.name = name;
   }
 
   /**
-   * Takes a view in its form on the wire, see {@link FleetViewCodec}; one older than the newest
-   * changes nothing.
+   * Applies a view in its wire form, see {@link FleetViewCodec}. A view older than the newest one
+   * is ignored.
    *
-   * @param leaseHolds whether the proxy's lease holds at this moment
-   * @param nowNanos monotonic clock
-   * @return whether anything is different now
+   * @param leaseHolds whether the proxy's lease is valid now
+   * @param nowNanos time of a monotonic clock
+   * @return whether the view changed
    */
   public boolean applyView(JsonNode view, boolean leaseHolds, long nowNanos) {
     return applyView(FleetViewCodec.decode(view), leaseHolds, nowNanos);
@@ -82,12 +82,12 @@
   }
 
   /**
-   * Takes the view that waited for a lease, if the lease holds; ends a grant that has expired by
-   * the proxy's own clock.
+   * Applies the view that waits for a lease if the lease is valid, and ends a grant that has
+   * expired by the proxy's own clock.
    *
-   * @param leaseHolds whether the proxy's lease holds at this moment
-   * @param nowNanos monotonic clock
-   * @return whether anything is different now
+   * @param leaseHolds whether the proxy's lease is valid now
+   * @param nowNanos time of a monotonic clock
+   * @return whether the view changed
    */
   public boolean refresh(boolean leaseHolds, long nowNanos) {
     if (pendingView != null && leaseHolds) {
@@ -104,28 +104,30 @@
     return !grantUnlimited && nowNanos - grantExpiryNanos >= 0;
   }
 
-  /** The version of the agreed state that it goes by, -1 before any. */
+  /**
+   * Returns the version of the replicated state that the proxy applies, -1 before the first view.
+   */
   public long version() {
     return version;
   }
 
-  /** Begins a session: the next view is taken whatever its version. */
+  /** Prepares for a new session, in which the next view applies whatever its version. */
   public void onSessionStarted() {
     version = FleetView.NO_VERSION;
     pendingView = null;
   }
 
-  /** Hosts that get no requests. */
+  /** Returns the endpoints that get no requests. */
   public Set<String> drainedEndpoints() {
     return drainedEndpoints;
   }
 
-  /** Whether the proxy itself is out of service by an eviction grant. */
+  /** Returns whether the proxy itself is out of service by an eviction grant. */
   public boolean isOutOfService() {
     return outOfService;
   }
 
-  /** Writes what is kept on disk for a start without replicas. */
+  /** Writes the view that the proxy stores on disk for a start without replicas. */
   public void write(ObjectNode json) {
     Map<String, ProxyEviction> proxyEvictions =
         outOfService ? Map.of(name, new ProxyEviction(grantId, 0)) : Map.of();
--- a/src/main/java/leadferry/disruption/ProxyReport.java
+++ b/src/main/java/leadferry/disruption/ProxyReport.java
@@ -5,19 +5,19 @@
 import java.util.TreeSet;
 
 /**
- * What a proxy reported of itself.
+ * A proxy's report on itself.
  *
- * @param sequenceNumber counts the reports of a session from 1; 0 before any
- * @param acknowledgedVersion version of the agreed state that it goes by
- * @param busyEndpoints hosts that are taken out of service and on which it has requests in flight
- * @param ejectedEndpoints hosts that its outlier detection has ejected
+ * @param sequenceNumber number of the report in its session, from 1; 0 before the first
+ * @param acknowledgedVersion version of the replicated state that the proxy applies
+ * @param busyEndpoints endpoints out of service to which the proxy has requests in flight
+ * @param ejectedEndpoints endpoints that the outlier detection of the proxy has ejected
  */
 record ProxyReport(
     long sequenceNumber,
     long acknowledgedVersion,
     Set<String> busyEndpoints,
     Set<String> ejectedEndpoints) {
-  /** Before the first report of a session. */
+  /** State before the first report of a session. */
   static final ProxyReport NONE = new ProxyReport(0, 0, Set.of(), Set.of());
 
   ProxyReport {
@@ -26,8 +26,8 @@
   }
 
   /**
-   * This report after an earlier one of the same session: what was acknowledged stays, and a
-   * version that the agreed state has not reached is not acknowledged.
+   * Merges this report with the previous one of the same session. The acknowledged version never
+   * decreases and never exceeds the current version of the replicated state.
    */
   ProxyReport mergeAfter(ProxyReport previous, long currentVersion) {
     long acknowledged =
@@ -35,7 +35,7 @@
     return new ProxyReport(sequenceNumber, acknowledged, busyEndpoints, ejectedEndpoints);
   }
 
-  /** The same report where the session has ended and says nothing of hosts any more. */
+  /** Returns this report without its endpoints, for a session that has ended. */
   ProxyReport withoutEndpoints() {
     return new ProxyReport(sequenceNumber, acknowledgedVersion, Set.of(), Set.of());
   }
--- a/src/main/java/leadferry/disruption/StateRevision.java
+++ b/src/main/java/leadferry/disruption/StateRevision.java
@@ -1,37 +1,42 @@
 package leadferry.disruption;
 
 /**
- * The two counters of the agreed state. Each is the same on every replica that has applied as many
- * entries, and never goes back.
+ * The two counters of the replicated state. They never decrease, and they are equal on all replicas
+ * that have applied the same entries.
  */
 final class StateRevision {
   private long version;
   private long changeNumber;
 
-  /** Grows with each change of what members go by; they acknowledge it in their reports. */
+  /**
+   * Returns the version, which grows with each change that members must apply. Members acknowledge
+   * it in their reports.
+   */
   long version() {
     return version;
   }
 
-  /** Grows with each change of any kind; orders events and makes names of timers unique. */
+  /**
+   * Returns the number of changes of any kind, which orders events and makes timer names unique.
+   */
   long changeNumber() {
     return changeNumber;
   }
 
-  /** Counts a change that members need not know. */
+  /** Counts a change that members need not apply. */
   long advanceChange() {
     changeNumber++;
     return changeNumber;
   }
 
-  /** Counts a change that members must know. */
+  /** Counts a change that members must apply. */
   long advanceVersion() {
     changeNumber++;
     version++;
     return version;
   }
 
-  /** Takes the place of both counters. */
+  /** Replaces both counters by those of a snapshot. */
   void restore(long restoredVersion, long restoredChangeNumber) {
     version = restoredVersion;
     changeNumber = restoredChangeNumber;
--- a/src/main/java/leadferry/disruption/StatusWriter.java
+++ b/src/main/java/leadferry/disruption/StatusWriter.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The status view for operators: budgets, grants, proxies and hosts, in the stored words
- * ("permits", "out", "ending").
+ * Writes the status view for operators: budgets, grants, proxies and endpoints, under their stored
+ * names such as "permits", "hosts" and "ending".
  */
 final class StatusWriter {
   private final DisruptionTables tables;
--- a/src/main/java/leadferry/disruption/Target.java
+++ b/src/main/java/leadferry/disruption/Target.java
@@ -1,21 +1,24 @@
 package leadferry.disruption;
 
 /**
- * A proxy or host with the labels by which budgets select.
+ * A proxy or an endpoint, with the labels by which budgets select.
  *
- * @param type whether it is a proxy or a host
- * @param name unique among targets of its kind
- * @param zone label {@code zone}, {@link #NONE} where it has none; so the labels below
+ * @param type type of the target
+ * @param name name of the target, unique among targets of its type
+ * @param zone label {@code zone}; as each label, {@link #NONE} if the target lacks it
  * @param pod label {@code pod}
  * @param pool label {@code pool}
  * @param kind label {@code kind}
  */
 public record Target(
     TargetType type, String name, String zone, String pod, String pool, String kind) {
-  /** The value of a label that a target lacks. */
+  /** Value of a label that a target lacks. */
   public static final String NONE = "-";
 
-  /** The value of {@code zone}, {@code pod}, {@code pool} or {@code kind}; NONE of others. */
+  /**
+   * Returns the value of label {@code zone}, {@code pod}, {@code pool} or {@code kind}; {@link
+   * #NONE} for other labels.
+   */
   String label(String label) {
     return switch (label) {
       case "zone" -> zone;
--- a/src/main/java/leadferry/disruption/TargetCodec.java
+++ b/src/main/java/leadferry/disruption/TargetCodec.java
@@ -5,11 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The stored form of a {@link Target}: {@code what} is its {@link TargetType}. */
+/**
+ * Maps a {@link Target} to and from its stored form. Key {@code what} holds the {@link TargetType}.
+ */
 final class TargetCodec {
   private TargetCodec() {}
 
-  /** Adds the target's keys to a JSON object. */
+  /** Adds the keys of the target to a JSON object. */
   static void encode(Target target, ObjectNode json) {
     json.put("what", target.type().storedName())
         .put("name", target.name())
@@ -19,7 +21,10 @@
         .put("kind", target.kind());
   }
 
-  /** Reads a target; one without a known type is a host, a label that is missing is "-". */
+  /**
+   * Reads a target. A missing or unknown type reads as {@link TargetType#HOST}, a missing label as
+   * {@link Target#NONE}.
+   */
   static Target decode(JsonNode json) {
     TargetType type = TargetType.fromStoredName(json.path("what").asText("host"));
     return new Target(
@@ -31,7 +36,7 @@
         json.path("kind").asText(Target.NONE));
   }
 
-  /** Reads the elements of a JSON array, in their order. */
+  /** Reads the elements of a JSON array in their order. */
   static List<Target> decodeAll(JsonNode array) {
     List<Target> targets = new ArrayList<>();
     array.forEach(element -> targets.add(decode(element)));
--- a/src/main/java/leadferry/disruption/TargetDirectory.java
+++ b/src/main/java/leadferry/disruption/TargetDirectory.java
@@ -6,7 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Which proxies and hosts there are: members, hosts that any of them knows, and holders of grants.
+ * Directory of the known targets: members, endpoints that a member balances over, and endpoints
+ * with a grant.
  */
 final class TargetDirectory {
   private final DisruptionTables tables;
@@ -15,7 +16,7 @@
     this.tables = tables;
   }
 
-  /** All targets of a type by name, made anew at each call. */
+  /** Returns a new map of all targets of a type by name. */
   Map<String, Target> byName(TargetType type) {
     return type == TargetType.PROXY ? proxies() : endpoints();
   }
--- a/src/main/java/leadferry/disruption/TargetType.java
+++ b/src/main/java/leadferry/disruption/TargetType.java
@@ -1,16 +1,20 @@
 package leadferry.disruption;
 
-import java.util.Locale;
-
-/** What can be taken out of service. */
+/** Types of targets that can be taken out of service. */
 public enum TargetType {
   /** A client proxy of the fleet. */
-  PROXY,
+  PROXY("proxy"),
+
+  /** An endpoint that proxies send requests to; stored as "host". */
+  HOST("host");
 
-  /** An upstream host that proxies send requests to. */
-  HOST;
+  private final String storedName;
+
+  TargetType(String storedName) {
+    this.storedName = storedName;
+  }
 
-  /** The type of that stored word, or null where there is none. */
+  /** Returns the type with the given stored name, or null if there is none. */
   public static TargetType fromStoredName(String storedName) {
     for (TargetType type : values()) {
       if (type.storedName().equals(storedName)) {
@@ -20,8 +24,8 @@
     return null;
   }
 
-  /** The word of the stored form: {@code proxy} or {@code host}. */
+  /** Returns the name in stored data and on the wire: "proxy" or "host". */
   public String storedName() {
-    return name().toLowerCase(Locale.ROOT);
+    return storedName;
   }
 }
--- a/src/main/java/leadferry/disruption/Unavailability.java
+++ b/src/main/java/leadferry/disruption/Unavailability.java
@@ -1,31 +1,32 @@
 package leadferry.disruption;
 
 /**
- * Why a target counts against budgets.
+ * Reason why a target counts as unavailable.
  *
- * @param cause the kind of reason
- * @param detail id of the eviction grant, or how many proxies have ejected a host; "" otherwise
+ * @param cause kind of the reason
+ * @param detail id of the eviction grant, or number of proxies that have ejected the endpoint; ""
+ *     for other causes
  */
 record Unavailability(Cause cause, String detail) {
-  /** The kinds of reasons. */
+  /** Kinds of reasons. */
   enum Cause {
-    /** It holds an eviction grant. */
+    /** The target holds an eviction grant. */
     GRANTED,
-    /** Its eviction grant is being taken back. */
+    /** The eviction grant of the target is restoring. */
     RESTORING,
-    /** A host that several proxies have ejected. */
+    /** Enough proxies have ejected the endpoint, see {@link EjectionCounter}. */
     EJECTED,
-    /** A host that came back and is warming up. */
+    /** The endpoint has returned and is warming up. */
     WARMING_UP,
-    /** A proxy that ended its session itself. */
+    /** The proxy closed its session itself. */
     LEFT,
-    /** A proxy whose session expired. */
+    /** The session of the proxy expired. */
     LOST,
-    /** A proxy whose session expired and whose process was declared dead. */
+    /** The session of the proxy expired, and an operator declared its process dead. */
     LOST_FENCED,
-    /** A proxy with a live session that does not serve. */
+    /** The proxy has a live session and does not serve. */
     NOT_SERVING,
-    /** A proxy that came back, serves, and is stabilizing. */
+    /** The proxy has returned, serves and is stabilizing. */
     STABILIZING
   }
 
@@ -41,7 +42,10 @@
     return new Unavailability(cause, "");
   }
 
-  /** The reason in the words of outcomes and views, which are stored. */
+  /**
+   * Returns the text of the reason. It is stored and shown in outcomes and views, so its wording
+   * must not change.
+   */
   String text() {
     return switch (cause) {
       case GRANTED -> "permit " + detail;
--- a/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
+++ b/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
@@ -4,9 +4,10 @@
 import leadferry.disruption.Unavailability.Cause;
 
 /**
- * Answers whether a target is unavailable, and why. A target is unavailable if it holds an eviction
- * grant; or is lost without one; or has come back and is not yet what it was. So losses use budgets
- * up, and an error is one to fewer evictions.
+ * Determines whether a target is unavailable, and why. A target is unavailable if it holds an
+ * eviction grant, if it is lost or does not serve, or if it has returned and is still warming up or
+ * stabilizing. Losses thus use up budgets, and a target wrongly seen as lost leads to fewer
+ * evictions rather than more.
  */
 final class UnavailabilityEvaluator {
   private final DisruptionTables tables;
@@ -17,7 +18,7 @@
     this.ejections = ejections;
   }
 
-  /** Why that target is unavailable; empty where it is available or not known. */
+  /** Returns why a target is unavailable; empty if it is available or unknown. */
   Optional<Unavailability> of(TargetType type, String name) {
     Optional<EvictionGrant> grant = tables.grants.heldBy(type, name);
     if (grant.isPresent()) {
--- a/src/main/java/leadferry/disruption/package-info.java
+++ b/src/main/java/leadferry/disruption/package-info.java
@@ -1,10 +1,12 @@
 /**
- * Who is out of service, by whose word, and how many may be: budgets, eviction grants, drains,
- * halt. Begin with {@link leadferry.disruption.DisruptionState}, the facade; {@code
- * DisruptionTables} holds what is agreed, {@code UnavailabilityEvaluator} and {@code
- * BudgetEvaluator} hold the rules, {@code DisruptionSnapshotCodec} the stored form. {@link
- * leadferry.disruption.ProxyMemberView} is the proxies' side. Deterministic: applied from the
- * agreed log, it takes no time, chance or environment but what an entry brings, and does no I/O. It
- * must not know how entries are agreed.
+ * Which proxies and endpoints are out of service, who requested it, and how many may be at the same
+ * time: budgets, eviction grants, drains, halt. {@link leadferry.disruption.DisruptionState} is the
+ * facade; {@code DisruptionTables} holds the replicated state, {@code UnavailabilityEvaluator} and
+ * {@code BudgetEvaluator} hold the rules, and {@code DisruptionSnapshotCodec} the stored form.
+ * {@link leadferry.disruption.ProxyMemberView} is the part that runs in each proxy.
+ *
+ * <p>The package is deterministic: it applies entries of the replicated log, takes times and random
+ * values only from those entries, reads no environment and does no I/O. It must not depend on the
+ * consensus protocol.
  */
 package leadferry.disruption;
--- a/src/main/java/leadferry/release/FleetChangeObserver.java
+++ b/src/main/java/leadferry/release/FleetChangeObserver.java
@@ -85,7 +85,7 @@
     if (plan.targetType() != TargetType.PROXY || !target.isInService()) {
       return;
     }
-    String reportedVersion = disruption.version(target.name, -1);
+    String reportedVersion = disruption.runningVersion(target.name, -1);
     TargetVersion version = plan.classify(reportedVersion);
     if (reportedVersion.isEmpty()
         || reportedVersion.equals(DisruptionState.NO_VERSION)
--- a/src/main/java/leadferry/release/ReleaseStatusWriter.java
+++ b/src/main/java/leadferry/release/ReleaseStatusWriter.java
@@ -96,7 +96,8 @@
   private String reportedVersion(ReleaseTarget target) {
     boolean reportsItself =
         release.plan.targetType() == TargetType.PROXY && target.phase == TargetPhase.CHANGING;
-    String proxyVersion = reportsItself ? disruption.version(target.name, target.startChange) : "";
+    String proxyVersion =
+        reportsItself ? disruption.runningVersion(target.name, target.startChange) : "";
     return proxyVersion.isEmpty() ? target.reportedVersion : proxyVersion;
   }
 }
