--- a/src/main/java/leadferry/disruption/BudgetEvaluator.java
+++ b/src/main/java/leadferry/disruption/BudgetEvaluator.java
@@ -73,14 +73,14 @@
 
   private BudgetBound evaluateBound(
       String name, Collection<Target> group, int allowed, Target candidate) {
-    List<String> others = new ArrayList<>();
+    List<String> unavailableOthers = new ArrayList<>();
     for (Target target : group) {
       if (!target.name().equals(candidate.name())) {
         unavailability
             .of(target.type(), target.name())
-            .ifPresent(reason -> others.add(target.name() + " (" + reason.text() + ")"));
+            .ifPresent(reason -> unavailableOthers.add(target.name() + " (" + reason.text() + ")"));
       }
     }
-    return new BudgetBound(name, group.size(), allowed, others);
+    return new BudgetBound(name, group.size(), allowed, unavailableOthers);
   }
 }
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -180,7 +180,8 @@
     if (command instanceof DisruptionCommand.ReplaceBudgets replace) {
       return replaceBudgets(replace.budgets(), replace.expectedVersion());
     }
-    throw new IllegalArgumentException("command: " + command + " (expected: one of disruption)");
+    throw new IllegalArgumentException(
+        "command: " + command + " (expected: a command of disruption)");
   }
 
   /**
--- a/src/main/java/leadferry/disruption/DrainExplanationWriter.java
+++ b/src/main/java/leadferry/disruption/DrainExplanationWriter.java
@@ -41,15 +41,15 @@
           .add("no " + typeName + " '" + name + "'");
       return;
     }
-    Optional<EvictionGrant> held = tables.grants.heldBy(type, name);
+    Optional<EvictionGrant> heldGrant = tables.grants.heldBy(type, name);
     List<BudgetBound> bounds = budgets.evaluateBounds(target);
     json.put("status", Status.DONE.storedName())
         .put("kind", type.storedName())
         .put("name", name)
         .put("out", unavailability.of(type, name).map(Unavailability::text).orElse(null))
         .put("halted", tables.haltReason())
-        .put("would_be", predictStatus(held.isPresent(), bounds).storedName());
-    held.ifPresent(grant -> json.put("permit", grant.id()));
+        .put("would_be", predictStatus(heldGrant.isPresent(), bounds).storedName());
+    heldGrant.ifPresent(grant -> json.put("permit", grant.id()));
     ArrayNode boundsJson = json.putArray("bounds");
     bounds.forEach(bound -> writeBound(bound, boundsJson.addObject()));
   }
--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -79,14 +79,14 @@
   }
 
   private Optional<Outcome> refuse(Target target) {
-    EvictionGrant held = tables.grants.heldBy(target.type(), target.name()).orElse(null);
-    if (held != null) {
+    EvictionGrant heldGrant = tables.grants.heldBy(target.type(), target.name()).orElse(null);
+    if (heldGrant != null) {
       String reason =
           target.name()
               + " is out already, by permit "
-              + held.id()
-              + (held.isRestoring() ? ", which is ending" : "");
-      return Optional.of(new Outcome(Status.REFUSED, held.id(), List.of(reason)));
+              + heldGrant.id()
+              + (heldGrant.isRestoring() ? ", which is ending" : "");
+      return Optional.of(new Outcome(Status.REFUSED, heldGrant.id(), List.of(reason)));
     }
     if (tables.isHalted()) {
       return Optional.of(Outcome.of(Status.HALTED, tables.haltReason()));
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -10,8 +10,8 @@
  * The replicated state as one proxy applies it: the newest {@link FleetView} received, and whether
  * the proxy itself is out of service. Callers pass in the time (ns, monotonic clock).
  *
- * <p>A view from any replica applies at once, because it only takes endpoints out of use. The proxy
- * goes out of service itself only while its lease is valid. Guards against a process that was
+ * <p>A view from any replica applies at once, because it only restricts the use of endpoints. The
+ * proxy goes out of service itself only while its lease is valid. Guards against a process that was
  * suspended, resumes with an old grant in its socket buffer, and goes out of service after the
  * grant was released and another target evicted. Returning to service needs no lease, because the
  * proxy counted as unavailable meanwhile.
--- a/src/main/java/leadferry/release/ActionAttempt.java
+++ b/src/main/java/leadferry/release/ActionAttempt.java
@@ -1,4 +1,4 @@
 package leadferry.release;
 
-/** One attempt of an action: a driver runs a command and keeps its result by this. */
+/** One attempt of an action; the key under which a driver keeps the command and its result. */
 record ActionAttempt(long action, int attempt) {}
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -6,43 +6,45 @@
 import java.util.TreeMap;
 
 /**
- * Whether the new version does as well as the previous one, by requests that both served in the
- * same time and zones. For each request class, and for all classes together, the share of bad
- * outcomes (failed, rejected or late) among the new is compared with that among the previous: the
- * pooled test of two proportions (Fleiss, Levin and Paik, Statistical Methods for Rates and
- * Proportions, chapter 3) for a difference above {@code maxWorse}.
+ * Compares the new version with the previous one by the requests that both served in the same time
+ * and zones. For each request class, and for all classes together, it compares their shares of bad
+ * outcomes (failed, rejected or late). It uses the pooled test of two proportions (Fleiss, Levin
+ * and Paik, Statistical Methods for Rates and Proportions, chapter 3) for a difference above {@code
+ * maxBadShareIncrease}.
  *
  * <pre>
- *   against the new, if   share(new) - (share(previous) + maxWorse)  &gt;  sigmas * error
+ *   halt, if share(new) - (share(previous) + maxBadShareIncrease)  &gt;  standardErrors * error
  *   error = sqrt(p * (1 - p) * (1 / total(new) + 1 / total(previous)))
  *   p     = (bad(new) + bad(previous) + 1) / (total(new) + total(previous) + 2)
  * </pre>
  *
- * <p>Where there is next to nothing to compare with, {@code maxBad} takes the place of {@code
- * share(previous) + maxWorse}, and the terms of the previous version are left out.
+ * <p>If the previous version served too few requests to compare with, {@code maxBadShare} replaces
+ * {@code share(previous) + maxBadShareIncrease}, and the terms of the previous version are left
+ * out.
  *
- * <p>Too few requests or a missing report never give a verdict: the analysis waits and says for
- * what. Its rates of false alarms and misses are measured in {@code CanaryAnalysisTest} and told in
- * {@code docs/design/release.md}.
+ * <p>With too few requests or a missing report the analysis waits and names what it waits for.
+ * {@code CanaryAnalysisTest} measures its rates of false alarms and misses, and {@code
+ * docs/design/release.md} lists them.
  */
 public final class CanaryAnalysis {
   /**
-   * A verdict against the new version needs this part of {@link Bounds#minRequests}: what is
-   * plainly bad should not bake on.
+   * Divisor of {@link Bounds#minRequests} for a verdict against the new version, so that a clearly
+   * bad version halts before its baking time ends.
    */
   private static final int EARLY_VERDICT_DIVISOR = 10;
 
   /**
-   * Bounds of a verdict.
+   * Bounds of the analysis.
    *
-   * @param minRequests of the new version, and of the previous one where there are any, before a
-   *     verdict; 0 for no analysis at all
-   * @param maxBadShareIncrease the share of bad outcomes that the new may have above the previous,
-   *     0 to 1
-   * @param maxBadShare the share of bad outcomes that the new may have where there is nothing to
-   *     compare it with, 0 to 1
-   * @param standardErrors how many standard errors beyond that make a verdict against it
-   * @param waitMillis how long after its baking time a step waits for enough requests
+   * @param minRequests number of requests that each version must have served before the step can
+   *     pass; the previous version is exempt if it has no counts. 0 disables the analysis.
+   * @param maxBadShareIncrease accepted increase of the share of bad outcomes over the previous
+   *     version, 0 to 1
+   * @param maxBadShare accepted share of bad outcomes without a previous version to compare with, 0
+   *     to 1
+   * @param standardErrors number of standard errors beyond the accepted share at which the analysis
+   *     halts the release
+   * @param waitMillis time (ms) for which a step waits for enough requests after its baking time
    */
   public record Bounds(
       int minRequests,
@@ -51,33 +53,34 @@
       double standardErrors,
       long waitMillis) {}
 
-  /** What a verdict says. */
+  /** Decision of a verdict. */
   public enum Decision {
-    /** The step passes. */
+    /** The step has passed. */
     PROCEED,
     /** The new version is worse. */
     HALT,
-    /** There is too little to go by yet. */
+    /** There are too few requests or reports for a decision. */
     WAIT
   }
 
-  /** A verdict with its evidence, for people. */
+  /** A decision with its human-readable evidence. */
   public record Verdict(Decision decision, String evidence) {}
 
   private final Bounds bounds;
 
-  /** An analysis within these bounds. */
+  /** Creates an analysis with the given bounds. */
   public CanaryAnalysis(Bounds bounds) {
     this.bounds = bounds;
   }
 
   /**
-   * Judges the new version.
+   * Evaluates the new version.
    *
-   * @param canary outcomes of requests at the new version, by request class
-   * @param baseline the same at the previous version, in the same time; empty where none is left
-   * @param unreportedMembers members without a fresh report; any of them keeps a passing verdict
-   *     waiting
+   * @param canary outcomes of requests to the new version, by request class
+   * @param baseline outcomes of requests to the previous version in the same time, by request
+   *     class; empty if no target runs it
+   * @param unreportedMembers members without a recent report; while there are any, the step does
+   *     not pass
    */
   public Verdict evaluate(
       Map<String, OutcomeCount> canary,
@@ -88,9 +91,9 @@
     }
     for (Map.Entry<String, OutcomeCount> byClass : new TreeMap<>(canary).entrySet()) {
       String requestClass = byClass.getKey();
-      OutcomeCount compared = baseline.getOrDefault(requestClass, OutcomeCount.NONE);
-      if (isWorse(byClass.getValue(), compared)) {
-        String evidence = describeHalt(byClass.getValue(), compared);
+      OutcomeCount classBaseline = baseline.getOrDefault(requestClass, OutcomeCount.NONE);
+      if (isWorse(byClass.getValue(), classBaseline)) {
+        String evidence = describeHalt(byClass.getValue(), classBaseline);
         return new Verdict(Decision.HALT, "class " + requestClass + ": " + evidence);
       }
     }
@@ -110,25 +113,30 @@
     return new Verdict(Decision.PROCEED, describeCounts(canaryTotal, baselineTotal));
   }
 
-  /** Whether the new version is worse than it may be, beyond chance. */
+  /**
+   * Returns whether the share of bad outcomes exceeds the accepted share by a significant margin.
+   */
   private boolean isWorse(OutcomeCount canary, OutcomeCount baseline) {
     if (hasTooFewRequests(canary)) {
       return false;
     }
-    OutcomeCount compared = hasTooFewRequests(baseline) ? OutcomeCount.NONE : baseline;
-    boolean hasNoBaseline = compared.total() == 0;
+    OutcomeCount effectiveBaseline = hasTooFewRequests(baseline) ? OutcomeCount.NONE : baseline;
+    boolean hasNoBaseline = effectiveBaseline.total() == 0;
     double allowed =
-        hasNoBaseline ? bounds.maxBadShare() : compared.badShare() + bounds.maxBadShareIncrease();
+        hasNoBaseline
+            ? bounds.maxBadShare()
+            : effectiveBaseline.badShare() + bounds.maxBadShareIncrease();
     return canary.badShare() - allowed
-        > bounds.standardErrors() * standardError(canary, compared, hasNoBaseline);
+        > bounds.standardErrors() * standardError(canary, effectiveBaseline, hasNoBaseline);
   }
 
   private static double standardError(
-      OutcomeCount canary, OutcomeCount compared, boolean hasNoBaseline) {
-    // Laplace's estimate: without any bad outcome there would be no error to measure by.
+      OutcomeCount canary, OutcomeCount effectiveBaseline, boolean hasNoBaseline) {
+    // Laplace's estimate, because without any bad outcome the standard error would be 0.
     double pooled =
-        (canary.bad() + compared.bad() + 1.0) / (canary.total() + compared.total() + 2.0);
-    double comparedTerm = hasNoBaseline ? 0 : 1.0 / compared.total();
+        (canary.bad() + effectiveBaseline.bad() + 1.0)
+            / (canary.total() + effectiveBaseline.total() + 2.0);
+    double comparedTerm = hasNoBaseline ? 0 : 1.0 / effectiveBaseline.total();
     return Math.sqrt(pooled * (1 - pooled) * (1.0 / canary.total() + comparedTerm));
   }
 
--- a/src/main/java/leadferry/release/CanaryBoundsCodec.java
+++ b/src/main/java/leadferry/release/CanaryBoundsCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** Maps {@link CanaryAnalysis.Bounds} to and from a plan's {@code guard}. */
+/** Maps {@link CanaryAnalysis.Bounds} to and from key {@code guard} of a plan. */
 final class CanaryBoundsCodec {
   private static final double DEFAULT_MAX_BAD_SHARE_INCREASE = 0.02;
   private static final double DEFAULT_MAX_BAD_SHARE = 0.05;
@@ -23,7 +23,7 @@
         .put("wait_ms", bounds.waitMillis());
   }
 
-  /** Reads the bounds; adds to {@code faults} where one is out of its range. */
+  /** Reads the bounds and adds to {@code errors} if one of them is out of range. */
   static CanaryAnalysis.Bounds read(JsonNode json, List<String> errors) {
     CanaryAnalysis.Bounds bounds =
         new CanaryAnalysis.Bounds(
--- a/src/main/java/leadferry/release/CanaryCounts.java
+++ b/src/main/java/leadferry/release/CanaryCounts.java
@@ -9,22 +9,25 @@
 import leadferry.disruption.TargetType;
 
 /**
- * What members have counted since they began, by what it says something about. Targets that are
- * out, warming up or stabilizing count for neither version, and the previous version counts only in
- * zones where something runs the new one, so that like is compared with like.
+ * Request outcomes that members have counted since their start, assigned to the versions under
+ * comparison. Targets that are out of service, warming up or stabilizing count for neither version.
+ * A version counts only in zones where an available target runs the new version, so that both are
+ * measured under the same conditions.
  */
 final class CanaryCounts {
-  /** No counts. */
+  /** Empty counts. */
   static final CanaryCounts NONE = new CanaryCounts();
 
-  /** What a count says something about. */
+  /** Group of targets that a count belongs to. */
   enum Group {
     PREVIOUS,
     NEW_IN_THIS_STEP,
     NEW_IN_EARLIER_STEPS
   }
 
-  /** Where a count comes from: a session of a member, and of hosts the host. */
+  /**
+   * Source of a count: the session of a member, and for endpoints also the endpoint (otherwise "").
+   */
   private record Source(Group group, String member, String session, String endpoint) {}
 
   private final Map<Source, Map<String, OutcomeCount>> bySource = new LinkedHashMap<>();
@@ -80,7 +83,7 @@
     return counted;
   }
 
-  /** The group of a target's counts, or null where they don't count. */
+  /** Returns the group of a target, or null if its counts are ignored. */
   private static Group groupOf(ReleaseTargetView target, int currentStep) {
     if (target == null) {
       return null;
@@ -92,21 +95,23 @@
   }
 
   /**
-   * What was counted since an earlier reading in these groups, by request class. A source that is
-   * not in the earlier reading counts for nothing, unless there was no reading at all.
+   * Returns the outcomes counted in the given groups since an earlier reading, by request class. A
+   * source that the earlier reading lacks is ignored, unless the earlier reading is empty.
    */
   Map<String, OutcomeCount> since(CanaryCounts earlier, Set<Group> groups) {
     Map<String, OutcomeCount> difference = new TreeMap<>();
     bySource.forEach(
         (source, byClass) -> {
           if (groups.contains(source.group())) {
-            Map<String, OutcomeCount> unknown = earlier.bySource.isEmpty() ? Map.of() : byClass;
-            Map<String, OutcomeCount> before = earlier.bySource.getOrDefault(source, unknown);
+            Map<String, OutcomeCount> countsOfNewSource =
+                earlier.bySource.isEmpty() ? Map.of() : byClass;
+            Map<String, OutcomeCount> earlierCounts =
+                earlier.bySource.getOrDefault(source, countsOfNewSource);
             byClass.forEach(
                 (requestClass, count) ->
                     difference.merge(
                         requestClass,
-                        count.since(before.getOrDefault(requestClass, OutcomeCount.NONE)),
+                        count.since(earlierCounts.getOrDefault(requestClass, OutcomeCount.NONE)),
                         OutcomeCount::plus));
           }
         });
--- a/src/main/java/leadferry/release/CanaryEvaluator.java
+++ b/src/main/java/leadferry/release/CanaryEvaluator.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Judges the step that bakes, by what members have counted since it began to. It remembers the
- * reading from then; a new driver begins with a reading of its own.
+ * Evaluates the baking step by the outcomes that members have counted since the baking began. It
+ * keeps the reading from the beginning; a new driver starts with a new reading.
  */
 final class CanaryEvaluator {
   private static final EnumSet<CanaryCounts.Group> NEW =
       EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP, CanaryCounts.Group.NEW_IN_EARLIER_STEPS);
 
-  /** Reports that are older are not fresh. */
+  /** Maximum age (ms) of a report that the analysis accepts. */
   private final long maxReportAgeMillis;
 
   private long bakingSinceChange;
-  private CanaryCounts baseline = CanaryCounts.NONE;
+  private CanaryCounts initialCounts = CanaryCounts.NONE;
   private Optional<Long> bakedAtNanos = Optional.empty();
 
   CanaryEvaluator(long maxReportAgeMillis) {
@@ -25,10 +25,10 @@
   }
 
   /**
-   * The verdict on the step that bakes, where there is one.
+   * Returns the verdict on the baking step; empty without a baking step or a decision.
    *
-   * @param reports what members tell; empty where they were not asked
-   * @param nowNanos of a monotonic clock
+   * @param reports reports of the members; empty if they were not fetched
+   * @param nowNanos time of a monotonic clock
    */
   Optional<ReleaseCommand.RecordVerdict> evaluate(
       ReleaseView release, Optional<MemberReports> reports, long nowNanos) {
@@ -43,7 +43,7 @@
     CanaryCounts counts = CanaryCounts.of(release, reports.get());
     if (bakingSinceChange != progress.bakingSinceChange()) {
       bakingSinceChange = progress.bakingSinceChange();
-      baseline = counts;
+      initialCounts = counts;
       bakedAtNanos = Optional.empty();
       return Optional.empty();
     }
@@ -55,13 +55,14 @@
 
   private CanaryAnalysis.Verdict analyze(
       ReleaseView release, CanaryCounts counts, MemberReports reports) {
-    Map<String, OutcomeCount> canary = counts.since(baseline, NEW);
+    Map<String, OutcomeCount> canary = counts.since(initialCounts, NEW);
     Map<String, OutcomeCount> compared =
-        counts.since(baseline, EnumSet.of(CanaryCounts.Group.PREVIOUS));
+        counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.PREVIOUS));
     if (compared.isEmpty()) {
-      // Nothing runs the previous version there: this step is compared with those judged before.
-      canary = counts.since(baseline, EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP));
-      compared = counts.since(baseline, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
+      // No target runs the previous version there: compare this step with the steps that passed
+      // before.
+      canary = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP));
+      compared = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
     }
     return new CanaryAnalysis(release.plan().canaryBounds())
         .evaluate(canary, compared, reports.membersWithoutFreshReport(maxReportAgeMillis));
@@ -75,15 +76,19 @@
         baked
             && verdict.decision() == CanaryAnalysis.Decision.WAIT
             && nowNanos - bakedAtNanos.orElse(nowNanos) > waitNanos;
-    boolean proceed = verdict.decision() == CanaryAnalysis.Decision.PROCEED;
-    boolean due =
-        verdict.decision() == CanaryAnalysis.Decision.HALT || waitExpired || (baked && proceed);
-    if (!due) {
+    boolean canProceed = verdict.decision() == CanaryAnalysis.Decision.PROCEED;
+    boolean isDue =
+        verdict.decision() == CanaryAnalysis.Decision.HALT || waitExpired || (baked && canProceed);
+    if (!isDue) {
       return Optional.empty();
     }
     String evidence = waitExpired ? "waited in vain: " + verdict.evidence() : verdict.evidence();
     return Optional.of(
         new ReleaseCommand.RecordVerdict(
-            release.name(), release.fence(), release.progress().currentStep(), proceed, evidence));
+            release.name(),
+            release.fence(),
+            release.progress().currentStep(),
+            canProceed,
+            evidence));
   }
 }
--- a/src/main/java/leadferry/release/ChangeCommands.java
+++ b/src/main/java/leadferry/release/ChangeCommands.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * How targets are changed, by the {@code carry} of a plan.
+ * Commands that change targets and check their version, from key {@code carry} of a plan.
  *
- * @param executor who changes them
- * @param changeCommand the program that changes a target, with its arguments; empty for agents
- * @param checkCommand the program that prints a target's version, with its arguments; empty where
- *     targets tell their version themselves
- * @param timeoutMillis how long either may run
+ * @param executor process that changes the targets
+ * @param changeCommand program that changes a target, with its arguments; empty for agents
+ * @param checkCommand program that prints the version of a target, with its arguments; empty if
+ *     targets report their version themselves
+ * @param timeoutMillis time limit (ms) of each program
  */
 public record ChangeCommands(
     Executor executor,
@@ -22,15 +22,15 @@
   private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
   private static final String AGENT = "agent";
 
-  /** Who changes targets. */
+  /** Process that changes targets. */
   public enum Executor {
     /** The driver runs a command. */
     DRIVER,
-    /** The target's own agent asks what to do and reports. */
+    /** The agent of the target fetches its action and reports the result. */
     AGENT
   }
 
-  /** Reads the {@code carry} of a plan that was accepted. */
+  /** Reads key {@code carry} of a validated plan. */
   static ChangeCommands read(JsonNode json) {
     JsonNode check = json.path("check");
     return new ChangeCommands(
--- a/src/main/java/leadferry/release/CommandResult.java
+++ b/src/main/java/leadferry/release/CommandResult.java
@@ -1,9 +1,9 @@
 package leadferry.release;
 
 /**
- * What became of a command that changes a target.
+ * Result of a command that changes a target.
  *
- * @param succeeded whether it ended with status 0
- * @param output what it said, for people
+ * @param succeeded whether the command exited with status 0
+ * @param output human-readable output of the command
  */
 public record CommandResult(boolean succeeded, String output) {}
--- a/src/main/java/leadferry/release/DriverAction.java
+++ b/src/main/java/leadferry/release/DriverAction.java
@@ -1,29 +1,31 @@
 package leadferry.release;
 
-/** What {@link ReleaseController} asks the driver's process to do. */
+/** Action that {@link ReleaseController} requests from the process of the driver. */
 public sealed interface DriverAction {
-  /** Put a command into the log. */
+  /** Submits a command to the replicated log. */
   record SubmitCommand(ReleaseCommand command) implements DriverAction {}
 
   /**
-   * Run the command that changes a target, and tell {@link ReleaseController#onChangeEnded}.
+   * Runs the command that changes a target. Its end is passed to {@link
+   * ReleaseController#onChangeEnded}.
    *
-   * @param target its name
-   * @param action the number of the action on it
-   * @param attempt how often that action was begun, this time included
-   * @param fence the fence that goes with the command
-   * @param version what the target is to run
+   * @param target name of the target
+   * @param action number of the action on the target
+   * @param attempt number of the attempt, from 1
+   * @param fence fencing token that the command gets
+   * @param version version that the target is to run
    */
   record RunChange(String target, long action, int attempt, long fence, String version)
       implements DriverAction {}
 
   /**
-   * Check which version a target runs, and tell {@link ReleaseController#onVersionChecked}.
+   * Checks which version a target runs. The result is passed to {@link
+   * ReleaseController#onVersionChecked}.
    *
-   * @param target its name
-   * @param action the number of the action on it
-   * @param attempt tells checks of one action apart
-   * @param fence the fence that goes with the check
+   * @param target name of the target
+   * @param action number of the action on the target
+   * @param attempt number of the attempt that the check belongs to
+   * @param fence fencing token that the check gets
    */
   record CheckVersion(String target, long action, int attempt, long fence)
       implements DriverAction {}
--- a/src/main/java/leadferry/release/DriverCommands.java
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -8,11 +8,11 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * Applies drivers' and agents' entries to one release: which target goes out, what is done to it,
- * what was observed of it, and the verdict on a step.
+ * Applies the commands of drivers and agents to one release: draining and changing targets,
+ * observations of targets, and verdicts on steps.
  *
- * <p>Invariant: but for an agent's report, an entry changes something only under the fence of the
- * lease that is held.
+ * <p>Invariant: a command takes effect only with the fencing token of the lease that is held.
+ * Reports of agents need no token.
  */
 final class DriverCommands {
   private static final String NOTHING_FOUND = "nothing that tells its version";
@@ -27,7 +27,7 @@
     this.disruption = disruption;
   }
 
-  /** A driver asks for the lease; {@code nextFence} is the fence that it would get. */
+  /** Grants the lease to a driver, with {@code nextFence} as its fencing token. */
   Outcome acquireLease(ReleaseCommand.AcquireLease command, long nextFence) {
     DriverLease lease = release.lease;
     if (release.state.isClosed()) {
@@ -46,7 +46,10 @@
     return Outcome.numbered(Status.DONE, lease.fence);
   }
 
-  /** A driver wants to take a target out; {@code nextAction} is the number that it would get. */
+  /**
+   * Takes a target out of service for a driver, with {@code nextAction} as the number of its
+   * action.
+   */
   Outcome intendChange(ReleaseCommand.IntendChange command, long nextAction) {
     Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
     if (rejection.isPresent()) {
@@ -75,37 +78,38 @@
     return Optional.of(Outcome.of(status, release.describe() + reason));
   }
 
-  /** Why it is not this target's turn, if it is not. */
+  /** Returns why the target must not be drained now; empty if it may be. */
   private Optional<Outcome> rejectionOfTurn(ReleaseTarget target) {
-    boolean stuckInRollback =
+    boolean isRestoringInRollback =
         target.phase == TargetPhase.RESTORING && !release.progress.isForward();
-    if ((!target.isInService() && !stuckInRollback)
+    if ((!target.isInService() && !isRestoringInRollback)
         || release.progress.hasDesiredVersion(target)
         || target.removed) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is not to be changed now"));
     }
-    long underWay =
+    long inProgress =
         release.targets().stream().filter(other -> other != target && !other.isInService()).count();
     int atOnce = plan.steps().get(target.step).maxConcurrent();
-    return underWay >= atOnce
+    return inProgress >= atOnce
         ? Optional.of(
-            Outcome.of(Status.REFUSED, underWay + " of " + atOnce + " at once are under way"))
+            Outcome.of(Status.REFUSED, inProgress + " of " + atOnce + " at once are under way"))
         : Optional.empty();
   }
 
   private Outcome drainTarget(ReleaseTarget target, long action, long fence) {
     String requester = "release " + plan.name();
-    String unavailable = disruption.unavailabilityReason(plan.targetType(), target.name);
-    if (unavailable != null) {
-      // A rollback does not wait for a lost target, lost by the new version perhaps: it counts as
-      // unavailable already.
+    String unavailabilityReason = disruption.unavailabilityReason(plan.targetType(), target.name);
+    if (unavailabilityReason != null) {
+      // A rollback does not wait for a lost target, which the new version may have broken. The
+      // target
+      // counts as unavailable already.
       String grant =
           release.progress.isForward()
               ? ""
               : disruption.keepOutOfService(
                   plan.targetType(), target.name, requester, "the way back");
       return grant.isEmpty()
-          ? Outcome.of(Status.REFUSED, target.name + " is out: " + unavailable)
+          ? Outcome.of(Status.REFUSED, target.name + " is out: " + unavailabilityReason)
           : beginDraining(target, grant, action, fence);
     }
     String reason = plan.version() + ", step " + plan.steps().get(target.step).name();
@@ -121,7 +125,7 @@
     return new Outcome(Status.GRANTED, grant, List.of(), action);
   }
 
-  /** The command that changes a target is about to run. */
+  /** Records that the command that changes a target is about to run. */
   Outcome beginChange(ReleaseCommand.BeginChange command) {
     Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
     if (rejection.isPresent()) {
@@ -149,8 +153,9 @@
     if (release.progress.hasDesiredVersion(target)) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is what it is to be"));
     }
-    // After the loss of its driver the next may begin it anew: that raises the fence by which old
-    // commands are rejected.
+    // After the loss of a driver the next driver may begin the change again. That raises the
+    // fencing
+    // token, by which commands of the lost driver are rejected.
     boolean isUnobserved =
         target.phase == TargetPhase.CHANGING
             && target.observation.isEmpty()
@@ -164,7 +169,7 @@
     return haltReason.map(reason -> Outcome.of(Status.HALTED, reason));
   }
 
-  /** A driver has looked at a target, after its action or before any. */
+  /** Records the version that a driver observed of a target, before or after its action. */
   Outcome recordObservation(ReleaseCommand.RecordObservation command) {
     Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
     if (rejection.isPresent()) {
@@ -182,13 +187,13 @@
   }
 
   private void applyObservation(ReleaseTarget target, ReleaseCommand.RecordObservation command) {
-    String found = command.foundVersion().isEmpty() ? NOTHING_FOUND : command.foundVersion();
-    target.recordObservation(command.fence(), plan.classify(command.foundVersion()), found);
+    String observation = command.foundVersion().isEmpty() ? NOTHING_FOUND : command.foundVersion();
+    target.recordObservation(command.fence(), plan.classify(command.foundVersion()), observation);
     boolean canServeUnchanged =
         target.version != TargetVersion.UNKNOWN && !release.isRunning() && !target.keptOutOfService;
     if (release.progress.hasDesiredVersion(target) || canServeUnchanged) {
-      boolean untouched = target.phase == TargetPhase.DRAINING;
-      String reason = untouched ? "given back untouched" : target.observation;
+      boolean isUnchanged = target.phase == TargetPhase.DRAINING;
+      String reason = isUnchanged ? "given back untouched" : target.observation;
       disruption.undo(target.grantId, "release " + plan.name() + ": " + reason);
       target.beginRestoring();
     } else if (release.isRunning()) {
@@ -196,7 +201,7 @@
     }
   }
 
-  /** An agent reports what its target runs after the action that it was given. */
+  /** Records the version that an agent reports of its target after the action. */
   Outcome recordReport(ReleaseCommand.RecordReport command) {
     ReleaseTarget target = release.target(command.target());
     if (target == null
@@ -204,7 +209,7 @@
         || target.action != command.action()
         || target.attempts != command.attempt()) {
       Function<ReleaseTarget, String> expected =
-          known -> " (expected: " + known.action + ", " + known.attempts + ")";
+          knownTarget -> " (expected: " + knownTarget.action + ", " + knownTarget.attempts + ")";
       return Outcome.of(
           Status.CONFLICT,
           command.target()
@@ -219,7 +224,7 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** The canary analysis of the step that has baked. */
+  /** Records the verdict of the canary analysis on a step. */
   Outcome recordVerdict(ReleaseCommand.RecordVerdict command) {
     Optional<Outcome> rejection = release.lease.rejectionOf(command.fence());
     if (rejection.isPresent()) {
--- a/src/main/java/leadferry/release/DriverContext.java
+++ b/src/main/java/leadferry/release/DriverContext.java
@@ -1,10 +1,10 @@
 package leadferry.release;
 
 /**
- * What a driver decides by at one moment.
+ * Input of a driver's decision at one moment.
  *
- * @param release the release, which is under its lease
- * @param leaseHolds whether its lease holds at this moment; commands begin only then
- * @param nowNanos of a monotonic clock
+ * @param release release whose lease the driver holds
+ * @param leaseHolds whether the lease is valid now; commands start only with a valid lease
+ * @param nowNanos time of a monotonic clock
  */
 record DriverContext(ReleaseView release, boolean leaseHolds, long nowNanos) {}
--- a/src/main/java/leadferry/release/DriverLease.java
+++ b/src/main/java/leadferry/release/DriverLease.java
@@ -5,23 +5,23 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * The lease under which one driver at a time carries a release out, with its fencing token
- * (Burrows, The Chubby lock service, section 2.4: sequencers).
+ * Lease that allows one driver at a time to carry out a release, with its fencing token (Burrows,
+ * The Chubby lock service, section 2.4: sequencers).
  *
- * <p>Invariant: fences only grow, and an entry of a driver is applied only under the fence of the
- * lease that is held.
+ * <p>Invariant: fencing tokens only grow, and a command of a driver takes effect only with the
+ * token of the lease that is held.
  */
 final class DriverLease {
-  /** The driver that holds it, or "". */
+  /** Name of the driver that holds the lease, or "". */
   String driver = "";
 
-  /** Its length (ms). */
+  /** Duration of the lease (ms). */
   long leaseMillis;
 
-  /** The fence that the last holder got with it. */
+  /** Fencing token of the last holder. */
   long fence;
 
-  /** Whether the last holder was lost, and did not give it back. */
+  /** Whether the lease of the last holder expired, rather than being given back. */
   boolean holderWasLost;
 
   boolean isHeld() {
@@ -39,12 +39,12 @@
     fence = newFence;
   }
 
-  /** The holder gives it back. */
-  void giveBack(long holderFence) {
+  /** Ends the lease because its holder gives it back. */
+  void yieldLease(long holderFence) {
     end(holderFence, false);
   }
 
-  /** Nothing was heard of the holder for the lease's length. */
+  /** Ends the lease because its holder did not renew it in time. */
   void expire(long holderFence) {
     end(holderFence, true);
   }
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Why an entry under this fence is not applied; empty where it is. */
+  /** Returns why a command with the given fencing token is rejected; empty if it is accepted. */
   Optional<Outcome> rejectionOf(long entryFence) {
     if (isHeld() && entryFence == fence) {
       return Optional.empty();
--- a/src/main/java/leadferry/release/FleetChangeObserver.java
+++ b/src/main/java/leadferry/release/FleetChangeObserver.java
@@ -6,8 +6,8 @@
 import leadferry.disruption.TargetType;
 
 /**
- * What follows for one release from a change in the fleet: targets return to service or come back
- * with another version, halt conditions are met, a step begins to bake, a rollback ends.
+ * Applies changes of the fleet to one release: targets return to service or return with another
+ * version, halt conditions are met, a step begins to bake, a rollback ends.
  */
 final class FleetChangeObserver {
   private final Release release;
@@ -17,9 +17,9 @@
   private final LongSupplier nextActionNumber;
 
   /**
-   * For one entry.
+   * Creates an observer for one entry of the replicated log.
    *
-   * @param nextActionNumber gives numbers of actions
+   * @param nextActionNumber supplier of new action numbers
    */
   FleetChangeObserver(Release release, DisruptionState disruption, LongSupplier nextActionNumber) {
     this.release = release;
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Takes note of what the last entry has changed in the fleet.
+   * Applies the changes of the last entry.
    *
-   * @param isNewest whether no later release has any of its targets: only then a completed one
-   *     still counts
+   * @param isNewest whether no later release has any of the targets; a completed release is watched
+   *     only if so
    */
   void onFleetChange(boolean isNewest) {
     boolean isClosed =
@@ -43,12 +43,12 @@
     if (isClosed) {
       return;
     }
-    Set<String> known = disruption.targetsByName(plan.targetType()).keySet();
+    Set<String> knownNames = disruption.targetsByName(plan.targetType()).keySet();
     for (ReleaseTarget target : release.targets()) {
       if (target.phase == TargetPhase.RESTORING && isAvailable(target)) {
         target.returnToService(++release.returnCount);
       }
-      target.removed = target.isInService() && !known.contains(target.name);
+      target.removed = target.isInService() && !knownNames.contains(target.name);
       detectVersionChange(target);
     }
     if (release.state == ReleaseState.COMPLETED) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A completed release takes up a target that came back with another version. */
+  /** Reopens a completed release if a target has returned with another version. */
   private void reopenForWrongVersion() {
     release.targets().stream()
         .filter(target -> !target.removed && target.version != TargetVersion.NEW)
@@ -78,8 +78,8 @@
   }
 
   /**
-   * A proxy in service that tells another version than it was given was down while it was changed,
-   * or was changed by somebody else.
+   * Detects a proxy in service that reports another version than the release knows. It was down
+   * during its change, or something else changed it.
    */
   private void detectVersionChange(ReleaseTarget target) {
     if (plan.targetType() != TargetType.PROXY || !target.isInService()) {
@@ -107,14 +107,14 @@
   }
 
   private void updateProgress() {
-    boolean complete = isCurrentGoalReached();
+    boolean isGoalReached = isCurrentGoalReached();
     if (progress.isForward()) {
-      if (!complete) {
+      if (!isGoalReached) {
         progress.resetBaking();
       } else if (progress.bakingSinceChange == 0) {
         progress.beginBaking(disruption.changeNumber() + 1);
       }
-    } else if (complete
+    } else if (isGoalReached
         && release.targets().stream()
             .allMatch(target -> target.removed || progress.hasDesiredVersion(target))) {
       release.finishRollback();
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Whether every target of the goal's steps, and in a rollback every target, runs what it should
-   * and serves.
+   * Returns whether every target of the goal's steps, and in a rollback every target, is available
+   * with its desired version.
    */
   private boolean isCurrentGoalReached() {
     Set<String> lost = disruption.lostTargets();
--- a/src/main/java/leadferry/release/HaltPolicy.java
+++ b/src/main/java/leadferry/release/HaltPolicy.java
@@ -7,24 +7,25 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * What halts a release by itself, each with its reason for people: the fleet's halt, lost targets,
- * the death of a driver, time limits, targets that don't become what they should, and verdicts.
- * Operators may set lost targets aside; the policy remembers which.
+ * Rules that halt a release without an operator, each with its human-readable reason: a halt of the
+ * fleet, lost targets, the loss of a driver, time limits, targets that do not reach their desired
+ * version, and verdicts. The policy keeps the lost targets that an operator has acknowledged. The
+ * reasons are stored and shown to operators, so their wording must not change.
  */
 final class HaltPolicy {
-  /** How often an action is begun at one target before the release halts. */
+  /** Number of attempts of one action before the release halts. */
   static final int MAX_ATTEMPTS = 3;
 
   private final ReleasePlan plan;
 
-  /** Lost members that an operator has set aside; they count again once they were back. */
+  /** Lost members that an operator has acknowledged. They count again after they have recovered. */
   private final Set<String> acknowledgedLost = new TreeSet<>();
 
   HaltPolicy(ReleasePlan plan) {
     this.plan = plan;
   }
 
-  /** Why a running release halts by the state of the fleet, if it does. */
+  /** Returns why the state of the fleet halts a running release; empty if it does not. */
   Optional<String> reasonInFleet(
       Collection<ReleaseTarget> targets, ReleaseProgress progress, DisruptionState disruption) {
     if (!disruption.haltReason().isEmpty()) {
@@ -36,7 +37,7 @@
       return Optional.of("lost meanwhile: " + String.join(", ", lost));
     }
     if (progress.isForward() && !plan.policies().skipLostTargets()) {
-      // What is lost after it was changed speaks against the change, whatever else may be lost.
+      // A target lost after its change is evidence against the new version, whatever the limit is.
       return targets.stream()
           .filter(target -> target.isInService() && target.version == TargetVersion.NEW)
           .filter(target -> lost.contains(target.name))
@@ -46,7 +47,9 @@
     return Optional.empty();
   }
 
-  /** Lost members that this release did not take out itself and no operator has set aside. */
+  /**
+   * Returns the lost members that this release has not drained and no operator has acknowledged.
+   */
   private Set<String> unexpectedlyLost(
       Collection<ReleaseTarget> targets, DisruptionState disruption) {
     Set<String> lost = new TreeSet<>(disruption.lostTargets());
@@ -57,12 +60,12 @@
     return lost;
   }
 
-  /** An operator says that those who are lost now are no reason to halt. */
+  /** Acknowledges all members that are lost now, which then no longer halt the release. */
   void acknowledgeLost(Collection<ReleaseTarget> targets, DisruptionState disruption) {
     acknowledgedLost.addAll(unexpectedlyLost(targets, disruption));
   }
 
-  /** Forgets what was acknowledged of members that are not lost any more. */
+  /** Drops the acknowledgement of members that are no longer lost. */
   void forgetRecovered(DisruptionState disruption) {
     acknowledgedLost.retainAll(disruption.lostTargets());
   }
@@ -71,14 +74,14 @@
     return acknowledgedLost;
   }
 
-  /** Why it halts when a driver takes over, if it does. */
+  /** Returns why a takeover by another driver halts the release; empty if it does not. */
   Optional<String> reasonAtTakeover(DriverLease lease) {
     return lease.holderWasLost && plan.policies().haltOnTakeover()
         ? Optional.of("its driver was lost")
         : Optional.empty();
   }
 
-  /** Why it halts where a target's change is begun once too often, if it does. */
+  /** Returns why another attempt at a target halts the release; empty if the attempt is allowed. */
   Optional<String> reasonBeforeAttempt(ReleaseTarget target) {
     return target.attempts >= MAX_ATTEMPTS
         ? Optional.of(
@@ -86,7 +89,10 @@
         : Optional.empty();
   }
 
-  /** Why it halts by what was observed of a target that isn't what it should be, if it does. */
+  /**
+   * Returns why the observation of a target without its desired version halts the release; empty if
+   * it does not.
+   */
   Optional<String> reasonAfterObservation(ReleaseTarget target, String text) {
     if (target.version != TargetVersion.UNKNOWN && target.attempts < MAX_ATTEMPTS) {
       return Optional.empty();
@@ -100,12 +106,12 @@
             + (text.isEmpty() ? "" : "; " + text));
   }
 
-  /** Why it halts by a verdict against the new version. */
+  /** Returns the reason for a halt after a verdict against the new version. */
   String reasonByVerdict(int step, String evidence) {
     return "step " + plan.steps().get(step).name() + ": " + evidence;
   }
 
-  /** Why it halts when a target is not back in time. */
+  /** Returns the reason for a halt after a target exceeded its time limit. */
   String reasonOverdue(ReleaseTarget target) {
     return target.name
         + " is not back in service after "
@@ -115,7 +121,7 @@
         + (target.observation.isEmpty() ? "" : ", found " + target.observation);
   }
 
-  /** Why it halts when the whole release takes too long. */
+  /** Returns the reason for a halt after the release exceeded its time limit. */
   String reasonTimeLimit() {
     return "its time of " + plan.limits().releaseTimeoutMillis() + " ms is over";
   }
--- a/src/main/java/leadferry/release/MemberReports.java
+++ b/src/main/java/leadferry/release/MemberReports.java
@@ -8,19 +8,19 @@
 import java.util.TreeMap;
 
 /**
- * What members have counted, as the leader keeps it.
+ * Latest request counts of the members, as collected by the leader.
  *
  * @param unreportedMembers live members without a report
  * @param byMember the latest report of each other member
  */
 public record MemberReports(List<String> unreportedMembers, Map<String, MemberReport> byMember) {
   /**
-   * One member's counts since it began.
+   * Counts of one member since its start.
    *
-   * @param session the member's session; counts of another begin anew
-   * @param ageMillis time since the report came in
-   * @param countsByClass outcomes of its own requests, by request class
-   * @param countsByEndpoint outcomes by upstream host and request class
+   * @param session session of the member; counts of different sessions are not compared
+   * @param ageMillis time since the arrival of the report (ms)
+   * @param countsByClass outcomes of the requests that the member served, by request class
+   * @param countsByEndpoint outcomes by endpoint and request class
    */
   public record MemberReport(
       String session,
@@ -28,7 +28,7 @@
       Map<String, OutcomeCount> countsByClass,
       Map<String, Map<String, OutcomeCount>> countsByEndpoint) {}
 
-  /** Reads the response of a replica to {@code reports}. */
+  /** Reads the response of a replica to request {@code reports}. */
   public static MemberReports read(JsonNode json) {
     List<String> missing = new ArrayList<>();
     json.path("missing").forEach(member -> missing.add(member.asText()));
@@ -53,7 +53,7 @@
         countsByEndpoint);
   }
 
-  /** Each request class has an array of its total and its bad outcomes. */
+  /** Reads counts by request class, each an array of the total and the bad outcomes. */
   private static Map<String, OutcomeCount> readCounts(JsonNode json) {
     Map<String, OutcomeCount> byClass = new TreeMap<>();
     json.properties()
@@ -67,7 +67,7 @@
     return byClass;
   }
 
-  /** Members without a report, or with one that is older. */
+  /** Returns the members without a report or with a report older than {@code maxAgeMillis}. */
   List<String> membersWithoutFreshReport(long maxAgeMillis) {
     List<String> members = new ArrayList<>(unreportedMembers);
     byMember.forEach(
--- a/src/main/java/leadferry/release/NextTargetSelector.java
+++ b/src/main/java/leadferry/release/NextTargetSelector.java
@@ -5,27 +5,31 @@
 import java.util.stream.Stream;
 
 /**
- * Which target a driver takes out next: forward in the plan's order, in a rollback the one that
- * came back into service last; none while as many as its step allows are under way.
+ * Selects the target that a driver drains next: going forward the first in the order of the plan,
+ * in a rollback the one that returned to service last. It selects none while as many targets are in
+ * progress as the step of that target allows.
  */
 final class NextTargetSelector {
   private NextTargetSelector() {}
 
   static Optional<ReleaseTargetView> select(ReleaseView release) {
     boolean forward = release.progress().isForward();
-    long underWay = release.targets().stream().filter(target -> !target.isInService()).count();
+    long inProgress = release.targets().stream().filter(target -> !target.isInService()).count();
     Stream<ReleaseTargetView> candidates =
         release.targets().stream().filter(target -> isCandidate(target, forward));
     Optional<ReleaseTargetView> next =
         forward ? candidates.findFirst() : candidates.sorted(LATEST_FIRST).findFirst();
     return next.filter(
-        target -> underWay < release.plan().steps().get(target.step()).maxConcurrent());
+        target -> inProgress < release.plan().steps().get(target.step()).maxConcurrent());
   }
 
   private static final Comparator<ReleaseTargetView> LATEST_FIRST =
       Comparator.comparingLong(ReleaseTargetView::returnOrder).reversed();
 
-  /** A rollback also takes what is missing, perhaps by the new version. */
+  /**
+   * Returns whether a target may be drained. A rollback also drains missing targets, which the new
+   * version may have broken.
+   */
   private static boolean isCandidate(ReleaseTargetView target, boolean forward) {
     return target.isInService()
         && !target.removed()
--- a/src/main/java/leadferry/release/OperatorCommands.java
+++ b/src/main/java/leadferry/release/OperatorCommands.java
@@ -4,7 +4,9 @@
 import leadferry.disruption.Outcome;
 import leadferry.disruption.Outcome.Status;
 
-/** Applies operators' entries to one release: pause, resume, halt, roll back, override, give up. */
+/**
+ * Applies the commands of operators to one release: pause, resume, halt, roll back, override, end.
+ */
 final class OperatorCommands {
   private static final String CHECK_VERDICT = "verdict";
   private static final String CHECK_LOST = "lost";
@@ -57,13 +59,13 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** The step that has baked passes, or the lost are no reason to halt. */
+  /** Lets the baked step pass, or acknowledges the lost targets. */
   Outcome override(ReleaseCommand.OverrideCheck command) {
     switch (command.check()) {
       case CHECK_VERDICT -> {
-        boolean waits =
+        boolean isWaitingForVerdict =
             release.progress.isForward() && !release.state.isClosed() && release.progress.baked;
-        if (!waits) {
+        if (!isWaitingForVerdict) {
           return refuse("waiting for a verdict on a step that has baked");
         }
         release.transitionTo(ReleaseState.RUNNING, command.reason());
@@ -78,7 +80,7 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Gives it up as it stands, so that another release may have its targets. */
+  /** Abandons the release in its current state, so that another release may use its targets. */
   Outcome end(ReleaseCommand.EndRelease command) {
     if (!release.targets().stream().allMatch(ReleaseTarget::isInService)) {
       return Outcome.of(
--- a/src/main/java/leadferry/release/OutcomeCount.java
+++ b/src/main/java/leadferry/release/OutcomeCount.java
@@ -1,28 +1,31 @@
 package leadferry.release;
 
 /**
- * How many requests came to an end, and how many of them badly.
+ * Number of finished requests, and how many of them had a bad outcome.
  *
- * @param total all outcomes
- * @param bad those that failed, were rejected or came late
+ * @param total number of finished requests
+ * @param bad number of requests that failed, were rejected or finished late
  */
 public record OutcomeCount(long total, long bad) {
-  /** Nothing counted. */
+  /** Count of no requests. */
   public static final OutcomeCount NONE = new OutcomeCount(0, 0);
 
-  /** Both together. */
+  /** Returns the sum of both counts. */
   public OutcomeCount plus(OutcomeCount other) {
     return new OutcomeCount(total + other.total, bad + other.bad);
   }
 
-  /** What was counted since an earlier reading; a count that went back began anew. */
+  /**
+   * Returns the requests counted since an earlier reading. A count below the earlier one has
+   * restarted from 0 and is returned whole.
+   */
   public OutcomeCount since(OutcomeCount earlier) {
     return total < earlier.total || bad < earlier.bad
         ? this
         : new OutcomeCount(total - earlier.total, bad - earlier.bad);
   }
 
-  /** The share of bad outcomes, 0 to 1; 0 where nothing was counted. */
+  /** Returns the share of bad outcomes, 0 to 1; 0 without requests. */
   double badShare() {
     return total == 0 ? 0 : (double) bad / total;
   }
--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -6,33 +6,34 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * One release, as the log's entries have brought it about: its parts, the transitions of its state,
- * and its timers.
+ * A release in the replicated state: its parts, the transitions of its state, and its timers.
  *
  * <pre>
- *   start --> RUNNING (forward) --last step judged--> COMPLETED --roll back--> RUNNING (rollback) --> ROLLED_BACK
+ *   start --> RUNNING (forward) --last step passed--> COMPLETED --roll back--> RUNNING (rollback) --> ROLLED_BACK
  *                |  ^                                                             ^      |
  *      pause,    |  | resume, override                                  roll back |      | halt, pause
  *      halt      v  |                                                             |      v
  *               PAUSED, HALTED ---------------------------------------------------+---- HALTED, PAUSED
  * </pre>
  *
- * <p>{@link DriverCommands} and {@link OperatorCommands} apply entries to it, and {@link
- * FleetChangeObserver} what they change in the fleet. Who may be unavailable is not decided here:
- * each target goes out by a grant of {@link DisruptionState}, under all budgets, forward and in a
- * rollback alike. What is done to a target is written to the log before it is done and after it was
- * observed; an action whose driver was lost is looked at by the next driver, never assumed.
+ * <p>{@link DriverCommands} and {@link OperatorCommands} apply commands to the release, and {@link
+ * FleetChangeObserver} applies changes of the fleet. The release does not decide which targets may
+ * be unavailable: it drains each target by a grant of {@link DisruptionState}, under all budgets,
+ * both forward and in a rollback.
+ *
+ * <p>The log records an action before it starts and its result after an observation. The next
+ * driver checks the result of an action whose driver was lost, instead of assuming it.
  */
 final class Release {
   final ReleasePlan plan;
 
-  /** Its place in the order of all releases of the fleet. */
+  /** Number of the release in the order of all releases of the fleet. */
   final long number;
 
-  /** Who started it. */
+  /** Human-readable name of the requester. */
   final String requestedBy;
 
-  /** Why it was started. */
+  /** Human-readable reason for the release. */
   final String requestReason;
 
   final DriverLease lease = new DriverLease();
@@ -42,10 +43,10 @@
   ReleaseState state = ReleaseState.RUNNING;
   String stateReason = "";
 
-  /** Whether the whole took longer than the plan allows. */
+  /** Whether the release took longer than the plan allows. */
   boolean timeLimitExceeded;
 
-  /** How many returns to service there were. */
+  /** Number of returns of targets to service so far. */
   long returnCount;
 
   private final Map<String, ReleaseTarget> targets = new LinkedHashMap<>();
@@ -67,7 +68,7 @@
     return targets.values();
   }
 
-  /** The target of that name, or null. */
+  /** Returns the target of the given name, or null if there is none. */
   ReleaseTarget target(String name) {
     return targets.get(name);
   }
@@ -76,7 +77,7 @@
     return state == ReleaseState.RUNNING;
   }
 
-  /** For reasons: which release, and where it stands. */
+  /** Returns the name and the state of the release, for reasons shown to operators. */
   String describe() {
     return "release " + plan.name() + " is " + state.storedName();
   }
@@ -103,12 +104,12 @@
     transitionTo(ReleaseState.HALTED, reason);
   }
 
-  /** Operators want it tried again: each action has its time anew, and one more attempt. */
+  /** Restarts the time limit of each action and allows at least one more attempt. */
   void allowRetries() {
     targets().forEach(target -> target.allowAnotherAttempt(HaltPolicy.MAX_ATTEMPTS));
   }
 
-  /** The current step has passed. */
+  /** Proceeds to the next step, or completes the release after the last one. */
   void advance(String evidence) {
     progress.resetBaking();
     if (progress.goalStepCount < plan.steps().size()) {
@@ -119,14 +120,14 @@
     }
   }
 
-  /** Turns back, until only the first {@code steps} steps run the new version. */
+  /** Begins a rollback, after which only the first {@code steps} steps run the new version. */
   void rollBack(int steps, String reason) {
     progress.rollBackTo(steps);
     transitionTo(ReleaseState.RUNNING, reason);
     allowRetries();
   }
 
-  /** Every target runs the version that the rollback was to bring. */
+  /** Ends a rollback whose targets all run their desired versions. */
   void finishRollback() {
     if (progress.goalStepCount == 0) {
       transitionTo(ReleaseState.ROLLED_BACK, stateReason);
@@ -138,7 +139,7 @@
 
   // Time.
 
-  /** Puts what runs out, and after how long (ms). */
+  /** Adds the running timers, by name, with their durations (ms). */
   void putTimers(Map<String, Long> timers) {
     if (lease.isHeld()) {
       putTimer(timers, ReleaseTimer.Kind.DRIVER_LEASE, lease.fence, lease.leaseMillis);
--- a/src/main/java/leadferry/release/ReleaseCommand.java
+++ b/src/main/java/leadferry/release/ReleaseCommand.java
@@ -1,14 +1,14 @@
 package leadferry.release;
 
 /**
- * What an entry of the agreed log asks of a release. Drivers write most of them, operators the
- * rest; the codec of the log maps each to and from its stored form.
+ * A command of the replicated log to a release. Drivers submit most commands, operators the rest.
+ * {@link ReleaseCommandCodec} maps each command to and from its stored form.
  */
 public sealed interface ReleaseCommand {
-  /** The release that it is about. */
+  /** Returns the name of the release. */
   String release();
 
-  /** An operator starts a release by a plan that is sound in itself. */
+  /** Starts a release with a validated plan, for an operator. */
   record StartRelease(ReleasePlan plan, String requestedBy, String reason)
       implements ReleaseCommand {
     @Override
@@ -17,47 +17,52 @@
     }
   }
 
-  /** A driver asks for the lease under which it alone drives the release; its length is in ms. */
+  /**
+   * Acquires the lease under which one driver alone drives the release, for {@code leaseMillis}.
+   */
   record AcquireLease(String release, String driver, long leaseMillis) implements ReleaseCommand {}
 
-  /** A driver gives its lease back, by the fence that it got with it. */
+  /** Gives the lease of a driver back, by the fencing token of the lease. */
   record YieldLease(String release, long fence) implements ReleaseCommand {}
 
-  /** A driver wants to take a target out, to change it. */
+  /** Announces that a driver takes a target out of service to change it. */
   record IntendChange(String release, long fence, String target) implements ReleaseCommand {}
 
-  /** A driver is about to run the command that changes a target. */
+  /** Announces that a driver is about to run the command that changes a target. */
   record BeginChange(String release, long fence, String target, long action)
       implements ReleaseCommand {}
 
-  /** A driver has seen which version a target runs; {@code found} is "" where it saw none. */
+  /**
+   * Records the version that a driver observed of a target; {@code foundVersion} is "" if the
+   * target reported none.
+   */
   record RecordObservation(
       String release, long fence, String target, long action, String foundVersion, String detail)
       implements ReleaseCommand {}
 
-  /** A target's supervisor tells by itself which version it started. */
+  /** Records the version that the agent of a target reports to have started. */
   record RecordReport(String release, String target, long action, int attempt, String foundVersion)
       implements ReleaseCommand {}
 
-  /** A driver's canary analysis of a step: go on, or not, with the evidence. */
+  /** Records the verdict of a driver's canary analysis on a step, with its evidence. */
   record RecordVerdict(String release, long fence, int step, boolean proceed, String evidence)
       implements ReleaseCommand {}
 
-  /** An operator pauses the release. */
+  /** Pauses the release, for an operator. */
   record PauseRelease(String release, String reason) implements ReleaseCommand {}
 
-  /** An operator lets a paused or halted release go on. */
+  /** Resumes a paused or halted release, for an operator. */
   record ResumeRelease(String release, String reason) implements ReleaseCommand {}
 
-  /** An operator halts the release. */
+  /** Halts the release, for an operator. */
   record HaltRelease(String release, String reason) implements ReleaseCommand {}
 
-  /** An operator wants the old version back, down to that step. */
+  /** Rolls back until only the first {@code toStep} steps run the new version, for an operator. */
   record RollBack(String release, int toStep, String reason) implements ReleaseCommand {}
 
-  /** An operator sets aside what keeps the release from going on: a verdict, or lost targets. */
+  /** Overrides a check that stops the release, for an operator: "verdict" or "lost" targets. */
   record OverrideCheck(String release, String check, String reason) implements ReleaseCommand {}
 
-  /** An operator gives the release up as it stands. */
+  /** Abandons the release in its current state, for an operator. */
   record EndRelease(String release, String reason) implements ReleaseCommand {}
 }
--- a/src/main/java/leadferry/release/ReleaseCommandCodec.java
+++ b/src/main/java/leadferry/release/ReleaseCommandCodec.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * Maps {@link ReleaseCommand}s to and from the entries of the log. The entries keep the words that
- * they were first written with: {@code release_drive} is {@link ReleaseCommand.AcquireLease},
- * {@code release_acting} {@link ReleaseCommand.BeginChange}, {@code release_back} {@link
- * ReleaseCommand.RollBack}, and so on; see {@link #decode}.
+ * Maps {@link ReleaseCommand}s to and from log entries. The stored names of the operations must not
+ * change, and some differ from the names in the code: {@code release_drive} is {@link
+ * ReleaseCommand.AcquireLease}, {@code release_acting} {@link ReleaseCommand.BeginChange}, {@code
+ * release_back} {@link ReleaseCommand.RollBack}; see {@link #decode}.
  */
 public final class ReleaseCommandCodec {
   private static final String START = "release_start";
@@ -28,7 +28,9 @@
   private static final String RECORD_REPORT = "release_reported";
   private static final String RECORD_VERDICT = "release_verdict";
 
-  /** Entries that drivers write: they come often, and are not all worth a line of the audit. */
+  /**
+   * Operations of drivers and agents. They are frequent, so the audit log leaves some of them out.
+   */
   public static final Set<String> DRIVER_OPERATIONS =
       Set.of(
           ACQUIRE_LEASE,
@@ -39,18 +41,17 @@
           RECORD_REPORT,
           RECORD_VERDICT);
 
-  /** Entries that operators write. */
+  /** Operations of operators. */
   public static final Set<String> OPERATOR_OPERATIONS =
       Set.of(START, PAUSE, RESUME, HALT, ROLL_BACK, OVERRIDE, END);
 
   private ReleaseCommandCodec() {}
 
   /**
-   * Reads an entry whose operation is one of {@link #DRIVER_OPERATIONS} or {@link
-   * #OPERATOR_OPERATIONS}.
+   * Reads an entry of an operation in {@link #DRIVER_OPERATIONS} or {@link #OPERATOR_OPERATIONS}.
    *
-   * @param errors gets what is wrong with a plan
-   * @return the command, or null where there was a fault
+   * @param errors receives one line for each invalid value of a plan
+   * @return the command, or null if there was an error
    */
   public static ReleaseCommand decode(String operation, JsonNode entry, List<String> errors) {
     String release = entry.path("release").isTextual() ? entry.path("release").asText() : "";
@@ -106,20 +107,22 @@
               entry.path("text").asText());
       default ->
           throw new IllegalArgumentException(
-              "operation: '" + operation + "' (expected: one of a release)");
+              "operation: '" + operation + "' (expected: an operation of a release)");
     };
   }
 
   /**
-   * An entry that starts a release.
+   * Returns an entry that starts a release.
    *
-   * @param plan the plan in its JSON form; what it leaves out has its default
+   * @param plan plan in its JSON form; missing keys have their defaults
    */
   public static ObjectNode encodeStart(JsonNode plan) {
     return entry(START).set("plan", plan);
   }
 
-  /** The entry of a command, with {@code op}, {@code release} and what else the command says. */
+  /**
+   * Returns the entry of a command, with {@code op}, {@code release} and the keys of the command.
+   */
   public static ObjectNode encode(ReleaseCommand command) {
     if (command instanceof ReleaseCommand.StartRelease start) {
       ObjectNode plan = JsonNodeFactory.instance.objectNode();
@@ -195,7 +198,8 @@
           .put("tries", report.attempt())
           .put("found", report.foundVersion());
     }
-    throw new IllegalArgumentException("command: " + command + " (expected: one of a release)");
+    throw new IllegalArgumentException(
+        "command: " + command + " (expected: a command of a release)");
   }
 
   private static ObjectNode entry(String operation) {
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -5,16 +5,17 @@
 import java.util.Optional;
 
 /**
- * Decides what the driver of one release does next, by the release's status; it remembers only what
- * it has begun itself. Without I/O: whoever runs it carries out what {@link #nextActions} returns
- * and tells what came of commands and checks.
+ * Decides what the driver of one release does next, from the status of the release. It keeps only
+ * the actions that it has begun itself. It does no I/O: its caller carries out the actions of
+ * {@link #nextActions} and passes the results of commands and checks back.
  *
- * <p>Targets on their way are the {@link TargetReconciler}'s, who goes next the {@link
- * NextTargetSelector}'s, verdicts on steps the {@link CanaryEvaluator}'s.
+ * <p>{@link TargetReconciler} handles the targets in progress, {@link NextTargetSelector} selects
+ * the next target, and {@link CanaryEvaluator} gives the verdicts on steps.
  *
- * <p>Two drivers never both believe that they may run a command, since only the holder of the fence
- * can have written the entry that allows it; a driver whose lease is over and who does not know it
- * yet is rejected by whoever carries the action out, by the fence that goes with it.
+ * <p>Two drivers never both believe that they may run a command, because only the holder of the
+ * current fencing token can write the entry that allows it. A driver that does not know yet that
+ * its lease is over is rejected by the fencing token: the program that carries out the action
+ * checks it.
  */
 public final class ReleaseController {
   private final String driver;
@@ -24,10 +25,10 @@
   private final CanaryEvaluator canaryEvaluator;
 
   /**
-   * A driver.
+   * Creates the controller of a driver.
    *
-   * @param driver its name, its own among all processes that ever drive
-   * @param leaseMillis the length of the lease that it asks for
+   * @param driver name of the driver, never used by another process
+   * @param leaseMillis duration of the lease that the driver requests (ms)
    */
   public ReleaseController(String driver, long leaseMillis) {
     this.driver = driver;
@@ -37,28 +38,32 @@
     this.canaryEvaluator = new CanaryEvaluator(leaseMillis);
   }
 
-  /** The command of a change has ended. */
+  /** Records the end of the command of a change. */
   public void onChangeEnded(DriverAction.RunChange change, CommandResult result) {
     reconciler.onChangeEnded(new ActionAttempt(change.action(), change.attempt()), result);
   }
 
-  /** A check has seen a version, or "" where there was none; empty where it could not look. */
+  /**
+   * Records the result of a version check: the version, "" if the target reported none, or empty if
+   * the check failed.
+   */
   public void onVersionChecked(DriverAction.CheckVersion check, Optional<String> version) {
     observer.onVersionChecked(new ActionAttempt(check.action(), check.attempt()), version);
   }
 
-  /** Whether this driver holds the release's lease, as the replicas tell. */
+  /** Returns whether this driver holds the lease of a release, according to the replicas. */
   public boolean isDriverOf(ReleaseView release) {
     return release.driver().equals(driver);
   }
 
   /**
-   * What to do now.
+   * Returns the actions to carry out now.
    *
-   * @param release the release as the replicas tell of it
-   * @param reports what members tell; empty where they were not asked
-   * @param leaseHolds whether this driver's lease holds at this moment; commands begin only then
-   * @param nowNanos of a monotonic clock
+   * @param release release as reported by the replicas
+   * @param reports reports of the members; empty if they were not fetched
+   * @param leaseHolds whether the lease of this driver is valid now; commands start only with a
+   *     valid lease
+   * @param nowNanos time of a monotonic clock
    */
   public List<DriverAction> nextActions(
       ReleaseView release, Optional<MemberReports> reports, boolean leaseHolds, long nowNanos) {
--- a/src/main/java/leadferry/release/ReleaseDirection.java
+++ b/src/main/java/leadferry/release/ReleaseDirection.java
@@ -1,6 +1,6 @@
 package leadferry.release;
 
-/** Which way a release changes its targets. */
+/** Direction in which a release changes its targets. */
 public enum ReleaseDirection implements StoredName {
   /** From the previous version to the new one. */
   FORWARD("forward"),
--- a/src/main/java/leadferry/release/ReleasePlan.java
+++ b/src/main/java/leadferry/release/ReleasePlan.java
@@ -5,19 +5,19 @@
 import leadferry.disruption.TargetType;
 
 /**
- * What a release changes, in which order, and what must hold meanwhile; with its targets by name.
- * {@link ReleasePlanCodec} maps it to and from the form that the log holds.
+ * Plan of a release: its targets by name, their order, and the limits and policies of the release.
+ * {@link ReleasePlanCodec} maps a plan to and from its stored form.
  *
- * @param name the release's own name, used once in the fleet
- * @param targetType proxies or hosts
- * @param version what its targets run once it is done
- * @param previousVersion what they ran before, and run again after a rollback
- * @param steps in their order; a target stands in one of them
- * @param limits what halts it when passed
- * @param policies what to do when something unexpected happens
+ * @param name name of the release, used only once in the fleet
+ * @param targetType type of the targets
+ * @param version version that the targets run after the release
+ * @param previousVersion version that the targets run before the release and after a rollback
+ * @param steps steps in their order; each target belongs to one step
+ * @param limits limits that halt the release when exceeded
+ * @param policies reactions to unexpected events
  * @param canaryBounds bounds of each step's canary analysis
- * @param changeCommands how targets are changed, as the operator's file says it; the state machine
- *     keeps it for drivers and does not read it
+ * @param changeCommands commands that change targets, in the form of the operator's file; the state
+ *     machine stores them for drivers and does not read them
  */
 public record ReleasePlan(
     String name,
@@ -30,18 +30,18 @@
     CanaryAnalysis.Bounds canaryBounds,
     JsonNode changeCommands) {
   /**
-   * The form of names of releases and steps: those of members but for the colon, which separates
-   * the parts of a timer's name.
+   * Regular expression of the names of releases and steps. It is that of members without the colon,
+   * which separates the parts of a timer's name.
    */
   public static final String NAME_PATTERN = "[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}";
 
   /**
    * Targets that are changed together.
    *
-   * @param name its own in the plan
-   * @param targets names of proxies or hosts
-   * @param maxConcurrent how many may be out by this release at the same time
-   * @param bakeMillis how long all must run well before the step is judged
+   * @param name name of the step, unique in the plan
+   * @param targets names of the proxies or endpoints
+   * @param maxConcurrent maximum number of targets that this release changes at the same time
+   * @param bakeMillis time (ms) for which all targets must serve before the verdict on the step
    */
   public record Step(String name, List<String> targets, int maxConcurrent, long bakeMillis) {
     /** Keeps a copy of the targets. */
@@ -51,24 +51,27 @@
   }
 
   /**
-   * What halts a release when passed.
+   * Limits that halt a release when exceeded.
    *
-   * @param actionTimeoutMillis time for one target, from its grant until it is back in service
-   * @param releaseTimeoutMillis time for the whole release; begins anew after a pause
-   * @param lostTargetsToHalt how many targets lost by other causes halt it; 0 for never
+   * @param actionTimeoutMillis time for one target (ms), from its grant until its return to service
+   * @param releaseTimeoutMillis time for the whole release (ms); restarts after a pause
+   * @param lostTargetsToHalt number of targets lost by other causes at which the release halts; 0
+   *     for never
    */
   public record Limits(
       long actionTimeoutMillis, long releaseTimeoutMillis, int lostTargetsToHalt) {}
 
   /**
-   * What to do when something unexpected happens.
+   * Reactions to unexpected events.
    *
-   * @param haltOnTakeover whether it halts when a driver was lost; otherwise the next one goes on
-   * @param skipLostTargets whether steps go on without lost targets; otherwise they wait
-   * @param keepWrongVersionsOut whether a target that comes back with another version is kept out
-   *     of service; otherwise it is changed once more
+   * @param haltOnTakeover whether the release halts when its driver is lost; otherwise the next
+   *     driver continues
+   * @param skipLostTargets whether steps continue without lost targets; otherwise they wait for
+   *     them
+   * @param keepWrongVersionsOut whether a target that returns with another version is kept out of
+   *     service; otherwise it is changed again
    * @param rollBackOnVerdict whether a verdict against the new version begins a rollback; otherwise
-   *     it halts
+   *     the release halts
    */
   public record Policies(
       boolean haltOnTakeover,
@@ -81,12 +84,12 @@
     steps = List.copyOf(steps);
   }
 
-  /** All targets, in the order of the steps. */
+  /** Returns all targets in the order of the steps. */
   public List<String> targets() {
     return steps.stream().flatMap(step -> step.targets().stream()).toList();
   }
 
-  /** Which of the plan's versions a target's own version is. */
+  /** Returns which of the versions of the plan the given version is. */
   TargetVersion classify(String runningVersion) {
     if (runningVersion.equals(version)) {
       return TargetVersion.NEW;
--- a/src/main/java/leadferry/release/ReleasePlanCodec.java
+++ b/src/main/java/leadferry/release/ReleasePlanCodec.java
@@ -14,13 +14,13 @@
 import leadferry.disruption.TargetType;
 
 /**
- * Maps a {@link ReleasePlan} to and from the JSON form of entries, status views and snapshots. The
- * stored keys are older than the names in the code: {@code of} is the target type, {@code from} the
- * previous version, {@code guard} the bounds of the canary analysis, {@code carry} the commands
+ * Maps a {@link ReleasePlan} to and from the JSON form of entries, status views and snapshots. Some
+ * stored keys differ from the names in the code: {@code of} is the target type, {@code from} the
+ * previous version, {@code guard} the bounds of the canary analysis, and {@code carry} the commands
  * that change a target.
  */
 public final class ReleasePlanCodec {
-  /** A plan with more targets is rejected. */
+  /** Maximum number of targets in a plan. */
   private static final int MAX_TARGETS = 20_000;
 
   private static final int MAX_AT_ONCE = 100_000;
@@ -37,7 +37,7 @@
     this.errors = errors;
   }
 
-  /** Writes a plan as the log holds it. */
+  /** Writes the stored form of a plan. */
   public static void write(ReleasePlan plan, ObjectNode json) {
     ReleasePlan.Limits limits = plan.limits();
     ReleasePlan.Policies policies = plan.policies();
@@ -69,8 +69,8 @@
   /**
    * Reads a plan.
    *
-   * @param errors gets everything that is wrong with it
-   * @return the plan, or null where there was a fault
+   * @param errors receives one line for each invalid value
+   * @return the plan, or null if there was an error
    */
   public static ReleasePlan read(JsonNode json, List<String> errors) {
     int errorsBefore = errors.size();
@@ -89,7 +89,7 @@
     if (targetType == null) {
       errors.add("of: '" + json.path("of").asText("") + "' (expected: proxy or host)");
     }
-    // Faults are told in the order of these reads, so each has a line of its own.
+    // Separate statements, because the errors are reported in the order of these reads.
     List<ReleasePlan.Step> steps = readSteps(json.path("steps"));
     CanaryAnalysis.Bounds canaryBounds = CanaryBoundsCodec.read(json.path("guard"), errors);
     ReleasePlan.Limits limits = readLimits(json);
@@ -192,7 +192,7 @@
     return value.asLong();
   }
 
-  /** Whether a choice of two is the second one; the first is the default. */
+  /** Returns whether the value of a key is the second of two choices; the first is the default. */
   private boolean isSecondChoice(JsonNode json, String key, String first, String second) {
     String text = json.path(key).asText(first).toLowerCase(Locale.ROOT);
     if (!text.equals(first) && !text.equals(second)) {
--- a/src/main/java/leadferry/release/ReleaseProgress.java
+++ b/src/main/java/leadferry/release/ReleaseProgress.java
@@ -1,36 +1,36 @@
 package leadferry.release;
 
 /**
- * How far a release has come: its direction, the steps that are to run the new version, and whether
- * the last of them has baked.
+ * Progress of a release: its direction, the steps that are to run the new version, and whether the
+ * last of them has baked.
  *
- * <p>Invariant: a step has baked only if it has begun to, and both end together.
+ * <p>Invariant: a step has baked only if its baking has begun, and both are reset together.
  */
 final class ReleaseProgress {
   ReleaseDirection direction = ReleaseDirection.FORWARD;
 
-  /** How many steps, from the first one on, are to run the new version. */
+  /** Number of steps, from the first one on, that are to run the new version. */
   int goalStepCount = 1;
 
   /**
-   * The change number of the fleet's state from which on all targets of these steps run what they
-   * should and serve; 0 while some do not.
+   * Change number of the fleet state from which on all targets of these steps have served with
+   * their desired versions; 0 while some do not.
    */
   long bakingSinceChange;
 
-  /** Whether that has lasted for the step's baking time. */
+  /** Whether the baking time of the step has passed. */
   boolean baked;
 
   boolean isForward() {
     return direction == ReleaseDirection.FORWARD;
   }
 
-  /** The index of the step that is baking or being changed, going forward. */
+  /** Returns the index of the step that is being changed or is baking, going forward. */
   int currentStep() {
     return goalStepCount - 1;
   }
 
-  /** The version that a target is to run. */
+  /** Returns the version that a target is to run. */
   TargetVersion desiredVersion(ReleaseTarget target) {
     return target.step < goalStepCount ? TargetVersion.NEW : TargetVersion.PREVIOUS;
   }
@@ -56,19 +56,19 @@
     baked = false;
   }
 
-  /** Takes the next step up. */
+  /** Proceeds to the next step. */
   void advance() {
     goalStepCount++;
   }
 
-  /** Turns back, until only the first {@code steps} steps run the new version. */
+  /** Begins a rollback, after which only the first {@code steps} steps run the new version. */
   void rollBackTo(int steps) {
     direction = ReleaseDirection.ROLLBACK;
     goalStepCount = Math.min(goalStepCount, steps);
     resetBaking();
   }
 
-  /** A rollback that an operator bounded has come to its step: what follows goes forward again. */
+  /** Sets the direction to forward after a rollback to the step that an operator named. */
   void resumeForward() {
     direction = ReleaseDirection.FORWARD;
   }
--- a/src/main/java/leadferry/release/ReleaseRegistry.java
+++ b/src/main/java/leadferry/release/ReleaseRegistry.java
@@ -14,17 +14,17 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * The registry of all releases of a fleet, as the log's entries have brought them about; those that
- * are over are kept for a while.
+ * Registry of all releases of a fleet in the replicated state. It keeps the most recent closed
+ * releases.
  *
- * <p>Invariant: no two releases that are under way have a target in common; the one that comes
- * later in the log is rejected.
+ * <p>Invariant: no two active releases have a target in common. Of two such releases, the later one
+ * in the log is rejected.
  */
 public final class ReleaseRegistry {
-  /** How many releases are under way at most. */
+  /** Maximum number of active releases. */
   private static final int MAX_ACTIVE = 32;
 
-  /** How many releases that are over are remembered. */
+  /** Maximum number of closed releases that are kept. */
   private static final int MAX_CLOSED = 50;
 
   private static final int MAX_DRIVER_NAME_CHARACTERS = 128;
@@ -36,7 +36,7 @@
   private long lastFence;
   private long lastActionNumber;
 
-  /** Applies a command and tells what became of it. */
+  /** Applies a command and returns its outcome. */
   public Outcome apply(ReleaseCommand command, DisruptionState disruption) {
     if (command instanceof ReleaseCommand.StartRelease start) {
       return start(start, disruption);
@@ -55,7 +55,7 @@
       return acquireLease(driver, lease);
     }
     if (command instanceof ReleaseCommand.YieldLease lease) {
-      release.lease.giveBack(lease.fence());
+      release.lease.yieldLease(lease.fence());
       return Outcome.of(Status.DONE);
     }
     if (command instanceof ReleaseCommand.IntendChange intent) {
@@ -99,7 +99,8 @@
     if (command instanceof ReleaseCommand.EndRelease end) {
       return operator.end(end);
     }
-    throw new IllegalArgumentException("command: " + command + " (expected: one of a release)");
+    throw new IllegalArgumentException(
+        "command: " + command + " (expected: a command of a release)");
   }
 
   private Outcome start(ReleaseCommand.StartRelease command, DisruptionState disruption) {
@@ -121,9 +122,9 @@
 
   private List<String> findStartErrors(ReleasePlan plan, DisruptionState disruption) {
     List<String> errors = new ArrayList<>();
-    Set<String> known = disruption.targetsByName(plan.targetType()).keySet();
+    Set<String> knownNames = disruption.targetsByName(plan.targetType()).keySet();
     for (String target : plan.targets()) {
-      if (!known.contains(target)) {
+      if (!knownNames.contains(target)) {
         errors.add("no " + plan.targetType().storedName() + " '" + target + "'");
       }
     }
@@ -141,7 +142,7 @@
     return errors;
   }
 
-  /** Whether any release is not over. */
+  /** Returns whether any release is active, that is not closed. */
   public boolean hasActive() {
     return activeCount() > 0;
   }
@@ -166,7 +167,10 @@
     return outcome;
   }
 
-  /** A completed release may be rolled back as long as no other has its targets. */
+  /**
+   * Rolls a release back. A closed release can be rolled back only if no active release has a
+   * target in common with it.
+   */
   private Outcome rollBack(
       Release release, OperatorCommands operator, ReleaseCommand.RollBack command) {
     if (release.state.isClosed()) {
@@ -181,7 +185,7 @@
     return operator.rollBack(command);
   }
 
-  /** Takes note of what the last entry has changed in the fleet; to be called after each. */
+  /** Applies the changes of the fleet by the last entry. Callers invoke it after each entry. */
   public void onFleetChange(DisruptionState disruption) {
     for (Release release : releases.values()) {
       boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
@@ -195,7 +199,10 @@
             other -> other.number > release.number && other.hasTargetsInCommonWith(release.plan));
   }
 
-  /** Which release holds this eviction grant, or null: nobody else gives it back. */
+  /**
+   * Returns the name of the release that holds an eviction grant, or null if there is none. Only
+   * that release may give the grant back.
+   */
   public String findReleaseHolding(String grant) {
     return releases.values().stream()
         .filter(release -> release.holdsGrant(grant))
@@ -204,23 +211,23 @@
         .orElse(null);
   }
 
-  /** Whether a driver holds the release's lease under this fence. */
+  /** Returns whether a driver holds the lease of a release with the given fencing token. */
   public boolean isLeaseHeld(String name, long fence) {
     Release release = releases.get(name);
     return release != null && release.lease.isHeld() && release.lease.fence == fence;
   }
 
-  /** The name of the timer of a driver's lease. */
+  /** Returns the name of the timer of a driver's lease. */
   public static String driverLeaseTimerName(String release, long fence) {
     return new ReleaseTimer(ReleaseTimer.Kind.DRIVER_LEASE, release, fence).name();
   }
 
-  /** Puts what runs out, by name, and after how long (ms). */
+  /** Adds the running timers, by name, with their durations (ms). */
   public void putTimers(Map<String, Long> timers) {
     releases.values().forEach(release -> release.putTimers(timers));
   }
 
-  /** A timer of a release, by its name, has run out. */
+  /** Applies the expiry of the timer with the given name. */
   public void onTimerExpired(String timerName) {
     ReleaseTimer timer = ReleaseTimer.parse(timerName);
     Release release = releases.get(timer.release());
@@ -229,13 +236,15 @@
     }
   }
 
-  /** Writes one release whole, or all in a line each where {@code name} is empty. */
+  /**
+   * Writes the full status of one release, or a summary of each release if {@code name} is empty.
+   */
   public void writeStatus(String name, ObjectNode json, DisruptionState disruption) {
     if (name.isEmpty()) {
-      ArrayNode all = json.putArray("releases");
+      ArrayNode releasesJson = json.putArray("releases");
       releases.values().stream()
           .sorted(Comparator.comparingLong(release -> release.number))
-          .forEach(release -> ReleaseStatusWriter.writeSummary(release, all.addObject()));
+          .forEach(release -> ReleaseStatusWriter.writeSummary(release, releasesJson.addObject()));
       return;
     }
     Release release = releases.get(name);
@@ -248,16 +257,18 @@
     }
   }
 
-  /** Writes the whole state; {@link #restore} of it gives the same state. */
+  /** Writes the whole state. {@link #restore} of the result gives the same state. */
   public void writeSnapshot(ObjectNode json) {
     json.put("numbers", lastReleaseNumber)
         .put("fences", lastFence)
         .put("actions", lastActionNumber);
-    ArrayNode all = json.putArray("releases");
-    releases.values().forEach(release -> ReleaseSnapshotCodec.write(release, all.addObject()));
+    ArrayNode releasesJson = json.putArray("releases");
+    releases
+        .values()
+        .forEach(release -> ReleaseSnapshotCodec.write(release, releasesJson.addObject()));
   }
 
-  /** Takes the state from a snapshot, in place of all that is known. */
+  /** Replaces the whole state by that of a snapshot. */
   public void restore(JsonNode json) {
     lastReleaseNumber = json.path("numbers").asLong();
     lastFence = json.path("fences").asLong();
--- a/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
+++ b/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
@@ -7,9 +7,8 @@
 import java.util.Locale;
 
 /**
- * Maps a {@link Release} to and from its part of a snapshot. This is the one class that knows the
- * stored keys and the stored names of the enums; both are older than the names in the code and
- * stay, since snapshots outlive versions:
+ * Maps a {@link Release} to and from its part of a snapshot. Snapshots of earlier builds hold the
+ * same keys and enum names, so they must not change. Some differ from the names in the code:
  *
  * <ul>
  *   <li>{@code items}, {@code at}, {@code permit}, {@code tries}, {@code late}: the targets, and a
@@ -18,9 +17,10 @@
  *       losses, whether the lease's holder was lost, whether the time limit passed, the count of
  *       returns;
  *   <li>enums by their {@link StoredName} in upper case: {@code IN}, {@code LEAVING}, {@code
- *       ACTING} and {@code COMING} are the phases, {@code OLD} is the previous version, {@code
- *       DONE}, {@code RETURNED} and {@code ENDED} are {@link ReleaseState#COMPLETED}, {@link
- *       ReleaseState#ROLLED_BACK} and {@link ReleaseState#ABANDONED}.
+ *       ACTING} and {@code COMING} are the {@link TargetPhase phases}, {@code OLD} is {@link
+ *       TargetVersion#PREVIOUS}, {@code DONE}, {@code RETURNED} and {@code ENDED} are {@link
+ *       ReleaseState#COMPLETED}, {@link ReleaseState#ROLLED_BACK} and {@link
+ *       ReleaseState#ABANDONED}.
  * </ul>
  */
 final class ReleaseSnapshotCodec {
--- a/src/main/java/leadferry/release/ReleaseState.java
+++ b/src/main/java/leadferry/release/ReleaseState.java
@@ -1,18 +1,21 @@
 package leadferry.release;
 
-/** Where a release as a whole stands. */
+/** State of a release as a whole. */
 public enum ReleaseState implements StoredName {
-  /** Targets are changed, forward or as a rollback. */
+  /** Targets are changed, forward or in a rollback. */
   RUNNING("running"),
-  /** An operator stopped it; no new target goes out until it is resumed. */
+  /** An operator paused the release. No further target is drained until it is resumed. */
   PAUSED("paused"),
-  /** A halt condition or an operator stopped it; no new target goes out until it is resumed. */
+  /**
+   * A halt condition or an operator halted the release. No further target is drained until it is
+   * resumed.
+   */
   HALTED("halted"),
-  /** All targets run the new version, and the last step's analysis let it pass. */
+  /** All targets run the new version, and the last step has passed. */
   COMPLETED("done"),
   /** All targets run the previous version again. */
   ROLLED_BACK("returned"),
-  /** An operator gave it up as it stood. */
+  /** An operator abandoned the release before its end. */
   ABANDONED("ended");
 
   private final String storedName;
@@ -26,7 +29,7 @@
     return storedName;
   }
 
-  /** Whether drivers have nothing left to do. */
+  /** Returns whether the release has ended and needs no driver. */
   public boolean isClosed() {
     return this == COMPLETED || this == ROLLED_BACK || this == ABANDONED;
   }
--- a/src/main/java/leadferry/release/ReleaseStatusWriter.java
+++ b/src/main/java/leadferry/release/ReleaseStatusWriter.java
@@ -9,9 +9,9 @@
 import leadferry.disruption.TargetType;
 
 /**
- * Writes the status of a release, by which staff and drivers go; {@link ReleaseViewCodec} reads it.
- * The keys are older than the names in the code: {@code at} is a target's version, {@code permit}
- * its grant, {@code tries} its attempts.
+ * Writes the status of a release for operators and drivers; {@link ReleaseViewCodec} reads it. Some
+ * keys differ from the names in the code: {@code at} is the version of a target, {@code permit} its
+ * grant, and {@code tries} its attempts.
  */
 final class ReleaseStatusWriter {
   private final Release release;
@@ -22,7 +22,7 @@
     this.disruption = disruption;
   }
 
-  /** One line of a list of releases. */
+  /** Writes the summary of a release for a list of releases. */
   static void writeSummary(Release release, ObjectNode json) {
     ReleasePlan plan = release.plan;
     json.put("name", plan.name())
@@ -37,7 +37,7 @@
         .put("steps", plan.steps().size());
   }
 
-  /** Everything about the release. */
+  /** Writes the full status of the release. */
   void write(ObjectNode json) {
     ReleasePlanCodec.write(release.plan, json);
     json.put("number", release.number)
@@ -52,12 +52,13 @@
         .put("baking", release.progress.bakingSinceChange)
         .put("baked", release.progress.baked);
     Set<String> lost = disruption.lostTargets();
-    Map<String, Target> known = disruption.targetsByName(release.plan.targetType());
+    Map<String, Target> knownTargets = disruption.targetsByName(release.plan.targetType());
     ArrayNode targets = json.putArray("targets");
     for (ReleaseTarget target : release.targets()) {
       ObjectNode targetJson = targets.addObject();
       writeTarget(target, targetJson);
-      writeInFleet(target, lost.contains(target.name), known.get(target.name), targetJson);
+      writeAvailability(
+          target, lost.contains(target.name), knownTargets.get(target.name), targetJson);
     }
   }
 
@@ -78,12 +79,13 @@
         .put("order", target.returnOrder);
   }
 
-  private void writeInFleet(ReleaseTarget target, boolean lost, Target known, ObjectNode json) {
+  private void writeAvailability(
+      ReleaseTarget target, boolean lost, Target knownTarget, ObjectNode json) {
     TargetType targetType = release.plan.targetType();
     boolean draining = target.phase == TargetPhase.DRAINING;
     json.put("lost", lost)
         .put("out", disruption.unavailabilityReason(targetType, target.name))
-        .put("zone", known == null ? Target.NONE : known.zone())
+        .put("zone", knownTarget == null ? Target.NONE : knownTarget.zone())
         .put("carried_out", draining && disruption.isCarriedOut(target.grantId))
         .put("told", reportedVersion(target));
     if (draining && targetType == TargetType.HOST) {
@@ -92,7 +94,10 @@
     }
   }
 
-  /** What a proxy or an agent has told of the target since its action began, or "". */
+  /**
+   * Returns the version that the proxy or the agent of a target has reported since the action
+   * began, or "".
+   */
   private String reportedVersion(ReleaseTarget target) {
     boolean reportsItself =
         release.plan.targetType() == TargetType.PROXY && target.phase == TargetPhase.CHANGING;
--- a/src/main/java/leadferry/release/ReleaseTarget.java
+++ b/src/main/java/leadferry/release/ReleaseTarget.java
@@ -1,14 +1,17 @@
 package leadferry.release;
 
 /**
- * One target of a release: the state machine of its phase. All transitions stand here; nothing else
- * writes the fields but {@link ReleaseSnapshotCodec}, which restores them.
+ * Target of a release, with the state machine of its phase. Only the transitions of this class
+ * write the fields, except {@link ReleaseSnapshotCodec}, which restores them, and {@link
+ * FleetChangeObserver}, which sets {@code removed}.
  *
  * <pre>
- *   IN_SERVICE --drain--> DRAINING --beginChange--> CHANGING --restore--> RESTORING --returnToService--> IN_SERVICE
- *   IN_SERVICE --holdOut--> DRAINING
- *                         DRAINING --restore, untouched-----------------> RESTORING
- *                                                           RESTORING --drain, in a rollback--> DRAINING
+ *   IN_SERVICE --beginDraining, keepOutOfService--> DRAINING
+ *   DRAINING   --beginChange----------------------> CHANGING
+ *   DRAINING   --beginRestoring, unchanged--------> RESTORING
+ *   CHANGING   --beginRestoring-------------------> RESTORING
+ *   RESTORING  --returnToService------------------> IN_SERVICE
+ *   RESTORING  --beginDraining, in a rollback-----> DRAINING
  * </pre>
  *
  * <p>Invariant: a target holds a grant exactly in the phases other than {@link
@@ -17,43 +20,43 @@
 final class ReleaseTarget {
   final String name;
 
-  /** The index of its step in the plan. */
+  /** Index of the step of the target in the plan. */
   final int step;
 
   TargetPhase phase = TargetPhase.IN_SERVICE;
   TargetVersion version = TargetVersion.PREVIOUS;
 
-  /** The eviction grant that it is out by, or "". */
+  /** Id of the eviction grant of the target, or "". */
   String grantId = "";
 
-  /** The number of the action on it, unique in the fleet; given with its grant. */
+  /** Number of the action on the target, unique in the fleet; assigned with the grant. */
   long action;
 
-  /** The fence of the driver that last took its action up. */
+  /** Fencing token of the driver that last worked on the action. */
   long fence;
 
-  /** The change number of the fleet's state at which its action began to be carried out. */
+  /** Change number of the fleet state at which the last attempt of the action began. */
   long startChange;
 
-  /** How often its action was begun. */
+  /** Number of attempts of the action so far. */
   int attempts;
 
-  /** What was last observed of it, for people. */
+  /** Human-readable result of the last observation, a version in most cases. */
   String observation = "";
 
-  /** The version that an agent reported after its action; "" before. */
+  /** Version that an agent reported after the action; "" before. */
   String reportedVersion = "";
 
-  /** Whether its action took longer than the plan allows. */
+  /** Whether the action took longer than the plan allows. */
   boolean overdue;
 
-  /** Whether it is kept out of service since it came back with another version. */
+  /** Whether the target is kept out of service because it returned with another version. */
   boolean keptOutOfService;
 
-  /** Whether the fleet does not know it any more. */
+  /** Whether the fleet no longer knows the target. */
   boolean removed;
 
-  /** Its place in the order of returns to service; a rollback begins with the highest. */
+  /** Position in the order of returns to service; a rollback begins with the highest. */
   long returnOrder;
 
   ReleaseTarget(String name, int step) {
@@ -65,7 +68,7 @@
     return phase == TargetPhase.IN_SERVICE;
   }
 
-  /** A grant takes it out of service, to be changed. */
+  /** Begins an action: the grant takes the target out of service to be changed. */
   void beginDraining(String newGrantId, long newAction, long driverFence) {
     phase = TargetPhase.DRAINING;
     grantId = newGrantId;
@@ -76,14 +79,17 @@
     observation = "";
   }
 
-  /** It came back with a version that it was not given, and is kept out; no driver has it yet. */
+  /**
+   * Keeps a target out of service that returned with an unexpected version. No driver works on it
+   * yet.
+   */
   void keepOutOfService(String newGrantId, long newAction, String foundVersion) {
     beginDraining(newGrantId, newAction, 0);
     observation = foundVersion;
     keptOutOfService = true;
   }
 
-  /** From here on the command that changes it may have run. */
+  /** Begins an attempt. From here on the command that changes the target may have run. */
   void beginChange(long driverFence, long newStartChange) {
     phase = TargetPhase.CHANGING;
     version = TargetVersion.UNKNOWN;
@@ -94,31 +100,31 @@
     startChange = newStartChange;
   }
 
-  /** A driver has looked at it. */
+  /** Records the observation of a driver. */
   void recordObservation(long driverFence, TargetVersion observedVersion, String text) {
     fence = driverFence;
     observation = text;
     version = observedVersion;
   }
 
-  /** It tells by itself, in service, that it runs another version. */
+  /** Records that the target reports another version while in service. */
   void recordVersionChange(TargetVersion reported, String text) {
     version = reported;
     observation = text;
   }
 
-  /** An agent reports the version after its action. */
+  /** Records the version that an agent reports after the action. */
   void recordReport(String newReportedVersion) {
     reportedVersion = newReportedVersion;
   }
 
-  /** Its grant has been given back. */
+  /** Begins the return to service after the grant was given back. */
   void beginRestoring() {
     phase = TargetPhase.RESTORING;
     keptOutOfService = false;
   }
 
-  /** It serves as before. */
+  /** Ends the action: the target serves again. */
   void returnToService(long order) {
     phase = TargetPhase.IN_SERVICE;
     grantId = "";
@@ -126,12 +132,14 @@
     returnOrder = order;
   }
 
-  /** Its action took too long. */
+  /** Records that the action took longer than the plan allows. */
   void markOverdue() {
     overdue = true;
   }
 
-  /** Its action has its time anew, and at least one attempt of {@code maxAttempts} left. */
+  /**
+   * Restarts the time limit of the action and leaves at least one attempt of {@code maxAttempts}.
+   */
   void allowAnotherAttempt(int maxAttempts) {
     overdue = false;
     attempts = Math.min(attempts, maxAttempts - 1);
--- a/src/main/java/leadferry/release/ReleaseTargetView.java
+++ b/src/main/java/leadferry/release/ReleaseTargetView.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 
 /**
- * One target of a release, as the replicas tell of it.
+ * Target of a release as reported by the replicas.
  *
- * @param name the proxy's or host's name
- * @param step the index of its step in the plan
- * @param phase where it stands
- * @param version which version it runs, as far as seen
- * @param desiredVersion which version it is to run
- * @param action the action on it
- * @param observation what was last observed of it, or ""
- * @param overdue whether its action took longer than the plan allows
- * @param keptOutOfService whether it is kept out of service since it came back with another version
- * @param removed whether the fleet does not know it any more
- * @param returnOrder its place in the order of returns to service
- * @param availability how it stands in the fleet
+ * @param name name of the proxy or endpoint
+ * @param step index of the step of the target in the plan
+ * @param phase phase of the target in the release
+ * @param version version that the target runs, as last observed
+ * @param desiredVersion version that the target is to run
+ * @param action action on the target
+ * @param observation human-readable result of the last observation, or ""
+ * @param overdue whether the action took longer than the plan allows
+ * @param keptOutOfService whether the target is kept out of service because it returned with
+ *     another version
+ * @param removed whether the fleet no longer knows the target
+ * @param returnOrder position in the order of returns to service
+ * @param availability availability of the target in the fleet
  */
 public record ReleaseTargetView(
     String name,
@@ -33,23 +34,26 @@
     long returnOrder,
     Availability availability) {
   /**
-   * The action on a target.
+   * Action on a target.
    *
-   * @param number unique in the fleet; 0 before the first
-   * @param fence the fence of the driver that last took it up
-   * @param attempts how often it was begun
-   * @param reportedVersion what the proxy or its agent has told since it began, or ""
+   * @param number number of the action, unique in the fleet; 0 before the first
+   * @param fence fencing token of the driver that last worked on the action
+   * @param attempts number of attempts so far
+   * @param reportedVersion version that the proxy or the agent has reported since the action began,
+   *     or ""
    */
   public record Action(long number, long fence, int attempts, String reportedVersion) {}
 
   /**
-   * How a target stands in the fleet.
+   * Availability of a target in the fleet.
    *
-   * @param lost whether nothing is heard of it
-   * @param unavailabilityReason why it is out of service; empty where it serves
-   * @param zone its zone
-   * @param drained whether every proxy knows that it is out
-   * @param pendingProxies the proxies that do not know it yet, each with the reason
+   * @param lost whether the target is lost
+   * @param unavailabilityReason reason why the target is unavailable; empty if it is available
+   * @param zone zone of the target
+   * @param drained whether the eviction is complete; false in phases other than {@link
+   *     TargetPhase#DRAINING}
+   * @param pendingProxies proxies that may still send requests to the endpoint, each name with the
+   *     reason
    */
   public record Availability(
       boolean lost,
@@ -58,38 +62,38 @@
       boolean drained,
       Map<String, String> pendingProxies) {}
 
-  /** How the fleet's reasons begin for a proxy that is lost or has left. */
+  /** Prefix of the reasons of {@code disruption} for a proxy that is lost or has left. */
   private static final String MISSING_PREFIX = "l";
 
   private static final String NOT_SERVING = "does not serve";
 
-  /** Whether the release does nothing to it now. */
+  /** Returns whether the release does not work on the target now. */
   public boolean isInService() {
     return phase == TargetPhase.IN_SERVICE;
   }
 
-  /** Whether it runs what it is to run. */
+  /** Returns whether the target runs its desired version. */
   boolean hasDesiredVersion() {
     return version == desiredVersion;
   }
 
-  /** Whether it serves, and the release does nothing to it. */
+  /** Returns whether the target is available and the release does not work on it. */
   boolean isSettled() {
     return isInService() && isAvailable();
   }
 
-  /** Whether it serves. */
+  /** Returns whether the target is available. */
   boolean isAvailable() {
     return availability.unavailabilityReason().isEmpty();
   }
 
-  /** Whether it is not there: lost, ended, or up and not serving. */
+  /** Returns whether the target is lost, has left or does not serve. */
   boolean isMissing() {
     String reason = availability.unavailabilityReason().orElse("");
     return availability.lost() || reason.startsWith(MISSING_PREFIX) || reason.equals(NOT_SERVING);
   }
 
-  /** Identifies the attempt that its action stands at. */
+  /** Returns the key of the current attempt of the action. */
   ActionAttempt attempt() {
     return new ActionAttempt(action.number(), action.attempts());
   }
--- a/src/main/java/leadferry/release/ReleaseTimer.java
+++ b/src/main/java/leadferry/release/ReleaseTimer.java
@@ -1,26 +1,26 @@
 package leadferry.release;
 
 /**
- * A timer of a release. Its name goes into the log when it has run out: the kind's word, the
- * release and a number, separated by colons.
+ * A timer of a release. Its expiry is logged by its name: the stored name of the kind, the release
+ * and a number, separated by colons.
  *
- * @param kind what it measures
- * @param release the release's name
- * @param number tells it from others of its kind: a fence, a release's number, a change or an
- *     action
+ * @param kind what the timer measures
+ * @param release name of the release
+ * @param number number that distinguishes timers of one kind: a fencing token, the number of a
+ *     release, a change or an action
  */
 record ReleaseTimer(Kind kind, String release, long number) {
   private static final String SEPARATOR = ":";
 
-  /** What a timer measures. */
+  /** Kinds of timers. */
   enum Kind {
-    /** Silence of the driver, up to its lease's length. */
+    /** Time until the lease of the driver expires. */
     DRIVER_LEASE("release-driver"),
-    /** The whole release. */
+    /** Time limit of the whole release. */
     RELEASE_LIMIT("release-longest"),
-    /** The baking of a step. */
+    /** Baking time of a step. */
     BAKING("release-bake"),
-    /** A target's action, from its grant until it is back in service. */
+    /** Time limit of an action, from the grant until the return to service. */
     ACTION_LIMIT("release-action");
 
     private final String storedName;
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The timer of that name. */
+  /** Returns the timer with the given name. */
   static ReleaseTimer parse(String name) {
     String[] parts = name.split(SEPARATOR);
     return new ReleaseTimer(Kind.fromStoredName(parts[0]), parts[1], Long.parseLong(parts[2]));
--- a/src/main/java/leadferry/release/ReleaseView.java
+++ b/src/main/java/leadferry/release/ReleaseView.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A release as the replicas tell of it: what drivers decide by and what staff read.
+ * A release as reported by the replicas, for drivers and operators.
  *
- * @param plan the plan, with targets by name
- * @param changeCommands how targets are changed, by that plan
- * @param state where it stands as a whole
- * @param stateReason why it stands there, or ""
- * @param progress how far it has come
- * @param driver the driver that holds the lease, or ""
- * @param fence the fence of the lease's last holder
- * @param targets all targets, in the plan's order
+ * @param plan plan of the release
+ * @param changeCommands commands of the plan that change targets
+ * @param state state of the release as a whole
+ * @param stateReason human-readable reason for the state, or ""
+ * @param progress progress of the release
+ * @param driver name of the driver that holds the lease, or ""
+ * @param fence fencing token of the last holder of the lease
+ * @param targets all targets in the order of the plan
  */
 public record ReleaseView(
     ReleasePlan plan,
@@ -24,13 +24,13 @@
     long fence,
     List<ReleaseTargetView> targets) {
   /**
-   * How far a release has come.
+   * Progress of a release.
    *
-   * @param direction forward or rollback
-   * @param goalStepCount how many steps, from the first one on, are to run the new version
-   * @param bakingSinceChange the change number from which on all of them do and serve; 0 while some
-   *     don't
-   * @param baked whether that has lasted for the step's baking time
+   * @param direction direction of the release
+   * @param goalStepCount number of steps, from the first one on, that are to run the new version
+   * @param bakingSinceChange change number from which on all targets of these steps have served
+   *     with their desired versions; 0 while some do not
+   * @param baked whether the baking time of the step has passed
    */
   public record Progress(
       ReleaseDirection direction, int goalStepCount, long bakingSinceChange, boolean baked) {
@@ -48,22 +48,22 @@
     targets = List.copyOf(targets);
   }
 
-  /** Its name. */
+  /** Returns the name of the release. */
   public String name() {
     return plan.name();
   }
 
-  /** Whether targets are being changed. */
+  /** Returns whether the release is running. */
   public boolean isRunning() {
     return state == ReleaseState.RUNNING;
   }
 
-  /** Whether a driver holds its lease. */
+  /** Returns whether a driver holds the lease. */
   public boolean hasDriver() {
     return !driver.isEmpty();
   }
 
-  /** The full name of one of the plan's versions, or "". */
+  /** Returns the full name of a version of the plan, or "" for {@link TargetVersion#UNKNOWN}. */
   public String versionName(TargetVersion version) {
     return switch (version) {
       case NEW -> plan.version();
--- a/src/main/java/leadferry/release/ReleaseViewCodec.java
+++ b/src/main/java/leadferry/release/ReleaseViewCodec.java
@@ -7,11 +7,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the status JSON of a release, as {@link ReleaseStatusWriter} writes it. */
+/** Reads the status of a release that {@link ReleaseStatusWriter} writes. */
 public final class ReleaseViewCodec {
   private ReleaseViewCodec() {}
 
-  /** Whether a replica's response tells of a release; it does not where the name is unknown. */
+  /**
+   * Returns whether the response of a replica holds a release; it does not if the name is unknown.
+   */
   public static boolean isRelease(JsonNode json) {
     return json.has("state");
   }
@@ -19,7 +21,7 @@
   /**
    * Reads the status of one release.
    *
-   * @throws IllegalArgumentException where it isn't one that this version understands
+   * @throws IllegalArgumentException if this build cannot read the status
    */
   public static ReleaseView read(JsonNode json) {
     List<String> errors = new ArrayList<>();
@@ -44,7 +46,7 @@
         targets);
   }
 
-  /** Reads the direction from the status of a release, or from its line in a list. */
+  /** Reads the direction from the status or the summary of a release. */
   public static ReleaseDirection readDirection(JsonNode json) {
     return StoredName.parse(ReleaseDirection.class, json.path("direction").asText());
   }
--- a/src/main/java/leadferry/release/StoredName.java
+++ b/src/main/java/leadferry/release/StoredName.java
@@ -4,17 +4,17 @@
 import java.util.stream.Collectors;
 
 /**
- * An enum whose constants have a word of their own in entries, status views and snapshots. Those
- * words are stored in logs and sent to other versions, so they stay when a constant is renamed.
+ * An enum whose constants have stored names in log entries, status views and snapshots. The stored
+ * names are also sent to other builds, so they must not change when a constant is renamed.
  */
 interface StoredName {
-  /** The word in entries and status views; snapshots hold it in upper case. */
+  /** Returns the name in entries and status views; snapshots hold it in upper case. */
   String storedName();
 
   /**
-   * The constant that a word stands for.
+   * Returns the constant with the given stored name.
    *
-   * @throws IllegalArgumentException where no constant has this word
+   * @throws IllegalArgumentException if no constant has the stored name
    */
   static <E extends Enum<E> & StoredName> E parse(Class<E> type, String storedName) {
     for (E constant : type.getEnumConstants()) {
--- a/src/main/java/leadferry/release/TargetPhase.java
+++ b/src/main/java/leadferry/release/TargetPhase.java
@@ -1,14 +1,14 @@
 package leadferry.release;
 
-/** Where one target of a release stands; {@link ReleaseTarget} holds the transitions. */
+/** Phase of a target in a release; {@link ReleaseTarget} holds the transitions. */
 public enum TargetPhase implements StoredName {
-  /** The release does nothing to it now. */
+  /** The release does not work on the target now. */
   IN_SERVICE("in"),
-  /** It holds an eviction grant and is on its way out. */
+  /** The target holds an eviction grant and is being drained. */
   DRAINING("leaving"),
-  /** It is out, and the command that changes it may have run. */
+  /** The target is out of service, and the command that changes it may have run. */
   CHANGING("acting"),
-  /** Its grant was given back: it counts as unavailable until it serves as before. */
+  /** The grant was given back. The target counts as unavailable until it serves again. */
   RESTORING("coming");
 
   private final String storedName;
--- a/src/main/java/leadferry/release/TargetReconciler.java
+++ b/src/main/java/leadferry/release/TargetReconciler.java
@@ -8,29 +8,30 @@
 import java.util.Set;
 
 /**
- * What a driver does for a target that is not in service, by its phase.
+ * Decides what a driver does for a target that is not in service, by the phase of the target.
  *
  * <pre>
- *   DRAINING   --out everywhere--> begin the change    (halted meanwhile: record it, untouched)
- *   CHANGING   --begun by this driver: run the command; ended, or begun by another: observe--> record
- *   RESTORING  --rollback, and it does not come up--> change it again
+ *   DRAINING   --eviction complete--> begin the change    (if halted: record the target as unchanged)
+ *   CHANGING   --begun by this driver--> run the command, then observe the version and record it
+ *   CHANGING   --begun by another driver--> observe the version and record it
+ *   RESTORING  --rollback, and the target does not start--> change the target again
  * </pre>
  *
- * <p>Invariant: a command is run only while the log says {@link TargetPhase#CHANGING} under this
- * driver's own fence with nothing found since, and once for each such entry.
+ * <p>Invariant: a command runs only while the log has the target in {@link TargetPhase#CHANGING}
+ * under this driver's fencing token without an observation since, and once for each such entry.
  */
 final class TargetReconciler {
   private final VersionObserver observer;
-  private final Set<ActionAttempt> changesUnderWay = new HashSet<>();
+  private final Set<ActionAttempt> changesInProgress = new HashSet<>();
   private final Map<ActionAttempt, CommandResult> results = new HashMap<>();
 
   TargetReconciler(VersionObserver observer) {
     this.observer = observer;
   }
 
-  /** The command of an attempt has ended. */
+  /** Records the end of the command of an attempt. */
   void onChangeEnded(ActionAttempt attempt, CommandResult result) {
-    changesUnderWay.remove(attempt);
+    changesInProgress.remove(attempt);
     results.put(attempt, result);
   }
 
@@ -61,21 +62,22 @@
     ReleaseView release = situation.release();
     ActionAttempt attempt = target.attempt();
     boolean isOwnAction = target.action().fence() == release.fence();
-    String found = target.observation();
-    if (changesUnderWay.contains(attempt)) {
+    String observation = target.observation();
+    if (changesInProgress.contains(attempt)) {
       return;
     }
     Optional<CommandResult> result = Optional.ofNullable(results.get(attempt));
-    boolean observedHere = isOwnAction && !found.isEmpty();
-    if (isOwnAction && found.isEmpty() && result.isEmpty()) {
+    boolean observedHere = isOwnAction && !observation.isEmpty();
+    if (isOwnAction && observation.isEmpty() && result.isEmpty()) {
       runChange(situation, target, actions);
     } else if (observedHere && canRetryChange(release, target)) {
       actions.add(beginChange(release, target));
     } else if (observedHere && target.version() == TargetVersion.UNKNOWN) {
-      observer.observe(situation, target, result, found, actions); // it may still come up
+      observer.observe(
+          situation, target, result, observation, actions); // the target may still start
     } else if (observedHere && !release.isRunning()) {
-      // Halted meanwhile: what is known to run one of the versions serves again.
-      actions.add(recordObservation(release, target, found, "halted"));
+      // Halted meanwhile: a target known to run one of the versions returns to service.
+      actions.add(recordObservation(release, target, observation, "halted"));
     } else {
       observer.observe(situation, target, result, "", actions);
     }
@@ -88,7 +90,7 @@
     }
     ReleaseView release = situation.release();
     ActionAttempt attempt = target.attempt();
-    changesUnderWay.add(attempt);
+    changesInProgress.add(attempt);
     actions.add(
         new DriverAction.RunChange(
             target.name(),
@@ -99,8 +101,10 @@
   }
 
   /**
-   * Whether it was seen to be as before: the action did not take place, or in vain. What was found
-   * and is neither version halts the release; that it runs again is an operator's word to try anew.
+   * Returns whether the change of a target may be tried again, because the target was observed
+   * without its desired version: the action did not take place or had no effect. An observed
+   * version that is neither of the plan's halts the release; if the release runs nevertheless, an
+   * operator has resumed it to try again.
    */
   private static boolean canRetryChange(ReleaseView release, ReleaseTargetView target) {
     String reported = target.action().reportedVersion();
@@ -109,7 +113,9 @@
         && (reported.isEmpty() || reported.equals(target.observation()));
   }
 
-  /** A rollback does not wait for what did not come up. */
+  /**
+   * Changes a restoring target again in a rollback if it did not start, instead of waiting for it.
+   */
   private static void reconcileRestoring(
       ReleaseView release, ReleaseTargetView target, List<DriverAction> actions) {
     boolean rollingBack = release.isRunning() && !release.progress().isForward();
--- a/src/main/java/leadferry/release/TargetVersion.java
+++ b/src/main/java/leadferry/release/TargetVersion.java
@@ -1,12 +1,15 @@
 package leadferry.release;
 
-/** Which of a release's two versions a target runs, as far as that has been seen. */
+/** Version that a target runs, relative to the two versions of a release, as last observed. */
 public enum TargetVersion implements StoredName {
-  /** The version from before the release. */
+  /** The version before the release. */
   PREVIOUS("old"),
   /** The version that the release brings. */
   NEW("new"),
-  /** Changed, or being changed, and not seen since; or a version that is neither. */
+  /**
+   * No version was observed since the last change began, or the observed version is neither of the
+   * two.
+   */
   UNKNOWN("unknown");
 
   private final String storedName;
--- a/src/main/java/leadferry/release/VersionObserver.java
+++ b/src/main/java/leadferry/release/VersionObserver.java
@@ -9,18 +9,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds out which version a target runs after its action, and records it: by the target's own word,
- * by a check that the plan names, or by the result of the command that changed it.
+ * Determines which version a target runs after its action, and records it. The version comes from
+ * the target's own report, from the check command of the plan, or from the result of the command
+ * that changed the target.
  */
 final class VersionObserver {
-  /** What an observation without any version is recorded as. */
+  /** Recorded observation of a target without a version. */
   private static final String NOTHING_FOUND = "nothing that tells its version";
 
-  /** A check that saw nothing new is repeated after so long while the target may be starting. */
+  /** Interval (ns) between checks while the target may still be starting. */
   private static final long RECHECK_NANOS = 300_000_000L;
 
   private final long leaseNanos;
-  private final Set<ActionAttempt> checksUnderWay = new HashSet<>();
+  private final Set<ActionAttempt> checksInProgress = new HashSet<>();
   private final Map<ActionAttempt, String> checkedVersions = new HashMap<>();
   private final Map<ActionAttempt, Long> observedSinceNanos = new HashMap<>();
 
@@ -28,18 +29,22 @@
     this.leaseNanos = TimeUnit.MILLISECONDS.toNanos(leaseMillis);
   }
 
-  /** A check has seen a version, or "" where there was none; empty where it could not look. */
+  /**
+   * Records the result of a check: the version, "" if the target reported none, or empty if the
+   * check failed.
+   */
   void onVersionChecked(ActionAttempt attempt, Optional<String> version) {
-    checksUnderWay.remove(attempt);
+    checksInProgress.remove(attempt);
     version.ifPresentOrElse(
-        seen -> checkedVersions.put(attempt, seen), () -> checkedVersions.remove(attempt));
+        checkedVersion -> checkedVersions.put(attempt, checkedVersion),
+        () -> checkedVersions.remove(attempt));
   }
 
   /**
    * Observes a target after its action.
    *
-   * @param result of the command that changed it; empty where another driver began that
-   * @param recordedObservation what was recorded already, or "" where it is to be recorded in any
+   * @param result result of the command that changed the target; empty if another driver began it
+   * @param recordedObservation observation recorded already, or "" to record the new one in any
    *     case
    */
   void observe(
@@ -51,7 +56,9 @@
     String reported = target.action().reportedVersion();
     Optional<String> version;
     if (!reported.isEmpty()) {
-      version = Optional.of(reported); // newer than any check, since it was told after the action
+      version =
+          Optional.of(
+              reported); // newer than any check, because the target reported it after the action
     } else if (situation.release().changeCommands().checkCommand().isPresent()) {
       version = versionByCheck(situation, target, !recordedObservation.isEmpty(), actions);
     } else {
@@ -77,7 +84,7 @@
       boolean mayRepeat,
       List<DriverAction> actions) {
     ActionAttempt attempt = target.attempt();
-    if (checksUnderWay.contains(attempt)) {
+    if (checksInProgress.contains(attempt)) {
       return Optional.empty();
     }
     long now = situation.nowNanos();
@@ -88,7 +95,7 @@
       return version;
     }
     if (situation.leaseHolds()) {
-      checksUnderWay.add(attempt);
+      checksInProgress.add(attempt);
       checkedVersions.remove(attempt);
       observedSinceNanos.put(attempt, now);
       actions.add(
@@ -99,8 +106,8 @@
   }
 
   /**
-   * A proxy tells its version once it is back; what tells nothing is waited for, up to the action's
-   * time, unless its command failed.
+   * Returns the version "" if the command failed. Otherwise waits, up to the time limit of the
+   * action, for the target to report its version, as a proxy does after its return.
    */
   private Optional<String> versionByResult(
       DriverContext situation,
@@ -116,7 +123,8 @@
     if (begunByLostDriver
         && now - observedSinceNanos.computeIfAbsent(target.attempt(), attempt -> now)
             >= leaseNanos) {
-      // Nothing was seen for a lease's length: begun anew, under a higher fence.
+      // No version was observed for the duration of a lease: begin again under a higher fencing
+      // token.
       actions.add(TargetReconciler.beginChange(release, target));
     }
     return Optional.empty();
--- a/src/main/java/leadferry/release/package-info.java
+++ b/src/main/java/leadferry/release/package-info.java
@@ -1,11 +1,14 @@
 /**
- * Releases agreed across the fleet: state machines applied from the replicated log. Begin reading
- * at {@link leadferry.release.Release}, whose targets are {@link leadferry.release.ReleaseTarget}s;
- * {@link leadferry.release.Releases} is the registry, {@link leadferry.release.HaltPolicy} says
- * what halts one, {@link leadferry.release.ReleaseController} what a driver does next and {@link
- * leadferry.release.CanaryAnalysis} whether the new version is as good as the previous one. Without
- * I/O, time or randomness: an entry, a view or a clock's value brings them. Who may be unavailable
- * is {@code disruption}'s alone; commands are run by {@code cli}. Must not know sockets, files or
- * the log's library.
+ * Releases of a new software version across the fleet, as state machines that apply the replicated
+ * log. {@link leadferry.release.Release} is the starting point; its targets are {@link
+ * leadferry.release.ReleaseTarget}s; {@link leadferry.release.ReleaseRegistry} is the registry,
+ * {@link leadferry.release.HaltPolicy} decides what halts a release, {@link
+ * leadferry.release.ReleaseController} what a driver does next, and {@link
+ * leadferry.release.CanaryAnalysis} whether the new version is as good as the previous one.
+ *
+ * <p>The package does no I/O, reads no clock and uses no randomness: entries, views and times are
+ * passed in. Package {@code disruption} alone decides which targets may be unavailable, and package
+ * {@code cli} runs the commands. This package must not depend on sockets, files or the library of
+ * the log.
  */
 package leadferry.release;
