--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -51,8 +51,7 @@
                 drain.permanent()),
             tables.revision.advanceVersion());
     // A grant of a proxy ends the warm-up of the endpoint with the empty name, as in earlier
-    // builds.
-    // Replicas of different builds must compute the same state from the same log.
+    // builds: replicas of different builds must compute the same state from the same log.
     tables.warmUps.end(target.type() == TargetType.HOST ? target.name() : "");
     return new Outcome(Status.GRANTED, grant.id(), List.of());
   }
--- a/src/main/java/leadferry/release/CanaryEvaluator.java
+++ b/src/main/java/leadferry/release/CanaryEvaluator.java
@@ -56,16 +56,15 @@
   private CanaryAnalysis.Verdict analyze(
       ReleaseView release, CanaryCounts counts, MemberReports reports) {
     Map<String, OutcomeCount> canary = counts.since(initialCounts, NEW);
-    Map<String, OutcomeCount> compared =
+    Map<String, OutcomeCount> comparison =
         counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.PREVIOUS));
-    if (compared.isEmpty()) {
-      // No target runs the previous version there: compare this step with the steps that passed
-      // before.
+    if (comparison.isEmpty()) {
+      // No target runs the previous version there: compare this step with the earlier steps.
       canary = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP));
-      compared = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
+      comparison = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
     }
     return new CanaryAnalysis(release.plan().canaryBounds())
-        .evaluate(canary, compared, reports.membersWithoutFreshReport(maxReportAgeMillis));
+        .evaluate(canary, comparison, reports.membersWithoutFreshReport(maxReportAgeMillis));
   }
 
   private Optional<ReleaseCommand.RecordVerdict> decide(
--- a/src/main/java/leadferry/release/DriverCommands.java
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -100,9 +100,8 @@
     String requester = "release " + plan.name();
     String unavailabilityReason = disruption.unavailabilityReason(plan.targetType(), target.name);
     if (unavailabilityReason != null) {
-      // A rollback does not wait for a lost target, which the new version may have broken. The
-      // target
-      // counts as unavailable already.
+      // A rollback does not wait for a lost target, which the new version may have broken and
+      // which counts as unavailable already.
       String grant =
           release.progress.isForward()
               ? ""
@@ -154,8 +153,7 @@
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is what it is to be"));
     }
     // After the loss of a driver the next driver may begin the change again. That raises the
-    // fencing
-    // token, by which commands of the lost driver are rejected.
+    // fencing token, by which commands of the lost driver are rejected.
     boolean isUnobserved =
         target.phase == TargetPhase.CHANGING
             && target.observation.isEmpty()
--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -137,7 +137,7 @@
     }
   }
 
-  // Time.
+  // Timers.
 
   /** Adds the running timers, by name, with their durations (ms). */
   void putTimers(Map<String, Long> timers) {
--- a/src/main/java/leadferry/release/TargetReconciler.java
+++ b/src/main/java/leadferry/release/TargetReconciler.java
@@ -73,8 +73,8 @@
     } else if (observedHere && canRetryChange(release, target)) {
       actions.add(beginChange(release, target));
     } else if (observedHere && target.version() == TargetVersion.UNKNOWN) {
-      observer.observe(
-          situation, target, result, observation, actions); // the target may still start
+      // The target may still start.
+      observer.observe(situation, target, result, observation, actions);
     } else if (observedHere && !release.isRunning()) {
       // Halted meanwhile: a target known to run one of the versions returns to service.
       actions.add(recordObservation(release, target, observation, "halted"));
--- a/src/main/java/leadferry/release/VersionObserver.java
+++ b/src/main/java/leadferry/release/VersionObserver.java
@@ -56,9 +56,8 @@
     String reported = target.action().reportedVersion();
     Optional<String> version;
     if (!reported.isEmpty()) {
-      version =
-          Optional.of(
-              reported); // newer than any check, because the target reported it after the action
+      // Newer than any check, because the target reported it after the action.
+      version = Optional.of(reported);
     } else if (situation.release().changeCommands().checkCommand().isPresent()) {
       version = versionByCheck(situation, target, !recordedObservation.isEmpty(), actions);
     } else {
@@ -123,7 +122,7 @@
     if (begunByLostDriver
         && now - observedSinceNanos.computeIfAbsent(target.attempt(), attempt -> now)
             >= leaseNanos) {
-      // No version was observed for the duration of a lease: begin again under a higher fencing
+      // No version was observed for the duration of a lease: begin again, which raises the fencing
       // token.
       actions.add(TargetReconciler.beginChange(release, target));
     }
--- a/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
+++ b/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
@@ -8,6 +8,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against evictions that leave more targets unavailable than a budget or a built-in rule
+ * allows: targets counted in the wrong group, ejected or restoring targets left out, or a pool
+ * without its last endpoint.
+ */
 class BudgetEvaluatorTest {
   private final DisruptionTables tables = new DisruptionTables();
   private final TargetDirectory targets = new TargetDirectory(tables);
@@ -17,22 +22,22 @@
   private final BudgetEvaluator evaluator =
       new BudgetEvaluator(tables.budgets, targets, unavailability);
 
-  private static Target host(String name, String zone, String pool) {
+  private static Target endpoint(String name, String zone, String pool) {
     return new Target(TargetType.HOST, name, zone, Target.NONE, pool, Target.NONE);
   }
 
-  private void proxy(String name, String... ejectedHosts) {
-    ProxyReport report = new ProxyReport(1, 0, Set.of(), Set.of(ejectedHosts));
+  private void addProxy(String name, String... ejectedEndpoints) {
+    ProxyReport report = new ProxyReport(1, 0, Set.of(), Set.of(ejectedEndpoints));
     tables.members.put(
         ProxyMember.newMember(name, new ProxyMember.Session("z", "v", 1))
             .withReport(report, true, 2));
   }
 
-  private void hosts(Target... hosts) {
-    tables.catalogs.add("digest", List.of(hosts));
+  private void addEndpoints(Target... endpoints) {
+    tables.catalogs.add("digest", List.of(endpoints));
   }
 
-  private void budget(String groupBy, int maxUnavailable) {
+  private void addBudget(String groupBy, int maxUnavailable) {
     List<Budget> budgets = new ArrayList<>(tables.budgets.all());
     budgets.add(
         new Budget(
@@ -47,63 +52,67 @@
   }
 
   @Test
-  void withoutABudgetOfTheTypeOneMayBeUnavailable() {
-    hosts(host("h1", "a", "p"), host("h2", "a", "p"), host("h3", "a", "p"));
+  void oneTargetMayBeUnavailableWithoutABudgetOfItsType() {
+    addEndpoints(endpoint("h1", "a", "p"), endpoint("h2", "a", "p"), endpoint("h3", "a", "p"));
 
-    assertThat(evaluator.findRefusals(host("h1", "a", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p"))).isEmpty();
     tables.warmUps.begin("h2", 1);
-    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p")))
         .containsExactly("no budget of host: one at a time: 1 out, 1 allowed: h2 (warming up)");
   }
 
   @Test
   void aBudgetCountsOnlyTheGroupOfTheTarget() {
-    hosts(host("h1", "a", "p"), host("h2", "a", "p"), host("h3", "b", "p"), host("h4", "b", "p"));
-    budget("zone", 1);
+    addEndpoints(
+        endpoint("h1", "a", "p"),
+        endpoint("h2", "a", "p"),
+        endpoint("h3", "b", "p"),
+        endpoint("h4", "b", "p"));
+    addBudget("zone", 1);
     tables.warmUps.begin("h2", 1);
 
-    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p")))
         .containsExactly("budget b0: 1 out, 1 allowed: h2 (warming up)");
-    assertThat(evaluator.findRefusals(host("h3", "b", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(endpoint("h3", "b", "p"))).isEmpty();
   }
 
   @Test
-  void theStricterOfTwoBudgetsForbids() {
-    hosts(host("h1", "a", "p"), host("h2", "a", "p"), host("h3", "a", "p"));
-    budget("all", 2);
-    budget("all", 1);
+  void theStricterOfTwoBudgetsRefuses() {
+    addEndpoints(endpoint("h1", "a", "p"), endpoint("h2", "a", "p"), endpoint("h3", "a", "p"));
+    addBudget("all", 2);
+    addBudget("all", 1);
     tables.warmUps.begin("h2", 1);
 
-    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p")))
         .containsExactly("budget b1: 1 out, 1 allowed: h2 (warming up)");
   }
 
   @Test
-  void theLastHostOfAPoolStaysWhateverBudgetsSay() {
-    hosts(host("h1", "a", "p"), host("h2", "a", "other"));
-    budget("all", 10);
+  void theLastEndpointOfAPoolIsRefusedDespiteItsBudget() {
+    addEndpoints(endpoint("h1", "a", "p"), endpoint("h2", "a", "other"));
+    addBudget("all", 10);
 
-    assertThat(evaluator.findRefusals(host("h1", "a", "p")))
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p")))
         .containsExactly("the last host of pool p: 0 out, 0 allowed");
   }
 
   @Test
-  void theTargetItselfIsNotCountedAmongTheOthers() {
-    hosts(host("h1", "a", "p"), host("h2", "a", "p"));
+  void theTargetItselfIsNotCountedAsUnavailable() {
+    addEndpoints(endpoint("h1", "a", "p"), endpoint("h2", "a", "p"));
     tables.warmUps.begin("h1", 1);
 
-    assertThat(evaluator.findRefusals(host("h1", "a", "p"))).isEmpty();
+    assertThat(evaluator.findRefusals(endpoint("h1", "a", "p"))).isEmpty();
   }
 
   @Test
-  void aHostIsLostOnceTwoProxiesEjectedIt() {
-    proxy("a", "h1");
-    proxy("b");
-    proxy("c");
+  void anEndpointIsLostOnceTwoProxiesEjectedIt() {
+    addProxy("a", "h1");
+    addProxy("b");
+    addProxy("c");
 
     assertThat(ejections.isLost("h1")).isFalse();
     assertThat(ejections.isOneEjectionBelowLost("h1")).isTrue();
-    proxy("b", "h1");
+    addProxy("b", "h1");
     assertThat(ejections.isLost("h1")).isTrue();
     assertThat(ejections.lostEndpoints()).containsExactly("h1");
     assertThat(unavailability.of(TargetType.HOST, "h1"))
@@ -111,16 +120,16 @@
   }
 
   @Test
-  void aHostIsLostOnceTheOnlyLiveProxyEjectedIt() {
-    proxy("a", "h1");
+  void anEndpointIsLostOnceTheOnlyLiveProxyEjectedIt() {
+    addProxy("a", "h1");
 
     assertThat(ejections.isLost("h1")).isTrue();
     assertThat(ejections.countEjections("h2")).isZero();
   }
 
   @Test
-  void aGrantThatIsRestoringStillMakesItsTargetUnavailable() {
-    Target target = host("h1", "a", "p");
+  void aRestoringGrantStillMakesItsTargetUnavailable() {
+    Target target = endpoint("h1", "a", "p");
     EvictionGrant grant = tables.grants.add(new EvictionRequest(target, "o", "w", 0, false), 1);
     assertThat(unavailability.of(TargetType.HOST, "h1").orElseThrow().text()).isEqualTo("permit 1");
 
--- a/src/test/java/leadferry/disruption/BudgetTest.java
+++ b/src/test/java/leadferry/disruption/BudgetTest.java
@@ -9,8 +9,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a wrong number of targets that a budget allows to be unavailable, such as by
+ * rounding a share, and against stored budgets that other builds read differently.
+ */
 class BudgetTest {
-  private static Budget hosts(int maxUnavailable, double maxUnavailableShare, int minAvailable) {
+  private static Budget endpointBudget(
+      int maxUnavailable, double maxUnavailableShare, int minAvailable) {
     return new Budget(
         "any",
         TargetType.HOST,
@@ -21,58 +26,60 @@
         minAvailable);
   }
 
-  private static Target host(String name, String zone, String pool) {
+  private static Target endpoint(String name, String zone, String pool) {
     return new Target(TargetType.HOST, name, zone, Target.NONE, pool, Target.NONE);
   }
 
   @Test
-  void theStrictestOfTheThreeBoundsHolds() {
-    assertThat(hosts(3, 0.5, 0).allowedUnavailable(10)).isEqualTo(3);
-    assertThat(hosts(3, 0.2, 0).allowedUnavailable(10)).isEqualTo(2);
-    assertThat(hosts(3, 0.5, 9).allowedUnavailable(10)).isEqualTo(1);
+  void theStrictestOfTheThreeBoundsApplies() {
+    assertThat(endpointBudget(3, 0.5, 0).allowedUnavailable(10)).isEqualTo(3);
+    assertThat(endpointBudget(3, 0.2, 0).allowedUnavailable(10)).isEqualTo(2);
+    assertThat(endpointBudget(3, 0.5, 9).allowedUnavailable(10)).isEqualTo(1);
   }
 
   @Test
-  void aBoundThatIsNotSetAllowsTheWholeGroup() {
-    Budget unbounded = hosts(Budget.NO_COUNT_BOUND, Budget.NO_SHARE_BOUND, 0);
+  void anUnsetBoundAllowsTheWholeGroup() {
+    Budget unbounded = endpointBudget(Budget.NO_COUNT_BOUND, Budget.NO_SHARE_BOUND, 0);
 
     assertThat(unbounded.allowedUnavailable(7)).isEqualTo(7);
   }
 
   @Test
   void aShareIsRoundedDownButNotBelowAnExactProduct() {
-    assertThat(hosts(-1, 0.34, 0).allowedUnavailable(5)).isEqualTo(1);
-    assertThat(hosts(-1, 0.29, 0).allowedUnavailable(100)).isEqualTo(29);
+    assertThat(endpointBudget(-1, 0.34, 0).allowedUnavailable(5)).isEqualTo(1);
+    assertThat(endpointBudget(-1, 0.29, 0).allowedUnavailable(100)).isEqualTo(29);
   }
 
   @Test
-  void moreRequiredThanThereAreAllowsNone() {
-    assertThat(hosts(-1, 2, 5).allowedUnavailable(3)).isZero();
-    assertThat(hosts(2, 2, 0).allowedUnavailable(0)).isZero();
+  void minAvailableAboveTheGroupSizeAllowsNoUnavailableTarget() {
+    assertThat(endpointBudget(-1, 2, 5).allowedUnavailable(3)).isZero();
+    assertThat(endpointBudget(2, 2, 0).allowedUnavailable(0)).isZero();
   }
 
   @Test
-  void aBudgetSelectsByTypeAndByAllOfItsLabels() {
+  void aBudgetSelectsByTypeAndByAllItsLabels() {
     Budget budget =
         new Budget("zone a", TargetType.HOST, Map.of("zone", "a", "pool", "main"), "all", 1, 2, 0);
 
-    assertThat(budget.selects(host("h1", "a", "main"))).isTrue();
-    assertThat(budget.selects(host("h2", "b", "main"))).isFalse();
-    assertThat(budget.selects(host("h3", "a", "other"))).isFalse();
+    assertThat(budget.selects(endpoint("h1", "a", "main"))).isTrue();
+    assertThat(budget.selects(endpoint("h2", "b", "main"))).isFalse();
+    assertThat(budget.selects(endpoint("h3", "a", "other"))).isFalse();
     assertThat(budget.selects(new Target(TargetType.PROXY, "p", "a", "-", "main", "-"))).isFalse();
   }
 
   @Test
-  void targetsShareAGroupWhereTheyAgreeInTheGroupingLabel() {
+  void targetsWithTheSameGroupingLabelShareAGroup() {
     Budget byZone = new Budget("zones", TargetType.HOST, Map.of(), "zone", 1, 2, 0);
 
-    assertThat(byZone.isSameGroup(host("h1", "a", "x"), host("h2", "a", "y"))).isTrue();
-    assertThat(byZone.isSameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isFalse();
-    assertThat(hosts(1, 2, 0).isSameGroup(host("h1", "a", "x"), host("h2", "b", "x"))).isTrue();
+    assertThat(byZone.isSameGroup(endpoint("h1", "a", "x"), endpoint("h2", "a", "y"))).isTrue();
+    assertThat(byZone.isSameGroup(endpoint("h1", "a", "x"), endpoint("h2", "b", "x"))).isFalse();
+    assertThat(
+            endpointBudget(1, 2, 0).isSameGroup(endpoint("h1", "a", "x"), endpoint("h2", "b", "x")))
+        .isTrue();
   }
 
   @Test
-  void aBudgetReadBackFromItsStoredFormIsTheSame() {
+  void aBudgetDecodedFromItsStoredFormIsEqual() {
     Budget budget =
         new Budget("b", TargetType.PROXY, Map.of("zone", "a", "kind", "k"), "pod", 2, 0.25, 1);
     ObjectNode json = JsonNodeFactory.instance.objectNode();
@@ -87,7 +94,7 @@
   }
 
   @Test
-  void eachErrorOfAStoredBudgetIsToldInOrder() {
+  void allErrorsOfAStoredBudgetAreReportedInOrder() {
     ObjectNode json =
         JsonNodeFactory.instance
             .objectNode()
--- a/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
@@ -11,6 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/**
+ * Guards against replicas that differ after one of them has restored a snapshot, because a part of
+ * the state is lost or stored under another key.
+ */
 class DisruptionSnapshotCodecTest {
   private static final DisruptionState.Times TIMES = new DisruptionState.Times(5, 6, 7);
 
@@ -35,7 +39,7 @@
 
   @ParameterizedTest
   @EnumSource(MemberState.class)
-  void aMemberOfEachStateIsRestoredAsItWas(MemberState state) {
+  void aMemberOfEachStateIsRestoredUnchanged(MemberState state) {
     tables.members.put(member(state));
 
     DisruptionSnapshotCodec.decode(snapshot(), restored);
@@ -56,7 +60,7 @@
   }
 
   @Test
-  void grantsBudgetsHaltCountersAndTimesAreRestoredAsTheyWere() {
+  void grantsBudgetsHaltCountersAndTimesAreRestoredUnchanged() {
     Target host = new Target(TargetType.HOST, "h1", "z", "pod", "pool", "kind");
     tables.revision.restore(8, 9);
     tables.setHaltReason("incident");
--- a/src/test/java/leadferry/disruption/DisruptionTimersTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionTimersTest.java
@@ -7,9 +7,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against targets that count as available too early or for ever unavailable, because a timer
+ * is missing, has the wrong duration or is stored under another name.
+ */
 class DisruptionTimersTest {
   private static final DisruptionState.Times TIMES = new DisruptionState.Times(500, 700, 100);
-  private static final Target HOST =
+  private static final Target ENDPOINT =
       new Target(TargetType.HOST, "h:1", "z", Target.NONE, "p", Target.NONE);
 
   private final DisruptionState state = new DisruptionState(TIMES);
@@ -20,15 +24,16 @@
         "z",
         "v",
         "digest",
-        List.of(HOST, new Target(TargetType.HOST, "h2", "z", Target.NONE, "p", Target.NONE)));
+        List.of(ENDPOINT, new Target(TargetType.HOST, "h2", "z", Target.NONE, "p", Target.NONE)));
   }
 
-  private void report(String name, long number, String... ejectedHosts) {
-    state.onMemberReport(name, number, state.version(), true, Set.of(), Set.of(ejectedHosts));
+  private void report(String name, long sequenceNumber, String... ejectedEndpoints) {
+    state.onMemberReport(
+        name, sequenceNumber, state.version(), true, Set.of(), Set.of(ejectedEndpoints));
   }
 
   @Test
-  void aGrantExpiresALittleLaterThanItsHolderThinks() {
+  void aGrantExpiresLaterInTheReplicatedStateThanAtItsHolder() {
     join("a");
     state.drain(TargetType.HOST, "h:1", 50, false, "operator", "disk");
 
@@ -39,7 +44,7 @@
   }
 
   @Test
-  void aProxyThatCameBackStabilizesOnceItServes() {
+  void aReturnedProxyStabilizesOnceItServes() {
     join("a:b");
     state.onSessionEnded("a:b", false);
     join("a:b");
@@ -52,7 +57,7 @@
   }
 
   @Test
-  void aHostThatCameBackWarmsUp() {
+  void aReturnedEndpointWarmsUp() {
     join("a");
     join("b");
     report("a", 1, "h:1");
@@ -65,7 +70,7 @@
   }
 
   @Test
-  void aTimerThatDoesNotRunChangesNothing() {
+  void theExpiryOfATimerThatDoesNotRunChangesNothing() {
     join("a");
     long changes = state.changeNumber();
 
--- a/src/test/java/leadferry/disruption/EvictionGrantTest.java
+++ b/src/test/java/leadferry/disruption/EvictionGrantTest.java
@@ -5,6 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against two targets with the same grant id, and against a grant that stops counting before
+ * its target is back in service.
+ */
 class EvictionGrantTest {
   private static final Target PROXY =
       new Target(TargetType.PROXY, "a", "z", Target.NONE, Target.NONE, Target.NONE);
@@ -14,7 +18,7 @@
   private final EvictionGrantTable grants = new EvictionGrantTable();
 
   @Test
-  void aNewGrantIsGrantedUnderTheNextId() {
+  void aNewGrantHasTheNextId() {
     EvictionGrant first = grants.add(REQUEST, 4);
     EvictionGrant second = grants.add(REQUEST, 5);
 
@@ -26,7 +30,7 @@
   }
 
   @Test
-  void aGrantThatIsRestoringIsStillHeld() {
+  void aRestoringGrantIsStillHeld() {
     EvictionGrant grant = grants.add(REQUEST, 4);
 
     grants.beginRestoring(grant, 9, "done");
@@ -40,7 +44,7 @@
   }
 
   @Test
-  void aGrantDoesNotBeginToRestoreTwice() {
+  void aRestoringGrantCannotBeginToRestoreAgain() {
     EvictionGrant restoring = EvictionGrant.granted("1", REQUEST, 4).beginRestoring(9, "done");
 
     assertThatThrownBy(() -> restoring.beginRestoring(10, "again"))
@@ -49,7 +53,7 @@
   }
 
   @Test
-  void aReleasedGrantIsHeldNoMoreAndItsIdIsNotGivenAgain() {
+  void aReleasedGrantIsNoLongerHeldAndItsIdIsNotReused() {
     EvictionGrant grant = grants.add(REQUEST, 4);
 
     grants.release(grant);
@@ -60,7 +64,7 @@
   }
 
   @Test
-  void aProxyAndAHostOfOneNameHoldGrantsOfTheirOwn() {
+  void aProxyAndAnEndpointOfTheSameNameHoldSeparateGrants() {
     grants.add(REQUEST, 4);
 
     assertThat(grants.heldBy(TargetType.HOST, "a")).isEmpty();
--- a/src/test/java/leadferry/disruption/MemberStateTest.java
+++ b/src/test/java/leadferry/disruption/MemberStateTest.java
@@ -7,10 +7,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/**
+ * Guards against a proxy that counts as terminated although its process may still send requests.
+ */
 class MemberStateTest {
   @ParameterizedTest
   @EnumSource(MemberState.class)
-  void aNewSessionIsLiveAndDoesNotServeYet(MemberState state) {
+  void aNewSessionDoesNotServeYet(MemberState state) {
     assertThat(state.afterJoin()).isEqualTo(MemberState.NOT_SERVING);
   }
 
@@ -31,7 +34,7 @@
   @EnumSource(
       value = MemberState.class,
       names = {"LEFT", "LEFT_FENCED", "LOST", "LOST_FENCED"})
-  void aSessionThatHasEndedNeitherReportsNorEndsAgain(MemberState state) {
+  void anEndedSessionNeitherReportsNorEndsAgain(MemberState state) {
     assertThat(state.isLive()).isFalse();
     assertThatThrownBy(() -> state.afterReport(true)).isInstanceOf(IllegalStateException.class);
     assertThatThrownBy(() -> state.afterSessionEnd(true)).isInstanceOf(IllegalStateException.class);
@@ -46,7 +49,7 @@
   }
 
   @Test
-  void onlyALostProxyThatIsNotFencedMayStillRun() {
+  void onlyALostProxyWithoutFenceMayStillRun() {
     assertThat(MemberState.LOST.isTerminated()).isFalse();
     assertThat(MemberState.LOST_FENCED.isTerminated()).isTrue();
     assertThat(MemberState.LEFT.isTerminated()).isTrue();
--- a/src/test/java/leadferry/disruption/ProxyMemberTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberTest.java
@@ -5,6 +5,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a returned proxy that counts as available before it has stabilized, and against
+ * acknowledged versions that decrease or exceed the version of the replicated state.
+ */
 class ProxyMemberTest {
   private static final ProxyMember FIRST =
       ProxyMember.newMember("a", new ProxyMember.Session("z", "v1", 3));
@@ -18,12 +22,12 @@
   }
 
   @Test
-  void aProxyThatIsNewDoesNotStabilize() {
+  void aNewProxyDoesNotStabilize() {
     assertThat(FIRST.withReport(report(1, 0), true, 5).isStabilizing()).isFalse();
   }
 
   @Test
-  void aProxyThatComesBackStabilizesFromWhenItServes() {
+  void aReturnedProxyStabilizesFromWhenItServes() {
     ProxyMember back = rejoinedAt(10);
 
     assertThat(back.stabilizingSinceChange()).isEqualTo(10);
@@ -32,14 +36,14 @@
   }
 
   @Test
-  void anotherReportThatItServesDoesNotBeginTheTimeAnew() {
+  void aFurtherServingReportDoesNotRestartTheStabilization() {
     ProxyMember serving = rejoinedAt(10).withReport(report(1, 0), true, 12);
 
     assertThat(serving.withReport(report(2, 0), true, 20).stabilizingSinceChange()).isEqualTo(12);
   }
 
   @Test
-  void aSessionThatEndsKeepsWhatWasAcknowledgedAndDropsItsHosts() {
+  void anEndedSessionKeepsTheAcknowledgedVersionAndDropsItsEndpoints() {
     ProxyMember ended = FIRST.withReport(report(1, 7), true, 5).withSessionEnded(true);
 
     assertThat(ended.hasAcknowledged(7)).isTrue();
@@ -48,7 +52,7 @@
   }
 
   @Test
-  void anAcknowledgedVersionNeitherGoesBackNorPassesTheAgreedOne() {
+  void theAcknowledgedVersionNeitherDecreasesNorExceedsTheCurrentOne() {
     ProxyReport first = report(1, 4).mergeAfter(ProxyReport.NONE, 5);
 
     assertThat(first.acknowledgedVersion()).isEqualTo(4);
@@ -57,7 +61,7 @@
   }
 
   @Test
-  void aVersionCountsOnceItsSessionHasBroughtAReport() {
+  void aSessionCountsOnceItHasBroughtAReport() {
     assertThat(FIRST.hasReportedInSessionAfter(2)).isFalse();
     ProxyMember reported = FIRST.withReport(report(1, 0), false, 5);
     assertThat(reported.hasReportedInSessionAfter(2)).isTrue();
--- a/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
+++ b/src/test/java/leadferry/disruption/ProxyMemberViewTest.java
@@ -6,6 +6,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a proxy that goes out of service by an outdated grant: without a valid lease,
+ * after a new session, or after the grant has expired.
+ */
 class ProxyMemberViewTest {
   private final ProxyMemberView view = new ProxyMemberView("a");
 
@@ -23,7 +27,7 @@
   }
 
   @Test
-  void aGrantIsNotActedOnWithoutALeaseAndIsOnceThereIsOne() {
+  void aGrantAppliesOnlyOnceTheLeaseIsValid() {
     view.applyView(viewOf(1, 0, "a"), false, 0);
     assertThat(view.isOutOfService()).isFalse();
     assertThat(view.refresh(false, 1)).isFalse();
@@ -32,7 +36,7 @@
   }
 
   @Test
-  void aNewSessionForgetsAGrantThatWaited() {
+  void aNewSessionDropsAGrantThatWaitsForALease() {
     view.applyView(viewOf(1, 0, "a"), false, 0);
     view.onSessionStarted();
     view.applyView(viewOf(3, 0), true, 1);
@@ -41,7 +45,7 @@
   }
 
   @Test
-  void hostsGoOutWithoutALeaseAndAnOlderViewChangesNothing() {
+  void endpointsAreDrainedWithoutALeaseAndAnOlderViewIsIgnored() {
     assertThat(view.applyView(viewOf(5, 0, "h1"), false, 0)).isTrue();
     assertThat(view.drainedEndpoints()).containsExactly("h1");
     assertThat(view.applyView(viewOf(4, 0), false, 0)).isFalse();
@@ -49,13 +53,13 @@
   }
 
   @Test
-  void aGrantExpiresByItsHoldersOwnClockWhenNoReplicaAnswers() {
+  void aGrantExpiresByItsHoldersClockWithoutAReplica() {
     view.applyView(viewOf(1, 10, "a"), true, 1_000_000);
     assertThat(view.refresh(false, 10_999_999)).isFalse();
     assertThat(view.refresh(false, 11_000_000)).isTrue();
     assertThat(view.isOutOfService()).isFalse();
     assertThat(view.applyView(viewOf(1, 10, "a"), true, 12_000_000))
-        .as("the same grant takes it out no second time")
+        .as("the expired grant does not apply again")
         .isFalse();
     assertThat(view.isOutOfService()).isFalse();
   }
--- a/src/test/java/leadferry/release/ReleaseCommandCodecTest.java
+++ b/src/test/java/leadferry/release/ReleaseCommandCodecTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The entries keep the keys and words that replicas of earlier versions read. */
+/**
+ * Guards against log entries that replicas of earlier versions cannot read, because a key or a
+ * stored name has changed.
+ */
 class ReleaseCommandCodecTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String PLAN =
@@ -90,9 +93,9 @@
     JsonNode encoded =
         MAPPER.readTree(MAPPER.writeValueAsString(ReleaseCommandCodec.encode(command)));
     assertThat(encoded).isEqualTo(json(entry));
-    List<String> faults = new ArrayList<>();
-    assertThat(ReleaseCommandCodec.decode(encoded.path("op").asText(), encoded, faults))
+    List<String> errors = new ArrayList<>();
+    assertThat(ReleaseCommandCodec.decode(encoded.path("op").asText(), encoded, errors))
         .isEqualTo(command);
-    assertThat(faults).isEmpty();
+    assertThat(errors).isEmpty();
   }
 }
--- a/src/test/java/leadferry/release/ReleaseTest.java
+++ b/src/test/java/leadferry/release/ReleaseTest.java
@@ -19,26 +19,30 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One release over four proxies, two allowed out, entry by entry. */
+/**
+ * Guards against a release that drains or changes a target when a budget, a lost lease or its own
+ * state forbids it. Each test applies log entries one by one to a fleet of four proxies, of which
+ * the budget allows two to be unavailable; the plan covers three of them.
+ */
 class ReleaseTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final DisruptionState disruption =
       new DisruptionState(new DisruptionState.Times(0, 0, 0));
   private final ReleaseRegistry releases = new ReleaseRegistry();
-  private final Map<String, Long> words = new TreeMap<>();
+  private final Map<String, Long> lastReportNumbers = new TreeMap<>();
   private ObjectNode plan;
   private long fence;
 
   @BeforeEach
-  void fleet() {
+  void createFleetAndPlan() {
     for (String proxy : List.of("a", "b", "c", "d")) {
       join(proxy, "v1");
     }
-    List<String> faults = new ArrayList<>();
+    List<String> errors = new ArrayList<>();
     JsonNode budget =
         MAPPER.createObjectNode().put("name", "proxies").put("of", "proxy").put("max_out", 2);
-    disruption.replaceBudgets(List.of(Budget.read(budget, faults)), 0);
+    disruption.replaceBudgets(List.of(Budget.read(budget, errors)), 0);
     plan =
         MAPPER
             .createObjectNode()
@@ -47,38 +51,43 @@
             .put("version", "v2")
             .put("from", "v1")
             .put("halt_lost", 2);
-    step("first", 1, "a");
-    step("rest", 2, "b", "c");
+    addStep("first", 1, "a");
+    addStep("rest", 2, "b", "c");
   }
 
-  private void step(String name, int atOnce, String... targets) {
+  private void addStep(String name, int atOnce, String... targets) {
     ObjectNode step = plan.withArray("steps").addObject().put("name", name).put("at_once", atOnce);
     List.of(targets).forEach(step.putArray("targets")::add);
   }
 
   private void join(String name, String version) {
     disruption.onSessionOpened(name, "z", version, "x", List.of());
-    words.put(name, 0L);
-    says(name, true);
+    lastReportNumbers.put(name, 0L);
+    report(name, true);
   }
 
-  private void says(String name, boolean serving) {
+  private void report(String name, boolean serving) {
     disruption.onMemberReport(
-        name, words.merge(name, 1L, Long::sum), disruption.version(), serving, Set.of(), Set.of());
+        name,
+        lastReportNumbers.merge(name, 1L, Long::sum),
+        disruption.version(),
+        serving,
+        Set.of(),
+        Set.of());
     releases.onFleetChange(disruption);
-    settle();
+    expireDisruptionTimers();
     releases.onFleetChange(disruption);
   }
 
-  private void settle() {
+  private void expireDisruptionTimers() {
     List.copyOf(disruption.timerDurationsMillis().keySet()).forEach(disruption::onTimerExpired);
   }
 
-  private Outcome apply(String operation, Object... with) {
+  private Outcome apply(String operation, Object... fields) {
     ObjectNode entry =
         MAPPER.createObjectNode().put("release", "r").put("why", "test").put("fence", fence);
-    for (int i = 0; i < with.length; i += 2) {
-      entry.set((String) with[i], MAPPER.valueToTree(with[i + 1]));
+    for (int i = 0; i < fields.length; i += 2) {
+      entry.set((String) fields[i], MAPPER.valueToTree(fields[i + 1]));
     }
     Outcome outcome = apply("release_" + operation, entry);
     releases.onFleetChange(disruption);
@@ -86,19 +95,19 @@
   }
 
   private Outcome apply(String operation, ObjectNode entry) {
-    List<String> faults = new ArrayList<>();
-    ReleaseCommand command = ReleaseCommandCodec.decode(operation, entry, faults);
+    List<String> errors = new ArrayList<>();
+    ReleaseCommand command = ReleaseCommandCodec.decode(operation, entry, errors);
     return command == null
-        ? new Outcome(Status.MALFORMED, "", faults)
+        ? new Outcome(Status.MALFORMED, "", errors)
         : releases.apply(command, disruption);
   }
 
-  private void begin() {
+  private void startRelease() {
     assertThat(apply("start", "plan", plan)).extracting(Outcome::status).isEqualTo(Status.DONE);
-    drive("x");
+    acquireLease("x");
   }
 
-  private void drive(String name) {
+  private void acquireLease(String name) {
     Outcome outcome = apply("drive", "driver", name, "lease_ms", 1_000);
     assertThat(outcome.status()).isEqualTo(Status.DONE);
     fence = outcome.number();
@@ -123,38 +132,38 @@
     throw new IllegalArgumentException(name);
   }
 
-  /** Goes out, as the grant says, and says so. */
-  private long out(String name) {
+  /** Drains a target and reports that it no longer serves; returns the action number. */
+  private long drainTarget(String name) {
     Outcome outcome = apply("intend", "target", name);
     assertThat(outcome.status()).as(outcome.toString()).isEqualTo(Status.GRANTED);
-    says(name, false);
+    report(name, false);
     return outcome.number();
   }
 
-  /** Takes a target to that version and back into service. */
-  private void change(String name, String version) {
-    long action = out(name);
+  /** Drains a target, changes its version and returns it to service. */
+  private void changeTarget(String name, String version) {
+    long action = drainTarget(name);
     assertThat(apply("acting", "target", name, "action", action).status()).isEqualTo(Status.DONE);
     disruption.onSessionEnded(name, true);
     join(name, version);
     assertThat(apply("observed", "target", name, "action", action, "found", version).status())
         .isEqualTo(Status.DONE);
-    says(name, true);
+    report(name, true);
   }
 
-  /** The step's baking time is over, and the verdict is for it. */
-  private void judged(int step) {
-    time("release-bake");
+  /** Lets the baking time of a step pass and records a verdict for the step. */
+  private void passStep(int step) {
+    expireReleaseTimer("release-bake");
     assertThat(apply("verdict", "step", step, "go", true, "text", "well").status())
         .isEqualTo(Status.DONE);
   }
 
-  private void time(String kind) {
+  private void expireReleaseTimer(String kind) {
     Map<String, Long> timers = new TreeMap<>();
     releases.putTimers(timers);
     String timer =
         timers.keySet().stream()
-            .filter(t -> t.startsWith(kind))
+            .filter(name -> name.startsWith(kind))
             .findFirst()
             .orElseThrow(() -> new AssertionError(kind + " of " + timers));
     releases.onTimerExpired(timer);
@@ -162,30 +171,30 @@
   }
 
   @Test
-  void stepByStepToTheEnd() {
-    begin();
+  void theReleaseCompletesStepByStep() {
+    startRelease();
     assertThat(apply("intend", "target", "b").status())
-        .as("the first step first")
+        .as("a target of a later step")
         .isEqualTo(Status.REFUSED);
-    change("a", "v2");
+    changeTarget("a", "v2");
     assertThat(apply("verdict", "step", 0, "go", true).status())
-        .as("not before it has baked")
+        .as("a verdict before the step has baked")
         .isEqualTo(Status.REFUSED);
-    judged(0);
-    change("b", "v2");
-    change("c", "v2");
-    judged(1);
+    passStep(0);
+    changeTarget("b", "v2");
+    changeTarget("c", "v2");
+    passStep(1);
     assertThat(state()).isEqualTo("done");
   }
 
   @Test
-  void noMoreAtOnceThanTheStepSaysNorThanBudgetsAllow() {
-    begin();
-    change("a", "v2");
-    judged(0);
+  void budgetsBoundTheTargetsOutOfServiceAtOnce() {
+    startRelease();
+    changeTarget("a", "v2");
+    passStep(0);
     assertThat(disruption.drain(TargetType.PROXY, "d", 0, false, "op", "x").status())
         .isEqualTo(Status.GRANTED);
-    out("b");
+    drainTarget("b");
     assertThat(apply("intend", "target", "c"))
         .satisfies(
             outcome -> {
@@ -195,19 +204,28 @@
   }
 
   @Test
-  void aDriverWhoseLeaseIsOverIsRejectedByItsFence() {
-    begin();
-    long old = fence;
-    long action = out("a");
+  void aDriverWithAnExpiredLeaseIsRejectedByItsFencingToken() {
+    startRelease();
+    long expiredFence = fence;
+    long action = drainTarget("a");
     assertThat(apply("drive", "driver", "y", "lease_ms", 1_000).status())
         .as("while x holds its lease")
         .isEqualTo(Status.REFUSED);
-    time("release-driver");
-    drive("y");
-    assertThat(fence).isGreaterThan(old);
+    expireReleaseTimer("release-driver");
+    acquireLease("y");
+    assertThat(fence).isGreaterThan(expiredFence);
     for (String operation : List.of("intend", "acting", "observed")) {
       assertThat(
-              apply(operation, "fence", old, "target", "a", "action", action, "found", "v1")
+              apply(
+                      operation,
+                      "fence",
+                      expiredFence,
+                      "target",
+                      "a",
+                      "action",
+                      action,
+                      "found",
+                      "v1")
                   .status())
           .as(operation)
           .isEqualTo(Status.CONFLICT);
@@ -216,8 +234,8 @@
   }
 
   @Test
-  void itHaltsWhereTooManyAreLostAndResumesByAnOperatorsOverride() {
-    begin();
+  void tooManyLostTargetsHaltTheReleaseUntilAnOperatorOverrides() {
+    startRelease();
     disruption.onSessionEnded("c", false);
     releases.onFleetChange(disruption);
     assertThat(state()).isEqualTo("running");
@@ -226,35 +244,35 @@
     assertThat(status().path("state_why").asText()).isEqualTo("lost meanwhile: c, d");
     assertThat(apply("intend", "target", "a").status()).isEqualTo(Status.HALTED);
     apply("resume");
-    assertThat(state()).as("they are lost still").isEqualTo("halted");
+    assertThat(state()).as("the targets are still lost").isEqualTo("halted");
     apply("override", "what", "lost");
     apply("resume");
     assertThat(state()).isEqualTo("running");
   }
 
   @Test
-  void aLostTargetWithTheNewVersionHaltsIt() {
-    begin();
-    change("a", "v2");
+  void aLostTargetWithTheNewVersionHaltsTheRelease() {
+    startRelease();
+    changeTarget("a", "v2");
     disruption.onSessionEnded("a", false);
     releases.onFleetChange(disruption);
     assertThat(status().path("state_why").asText()).isEqualTo("a is new, and lost");
   }
 
   @Test
-  void anActionAndTheWholeReleaseHaveTimeLimits() {
-    begin();
-    out("a");
-    time("release-action");
+  void actionsAndTheWholeReleaseHaveTimeLimits() {
+    startRelease();
+    drainTarget("a");
+    expireReleaseTimer("release-action");
     assertThat(status().path("state_why").asText()).contains("a is not back in service");
     apply("resume");
-    time("release-longest");
+    expireReleaseTimer("release-longest");
     assertThat(status().path("state_why").asText()).contains("its time of");
   }
 
   @Test
-  void theFleetsHaltHaltsItAndItDoesNotGoOnByItself() {
-    begin();
+  void aHaltOfTheFleetHaltsTheReleaseUntilAnOperatorResumesIt() {
+    startRelease();
     disruption.halt("incident");
     releases.onFleetChange(disruption);
     disruption.resume();
@@ -263,48 +281,48 @@
   }
 
   @Test
-  void aRollbackTakesTheNewestFirstAndMayStopAtAStep() {
-    begin();
-    change("a", "v2");
-    judged(0);
-    change("b", "v2");
-    change("c", "v2");
-    judged(1);
+  void aRollbackBeginsWithTheLatestTargetAndMayStopAtAStep() {
+    startRelease();
+    changeTarget("a", "v2");
+    passStep(0);
+    changeTarget("b", "v2");
+    changeTarget("c", "v2");
+    passStep(1);
     apply("back", "to_step", 1);
     ReleaseController controller = new ReleaseController("x", 1_000);
     assertThat(controller.nextActions(ReleaseViewCodec.read(status()), Optional.empty(), true, 0))
         .containsExactly(
             new DriverAction.SubmitCommand(new ReleaseCommand.IntendChange("r", fence, "c")));
-    change("c", "v1");
-    change("b", "v1");
+    changeTarget("c", "v1");
+    changeTarget("b", "v1");
     assertThat(status().path("state_why").asText()).isEqualTo("back to step 1, as asked");
     assertThat(target("a").path("at").asText()).isEqualTo("new");
     apply("back");
-    change("a", "v1");
+    changeTarget("a", "v1");
     assertThat(state()).isEqualTo("returned");
   }
 
   @Test
-  void aTargetThatComesBackWithAnotherVersionIsQueuedOrHeldOut() {
-    for (String rule : List.of("queue", "hold")) {
-      plan.put("name", "r").put("on_wrong", rule);
-      if (rule.equals("hold")) {
+  void aTargetReturningWithAnotherVersionIsChangedAgainOrKeptOutOfService() {
+    for (String policy : List.of("queue", "hold")) {
+      plan.put("name", "r").put("on_wrong", policy);
+      if (policy.equals("hold")) {
         apply("end");
         plan.put("name", "r2");
       }
       Outcome outcome =
           apply("release_start", MAPPER.createObjectNode().<ObjectNode>set("plan", plan));
       assertThat(outcome.status()).as(outcome.toString()).isEqualTo(Status.DONE);
-      if (rule.equals("queue")) {
-        drive("x");
-        change("a", "v2");
+      if (policy.equals("queue")) {
+        acquireLease("x");
+        changeTarget("a", "v2");
       }
       disruption.onSessionEnded("a", true);
-      join("a", rule.equals("queue") ? "v1" : "v7");
-      ObjectNode now = MAPPER.createObjectNode();
-      releases.writeStatus(plan.path("name").asText(), now, disruption);
-      JsonNode target = now.path("targets").path(0);
-      if (rule.equals("queue")) {
+      join("a", policy.equals("queue") ? "v1" : "v7");
+      ObjectNode status = MAPPER.createObjectNode();
+      releases.writeStatus(plan.path("name").asText(), status, disruption);
+      JsonNode target = status.path("targets").path(0);
+      if (policy.equals("queue")) {
         assertThat(target.path("phase").asText()).isEqualTo("in");
         assertThat(target.path("at").asText()).isEqualTo("old");
       } else {
@@ -317,13 +335,13 @@
   }
 
   @Test
-  void aCompletedReleaseTakesUpATargetThatComesBackWithThePreviousVersion() {
-    begin();
-    change("a", "v2");
-    judged(0);
-    change("b", "v2");
-    change("c", "v2");
-    judged(1);
+  void aTargetReturningWithThePreviousVersionReopensACompletedRelease() {
+    startRelease();
+    changeTarget("a", "v2");
+    passStep(0);
+    changeTarget("b", "v2");
+    changeTarget("c", "v2");
+    passStep(1);
     disruption.onSessionEnded("b", true);
     join("b", "v1");
     assertThat(status().path("state_why").asText()).isEqualTo("b came back with v1");
@@ -331,17 +349,17 @@
   }
 
   @Test
-  void aReleaseWithATargetOutIsNotEndedNorItsGrantGivenBackByOthers() {
-    begin();
-    out("a");
+  void aReleaseWithADrainedTargetCannotBeEndedAndKeepsItsGrant() {
+    startRelease();
+    drainTarget("a");
     assertThat(apply("end").status()).isEqualTo(Status.REFUSED);
     assertThat(releases.findReleaseHolding(target("a").path("permit").asText())).isEqualTo("r");
   }
 
   @Test
-  void anAgentsReportCountsForTheAttemptThatItWasGivenOnly() {
-    begin();
-    long action = out("a");
+  void anAgentsReportCountsOnlyForItsOwnAttempt() {
+    startRelease();
+    long action = drainTarget("a");
     apply("acting", "target", "a", "action", action);
     assertThat(
             apply("reported", "target", "a", "action", action, "tries", 2, "found", "v2").status())
@@ -353,12 +371,12 @@
   }
 
   @Test
-  void allFaultsOfAPlanAreToldAtOnce() {
+  void allErrorsOfAPlanAreReportedAtOnce() {
     plan.put("version", "v1").put("on_wrong", "maybe").put("action_ms", 5);
-    step("first", 0, "a");
-    List<String> faults = new ArrayList<>();
-    assertThat(ReleasePlanCodec.read(plan, faults)).isNull();
-    assertThat(String.join("\n", faults))
+    addStep("first", 0, "a");
+    List<String> errors = new ArrayList<>();
+    assertThat(ReleasePlanCodec.read(plan, errors)).isNull();
+    assertThat(String.join("\n", errors))
         .contains(
             "from:",
             "on_wrong:",
@@ -371,8 +389,8 @@
   }
 
   @Test
-  void targetsThatAreNotKnownAndNamesThatWereUsedAreRefused() {
-    begin();
+  void unknownTargetsAndUsedNamesAreRefused() {
+    startRelease();
     plan.withArray("steps").addObject().put("name", "more").putArray("targets").add("nobody");
     assertThat(apply("start", "plan", plan).reasons().toString())
         .contains("no proxy 'nobody'", "was used before", "has some of these targets");
