--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -8,16 +8,17 @@
 import leadferry.disruption.Outcome;
 
 /**
- * Who asked what, when and why, and what became of it: the newest {@link #MAX_RECORDS} records. A
- * record is copied from the stored form of its entry, so that every build writes the same one.
+ * Records who submitted which entry, when and why, and with what outcome. Keeps the newest {@link
+ * #MAX_RECORDS} records. Each record is copied from the stored form of its entry, which makes every
+ * version write the same record.
  */
 final class AuditLog {
   static final int MAX_RECORDS = 2_000;
 
-  /** The stored word for {@code who} where no person asked. */
+  /** Stored value of {@code who} for entries that the replicas submit themselves. */
   static final String REPLICAS_ACTOR = "keepers";
 
-  /** What a record takes over of its entry, as text, in this order. */
+  /** Keys that a record copies from its entry as text, in this order. */
   private static final List<String> COPIED_KEYS =
       List.of(
           "op", "kind", "name", "permit", "who", "why", "call", "release", "target", "action",
@@ -26,10 +27,10 @@
   private final ArrayDeque<ObjectNode> records = new ArrayDeque<>();
 
   /**
-   * Adds a record.
+   * Adds a record and removes the oldest one beyond {@link #MAX_RECORDS}.
    *
-   * @param entryNumber the entry's place in the log
-   * @param viewVersion that of the fleet's view after the entry
+   * @param entryNumber the position of the entry in the log
+   * @param viewVersion the version of the fleet view after the entry
    */
   void add(long entryNumber, long viewVersion, ObjectNode stored, Outcome outcome) {
     ObjectNode entry =
--- a/src/main/java/leadferry/consensus/CallHistory.java
+++ b/src/main/java/leadferry/consensus/CallHistory.java
@@ -11,23 +11,24 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * The outcomes of the newest calls, by their ids, so that a repeated call is applied once and gets
- * its one outcome. A call that is repeated after {@link #MAX_CALLS} others counts as a new one.
+ * Stores the outcomes of the newest {@link #MAX_CALLS} calls by call id. A repeated call is not
+ * applied again and gets its first outcome. A call that is repeated after {@link #MAX_CALLS} other
+ * calls is applied as a new one.
  */
 final class CallHistory {
   static final int MAX_CALLS = 4_096;
 
-  /** A call by the digest of what it asked. */
-  private record Call(String digest, ObjectNode outcome) {}
+  /** An applied call: the digest of its request, and its outcome. */
+  private record AppliedCall(String digest, ObjectNode outcome) {}
 
-  private final Map<String, Call> calls = new LinkedHashMap<>();
+  private final Map<String, AppliedCall> calls = new LinkedHashMap<>();
 
   /**
-   * The outcome of a call that was applied before, marked as repeated; a conflict where its id was
-   * used for another question; empty where the call is new.
+   * Returns the outcome of a call that was applied before, marked as repeated. Returns a conflict
+   * if the id was used for a different request, and empty if the call is new.
    */
   Optional<ObjectNode> find(String id, ObjectNode stored) {
-    Call known = calls.get(id);
+    AppliedCall known = calls.get(id);
     if (known == null) {
       return Optional.empty();
     }
@@ -39,19 +40,19 @@
     return Optional.of(known.outcome().deepCopy().put("again", true));
   }
 
-  /** Keeps the outcome of a new call; forgets the oldest call past the bound. */
+  /** Stores the outcome of a new call and removes the oldest call beyond {@link #MAX_CALLS}. */
   void add(String id, ObjectNode stored, ObjectNode outcome) {
-    calls.put(id, new Call(digest(stored), outcome));
+    calls.put(id, new AppliedCall(digest(stored), outcome));
     if (calls.size() > MAX_CALLS) {
       calls.remove(calls.keySet().iterator().next());
     }
   }
 
-  /** What a call asks, without when and with which id it was asked. */
+  /** Returns the digest of a call's request without its id and its time. */
   private static String digest(ObjectNode stored) {
-    ObjectNode question = stored.deepCopy();
-    question.remove(List.of("call", "at"));
-    return Json.digest(question);
+    ObjectNode request = stored.deepCopy();
+    request.remove(List.of("call", "at"));
+    return Json.digest(request);
   }
 
   void write(ArrayNode snapshot) {
@@ -69,7 +70,7 @@
     for (JsonNode call : snapshot) {
       calls.put(
           call.path("call").asText(),
-          new Call(call.path("digest").asText(), (ObjectNode) call.path("outcome")));
+          new AppliedCall(call.path("digest").asText(), (ObjectNode) call.path("outcome")));
     }
   }
 }
--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -13,12 +13,13 @@
 import leadferry.release.ReleaseRegistry;
 
 /**
- * The agreed state: what the log's entries, applied in their order, come to. Deterministic and
- * without I/O or time; the same entries give the same bytes of {@link #snapshot} and the same
- * outcomes on every replica. Callers confine it to one thread at a time.
+ * Holds the replicated state that results from applying the log's entries in order. Deterministic,
+ * without I/O and without a clock: the same entries give the same outcomes and the same bytes of
+ * {@link #snapshot} on every replica. Not thread-safe; callers guard an instance with its own
+ * monitor or use it from one thread.
  *
  * <pre>
- *   bytes -- LogEntryCodec --> seen before? -- CallHistory --> its outcome
+ *   bytes -- LogEntryCodec --> call id known? -- CallHistory --> the recorded outcome
  *                                  | no
  *                                  +--> dispatch on LogEntry --> outcome, AuditLog
  * </pre>
@@ -34,21 +35,26 @@
   private final SnapshotCodec.Parts parts;
   private long entryCount;
 
-  /** An empty state; {@code times} count until a snapshot brings its own. */
+  /**
+   * Creates an empty state.
+   *
+   * @param times durations that apply until a snapshot with its own durations is restored
+   */
   public FleetStateMachine(DisruptionState.Times times) {
     disruption = new DisruptionState(times);
     parts = new SnapshotCodec.Parts(sessions, calls, audit, disruption, releases);
   }
 
-  /** The version of the view that members go by. */
+  /** Returns the version of the fleet view that members follow. */
   public long version() {
     return disruption.version();
   }
 
   /**
-   * Applies an entry and tells what became of it; never throws for what an entry says.
+   * Applies an entry and returns its outcome. Invalid content of an entry is reported in the
+   * outcome and not thrown.
    *
-   * @throws LaterSchemaException if a later build wrote it
+   * @throws LaterSchemaException if a newer version with another schema wrote the entry
    */
   public ObjectNode apply(byte[] bytes) {
     entryCount++;
@@ -58,18 +64,18 @@
     }
     String callId = LogEntryCodec.callId(stored);
     if (callId.isEmpty()) {
-      return perform(stored);
+      return applyNew(stored);
     }
     Optional<ObjectNode> earlier = calls.find(callId, stored);
     if (earlier.isPresent()) {
       return earlier.get();
     }
-    ObjectNode outcome = perform(stored);
+    ObjectNode outcome = applyNew(stored);
     calls.add(callId, stored, outcome);
     return outcome.deepCopy();
   }
 
-  private ObjectNode perform(ObjectNode stored) {
+  private ObjectNode applyNew(ObjectNode stored) {
     ObjectNode outcome = dispatch(LogEntryCodec.decode(stored), stored);
     releases.onFleetChange(disruption);
     return outcome;
@@ -104,7 +110,7 @@
 
   private Outcome applyRelease(LogEntry.Release entry, ObjectNode stored) {
     Outcome outcome = releases.apply(entry.command(), disruption);
-    // What a budget refuses a driver is asked again until it is granted: only the grant is kept.
+    // A driver repeats a refused request until a budget admits it. Only the grant is recorded.
     if (!entry.fromDriver()
         || outcome.status() == Status.GRANTED
         || outcome.status() == Status.DONE) {
@@ -175,7 +181,7 @@
 
   private Outcome applyReport(LogEntry.MemberReport report) {
     if (!sessions.isLive(report.name(), report.session())) {
-      return noSession();
+      return unknownSession();
     }
     report
         .catalog()
@@ -192,37 +198,40 @@
     return Outcome.of(Status.DONE);
   }
 
-  private Outcome endSession(String name, long session, boolean byItself, ObjectNode stored) {
+  private Outcome endSession(String name, long session, boolean byMember, ObjectNode stored) {
     if (!sessions.isLive(name, session)) {
-      return noSession();
+      return unknownSession();
     }
     sessions.close(name);
-    disruption.onSessionEnded(name, byItself);
+    disruption.onSessionEnded(name, byMember);
     Outcome done = Outcome.of(Status.DONE);
     addToAudit(stored, done);
     return done;
   }
 
-  private static Outcome noSession() {
+  private static Outcome unknownSession() {
     return Outcome.of(Status.UNKNOWN, "no such session");
   }
 
-  /** Whether this session lives. */
+  /** Returns whether this session is live. */
   public boolean isSessionLive(String name, long session) {
     return sessions.isLive(name, session);
   }
 
-  /** Members whose sessions live, by name, with the session. */
+  /** Returns the ids of the live sessions by member name. */
   public Map<String, Long> liveSessions() {
     return sessions.liveSessionIds();
   }
 
-  /** Whether any release is under way, so that members' reports are wanted. */
+  /** Returns whether any release is in progress. Members send load reports during a release. */
   public boolean hasActiveRelease() {
     return releases.hasActive();
   }
 
-  /** What runs out without an entry, and after how long (ms); see {@link LeaseTimers}. */
+  /**
+   * Returns the running timers with their durations in milliseconds. The leader counts them with
+   * {@link LeaseTimers} and submits an entry for each one that expires.
+   */
   public Map<String, Long> timers() {
     Map<String, Long> timers = disruption.timerDurationsMillis();
     releases.putTimers(timers);
@@ -232,14 +241,14 @@
 
   // --- queries
 
-  /** What members go by. */
+  /** Returns the fleet view that members follow. */
   public ObjectNode view() {
     ObjectNode view = Json.object();
     disruption.writeView(view);
     return view;
   }
 
-  /** All that staff may want to see; with the audit where asked. */
+  /** Returns the status for operators, with the audit log if {@code includeHistory} is set. */
   public ObjectNode status(boolean includeHistory) {
     ObjectNode status = Json.object();
     disruption.writeStatus(status);
@@ -249,26 +258,26 @@
     return status;
   }
 
-  /** One release whole, or all of them in short where {@code name} is "". */
+  /** Returns the status of one release, or a summary of all releases if {@code name} is "". */
   public ObjectNode releaseStatus(String name) {
     ObjectNode status = Json.object();
     releases.writeStatus(name, status, disruption);
     return status;
   }
 
-  /** Whether a driver of a release holds its lease under this fence. */
+  /** Returns whether a driver holds the lease of a release under this fence. */
   public boolean isDriverLeaseHeld(String release, long fence) {
     return releases.isLeaseHeld(release, fence);
   }
 
-  /** What would become of a drain that was asked for now. */
+  /** Returns whether a drain requested now would be granted, with the reasons. */
   public ObjectNode explainDrain(String kind, String name) {
     ObjectNode explanation = Json.object();
     disruption.writeExplanation(TargetType.fromStoredName(kind), name, explanation);
     return explanation;
   }
 
-  /** What the drain of that grant waits for. */
+  /** Returns what the drain under a grant still waits for. */
   public ObjectNode grantStatus(String grantId) {
     ObjectNode status =
         Json.object().put("permit", grantId).put("carried_out", disruption.isCarriedOut(grantId));
@@ -277,15 +286,18 @@
     return status;
   }
 
-  /** The whole state as bytes, the same on every replica that has applied as much. */
+  /**
+   * Returns the whole state as bytes, which are the same on every replica that has applied the same
+   * entries.
+   */
   public byte[] snapshot() {
     return SnapshotCodec.encode(entryCount, parts);
   }
 
   /**
-   * Replaces the whole state.
+   * Replaces the whole state by a snapshot.
    *
-   * @throws LaterSchemaException if a later build wrote the snapshot
+   * @throws LaterSchemaException if a newer version with another schema wrote the snapshot
    */
   public void restore(byte[] bytes) {
     entryCount = SnapshotCodec.decode(bytes, parts);
--- a/src/main/java/leadferry/consensus/Json.java
+++ b/src/main/java/leadferry/consensus/Json.java
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import java.util.zip.CRC32C;
 
-/** JSON trees as bytes, text and digests; keys keep the order in which they were put. */
+/** Converts JSON trees to and from bytes, text and digests. Keys keep their insertion order. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -22,17 +22,17 @@
 
   private Json() {}
 
-  /** An empty object. */
+  /** Returns a new empty object. */
   public static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** On one line, in UTF-8. */
+  /** Returns the tree as one line of JSON in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     return text(node).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** On one line. */
+  /** Returns the tree as one line of JSON. */
   public static String text(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
@@ -41,14 +41,14 @@
     }
   }
 
-  /** The CRC-32C of {@link #bytes}, as sixteen hexadecimal digits. */
+  /** Returns the CRC-32C of {@link #bytes} as sixteen hexadecimal digits. */
   static String digest(JsonNode node) {
     CRC32C checksum = new CRC32C();
     checksum.update(bytes(node));
     return HexFormat.of().toHexDigits(checksum.getValue());
   }
 
-  /** The object that these bytes are, or null where they are none. */
+  /** Parses a JSON object; returns null if the bytes are not valid JSON or not an object. */
   public static ObjectNode parse(byte[] bytes) {
     try {
       return MAPPER.readTree(bytes) instanceof ObjectNode object ? object : null;
--- a/src/main/java/leadferry/consensus/LaterSchemaException.java
+++ b/src/main/java/leadferry/consensus/LaterSchemaException.java
@@ -1,18 +1,19 @@
 package leadferry.consensus;
 
 /**
- * An entry or snapshot of a schema that only a later build knows. Not to be retried: a replica that
- * meets one ends, because to pass the entry over would be to differ from the others.
+ * Thrown for an entry or snapshot whose schema only a newer version can read. Not to be retried:
+ * the replica stops, because skipping the entry would make its state differ from that of the
+ * others.
  */
 public final class LaterSchemaException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   LaterSchemaException(int schema) {
     super(
-        "schema "
+        "schema: "
             + schema
             + " (expected: at most "
             + LogEntryCodec.SCHEMA
-            + "; a later build wrote it)");
+            + "; written by a newer version)");
   }
 }
--- a/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
@@ -4,9 +4,9 @@
 import leadferry.release.ReleaseRegistry;
 
 /**
- * The leader's {@link LeaseTimers} over what the state machine says runs out. Its state, like the
- * state machine's, is guarded by the state machine's monitor: no entry is applied between a look at
- * a session and its renewal.
+ * Runs the leader's {@link LeaseTimers} on the timers of the state machine. The monitor of the
+ * state machine guards both, which keeps entries from being applied between the check of a session
+ * and the renewal of its lease.
  */
 final class LeaderLeaseTimers {
   private static final long NO_TERM = -1;
@@ -19,7 +19,9 @@
     this.stateMachine = stateMachine;
   }
 
-  /** The timers that have run out while this replica led in that term, each once. */
+  /**
+   * Returns the timers that have expired while this replica led in {@code currentTerm}, each once.
+   */
   List<String> pollExpired(long currentTerm, long nowNanos) {
     synchronized (stateMachine) {
       if (currentTerm != term) {
@@ -30,14 +32,14 @@
     }
   }
 
-  /** The log did not take the end of this timer: it is due again. */
+  /** Makes an expired timer eligible again after its entry was not accepted into the log. */
   void allowResubmission(String timer) {
     synchronized (stateMachine) {
       timers.allowResubmission(timer);
     }
   }
 
-  /** Renews a session's lease; false where the session is over. */
+  /** Renews the lease of a session; returns false if the session has ended. */
   boolean renewSession(String name, long session, long nowNanos) {
     synchronized (stateMachine) {
       return stateMachine.isSessionLive(name, session)
@@ -45,7 +47,7 @@
     }
   }
 
-  /** Renews the lease of a release's driver; false where it is over. */
+  /** Renews the lease of a release driver; returns false if the lease has ended. */
   boolean renewDriverLease(String release, long fence, long nowNanos) {
     synchronized (stateMachine) {
       return stateMachine.isDriverLeaseHeld(release, fence)
--- a/src/main/java/leadferry/consensus/LeadershipConfirmation.java
+++ b/src/main/java/leadferry/consensus/LeadershipConfirmation.java
@@ -9,15 +9,16 @@
 import org.apache.ratis.protocol.RaftClientReply;
 
 /**
- * Asks a majority whether this replica leads: one round for all who wait when it begins. Invariant:
- * who is told "confirmed" had asked before the round began, and this replica led in one term
- * throughout the round. Thread-safe; listeners run on the library's threads.
+ * Confirms with a majority that this replica leads. One round serves all requests that wait when it
+ * begins. Invariant: a request is confirmed only if it was made before the round began and this
+ * replica led in one term throughout the round. Thread-safe; listeners run on threads of the Raft
+ * library.
  */
 final class LeadershipConfirmation {
   /**
-   * What a round came to.
+   * The result of a round.
    *
-   * @param reason why this replica was not confirmed, for people; "" where it was
+   * @param reason why leadership was not confirmed, as text for operators; "" if it was
    */
   record Result(boolean confirmed, String reason) {
     static final Result CONFIRMED = new Result(true, "");
@@ -32,13 +33,16 @@
   private List<Consumer<Result>> waitingListeners = new ArrayList<>();
   private boolean roundInProgress;
 
-  /** Rounds after the first run on {@code executor}. */
+  /**
+   * Creates a confirmation for {@code server}; every round that follows another one without a pause
+   * starts on {@code executor}.
+   */
   LeadershipConfirmation(RatisServer server, Executor executor) {
     this.server = server;
     this.executor = executor;
   }
 
-  /** Tells {@code listener} what the next round comes to. */
+  /** Passes the result of the next round to {@code listener}. */
   void request(Consumer<Result> listener) {
     synchronized (this) {
       waitingListeners.add(listener);
@@ -56,8 +60,8 @@
       listeners = waitingListeners;
       waitingListeners = new ArrayList<>();
     }
-    // Guards against a follower that confirms a lease: the library lets it read by its leader's
-    // word, but nobody counts what is renewed there.
+    // Guards against a follower that confirms a lease: the library also serves linearizable reads
+    // on followers, but only the leader's lease timers count a renewal.
     long term = server.leadershipTerm();
     CompletableFuture<RaftClientReply> read =
         term == RatisServer.NOT_LEADING
--- a/src/main/java/leadferry/consensus/Lease.java
+++ b/src/main/java/leadferry/consensus/Lease.java
@@ -1,33 +1,41 @@
 package leadferry.consensus;
 
 /**
- * A member's side of its lease. Without I/O; times are passed in (ns, of a monotonic clock that
- * goes on while the process is stopped).
+ * The member's side of a lease. Without I/O; callers pass the time in nanoseconds of a monotonic
+ * clock that keeps running while the process is stopped.
  *
  * <pre>
- *   member:  asked ------------------------ 0.9 of a lease ----------| over
- *   leader:          heard -------------------------- a lease ---------------| may say so
+ *   member:  request sent --------------- 0.9 of the lease ----------| lease ends
+ *   leader:        request received -------------- whole lease ---------------| may expire the lease
  * </pre>
  *
- * <p>The member counts from before it asked and the leader from after it heard, so the member knows
- * first that its lease is over, as long as the two clocks differ by less than a tenth in speed.
+ * <p>The member counts from before it sent the request, the leader from after it received the
+ * request. The member therefore sees its lease end first, provided that the speeds of the two
+ * clocks differ by less than a tenth.
  */
 public final class Lease {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** How much of the lease a member counts on. */
+  /** Fraction of the lease that the member relies on. */
   private static final double MEMBER_FRACTION = 0.9;
 
   private final long usableNanos;
   private long endNanos = Long.MIN_VALUE;
   private boolean confirmed;
 
-  /** A lease of so many milliseconds, as the leader counts it. */
+  /**
+   * Creates a lease that is not yet confirmed.
+   *
+   * @param leaseMillis the length of the lease that the leader counts
+   */
   public Lease(long leaseMillis) {
     this.usableNanos = (long) (leaseMillis * NANOS_PER_MILLI * MEMBER_FRACTION);
   }
 
-  /** The leader has confirmed what was asked at that time (ns). */
+  /**
+   * Records that the leader has confirmed a request sent at {@code requestedAtNanos}. An older
+   * confirmation does not shorten the lease.
+   */
   public void onConfirmed(long requestedAtNanos) {
     endNanos =
         confirmed
@@ -36,12 +44,14 @@
     confirmed = true;
   }
 
-  /** The session is gone. */
+  /** Ends the lease because its session has ended. */
   public void onSessionLost() {
     confirmed = false;
   }
 
-  /** Whether it holds; to be asked right before each decision that needs it. */
+  /**
+   * Returns whether the lease is held. Callers check right before each decision that depends on it.
+   */
   public boolean isHeld(long nowNanos) {
     return confirmed && nowNanos - endNanos < 0;
   }
--- a/src/main/java/leadferry/consensus/LeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaseTimers.java
@@ -8,21 +8,23 @@
 import java.util.Set;
 
 /**
- * The leader's clock over leases, eviction grants and stabilization periods. Without I/O; times are
- * passed in (ns, of a monotonic clock).
+ * The leader's timers for leases, eviction grants and stabilization periods. Without I/O; callers
+ * pass the time in nanoseconds of a monotonic clock.
  *
  * <pre>
- *   leadership begins      renewed        renewed                     due: submitted to the log once
- *   |---- a whole lease ----|---- a whole lease ----|---- a whole lease ----|
+ *   leadership begins      renewed        renewed               expired: submitted to the log once
+ *   |---- whole duration ----|-- whole duration --|---- whole duration ----|
  * </pre>
  *
- * <p>Nothing that an earlier leader counted is believed, and nothing that this one counted before
- * it stood still itself: every time begins anew. So what runs out, runs out late, never early.
- * Guards against a leader that was stopped, wakes up, and takes every member for dead that it could
- * not hear.
+ * <p>A timer starts over with its whole duration when leadership begins, and when this process
+ * finds that it was stopped for longer than {@link #STALL_THRESHOLD_NANOS}. A timer can therefore
+ * expire late but never early. Guards against a leader that resumes after a stop and expires the
+ * sessions of all members whose renewals it could not receive.
  */
 public final class LeaseTimers {
-  /** A gap between two looks (ns) from which on this process counts as having been stopped. */
+  /**
+   * Gap between two polls, in nanoseconds, above which this process counts as having been stopped.
+   */
   static final long STALL_THRESHOLD_NANOS = 400_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -31,7 +33,7 @@
   private final Set<String> submitted = new HashSet<>();
   private long lastPollNanos = Long.MIN_VALUE;
 
-  /** Leadership has begun: forgets all. */
+  /** Discards all timers. Called when leadership begins. */
   public void reset(long nowNanos) {
     startedAtNanos.clear();
     submitted.clear();
@@ -39,12 +41,13 @@
   }
 
   /**
-   * What has run out and was not returned before; {@code running} holds all that runs, and how long
-   * (ms).
+   * Returns the timers that have expired and were not returned before.
+   *
+   * @param durationsMillis all running timers by name, with their durations
    */
   public List<String> pollExpired(Map<String, Long> durationsMillis, long nowNanos) {
     if (lastPollNanos != Long.MIN_VALUE && nowNanos - lastPollNanos > STALL_THRESHOLD_NANOS) {
-      startedAtNanos.clear(); // what was submitted to the log stays submitted
+      startedAtNanos.clear(); // timers already submitted to the log stay submitted
     }
     lastPollNanos = nowNanos;
     startedAtNanos.keySet().retainAll(durationsMillis.keySet());
@@ -62,8 +65,8 @@
   }
 
   /**
-   * A sign of life for a timer. False where its end has been submitted to the log: whoever it is
-   * about must not hear that it goes on.
+   * Restarts a timer. Returns false if its expiry has been submitted to the log: a caller must not
+   * receive a renewal of a lease that is about to end.
    */
   public boolean renew(String timer, long nowNanos) {
     if (submitted.contains(timer)) {
@@ -73,7 +76,7 @@
     return true;
   }
 
-  /** The log did not take the end of this timer: it is due again. */
+  /** Makes an expired timer eligible again after its entry was not accepted into the log. */
   public void allowResubmission(String timer) {
     submitted.remove(timer);
   }
--- a/src/main/java/leadferry/consensus/LogEntry.java
+++ b/src/main/java/leadferry/consensus/LogEntry.java
@@ -7,12 +7,14 @@
 import leadferry.disruption.Target;
 import leadferry.release.ReleaseCommand;
 
-/** What an entry of the replicated log asks; {@link LogEntryCodec} maps each to its stored form. */
+/**
+ * A decoded entry of the replicated log. {@link LogEntryCodec} maps each entry to its stored form.
+ */
 public sealed interface LogEntry {
   /**
-   * The endpoints that a member balances over.
+   * The endpoints between which a member balances load.
    *
-   * @param digest what tells two catalogs apart; the first one stored under a digest counts
+   * @param digest identifies the catalog; the first catalog stored under a digest is kept
    */
   record EndpointCatalog(String digest, List<Target> endpoints) {
     public EndpointCatalog {
@@ -21,11 +23,11 @@
   }
 
   /**
-   * A member asks for a session.
+   * Requests a session for a member.
    *
-   * @param incarnation tells the processes that carry this name one after another apart
-   * @param leaseMillis how long the session lives without a renewal
-   * @param runningVersion what the member runs
+   * @param incarnation distinguishes successive processes with the same name
+   * @param leaseMillis how long the session lasts without a renewal
+   * @param runningVersion the software version that the member runs
    */
   record Join(
       String name,
@@ -37,14 +39,13 @@
       implements LogEntry {}
 
   /**
-   * A member reports what it does.
+   * Reports the state of a member.
    *
-   * @param reportNumber counts up within a session; a report with a lower one that comes late is
-   *     ignored
-   * @param acknowledgedVersion the version of the fleet's view that the member goes by
-   * @param busyEndpoints draining hosts to which it has requests in flight
-   * @param ejectedEndpoints hosts that it has ejected
-   * @param catalog its new catalog, where that has changed
+   * @param reportNumber increases within a session; a late report with a lower number is ignored
+   * @param acknowledgedVersion the version of the fleet view that the member follows
+   * @param busyEndpoints draining endpoints to which the member has requests in flight
+   * @param ejectedEndpoints endpoints that the member has ejected
+   * @param catalog the new catalog, if the catalog has changed
    */
   record MemberReport(
       String name,
@@ -57,33 +58,37 @@
       Optional<EndpointCatalog> catalog)
       implements LogEntry {}
 
-  /** A member ends its session by itself. */
+  /** Ends a session at the request of its member. */
   record Leave(String name, long session) implements LogEntry {}
 
-  /** The leader found that a session was not renewed for its lease. */
+  /** Ends a session that was not renewed within its lease. Submitted by the leader. */
   record SessionExpired(String name, long session) implements LogEntry {}
 
-  /** The leader found that a timer of a drain or release ran out. */
+  /** Records that a timer of a drain or release expired. Submitted by the leader. */
   record TimerExpired(String timer) implements LogEntry {}
 
-  /** Asks about who may be out of service. */
+  /** Carries a command about which members and endpoints may be out of service. */
   record Disruption(DisruptionCommand command) implements LogEntry {}
 
   /**
-   * Asks something of a release.
+   * Carries a command for a release.
    *
-   * @param fromDriver whether a driver wrote it, not an operator
+   * @param fromDriver whether a driver submitted the command, not an operator
    */
   record Release(ReleaseCommand command, boolean fromDriver) implements LogEntry {}
 
-  /** An operator's entry that can't be read, and what was expected. */
+  /**
+   * An operator's entry that is not valid.
+   *
+   * @param reasons what was wrong and what was expected
+   */
   record Malformed(List<String> reasons) implements LogEntry {
     public Malformed {
       reasons = List.copyOf(reasons);
     }
   }
 
-  /** The entry that records that a timer of {@link FleetStateMachine#timers} has run out. */
+  /** Returns the entry that records the expiry of a timer of {@link FleetStateMachine#timers}. */
   static LogEntry ofExpiredTimer(String timer) {
     return SessionTable.isSessionTimer(timer)
         ? SessionTable.sessionExpiredEntry(timer)
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -20,22 +20,22 @@
 import leadferry.release.ReleaseCommandCodec;
 
 /**
- * Maps {@link LogEntry}s to and from the log's stored form: a JSON object with {@code schema},
- * {@code op}, and, of operators, {@code call} (an id by which the same call may be repeated and
- * gets its one outcome), {@code who}, {@code why} and {@code at} (the caller's wall clock, which
- * nothing goes by).
+ * Maps {@link LogEntry}s to and from their stored form: a JSON object with {@code schema} and
+ * {@code op}. Entries of operators also have {@code call}, {@code who}, {@code why} and {@code at}.
+ * A repeated entry with the same {@code call} id gets the outcome of the first one. {@code at} is
+ * the caller's wall clock, which no decision depends on.
  *
- * <p>The stored words stay as they were first written and are mapped here alone: {@code tell} is
- * {@link LogEntry.MemberReport}, {@code expire} {@link LogEntry.SessionExpired}, {@code timeout}
- * {@link LogEntry.TimerExpired}, {@code budgets} {@link DisruptionCommand.ReplaceBudgets}, and so
- * on; those of releases by {@link ReleaseCommandCodec}. Operators' entries are written by the
- * command line, so only those of members and replicas are encoded here.
+ * <p>The stored words never change and are mapped only here: {@code tell} is {@link
+ * LogEntry.MemberReport}, {@code expire} {@link LogEntry.SessionExpired}, {@code timeout} {@link
+ * LogEntry.TimerExpired}, {@code budgets} {@link DisruptionCommand.ReplaceBudgets}, and so on.
+ * {@link ReleaseCommandCodec} maps those of releases. The command line writes the entries of
+ * operators; only those of members and replicas are encoded here.
  */
 public final class LogEntryCodec {
-  /** The version of the form of entries and snapshots that this build reads and writes. */
+  /** Version of the format of entries and snapshots that this version reads and writes. */
   public static final int SCHEMA = 1;
 
-  /** Texts of people are cut at so many characters. */
+  /** Maximum length of texts written by people; longer texts are truncated. */
   private static final int MAX_TEXT_CHARS = 500;
 
   private static final String OPERATION = "op";
@@ -44,7 +44,9 @@
   private static final Set<String> DISRUPTION_OPERATIONS =
       Set.of("drain", "undo", "halt", "resume", "fence", "forget", "budgets");
 
-  /** What members, operators and drivers may put into the log; the rest is the leader's alone. */
+  /**
+   * Operations that members, operators and drivers may submit; only the leader submits the others.
+   */
   private static final Set<String> SUBMITTABLE_OPERATIONS =
       Stream.of(
               MEMBER_OPERATIONS,
@@ -56,20 +58,20 @@
 
   private LogEntryCodec() {}
 
-  /** Whether others than replicas may put this stored entry into the log. */
+  /** Returns whether callers other than replicas may submit this stored entry. */
   static boolean isSubmittable(JsonNode stored) {
     return SUBMITTABLE_OPERATIONS.contains(stored.path(OPERATION).asText());
   }
 
-  /** Whether this stored entry asks for a session. */
+  /** Returns whether this stored entry requests a session. */
   static boolean isJoin(JsonNode stored) {
     return stored.path(OPERATION).asText().equals("join");
   }
 
   /**
-   * Reads the stored form from bytes; null where they are no object.
+   * Parses the stored form; returns null if the bytes are not a JSON object.
    *
-   * @throws LaterSchemaException if a later build wrote it
+   * @throws LaterSchemaException if a newer version with another schema wrote the entry
    */
   static ObjectNode parse(byte[] bytes) {
     ObjectNode stored = Json.parse(bytes);
@@ -79,14 +81,17 @@
     return stored;
   }
 
-  /** Guards against guessing at what a later build wrote. */
+  /**
+   * Rejects a schema newer than {@link #SCHEMA}. Guards against misreading an entry that a newer
+   * version wrote.
+   */
   static void checkSchema(int schema) {
     if (schema > SCHEMA) {
       throw new LaterSchemaException(schema);
     }
   }
 
-  /** The id by which the call may be repeated, or "". */
+  /** Returns the id that identifies repetitions of a call, or "". */
   static String callId(ObjectNode stored) {
     return text(stored, "call");
   }
@@ -121,8 +126,8 @@
         text(stored, "name"),
         text(stored, "incarnation"),
         stored.path("lease_ms").asLong(),
-        label(stored, "zone"),
-        label(stored, "runs"),
+        labelOrNone(stored, "zone"),
+        labelOrNone(stored, "runs"),
         decodeCatalog(stored));
   }
 
@@ -188,7 +193,7 @@
     return new LogEntry.Malformed(List.of(reason));
   }
 
-  /** The stored form of an entry of a member or replica, but for its schema. */
+  /** Returns the stored form of an entry of a member or replica, without its schema. */
   static ObjectNode encode(LogEntry entry) {
     if (entry instanceof LogEntry.Join join) {
       return encodeJoin(join);
@@ -213,7 +218,7 @@
         "entry: " + entry + " (expected: one of a member or a replica)");
   }
 
-  /** The stored form of the entry that records that a timer has run out. */
+  /** Returns the stored form of the entry that records the expiry of a timer. */
   static ObjectNode encodeExpiry(String timer) {
     return encode(LogEntry.ofExpiredTimer(timer));
   }
@@ -252,7 +257,7 @@
     stored.put("digest", catalog.digest()).set("hosts", encodeEndpoints(catalog.endpoints()));
   }
 
-  /** A catalog whose digest is that of its hosts' stored form. */
+  /** Returns a catalog whose digest is computed from the stored form of its endpoints. */
   public static LogEntry.EndpointCatalog catalogOf(List<Target> endpoints) {
     return new LogEntry.EndpointCatalog(Json.digest(encodeEndpoints(endpoints)), endpoints);
   }
@@ -263,13 +268,15 @@
     return list;
   }
 
-  /** A text of a stored entry, cut at the bound for texts; "" where there is none. */
+  /**
+   * Returns a text of a stored entry, truncated to {@link #MAX_TEXT_CHARS}; "" if there is none.
+   */
   static String text(JsonNode stored, String key) {
     String text = stored.path(key).asText("");
     return text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
   }
 
-  private static String label(JsonNode stored, String key) {
+  private static String labelOrNone(JsonNode stored, String key) {
     String text = text(stored, key);
     return text.isEmpty() ? Target.NONE : text;
   }
--- a/src/main/java/leadferry/consensus/MemberReportTable.java
+++ b/src/main/java/leadferry/consensus/MemberReportTable.java
@@ -6,11 +6,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The newest load report of each member, as it came with a renewal. Not agreed and not stored: gone
- * with this replica's lead; a release's driver that finds none waits for the next. Thread-safe.
+ * Holds the newest load report of each member, which arrives with a renewal. Reports are neither
+ * replicated nor stored, and do not carry over to the next leader. A release driver that finds a
+ * report missing waits for the next one. Thread-safe.
  */
 final class MemberReportTable {
-  /** A longer report is dropped. */
+  /** Maximum encoded size of a report; a larger report is discarded. */
   private static final int MAX_REPORT_BYTES = 256 * 1024;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -19,7 +20,10 @@
 
   private final Map<String, Report> reports = new ConcurrentHashMap<>();
 
-  /** Keeps a report in place of the member's last one; what is no object is dropped. */
+  /**
+   * Stores a report in place of the member's previous one. Content that is not an object is
+   * discarded.
+   */
   void put(String member, long session, JsonNode content, long nowNanos) {
     if (content.isObject() && Json.bytes(content).length <= MAX_REPORT_BYTES) {
       reports.put(member, new Report(session, nowNanos, content));
@@ -27,8 +31,8 @@
   }
 
   /**
-   * The newest report of each of these sessions with its age, and the names of those that have
-   * none.
+   * Returns the newest report of each session with its age, and the names of the members without
+   * one.
    */
   ObjectNode describe(Map<String, Long> liveSessions, long nowNanos) {
     reports.keySet().retainAll(liveSessions.keySet());
--- a/src/main/java/leadferry/consensus/OutcomeCodec.java
+++ b/src/main/java/leadferry/consensus/OutcomeCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import leadferry.disruption.Outcome;
 
-/** Writes an {@link Outcome} as callers and snapshots get it; what it lacks is left out. */
+/** Encodes an {@link Outcome} for callers and snapshots; absent values are omitted. */
 final class OutcomeCodec {
   private OutcomeCodec() {}
 
--- a/src/main/java/leadferry/consensus/RatisProperties.java
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -11,12 +11,18 @@
 import org.apache.ratis.util.SizeInBytes;
 import org.apache.ratis.util.TimeDuration;
 
-/** The settings of the Raft library for a replica: addresses, elections, reads, snapshots, log. */
+/**
+ * Maps a {@link ReplicaConfig} to settings of the Raft library: addresses, elections, reads,
+ * snapshots and log.
+ */
 final class RatisProperties {
-  /** What is sent to a follower at once, at most. */
+  /** Maximum size of a batch sent to a follower. */
   private static final SizeInBytes APPEND_BATCH = SizeInBytes.valueOf("4MB");
 
-  /** The library asks for a write buffer that holds a batch and a little more. */
+  /**
+   * Margin by which the write buffer exceeds a batch; the library requires the buffer to be larger
+   * than a batch.
+   */
   private static final long WRITE_BUFFER_MARGIN_BYTES = 64;
 
   private static final int MIN_FIRST_ELECTION_MILLIS = 50;
@@ -68,8 +74,8 @@
   }
 
   private static void setLog(RaftProperties properties) {
-    // What a replica that is down still lacks stays in the log: a snapshot is sent only to one that
-    // lost its folder.
+    // Entries that a stopped replica lacks stay in the log. A snapshot is sent only to a replica
+    // that lost its folder.
     RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, false);
     RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf("4MB"));
     RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
--- a/src/main/java/leadferry/consensus/RatisServer.java
+++ b/src/main/java/leadferry/consensus/RatisServer.java
@@ -26,9 +26,9 @@
 import org.apache.ratis.statemachine.StateMachine;
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 
-/** The Raft library's server of one replica: its log, its term and role. Thread-safe. */
+/** Wraps the Raft library's server of one replica: its log, term and role. Thread-safe. */
 final class RatisServer implements Closeable {
-  /** The term of a replica that does not lead. */
+  /** Stands for the term of a replica that does not lead. */
   static final long NOT_LEADING = -1;
 
   private final RaftServer server;
@@ -36,7 +36,11 @@
   private final ClientId clientId = ClientId.randomId();
   private final AtomicLong callIds = new AtomicLong();
 
-  /** Starts the server; throws if its folder or address can't be had. */
+  /**
+   * Starts the server.
+   *
+   * @throws IOException if the folder or the address of the replica can't be used
+   */
   RatisServer(
       ReplicaConfig config, RaftGroupId groupId, StartupOption startup, StateMachine stateMachine)
       throws IOException {
@@ -58,19 +62,24 @@
     server.start();
   }
 
-  /** The library's id of a fleet's log. */
+  /** Returns the library's id of the log of a fleet. */
   static RaftGroupId groupIdOf(String fleet) {
     return RaftGroupId.valueOf(
         UUID.nameUUIDFromBytes(("leadferry " + fleet).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Appends an entry; answered once a majority has it on disk and it has been applied here. */
+  /**
+   * Appends an entry. The reply arrives once a majority has the entry on disk and this replica has
+   * applied it.
+   */
   CompletableFuture<RaftClientReply> append(byte[] entry) {
     return submit(
         RaftClientRequest.writeRequestType(), Message.valueOf(ByteString.copyFrom(entry)));
   }
 
-  /** A linearizable read of nothing: answered once a majority has confirmed the leader. */
+  /**
+   * Sends an empty linearizable read. The reply arrives once a majority has confirmed the leader.
+   */
   CompletableFuture<RaftClientReply> sendEmptyRead() {
     return submit(RaftClientRequest.readRequestType(false), Message.EMPTY);
   }
@@ -91,7 +100,7 @@
     }
   }
 
-  /** Why a request was not carried out, for people; empty where it was. */
+  /** Returns why a request failed, as text for operators; empty if it succeeded. */
   static Optional<String> failureOf(RaftClientReply reply, Throwable failure) {
     if (failure != null) {
       return Optional.of(failure.toString());
@@ -107,7 +116,7 @@
     return info().getCurrentTerm();
   }
 
-  /** The term in which this replica leads, or {@link #NOT_LEADING}. */
+  /** Returns the term in which this replica leads, or {@link #NOT_LEADING}. */
   long leadershipTerm() {
     try {
       DivisionInfo info = info();
@@ -118,7 +127,7 @@
     }
   }
 
-  /** The name of another replica that is known to lead, or "". */
+  /** Returns the name of the leader if it is known and another replica, else "". */
   String otherLeaderName() {
     try {
       RaftPeerId id = info().getLeaderId();
@@ -128,7 +137,7 @@
     }
   }
 
-  /** Adds role, term, applied index, leader and what followers have. */
+  /** Adds role, term, applied index, leader and the match indexes of followers. */
   void writeHealth(ObjectNode health) {
     try {
       DivisionInfo info = info();
--- a/src/main/java/leadferry/consensus/RatisStateMachine.java
+++ b/src/main/java/leadferry/consensus/RatisStateMachine.java
@@ -28,7 +28,7 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * Where the library meets the {@link FleetStateMachine}: entries that are committed, snapshots,
+ * Connects the Raft library to the {@link FleetStateMachine}: committed entries, snapshots and
  * restarts.
  */
 final class RatisStateMachine extends BaseStateMachine {
@@ -38,8 +38,10 @@
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
   /**
-   * {@code changed} runs after each entry; {@code fatal} is told what this replica can't go on
-   * after.
+   * Creates the adapter of a state machine.
+   *
+   * @param stateChangeListener runs after each applied entry and each restored snapshot
+   * @param fatalErrorListener receives an error after which this replica can't continue
    */
   RatisStateMachine(
       FleetStateMachine stateMachine,
@@ -59,8 +61,8 @@
   }
 
   /**
-   * Runs before another replica's snapshot takes the place of the state here. Guards against a
-   * replica that the library gives up because it was not paused.
+   * Pauses before another replica's snapshot replaces the state. Guards against a replica that the
+   * library gives up because it was not paused.
    */
   @Override
   public void pause() {
@@ -109,8 +111,8 @@
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       }
     } catch (RuntimeException e) {
-      // An entry that can't be applied here was, or will be, applied by others: to pass it over
-      // would be to differ.
+      // Other replicas have applied or will apply the entry that failed here. Skipping it would
+      // make the state of this replica differ from theirs.
       fatalErrorListener.accept(e);
       return CompletableFuture.failedFuture(e);
     }
@@ -121,7 +123,7 @@
 
   @Override
   public CompletableFuture<Message> query(Message request) {
-    // A read confirms the leader and asks nothing: LeadershipConfirmation.
+    // LeadershipConfirmation sends empty reads, which only confirm the leader.
     return CompletableFuture.completedFuture(Message.EMPTY);
   }
 
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -12,11 +12,12 @@
 import org.apache.ratis.server.storage.RaftStorage.StartupOption;
 
 /**
- * One replica: its copy of the log, the state machine that it is applied to, and, while it leads,
- * the clock over leases.
+ * One replica: its copy of the log, the state machine that applies the log and, while this replica
+ * leads, the lease timers.
  *
- * <p>An entry is answered once a majority has it on disk and it has been applied here. Whoever
- * renews a lease, or reads, is answered only after {@link LeadershipConfirmation}.
+ * <p>The response to a submitted entry is sent once a majority has the entry on disk and this
+ * replica has applied it. Renewals and reads get their responses only after {@link
+ * LeadershipConfirmation}.
  */
 public final class Replica implements AutoCloseable {
   private static final int TICK_MILLIS = 50;
@@ -40,9 +41,10 @@
   /**
    * Starts a replica.
    *
-   * @param allowEmptyFolder whether an empty folder may be taken for a new replica's
-   * @param fatalErrorListener is told what this replica can't go on after
-   * @throws IOException if its folder or an address can't be had, with what was expected
+   * @param allowEmptyFolder whether an empty folder may be claimed for a new replica
+   * @param fatalErrorListener receives an error after which this replica can't continue
+   * @throws IOException if the folder or an address can't be used; the message says what was
+   *     expected
    */
   public Replica(
       ReplicaConfig config,
@@ -73,7 +75,7 @@
     apiServer.listen();
   }
 
-  /** Puts an entry into the log and hands on the outcome, once there is one. */
+  /** Submits an entry to the log and passes the response to {@code listener}. */
   void submit(ObjectNode entry, Consumer<ReplicaResponse> listener) {
     if (!isLeading()) {
       listener.accept(redirect());
@@ -93,8 +95,8 @@
   }
 
   /**
-   * Hands on what {@code answer} gives once a majority has confirmed that this replica leads; a
-   * redirect, or undecided, where none has.
+   * Passes the result of {@code bodySupplier} to {@code listener} once a majority has confirmed
+   * that this replica leads. Without a confirmation the response is a redirect or undecided.
    */
   void respondAsLeader(
       Function<Replica, ObjectNode> bodySupplier, Consumer<ReplicaResponse> listener) {
@@ -118,16 +120,19 @@
     return new ReplicaResponse.Redirect(server.otherLeaderName());
   }
 
-  // --- for answerAsLeader
+  // --- operations of respondAsLeader
 
-  /** Asks the state machine something. */
+  /** Runs a query on the state machine. */
   ObjectNode query(Function<FleetStateMachine, ObjectNode> query) {
     synchronized (stateMachine) {
       return query.apply(stateMachine);
     }
   }
 
-  /** Renews a session and keeps the report that came with it; false where the session is over. */
+  /**
+   * Renews a session and stores the report sent with the renewal; returns false if the session has
+   * ended.
+   */
   boolean renewSession(String name, long session, JsonNode report) {
     boolean renewed = leaderTimers.renewSession(name, session, System.nanoTime());
     if (renewed) {
@@ -136,33 +141,33 @@
     return renewed;
   }
 
-  /** Renews the lease of a release's driver; false where it is over. */
+  /** Renews the lease of a release driver; returns false if the lease has ended. */
   boolean renewDriverLease(String release, long fence) {
     return leaderTimers.renewDriverLease(release, fence, System.nanoTime());
   }
 
-  /** Whether members are to send load reports with their renewals. */
+  /** Returns whether members should send load reports with their renewals. */
   boolean shouldSendReports() {
     synchronized (stateMachine) {
       return stateMachine.hasActiveRelease();
     }
   }
 
-  /** The newest report of each member whose session lives. */
+  /** Returns the newest report of each member with a live session. */
   ObjectNode memberReports() {
     synchronized (stateMachine) {
       return reports.describe(stateMachine.liveSessions(), System.nanoTime());
     }
   }
 
-  // --- for any replica
+  // --- operations of any replica
 
-  /** The state machine; its monitor guards it. */
+  /** Returns the state machine, which is guarded by its own monitor. */
   FleetStateMachine stateMachine() {
     return stateMachine;
   }
 
-  /** What staff may want to know of this replica itself. */
+  /** Returns the health of this replica for operators. */
   ObjectNode health() {
     ObjectNode health = Json.object().put("keeper", config.name());
     server.writeHealth(health);
@@ -180,8 +185,8 @@
         submitExpiry(timer);
       }
     } catch (IOException | RuntimeException e) {
-      // Guards against a periodic task that ends for ever with its first exception.
-      log.accept("the replica's clock: " + e);
+      // The executor drops a periodic task after its first exception.
+      log.accept("replica timer task failed: " + e);
     }
   }
 
--- a/src/main/java/leadferry/consensus/ReplicaApiServer.java
+++ b/src/main/java/leadferry/consensus/ReplicaApiServer.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Where members and operators reach a replica, by {@link LineProtocol} over TCP. */
+/** Listens for members and operators, and speaks {@link LineProtocol} over TCP. */
 final class ReplicaApiServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 20_000;
 
-  /** A connection whose caller has sent nothing for so long is closed. */
+  /** Idle time after which a connection without a request is closed. */
   private static final int IDLE_TIMEOUT_SECONDS = 120;
 
   private static final int ACCEPT_BACKLOG = 4_096;
@@ -47,7 +47,11 @@
             replica.stateMachine(), connections, task -> eventLoops.next().execute(task));
   }
 
-  /** Listens; throws if the address can't be had. */
+  /**
+   * Starts to listen.
+   *
+   * @throws IOException if the address can't be used
+   */
   void listen() throws IOException {
     ChannelFuture bound =
         new ServerBootstrap()
@@ -60,19 +64,19 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    accept(channel);
+                    initializeConnection(channel);
                   }
                 })
             .bind(config.apiAddress())
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new IOException(
-          "api: " + config.apiAddress() + " can't be listened on: " + bound.cause().getMessage());
+          "api: can't listen on " + config.apiAddress() + ": " + bound.cause().getMessage());
     }
     listener = bound.channel();
   }
 
-  private void accept(SocketChannel channel) {
+  private void initializeConnection(SocketChannel channel) {
     if (connections.size() >= MAX_CONNECTIONS) {
       channel.close();
       return;
@@ -85,7 +89,10 @@
             new ReplicaConnectionHandler(channel, config.fleet(), replica, connections));
   }
 
-  /** The state may have changed: members that watch get its view. */
+  /**
+   * Schedules a push of the view to the members that watch it. Called after each change of the
+   * state.
+   */
   void publishView() {
     publisher.schedule();
   }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -10,25 +10,30 @@
 import java.util.function.Consumer;
 
 /**
- * Calls replicas: goes to the one that leads, as they tell, and from one that does not answer to
- * the next. For one thread. All that is sent may be sent again: entries carry a call's id, an
- * incarnation or a session with a number, by which the log takes them once.
+ * Sends requests to the leading replica. Follows redirects, and tries the next replica if one does
+ * not respond. For use by one thread.
+ *
+ * <p>Every request may be sent again. Entries carry a call id, an incarnation, or a session with a
+ * report number, by which a repeated entry takes effect once.
  */
 public final class ReplicaClient implements AutoCloseable {
-  /** One replica has so long (ms) for a connection before the next one is asked. */
+  /** Time limit for connecting to one replica before the next one is tried. */
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** And so long (ms) for an answer. */
+  /** Time limit for the response of one replica. */
   private static final int RESPONSE_TIMEOUT_MILLIS = 1_500;
 
   private static final int RETRY_DELAY_MILLIS = 50;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** No replica that leads has answered in time. Asked again the call may well be answered. */
+  /**
+   * Thrown if no leading replica responded before the deadline. The call may succeed if it is
+   * repeated.
+   */
   public static final class UnreachableException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Whether the question went out at least once, so that it may have been carried out. */
+    /** Whether the request was sent at least once and may therefore have been carried out. */
     public final boolean requestSent;
 
     UnreachableException(boolean requestSent, String message) {
@@ -46,26 +51,30 @@
   private int nextIndex;
   private long lastRequestId;
 
-  /** Replicas by name; messages that they push go to {@code pushListener}. */
+  /**
+   * Creates a client of the replicas in {@code addresses}, by name. Messages that replicas push go
+   * to {@code pushListener}.
+   */
   public ReplicaClient(
       String fleet, Map<String, InetSocketAddress> addresses, Consumer<ObjectNode> pushListener) {
     this.fleet = fleet;
     this.addresses = new LinkedHashMap<>(addresses);
     this.replicaNames = new ArrayList<>(addresses.keySet());
     this.pushListener = pushListener;
-    // Clients begin at different replicas.
+    // Spreads the first connections of clients over the replicas.
     this.nextIndex = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, replicaNames.size()));
   }
 
   /**
-   * Asks until there is an answer.
+   * Sends a request until a response arrives.
    *
-   * @param deadlineNanos by when it gives up (ns of the JVM's clock)
-   * @return the answer's message; a rejected request's has {@code error}
+   * @param deadlineNanos when to give up, in terms of {@link System#nanoTime}
+   * @return the response message; that of a rejected request has {@code error}
+   * @throws UnreachableException if there is no response before the deadline
    */
   public ObjectNode call(ObjectNode request, long deadlineNanos) throws UnreachableException {
     boolean requestSent = false;
-    String lastFailure = "no time";
+    String lastFailure = "deadline passed before the first attempt";
     while (System.nanoTime() < deadlineNanos) {
       try {
         connect(deadlineNanos);
@@ -74,7 +83,7 @@
         requestSent = true;
         ObjectNode response = awaitResponse(id, deadlineNanos);
         if (response == null) {
-          lastFailure = currentReplica + " did not answer";
+          lastFailure = currentReplica + " did not respond";
           disconnect();
           continue;
         }
@@ -110,7 +119,7 @@
     return null;
   }
 
-  /** Takes what replicas push, until then (ns of the JVM's clock) at most. */
+  /** Receives pushed messages until {@code deadlineNanos}, in terms of {@link System#nanoTime}. */
   public void receivePushes(long deadlineNanos) {
     try {
       while (connection != null) {
@@ -156,7 +165,7 @@
     Sleep.millis(RETRY_DELAY_MILLIS);
   }
 
-  /** The next call goes to the next replica. */
+  /** Closes the connection and selects the next replica for the next call. */
   private void disconnect() {
     if (connection != null) {
       connection.close();
--- a/src/main/java/leadferry/consensus/ReplicaClientConnection.java
+++ b/src/main/java/leadferry/consensus/ReplicaClientConnection.java
@@ -9,7 +9,7 @@
 import java.net.SocketTimeoutException;
 import java.util.Arrays;
 
-/** A caller's connection to a replica, by {@link LineProtocol}. For one thread. */
+/** A caller's connection to a replica, which speaks {@link LineProtocol}. For use by one thread. */
 final class ReplicaClientConnection implements AutoCloseable {
   private static final int INITIAL_BUFFER_BYTES = 4_096;
   private static final int MAX_READ_MILLIS = 60_000;
@@ -20,7 +20,7 @@
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int bufferedBytes;
 
-  /** Connects within that time (ms). */
+  /** Connects within {@code connectTimeoutMillis}. */
   ReplicaClientConnection(InetSocketAddress address, int connectTimeoutMillis) throws IOException {
     try {
       socket.connect(address, connectTimeoutMillis);
@@ -37,22 +37,23 @@
   }
 
   /**
-   * The next message, or null if none has come whole by then (ns of the JVM's clock).
+   * Returns the next message, or null if none has arrived completely by {@code deadlineNanos}, in
+   * terms of {@link System#nanoTime}.
    *
-   * @throws IOException if the connection ends, or a line is too long or no object
+   * @throws IOException if the connection ends, or a line is too long or not an object
    */
   ObjectNode receive(long deadlineNanos) throws IOException {
     while (true) {
       int delimiter = indexOfDelimiter();
       if (delimiter >= 0) {
-        return take(delimiter);
+        return takeMessage(delimiter);
       }
       long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
       if (leftMillis <= 0) {
         return null;
       }
-      growIfFull();
-      read((int) Math.min(leftMillis, MAX_READ_MILLIS));
+      growBufferIfFull();
+      fillBuffer((int) Math.min(leftMillis, MAX_READ_MILLIS));
     }
   }
 
@@ -65,37 +66,38 @@
     return -1;
   }
 
-  /** Takes the line that ends there out of the buffer. */
-  private ObjectNode take(int delimiter) throws IOException {
+  /** Removes the line before {@code delimiter} from the buffer and parses it. */
+  private ObjectNode takeMessage(int delimiter) throws IOException {
     ObjectNode message = Json.parse(Arrays.copyOf(buffer, delimiter));
     System.arraycopy(buffer, delimiter + 1, buffer, 0, bufferedBytes - delimiter - 1);
     bufferedBytes -= delimiter + 1;
     if (message == null) {
-      throw new IOException("a line that is no object");
+      throw new IOException("line: not valid (expected: a JSON object)");
     }
     return message;
   }
 
-  private void growIfFull() throws IOException {
+  private void growBufferIfFull() throws IOException {
     if (bufferedBytes < buffer.length) {
       return;
     }
     if (bufferedBytes >= LineProtocol.MAX_LINE_BYTES) {
-      throw new IOException("a line of more than " + LineProtocol.MAX_LINE_BYTES + " bytes");
+      throw new IOException(
+          "line: too long (expected: at most " + LineProtocol.MAX_LINE_BYTES + " bytes)");
     }
     buffer = Arrays.copyOf(buffer, 2 * bufferedBytes);
   }
 
-  private void read(int timeoutMillis) throws IOException {
+  private void fillBuffer(int timeoutMillis) throws IOException {
     socket.setSoTimeout(timeoutMillis);
     try {
       int count = input.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
       if (count < 0) {
-        throw new EOFException("the replica has closed");
+        throw new EOFException("connection closed by the replica");
       }
       bufferedBytes += count;
     } catch (SocketTimeoutException e) {
-      // The caller looks at the deadline.
+      // The caller checks the deadline.
     }
   }
 
@@ -104,7 +106,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Nothing is left to be done with it.
+      // The socket is not used any more.
     }
   }
 }
--- a/src/main/java/leadferry/consensus/ReplicaConfig.java
+++ b/src/main/java/leadferry/consensus/ReplicaConfig.java
@@ -6,19 +6,20 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * What one replica is told; {@code leadferry.daemon.ReplicaFile} maps the operator's words to it.
+ * Configuration of one replica. {@code leadferry.daemon.ReplicaFile} reads it from the operator's
+ * file.
  *
- * @param fleet the fleet's name; a caller for another one is rejected
- * @param name this replica's name among {@code peers}
- * @param logAddress where the other replicas reach this one
- * @param apiAddress where members and operators reach it
- * @param folder where its log and snapshots are
- * @param peerLogAddresses all replicas, this one among them, by name: where their logs are reached
- * @param electionTimeoutMillis how long a follower goes without a leader's word before it asks for
- *     votes, at least
- * @param snapshotThresholdEntries entries after which a snapshot is taken and the log before it may
- *     be dropped
- * @param times the fleet's times, which count for the first replica that ever leads
+ * @param fleet the name of the fleet; requests for another fleet are rejected
+ * @param name the name of this replica among {@code peerLogAddresses}
+ * @param logAddress where other replicas reach the log of this replica
+ * @param apiAddress where members and operators reach this replica
+ * @param folder where the log and snapshots are stored
+ * @param peerLogAddresses the log addresses of all replicas by name, including this one
+ * @param electionTimeoutMillis minimum time without a message from the leader after which a
+ *     follower requests votes
+ * @param snapshotThresholdEntries number of entries after which a snapshot is taken and earlier
+ *     entries may be dropped
+ * @param times durations for the fleet, which take effect on the first replica that ever leads
  */
 public record ReplicaConfig(
     String fleet,
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -13,8 +13,8 @@
 import leadferry.disruption.Outcome;
 
 /**
- * One caller's connection: decodes its requests, has the replica carry them out, and writes the
- * responses in the order in which they come to be.
+ * Handles the connection of one caller: decodes requests, has the replica carry them out, and
+ * writes each response as soon as it is available.
  */
 final class ReplicaConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
   private static final long NO_VERSION = -1;
@@ -26,7 +26,10 @@
   private volatile boolean watchesView;
   private volatile long pushedVersion = NO_VERSION;
 
-  /** Enters and leaves {@code connections} with its channel. */
+  /**
+   * Creates the handler of {@code channel}, which is in {@code connections} while the channel is
+   * active.
+   */
   ReplicaConnectionHandler(
       Channel channel, String fleet, Replica replica, Set<ReplicaConnectionHandler> connections) {
     this.channel = channel;
@@ -35,12 +38,15 @@
     this.connections = connections;
   }
 
-  /** Whether the caller watches, was not pushed this version, and takes bytes. */
+  /**
+   * Returns whether the caller watches the view, has not received {@code version}, and its channel
+   * is writable.
+   */
   boolean shouldPush(long version) {
     return watchesView && pushedVersion < version && channel.isWritable();
   }
 
-  /** Pushes a view's line. */
+  /** Pushes an encoded view. */
   void push(ByteBuf line, long version) {
     pushedVersion = version;
     channel.writeAndFlush(line);
@@ -56,7 +62,10 @@
     connections.remove(this);
   }
 
-  /** Guards against a caller that asks and never reads its answers. */
+  /**
+   * Stops reading while the channel is not writable. Guards against a caller that sends requests
+   * and never reads the responses.
+   */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     channel.config().setAutoRead(channel.isWritable());
@@ -106,17 +115,17 @@
 
   private ObjectNode renewSession(Replica leader, ReplicaRequest.RenewSession renewal) {
     watchesView = true;
-    boolean lives = leader.renewSession(renewal.name(), renewal.session(), renewal.report());
-    return renewed(lives).put("reports", leader.shouldSendReports());
+    boolean renewed = leader.renewSession(renewal.name(), renewal.session(), renewal.report());
+    return renewalBody(renewed).put("reports", leader.shouldSendReports());
   }
 
   private static ObjectNode renewDriverLease(
       Replica leader, ReplicaRequest.RenewDriverLease renewal) {
-    return renewed(leader.renewDriverLease(renewal.release(), renewal.fence()));
+    return renewalBody(leader.renewDriverLease(renewal.release(), renewal.fence()));
   }
 
-  private static ObjectNode renewed(boolean lives) {
-    Outcome.Status status = lives ? Outcome.Status.DONE : Outcome.Status.UNKNOWN;
+  private static ObjectNode renewalBody(boolean renewed) {
+    Outcome.Status status = renewed ? Outcome.Status.DONE : Outcome.Status.UNKNOWN;
     return Json.object().put("status", status.storedName());
   }
 
--- a/src/main/java/leadferry/consensus/ReplicaFolder.java
+++ b/src/main/java/leadferry/consensus/ReplicaFolder.java
@@ -8,50 +8,51 @@
 import org.apache.ratis.server.storage.RaftStorage.StartupOption;
 
 /**
- * A replica's folder: a mark file that names its fleet and replica, and the log. Invariant: a
- * replica that lost its log never starts with an empty one, for it would vote as if it had promised
- * nothing.
+ * The folder of a replica, with the log and a marker file that names the fleet and the replica.
+ * Invariant: a replica that lost its log never starts with an empty one. It would vote without
+ * regard to the votes that it had cast before.
  */
 final class ReplicaFolder {
-  /** The mark's name on disk is that of earlier builds. */
-  private static final String MARK_FILE = "keeper";
+  /** File name of the marker, which is a stored name and stays the same in every version. */
+  private static final String MARKER_FILE = "keeper";
 
   private ReplicaFolder() {}
 
-  /** Where the library keeps log, votes and snapshots. */
+  /** Returns the folder of the library's log, votes and snapshots. */
   static Path logFolder(ReplicaConfig config) {
     return config.folder().resolve("log");
   }
 
   /**
-   * Checks that the folder is this replica's, or takes an empty one for it.
+   * Checks that the folder belongs to this replica, or claims an empty folder.
    *
-   * @param allowEmptyFolder whether an empty folder may be taken
-   * @return how the library has to open its part
-   * @throws IOException if the folder is another's, or can't be used; with what was expected
+   * @param allowEmptyFolder whether an empty folder may be claimed
+   * @return how the library opens its storage
+   * @throws IOException if the folder belongs to another replica or can't be used; the message says
+   *     what was expected
    */
   static StartupOption claim(ReplicaConfig config, RaftGroupId group, boolean allowEmptyFolder)
       throws IOException {
     Files.createDirectories(config.folder());
-    Path mark = config.folder().resolve(MARK_FILE);
+    Path marker = config.folder().resolve(MARKER_FILE);
     String owner = config.fleet() + "/" + config.name() + "\n";
-    if (!Files.exists(mark)) {
+    if (!Files.exists(marker)) {
       checkCanClaim(config.folder(), allowEmptyFolder);
-      Files.writeString(mark, owner);
+      Files.writeString(marker, owner);
       return StartupOption.FORMAT;
     }
-    String found = Files.readString(mark);
-    if (!found.equals(owner)) {
+    String markedOwner = Files.readString(marker);
+    if (!markedOwner.equals(owner)) {
       throw new IOException(
           config.folder()
-              + ": of replica "
-              + found.strip()
-              + " (expected: of "
+              + ": belongs to replica "
+              + markedOwner.strip()
+              + " (expected: "
               + owner.strip()
               + ")");
     }
-    // The mark is written before the library formats its part: a crash between leaves the mark
-    // alone.
+    // The marker is written before the library formats its storage. A crash in between leaves only
+    // the marker.
     Path current = logFolder(config).resolve(group.getUuid().toString()).resolve("current");
     return Files.isDirectory(current) ? StartupOption.RECOVER : StartupOption.FORMAT;
   }
@@ -60,12 +61,13 @@
     if (!allowEmptyFolder) {
       throw new IOException(
           folder
-              + ": no replica's log (expected: the one that this replica had; --new where it never"
-              + " had one)");
+              + ": no replica log found (expected: the log of this replica; --new if it never had"
+              + " one)");
     }
     try (Stream<Path> files = Files.list(folder)) {
       if (files.findAny().isPresent()) {
-        throw new IOException(folder + ": not empty, and no replica's (expected: an empty folder)");
+        throw new IOException(
+            folder + ": not empty and not a replica's folder (expected: an empty folder)");
       }
     }
   }
--- a/src/main/java/leadferry/consensus/ReplicaRequest.java
+++ b/src/main/java/leadferry/consensus/ReplicaRequest.java
@@ -3,39 +3,39 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What members and operators ask of a replica, by the line protocol of docs/FLEET.md. */
+/** A request of a member or operator to a replica; docs/FLEET.md describes the line protocol. */
 sealed interface ReplicaRequest {
-  /** Put this stored entry into the log. */
+  /** Submits a stored entry to the log. */
   record Submit(ObjectNode entry) implements ReplicaRequest {}
 
-  /** Renew a member's session. */
+  /** Renews the session of a member. */
   record RenewSession(String name, long session, JsonNode report) implements ReplicaRequest {}
 
-  /** Renew the lease of a release's driver. */
+  /** Renews the lease of a release driver. */
   record RenewDriverLease(String release, long fence) implements ReplicaRequest {}
 
-  /** How this replica itself is; needs no leader. */
+  /** Requests the health of this replica, which need not lead. */
   record Health() implements ReplicaRequest {}
 
-  /** Who is out and why. */
+  /** Requests which members and endpoints are out of service, and why. */
   record Status(boolean includeHistory) implements ReplicaRequest {}
 
-  /** One release, or all of them in short where the name is "". */
+  /** Requests the status of one release, or a summary of all releases if {@code release} is "". */
   record ReleaseStatus(String release) implements ReplicaRequest {}
 
-  /** The members' newest load reports. */
+  /** Requests the newest load report of each member. */
   record MemberReports() implements ReplicaRequest {}
 
-  /** Whether a drain would be granted, and what stands against it. */
+  /** Requests whether a drain would be granted, and what prevents it. */
   record ExplainDrain(String kind, String name) implements ReplicaRequest {}
 
-  /** What a granted drain waits for. */
+  /** Requests what a granted drain still waits for. */
   record GrantStatus(String grantId) implements ReplicaRequest {}
 
-  /** Nothing that a replica carries out. */
+  /** A request that is not valid. */
   record Invalid(String reason) implements ReplicaRequest {}
 
-  /** Reads a request from its message. */
+  /** Decodes a request. */
   static ReplicaRequest decode(ObjectNode message) {
     String operation = message.path("op").asText();
     return switch (operation) {
--- a/src/main/java/leadferry/consensus/ReplicaResponse.java
+++ b/src/main/java/leadferry/consensus/ReplicaResponse.java
@@ -2,28 +2,28 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What a replica answers to a request; encoded for the line protocol of docs/FLEET.md. */
+/** A replica's response to a request; docs/FLEET.md describes the line protocol. */
 sealed interface ReplicaResponse {
-  /** It was carried out, or applied with the outcome that the body tells. */
+  /** The request was carried out, or its entry was applied with the outcome in the body. */
   record Completed(ObjectNode body) implements ReplicaResponse {}
 
   /**
-   * It was surely not carried out: another replica leads.
+   * The request was not carried out because another replica leads.
    *
-   * @param leader that one's name, or "" where none is known
+   * @param leader the name of the leader, or "" if none is known
    */
   record Redirect(String leader) implements ReplicaResponse {}
 
-  /** Whether it was carried out is not known; asked again it gets its one outcome. */
+  /** It is unknown whether the request was carried out. A repeated request gets its one outcome. */
   record Undecided(String reason) implements ReplicaResponse {}
 
-  /** It is no request that this replica carries out. Not to be retried. */
+  /** This replica does not carry out such a request. Not to be retried. */
   record Rejected(String reason) implements ReplicaResponse {}
 
-  /** The form that goes over the wire, but for the request's id. */
+  /** Returns the wire form without the request id. */
   default ObjectNode encode() {
-    if (this instanceof Completed answered) {
-      return answered.body();
+    if (this instanceof Completed completed) {
+      return completed.body();
     }
     if (this instanceof Redirect redirect) {
       return Json.object().put("redirect", redirect.leader());
@@ -34,7 +34,7 @@
     return Json.object().put("error", ((Rejected) this).reason());
   }
 
-  /** Reads the form that goes over the wire. */
+  /** Decodes the wire form. */
   static ReplicaResponse decode(ObjectNode message) {
     if (message.has("redirect")) {
       return new Redirect(message.path("redirect").asText());
--- a/src/main/java/leadferry/consensus/SessionClient.java
+++ b/src/main/java/leadferry/consensus/SessionClient.java
@@ -10,34 +10,38 @@
 import leadferry.disruption.Outcome;
 
 /**
- * A member's calls about its session, as typed messages over a {@link ReplicaClient}. For one
- * thread.
+ * Typed calls of a member about its session, sent with a {@link ReplicaClient}. For use by one
+ * thread. Deadlines are in terms of {@link System#nanoTime}.
  */
 public final class SessionClient implements AutoCloseable {
-  /** What became of an entry that a member submitted. */
+  /** The result of an entry that a member submitted. */
   public sealed interface Result {}
 
   /**
    * The session is open.
    *
-   * @param view what members go by
+   * @param view the fleet view that the member has to follow
    */
   public record Joined(long session, JsonNode view) implements Result {}
 
-  /** It was applied. */
+  /** The entry was applied. */
   public record Applied() implements Result {}
 
-  /** The log's outcome was no; the reasons are a JSON array of texts for people. */
+  /**
+   * The entry was refused.
+   *
+   * @param reasons a JSON array of texts for operators
+   */
   public record Refused(JsonNode reasons) implements Result {}
 
-  /** The replica does not put it into the log, and would not if it were asked again. */
+  /** The replica does not accept the entry into the log. Not to be retried. */
   public record Rejected(String reason) implements Result {}
 
   /**
-   * What a renewal came to.
+   * The result of a renewal.
    *
-   * @param live whether the session goes on
-   * @param reportRequested whether the next renewal is to bring a load report
+   * @param live whether the session continues
+   * @param reportRequested whether the next renewal should carry a load report
    */
   public record Renewal(boolean live, boolean reportRequested) {}
 
@@ -45,14 +49,14 @@
 
   private final ReplicaClient client;
 
-  /** Views that replicas push go to {@code viewListener}. */
+  /** Creates a client of {@code replicas}. Views that replicas push go to {@code viewListener}. */
   public SessionClient(
       String fleet, Map<String, InetSocketAddress> replicas, Consumer<JsonNode> viewListener) {
     this.client =
         new ReplicaClient(fleet, replicas, message -> viewListener.accept(message.path("view")));
   }
 
-  /** Asks for a session, until then (ns of the JVM's clock). */
+  /** Requests a session; gives up at {@code deadlineNanos}. */
   public Result join(LogEntry.Join join, long deadlineNanos) throws UnreachableException {
     ObjectNode response = submit(join, deadlineNanos);
     Result result = resultOf(response);
@@ -61,13 +65,13 @@
         : result;
   }
 
-  /** Reports what the member does, until then (ns of the JVM's clock). */
+  /** Reports the state of the member; gives up at {@code deadlineNanos}. */
   public Result report(LogEntry.MemberReport report, long deadlineNanos)
       throws UnreachableException {
     return resultOf(submit(report, deadlineNanos));
   }
 
-  /** Ends the session, until then (ns of the JVM's clock). */
+  /** Ends the session; gives up at {@code deadlineNanos}. */
   public Result leave(LogEntry.Leave leave, long deadlineNanos) throws UnreachableException {
     return resultOf(submit(leave, deadlineNanos));
   }
@@ -87,7 +91,7 @@
         : new Refused(response.path("why"));
   }
 
-  /** Renews the session and brings a load report along, until then (ns of the JVM's clock). */
+  /** Renews the session, with a load report if there is one; gives up at {@code deadlineNanos}. */
   public Renewal renew(
       String name, long session, Optional<ObjectNode> loadReport, long deadlineNanos)
       throws UnreachableException {
@@ -98,7 +102,7 @@
         response.path("status").asText().equals(DONE), response.path("reports").asBoolean());
   }
 
-  /** Takes the views that replicas push, until then (ns of the JVM's clock) at most. */
+  /** Receives pushed views until {@code deadlineNanos}. */
   public void receiveViews(long deadlineNanos) {
     client.receivePushes(deadlineNanos);
   }
--- a/src/main/java/leadferry/consensus/SessionTable.java
+++ b/src/main/java/leadferry/consensus/SessionTable.java
@@ -8,8 +8,9 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * The sessions of members, by name. Invariant: a name has at most one session, and no other
- * incarnation gets one while it lives. Deterministic; whose lease is over is told by an entry.
+ * Holds the sessions of members by name. Invariant: a name has at most one session, and no other
+ * incarnation gets a session while it is live. Deterministic: a session expires only by a log
+ * entry.
  */
 final class SessionTable {
   /** Bounds of a session's lease (ms). */
@@ -19,12 +20,16 @@
 
   private static final String TIMER_PREFIX = "session:";
 
-  /** A member's session: who it is, and how long (ms) it lives without a renewal. */
+  /**
+   * A member's session.
+   *
+   * @param leaseMillis how long the session lasts without a renewal
+   */
   record Session(String name, String incarnation, long id, long leaseMillis) {}
 
   private final Map<String, Session> sessions = new TreeMap<>();
 
-  /** Whether name, incarnation and lease are within their bounds. */
+  /** Returns whether name, incarnation and lease are valid. */
   static boolean isValid(LogEntry.Join join) {
     return join.name().matches(DisruptionState.NAME_PATTERN)
         && !join.incarnation().isEmpty()
@@ -36,14 +41,14 @@
     return Optional.ofNullable(sessions.get(name));
   }
 
-  /** Opens a session for a name that has none. */
+  /** Opens a session for a member without one. */
   Session open(LogEntry.Join join, long id) {
     Session session = new Session(join.name(), join.incarnation(), id, join.leaseMillis());
     sessions.put(session.name(), session);
     return session;
   }
 
-  /** Whether this session lives. */
+  /** Returns whether this session is live. */
   boolean isLive(String name, long id) {
     Session session = sessions.get(name);
     return session != null && session.id() == id;
@@ -53,14 +58,14 @@
     sessions.remove(name);
   }
 
-  /** The ids of the sessions that live, by their members' names. */
+  /** Returns the ids of the live sessions by member name. */
   Map<String, Long> liveSessionIds() {
     Map<String, Long> ids = new TreeMap<>();
     sessions.values().forEach(session -> ids.put(session.name(), session.id()));
     return ids;
   }
 
-  /** Adds each session's timer with its lease (ms). */
+  /** Adds the timer of each session with the lease in milliseconds. */
   void addTimers(Map<String, Long> timers) {
     sessions
         .values()
@@ -68,7 +73,7 @@
             session -> timers.put(timerName(session.name(), session.id()), session.leaseMillis()));
   }
 
-  /** The name of a session's timer. */
+  /** Returns the name of the timer of a session. */
   static String timerName(String name, long id) {
     return TIMER_PREFIX + name + ":" + id;
   }
@@ -77,9 +82,9 @@
     return timer.startsWith(TIMER_PREFIX);
   }
 
-  /** The entry that ends the session of that timer. */
+  /** Returns the entry that ends the session of a timer. */
   static LogEntry.SessionExpired sessionExpiredEntry(String timer) {
-    // A member's name may hold colons.
+    // The name of a member may contain colons.
     int idSeparator = timer.lastIndexOf(':');
     return new LogEntry.SessionExpired(
         timer.substring(TIMER_PREFIX.length(), idSeparator),
--- a/src/main/java/leadferry/consensus/Sleep.java
+++ b/src/main/java/leadferry/consensus/Sleep.java
@@ -1,10 +1,13 @@
 package leadferry.consensus;
 
-/** Waits between two attempts or polls; an interrupt ends the wait and stays set. */
+/**
+ * Waits between two attempts or polls. An interrupt ends the wait, and the thread stays
+ * interrupted.
+ */
 public final class Sleep {
   private Sleep() {}
 
-  /** Waits so many milliseconds. */
+  /** Waits for {@code millis}. */
   public static void millis(long millis) {
     try {
       Thread.sleep(millis);
--- a/src/main/java/leadferry/consensus/SnapshotCodec.java
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -5,11 +5,11 @@
 import leadferry.release.ReleaseRegistry;
 
 /**
- * Writes and reads the whole agreed state, in the schema of {@link LogEntryCodec#SCHEMA}. Each part
- * writes its own form; replicas that have applied the same entries write the same bytes.
+ * Encodes and decodes the whole replicated state in the schema {@link LogEntryCodec#SCHEMA}. Each
+ * part writes its own form. Replicas that have applied the same entries write the same bytes.
  */
 final class SnapshotCodec {
-  /** The parts of the agreed state. */
+  /** The parts of the replicated state. */
   record Parts(
       SessionTable sessions,
       CallHistory calls,
@@ -31,16 +31,17 @@
   }
 
   /**
-   * Replaces what the parts hold.
+   * Replaces the content of the parts.
    *
-   * @return how many entries led to the snapshot
-   * @throws LaterSchemaException if a later build wrote it; then nothing is replaced
+   * @return the number of entries that the snapshot covers
+   * @throws LaterSchemaException if a newer version with another schema wrote the snapshot; the
+   *     parts are then unchanged
    */
   static long decode(byte[] bytes, Parts parts) {
     ObjectNode snapshot = Json.parse(bytes);
     if (snapshot == null) {
       throw new IllegalArgumentException(
-          "snapshot: not an object (expected: one that snapshot() gave)");
+          "snapshot: not a JSON object (expected: the result of snapshot())");
     }
     LogEntryCodec.checkSchema(snapshot.path("schema").asInt());
     parts.sessions().restore(snapshot.path("sessions"));
--- a/src/main/java/leadferry/consensus/ViewPublisher.java
+++ b/src/main/java/leadferry/consensus/ViewPublisher.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Pushes the view that members go by to each connection that watches and lacks its version. */
+/** Pushes the fleet view to each connection that watches it and has not received its version. */
 final class ViewPublisher {
   private final FleetStateMachine stateMachine;
   private final Set<ReplicaConnectionHandler> connections;
@@ -22,7 +22,9 @@
     this.executor = executor;
   }
 
-  /** The state may have changed; calls until the next round are one. */
+  /**
+   * Schedules a push after a change of the state. Calls before the push runs are merged into one.
+   */
   void schedule() {
     if (publishScheduled.compareAndSet(false, true)) {
       executor.execute(this::publish);
--- a/src/main/java/leadferry/limits/ClientIdentity.java
+++ b/src/main/java/leadferry/limits/ClientIdentity.java
@@ -1,11 +1,14 @@
 package leadferry.limits;
 
-/** Whom a request is counted for. {@code tenant} is "" where none was told. */
+/**
+ * The attributes of a request by which limits count it. {@code tenant} is "" if the request names
+ * none.
+ */
 public record ClientIdentity(
     String listener, String route, String tenant, String className, String address) {
 
-  String keyFor(Limit.Scope by) {
-    return switch (by) {
+  String keyFor(Limit.Scope scope) {
+    return switch (scope) {
       case ALL -> "";
       case LISTENER -> listener;
       case ROUTE -> route;
--- a/src/main/java/leadferry/limits/GcraBucket.java
+++ b/src/main/java/leadferry/limits/GcraBucket.java
@@ -4,50 +4,56 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What one key of one limit has taken. The rate is a generic cell rate (ITU-T I.371): one number,
- * the theoretical arrival time, does what a token bucket does.
+ * The usage of one key of one limit. The rate is limited by the generic cell rate algorithm (ITU-T
+ * I.371): one number, the theoretical arrival time (TAT, {@code arrivalNanos}), is equivalent to a
+ * token bucket.
  *
  * <pre>
- *   now                    tat        each request moves tat one interval on (from now at least)
- *    |----------------------|          it conforms while tat - now is at most burst - 1 intervals
+ *   now                    TAT        each request moves TAT one interval ahead (from now at least)
+ *    |----------------------|          it conforms if TAT - now is at most burst - 1 intervals
  * </pre>
  */
 final class GcraBucket {
-  /** Marks a bucket that has been thrown out of its table: nothing may be taken from it. */
-  private static final int DEAD = Integer.MIN_VALUE / 2;
+  /** Slot count of a bucket that has been removed from its table and accepts no more requests. */
+  private static final int RETIRED = Integer.MIN_VALUE / 2;
 
-  /** How long (ns) a child counts as one that shares its parent's rate. */
+  /** Time for which a child counts among those that share the rate of its parent. */
   private static final long WINDOW_NANOS = 1_000_000_000L;
 
   final long key;
 
   /**
-   * The outer limit's bucket; it can't change while a place here is taken, which holds one there.
+   * The bucket of the outer limit. It does not change while a slot of this bucket is in use,
+   * because that slot holds one of the parent.
    */
   private volatile GcraBucket parent;
 
   private final AtomicInteger slotsInUse = new AtomicInteger();
-  private final AtomicLong tat = new AtomicLong(Long.MIN_VALUE);
-  private final AtomicLong fairTat = new AtomicLong(Long.MIN_VALUE);
+  private final AtomicLong arrivalNanos = new AtomicLong(Long.MIN_VALUE);
+  private final AtomicLong fairShareArrivalNanos = new AtomicLong(Long.MIN_VALUE);
   private final AtomicInteger busyChildren = new AtomicInteger();
-  private final AtomicLong children = new AtomicLong(); // window << 24 | count
-  private volatile int childrenBefore;
-  private volatile long seenIn = -1;
+  private final AtomicLong windowAndChildCount = new AtomicLong(); // window << 24 | count
+  private volatile int previousChildCount;
+  private volatile long lastRequestWindow = -1;
 
   GcraBucket(long key) {
     this.key = key;
   }
 
-  /** Takes a place within the outer one, which may be null; false if this bucket is dead. */
+  /**
+   * Acquires a slot; returns false if this bucket is retired.
+   *
+   * @param outer the bucket of the outer limit, or null
+   */
   boolean acquireSlot(GcraBucket outer) {
-    int n;
+    int slots;
     do {
-      n = slotsInUse.get();
-      if (n < 0) {
+      slots = slotsInUse.get();
+      if (slots < 0) {
         return false;
       }
-    } while (!slotsInUse.compareAndSet(n, n + 1));
-    if (n == 0 && outer != null) {
+    } while (!slotsInUse.compareAndSet(slots, slots + 1));
+    if (slots == 0 && outer != null) {
       parent = outer;
       outer.busyChildren.incrementAndGet();
     }
@@ -69,71 +75,84 @@
     return Math.max(1, busyChildren.get());
   }
 
-  /** Takes a place in the rate: 0, or the wait (ns) until one is free. */
-  long tryConsume(long now, double perSecond, double burst) {
-    return tryConsume(tat, now, perSecond, burst, false);
+  /** Consumes one request of the rate; returns 0, or the wait in nanoseconds until one conforms. */
+  long tryConsume(long nowNanos, double requestsPerSecond, double burst) {
+    return tryConsume(arrivalNanos, nowNanos, requestsPerSecond, burst, false);
   }
 
-  /** Notes a request against the fair part of the parent's rate; the wait (ns) where it is over. */
-  long tryConsumeFairShare(long now, double perSecond, double burst, boolean always) {
-    return tryConsume(fairTat, now, perSecond, burst, always);
+  /**
+   * Consumes one request of this bucket's share of the parent's rate.
+   *
+   * @param always whether to consume even if the share is exceeded
+   * @return 0, or the wait in nanoseconds until one conforms
+   */
+  long tryConsumeFairShare(long nowNanos, double requestsPerSecond, double burst, boolean always) {
+    return tryConsume(fairShareArrivalNanos, nowNanos, requestsPerSecond, burst, always);
   }
 
-  /** The part of the burst that is taken, 0 to 1. */
-  double burstUtilization(long now, double perSecond, double burst) {
-    return Math.max(0, tat.get() - now) * perSecond / 1e9 / Math.max(1, burst);
+  /** Returns the used fraction of the burst, from 0 to 1. */
+  double burstUtilization(long nowNanos, double requestsPerSecond, double burst) {
+    return Math.max(0, arrivalNanos.get() - nowNanos)
+        * requestsPerSecond
+        / 1e9
+        / Math.max(1, burst);
   }
 
   private static long tryConsume(
-      AtomicLong at, long now, double perSecond, double burst, boolean always) {
-    long interval = (long) (1e9 / perSecond);
-    long room = (long) (interval * (Math.max(1, burst) - 1));
+      AtomicLong arrival, long nowNanos, double requestsPerSecond, double burst, boolean always) {
+    long intervalNanos = (long) (1e9 / requestsPerSecond);
+    long burstNanos = (long) (intervalNanos * (Math.max(1, burst) - 1));
     while (true) {
-      long then = at.get();
-      long from = Math.max(then, now);
-      long wait = from - now - room;
-      if (wait > 0 && !always) {
-        return wait;
+      long currentNanos = arrival.get();
+      long startNanos = Math.max(currentNanos, nowNanos);
+      long waitNanos = startNanos - nowNanos - burstNanos;
+      if (waitNanos > 0 && !always) {
+        return waitNanos;
       }
-      // Past its room a caller that passes all the same owes no more than that room.
-      long next = wait > 0 ? from : from + interval;
-      if (at.compareAndSet(then, next)) {
+      // A caller that is admitted beyond its burst does not accumulate debt beyond that burst.
+      long nextNanos = waitNanos > 0 ? startNanos : startNanos + intervalNanos;
+      if (arrival.compareAndSet(currentNanos, nextNanos)) {
         return 0;
       }
     }
   }
 
-  /** A child has asked: counts it once a window among those that share the rate. */
-  void recordChildRequest(GcraBucket child, long now) {
-    long window = now / WINDOW_NANOS;
-    if (child.seenIn == window) {
+  /** Counts a child that sent a request, once per window, among those that share the rate. */
+  void recordChildRequest(GcraBucket child, long nowNanos) {
+    long window = nowNanos / WINDOW_NANOS;
+    if (child.lastRequestWindow == window) {
       return;
     }
-    child.seenIn = window;
+    child.lastRequestWindow = window;
     while (true) {
-      long c = children.get();
-      long next = c >> 24 == window ? c + 1 : window << 24 | 1;
-      if (children.compareAndSet(c, next)) {
-        if (c >> 24 != window) {
-          childrenBefore = c >> 24 == window - 1 ? (int) (c & 0xffffff) : 0;
+      long current = windowAndChildCount.get();
+      long next = current >> 24 == window ? current + 1 : window << 24 | 1;
+      if (windowAndChildCount.compareAndSet(current, next)) {
+        if (current >> 24 != window) {
+          previousChildCount = current >> 24 == window - 1 ? (int) (current & 0xffffff) : 0;
         }
         return;
       }
     }
   }
 
-  /** Children that ask now, as this window and the one before have shown. */
+  /**
+   * Returns the number of active children, which is the larger count of this and the previous
+   * window.
+   */
   int activeChildren() {
-    return Math.max(1, Math.max(childrenBefore, (int) (children.get() & 0xffffff)));
+    return Math.max(1, Math.max(previousChildCount, (int) (windowAndChildCount.get() & 0xffffff)));
   }
 
-  /** Whether forgetting it would change nothing. */
-  boolean isIdle(long now) {
-    return slotsInUse.get() == 0 && tat.get() <= now && fairTat.get() <= now;
+  /** Returns whether the bucket is equivalent to a new one. */
+  boolean isIdle(long nowNanos) {
+    return slotsInUse.get() == 0
+        && arrivalNanos.get() <= nowNanos
+        && fairShareArrivalNanos.get() <= nowNanos;
   }
 
-  /** Ends its use, if nothing is being taken from it. */
+  /** Retires the bucket; returns false if one of its slots is in use. */
   boolean tryRetire() {
-    return slotsInUse.compareAndSet(0, DEAD);
+    return slotsInUse.compareAndSet(0, RETIRED);
   }
 }
--- a/src/main/java/leadferry/limits/GcraBucketTable.java
+++ b/src/main/java/leadferry/limits/GcraBucketTable.java
@@ -3,75 +3,79 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * The buckets of one limit, in fixed memory whatever keys callers make up. Sets of eight, as in a
- * processor's cache: a key can stand in one set only, and its newcomer takes the place of a bucket
- * that is idle, which forgets nothing, as such a bucket is as good as new. Where all eight are in
- * use, newcomers share one bucket, as if they were one caller: a flood of made-up tenants throttles
- * itself, and no state that matters is ever forgotten.
+ * Holds the buckets of one limit in fixed memory, however many keys clients send.
  *
- * <p>Keys are 64-bit numbers; two callers share a bucket by accident with a chance of about n/2^64.
- * Look-ups take no lock; only a newcomer does.
+ * <p>The table is 8-way set-associative: a key belongs to one set, and its new bucket replaces an
+ * idle one of that set. An idle bucket is equivalent to a new one, and replacing it loses no state.
+ * If all eight buckets of a set are in use, the keys without a bucket share one overflow bucket as
+ * if they were one client. A flood of invented tenants therefore throttles itself, and no state
+ * that matters is lost.
+ *
+ * <p>Keys are 64-bit hashes. A client shares a bucket with one of n others by accident with a
+ * probability of about n/2^64. Look-ups take no lock; only the creation of a bucket does.
  */
 final class GcraBucketTable {
-  private static final int WAYS = 8;
+  private static final int SET_SIZE = 8;
 
   private final AtomicReferenceArray<GcraBucket> slots;
   private final int setMask;
   private final GcraBucket overflow = new GcraBucket(0);
 
-  /** Room for {@code keys} buckets, rounded up to a power of two. */
-  GcraBucketTable(int keys) {
-    int size = Integer.highestOneBit(Math.max(WAYS, keys) * 2 - 1);
+  /** Creates a table for {@code minBuckets} buckets, rounded up to a power of two. */
+  GcraBucketTable(int minBuckets) {
+    int size = Integer.highestOneBit(Math.max(SET_SIZE, minBuckets) * 2 - 1);
     slots = new AtomicReferenceArray<>(size);
-    setMask = size / WAYS - 1;
+    setMask = size / SET_SIZE - 1;
   }
 
-  /** Takes a place in the key's bucket. */
-  GcraBucket acquireSlot(long key, GcraBucket parent, long now) {
+  /** Acquires a slot of the key's bucket. */
+  GcraBucket acquireSlot(long key, GcraBucket parent, long nowNanos) {
     while (true) {
-      GcraBucket b = find(key);
-      if (b == null) {
-        b = add(key, now);
+      GcraBucket bucket = find(key);
+      if (bucket == null) {
+        bucket = add(key, nowNanos);
       }
-      if (b.acquireSlot(b == overflow ? null : parent)) {
-        return b;
+      if (bucket.acquireSlot(bucket == overflow ? null : parent)) {
+        return bucket;
       }
     }
   }
 
   private GcraBucket find(long key) {
-    int from = set(key);
-    for (int i = from; i < from + WAYS; i++) {
-      GcraBucket b = slots.get(i);
-      if (b != null && b.key == key) {
-        return b;
+    int setStart = setStart(key);
+    for (int i = setStart; i < setStart + SET_SIZE; i++) {
+      GcraBucket bucket = slots.get(i);
+      if (bucket != null && bucket.key == key) {
+        return bucket;
       }
     }
     return null;
   }
 
-  private synchronized GcraBucket add(long key, long now) {
-    GcraBucket there = find(key);
-    if (there != null && there.slotsInUse() >= 0) {
-      return there;
+  private synchronized GcraBucket add(long key, long nowNanos) {
+    GcraBucket existing = find(key);
+    if (existing != null && existing.slotsInUse() >= 0) {
+      return existing;
     }
-    int from = set(key);
-    for (int i = from; i < from + WAYS; i++) {
-      GcraBucket b = slots.get(i);
-      if (b == null || b.slotsInUse() < 0 || (b.isIdle(now) && b.tryRetire())) {
-        GcraBucket fresh = new GcraBucket(key);
-        slots.set(i, fresh);
-        return fresh;
+    int setStart = setStart(key);
+    for (int i = setStart; i < setStart + SET_SIZE; i++) {
+      GcraBucket bucket = slots.get(i);
+      if (bucket == null
+          || bucket.slotsInUse() < 0
+          || (bucket.isIdle(nowNanos) && bucket.tryRetire())) {
+        GcraBucket created = new GcraBucket(key);
+        slots.set(i, created);
+        return created;
       }
     }
     return overflow;
   }
 
-  private int set(long key) {
-    return ((int) (key ^ key >>> 32) & setMask) * WAYS;
+  private int setStart(long key) {
+    return ((int) (key ^ key >>> 32) & setMask) * SET_SIZE;
   }
 
-  /** Slots, the bound on buckets. */
+  /** Returns the number of entries, which bounds the number of buckets. */
   int capacity() {
     return slots.length();
   }
--- a/src/main/java/leadferry/limits/Limit.java
+++ b/src/main/java/leadferry/limits/Limit.java
@@ -3,17 +3,17 @@
 import java.util.Set;
 
 /**
- * One bound of the operator's.
+ * A limit that the operator has configured.
  *
- * @param name its name, by which its state lives on over a reload
- * @param scope what has a bucket of its own
- * @param parentName the name of the limit whose share it is part of, or null
- * @param listeners the listeners it holds for, or none for all
- * @param routes the routes it holds for, or none for all
- * @param classes the classes it holds for, or none for all
- * @param requestsPerSecond requests a second, or 0 for any
- * @param burst requests that may come at once within the rate, 1 or more
- * @param maxConcurrent requests that may be open at once, or 0 for any
+ * @param name the name, by which the state is kept over a reload
+ * @param scope which requests share a bucket
+ * @param parentName the name of the outer limit, or null
+ * @param listeners the listeners to which it applies, or none for all
+ * @param routes the routes to which it applies, or none for all
+ * @param classes the classes to which it applies, or none for all
+ * @param requestsPerSecond requests per second, or 0 for no limit
+ * @param burst requests that may arrive at once within the rate, 1 or more
+ * @param maxConcurrent requests that may be open at once, or 0 for no limit
  */
 public record Limit(
     String name,
@@ -26,7 +26,7 @@
     double burst,
     int maxConcurrent) {
 
-  /** What has a bucket of its own. */
+  /** Attribute whose values have separate buckets. */
   public enum Scope {
     ALL,
     LISTENER,
@@ -42,9 +42,9 @@
     classes = Set.copyOf(classes);
   }
 
-  boolean appliesTo(ClientIdentity c) {
-    return (listeners.isEmpty() || listeners.contains(c.listener()))
-        && (routes.isEmpty() || routes.contains(c.route()))
-        && (classes.isEmpty() || classes.contains(c.className()));
+  boolean appliesTo(ClientIdentity client) {
+    return (listeners.isEmpty() || listeners.contains(client.listener()))
+        && (routes.isEmpty() || routes.contains(client.route()))
+        && (classes.isEmpty() || classes.contains(client.className()));
   }
 }
--- a/src/main/java/leadferry/limits/LimitDecision.java
+++ b/src/main/java/leadferry/limits/LimitDecision.java
@@ -1,47 +1,51 @@
 package leadferry.limits;
 
-/** What a {@link Limiter} said: places that were taken, or the limit that refused. */
+/** The decision of a {@link Limiter}: the acquired slots, or the limit that refused the request. */
 public final class LimitDecision {
-  /** No limit holds for the request. */
+  /** The decision for a request to which no limit applies. */
   static final LimitDecision UNLIMITED = new LimitDecision(new GcraBucket[0], 0, null, 0);
 
-  private final GcraBucket[] taken;
+  private final GcraBucket[] acquiredBuckets;
   private final int count;
   private final String refusedBy;
   private final double retryAfterMillis;
   private boolean released;
 
-  private LimitDecision(GcraBucket[] taken, int count, String refusedBy, double retryAfterMs) {
-    this.taken = taken;
+  private LimitDecision(
+      GcraBucket[] acquiredBuckets, int count, String refusedBy, double retryAfterMillis) {
+    this.acquiredBuckets = acquiredBuckets;
     this.count = count;
     this.refusedBy = refusedBy;
-    this.retryAfterMillis = retryAfterMs;
+    this.retryAfterMillis = retryAfterMillis;
   }
 
-  static LimitDecision allowed(GcraBucket[] taken, int count) {
-    return new LimitDecision(taken, count, null, 0);
+  static LimitDecision allowed(GcraBucket[] acquiredBuckets, int count) {
+    return new LimitDecision(acquiredBuckets, count, null, 0);
   }
 
-  static LimitDecision refused(String by, double retryAfterMs) {
-    return new LimitDecision(new GcraBucket[0], 0, by, retryAfterMs);
+  static LimitDecision refused(String refusedBy, double retryAfterMillis) {
+    return new LimitDecision(new GcraBucket[0], 0, refusedBy, retryAfterMillis);
   }
 
-  /** The limit that refused, or null. */
+  /** Returns the name of the limit that refused the request, or null. */
   public String refusedBy() {
     return refusedBy;
   }
 
-  /** When (ms) to come back, where refused. */
+  /** Returns the time after which to retry a refused request, in milliseconds. */
   public double retryAfterMillis() {
     return retryAfterMillis;
   }
 
-  /** The request is over; harmless if done before. Called by the thread that asked. */
+  /**
+   * Releases the slots at the end of the request; further calls have no effect. To be called by the
+   * thread that acquired them.
+   */
   public void release() {
     if (!released) {
       released = true;
       for (int i = count - 1; i >= 0; i--) {
-        taken[i].releaseSlot();
+        acquiredBuckets[i].releaseSlot();
       }
     }
   }
--- a/src/main/java/leadferry/limits/Limiter.java
+++ b/src/main/java/leadferry/limits/Limiter.java
@@ -5,166 +5,199 @@
 import java.util.Map;
 
 /**
- * The bounds over requests, shared by all workers. A request passes every limit that holds for it,
- * in the order of the file, or is refused by the first that is full.
+ * Applies the operator's limits to requests. Shared by all workers. A request is checked against
+ * every limit that applies to it, in the order of the file, and is refused by the first one that is
+ * exhausted.
  *
- * <p>Limits may be nested: a tenant's within a route's. While the outer one has more than a fifth
- * of its room left, callers take what they like. Past that each may hold no more than an equal part
- * of it, counted over the callers that are active and one more who may come. So a hot tenant can
- * fill four fifths by itself, the last fifth is there for quiet ones at once, and as they come the
- * hot one's requests that end are not replaced until all have equal parts.
+ * <p>Limits may be nested, such as a tenant's limit within a route's limit. While at most four
+ * fifths of the outer limit are in use, callers are admitted first come, first served. Beyond four
+ * fifths, each caller may hold at most an equal share of the outer limit, computed over the active
+ * callers and one more that may arrive. A busy tenant can thus use four fifths alone, and the last
+ * fifth is available at once to other tenants. As others arrive, the requests that the busy tenant
+ * completes are not replaced until all have equal shares.
  *
  * <pre>
- *   0                                  4/5        1     of the outer limit
- *   |  first come, first served         | equal parts |  refused
+ *   0                                  4/5         1     of the outer limit
+ *   |  first come, first served         | equal shares |  refused
  * </pre>
  *
- * <p>State is kept by name: {@link #Limiter(List, int, Limiter)} takes over what is in use, so that
- * a limit that is lowered counts what is in flight and refuses until enough of it has ended. Memory
- * is fixed, see {@link GcraBucketTable}. Locks only for callers that are new.
+ * <p>State is kept by name: {@link #Limiter(List, int, Limiter)} takes over the buckets in use. A
+ * lowered limit counts the requests in flight and refuses new ones until enough of them have ended.
+ * Memory is fixed, see {@link GcraBucketTable}. Only new callers take a lock.
  */
 public final class Limiter {
-  /** The part of an outer limit up to which callers need not share. */
-  private static final double SHARED_FROM = 0.8;
+  /** Fraction of an outer limit up to which callers are not limited to equal shares. */
+  private static final double FAIR_SHARE_THRESHOLD = 0.8;
 
-  /** What (ms) callers are told that are refused for concurrency: nobody knows when one ends. */
-  private static final double COME_BACK_MS = 1_000;
+  /**
+   * Retry delay for requests refused for concurrency, as the end of an open request can't be
+   * predicted.
+   */
+  private static final double CONCURRENCY_RETRY_AFTER_MILLIS = 1_000;
 
   private final List<Limit> limits;
   private final GcraBucketTable[] tables;
-  private final int[] parents;
-  private final int keys;
+  private final int[] parentIndexes;
+  private final int maxKeys;
 
-  /** Guards against callers that make up names to share the bucket of another. */
-  private final long seed;
+  /**
+   * Random seed of the bucket keys. Guards against clients that choose names to share the bucket of
+   * another client.
+   */
+  private final long hashSeed;
 
-  /** Limits with room for so many callers each. */
+  /**
+   * Creates a limiter without earlier state.
+   *
+   * @param maxKeys number of buckets of each limit
+   */
   public Limiter(List<Limit> limits, int maxKeys) {
     this(limits, maxKeys, null);
   }
 
   /**
-   * Limits that take over what the limiter before them counts, for those of the same name, kind and
-   * parent. An outer limit must stand before those within it.
+   * Creates a limiter that takes over the state of {@code previous} for each limit with the same
+   * name, scope and parent. An outer limit must precede the limits within it.
+   *
+   * @param maxKeys number of buckets of each limit
+   * @param previous the limiter to replace, or null
+   * @throws IllegalArgumentException if an outer limit does not precede the limits within it
    */
   public Limiter(List<Limit> limits, int maxKeys, Limiter previous) {
     this.limits = List.copyOf(limits);
-    this.keys = maxKeys;
-    this.seed = previous == null ? new java.security.SecureRandom().nextLong() : previous.seed;
+    this.maxKeys = maxKeys;
+    this.hashSeed =
+        previous == null ? new java.security.SecureRandom().nextLong() : previous.hashSeed;
     this.tables = new GcraBucketTable[limits.size()];
-    this.parents = new int[limits.size()];
-    Map<String, Integer> places = new HashMap<>();
+    this.parentIndexes = new int[limits.size()];
+    Map<String, Integer> indexByName = new HashMap<>();
     for (int i = 0; i < tables.length; i++) {
-      Limit l = limits.get(i);
-      parents[i] = l.parentName() == null ? -1 : places.getOrDefault(l.parentName(), -1);
-      if (l.parentName() != null && parents[i] < 0) {
+      Limit limit = limits.get(i);
+      parentIndexes[i] =
+          limit.parentName() == null ? -1 : indexByName.getOrDefault(limit.parentName(), -1);
+      if (limit.parentName() != null && parentIndexes[i] < 0) {
         throw new IllegalArgumentException(
             "within: "
-                + l.parentName()
+                + limit.parentName()
                 + " (expected: a limit that stands before "
-                + l.name()
+                + limit.name()
                 + ")");
       }
-      GcraBucketTable kept =
-          previous == null || previous.keys != maxKeys ? null : previous.table(l);
-      tables[i] = kept == null ? new GcraBucketTable(maxKeys) : kept;
-      places.put(l.name(), i);
+      GcraBucketTable keptTable =
+          previous == null || previous.maxKeys != maxKeys ? null : previous.findTable(limit);
+      tables[i] = keptTable == null ? new GcraBucketTable(maxKeys) : keptTable;
+      indexByName.put(limit.name(), i);
     }
   }
 
-  private GcraBucketTable table(Limit l) {
+  private GcraBucketTable findTable(Limit limit) {
     for (int i = 0; i < tables.length; i++) {
-      Limit mine = limits.get(i);
-      if (mine.name().equals(l.name())
-          && mine.scope() == l.scope()
-          && java.util.Objects.equals(mine.parentName(), l.parentName())) {
+      Limit candidate = limits.get(i);
+      if (candidate.name().equals(limit.name())
+          && candidate.scope() == limit.scope()
+          && java.util.Objects.equals(candidate.parentName(), limit.parentName())) {
         return tables[i];
       }
     }
     return null;
   }
 
-  /** Asks for a place; {@code now} in nanoseconds that never go back. */
-  public LimitDecision acquire(ClientIdentity caller, long nowNanos) {
+  /**
+   * Acquires a slot of each limit that applies, or refuses the request.
+   *
+   * @param nowNanos time of a monotonic clock
+   */
+  public LimitDecision acquire(ClientIdentity client, long nowNanos) {
     if (tables.length == 0) {
       return LimitDecision.UNLIMITED;
     }
-    GcraBucket[] taken = new GcraBucket[tables.length];
-    GcraBucket[] at = new GcraBucket[tables.length];
+    GcraBucket[] acquired = new GcraBucket[tables.length];
+    GcraBucket[] bucketByLimit = new GcraBucket[tables.length];
     int count = 0;
     for (int i = 0; i < tables.length; i++) {
-      Limit l = limits.get(i);
-      if (!l.appliesTo(caller)) {
+      Limit limit = limits.get(i);
+      if (!limit.appliesTo(client)) {
         continue;
       }
-      GcraBucket parent = parents[i] < 0 ? null : at[parents[i]];
-      GcraBucket b = tables[i].acquireSlot(key(l, caller, parent), parent, nowNanos);
-      taken[count++] = b;
-      at[i] = b;
-      double wait = check(l, b);
-      if (wait == 0 && parent != null) {
-        wait = checkShare(limits.get(parents[i]), parent, b, nowNanos);
+      GcraBucket parent = parentIndexes[i] < 0 ? null : bucketByLimit[parentIndexes[i]];
+      GcraBucket bucket = tables[i].acquireSlot(bucketKey(limit, client, parent), parent, nowNanos);
+      acquired[count++] = bucket;
+      bucketByLimit[i] = bucket;
+      double waitMillis = checkConcurrency(limit, bucket);
+      if (waitMillis == 0 && parent != null) {
+        waitMillis = checkFairShare(limits.get(parentIndexes[i]), parent, bucket, nowNanos);
       }
-      if (wait > 0) {
-        LimitDecision.allowed(taken, count).release();
-        return LimitDecision.refused(l.name(), wait);
+      if (waitMillis > 0) {
+        LimitDecision.allowed(acquired, count).release();
+        return LimitDecision.refused(limit.name(), waitMillis);
       }
     }
-    // Places in a rate can't be given back: they are taken last, when nothing else refuses.
+    // Consumption of a rate can't be undone. It happens last, once no other limit refuses.
     for (int i = 0; i < tables.length; i++) {
-      Limit l = limits.get(i);
-      if (at[i] != null && l.requestsPerSecond() > 0) {
-        long wait = at[i].tryConsume(nowNanos, l.requestsPerSecond(), l.burst());
-        if (wait > 0) {
-          LimitDecision.allowed(taken, count).release();
-          return LimitDecision.refused(l.name(), Math.max(1, wait / 1e6));
+      Limit limit = limits.get(i);
+      if (bucketByLimit[i] != null && limit.requestsPerSecond() > 0) {
+        long waitMillis =
+            bucketByLimit[i].tryConsume(nowNanos, limit.requestsPerSecond(), limit.burst());
+        if (waitMillis > 0) {
+          LimitDecision.allowed(acquired, count).release();
+          return LimitDecision.refused(limit.name(), Math.max(1, waitMillis / 1e6));
         }
       }
     }
-    return LimitDecision.allowed(taken, count);
+    return LimitDecision.allowed(acquired, count);
   }
 
-  private static double check(Limit l, GcraBucket b) {
-    return l.maxConcurrent() > 0 && b.slotsInUse() > l.maxConcurrent() ? COME_BACK_MS : 0;
+  private static double checkConcurrency(Limit limit, GcraBucket bucket) {
+    return limit.maxConcurrent() > 0 && bucket.slotsInUse() > limit.maxConcurrent()
+        ? CONCURRENCY_RETRY_AFTER_MILLIS
+        : 0;
   }
 
-  private double checkShare(Limit outer, GcraBucket parent, GcraBucket b, long now) {
-    if (outer.maxConcurrent() > 0 && parent.slotsInUse() > SHARED_FROM * outer.maxConcurrent()) {
-      int part = Math.max(1, outer.maxConcurrent() / (parent.busyChildren() + 1));
-      if (b.slotsInUse() > part) {
-        return COME_BACK_MS;
+  private double checkFairShare(Limit outer, GcraBucket parent, GcraBucket bucket, long nowNanos) {
+    if (outer.maxConcurrent() > 0
+        && parent.slotsInUse() > FAIR_SHARE_THRESHOLD * outer.maxConcurrent()) {
+      int equalShare = Math.max(1, outer.maxConcurrent() / (parent.busyChildren() + 1));
+      if (bucket.slotsInUse() > equalShare) {
+        return CONCURRENCY_RETRY_AFTER_MILLIS;
       }
     }
     if (outer.requestsPerSecond() > 0) {
-      parent.recordChildRequest(b, now);
-      int sharing = parent.activeChildren() + 1;
-      boolean crowded =
-          parent.burstUtilization(now, outer.requestsPerSecond(), outer.burst()) > SHARED_FROM;
-      long wait =
-          b.tryConsumeFairShare(
-              now, outer.requestsPerSecond() / sharing, outer.burst() / sharing, !crowded);
-      return wait > 0 ? Math.max(1, wait / 1e6) : 0;
+      parent.recordChildRequest(bucket, nowNanos);
+      int sharers = parent.activeChildren() + 1;
+      boolean isAboveThreshold =
+          parent.burstUtilization(nowNanos, outer.requestsPerSecond(), outer.burst())
+              > FAIR_SHARE_THRESHOLD;
+      long waitNanos =
+          bucket.tryConsumeFairShare(
+              nowNanos,
+              outer.requestsPerSecond() / sharers,
+              outer.burst() / sharers,
+              !isAboveThreshold);
+      return waitNanos > 0 ? Math.max(1, waitNanos / 1e6) : 0;
     }
     return 0;
   }
 
-  /** The number of a caller's bucket; within an outer limit it has one for each of its buckets. */
-  private long key(Limit l, ClientIdentity c, GcraBucket parent) {
-    String s = c.keyFor(l.scope());
-    long h = seed ^ (parent == null ? 0 : parent.key * 0x9E3779B97F4A7C15L + 1);
-    for (int i = 0; i < s.length(); i++) {
-      h = (h ^ s.charAt(i)) * 0x100000001b3L;
+  /**
+   * Returns the key of a caller's bucket. Within an outer limit, a caller has a separate bucket for
+   * each bucket of the outer limit.
+   */
+  private long bucketKey(Limit limit, ClientIdentity client, GcraBucket parent) {
+    String value = client.keyFor(limit.scope());
+    long hash = hashSeed ^ (parent == null ? 0 : parent.key * 0x9E3779B97F4A7C15L + 1);
+    for (int i = 0; i < value.length(); i++) {
+      hash = (hash ^ value.charAt(i)) * 0x100000001b3L;
     }
-    h = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-    h ^= h >>> 32;
-    return h == 0 ? 1 : h;
+    hash = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
+    hash ^= hash >>> 32;
+    return hash == 0 ? 1 : hash;
   }
 
-  /** Buckets that all limits together may hold: what bounds their memory. */
+  /** Returns the maximum number of buckets of all limits together, which bounds their memory. */
   public long capacity() {
     long sum = 0;
-    for (GcraBucketTable t : tables) {
-      sum += t.capacity();
+    for (GcraBucketTable table : tables) {
+      sum += table.capacity();
     }
     return sum;
   }
--- a/src/main/java/leadferry/limits/RetryBudget.java
+++ b/src/main/java/leadferry/limits/RetryBudget.java
@@ -3,46 +3,55 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * An operator's bound over retries: each request earns a part of one, saved up to a burst. It can
- * only say no to what the decision module asks for, whose own bound is {@code
- * loadbalancer.RetryBudget}; both must allow a retry. Safe for use by many threads.
+ * A limit on retries that the operator has configured. Each request earns a fraction of a retry,
+ * saved up to a burst. The budget can only deny a retry that the load balancer requests: the load
+ * balancer has its own {@code loadbalancer.RetryBudget}, and both must allow a retry. Safe for use
+ * by many threads.
  */
 public final class RetryBudget {
-  private static final long UNIT = 1_000_000;
+  private static final long UNITS_PER_RETRY = 1_000_000;
 
-  private final long earned;
-  private final long most;
-  private final AtomicLong saved;
+  private final long unitsPerRequest;
+  private final long maxUnits;
+  private final AtomicLong savedUnits;
 
-  /** {@code ratio} attempts earned by each request, at most {@code burst} saved; starts full. */
+  /**
+   * Creates a full budget.
+   *
+   * @param ratio retries earned by each request
+   * @param burst maximum number of saved retries
+   */
   public RetryBudget(double ratio, double burst) {
-    this.earned = (long) (ratio * UNIT);
-    this.most = (long) (burst * UNIT);
-    this.saved = new AtomicLong(most);
+    this.unitsPerRequest = (long) (ratio * UNITS_PER_RETRY);
+    this.maxUnits = (long) (burst * UNITS_PER_RETRY);
+    this.savedUnits = new AtomicLong(maxUnits);
   }
 
-  /** A request has come. */
+  /** Adds the fraction of a retry that a request earns. */
   public void onRequest() {
-    long s = saved.get();
-    if (s < most) {
-      saved.compareAndSet(s, Math.min(most, s + earned)); // a lost race earns a little less
+    long current = savedUnits.get();
+    if (current < maxUnits) {
+      savedUnits.compareAndSet(
+          current,
+          Math.min(
+              maxUnits, current + unitsPerRequest)); // a request that loses a race earns nothing
     }
   }
 
-  /** Takes one attempt; false where none is left. */
+  /** Takes one retry; returns false if none is left. */
   public boolean take() {
-    long s;
+    long current;
     do {
-      s = saved.get();
-      if (s < UNIT) {
+      current = savedUnits.get();
+      if (current < UNITS_PER_RETRY) {
         return false;
       }
-    } while (!saved.compareAndSet(s, s - UNIT));
+    } while (!savedUnits.compareAndSet(current, current - UNITS_PER_RETRY));
     return true;
   }
 
-  /** Gives one back that was not used after all. */
+  /** Returns a retry that was not used. */
   public void refund() {
-    saved.accumulateAndGet(UNIT, (s, x) -> Math.min(most, s + x));
+    savedUnits.accumulateAndGet(UNITS_PER_RETRY, (s, x) -> Math.min(maxUnits, s + x));
   }
 }
--- a/src/main/java/leadferry/limits/package-info.java
+++ b/src/main/java/leadferry/limits/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How much a caller may take: rates, concurrency, retries. Decisions only, no I/O; time is passed
- * in. Begin with {@link leadferry.limits.Limiter}. What is refused here is refused before any
- * attempt; what is let through is the decision module's.
+ * Limits on what a client may use: rates, concurrency and retries. Contains decisions only, without
+ * I/O; callers pass the time. Begin with {@link leadferry.limits.Limiter}. A request refused here
+ * is refused before any attempt; the load balancer decides about the attempts of admitted requests.
  */
 package leadferry.limits;
--- a/src/main/java/leadferry/routing/NormalizedPath.java
+++ b/src/main/java/leadferry/routing/NormalizedPath.java
@@ -3,27 +3,28 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The one form of a path that routes are matched against and that the host is sure to see.
+ * A request path in the single form that routes match and that the upstream host reads the same
+ * way.
  *
- * <p>A path that a proxy and a host read in two ways takes a request past the route that was meant
- * for it. So either a path has one reading, or it is turned away. Reserved octets that are encoded
- * would be cut differently before and after decoding (RFC 3986, 2.2), dot segments and doubled
- * slashes are resolved by some hosts and not by others (RFC 3986, 5.2.4), and some decode twice.
+ * <p>A path that the proxy and the upstream host interpret differently can bypass the route that
+ * applies to it. A path without a single interpretation is therefore rejected. Encoded reserved
+ * octets split a path differently before and after decoding (RFC 3986, 2.2). Dot segments and
+ * doubled slashes are resolved by some servers only (RFC 3986, 5.2.4). Some servers decode twice.
  *
  * <pre>
- *   /a/b%20c      matched as "/a/b c"       sent on as it came
- *   /a/%62        matched as "/a/b"         sent on as it came: every host decodes it so
- *   /a/../b //b   strict: turned away       resolving: matched and sent on as "/b"
- *   %2F %5C %00 \  turned away in both, and what would decode to an escape, as %2561
- *   /a/..;x/b     turned away in both: some hosts drop what follows the semicolon first
+ *   /a/b%20c       matched as "/a/b c"     forwarded unchanged
+ *   /a/%62         matched as "/a/b"       forwarded unchanged: every server decodes it this way
+ *   /a/../b //b    STRICT: rejected        RESOLVE: matched and forwarded as "/b"
+ *   %2F %5C %00 \  rejected in both modes, as is an octet that decodes to an escape, such as %2561
+ *   /a/..;x/b      rejected in both modes: some servers remove the part after the semicolon first
  * </pre>
  */
 public final class NormalizedPath {
-  /** What becomes of dot segments and empty segments. */
+  /** How dot segments and empty segments are handled. */
   public enum Mode {
-    /** The request is turned away. */
+    /** Rejects the path. */
     STRICT,
-    /** They are resolved, and the host is sent the resolved path. */
+    /** Resolves them; the upstream host receives the resolved path. */
     RESOLVE
   }
 
@@ -35,159 +36,171 @@
     this.forwardPath = forwardPath;
   }
 
-  /** The path that routes match: octets decoded, one char an octet. */
+  /** Returns the path that routes match: decoded, one char per octet. */
   public String matchPath() {
     return matchPath;
   }
 
-  /** The path to send on. */
+  /** Returns the path to send to the upstream host. */
   public String forwardPath() {
     return forwardPath;
   }
 
-  /** The form of a raw path without its query, or null where it has no single reading. */
+  /**
+   * Normalizes a raw path without its query; returns null if the path has no single interpretation.
+   */
   public static NormalizedPath normalize(String rawPath, Mode mode) {
-    int n = rawPath.length();
-    if (n == 0 || rawPath.charAt(0) != '/') {
+    int length = rawPath.length();
+    if (length == 0 || rawPath.charAt(0) != '/') {
       return null;
     }
-    boolean plain = true;
-    for (int i = 0; i < n; i++) {
+    boolean isLiteral = true;
+    for (int i = 0; i < length; i++) {
       char c = rawPath.charAt(i);
       if (c <= ' ' || c >= 0x7f || c == '\\' || c == '#') {
         return null;
       }
-      plain &= c != '%';
+      isLiteral &= c != '%';
     }
-    String matchPath = plain ? rawPath : decode(rawPath);
+    String matchPath = isLiteral ? rawPath : decode(rawPath);
     if (matchPath == null) {
       return null;
     }
-    int odd = oddSegment(matchPath);
-    if (odd == 0) {
+    int oddity = segmentOddity(matchPath);
+    if (oddity == 0) {
       return new NormalizedPath(matchPath, rawPath);
     }
-    if (mode == Mode.STRICT || odd == 2) {
+    if (mode == Mode.STRICT || oddity == 2) {
       return null;
     }
     String resolved = resolve(matchPath);
     return resolved == null ? null : new NormalizedPath(resolved, percentEncode(resolved));
   }
 
-  /** Text of the operator's, in the form that matched paths have. */
+  /**
+   * Converts a path in the operator's file to the form of matched paths: its UTF-8 octets, one char
+   * each.
+   */
   public static String toOctetChars(String text) {
     return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
   }
 
-  private static String decode(String raw) {
-    StringBuilder out = new StringBuilder(raw.length());
-    for (int i = 0; i < raw.length(); i++) {
-      char c = raw.charAt(i);
+  private static String decode(String rawPath) {
+    StringBuilder decoded = new StringBuilder(rawPath.length());
+    for (int i = 0; i < rawPath.length(); i++) {
+      char c = rawPath.charAt(i);
       if (c != '%') {
-        out.append(c);
+        decoded.append(c);
         continue;
       }
-      int octet = octet(raw, i);
+      int octet = decodeEscape(rawPath, i);
       if (octet < 0x20 || octet == 0x7f || octet == '/' || octet == '\\') {
         return null;
       }
-      out.append((char) octet);
+      decoded.append((char) octet);
       i += 2;
     }
-    return escapesLeft(out) ? null : out.toString();
+    return containsEscape(decoded) ? null : decoded.toString();
   }
 
-  /** The octet that the escape at {@code i} stands for, or -1. */
-  private static int octet(String s, int i) {
-    if (i + 2 >= s.length()) {
+  /** Returns the octet that the escape at {@code i} encodes, or -1 if it is not a valid escape. */
+  private static int decodeEscape(String text, int i) {
+    if (i + 2 >= text.length()) {
       return -1;
     }
-    int high = Character.digit(s.charAt(i + 1), 16);
-    int low = Character.digit(s.charAt(i + 2), 16);
+    int high = Character.digit(text.charAt(i + 1), 16);
+    int low = Character.digit(text.charAt(i + 2), 16);
     return high < 0 || low < 0 ? -1 : high << 4 | low;
   }
 
-  /** Whether an escape is left: a host that decodes twice would see another octet there. */
-  private static boolean escapesLeft(StringBuilder s) {
-    for (int i = 0; i + 2 < s.length(); i++) {
-      if (s.charAt(i) == '%'
-          && Character.digit(s.charAt(i + 1), 16) >= 0
-          && Character.digit(s.charAt(i + 2), 16) >= 0) {
+  /**
+   * Returns whether the decoded path still contains an escape. A server that decodes twice would
+   * read a different octet there.
+   */
+  private static boolean containsEscape(StringBuilder decoded) {
+    for (int i = 0; i + 2 < decoded.length(); i++) {
+      if (decoded.charAt(i) == '%'
+          && Character.digit(decoded.charAt(i + 1), 16) >= 0
+          && Character.digit(decoded.charAt(i + 2), 16) >= 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** 0 where every segment is plain, 1 where some are dots or empty, 2 where dots hide. */
-  private static int oddSegment(String path) {
-    int odd = 0;
-    int from = 1;
-    while (from <= path.length()) {
-      int to = path.indexOf('/', from);
-      to = to < 0 ? path.length() : to;
-      int dots = from;
-      while (dots < to && path.charAt(dots) == '.') {
-        dots++;
+  /**
+   * Returns 0 if every segment is plain, 1 if some are dot segments or empty, and 2 if a dot
+   * segment is followed by a semicolon.
+   */
+  private static int segmentOddity(String path) {
+    int oddity = 0;
+    int segmentStart = 1;
+    while (segmentStart <= path.length()) {
+      int segmentEnd = path.indexOf('/', segmentStart);
+      segmentEnd = segmentEnd < 0 ? path.length() : segmentEnd;
+      int dotsEnd = segmentStart;
+      while (dotsEnd < segmentEnd && path.charAt(dotsEnd) == '.') {
+        dotsEnd++;
       }
-      int count = dots - from;
-      if (count >= 1 && count <= 2) {
-        if (dots == to) {
-          odd = 1;
-        } else if (path.charAt(dots) == ';') {
+      int dotCount = dotsEnd - segmentStart;
+      if (dotCount >= 1 && dotCount <= 2) {
+        if (dotsEnd == segmentEnd) {
+          oddity = 1;
+        } else if (path.charAt(dotsEnd) == ';') {
           return 2;
         }
       }
-      if (to == from && to < path.length()) {
-        odd = 1; // an empty segment that is not the last
+      if (segmentEnd == segmentStart && segmentEnd < path.length()) {
+        oddity = 1; // an empty segment that is not the last
       }
-      from = to + 1;
+      segmentStart = segmentEnd + 1;
     }
-    return odd;
+    return oddity;
   }
 
-  /** Without dot segments and doubled slashes; null where it would climb out of the root. */
+  /** Removes dot segments and doubled slashes; returns null if the path would leave the root. */
   private static String resolve(String path) {
-    StringBuilder out = new StringBuilder(path.length());
-    int from = 1;
-    while (from <= path.length()) {
-      int to = path.indexOf('/', from);
-      boolean last = to < 0;
-      to = last ? path.length() : to;
-      String segment = path.substring(from, to);
+    StringBuilder resolved = new StringBuilder(path.length());
+    int segmentStart = 1;
+    while (segmentStart <= path.length()) {
+      int segmentEnd = path.indexOf('/', segmentStart);
+      boolean isLast = segmentEnd < 0;
+      segmentEnd = isLast ? path.length() : segmentEnd;
+      String segment = path.substring(segmentStart, segmentEnd);
       if (segment.equals("..")) {
-        int cut = out.lastIndexOf("/");
-        if (cut < 0) {
+        int parentEnd = resolved.lastIndexOf("/");
+        if (parentEnd < 0) {
           return null;
         }
-        out.setLength(cut);
+        resolved.setLength(parentEnd);
       } else if (!segment.equals(".") && !segment.isEmpty()) {
-        out.append('/').append(segment);
+        resolved.append('/').append(segment);
       }
-      if (last && (segment.isEmpty() || segment.equals(".") || segment.equals(".."))) {
-        out.append('/');
+      if (isLast && (segment.isEmpty() || segment.equals(".") || segment.equals(".."))) {
+        resolved.append('/');
       }
-      from = to + 1;
+      segmentStart = segmentEnd + 1;
     }
-    return out.length() == 0 ? "/" : out.toString();
+    return resolved.length() == 0 ? "/" : resolved.toString();
   }
 
-  /** Escapes whatever may not stand in a path as it is (RFC 3986, 3.3). */
+  /** Percent-encodes each octet that is not allowed literally in a path (RFC 3986, 3.3). */
   public static String percentEncode(String path) {
-    StringBuilder out = new StringBuilder(path.length() + 8);
+    StringBuilder encoded = new StringBuilder(path.length() + 8);
     for (int i = 0; i < path.length(); i++) {
       char c = path.charAt(i);
       if ((c >= 'a' && c <= 'z')
           || (c >= 'A' && c <= 'Z')
           || (c >= '0' && c <= '9')
           || "/-._~!$&'()*+,;=:@".indexOf(c) >= 0) {
-        out.append(c);
+        encoded.append(c);
       } else {
-        out.append('%')
+        encoded
+            .append('%')
             .append(Character.toUpperCase(Character.forDigit(c >> 4 & 15, 16)))
             .append(Character.toUpperCase(Character.forDigit(c & 15, 16)));
       }
     }
-    return out.toString();
+    return encoded.toString();
   }
 }
--- a/src/main/java/leadferry/routing/RequestAttributes.java
+++ b/src/main/java/leadferry/routing/RequestAttributes.java
@@ -1,19 +1,19 @@
 package leadferry.routing;
 
-/** What routes look at in a request. */
+/** The attributes of a request that routes match. */
 public interface RequestAttributes {
-  /** The host asked for, in lower case without port, or "" where none was told. */
+  /** Returns the host of the request in lower case without port, or "" if there is none. */
   String host();
 
-  /** The path in the form that {@link NormalizedPath} gives for matching, without a query. */
+  /** Returns {@link NormalizedPath#matchPath}, without a query. */
   String path();
 
-  /** The method, as it was sent. */
+  /** Returns the method in the case in which it was sent. */
   String method();
 
-  /** The class that the request claims and the operator declared, or null. */
+  /** Returns the declared class that the request names, or null. */
   String className();
 
-  /** The first value of the header, or null. */
+  /** Returns the first value of the header, or null. */
   String header(String name);
 }
--- a/src/main/java/leadferry/routing/RouteRule.java
+++ b/src/main/java/leadferry/routing/RouteRule.java
@@ -6,17 +6,18 @@
 import java.util.Set;
 
 /**
- * What a request must have for a route to take it.
+ * The conditions under which a request takes a route.
  *
- * @param name the route's name
- * @param hostPatterns {@code *} for any, {@code a.b}, {@code *.a.b} or {@code a.*}, in lower case
- * @param kind how {@code path} is meant
+ * @param name the name of the route
+ * @param hostPatterns {@code *} for any host, {@code a.b}, {@code *.a.b} or {@code a.*}, in lower
+ *     case
+ * @param kind how {@code path} is matched
  * @param path the path, prefix or regular expression, in the form of {@link
  *     NormalizedPath#toOctetChars}
  * @param methods the methods, or none for any
- * @param headers values that headers must have; {@code *} asks only that the header is there
+ * @param headers required values of headers; {@code *} requires only that the header is present
  * @param classes the classes, or none for any
- * @param target what the route leads to
+ * @param target the target of the route
  */
 public record RouteRule<T>(
     String name,
@@ -28,13 +29,13 @@
     Set<String> classes,
     T target) {
 
-  /** How a rule's path is meant. */
+  /** How the path of a rule is matched. */
   public enum Kind {
-    /** The whole path. */
+    /** Matches the whole path literally. */
     EXACT,
-    /** A regular expression (RE2 syntax, linear time) that must match the whole path. */
+    /** Matches the whole path with a regular expression (RE2 syntax, linear time). */
     REGEX,
-    /** The path itself or whatever lies below it; a trailing slash is of no account. */
+    /** Matches the path itself and every path below it; a trailing slash is ignored. */
     PREFIX
   }
 
@@ -50,12 +51,15 @@
     }
   }
 
-  /** Conditions besides host and path: more of them make a rule more particular. */
+  /**
+   * Returns the number of conditions besides host and path. A rule with more conditions takes
+   * precedence.
+   */
   int conditionCount() {
     return (methods.isEmpty() ? 0 : 1) + headers.size() + (classes.isEmpty() ? 0 : 1);
   }
 
-  /** Whether the conditions besides host and path hold. */
+  /** Returns whether a request meets the conditions besides host and path. */
   boolean matchesConditions(RequestAttributes request) {
     if (!methods.isEmpty() && !methods.contains(request.method())) {
       return false;
@@ -65,9 +69,9 @@
       return false;
     }
     if (!headers.isEmpty()) {
-      for (Map.Entry<String, String> e : headers.entrySet()) {
-        String value = request.header(e.getKey());
-        if (value == null || (!e.getValue().equals("*") && !e.getValue().equals(value))) {
+      for (Map.Entry<String, String> entry : headers.entrySet()) {
+        String value = request.header(entry.getKey());
+        if (value == null || (!entry.getValue().equals("*") && !entry.getValue().equals(value))) {
           return false;
         }
       }
@@ -75,20 +79,23 @@
     return true;
   }
 
-  /** Whether every request that meets the other's conditions meets these too. */
+  /**
+   * Returns whether every request that meets the conditions of {@code other} meets those of this
+   * rule.
+   */
   boolean covers(RouteRule<?> other) {
     return (methods.isEmpty() || (!other.methods.isEmpty() && methods.containsAll(other.methods)))
         && (classes.isEmpty() || (!other.classes.isEmpty() && classes.containsAll(other.classes)))
         && headers.entrySet().stream()
             .allMatch(
-                e -> {
-                  String theirs = other.headers.get(e.getKey());
-                  return theirs != null
-                      && (e.getValue().equals("*") || e.getValue().equals(theirs));
+                entry -> {
+                  String otherValue = other.headers.get(entry.getKey());
+                  return otherValue != null
+                      && (entry.getValue().equals("*") || entry.getValue().equals(otherValue));
                 });
   }
 
-  /** Whether a regular expression takes any path at all. */
+  /** Returns whether the rule is a regular expression that is known to match every path. */
   boolean matchesAnyPath() {
     return kind == Kind.REGEX && Set.of(".*", "/.*", "^.*$", "^/.*$", "^/.*", "^.*").contains(path);
   }
--- a/src/main/java/leadferry/routing/RouteTable.java
+++ b/src/main/java/leadferry/routing/RouteTable.java
@@ -8,75 +8,76 @@
 import java.util.Map;
 
 /**
- * The routes of one listener, compiled. The order of precedence, which {@link ShadowedRouteFinder}
- * and the operator's page share:
+ * The compiled routes of one listener. {@link ShadowedRouteFinder} and the operator's documentation
+ * follow the same order of precedence:
  *
  * <ol>
  *   <li>The host: the exact name, else the longest {@code *.suffix}, else the longest {@code
- *       prefix.*}, else {@code *}. Only routes of the host found are looked at; there is no way
- *       back to a less particular host.
- *   <li>The path: the exact one, else regular expressions in the order of the file, else the
+ *       prefix.*}, else {@code *}. Only the routes of the most specific host are considered; the
+ *       search does not fall back to a less specific host.
+ *   <li>The path: the exact path, else regular expressions in the order of the file, else the
  *       longest prefix.
- *   <li>The conditions (methods, headers, classes): of routes with one host and path the one with
- *       the most conditions that hold, else the first in the file. Where none holds, the search
- *       goes on with the next path of point 2.
+ *   <li>The conditions (methods, headers, classes): among the routes with the same host and path
+ *       the one with the most conditions that are met, else the first in the file. If no route
+ *       meets its conditions, the search continues with the next path of point 2.
  * </ol>
  *
- * <p>Exact and prefix routes cost one hash step a char and a probe for each depth that has
- * prefixes, whatever their number, and allocate nothing; regular expressions cost one run each.
- * Safe for use by many threads.
+ * <p>Exact and prefix routes cost one hash step per char and one probe per depth that has prefixes,
+ * whatever their number, and allocate nothing. Each regular expression costs one match. Safe for
+ * use by many threads.
  */
 public final class RouteTable<T> {
   /** The routes of one host pattern. */
   private static final class HostRoutes<T> {
-    final SubstringMap<List<RouteRule<T>>> exact = new SubstringMap<>();
-    final SubstringMap<List<RouteRule<T>>> prefixes = new SubstringMap<>();
+    final SubstringMap<List<RouteRule<T>>> exactRules = new SubstringMap<>();
+    final SubstringMap<List<RouteRule<T>>> prefixRules = new SubstringMap<>();
     final List<RouteRule<T>> regexRules = new ArrayList<>();
-    final List<Pattern> regexes = new ArrayList<>();
+    final List<Pattern> regexPatterns = new ArrayList<>();
 
-    /** Bit n is set where some prefix has n segments (the last bit: that many or more). */
-    long depths;
+    /** Bit n is set if some prefix has n segments; the last bit stands for 63 segments or more. */
+    long prefixDepths;
 
-    RouteRule<T> find(RequestAttributes s) {
-      String path = s.path();
-      if (!exact.isEmpty()) {
-        RouteRule<T> r = first(exact.get(path), s);
-        if (r != null) {
-          return r;
+    RouteRule<T> find(RequestAttributes request) {
+      String path = request.path();
+      if (!exactRules.isEmpty()) {
+        RouteRule<T> exactRule = firstMatching(exactRules.get(path), request);
+        if (exactRule != null) {
+          return exactRule;
         }
       }
-      for (int i = 0; i < regexes.size(); i++) {
-        if (regexRules.get(i).matchesConditions(s) && regexes.get(i).matches(path)) {
+      for (int i = 0; i < regexPatterns.size(); i++) {
+        if (regexRules.get(i).matchesConditions(request) && regexPatterns.get(i).matches(path)) {
           return regexRules.get(i);
         }
       }
-      return prefixes.isEmpty() ? null : longestPrefix(path, s);
+      return prefixRules.isEmpty() ? null : findLongestPrefix(path, request);
     }
 
-    private RouteRule<T> longestPrefix(String path, RequestAttributes s) {
+    private RouteRule<T> findLongestPrefix(String path, RequestAttributes request) {
       RouteRule<T> best = null;
       int hash = 0;
-      int n = path.length();
+      int length = path.length();
       int depth = 0;
-      for (int i = 0; i <= n; i++) {
-        char c = i < n ? path.charAt(i) : '/';
-        if (c == '/') {
-          // Each probe among many routes is a miss of the cache: only depths that exist get one.
-          if ((depths >>> Math.min(depth, 63) & 1) != 0) {
-            RouteRule<T> r = first(prefixes.get(path, 0, i, hash), s);
-            best = r == null ? best : r;
+      for (int i = 0; i <= length; i++) {
+        char character = i < length ? path.charAt(i) : '/';
+        if (character == '/') {
+          // With many routes each probe is a cache miss. Probes only depths that have prefixes.
+          if ((prefixDepths >>> Math.min(depth, 63) & 1) != 0) {
+            RouteRule<T> rule = firstMatching(prefixRules.get(path, 0, i, hash), request);
+            best = rule == null ? best : rule;
           }
           depth++;
         }
-        hash = SubstringMap.extendHash(hash, c);
+        hash = SubstringMap.extendHash(hash, character);
       }
       return best;
     }
 
-    private static <T> RouteRule<T> first(List<RouteRule<T>> rules, RequestAttributes s) {
+    private static <T> RouteRule<T> firstMatching(
+        List<RouteRule<T>> rules, RequestAttributes request) {
       if (rules != null) {
         for (int i = 0; i < rules.size(); i++) {
-          if (rules.get(i).matchesConditions(s)) {
+          if (rules.get(i).matchesConditions(request)) {
             return rules.get(i);
           }
         }
@@ -85,78 +86,81 @@
     }
   }
 
-  private final SubstringMap<HostRoutes<T>> hosts = new SubstringMap<>();
-  private final SubstringMap<HostRoutes<T>> suffixes = new SubstringMap<>();
-  private final SubstringMap<HostRoutes<T>> prefixes = new SubstringMap<>();
-  private final HostRoutes<T> any = new HostRoutes<>();
+  private final SubstringMap<HostRoutes<T>> exactHosts = new SubstringMap<>();
+  private final SubstringMap<HostRoutes<T>> hostSuffixes = new SubstringMap<>();
+  private final SubstringMap<HostRoutes<T>> hostPrefixes = new SubstringMap<>();
+  private final HostRoutes<T> anyHostRoutes = new HostRoutes<>();
 
-  /** Compiles rules that {@link ShadowedRouteFinder} has found sound, in the order of the file. */
+  /**
+   * Compiles rules in the order of the file. {@link ShadowedRouteFinder} must have accepted them.
+   */
   public RouteTable(List<RouteRule<T>> rules) {
     Map<String, HostRoutes<T>> byHost = new LinkedHashMap<>();
-    byHost.put("*", any);
-    for (RouteRule<T> r : rules) {
-      for (String host : r.hostPatterns()) {
-        add(byHost.computeIfAbsent(host, h -> new HostRoutes<>()), r);
+    byHost.put("*", anyHostRoutes);
+    for (RouteRule<T> rule : rules) {
+      for (String host : rule.hostPatterns()) {
+        add(byHost.computeIfAbsent(host, h -> new HostRoutes<>()), rule);
       }
     }
     byHost.forEach(
         (host, routes) -> {
           if (host.startsWith("*.")) {
-            suffixes.put(host.substring(1), routes);
+            hostSuffixes.put(host.substring(1), routes);
           } else if (host.endsWith(".*")) {
-            prefixes.put(host.substring(0, host.length() - 1), routes);
+            hostPrefixes.put(host.substring(0, host.length() - 1), routes);
           } else if (!host.equals("*")) {
-            hosts.put(host, routes);
+            exactHosts.put(host, routes);
           }
         });
   }
 
-  private static <T> void add(HostRoutes<T> to, RouteRule<T> r) {
-    if (r.kind() == RouteRule.Kind.REGEX) {
-      to.regexRules.add(r);
-      to.regexes.add(r.compilePattern());
+  private static <T> void add(HostRoutes<T> routes, RouteRule<T> rule) {
+    if (rule.kind() == RouteRule.Kind.REGEX) {
+      routes.regexRules.add(rule);
+      routes.regexPatterns.add(rule.compilePattern());
       return;
     }
     SubstringMap<List<RouteRule<T>>> table =
-        r.kind() == RouteRule.Kind.EXACT ? to.exact : to.prefixes;
-    if (r.kind() == RouteRule.Kind.PREFIX) {
-      to.depths |= 1L << Math.min(63, r.path().chars().filter(c -> c == '/').count());
+        rule.kind() == RouteRule.Kind.EXACT ? routes.exactRules : routes.prefixRules;
+    if (rule.kind() == RouteRule.Kind.PREFIX) {
+      routes.prefixDepths |= 1L << Math.min(63, rule.path().chars().filter(c -> c == '/').count());
     }
-    List<RouteRule<T>> same = table.get(r.path());
-    if (same == null) {
-      same = new ArrayList<>(1);
-      table.put(r.path(), same);
+    List<RouteRule<T>> rulesOfPath = table.get(rule.path());
+    if (rulesOfPath == null) {
+      rulesOfPath = new ArrayList<>(1);
+      table.put(rule.path(), rulesOfPath);
     }
-    same.add(r);
-    same.sort(Comparator.comparingInt(x -> -x.conditionCount())); // stable: the file's order stays
+    rulesOfPath.add(rule);
+    rulesOfPath.sort(
+        Comparator.comparingInt(x -> -x.conditionCount())); // stable: keeps the file's order
   }
 
-  /** The rule that wins, or null where none does. */
-  public RouteRule<T> find(RequestAttributes s) {
-    String host = s.host();
-    HostRoutes<T> found = hosts.isEmpty() ? null : hosts.get(host);
-    if (found == null && !suffixes.isEmpty()) {
+  /** Returns the rule that takes a request, or null if none does. */
+  public RouteRule<T> find(RequestAttributes request) {
+    String host = request.host();
+    HostRoutes<T> routes = exactHosts.isEmpty() ? null : exactHosts.get(host);
+    if (routes == null && !hostSuffixes.isEmpty()) {
       for (int dot = host.indexOf('.');
-          dot >= 0 && found == null;
+          dot >= 0 && routes == null;
           dot = host.indexOf('.', dot + 1)) {
-        found = dot == 0 ? null : region(suffixes, host, dot, host.length());
+        routes = dot == 0 ? null : findRegion(hostSuffixes, host, dot, host.length());
       }
     }
-    if (found == null && !prefixes.isEmpty()) {
+    if (routes == null && !hostPrefixes.isEmpty()) {
       for (int dot = host.lastIndexOf('.');
-          dot > 0 && found == null;
+          dot > 0 && routes == null;
           dot = host.lastIndexOf('.', dot - 1)) {
-        found = dot == host.length() - 1 ? null : region(prefixes, host, 0, dot + 1);
+        routes = dot == host.length() - 1 ? null : findRegion(hostPrefixes, host, 0, dot + 1);
       }
     }
-    return (found == null ? any : found).find(s);
+    return (routes == null ? anyHostRoutes : routes).find(request);
   }
 
-  private static <V> V region(SubstringMap<V> table, String s, int from, int to) {
+  private static <V> V findRegion(SubstringMap<V> table, String text, int start, int end) {
     int hash = 0;
-    for (int i = from; i < to; i++) {
-      hash = SubstringMap.extendHash(hash, s.charAt(i));
+    for (int i = start; i < end; i++) {
+      hash = SubstringMap.extendHash(hash, text.charAt(i));
     }
-    return table.get(s, from, to - from, hash);
+    return table.get(text, start, end - start, hash);
   }
 }
--- a/src/main/java/leadferry/routing/ShadowedRouteFinder.java
+++ b/src/main/java/leadferry/routing/ShadowedRouteFinder.java
@@ -5,76 +5,81 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds routes that can never win, by the order of precedence of {@link RouteTable}. */
+/** Finds routes that no request can select under the order of precedence of {@link RouteTable}. */
 public final class ShadowedRouteFinder {
-  /** A route that another one always beats. */
+  /** A route that another route always precedes; both are indexes in the list of routes. */
   public record ShadowedRoute(int routeIndex, int winnerIndex) {}
 
   private ShadowedRouteFinder() {}
 
   /**
-   * The routes of a listener that can't be reached, each with the one that wins in its place. Found
-   * are routes of one host and path of which one covers the conditions of another, and whatever
-   * stands behind a regular expression that takes every path. Regular expressions are not compared
-   * with each other beyond their text: whether one contains another is not told in linear time.
+   * Returns the unreachable routes of a listener, each with the route that is selected instead.
+   *
+   * <p>A route is found if another one with the same host and path covers its conditions, or if it
+   * follows a regular expression that matches every path. Regular expressions are compared with
+   * each other by their text only: whether one contains another can't be decided in linear time.
    */
   public static <T> List<ShadowedRoute> findShadowed(List<RouteRule<T>> rules) {
-    Map<String, List<Integer>> groups = new HashMap<>();
-    Map<String, List<Integer>> catchAll = new HashMap<>();
+    Map<String, List<Integer>> routesByGroup = new HashMap<>();
+    Map<String, List<Integer>> catchAllsByHost = new HashMap<>();
     for (int i = 0; i < rules.size(); i++) {
-      RouteRule<T> r = rules.get(i);
-      for (String host : r.hostPatterns()) {
-        groups.computeIfAbsent(group(host, r), k -> new ArrayList<>(1)).add(i);
-        if (r.matchesAnyPath()) {
-          catchAll.computeIfAbsent(host, k -> new ArrayList<>(1)).add(i);
+      RouteRule<T> rule = rules.get(i);
+      for (String host : rule.hostPatterns()) {
+        routesByGroup.computeIfAbsent(groupKey(host, rule), k -> new ArrayList<>(1)).add(i);
+        if (rule.matchesAnyPath()) {
+          catchAllsByHost.computeIfAbsent(host, k -> new ArrayList<>(1)).add(i);
         }
       }
     }
-    List<ShadowedRoute> found = new ArrayList<>();
+    List<ShadowedRoute> shadowedRoutes = new ArrayList<>();
     for (int i = 0; i < rules.size(); i++) {
-      int by = -1;
+      int winnerIndex = -1;
       for (String host : rules.get(i).hostPatterns()) {
-        by = winner(rules, i, groups.get(group(host, rules.get(i))));
-        if (by < 0) {
-          by = behind(rules, i, catchAll.getOrDefault(host, List.of()));
+        winnerIndex = findWinnerInGroup(rules, i, routesByGroup.get(groupKey(host, rules.get(i))));
+        if (winnerIndex < 0) {
+          winnerIndex =
+              findPrecedingCatchAll(rules, i, catchAllsByHost.getOrDefault(host, List.of()));
         }
-        if (by < 0) {
-          break; // it can win for this host
+        if (winnerIndex < 0) {
+          break; // the route is reachable for this host
         }
       }
-      if (by >= 0) {
-        found.add(new ShadowedRoute(i, by));
+      if (winnerIndex >= 0) {
+        shadowedRoutes.add(new ShadowedRoute(i, winnerIndex));
       }
     }
-    return found;
+    return shadowedRoutes;
   }
 
-  private static String group(String host, RouteRule<?> r) {
-    return host + '\0' + r.kind() + '\0' + r.path();
+  private static String groupKey(String host, RouteRule<?> rule) {
+    return host + '\0' + rule.kind() + '\0' + rule.path();
   }
 
-  private static <T> int winner(List<RouteRule<T>> rules, int i, List<Integer> group) {
-    RouteRule<T> r = rules.get(i);
-    for (int j : group) {
-      RouteRule<T> other = rules.get(j);
-      boolean before =
-          (r.kind() == RouteRule.Kind.REGEX || other.conditionCount() == r.conditionCount())
-              ? j < i
-              : other.conditionCount() > r.conditionCount();
-      if (j != i && before && other.covers(r)) {
-        return j;
+  private static <T> int findWinnerInGroup(
+      List<RouteRule<T>> rules, int index, List<Integer> group) {
+    RouteRule<T> rule = rules.get(index);
+    for (int otherIndex : group) {
+      RouteRule<T> other = rules.get(otherIndex);
+      boolean precedes =
+          (rule.kind() == RouteRule.Kind.REGEX || other.conditionCount() == rule.conditionCount())
+              ? otherIndex < index
+              : other.conditionCount() > rule.conditionCount();
+      if (otherIndex != index && precedes && other.covers(rule)) {
+        return otherIndex;
       }
     }
     return -1;
   }
 
-  private static <T> int behind(List<RouteRule<T>> rules, int i, List<Integer> catchAll) {
-    RouteRule<T> r = rules.get(i);
-    for (int j : catchAll) {
-      boolean before =
-          r.kind() == RouteRule.Kind.PREFIX || (r.kind() == RouteRule.Kind.REGEX && j < i);
-      if (j != i && before && rules.get(j).covers(r)) {
-        return j;
+  private static <T> int findPrecedingCatchAll(
+      List<RouteRule<T>> rules, int index, List<Integer> catchAll) {
+    RouteRule<T> rule = rules.get(index);
+    for (int otherIndex : catchAll) {
+      boolean precedes =
+          rule.kind() == RouteRule.Kind.PREFIX
+              || (rule.kind() == RouteRule.Kind.REGEX && otherIndex < index);
+      if (otherIndex != index && precedes && rules.get(otherIndex).covers(rule)) {
+        return otherIndex;
       }
     }
     return -1;
--- a/src/main/java/leadferry/routing/SubstringMap.java
+++ b/src/main/java/leadferry/routing/SubstringMap.java
@@ -1,38 +1,44 @@
 package leadferry.routing;
 
 /**
- * An immutable-after-build hash table from strings to values that is asked with a region of a
- * string, so that a look-up of each prefix of a path allocates nothing. Open addressing, at most
- * half full; the hash is the polynomial of {@link String#hashCode}, which grows by one step a char.
+ * A hash map with string keys that looks up a region of a string without allocating a substring.
+ * Not modified after it is built. Uses open addressing and is at most half full. The hash is the
+ * polynomial of {@link String#hashCode}, which is extended by one step per char.
  */
 final class SubstringMap<V> {
   private String[] keys = new String[16];
 
-  /** The keys' hashes beside each other: most keys that are not asked for need not be touched. */
+  /**
+   * The hashes of the keys, in an array of their own: most look-ups that miss need not read a key.
+   */
   private int[] hashes = new int[16];
 
   private Object[] values = new Object[16];
   private int size;
 
-  static int extendHash(int hash, char c) {
-    return 31 * hash + c;
+  static int extendHash(int hash, char character) {
+    return 31 * hash + character;
   }
 
-  /** The value of the first {@code length} chars from {@code from}, whose hash is known. */
-  V get(String s, int from, int length, int hash) {
+  /**
+   * Returns the value of the {@code length} chars at {@code start}, or null.
+   *
+   * @param hash the hash of the region, see {@link #extendHash}
+   */
+  V get(String text, int start, int length, int hash) {
     int mask = keys.length - 1;
-    for (int i = spread(hash) & mask; keys[i] != null; i = i + 1 & mask) {
-      if (hashes[i] == hash
-          && keys[i].length() == length
-          && s.regionMatches(from, keys[i], 0, length)) {
-        return value(i);
+    for (int index = spreadBits(hash) & mask; keys[index] != null; index = index + 1 & mask) {
+      if (hashes[index] == hash
+          && keys[index].length() == length
+          && text.regionMatches(start, keys[index], 0, length)) {
+        return valueAt(index);
       }
     }
     return null;
   }
 
-  V get(String s) {
-    return get(s, 0, s.length(), s.hashCode());
+  V get(String text) {
+    return get(text, 0, text.length(), text.hashCode());
   }
 
   void put(String key, V value) {
@@ -40,14 +46,14 @@
       grow();
     }
     int mask = keys.length - 1;
-    int i = spread(key.hashCode()) & mask;
-    while (keys[i] != null && !keys[i].equals(key)) {
-      i = i + 1 & mask;
+    int index = spreadBits(key.hashCode()) & mask;
+    while (keys[index] != null && !keys[index].equals(key)) {
+      index = index + 1 & mask;
     }
-    size += keys[i] == null ? 1 : 0;
-    keys[i] = key;
-    hashes[i] = key.hashCode();
-    values[i] = value;
+    size += keys[index] == null ? 1 : 0;
+    keys[index] = key;
+    hashes[index] = key.hashCode();
+    values[index] = value;
   }
 
   boolean isEmpty() {
@@ -55,8 +61,8 @@
   }
 
   @SuppressWarnings("unchecked")
-  private V value(int i) {
-    return (V) values[i];
+  private V valueAt(int index) {
+    return (V) values[index];
   }
 
   private void grow() {
@@ -66,21 +72,21 @@
     hashes = new int[2 * oldKeys.length];
     values = new Object[2 * oldKeys.length];
     int mask = keys.length - 1;
-    for (int j = 0; j < oldKeys.length; j++) {
-      if (oldKeys[j] != null) {
-        int i = spread(oldKeys[j].hashCode()) & mask;
-        while (keys[i] != null) {
-          i = i + 1 & mask;
+    for (int oldIndex = 0; oldIndex < oldKeys.length; oldIndex++) {
+      if (oldKeys[oldIndex] != null) {
+        int index = spreadBits(oldKeys[oldIndex].hashCode()) & mask;
+        while (keys[index] != null) {
+          index = index + 1 & mask;
         }
-        keys[i] = oldKeys[j];
-        hashes[i] = oldKeys[j].hashCode();
-        values[i] = oldValues[j];
+        keys[index] = oldKeys[oldIndex];
+        hashes[index] = oldKeys[oldIndex].hashCode();
+        values[index] = oldValues[oldIndex];
       }
     }
   }
 
-  private static int spread(int h) {
-    h *= 0x9E3779B9;
-    return h ^ h >>> 15;
+  private static int spreadBits(int hash) {
+    hash *= 0x9E3779B9;
+    return hash ^ hash >>> 15;
   }
 }
--- a/src/main/java/leadferry/routing/WeightedSplit.java
+++ b/src/main/java/leadferry/routing/WeightedSplit.java
@@ -3,20 +3,31 @@
 import java.util.List;
 
 /**
- * A weighted choice between pools that keeps a key on one side as weights move: weighted rendezvous
- * hashing (Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", SPAA 2005). Each pool
- * has for each key an exponential variable of its weight's rate, and the least wins; so a key moves
- * only to a pool whose weight rose, or from one whose weight fell, and pools get keys in proportion
- * to their weights. Costs one logarithm a pool; the order of the pools is of no account.
+ * Weighted choice between pools by weighted rendezvous hashing (Schindelhauer and Schomaker,
+ * "Weighted Distributed Hash Tables", SPAA 2005).
+ *
+ * <p>For each key, each pool draws an exponential variable whose rate is the weight of the pool;
+ * the pool with the least value is chosen. Pools receive keys in proportion to their weights. When
+ * weights change, a key moves only to a pool whose weight rose or from a pool whose weight fell. A
+ * choice costs one logarithm per pool and does not depend on the order of the pools.
  */
 public final class WeightedSplit<T> {
-  /** A pool of the split by name, its weight (0 or more), and what it leads to. */
+  /**
+   * One pool of a split.
+   *
+   * @param weight the weight, 0 or more
+   * @param target the target of the pool
+   */
   public record Part<T>(String name, double weight, T target) {}
 
   private final List<Part<T>> parts;
   private final long[] salts;
 
-  /** Parts of which at least one has a weight. */
+  /**
+   * Creates a split.
+   *
+   * @throws IllegalArgumentException if no part has a weight above 0
+   */
   public WeightedSplit(List<Part<T>> parts) {
     this.parts = List.copyOf(parts);
     this.salts = new long[parts.size()];
@@ -28,8 +39,12 @@
     }
   }
 
-  /** The part for a key, by its {@link #hash}. */
-  public T pick(long key) {
+  /**
+   * Returns the target for a key.
+   *
+   * @param keyHash the {@link #hash} of the key
+   */
+  public T pick(long keyHash) {
     if (salts.length == 1) {
       return parts.get(0).target();
     }
@@ -38,8 +53,8 @@
     for (int i = 0; i < salts.length; i++) {
       double weight = parts.get(i).weight();
       if (weight > 0) {
-        double u = ((mix(key ^ salts[i]) >>> 11) + 0.5) * 0x1p-53;
-        double score = -Math.log(u) / weight;
+        double uniform = ((mixBits(keyHash ^ salts[i]) >>> 11) + 0.5) * 0x1p-53;
+        double score = -Math.log(uniform) / weight;
         if (score < least) {
           least = score;
           best = parts.get(i).target();
@@ -49,18 +64,18 @@
     return best;
   }
 
-  /** The number of a key; the same in every process and every version. */
+  /** Returns the hash of a key, which is the same in every process and every version. */
   public static long hash(String key) {
-    long h = 0xcbf29ce484222325L;
+    long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < key.length(); i++) {
-      h = (h ^ key.charAt(i)) * 0x100000001b3L;
+      hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
     }
-    return mix(h);
+    return mixBits(hash);
   }
 
-  private static long mix(long z) {
-    z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-    z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-    return z ^ z >>> 31;
+  private static long mixBits(long bits) {
+    bits = (bits ^ bits >>> 30) * 0xbf58476d1ce4e5b9L;
+    bits = (bits ^ bits >>> 27) * 0x94d049bb133111ebL;
+    return bits ^ bits >>> 31;
   }
 }
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -92,12 +92,12 @@
     Path sound = Files.writeString(folder.resolve("s.toml"), keeper("k1", lost.toString(), ""));
     Run empty = run("keeper", "--config", sound.toString());
     assertThat(empty.status()).isEqualTo(2);
-    assertThat(empty.err()).contains("no replica's log", "--new");
+    assertThat(empty.err()).contains("no replica log found", "--new");
     Files.createDirectories(lost);
     Files.writeString(lost.resolve("keeper"), "f/k7\n");
     Run other = run("keeper", "--config", sound.toString(), "--new");
     assertThat(other.status()).isEqualTo(2);
-    assertThat(other.err()).contains("of replica f/k7 (expected: of f/k1)");
+    assertThat(other.err()).contains("belongs to replica f/k7 (expected: f/k1)");
   }
 
   @Test
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -18,7 +18,7 @@
 class FleetStateMachineTest {
   private final FleetStateMachine stateMachine =
       new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
-  private long number;
+  private long reportNumber;
 
   private JsonNode apply(ObjectNode entry) {
     return stateMachine.apply(Json.bytes(entry));
@@ -46,12 +46,13 @@
     return apply(entry).path("session").asLong();
   }
 
-  private JsonNode tell(String name, long session, boolean serving, String busy, String suspects) {
+  private JsonNode report(
+      String name, long session, boolean serving, String busy, String suspects) {
     ObjectNode entry =
         operation("tell")
             .put("name", name)
             .put("session", session)
-            .put("number", ++number)
+            .put("number", ++reportNumber)
             .put("seen", stateMachine.version())
             .put("serving", serving);
     entry.putArray("busy").add(busy);
@@ -63,7 +64,7 @@
     return apply(operation("drain").put("kind", kind).put("name", name));
   }
 
-  private void budget(String name, String type, String label, int maxOut, double maxShare) {
+  private void replaceBudgets(String name, String type, String label, int maxOut, double maxShare) {
     ObjectNode entry =
         operation("budgets")
             .put("against", stateMachine.status(false).path("budgets_version").asLong());
@@ -82,7 +83,7 @@
     return outcome.path("status").asText();
   }
 
-  private void timeout(String prefix) {
+  private void expireTimers(String prefix) {
     for (String timer : List.copyOf(stateMachine.timers().keySet())) {
       if (timer.startsWith(prefix)) {
         apply(LogEntryCodec.encodeExpiry(timer));
@@ -91,8 +92,8 @@
   }
 
   @Test
-  void aCallAskedAgainGetsItsOneOutcomeAndAnIdUsedForSomethingElseIsToldSo() {
-    tell("a", join("a", "z"), true, "", "");
+  void repeatedCallGetsItsFirstOutcomeAndReusedIdIsAConflict() {
+    report("a", join("a", "z"), true, "", "");
     ObjectNode first =
         operation("drain").put("kind", "host").put("name", "h1").put("call", "1").put("at", 5);
     assertThat(statusOf(apply(first))).isEqualTo("granted");
@@ -104,60 +105,60 @@
   }
 
   @Test
-  void budgetsCountByLabelAndTheStricterWins() {
+  void budgetsCountByLabelAndTheStricterApplies() {
     long sessionOfA = join("a", "z");
-    tell("a", sessionOfA, true, "", "");
-    budget("zones", "host", "zone", 1, 2);
+    report("a", sessionOfA, true, "", "");
+    replaceBudgets("zones", "host", "zone", 1, 2);
     assertThat(statusOf(drain("host", "h1"))).isEqualTo("granted");
     assertThat(statusOf(drain("host", "h3"))).as("the same zone").isEqualTo("refused");
     assertThat(statusOf(drain("host", "h2"))).as("the other zone").isEqualTo("granted");
-    budget("share", "host", "all", -1, 0.34);
+    replaceBudgets("share", "host", "all", -1, 0.34);
     assertThat(drain("host", "h6").path("why").toString())
         .contains("share: 2 out, 2 allowed")
         .contains("h1 (permit 1)");
   }
 
   @Test
-  void theLastHostOfAPoolAndTheLastProxyStay() {
-    tell("a", join("a", "z"), true, "", "");
-    budget("any", "host", "all", 100, 2);
+  void lastEndpointOfAPoolAndLastProxyAreNotDrained() {
+    report("a", join("a", "z"), true, "", "");
+    replaceBudgets("any", "host", "all", 100, 2);
     assertThat(statusOf(drain("host", "h5"))).isEqualTo("granted");
     assertThat(drain("host", "h6").path("why").toString()).contains("the last host of pool next");
     assertThat(drain("proxy", "a").path("why").toString()).contains("the last proxy");
   }
 
   @Test
-  void aHostThatTwoProxiesEjectedUsesTheBudgetUpUntilItHasWarmedUp() {
+  void endpointEjectedByTwoProxiesUsesTheBudgetUntilItHasWarmedUp() {
     long sessionOfA = join("a", "z");
     long sessionOfB = join("b", "z");
-    tell("a", sessionOfA, true, "", "h2");
-    tell("b", sessionOfB, true, "", "");
-    assertThat(statusOf(drain("host", "h1"))).as("one alone does not count").isEqualTo("granted");
+    report("a", sessionOfA, true, "", "h2");
+    report("b", sessionOfB, true, "", "");
+    assertThat(statusOf(drain("host", "h1"))).as("ejected by one proxy only").isEqualTo("granted");
     apply(operation("undo").put("permit", "1"));
-    tell("a", sessionOfA, true, "", "h2");
-    tell("b", sessionOfB, true, "", "h2");
-    timeout("warm:h1");
+    report("a", sessionOfA, true, "", "h2");
+    report("b", sessionOfB, true, "", "h2");
+    expireTimers("warm:h1");
     assertThat(drain("host", "h1").path("why").toString()).contains("h2 (ejected by 2)");
-    tell("a", sessionOfA, true, "", "");
+    report("a", sessionOfA, true, "", "");
     assertThat(drain("host", "h1").path("why").toString()).contains("h2 (warming up)");
-    timeout("warm:");
+    expireTimers("warm:");
     assertThat(statusOf(drain("host", "h1"))).isEqualTo("granted");
   }
 
   @Test
-  void aHostIsOutOnlyWhenAllKnowAndHaveNothingInFlightThere() {
+  void endpointIsDrainedOnlyOnceAllProxiesKnowAndHaveNoRequestInFlight() {
     long sessionOfA = join("a", "z");
     long sessionOfB = join("b", "z");
-    tell("a", sessionOfA, true, "", "");
-    tell("b", sessionOfB, true, "", "");
+    report("a", sessionOfA, true, "", "");
+    report("b", sessionOfB, true, "", "");
     drain("host", "h1");
     assertThat(stateMachine.grantStatus("1").path("awaited")).hasSize(2);
-    tell("a", sessionOfA, true, "h1", "");
-    tell("b", sessionOfB, true, "", "");
+    report("a", sessionOfA, true, "h1", "");
+    report("b", sessionOfB, true, "", "");
     assertThat(stateMachine.grantStatus("1").path("awaited").toString())
         .contains("in flight")
         .doesNotContain("\"b\"");
-    tell("a", sessionOfA, true, "", "");
+    report("a", sessionOfA, true, "", "");
     assertThat(stateMachine.grantStatus("1").path("carried_out").asBoolean()).isTrue();
     apply(operation("expire").put("name", "b").put("session", sessionOfB));
     assertThat(stateMachine.grantStatus("1").path("awaited").path("b").asText())
@@ -167,31 +168,31 @@
   }
 
   @Test
-  void aPermitRunsOutOnlyAfterItsFenceAndCountsUntilItsHolderServes() {
+  void grantExpiresOnlyAfterItsFenceAndCountsUntilItsHolderServes() {
     long sessionOfA = join("a", "z");
     long sessionOfB = join("b", "z");
-    tell("a", sessionOfA, true, "", "");
-    tell("b", sessionOfB, true, "", "");
+    report("a", sessionOfA, true, "", "");
+    report("b", sessionOfB, true, "", "");
     apply(operation("drain").put("kind", "proxy").put("name", "a").put("for_ms", 1_000));
     assertThat(stateMachine.timers()).containsEntry("permit:1", 1_100L);
-    tell("a", sessionOfA, false, "", "");
-    timeout("permit:");
+    report("a", sessionOfA, false, "", "");
+    expireTimers("permit:");
     assertThat(statusOf(drain("proxy", "b"))).isEqualTo("refused");
-    tell("a", sessionOfA, true, "", "");
+    report("a", sessionOfA, true, "", "");
     assertThat(drain("proxy", "b").path("why").toString()).contains("settling");
-    timeout("settle:");
+    expireTimers("settle:");
     assertThat(statusOf(drain("proxy", "b"))).isEqualTo("granted");
   }
 
   @Test
-  void anOldWordThatComesLateChangesNothing() {
+  void lateReportChangesNothing() {
     long sessionOfA = join("a", "z");
-    tell("a", sessionOfA, true, "", "");
+    report("a", sessionOfA, true, "", "");
     apply(
         operation("tell")
             .put("name", "a")
             .put("session", sessionOfA)
-            .put("number", number - 1)
+            .put("number", reportNumber - 1)
             .put("seen", 0)
             .put("serving", false));
     assertThat(stateMachine.status(false).path("proxies").path(0).path("serving").asBoolean())
@@ -207,7 +208,7 @@
   }
 
   @Test
-  void aNameInUseIsNotGivenToASecondProcess() {
+  void nameInUseIsRefusedToASecondProcess() {
     join("a", "z");
     ObjectNode entry =
         operation("join").put("name", "a").put("incarnation", "other").put("lease_ms", 1_000);
@@ -216,7 +217,7 @@
   }
 
   @Test
-  void faultyBudgetsAndEntriesChangeNothing() {
+  void malformedBudgetsAndEntriesChangeNothing() {
     ObjectNode entry = operation("budgets").put("against", 0);
     entry.putArray("budgets").addObject().put("name", "x").put("of", "cat").put("by", "moon");
     assertThat(apply(entry).path("why")).hasSize(3);
@@ -227,20 +228,20 @@
   }
 
   @Test
-  void aLaterSchemaIsNeverGuessedAt() {
+  void newerSchemaIsRejected() {
     assertThatThrownBy(() -> apply(operation("halt").put("schema", 2)))
         .isInstanceOf(LaterSchemaException.class);
     ObjectNode later = Json.parse(stateMachine.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> stateMachine.restore(Json.bytes(later)))
-        .hasMessageContaining("later build");
+        .hasMessageContaining("newer version");
   }
 
   /**
-   * Any entries in any order: whoever restored a snapshot half way comes to the same, byte for
-   * byte.
+   * Guards against a snapshot that omits part of the state. Applies random entries and restores a
+   * snapshot taken at a random position; the final state must match byte for byte.
    */
   @Test
-  void aSnapshotRestoredAnywhereLeadsToTheSameState() {
+  void snapshotRestoredAtAnyEntryLeadsToTheSameState() {
     for (int seed = 0; seed < 40; seed++) {
       Random random = new Random(seed);
       FleetStateMachine whole = new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
