--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -23,13 +23,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All interleavings of three proxies, two operators, late views, late reports, lost sessions and
- * restarts, to a stated depth, in one thread: who really serves is kept beside the state machine
- * and compared with what it allows.
+ * Guards against more proxies being drained at once than allowed. Explores all interleavings of
+ * three proxies, two operators, late views, late reports, ended sessions and restarts to a fixed
+ * depth in one thread, and random walks beyond it. The test tracks which proxies actually serve and
+ * compares that with what the state machine allows.
  */
 class DrainStateSpaceTest {
   private static final List<String> PROXIES = List.of("a", "b", "c");
-  private static final int ALLOWED = 1;
+  private static final int MAX_PROXIES_OUT = 1;
   private static final int DEPTH = Integer.getInteger("walk.depth", 6);
 
   private static final int LEASE_MILLIS = 1_000;
@@ -37,38 +38,37 @@
   private static final int MAX_CRASHES = 1;
 
   /**
-   * A proxy's process: what it goes by, what it really does, and what it has reported that is still
-   * on its way.
+   * A proxy's process: the view that it follows, whether it serves, and its messages in transit.
    */
-  private static final class Process {
+  private static final class ProxyProcess {
     final ProxyMemberView view;
     final ArrayDeque<JsonNode> pushedViews = new ArrayDeque<>();
     final ArrayDeque<byte[]> reports = new ArrayDeque<>();
-    boolean runs = true;
-    boolean serves = true;
+    boolean running = true;
+    boolean serving = true;
     long session;
     long reportNumber;
 
-    Process(String name) {
+    ProxyProcess(String name) {
       view = new ProxyMemberView(name);
     }
   }
 
-  /** One state of the whole system, rebuilt by taking its steps. */
+  /** One state of the whole system, rebuilt by replaying its steps. */
   private final class DrainModel implements StateSpaceExplorer.SystemModel {
     private final Predicate<DrainModel> invariant;
 
     final FleetStateMachine stateMachine =
         new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
-    final Map<String, Process> processes = new HashMap<>();
+    final Map<String, ProxyProcess> processes = new HashMap<>();
     final Set<String> permits = new TreeSet<>();
-    int crashes;
+    int crashCount;
     long pushedVersion;
 
     DrainModel(Predicate<DrainModel> invariant) {
       this.invariant = invariant;
       for (String name : PROXIES) {
-        processes.put(name, new Process(name));
+        processes.put(name, new ProxyProcess(name));
         join(name);
         processes.get(name).pushedViews.clear();
         report(name);
@@ -83,7 +83,7 @@
         pushedVersion = view.path("version").asLong();
         processes.forEach(
             (name, process) -> {
-              if (process.runs && hasSession(name)) {
+              if (process.running && hasSession(name)) {
                 process.pushedViews.add(view);
               }
             });
@@ -102,13 +102,13 @@
     }
 
     void join(String name) {
-      Process process = processes.get(name);
+      ProxyProcess process = processes.get(name);
       ObjectNode outcome =
           apply(
               Json.object()
                   .put("op", "join")
                   .put("name", name)
-                  .put("incarnation", name + crashes)
+                  .put("incarnation", name + crashCount)
                   .put("lease_ms", LEASE_MILLIS));
       if (outcome.path("status").asText().equals("done")) {
         process.session = outcome.path("session").asLong();
@@ -116,21 +116,24 @@
         process.reports.clear();
         process.pushedViews.clear();
         process.view.onSessionStarted();
-        take(name, outcome.path("view"));
+        applyView(name, outcome.path("view"));
       }
     }
 
-    /** Goes by a pushed view, or by an answer to its joining, and reports so. */
-    void take(String name, JsonNode view) {
-      Process process = processes.get(name);
+    /**
+     * Applies a pushed view, or the view in the response to a join, and reports the resulting
+     * state.
+     */
+    void applyView(String name, JsonNode view) {
+      ProxyProcess process = processes.get(name);
       if (process.view.applyView(view, stateMachine.isSessionLive(name, process.session), 0)) {
-        process.serves = !process.view.isOutOfService();
+        process.serving = !process.view.isOutOfService();
         report(name);
       }
     }
 
     void report(String name) {
-      Process process = processes.get(name);
+      ProxyProcess process = processes.get(name);
       process.reports.add(
           Json.bytes(
               Json.object()
@@ -139,10 +142,10 @@
                   .put("session", process.session)
                   .put("number", ++process.reportNumber)
                   .put("seen", process.view.version())
-                  .put("serving", process.serves)));
+                  .put("serving", process.serving)));
     }
 
-    /** What can happen next. */
+    /** Returns the steps that are possible next. */
     @Override
     public List<Step> possibleSteps() {
       List<Step> steps = new ArrayList<>();
@@ -154,59 +157,64 @@
       addOperatorSteps(steps);
       for (String timer : stateMachine.timers().keySet()) {
         if (!SessionTable.isSessionTimer(timer)) {
-          steps.add(new Step("time " + timer, () -> apply(LogEntryCodec.encodeExpiry(timer))));
+          steps.add(
+              new Step("expire timer " + timer, () -> apply(LogEntryCodec.encodeExpiry(timer))));
         }
       }
       return steps;
     }
 
     private void addMessageSteps(String name, List<Step> steps) {
-      Process process = processes.get(name);
-      if (process.runs && !process.pushedViews.isEmpty()) {
-        steps.add(new Step("news " + name, () -> take(name, process.pushedViews.remove())));
+      ProxyProcess process = processes.get(name);
+      if (process.running && !process.pushedViews.isEmpty()) {
+        steps.add(
+            new Step(
+                "deliver view to " + name, () -> applyView(name, process.pushedViews.remove())));
       }
       if (!process.reports.isEmpty()) {
-        steps.add(new Step("word " + name, () -> apply(Json.parse(process.reports.remove()))));
+        steps.add(
+            new Step(
+                "deliver report of " + name, () -> apply(Json.parse(process.reports.remove()))));
       }
     }
 
     private void addFaultSteps(String name, List<Step> steps) {
-      if (!processes.get(name).runs || crashes >= MAX_CRASHES) {
+      if (!processes.get(name).running || crashCount >= MAX_CRASHES) {
         return;
       }
       steps.add(new Step("crash " + name, () -> crash(name)));
       steps.add(
           new Step(
-              "cut off " + name,
+              "disconnect " + name,
               () -> {
-                crashes++; // stopped, say: what was on its way to it stays there
-                // Its own lease is over before this is applied: LeaseTest.
+                crashCount++; // for example a stopped process: its messages stay in transit
+                // LeaseTest shows that the member's own lease has ended by now.
                 expireSession(name);
               }));
     }
 
     private void crash(String name) {
-      Process process = processes.get(name);
-      crashes++;
-      process.runs = false;
-      process.serves = false;
+      ProxyProcess process = processes.get(name);
+      crashCount++;
+      process.running = false;
+      process.serving = false;
       process.pushedViews.clear();
       process.reports.clear();
     }
 
     private void addSessionSteps(String name, List<Step> steps) {
-      Process process = processes.get(name);
+      ProxyProcess process = processes.get(name);
       boolean lives = hasSession(name);
-      if (!process.runs && lives) {
-        steps.add(new Step("expire " + name, () -> expireSession(name)));
+      if (!process.running && lives) {
+        steps.add(new Step("expire session of " + name, () -> expireSession(name)));
       }
       if (!lives) {
         steps.add(
             new Step(
                 "join " + name,
                 () -> {
-                  process.serves &= process.runs || !process.view.isOutOfService();
-                  process.runs = true;
+                  process.serving &= process.running || !process.view.isOutOfService();
+                  process.running = true;
                   join(name);
                 }));
       }
@@ -235,12 +243,12 @@
       }
     }
 
-    /** Those that are out by decision, not by the walk's own crash. */
-    Set<String> out() {
+    /** Returns the running proxies that do not serve, without those that the test has crashed. */
+    Set<String> proxiesOutOfService() {
       Set<String> out = new TreeSet<>();
       processes.forEach(
           (name, process) -> {
-            if (process.runs && !process.serves) {
+            if (process.running && !process.serving) {
               out.add(name);
             }
           });
@@ -249,10 +257,13 @@
 
     @Override
     public String violation() {
-      return invariant.test(this) ? "" : "out: " + out();
+      return invariant.test(this) ? "" : "out: " + proxiesOutOfService();
     }
 
-    /** The state but for numbers that only count up: what matters of those is their order. */
+    /**
+     * Identifies the state. Counters that only increase are replaced by their ranks, because only
+     * their order matters.
+     */
     @Override
     public String stateKey() {
       ObjectNode snapshot = Json.parse(stateMachine.snapshot());
@@ -261,8 +272,8 @@
       processes.forEach(
           (name, process) -> {
             text.append(name)
-                .append(process.runs)
-                .append(process.serves)
+                .append(process.running)
+                .append(process.serving)
                 .append("\"seen\":")
                 .append(process.view.version())
                 .append("\"id\":")
@@ -272,11 +283,11 @@
                 report -> text.append(new String(report, StandardCharsets.UTF_8)));
           });
       return HexFormat.of()
-          .formatHex(digest(replaceCountersByRanks(text.append(crashes).toString())));
+          .formatHex(digest(replaceCountersByRanks(text.append(crashCount).toString())));
     }
   }
 
-  /** Replaces numbers that only count up by their ranks, so that only their order counts. */
+  /** Replaces counters that only increase by their ranks. */
   static String replaceCountersByRanks(String text) {
     String ranked = text;
     for (String names :
@@ -312,30 +323,33 @@
   }
 
   @Test
-  void neverMoreProxiesAreOutByDecisionThanAllowed() {
+  void allInterleavingsNeverTakeMoreProxiesOutOfServiceThanAllowed() {
     StateSpaceExplorer explorer =
-        new StateSpaceExplorer(() -> new DrainModel(world -> world.out().size() <= ALLOWED));
+        new StateSpaceExplorer(
+            () -> new DrainModel(model -> model.proxiesOutOfService().size() <= MAX_PROXIES_OUT));
     assertThat(explorer.exploreAll(DEPTH)).isEmpty();
     System.out.println(
-        "drains walked: " + explorer.stateCount() + " states to a depth of " + DEPTH);
+        "drains explored: " + explorer.stateCount() + " states to a depth of " + DEPTH);
     assertThat(explorer.stateCount()).isGreaterThan(1_000);
   }
 
   @Test
-  void walksAtRandomFarBeyondThatDepthKeepThePromise() {
+  void randomWalksNeverTakeMoreProxiesOutOfServiceThanAllowed() {
     StateSpaceExplorer explorer =
-        new StateSpaceExplorer(() -> new DrainModel(world -> world.out().size() <= ALLOWED));
+        new StateSpaceExplorer(
+            () -> new DrainModel(model -> model.proxiesOutOfService().size() <= MAX_PROXIES_OUT));
     for (long seed = 1; seed <= Integer.getInteger("walk.seeds", 300); seed++) {
       assertThat(explorer.randomWalk(seed, 60)).as("seed " + seed).isEmpty();
     }
   }
 
   @Test
-  void whatARandomWalkFindsIsCutDownToWhatMatters() {
+  void violationInRandomWalkIsShrunkToTheRequiredSteps() {
     assertThat(
-            new StateSpaceExplorer(() -> new DrainModel(world -> !world.out().contains("a")))
+            new StateSpaceExplorer(
+                    () -> new DrainModel(model -> !model.proxiesOutOfService().contains("a")))
                 .randomWalk(1, 60))
         .hasSize(3)
-        .contains("drain a", "news a", "=> out: [a]");
+        .contains("drain a", "deliver view to a", "=> out: [a]");
   }
 }
--- a/src/test/java/leadferry/consensus/LeaseTest.java
+++ b/src/test/java/leadferry/consensus/LeaseTest.java
@@ -6,97 +6,103 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The two ends of a session's time, on clocks of the test's own. */
+/**
+ * Guards against a leader that expires a session while the member still relies on its lease. Runs
+ * the member's {@link Lease} and the leader's {@link LeaseTimers} on simulated clocks.
+ */
 class LeaseTest {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final Map<String, Long> ONE_TIMER = Map.of("s", 1_000L);
 
   @Test
-  void theMemberKnowsFirstWhateverTheDelaysAndWithClocksATenthApart() {
+  void memberLeaseEndsFirstWithDelayedRenewalsAndClocksATenthApart() {
     Random random = new Random(5);
     for (int run = 0; run < 2_000; run++) {
-      double speed = 0.91 + 0.18 * random.nextDouble(); // the leader's clock against the member's
-      new Renewals(random, speed).untilTheLeaderEndsTheSession("run " + run);
+      double speed = 0.91 + 0.18 * random.nextDouble(); // leader's clock relative to the member's
+      new RenewalSimulation(random, speed).runUntilLeaderExpiresSession("run " + run);
     }
   }
 
-  /** A member and a leader, and renewals that are delayed or lost on their way. */
-  private static final class Renewals {
+  /** A member and a leader whose renewals are delayed or lost in transit. */
+  private static final class RenewalSimulation {
     private static final int STEP_MILLIS = 10;
     private static final int RENEWAL_MILLIS = 200;
     private static final int MAX_DELAY_MILLIS = 600;
-    private static final int LOST_ONE_IN = 8;
-    private static final int LONGEST_RUN_MILLIS = 100_000;
-    private static final double NOT_UNDER_WAY = -1;
+    private static final int LOSS_ONE_IN = 8;
+    private static final int MAX_RUN_MILLIS = 100_000;
+    private static final double NONE_IN_FLIGHT = -1;
 
     private final Random random;
-    private final double speed;
+    private final double leaderClockSpeed;
     private final LeaseTimers leader = new LeaseTimers();
     private final Lease lease = new Lease(1_000);
-    private double now;
-    private double nextRenewalAt;
-    private double heardAt = NOT_UNDER_WAY;
-    private double answeredAt = NOT_UNDER_WAY;
-    private long askedAtNanos;
+    private double nowMillis;
+    private double nextRenewalMillis;
+    private double requestArrivalMillis = NONE_IN_FLIGHT;
+    private double responseArrivalMillis = NONE_IN_FLIGHT;
+    private long requestedAtNanos;
 
-    Renewals(Random random, double speed) {
+    RenewalSimulation(Random random, double speed) {
       this.random = random;
-      this.speed = speed;
+      this.leaderClockSpeed = speed;
       leader.reset(0);
       leader.pollExpired(ONE_TIMER, 0);
     }
 
-    void untilTheLeaderEndsTheSession(String description) {
-      boolean over = false;
-      while (!over && now <= LONGEST_RUN_MILLIS) {
-        now += STEP_MILLIS;
-        ask();
-        reachLeader();
-        reachMember();
-        over = !leader.pollExpired(ONE_TIMER, leaderNanos()).isEmpty();
-        if (over) {
+    void runUntilLeaderExpiresSession(String description) {
+      boolean expired = false;
+      while (!expired && nowMillis <= MAX_RUN_MILLIS) {
+        nowMillis += STEP_MILLIS;
+        sendRenewalIfDue();
+        deliverRequestIfArrived();
+        deliverResponseIfArrived();
+        expired = !leader.pollExpired(ONE_TIMER, leaderNanos()).isEmpty();
+        if (expired) {
           assertThat(lease.isHeld(memberNanos())).as(description).isFalse();
         }
       }
     }
 
-    private void ask() {
-      if (now >= nextRenewalAt && heardAt < 0 && answeredAt < 0) {
-        askedAtNanos = memberNanos();
-        boolean lost = random.nextInt(LOST_ONE_IN) == 0;
-        heardAt = lost ? Double.MAX_VALUE : now + random.nextInt(MAX_DELAY_MILLIS);
-        answeredAt = heardAt + random.nextInt(MAX_DELAY_MILLIS);
+    private void sendRenewalIfDue() {
+      if (nowMillis >= nextRenewalMillis && requestArrivalMillis < 0 && responseArrivalMillis < 0) {
+        requestedAtNanos = memberNanos();
+        boolean lost = random.nextInt(LOSS_ONE_IN) == 0;
+        requestArrivalMillis =
+            lost ? Double.MAX_VALUE : nowMillis + random.nextInt(MAX_DELAY_MILLIS);
+        responseArrivalMillis = requestArrivalMillis + random.nextInt(MAX_DELAY_MILLIS);
       }
     }
 
-    private void reachLeader() {
-      if (heardAt >= 0 && now >= heardAt) {
+    private void deliverRequestIfArrived() {
+      if (requestArrivalMillis >= 0 && nowMillis >= requestArrivalMillis) {
         if (!leader.renew("s", leaderNanos())) {
-          answeredAt = Double.MAX_VALUE;
+          responseArrivalMillis = Double.MAX_VALUE;
         }
-        heardAt = NOT_UNDER_WAY;
+        requestArrivalMillis = NONE_IN_FLIGHT;
       }
     }
 
-    private void reachMember() {
-      if (heardAt < 0 && answeredAt >= 0 && now >= answeredAt) {
-        lease.onConfirmed(askedAtNanos);
-        answeredAt = NOT_UNDER_WAY;
-        nextRenewalAt = now + RENEWAL_MILLIS;
+    private void deliverResponseIfArrived() {
+      if (requestArrivalMillis < 0
+          && responseArrivalMillis >= 0
+          && nowMillis >= responseArrivalMillis) {
+        lease.onConfirmed(requestedAtNanos);
+        responseArrivalMillis = NONE_IN_FLIGHT;
+        nextRenewalMillis = nowMillis + RENEWAL_MILLIS;
       }
     }
 
     private long memberNanos() {
-      return (long) (now * NANOS_PER_MILLI);
+      return (long) (nowMillis * NANOS_PER_MILLI);
     }
 
     private long leaderNanos() {
-      return (long) (now * speed * NANOS_PER_MILLI);
+      return (long) (nowMillis * leaderClockSpeed * NANOS_PER_MILLI);
     }
   }
 
   @Test
-  void aLeaderThatStoodStillBelievesNobodyDead() {
+  void leaderResumedAfterAStopExpiresNoSession() {
     LeaseTimers timers = new LeaseTimers();
     timers.reset(0);
     timers.pollExpired(ONE_TIMER, 0);
@@ -111,7 +117,7 @@
   }
 
   @Test
-  void aNewLeaderWaitsAWholeLease() {
+  void newLeaderWaitsForAWholeLease() {
     LeaseTimers timers = new LeaseTimers();
     timers.reset(0);
     timers.pollExpired(ONE_TIMER, 0);
@@ -125,7 +131,7 @@
   }
 
   @Test
-  void whatWasToldToTheLogIsNotRenewed() {
+  void timerSubmittedToTheLogIsNotRenewed() {
     LeaseTimers timers = new LeaseTimers();
     timers.reset(0);
     for (long millis = 0; millis < 1_000; millis += 100) {
@@ -138,7 +144,7 @@
   }
 
   @Test
-  void aStoppedMemberFindsItsLeaseOver() {
+  void memberResumedAfterAStopFindsItsLeaseEnded() {
     Lease lease = new Lease(1_000);
     assertThat(lease.isHeld(0)).isFalse();
     lease.onConfirmed(100 * NANOS_PER_MILLI);
@@ -146,7 +152,7 @@
     assertThat(lease.isHeld(1_000 * NANOS_PER_MILLI)).isFalse();
     lease.onConfirmed(50 * NANOS_PER_MILLI);
     assertThat(lease.isHeld(960 * NANOS_PER_MILLI))
-        .as("an older answer takes nothing back")
+        .as("an older confirmation does not shorten the lease")
         .isTrue();
   }
 }
--- a/src/test/java/leadferry/consensus/RatisStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/RatisStateMachineTest.java
@@ -9,11 +9,12 @@
 
 class RatisStateMachineTest {
   /**
-   * The library pauses a replica before it installs another's snapshot, and gives it up if it is
-   * not paused then.
+   * Guards against a replica that the Raft library gives up: the library pauses the state machine
+   * before it installs another replica's snapshot, and fails if the state machine is not paused
+   * then.
    */
   @Test
-  void aReplicaIsPausedForASnapshotAndRunsAfterIt() throws Exception {
+  void stateMachineIsPausedBeforeASnapshotAndRunsAfterIt() throws Exception {
     AtomicInteger changes = new AtomicInteger();
     RatisStateMachine stateMachine =
         new RatisStateMachine(
--- a/src/test/java/leadferry/consensus/ReleaseModel.java
+++ b/src/test/java/leadferry/consensus/ReleaseModel.java
@@ -19,9 +19,10 @@
 import leadferry.release.ReleaseViewCodec;
 
 /**
- * A release of two proxies of three, one allowed out, with two drivers: the real state machine,
- * members' views and controllers. Who serves, and what was run, is kept beside them and compared.
- * {@link ReleaseModelSteps} tells what can happen next.
+ * Model of a release of two of three proxies with two drivers, where one proxy may be out of
+ * service. Uses the real state machine, member views and controllers. Tracks which proxies serve
+ * and which commands ran, and compares that with the state machine. {@link ReleaseModelSteps} lists
+ * the possible steps.
  */
 final class ReleaseModel implements StateSpaceExplorer.SystemModel {
   static final List<String> PROXIES = List.of("a", "b", "c");
@@ -30,25 +31,25 @@
   private static final String NEW_VERSION = "v2";
   private static final int LEASE_MILLIS = 1_000;
 
-  /** How much later a driver looks again: longer than its renewal interval. */
-  private static final long LOOK_NANOS = 600_000_000L;
+  /** Time between two polls of a driver, which is longer than its renewal interval. */
+  private static final long POLL_INTERVAL_NANOS = 600_000_000L;
 
-  /** A proxy's process, and the supervisor's memory of its fence. */
-  static final class Process {
+  /** A proxy's process, and the highest fence that its supervisor has seen. */
+  static final class ProxyProcess {
     String version = OLD_VERSION;
     long session;
     int incarnation;
     long reportNumber;
     ProxyMemberView view;
-    boolean runs = true;
+    boolean running = true;
     long fence;
 
-    boolean serves() {
-      return runs && !view.isOutOfService();
+    boolean isServing() {
+      return running && !view.isOutOfService();
     }
   }
 
-  /** A driver's process: its controller, and what that wants done. */
+  /** A driver's process: its controller and the controller's pending actions. */
   static final class Driver {
     ReleaseController controller;
     int incarnation;
@@ -56,31 +57,31 @@
     final List<DriverAction> pending = new ArrayList<>();
   }
 
-  /** A command on its way: it lands whatever becomes of its driver. */
+  /** A command in transit, which is delivered whatever happens to its driver. */
   record InFlightCommand(ReleaseController sender, DriverAction command) {}
 
-  final Map<String, Process> processes = new TreeMap<>();
+  final Map<String, ProxyProcess> processes = new TreeMap<>();
   final Map<String, Driver> drivers = new TreeMap<>();
   final List<InFlightCommand> inFlightCommands = new ArrayList<>();
   final Set<String> executed = new HashSet<>();
   final Set<String> lostMembers = new TreeSet<>();
-  final ReleaseModelLog log = new ReleaseModelLog(this::out);
-  int crashes;
-  int stalls;
-  int losses;
-  int operatorCommands;
-  int restarts;
+  final ReleaseModelLog log = new ReleaseModelLog(this::proxiesOutOfService);
+  int crashCount;
+  int stallCount;
+  int lossCount;
+  int operatorCommandCount;
+  int restartCount;
   private long nowNanos;
 
   /**
-   * A release under way.
+   * Creates a model with a release in progress.
    *
    * @param checks whether the plan has a check command
-   * @param undisturbedSteps so many steps of an undisturbed release by X have been taken
+   * @param undisturbedSteps number of steps that driver X has already taken without disturbance
    */
   ReleaseModel(boolean checks, int undisturbedSteps) {
     for (String name : PROXIES) {
-      processes.put(name, new Process());
+      processes.put(name, new ProxyProcess());
       join(name);
     }
     log.memberTimers().forEach(log::expire);
@@ -125,11 +126,11 @@
     return plan;
   }
 
-  private Set<String> out() {
+  private Set<String> proxiesOutOfService() {
     Set<String> out = new TreeSet<>();
     processes.forEach(
         (name, process) -> {
-          if (!process.serves() && !lostMembers.contains(name)) {
+          if (!process.isServing() && !lostMembers.contains(name)) {
             out.add(name);
           }
         });
@@ -143,8 +144,8 @@
   }
 
   void join(String name) {
-    Process process = processes.get(name);
-    process.runs = true;
+    ProxyProcess process = processes.get(name);
+    process.running = true;
     process.view = new ProxyMemberView(name);
     process.reportNumber = 0;
     process.incarnation++;
@@ -162,7 +163,7 @@
   }
 
   private void report(String name) {
-    Process process = processes.get(name);
+    ProxyProcess process = processes.get(name);
     process.reportNumber++;
     log.apply(
         Json.object()
@@ -171,13 +172,13 @@
             .put("session", process.session)
             .put("number", process.reportNumber)
             .put("seen", process.view.version())
-            .put("serving", process.serves()));
+            .put("serving", process.isServing()));
   }
 
-  /** The view reaches a proxy, which goes by it and reports so. */
+  /** Delivers the view to a proxy, which applies it and reports its state. */
   void pushView(String name) {
-    Process process = processes.get(name);
-    if (process.runs
+    ProxyProcess process = processes.get(name);
+    if (process.running
         && hasSession(name)
         && process.view.applyView(log.stateMachine().view(), true, nowNanos)) {
       report(name);
@@ -185,16 +186,16 @@
   }
 
   boolean isViewOutdated(String name) {
-    Process process = processes.get(name);
-    return process.runs
+    ProxyProcess process = processes.get(name);
+    return process.running
         && hasSession(name)
         && process.view.version() < log.stateMachine().version();
   }
 
-  /** A process ends and comes back with that version. */
+  /** Restarts a process with another version. */
   private void restart(String name, String version) {
-    Process process = processes.get(name);
-    process.runs = false;
+    ProxyProcess process = processes.get(name);
+    process.running = false;
     if (hasSession(name)) {
       log.apply(Json.object().put("op", "leave").put("name", name).put("session", process.session));
     }
@@ -203,7 +204,7 @@
   }
 
   void loseMember(String name) {
-    losses++;
+    lossCount++;
     lostMembers.add(name);
     log.expire(SessionTable.timerName(name, processes.get(name).session));
   }
@@ -233,7 +234,7 @@
   }
 
   void pollController(Driver driver) {
-    nowNanos += LOOK_NANOS;
+    nowNanos += POLL_INTERVAL_NANOS;
     driver.pending.addAll(
         driver.controller.nextActions(view(), Optional.empty(), !driver.stalled, nowNanos));
   }
@@ -252,7 +253,7 @@
     if (flight.command() instanceof DriverAction.RunChange change) {
       deliver(change, flight.sender());
     } else if (flight.command() instanceof DriverAction.CheckVersion check) {
-      Process process = processes.get(check.target());
+      ProxyProcess process = processes.get(check.target());
       process.fence = Math.max(process.fence, check.fence());
       Optional<String> version =
           check.fence() < process.fence ? Optional.empty() : Optional.of(process.version);
@@ -261,14 +262,14 @@
   }
 
   private void deliver(DriverAction.RunChange change, ReleaseController sender) {
-    Process process = processes.get(change.target());
+    ProxyProcess process = processes.get(change.target());
     if (change.fence() < process.fence) {
       sender.onChangeEnded(change, new CommandResult(false, "fence"));
       return;
     }
     process.fence = change.fence();
-    if (process.serves()) {
-      log.recordViolation(change + " landed while its target was in service");
+    if (process.isServing()) {
+      log.recordViolation(change + " arrived while its target was in service");
     } else if (!executed.add(change.action() + "/" + change.attempt())) {
       log.recordViolation(change + " ran twice");
     }
@@ -293,27 +294,27 @@
         (name, process) ->
             text.append(name)
                 .append(process.version)
-                .append(process.runs)
+                .append(process.running)
                 .append(process.view.isOutOfService())
                 .append(process.fence));
     drivers.forEach(
         (name, driver) -> text.append(name).append(driver.stalled).append(driver.pending));
     inFlightCommands.forEach(flight -> text.append(flight.command()));
-    return text.append(crashes)
-        .append(stalls)
-        .append(losses)
-        .append(operatorCommands)
+    return text.append(crashCount)
+        .append(stallCount)
+        .append(lossCount)
+        .append(operatorCommandCount)
         .append(lostMembers)
         .toString();
   }
 
   @Override
   public boolean isLikely(String step) {
-    return step.contains("does")
-        || step.contains("looks")
-        || step.contains("lands")
-        || step.startsWith("time settle")
-        || step.startsWith("news");
+    return step.contains("acts")
+        || step.contains("polls")
+        || step.contains("command arrives")
+        || step.startsWith("expire timer settle")
+        || step.startsWith("deliver view");
   }
 
   @Override
--- a/src/test/java/leadferry/consensus/ReleaseModelLog.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelLog.java
@@ -9,8 +9,9 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * The log of a {@link ReleaseModel} and the state machine behind it. Checks after each entry that
- * no more are out than allowed, and that nothing is granted once the release was stopped.
+ * The log of a {@link ReleaseModel} and its state machine. Checks after each entry that no more
+ * proxies are out of service than allowed, and that nothing is granted after the release was
+ * stopped.
  */
 final class ReleaseModelLog {
   static final String RELEASE = "r";
@@ -23,7 +24,11 @@
   private long leavingBefore;
   private ObjectNode cachedRelease;
 
-  /** {@code outOfService} tells who really does not serve. */
+  /**
+   * Creates a log.
+   *
+   * @param outOfService supplies the proxies that actually do not serve
+   */
   ReleaseModelLog(Supplier<Set<String>> outOfService) {
     this.outOfService = outOfService;
   }
@@ -36,7 +41,7 @@
     return stateMachine;
   }
 
-  /** What invariant is violated, or "". */
+  /** Returns the violated invariant, or "". */
   String violation() {
     return violation;
   }
@@ -81,7 +86,7 @@
     return stateMachine.timers().keySet();
   }
 
-  /** Timers of drains and of members that come back. */
+  /** Returns the timers of drains and of members that return to service. */
   List<String> memberTimers() {
     return timers().stream()
         .filter(timer -> !SessionTable.isSessionTimer(timer) && !timer.startsWith("release-"))
@@ -107,14 +112,14 @@
     return count;
   }
 
-  /** All replicas start anew from a snapshot. */
+  /** Restarts all replicas from a snapshot. */
   void restartReplicas() {
     byte[] before = stateMachine.snapshot();
     stateMachine = newStateMachine();
     stateMachine.restore(before);
     cachedRelease = null;
     if (!Arrays.equals(before, stateMachine.snapshot())) {
-      recordViolation("another state after a snapshot");
+      recordViolation("state differs after a snapshot");
     }
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseModelRollback.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelRollback.java
@@ -6,88 +6,90 @@
 import leadferry.consensus.ReleaseModel.Driver;
 
 /**
- * Brings a {@link ReleaseModel} to its end: everything works from here on, the release is rolled
- * back, and all must serve the old version.
+ * Ends a {@link ReleaseModel}: without further faults, rolls the release back and checks that all
+ * proxies serve the old version.
  */
 final class ReleaseModelRollback {
   private static final int ROUNDS_AFTER_HALT = 40;
   private static final int ROUNDS_OF_ROLLBACK = 300;
-  private static final String WHY = "the end";
+  private static final String REASON = "rollback at the end of the walk";
 
-  private final ReleaseModel world;
+  private final ReleaseModel model;
 
-  private ReleaseModelRollback(ReleaseModel world) {
-    this.world = world;
+  private ReleaseModelRollback(ReleaseModel model) {
+    this.model = model;
   }
 
-  static void rollBackAndCheck(ReleaseModel world) {
-    ReleaseModelRollback ending = new ReleaseModelRollback(world);
-    new ArrayList<>(world.lostMembers).forEach(world::restoreMember);
-    world.drivers.values().forEach(driver -> driver.stalled = false);
-    if (world.log.isInState("halted")) {
-      ending.checkHaltedTargetsComeBack();
+  static void rollBackAndCheck(ReleaseModel model) {
+    ReleaseModelRollback ending = new ReleaseModelRollback(model);
+    new ArrayList<>(model.lostMembers).forEach(model::restoreMember);
+    model.drivers.values().forEach(driver -> driver.stalled = false);
+    if (model.log.isInState("halted")) {
+      ending.checkHaltedTargetsReturnToService();
     }
     ending.rollBack();
-    ending.checkAllServeTheOldVersion();
+    ending.checkAllServeOldVersion();
   }
 
-  private boolean holds() {
-    return world.violation().isEmpty();
+  private boolean hasNoViolation() {
+    return model.violation().isEmpty();
   }
 
-  private void checkHaltedTargetsComeBack() {
-    for (int i = 0; i < ROUNDS_AFTER_HALT && holds(); i++) {
-      playRound();
+  private void checkHaltedTargetsReturnToService() {
+    for (int i = 0; i < ROUNDS_AFTER_HALT && hasNoViolation(); i++) {
+      runRound();
     }
-    for (JsonNode target : world.log.release().path("targets")) {
-      if (holds()
-          && world.log.isInState("halted")
+    for (JsonNode target : model.log.release().path("targets")) {
+      if (hasNoViolation()
+          && model.log.isInState("halted")
           && !target.path("phase").asText().equals("in")
           && !target.path("at").asText().equals("unknown")) {
-        world.log.recordViolation("halted, and not given back: " + target);
+        model.log.recordViolation("halted, but not returned to service: " + target);
       }
     }
   }
 
   private void rollBack() {
-    if (!world.log.isInState("returned")) {
-      world.log.submitOperatorCommand("release_back", WHY);
+    if (!model.log.isInState("returned")) {
+      model.log.submitOperatorCommand("release_back", REASON);
     }
-    for (int i = 0; i < ROUNDS_OF_ROLLBACK && holds() && !world.log.isInState("returned"); i++) {
-      if (world.log.isInState("halted")) {
-        world.log.submitOperatorCommand("release_resume", WHY);
+    for (int i = 0;
+        i < ROUNDS_OF_ROLLBACK && hasNoViolation() && !model.log.isInState("returned");
+        i++) {
+      if (model.log.isInState("halted")) {
+        model.log.submitOperatorCommand("release_resume", REASON);
       }
-      playRound();
+      runRound();
     }
   }
 
-  private void checkAllServeTheOldVersion() {
-    world.processes.forEach(
+  private void checkAllServeOldVersion() {
+    model.processes.forEach(
         (name, process) -> {
-          if (holds()
-              && (!world.log.isInState("returned")
+          if (hasNoViolation()
+              && (!model.log.isInState("returned")
                   || !process.version.equals(ReleaseModel.OLD_VERSION)
-                  || !process.serves())) {
-            world.log.recordViolation("not taken back: " + world.log.release());
+                  || !process.isServing())) {
+            model.log.recordViolation("not rolled back: " + model.log.release());
           }
         });
   }
 
-  /** All commands land, all drivers act and look, all views arrive, all timers run out. */
-  private void playRound() {
-    List.copyOf(world.inFlightCommands).forEach(world::deliver);
-    for (Driver driver : world.drivers.values()) {
+  /** Delivers all commands and views, lets all drivers act and poll, and expires all timers. */
+  private void runRound() {
+    List.copyOf(model.inFlightCommands).forEach(model::deliver);
+    for (Driver driver : model.drivers.values()) {
       while (!driver.pending.isEmpty()) {
-        world.performNextAction(driver);
+        model.performNextAction(driver);
       }
-      world.pollController(driver);
+      model.pollController(driver);
     }
-    world.processes.keySet().forEach(world::pushView);
-    world.log.memberTimers().forEach(world.log::expire);
-    world.log.timers().stream()
+    model.processes.keySet().forEach(model::pushView);
+    model.log.memberTimers().forEach(model.log::expire);
+    model.log.timers().stream()
         .filter(timer -> timer.startsWith("release-driver:"))
         .findFirst()
-        .filter(timer -> world.drivers.values().stream().noneMatch(world::holdsLease))
-        .ifPresent(world.log::expire);
+        .filter(timer -> model.drivers.values().stream().noneMatch(model::holdsLease))
+        .ifPresent(model.log::expire);
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseModelSteps.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelSteps.java
@@ -4,33 +4,33 @@
 import java.util.List;
 import leadferry.consensus.ReleaseModel.Driver;
 import leadferry.consensus.ReleaseModel.InFlightCommand;
-import leadferry.consensus.ReleaseModel.Process;
+import leadferry.consensus.ReleaseModel.ProxyProcess;
 import leadferry.consensus.StateSpaceExplorer.Step;
 
 /**
- * What can happen next to a {@link ReleaseModel}: drivers look, act, crash and stand still,
- * commands come late, timers run out, replicas restart, operators give orders, a member is lost.
+ * The possible next steps of a {@link ReleaseModel}: drivers poll, act, crash and stall, commands
+ * arrive late, timers expire, replicas restart, operators submit commands, and a member is lost.
  */
 final class ReleaseModelSteps {
   private static final int MAX_CRASHES = 2;
   private static final int MAX_STALLS = 2;
   private static final int MAX_RESTARTS = 2;
-  private static final int MAX_ORDERS = 4;
+  private static final int MAX_OPERATOR_COMMANDS = 4;
   private static final int MAX_LOSSES = 1;
 
-  private final ReleaseModel world;
+  private final ReleaseModel model;
   private final List<Step> steps = new ArrayList<>();
 
-  private ReleaseModelSteps(ReleaseModel world) {
-    this.world = world;
+  private ReleaseModelSteps(ReleaseModel model) {
+    this.model = model;
   }
 
-  static List<Step> of(ReleaseModel world) {
-    ReleaseModelSteps next = new ReleaseModelSteps(world);
-    world.drivers.forEach(next::addDriver);
-    next.addFlights();
-    world.log.timers().forEach(next::addTimer);
-    next.addOrders();
+  static List<Step> of(ReleaseModel model) {
+    ReleaseModelSteps next = new ReleaseModelSteps(model);
+    model.drivers.forEach(next::addDriver);
+    next.addInFlightCommands();
+    model.log.timers().forEach(next::addTimer);
+    next.addOperatorCommands();
     ReleaseModel.PROXIES.forEach(next::addMember);
     return next.steps;
   }
@@ -40,37 +40,37 @@
   }
 
   private void addDriver(String name, Driver driver) {
-    boolean holdsLease = world.holdsLease(driver);
+    boolean holdsLease = model.holdsLease(driver);
     if (driver.pending.isEmpty()) {
-      add(name + " looks", () -> world.pollController(driver));
+      add(name + " polls", () -> model.pollController(driver));
     } else {
-      add(name + " does", () -> world.performNextAction(driver));
+      add(name + " acts", () -> model.performNextAction(driver));
     }
-    if (world.crashes < MAX_CRASHES) {
+    if (model.crashCount < MAX_CRASHES) {
       add(
           name + " crashes",
           () -> {
-            world.crashes++;
-            world.startDriver(name);
+            model.crashCount++;
+            model.startDriver(name);
           });
     }
-    if (!driver.stalled && world.stalls < MAX_STALLS) {
+    if (!driver.stalled && model.stallCount < MAX_STALLS) {
       add(
-          name + " stands still",
+          name + " stalls",
           () -> {
-            world.stalls++;
+            model.stallCount++;
             driver.stalled = true;
           });
     }
     if (driver.stalled && !holdsLease) {
-      add(name + " wakes", () -> driver.stalled = false);
+      add(name + " resumes", () -> driver.stalled = false);
     }
   }
 
-  private void addFlights() {
-    for (int i = 0; i < world.inFlightCommands.size(); i++) {
-      InFlightCommand flight = world.inFlightCommands.get(i);
-      add("lands " + i, () -> world.deliver(flight));
+  private void addInFlightCommands() {
+    for (int i = 0; i < model.inFlightCommands.size(); i++) {
+      InFlightCommand flight = model.inFlightCommands.get(i);
+      add("command arrives " + i, () -> model.deliver(flight));
     }
   }
 
@@ -78,26 +78,26 @@
     if (SessionTable.isSessionTimer(timer) || timer.startsWith("release-longest")) {
       return;
     }
-    // The lease of a driver that renews it does not run out.
+    // A lease does not expire while its driver renews it.
     boolean renewed =
         timer.startsWith("release-driver:")
-            && world.drivers.values().stream()
-                .anyMatch(driver -> world.holdsLease(driver) && !driver.stalled);
+            && model.drivers.values().stream()
+                .anyMatch(driver -> model.holdsLease(driver) && !driver.stalled);
     if (!renewed) {
-      add("time " + timer.replaceAll("[0-9]+$", ""), () -> world.log.expire(timer));
+      add("expire timer " + timer.replaceAll("[0-9]+$", ""), () -> model.log.expire(timer));
     }
   }
 
-  private void addOrders() {
-    if (world.restarts < MAX_RESTARTS) {
+  private void addOperatorCommands() {
+    if (model.restartCount < MAX_RESTARTS) {
       add(
           "replicas restart",
           () -> {
-            world.restarts++;
-            world.log.restartReplicas();
+            model.restartCount++;
+            model.log.restartReplicas();
           });
     }
-    if (world.operatorCommands >= MAX_ORDERS) {
+    if (model.operatorCommandCount >= MAX_OPERATOR_COMMANDS) {
       return;
     }
     for (String operation :
@@ -105,22 +105,22 @@
       add(
           operation,
           () -> {
-            world.operatorCommands++;
-            world.log.submitOperatorCommand(operation, "walk");
+            model.operatorCommandCount++;
+            model.log.submitOperatorCommand(operation, "walk");
           });
     }
   }
 
   private void addMember(String name) {
-    Process process = world.processes.get(name);
-    if (world.losses < MAX_LOSSES && process.runs && !world.lostMembers.contains(name)) {
-      add("lost " + name, () -> world.loseMember(name));
+    ProxyProcess process = model.processes.get(name);
+    if (model.lossCount < MAX_LOSSES && process.running && !model.lostMembers.contains(name)) {
+      add("lose " + name, () -> model.loseMember(name));
     }
-    if (world.isViewOutdated(name)) {
-      add("news " + name, () -> world.pushView(name));
+    if (model.isViewOutdated(name)) {
+      add("deliver view to " + name, () -> model.pushView(name));
     }
-    if (world.lostMembers.contains(name)) {
-      add("found " + name, () -> world.restoreMember(name));
+    if (model.lostMembers.contains(name)) {
+      add("restore " + name, () -> model.restoreMember(name));
     }
   }
 }
--- a/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/ReleaseStateSpaceTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The invariants of {@link ReleaseModel} under all interleavings of its {@link ReleaseModelSteps}.
+ * Checks the invariants of {@link ReleaseModel} under all interleavings of its {@link
+ * ReleaseModelSteps} to a fixed depth, and on random walks that end with a rollback.
  */
 class ReleaseStateSpaceTest {
   private static final int DEPTH = Integer.getInteger("release.depth", 3);
@@ -16,12 +17,12 @@
 
   @ParameterizedTest
   @CsvSource({"true,0", "true,2", "true,3", "false,3", "true,4", "false,4"})
-  void allInterleavingsKeepThePromises(boolean checks, int undisturbedSteps) {
+  void allInterleavingsKeepTheInvariants(boolean checks, int undisturbedSteps) {
     StateSpaceExplorer explorer =
         new StateSpaceExplorer(() -> new ReleaseModel(checks, undisturbedSteps));
     assertThat(explorer.exploreAll(DEPTH)).isEmpty();
     System.out.println(
-        "releases walked: "
+        "releases explored: "
             + explorer.stateCount()
             + " states to a depth of "
             + DEPTH
@@ -32,24 +33,24 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void walksAtRandomKeepThePromisesAndAllCanBeTakenBackAfterwards(boolean checks) {
+  void randomWalksKeepTheInvariantsAndCanBeRolledBack(boolean checks) {
     StateSpaceExplorer explorer = new StateSpaceExplorer(() -> new ReleaseModel(checks, 0));
-    int[] executed = new int[1];
+    int[] commandCount = new int[1];
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertThat(
               explorer.randomWalk(
                   seed,
                   RANDOM_WALK_STEPS,
-                  world -> {
-                    ReleaseModel releaseWorld = (ReleaseModel) world;
-                    executed[0] += releaseWorld.executed.size();
-                    ReleaseModelRollback.rollBackAndCheck(releaseWorld);
+                  model -> {
+                    ReleaseModel releaseModel = (ReleaseModel) model;
+                    commandCount[0] += releaseModel.executed.size();
+                    ReleaseModelRollback.rollBackAndCheck(releaseModel);
                   }))
           .as("seed " + seed)
           .isEmpty();
     }
     System.out.println(
-        "releases walked at random: " + executed[0] + " commands ran before the end");
-    assertThat(executed[0]).isPositive();
+        "random walks of releases: " + commandCount[0] + " commands ran before the rollback");
+    assertThat(commandCount[0]).isPositive();
   }
 }
--- a/src/test/java/leadferry/consensus/StateSpaceExplorer.java
+++ b/src/test/java/leadferry/consensus/StateSpaceExplorer.java
@@ -9,49 +9,52 @@
 import java.util.function.Supplier;
 
 /**
- * Explores all interleavings of what can happen next to a stated depth, or single ones far beyond
- * it at random; a violation that a random walk finds is shrunk to the steps that it needs.
+ * Explores all interleavings of the steps of a model to a fixed depth, or random walks beyond it. A
+ * violation found by a random walk is shrunk to the steps that it requires.
  */
 final class StateSpaceExplorer {
-  /** One step in so many of a random walk is any that can happen, the others are likely ones. */
-  private static final int UNLIKELY_ONE_IN = 4;
+  /**
+   * One step in this many of a random walk is chosen among all possible steps, the others among the
+   * likely ones.
+   */
+  private static final int ANY_STEP_ONE_IN = 4;
 
-  /** Something that can happen; no two steps of one state have the same name. */
+  /** A possible step; the names of the steps of one state are unique. */
   record Step(String name, Runnable action) {}
 
-  /** One state of the whole system, rebuilt by taking its steps. */
+  /** One state of the whole system, rebuilt by replaying its steps. */
   interface SystemModel {
     List<Step> possibleSteps();
 
-    /** What tells states apart. */
+    /** Returns a key that identifies the state. */
     String stateKey();
 
-    /** Whether a random walk should rather take this step, so that it gets anywhere. */
+    /** Returns whether random walks should prefer this step, in order to make progress. */
     default boolean isLikely(String step) {
       return false;
     }
 
-    /** What invariant is violated, or "". */
+    /** Returns the violated invariant, or "". */
     String violation();
   }
 
-  private final Supplier<SystemModel> initialWorld;
+  private final Supplier<SystemModel> initialModel;
   private int stateCount;
 
-  StateSpaceExplorer(Supplier<SystemModel> initialWorld) {
-    this.initialWorld = initialWorld;
+  StateSpaceExplorer(Supplier<SystemModel> initialModel) {
+    this.initialModel = initialModel;
   }
 
-  /** How many states were met. */
+  /** Returns the number of distinct states visited. */
   int stateCount() {
     return stateCount;
   }
 
-  /** The shortest steps to a violation within that depth; empty where there is none. */
+  /** Returns the shortest steps to a violation within {@code depth}; empty if there is none. */
   List<String> exploreAll(int depth) {
     Set<String> seenKeys = new HashSet<>();
     record Path(List<Integer> taken, int nextSteps) {}
-    List<Path> frontier = List.of(new Path(List.of(), initialWorld.get().possibleSteps().size()));
+    List<Path> frontier = List.of(new Path(List.of(), initialModel.get().possibleSteps().size()));
     for (int level = 0; level < depth; level++) {
       List<Path> nextFrontier = new ArrayList<>();
       for (Path path : frontier) {
@@ -59,12 +62,12 @@
           List<Integer> longer = new ArrayList<>(path.taken());
           longer.add(next);
           List<String> names = new ArrayList<>();
-          SystemModel world = replay(longer, names);
-          if (!world.violation().isEmpty()) {
-            return withViolation(names, world);
+          SystemModel model = replay(longer, names);
+          if (!model.violation().isEmpty()) {
+            return withViolation(names, model);
           }
-          if (seenKeys.add(world.stateKey())) {
-            nextFrontier.add(new Path(longer, world.possibleSteps().size()));
+          if (seenKeys.add(model.stateKey())) {
+            nextFrontier.add(new Path(longer, model.possibleSteps().size()));
           }
         }
       }
@@ -74,64 +77,64 @@
     return List.of();
   }
 
-  /** Takes steps by their places, and adds their names. */
-  private SystemModel replay(List<Integer> places, List<String> names) {
-    SystemModel world = initialWorld.get();
-    for (int place : places) {
-      Step step = world.possibleSteps().get(place);
+  /** Replays steps by their indexes and adds their names to {@code names}. */
+  private SystemModel replay(List<Integer> stepIndexes, List<String> names) {
+    SystemModel model = initialModel.get();
+    for (int stepIndex : stepIndexes) {
+      Step step = model.possibleSteps().get(stepIndex);
       names.add(step.name());
       step.action().run();
     }
-    return world;
+    return model;
   }
 
-  private static List<String> withViolation(List<String> names, SystemModel world) {
+  private static List<String> withViolation(List<String> names, SystemModel model) {
     List<String> steps = new ArrayList<>(names);
-    steps.add("=> " + world.violation());
+    steps.add("=> " + model.violation());
     return steps;
   }
 
   /**
-   * A random walk of so many steps: those that it needs for a violation, and which; empty where
-   * there is none.
+   * Walks at random for {@code length} steps. Returns the violation found and the steps that it
+   * requires; empty if there is none.
    */
   List<String> randomWalk(long seed, int length) {
-    return randomWalk(seed, length, world -> {});
+    return randomWalk(seed, length, model -> {});
   }
 
   /**
-   * The same; {@code ending} brings the state that the walk came to to its end, and may meet a
-   * violation on the way.
+   * Walks at random like {@link #randomWalk(long, int)} and then applies {@code ending} to the
+   * state reached, which may also find a violation.
    */
   List<String> randomWalk(long seed, int length, Consumer<SystemModel> ending) {
     SplittableRandom random = new SplittableRandom(seed);
-    SystemModel world = initialWorld.get();
+    SystemModel model = initialModel.get();
     List<String> taken = new ArrayList<>();
-    while (taken.size() < length && world.violation().isEmpty()) {
-      List<Step> steps = world.possibleSteps();
+    while (taken.size() < length && model.violation().isEmpty()) {
+      List<Step> steps = model.possibleSteps();
       if (steps.isEmpty()) {
         break;
       }
-      Step step = choose(steps, world, random);
+      Step step = choose(steps, model, random);
       taken.add(step.name());
       step.action().run();
     }
-    if (world.violation().isEmpty()) {
-      ending.accept(world);
+    if (model.violation().isEmpty()) {
+      ending.accept(model);
     }
-    return world.violation().isEmpty() ? List.of() : shrink(taken, ending);
+    return model.violation().isEmpty() ? List.of() : shrink(taken, ending);
   }
 
-  private static Step choose(List<Step> steps, SystemModel world, SplittableRandom random) {
+  private static Step choose(List<Step> steps, SystemModel model, SplittableRandom random) {
     List<Step> likely =
-        random.nextInt(UNLIKELY_ONE_IN) == 0
+        random.nextInt(ANY_STEP_ONE_IN) == 0
             ? List.of()
-            : steps.stream().filter(step -> world.isLikely(step.name())).toList();
+            : steps.stream().filter(step -> model.isLikely(step.name())).toList();
     List<Step> candidates = likely.isEmpty() ? steps : likely;
     return candidates.get(random.nextInt(candidates.size()));
   }
 
-  /** Leaves out ever smaller runs of steps, as long as there is a violation without them. */
+  /** Removes ever smaller runs of steps while a violation remains without them. */
   private List<String> shrink(List<String> found, Consumer<SystemModel> ending) {
     List<String> shortest = found;
     for (int size = Math.max(1, shortest.size() / 2); size > 0; size /= 2) {
@@ -148,19 +151,19 @@
     return withViolation(shortest, replayByName(shortest, ending));
   }
 
-  /** Takes steps by their names and passes over those that can't happen. */
+  /** Replays steps by their names and skips those that are not possible. */
   private SystemModel replayByName(List<String> names, Consumer<SystemModel> ending) {
-    SystemModel world = initialWorld.get();
+    SystemModel model = initialModel.get();
     for (String name : names) {
-      world.possibleSteps().stream()
+      model.possibleSteps().stream()
           .filter(step -> step.name().equals(name))
           .findFirst()
           .ifPresent(step -> step.action().run());
-      if (!world.violation().isEmpty()) {
-        return world;
+      if (!model.violation().isEmpty()) {
+        return model;
       }
     }
-    ending.accept(world);
-    return world;
+    ending.accept(model);
+    return model;
   }
 }
--- a/src/test/java/leadferry/limits/LimiterTest.java
+++ b/src/test/java/leadferry/limits/LimiterTest.java
@@ -13,103 +13,112 @@
 import org.junit.jupiter.api.Test;
 
 class LimiterTest {
-  private static final long MS = 1_000_000L;
-  private long now = 5_000 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private long nowNanos = 5_000 * NANOS_PER_MILLI;
 
   private static Limit limit(
-      String name, Limit.Scope by, String within, double rate, double burst, int open) {
-    return new Limit(name, by, within, Set.of(), Set.of(), Set.of(), rate, burst, open);
+      String name,
+      Limit.Scope scope,
+      String parentName,
+      double rate,
+      double burst,
+      int maxConcurrent) {
+    return new Limit(
+        name, scope, parentName, Set.of(), Set.of(), Set.of(), rate, burst, maxConcurrent);
   }
 
   private static ClientIdentity tenant(String name) {
     return new ClientIdentity("main", "r", name, "c", "127.0.0.1");
   }
 
-  private boolean passes(Limiter l, String tenant) {
-    return l.acquire(tenant(tenant), now).refusedBy() == null;
+  private boolean isAdmitted(Limiter limiter, String tenant) {
+    return limiter.acquire(tenant(tenant), nowNanos).refusedBy() == null;
   }
 
-  private boolean passesAndEnds(Limiter l, String tenant) {
-    LimitDecision g = l.acquire(tenant(tenant), now);
-    g.release();
-    return g.refusedBy() == null;
+  private boolean isAdmittedAndReleased(Limiter limiter, String tenant) {
+    LimitDecision decision = limiter.acquire(tenant(tenant), nowNanos);
+    decision.release();
+    return decision.refusedBy() == null;
   }
 
   @Test
-  void aRateGivesItsBurstAtOnceAndThenItsRate() {
-    Limiter l = new Limiter(List.of(limit("r", Limit.Scope.TENANT, null, 10, 5, 0)), 64);
+  void rateLimitAdmitsItsBurstAtOnceAndThenItsRate() {
+    Limiter limiter = new Limiter(List.of(limit("r", Limit.Scope.TENANT, null, 10, 5, 0)), 64);
     int passed = 0;
     for (int i = 0; i < 20; i++) {
-      passed += passes(l, "a") ? 1 : 0;
+      passed += isAdmitted(limiter, "a") ? 1 : 0;
     }
     assertThat(passed).isEqualTo(5);
-    assertThat(passes(l, "b")).isTrue();
-    LimitDecision refused = l.acquire(tenant("a"), now);
+    assertThat(isAdmitted(limiter, "b")).isTrue();
+    LimitDecision refused = limiter.acquire(tenant("a"), nowNanos);
     assertThat(refused.refusedBy()).isEqualTo("r");
     assertThat(refused.retryAfterMillis()).isCloseTo(100, within(1.0));
-    now += 99 * MS;
-    assertThat(passes(l, "a")).isFalse();
-    now += 2 * MS;
-    assertThat(passes(l, "a")).isTrue();
-    assertThat(passes(l, "a")).isFalse();
-    now += 3_600_000 * MS; // a long rest saves up no more than the burst
+    nowNanos += 99 * NANOS_PER_MILLI;
+    assertThat(isAdmitted(limiter, "a")).isFalse();
+    nowNanos += 2 * NANOS_PER_MILLI;
+    assertThat(isAdmitted(limiter, "a")).isTrue();
+    assertThat(isAdmitted(limiter, "a")).isFalse();
+    nowNanos += 3_600_000 * NANOS_PER_MILLI; // idle time saves up no more than the burst
     passed = 0;
     for (int i = 0; i < 20; i++) {
-      passed += passes(l, "a") ? 1 : 0;
+      passed += isAdmitted(limiter, "a") ? 1 : 0;
     }
     assertThat(passed).isEqualTo(5);
   }
 
   @Test
-  void concurrencyCountsWhatIsOpenAndAReleaseTwiceIsOne() {
-    Limiter l = new Limiter(List.of(limit("c", Limit.Scope.ALL, null, 0, 1, 2)), 64);
-    LimitDecision a = l.acquire(tenant("a"), now);
-    LimitDecision b = l.acquire(tenant("b"), now);
-    assertThat(passes(l, "c")).isFalse();
+  void concurrencyLimitCountsOpenRequestsAndIgnoresASecondRelease() {
+    Limiter limiter = new Limiter(List.of(limit("c", Limit.Scope.ALL, null, 0, 1, 2)), 64);
+    LimitDecision a = limiter.acquire(tenant("a"), nowNanos);
+    LimitDecision b = limiter.acquire(tenant("b"), nowNanos);
+    assertThat(isAdmitted(limiter, "c")).isFalse();
     a.release();
     a.release();
-    assertThat(passes(l, "c")).isTrue();
-    assertThat(passes(l, "d")).isFalse();
+    assertThat(isAdmitted(limiter, "c")).isTrue();
+    assertThat(isAdmitted(limiter, "d")).isFalse();
     b.release();
-    assertThat(passes(l, "d")).isTrue();
+    assertThat(isAdmitted(limiter, "d")).isTrue();
   }
 
   @Test
-  void aRefusalByOneLimitTakesNothingFromTheOthers() {
-    Limiter l =
+  void refusalByOneLimitConsumesNothingOfTheOthers() {
+    Limiter limiter =
         new Limiter(
             List.of(
                 limit("rate", Limit.Scope.ALL, null, 1, 3, 0),
                 limit("c", Limit.Scope.TENANT, null, 0, 1, 1)),
             64);
-    LimitDecision a = l.acquire(tenant("a"), now);
+    LimitDecision a = limiter.acquire(tenant("a"), nowNanos);
     for (int i = 0; i < 10; i++) {
-      assertThat(l.acquire(tenant("a"), now).refusedBy()).isEqualTo("c");
+      assertThat(limiter.acquire(tenant("a"), nowNanos).refusedBy()).isEqualTo("c");
     }
-    assertThat(passes(l, "b")).isTrue(); // the rate's burst has not been spent on refusals
-    assertThat(passes(l, "d")).isTrue();
-    assertThat(l.acquire(tenant("e"), now).refusedBy()).isEqualTo("rate");
+    assertThat(isAdmitted(limiter, "b")).isTrue(); // refusals have not consumed the burst
+    assertThat(isAdmitted(limiter, "d")).isTrue();
+    assertThat(limiter.acquire(tenant("e"), nowNanos).refusedBy()).isEqualTo("rate");
     a.release();
   }
 
   @Test
-  void aLimitHoldsOnlyForWhatItNames() {
-    Limit l =
+  void limitAppliesOnlyToTheListenersRoutesAndClassesItNames() {
+    Limit limit =
         new Limit("l", Limit.Scope.ROUTE, null, Set.of("main"), Set.of("r"), Set.of("c"), 0, 1, 1);
-    Limiter limiter = new Limiter(List.of(l), 64);
-    assertThat(passes(limiter, "a")).isTrue();
-    assertThat(passes(limiter, "b")).isFalse();
-    assertThat(limiter.acquire(new ClientIdentity("main", "other", "a", "c", ""), now).refusedBy())
+    Limiter limiter = new Limiter(List.of(limit), 64);
+    assertThat(isAdmitted(limiter, "a")).isTrue();
+    assertThat(isAdmitted(limiter, "b")).isFalse();
+    assertThat(
+            limiter
+                .acquire(new ClientIdentity("main", "other", "a", "c", ""), nowNanos)
+                .refusedBy())
         .isNull();
-    assertThat(limiter.acquire(new ClientIdentity("side", "r", "a", "c", ""), now).refusedBy())
+    assertThat(limiter.acquire(new ClientIdentity("side", "r", "a", "c", ""), nowNanos).refusedBy())
         .isNull();
-    assertThat(limiter.acquire(new ClientIdentity("main", "r", "a", "d", ""), now).refusedBy())
+    assertThat(limiter.acquire(new ClientIdentity("main", "r", "a", "d", ""), nowNanos).refusedBy())
         .isNull();
   }
 
   @Test
-  void aHotTenantFallsBackToItsPartAsOthersCome() {
-    Limiter l =
+  void busyTenantFallsBackToItsEqualShareAsOthersArrive() {
+    Limiter limiter =
         new Limiter(
             List.of(
                 limit("all", Limit.Scope.ALL, null, 0, 1, 100),
@@ -117,32 +126,32 @@
             64);
     ArrayDeque<LimitDecision> hot = new ArrayDeque<>();
     for (int i = 0; i < 200; i++) {
-      LimitDecision g = l.acquire(tenant("hot"), now);
-      if (g.refusedBy() == null) {
-        hot.add(g);
+      LimitDecision decision = limiter.acquire(tenant("hot"), nowNanos);
+      if (decision.refusedBy() == null) {
+        hot.add(decision);
       }
     }
     assertThat(hot).hasSize(80);
     List<LimitDecision> quiet = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      LimitDecision g = l.acquire(tenant("quiet" + i % 4), now);
-      assertThat(g.refusedBy()).isNull();
-      quiet.add(g);
+      LimitDecision decision = limiter.acquire(tenant("quiet" + i % 4), nowNanos);
+      assertThat(decision.refusedBy()).isNull();
+      quiet.add(decision);
     }
-    // Each request that ends is asked for again by everyone: all come to equal parts.
+    // All tenants compete for each slot that is released, and reach equal shares.
     for (int round = 0; round < 400; round++) {
       if (!hot.isEmpty()) {
         hot.poll().release();
       }
       for (int i = 0; i < 4; i++) {
-        LimitDecision g = l.acquire(tenant("quiet" + i), now);
-        if (g.refusedBy() == null) {
-          quiet.add(g);
+        LimitDecision decision = limiter.acquire(tenant("quiet" + i), nowNanos);
+        if (decision.refusedBy() == null) {
+          quiet.add(decision);
         }
       }
-      LimitDecision g = l.acquire(tenant("hot"), now);
-      if (g.refusedBy() == null) {
-        hot.add(g);
+      LimitDecision decision = limiter.acquire(tenant("hot"), nowNanos);
+      if (decision.refusedBy() == null) {
+        hot.add(decision);
       }
     }
     assertThat(hot.size()).isBetween(16, 21);
@@ -150,8 +159,8 @@
   }
 
   @Test
-  void aHotTenantLeavesRateToQuietOnes() {
-    Limiter l =
+  void busyTenantLeavesRateToOthers() {
+    Limiter limiter =
         new Limiter(
             List.of(
                 limit("all", Limit.Scope.ALL, null, 100, 20, 0),
@@ -160,12 +169,12 @@
     int hot = 0;
     int quiet = 0;
     for (int ms = 0; ms < 20_000; ms++) {
-      now += MS;
+      nowNanos += NANOS_PER_MILLI;
       for (int i = 0; i < 5; i++) {
-        hot += passesAndEnds(l, "hot") ? 1 : 0; // 5,000 a second
+        hot += isAdmittedAndReleased(limiter, "hot") ? 1 : 0; // 5,000 a second
       }
       if (ms % 50 == 0) {
-        quiet += passesAndEnds(l, "quiet") ? 1 : 0; // 20 a second
+        quiet += isAdmittedAndReleased(limiter, "quiet") ? 1 : 0; // 20 a second
       }
     }
     assertThat(hot + quiet).isBetween(1_700, 2_100);
@@ -173,54 +182,54 @@
   }
 
   @Test
-  void aLoweredLimitCountsWhatIsOpen() {
+  void loweredLimitCountsOpenRequests() {
     Limiter before = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 10)), 64);
     List<LimitDecision> open = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      open.add(before.acquire(tenant("a"), now));
+      open.add(before.acquire(tenant("a"), nowNanos));
     }
     Limiter after = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 4)), 64, before);
-    assertThat(passes(after, "a")).isFalse();
+    assertThat(isAdmitted(after, "a")).isFalse();
     open.get(0).release();
     open.get(1).release();
-    assertThat(passes(after, "a")).isFalse();
+    assertThat(isAdmitted(after, "a")).isFalse();
     open.get(2).release();
-    assertThat(passes(after, "a")).isTrue();
+    assertThat(isAdmitted(after, "a")).isTrue();
   }
 
   @Test
-  void aMillionTenantsTakeNoMoreRoomAndNobodyIsForgottenWhoCounts() {
-    Limiter l = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 1_024);
-    LimitDecision first = l.acquire(tenant("first"), now);
-    l.acquire(tenant("first"), now);
+  void millionTenantsUseFixedMemoryAndLoseNoBucketInUse() {
+    Limiter limiter = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 1_024);
+    LimitDecision first = limiter.acquire(tenant("first"), nowNanos);
+    limiter.acquire(tenant("first"), nowNanos);
     for (int i = 0; i < 1_000_000; i++) {
-      l.acquire(tenant("t" + i), now).release();
+      limiter.acquire(tenant("t" + i), nowNanos).release();
     }
-    assertThat(l.capacity()).isLessThanOrEqualTo(2_048);
-    assertThat(passes(l, "first")).isFalse();
+    assertThat(limiter.capacity()).isLessThanOrEqualTo(2_048);
+    assertThat(isAdmitted(limiter, "first")).isFalse();
     first.release();
-    assertThat(passes(l, "first")).isTrue();
+    assertThat(isAdmitted(limiter, "first")).isTrue();
   }
 
   @Test
-  void pastTheBoundNewcomersCountAsOne() {
-    Limiter l = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 64);
+  void newTenantsBeyondTheCapacityShareOneBucket() {
+    Limiter limiter = new Limiter(List.of(limit("l", Limit.Scope.TENANT, null, 0, 1, 2)), 64);
     int passed = 0;
     for (int i = 0; i < 10_000; i++) {
-      passed += passes(l, "t" + i) ? 1 : 0; // all stay open
+      passed += isAdmitted(limiter, "t" + i) ? 1 : 0; // all stay open
     }
-    assertThat(passed).isBetween(64, (int) l.capacity() + 2);
+    assertThat(passed).isBetween(64, (int) limiter.capacity() + 2);
   }
 
   @Test
-  void anOuterLimitMustStandBeforeThoseWithinIt() {
+  void outerLimitAfterItsInnerLimitIsRejected() {
     assertThatThrownBy(() -> new Limiter(List.of(limit("a", Limit.Scope.ALL, "b", 1, 1, 0)), 64))
         .hasMessageContaining("within: b");
   }
 
   @Test
-  void manyThreadsNeverHoldMoreThanTheLimitAndGiveAllBack() throws Exception {
-    Limiter l =
+  void manyThreadsNeverHoldMoreThanTheLimitAndReleaseEverySlot() throws Exception {
+    Limiter limiter =
         new Limiter(
             List.of(
                 limit("all", Limit.Scope.ALL, null, 0, 1, 8),
@@ -235,11 +244,11 @@
       new Thread(
               () -> {
                 for (int i = 0; i < 50_000; i++) {
-                  LimitDecision g = l.acquire(tenant("t" + (n + i) % 200), now);
-                  if (g.refusedBy() == null) {
+                  LimitDecision decision = limiter.acquire(tenant("t" + (n + i) % 200), nowNanos);
+                  if (decision.refusedBy() == null) {
                     most.accumulateAndGet(open.incrementAndGet(), Math::max);
                     open.decrementAndGet();
-                    g.release();
+                    decision.release();
                   }
                 }
                 done.countDown();
@@ -250,13 +259,13 @@
     assertThat(most.get()).isBetween(1, 8);
     List<LimitDecision> again = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      again.add(l.acquire(tenant("x" + i), now));
+      again.add(limiter.acquire(tenant("x" + i), nowNanos));
     }
-    assertThat(again).allMatch(g -> g.refusedBy() == null);
+    assertThat(again).allMatch(decision -> decision.refusedBy() == null);
   }
 
   @Test
-  void aRetryBudgetEarnsAndRunsOut() {
+  void retryBudgetEarnsRetriesAndRunsOut() {
     RetryBudget b = new RetryBudget(0.5, 2);
     assertThat(b.take()).isTrue();
     assertThat(b.take()).isTrue();
--- a/src/test/java/leadferry/routing/NormalizedPathTest.java
+++ b/src/test/java/leadferry/routing/NormalizedPathTest.java
@@ -20,11 +20,11 @@
     "/a%3fb, /a?b, /a%3fb",
     "/a.b/..c/...d, /a.b/..c/...d, /a.b/..c/...d",
   })
-  void aPathOfOneReadingIsMatchedDecodedAndSentOnAsItCame(
-      String raw, String match, String forward) {
-    NormalizedPath f = NormalizedPath.normalize(raw, NormalizedPath.Mode.STRICT);
-    assertThat(f.matchPath()).isEqualTo(match);
-    assertThat(f.forwardPath()).isEqualTo(forward);
+  void unambiguousPathIsMatchedDecodedAndForwardedUnchanged(
+      String rawPath, String matchPath, String forwardPath) {
+    NormalizedPath path = NormalizedPath.normalize(rawPath, NormalizedPath.Mode.STRICT);
+    assertThat(path.matchPath()).isEqualTo(matchPath);
+    assertThat(path.forwardPath()).isEqualTo(forwardPath);
   }
 
   @ParameterizedTest
@@ -40,10 +40,10 @@
     "/a//, /a/",
     "/a/%2e/b%20c, /a/b%20c",
   })
-  void resolvingMatchesAndSendsTheResolvedPath(String raw, String forward) {
-    assertThat(NormalizedPath.normalize(raw, NormalizedPath.Mode.STRICT)).isNull();
-    NormalizedPath f = NormalizedPath.normalize(raw, NormalizedPath.Mode.RESOLVE);
-    assertThat(f == null ? null : f.forwardPath()).isEqualTo(forward);
+  void resolveModeMatchesAndForwardsTheResolvedPath(String rawPath, String forwardPath) {
+    assertThat(NormalizedPath.normalize(rawPath, NormalizedPath.Mode.STRICT)).isNull();
+    NormalizedPath path = NormalizedPath.normalize(rawPath, NormalizedPath.Mode.RESOLVE);
+    assertThat(path == null ? null : path.forwardPath()).isEqualTo(forwardPath);
   }
 
   @ParameterizedTest
@@ -70,40 +70,43 @@
         "/.;x/b",
         "/%2e%2e;/b"
       })
-  void whatHasNoSingleReadingIsNoPathInAnyMode(String raw) {
-    for (NormalizedPath.Mode m : NormalizedPath.Mode.values()) {
-      assertThat(NormalizedPath.normalize(raw, m)).as(m + " " + raw).isNull();
+  void ambiguousPathIsRejectedInEveryMode(String rawPath) {
+    for (NormalizedPath.Mode mode : NormalizedPath.Mode.values()) {
+      assertThat(NormalizedPath.normalize(rawPath, mode)).as(mode + " " + rawPath).isNull();
     }
   }
 
-  /** Whatever is taken has no odd segment left, and decodes to the same again at the host. */
+  /**
+   * Guards against a path that the upstream host reads differently from the routes: an accepted
+   * path has no dot or empty segment left, and normalizes to itself again.
+   */
   @Test
-  void whatIsTakenReadsTheSameAtTheHost() {
+  void acceptedPathReadsTheSameAtTheUpstreamHost() {
     SplittableRandom random = new SplittableRandom(20261201);
     String[] pieces = {
       "/", ".", "..", "%2e", "%2f", "%25", "a", "%61", ";", "%3b", "\\", "%00", "2e", "%41"
     };
-    int taken = 0;
+    int acceptedCount = 0;
     for (int i = 0; i < 200_000; i++) {
-      StringBuilder raw = new StringBuilder("/");
+      StringBuilder rawPath = new StringBuilder("/");
       for (int j = random.nextInt(8); j > 0; j--) {
-        raw.append(pieces[random.nextInt(pieces.length)]);
+        rawPath.append(pieces[random.nextInt(pieces.length)]);
       }
-      for (NormalizedPath.Mode m : NormalizedPath.Mode.values()) {
-        NormalizedPath f = NormalizedPath.normalize(raw.toString(), m);
-        if (f != null) {
-          taken++;
-          NormalizedPath again =
-              NormalizedPath.normalize(f.forwardPath(), NormalizedPath.Mode.STRICT);
-          assertThat(again).as("%s as %s", raw, f.forwardPath()).isNotNull();
-          assertThat(again.matchPath()).isEqualTo(f.matchPath());
-          assertThat(f.matchPath())
+      for (NormalizedPath.Mode mode : NormalizedPath.Mode.values()) {
+        NormalizedPath path = NormalizedPath.normalize(rawPath.toString(), mode);
+        if (path != null) {
+          acceptedCount++;
+          NormalizedPath normalizedAgain =
+              NormalizedPath.normalize(path.forwardPath(), NormalizedPath.Mode.STRICT);
+          assertThat(normalizedAgain).as("%s as %s", rawPath, path.forwardPath()).isNotNull();
+          assertThat(normalizedAgain.matchPath()).isEqualTo(path.matchPath());
+          assertThat(path.matchPath())
               .doesNotContain("//")
               .doesNotContain("/../")
               .doesNotContain("/./");
         }
       }
     }
-    assertThat(taken).isGreaterThan(20_000);
+    assertThat(acceptedCount).isGreaterThan(20_000);
   }
 }
--- a/src/test/java/leadferry/routing/RouteTableTest.java
+++ b/src/test/java/leadferry/routing/RouteTableTest.java
@@ -41,10 +41,13 @@
         0);
   }
 
-  private static RouteRule<Integer> with(
-      RouteRule<Integer> r, Set<String> methods, Map<String, String> headers, Set<String> classes) {
+  private static RouteRule<Integer> withConditions(
+      RouteRule<Integer> rule,
+      Set<String> methods,
+      Map<String, String> headers,
+      Set<String> classes) {
     return new RouteRule<>(
-        r.name(), r.hostPatterns(), r.kind(), r.path(), methods, headers, classes, 0);
+        rule.name(), rule.hostPatterns(), rule.kind(), rule.path(), methods, headers, classes, 0);
   }
 
   @ParameterizedTest
@@ -52,8 +55,8 @@
     "/visits, exact", "/visits/, prefix", "/visits/7, regex", "/visits/x, prefix",
     "/visits/x/deep, deeper", "/visits/x/deeply, prefix", "/visitsx, root", "/, root",
   })
-  void thePathIsExactThenARegularExpressionThenTheLongestPrefix(String path, String wins) {
-    RouteTable<Integer> t =
+  void pathMatchesExactThenRegularExpressionThenLongestPrefix(String path, String expectedRoute) {
+    RouteTable<Integer> table =
         new RouteTable<>(
             List.of(
                 rule("root", RouteRule.Kind.PREFIX, "/"),
@@ -61,7 +64,7 @@
                 rule("deeper", RouteRule.Kind.PREFIX, "/visits/x/deep"),
                 rule("regex", RouteRule.Kind.REGEX, "/visits/[0-9]+"),
                 rule("exact", RouteRule.Kind.EXACT, "/visits")));
-    assertThat(t.find(get("a", path)).name()).isEqualTo(wins);
+    assertThat(table.find(get("a", path)).name()).isEqualTo(expectedRoute);
   }
 
   @ParameterizedTest
@@ -69,8 +72,8 @@
     "a.test, exact", "x.a.test, suffix", "y.x.a.test, longer", "x.b.test, short", "a.org, lead",
     "a.b.org, longlead", "else, any", "'', any", "test, any", ".a.test, short"
   })
-  void theHostIsExactThenTheLongestSuffixThenTheLongestPrefix(String host, String wins) {
-    RouteTable<Integer> t =
+  void hostMatchesExactThenLongestSuffixThenLongestPrefix(String host, String expectedRoute) {
+    RouteTable<Integer> table =
         new RouteTable<>(
             List.of(
                 rule("any", RouteRule.Kind.PREFIX, "/"),
@@ -80,52 +83,56 @@
                 rule("lead", RouteRule.Kind.PREFIX, "/", "a.*"),
                 rule("longlead", RouteRule.Kind.PREFIX, "/", "a.b.*"),
                 rule("exact", RouteRule.Kind.PREFIX, "/", "a.test")));
-    assertThat(t.find(get(host, "/")).name()).isEqualTo(wins);
+    assertThat(table.find(get(host, "/")).name()).isEqualTo(expectedRoute);
   }
 
   @Test
-  void thereIsNoWayBackToALessParticularHost() {
-    RouteTable<Integer> t =
+  void searchDoesNotFallBackToALessSpecificHost() {
+    RouteTable<Integer> table =
         new RouteTable<>(
             List.of(
                 rule("any", RouteRule.Kind.PREFIX, "/"),
                 rule("one", RouteRule.Kind.EXACT, "/x", "a.test")));
-    assertThat(t.find(get("a.test", "/y"))).isNull();
+    assertThat(table.find(get("a.test", "/y"))).isNull();
   }
 
   @Test
-  void ofOnePathTheOneWithMostConditionsThatHoldWins() {
+  void routesOfOnePathTheOneWithMostMatchingConditionsWins() {
     RouteRule<Integer> base = rule("plain", RouteRule.Kind.PREFIX, "/a");
-    RouteTable<Integer> t =
+    RouteTable<Integer> table =
         new RouteTable<>(
             List.of(
                 base,
-                with(rule("post", RouteRule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of(), Set.of()),
-                with(
+                withConditions(
+                    rule("post", RouteRule.Kind.PREFIX, "/a"), Set.of("POST"), Map.of(), Set.of()),
+                withConditions(
                     rule("both", RouteRule.Kind.PREFIX, "/a"),
                     Set.of("POST"),
                     Map.of("x", "1"),
                     Set.of()),
-                with(
+                withConditions(
                     rule("class", RouteRule.Kind.PREFIX, "/a/b"),
                     Set.of(),
                     Map.of(),
                     Set.of("log"))));
-    assertThat(t.find(get("h", "/a/b")).name()).isEqualTo("plain"); // on to the shorter prefix
-    assertThat(t.find(new Request("h", "/a/b", "GET", "log", Map.of())).name()).isEqualTo("class");
-    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of())).name()).isEqualTo("post");
-    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "1"))).name())
+    assertThat(table.find(get("h", "/a/b")).name())
+        .isEqualTo("plain"); // continues with the shorter prefix
+    assertThat(table.find(new Request("h", "/a/b", "GET", "log", Map.of())).name())
+        .isEqualTo("class");
+    assertThat(table.find(new Request("h", "/a", "POST", null, Map.of())).name()).isEqualTo("post");
+    assertThat(table.find(new Request("h", "/a", "POST", null, Map.of("x", "1"))).name())
         .isEqualTo("both");
-    assertThat(t.find(new Request("h", "/a", "POST", null, Map.of("x", "2"))).name())
+    assertThat(table.find(new Request("h", "/a", "POST", null, Map.of("x", "2"))).name())
         .isEqualTo("post");
   }
 
-  /** The order of precedence written down once more, as slowly as can be. */
-  private static RouteRule<Integer> slowly(List<RouteRule<Integer>> rules, Request r) {
+  /** Finds a rule by the definition of the order of precedence, without an index. */
+  private static RouteRule<Integer> findByDefinition(
+      List<RouteRule<Integer>> rules, Request request) {
     String host =
         rules.stream()
             .flatMap(x -> x.hostPatterns().stream())
-            .filter(h -> hostMatches(h, r.host()))
+            .filter(h -> hostMatches(h, request.host()))
             .max(
                 Comparator.comparingInt(
                     h ->
@@ -159,8 +166,8 @@
         .filter(
             i ->
                 rules.get(i).hostPatterns().contains(host)
-                    && pathMatches(rules.get(i), r.path())
-                    && rules.get(i).matchesConditions(r))
+                    && pathMatches(rules.get(i), request.path())
+                    && rules.get(i).matchesConditions(request))
         .min(order)
         .map(rules::get)
         .orElse(null);
@@ -177,11 +184,11 @@
             && host.startsWith(pattern.substring(0, pattern.length() - 1)));
   }
 
-  private static boolean pathMatches(RouteRule<Integer> r, String path) {
-    return switch (r.kind()) {
-      case EXACT -> path.equals(r.path());
-      case REGEX -> Pattern.matches(r.path(), path);
-      case PREFIX -> path.equals(r.path()) || path.startsWith(r.path() + "/");
+  private static boolean pathMatches(RouteRule<Integer> rule, String path) {
+    return switch (rule.kind()) {
+      case EXACT -> path.equals(rule.path());
+      case REGEX -> Pattern.matches(rule.path(), path);
+      case PREFIX -> path.equals(rule.path()) || path.startsWith(rule.path() + "/");
     };
   }
 
@@ -191,15 +198,15 @@
 
   private static List<RouteRule<Integer>> randomRules(SplittableRandom random) {
     List<RouteRule<Integer>> rules = new ArrayList<>();
-    int n = 1 + random.nextInt(12);
-    for (int i = 0; i < n; i++) {
+    int ruleCount = 1 + random.nextInt(12);
+    for (int i = 0; i < ruleCount; i++) {
       RouteRule.Kind kind = RouteRule.Kind.values()[random.nextInt(3)];
       String path =
           kind == RouteRule.Kind.REGEX
               ? REGEXES[random.nextInt(REGEXES.length)]
               : PATHS[random.nextInt(PATHS.length)];
       rules.add(
-          with(
+          withConditions(
               rule("r" + i, kind, path, HOSTS[random.nextInt(HOSTS.length)]),
               random.nextInt(3) == 0 ? Set.of(random.nextBoolean() ? "GET" : "POST") : Set.of(),
               random.nextInt(4) == 0 ? Map.of("x", random.nextBoolean() ? "1" : "*") : Map.of(),
@@ -220,16 +227,16 @@
   }
 
   @Test
-  void theTableFindsWhatTheOrderOfPrecedenceSays() {
+  void randomRoutesAreFoundInTheOrderOfPrecedence() {
     SplittableRandom random = new SplittableRandom(42);
     int found = 0;
     for (int i = 0; i < 3_000; i++) {
       List<RouteRule<Integer>> rules = randomRules(random);
-      RouteTable<Integer> t = new RouteTable<>(rules);
+      RouteTable<Integer> table = new RouteTable<>(rules);
       for (int j = 0; j < 20; j++) {
-        Request r = randomRequest(random);
-        RouteRule<Integer> expected = slowly(rules, r);
-        assertThat(t.find(r)).as("%s of %s", r, rules).isSameAs(expected);
+        Request request = randomRequest(random);
+        RouteRule<Integer> expected = findByDefinition(rules, request);
+        assertThat(table.find(request)).as("%s of %s", request, rules).isSameAs(expected);
         found += expected == null ? 0 : 1;
       }
     }
@@ -237,26 +244,27 @@
   }
 
   @Test
-  void aRouteThatIsSaidToBeShadowedNeverWins() {
+  void shadowedRouteIsNeverFound() {
     SplittableRandom random = new SplittableRandom(7);
-    int shadowed = 0;
+    int shadowedCount = 0;
     for (int i = 0; i < 2_000; i++) {
       List<RouteRule<Integer>> rules = randomRules(random);
-      RouteTable<Integer> t = new RouteTable<>(rules);
-      for (ShadowedRouteFinder.ShadowedRoute s : ShadowedRouteFinder.findShadowed(rules)) {
-        shadowed++;
+      RouteTable<Integer> table = new RouteTable<>(rules);
+      for (ShadowedRouteFinder.ShadowedRoute shadowedRoute :
+          ShadowedRouteFinder.findShadowed(rules)) {
+        shadowedCount++;
         for (int j = 0; j < 50; j++) {
-          assertThat(t.find(randomRequest(random)))
+          assertThat(table.find(randomRequest(random)))
               .as("%s", rules)
-              .isNotSameAs(rules.get(s.routeIndex()));
+              .isNotSameAs(rules.get(shadowedRoute.routeIndex()));
         }
       }
     }
-    assertThat(shadowed).isGreaterThan(100);
+    assertThat(shadowedCount).isGreaterThan(100);
   }
 
   @Test
-  void twinsAndWhatStandsBehindACatchAllAreTold() {
+  void duplicateRoutesAndRoutesAfterACatchAllAreReported() {
     List<RouteRule<Integer>> rules =
         List.of(
             rule("a", RouteRule.Kind.PREFIX, "/a"),
--- a/src/test/java/leadferry/routing/WeightedSplitTest.java
+++ b/src/test/java/leadferry/routing/WeightedSplitTest.java
@@ -9,7 +9,7 @@
 class WeightedSplitTest {
   private static final int KEYS = 20_000;
 
-  private static WeightedSplit<String> of(double a, double b, double c) {
+  private static WeightedSplit<String> splitOf(double a, double b, double c) {
     return new WeightedSplit<>(
         List.of(
             new WeightedSplit.Part<>("a", a, "a"),
@@ -18,30 +18,30 @@
   }
 
   @Test
-  void poolsGetKeysInProportionToTheirWeights() {
-    WeightedSplit<String> s = of(5, 3, 2);
-    int a = 0;
-    int c = 0;
+  void poolsReceiveKeysInProportionToTheirWeights() {
+    WeightedSplit<String> split = splitOf(5, 3, 2);
+    int countA = 0;
+    int countC = 0;
     for (int i = 0; i < KEYS; i++) {
-      String p = s.pick(WeightedSplit.hash("key" + i));
-      a += p.equals("a") ? 1 : 0;
-      c += p.equals("c") ? 1 : 0;
+      String pool = split.pick(WeightedSplit.hash("key" + i));
+      countA += pool.equals("a") ? 1 : 0;
+      countC += pool.equals("c") ? 1 : 0;
     }
-    assertThat(a / (double) KEYS).isCloseTo(0.5, within(0.02));
-    assertThat(c / (double) KEYS).isCloseTo(0.2, within(0.02));
+    assertThat(countA / (double) KEYS).isCloseTo(0.5, within(0.02));
+    assertThat(countC / (double) KEYS).isCloseTo(0.2, within(0.02));
   }
 
   @Test
-  void aKeyMovesOnlyToThePoolWhoseWeightRose() {
+  void risingWeightMovesKeysOnlyToThatPool() {
     double[] weights = {0, 1, 5, 25, 50, 100};
-    for (int w = 1; w < weights.length; w++) {
-      WeightedSplit<String> before = of(50, 30, weights[w - 1]);
-      WeightedSplit<String> after = of(50, 30, weights[w]);
+    for (int step = 1; step < weights.length; step++) {
+      WeightedSplit<String> before = splitOf(50, 30, weights[step - 1]);
+      WeightedSplit<String> after = splitOf(50, 30, weights[step]);
       int moved = 0;
       for (int i = 0; i < KEYS; i++) {
-        long key = WeightedSplit.hash("key" + i);
-        if (!before.pick(key).equals(after.pick(key))) {
-          assertThat(after.pick(key)).isEqualTo("c");
+        long keyHash = WeightedSplit.hash("key" + i);
+        if (!before.pick(keyHash).equals(after.pick(keyHash))) {
+          assertThat(after.pick(keyHash)).isEqualTo("c");
           moved++;
         }
       }
@@ -50,10 +50,10 @@
   }
 
   @Test
-  void aPoolOfNoWeightGetsNothing() {
-    WeightedSplit<String> s = of(1, 0, 1);
+  void poolWithoutWeightReceivesNoKey() {
+    WeightedSplit<String> split = splitOf(1, 0, 1);
     for (int i = 0; i < KEYS; i++) {
-      assertThat(s.pick(WeightedSplit.hash("key" + i))).isNotEqualTo("b");
+      assertThat(split.pick(WeightedSplit.hash("key" + i))).isNotEqualTo("b");
     }
   }
 }
