--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -33,27 +33,27 @@
    * @param viewVersion the version of the fleet view after the entry
    */
   void add(long entryNumber, long viewVersion, ObjectNode stored, Outcome outcome) {
-    ObjectNode entry =
+    ObjectNode auditRecord =
         Json.object()
             .put("n", entryNumber)
             .put("version", viewVersion)
             .put("status", outcome.status().storedName());
     for (String key : COPIED_KEYS) {
       if (stored.has(key)) {
-        entry.put(key, LogEntryCodec.text(stored, key));
+        auditRecord.put(key, LogEntryCodec.text(stored, key));
       }
     }
     if (!outcome.grantId().isEmpty()) {
-      entry.put("permit", outcome.grantId());
+      auditRecord.put("permit", outcome.grantId());
     }
     if (stored.path("plan").has("name")) {
-      entry.put("release", stored.path("plan").path("name").asText());
+      auditRecord.put("release", stored.path("plan").path("name").asText());
     }
     if (stored.has("at")) {
-      entry.put("at", stored.path("at").asLong());
+      auditRecord.put("at", stored.path("at").asLong());
     }
-    outcome.reasons().forEach(entry.putArray("reasons")::add);
-    records.addLast(entry);
+    outcome.reasons().forEach(auditRecord.putArray("reasons")::add);
+    records.addLast(auditRecord);
     if (records.size() > MAX_RECORDS) {
       records.removeFirst();
     }
@@ -65,6 +65,6 @@
 
   void restore(JsonNode snapshot) {
     records.clear();
-    snapshot.forEach(entry -> records.add((ObjectNode) entry));
+    snapshot.forEach(auditRecord -> records.add((ObjectNode) auditRecord));
   }
 }
--- a/src/main/java/leadferry/consensus/LogEntry.java
+++ b/src/main/java/leadferry/consensus/LogEntry.java
@@ -39,7 +39,7 @@
       implements LogEntry {}
 
   /**
-   * Reports the state of a member.
+   * A member's report of its state.
    *
    * @param reportNumber increases within a session; a late report with a lower number is ignored
    * @param acknowledgedVersion the version of the fleet view that the member follows
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -138,8 +138,8 @@
         stored.path("number").asLong(),
         stored.path("seen").asLong(),
         stored.path("serving").asBoolean(),
-        names(stored.path("busy")),
-        names(stored.path("suspects")),
+        readNames(stored.path("busy")),
+        readNames(stored.path("suspects")),
         stored.has("hosts") ? Optional.of(decodeCatalog(stored)) : Optional.empty());
   }
 
@@ -263,9 +263,9 @@
   }
 
   private static ArrayNode encodeEndpoints(List<Target> endpoints) {
-    ArrayNode list = Json.object().putArray("hosts");
-    endpoints.forEach(endpoint -> DisruptionState.writeTarget(endpoint, list.addObject()));
-    return list;
+    ArrayNode encoded = Json.object().putArray("hosts");
+    endpoints.forEach(endpoint -> DisruptionState.writeTarget(endpoint, encoded.addObject()));
+    return encoded;
   }
 
   /**
@@ -285,7 +285,7 @@
     return stored.path("session").asLong();
   }
 
-  private static SortedSet<String> names(JsonNode list) {
+  private static SortedSet<String> readNames(JsonNode list) {
     SortedSet<String> names = new TreeSet<>();
     list.forEach(name -> names.add(name.asText()));
     return names;
--- a/src/main/java/leadferry/consensus/RatisProperties.java
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -49,27 +49,27 @@
     GrpcConfigKeys.Server.setPort(properties, config.logAddress().getPort());
   }
 
-  private static void setElections(RaftProperties properties, int electionMillis) {
-    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionMillis));
-    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(2 * electionMillis));
+  private static void setElections(RaftProperties properties, int electionTimeoutMillis) {
+    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionTimeoutMillis));
+    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(2 * electionTimeoutMillis));
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
-        properties, millis(Math.max(MIN_FIRST_ELECTION_MILLIS, electionMillis / 4)));
-    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionMillis));
-    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(electionMillis));
+        properties, millis(Math.max(MIN_FIRST_ELECTION_MILLIS, electionTimeoutMillis / 4)));
+    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionTimeoutMillis));
+    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(electionTimeoutMillis));
     RaftServerConfigKeys.Rpc.setSleepTime(
-        properties, millis(Math.max(MIN_RETRY_MILLIS, electionMillis / 8)));
+        properties, millis(Math.max(MIN_RETRY_MILLIS, electionTimeoutMillis / 8)));
   }
 
-  private static void setReads(RaftProperties properties, int electionMillis) {
+  private static void setReads(RaftProperties properties, int electionTimeoutMillis) {
     Read.setOption(properties, Read.Option.LINEARIZABLE);
     Read.setLeaderLeaseEnabled(properties, false);
-    Read.setTimeout(properties, millis(2 * electionMillis));
+    Read.setTimeout(properties, millis(2 * electionTimeoutMillis));
   }
 
-  private static void setSnapshots(RaftProperties properties, int snapshotEntries) {
+  private static void setSnapshots(RaftProperties properties, int thresholdEntries) {
     RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
-    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshotEntries);
-    RaftServerConfigKeys.Snapshot.setCreationGap(properties, Math.max(1, snapshotEntries / 4));
+    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, thresholdEntries);
+    RaftServerConfigKeys.Snapshot.setCreationGap(properties, Math.max(1, thresholdEntries / 4));
     RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, RETAINED_SNAPSHOTS);
   }
 
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -27,7 +27,7 @@
   private final FleetStateMachine stateMachine;
   private final LeaderLeaseTimers leaderTimers;
   private final MemberReportTable reports = new MemberReportTable();
-  private final ScheduledExecutorService clockThread =
+  private final ScheduledExecutorService timerExecutor =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
             Thread thread = new Thread(task, "replica-clock");
@@ -56,29 +56,30 @@
     this.log = log;
     this.stateMachine = new FleetStateMachine(config.times());
     this.leaderTimers = new LeaderLeaseTimers(stateMachine);
-    RaftGroupId group = RatisServer.groupIdOf(config.fleet());
-    StartupOption startup = ReplicaFolder.claim(config, group, allowEmptyFolder);
+    RaftGroupId groupId = RatisServer.groupIdOf(config.fleet());
+    StartupOption startup = ReplicaFolder.claim(config, groupId, allowEmptyFolder);
     this.apiServer = new ReplicaApiServer(config, this);
     try {
       this.server =
           new RatisServer(
               config,
-              group,
+              groupId,
               startup,
               new RatisStateMachine(stateMachine, apiServer::publishView, fatalErrorListener));
     } catch (IOException | RuntimeException e) {
       apiServer.close();
       throw e;
     }
-    this.confirmation = new LeadershipConfirmation(server, clockThread);
-    clockThread.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    this.confirmation = new LeadershipConfirmation(server, timerExecutor);
+    timerExecutor.scheduleWithFixedDelay(
+        this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     apiServer.listen();
   }
 
   /** Submits an entry to the log and passes the response to {@code listener}. */
   void submit(ObjectNode entry, Consumer<ReplicaResponse> listener) {
     if (!isLeading()) {
-      listener.accept(redirect());
+      listener.accept(redirectResponse());
       return;
     }
     server
@@ -105,18 +106,18 @@
             listener.accept(
                 result.confirmed()
                     ? new ReplicaResponse.Completed(bodySupplier.apply(this))
-                    : unconfirmed(result.reason())));
+                    : unconfirmedResponse(result.reason())));
   }
 
-  private ReplicaResponse unconfirmed(String reason) {
-    return isLeading() ? new ReplicaResponse.Undecided(reason) : redirect();
+  private ReplicaResponse unconfirmedResponse(String reason) {
+    return isLeading() ? new ReplicaResponse.Undecided(reason) : redirectResponse();
   }
 
   private boolean isLeading() {
     return server.leadershipTerm() != RatisServer.NOT_LEADING;
   }
 
-  private ReplicaResponse redirect() {
+  private ReplicaResponse redirectResponse() {
     return new ReplicaResponse.Redirect(server.otherLeaderName());
   }
 
@@ -185,7 +186,7 @@
         submitExpiry(timer);
       }
     } catch (IOException | RuntimeException e) {
-      // The executor drops a periodic task after its first exception.
+      // Guards against the end of this task: the executor drops a periodic task that throws.
       log.accept("replica timer task failed: " + e);
     }
   }
@@ -202,7 +203,7 @@
 
   @Override
   public void close() throws IOException {
-    clockThread.shutdownNow();
+    timerExecutor.shutdownNow();
     apiServer.close();
     server.close();
   }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -134,27 +134,28 @@
     } catch (IOException e) {
       disconnect();
     }
-    long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
-    if (leftMillis > 0) {
-      Sleep.millis(Math.min(leftMillis, RETRY_DELAY_MILLIS));
+    long remainingMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
+    if (remainingMillis > 0) {
+      Sleep.millis(Math.min(remainingMillis, RETRY_DELAY_MILLIS));
     }
   }
 
   private void connect(long deadlineNanos) throws IOException {
     if (connection == null) {
       currentReplica = replicaNames.get(nextIndex);
-      long leftMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
+      long remainingMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
       connection =
           new ReplicaClientConnection(
-              addresses.get(currentReplica), (int) Math.min(leftMillis, CONNECT_TIMEOUT_MILLIS));
+              addresses.get(currentReplica),
+              (int) Math.min(remainingMillis, CONNECT_TIMEOUT_MILLIS));
     }
   }
 
   private void followRedirect(ReplicaResponse.Redirect redirect) {
     disconnect();
-    int leader = replicaNames.indexOf(redirect.leader());
-    if (leader >= 0) {
-      nextIndex = leader;
+    int leaderIndex = replicaNames.indexOf(redirect.leader());
+    if (leaderIndex >= 0) {
+      nextIndex = leaderIndex;
     } else {
       Sleep.millis(RETRY_DELAY_MILLIS);
     }
--- a/src/main/java/leadferry/consensus/ReplicaClientConnection.java
+++ b/src/main/java/leadferry/consensus/ReplicaClientConnection.java
@@ -48,12 +48,12 @@
       if (delimiter >= 0) {
         return takeMessage(delimiter);
       }
-      long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
-      if (leftMillis <= 0) {
+      long remainingMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
+      if (remainingMillis <= 0) {
         return null;
       }
       growBufferIfFull();
-      fillBuffer((int) Math.min(leftMillis, MAX_READ_MILLIS));
+      fillBuffer((int) Math.min(remainingMillis, MAX_READ_MILLIS));
     }
   }
 
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -46,7 +46,11 @@
     return watchesView && pushedVersion < version && channel.isWritable();
   }
 
-  /** Pushes an encoded view. */
+  /**
+   * Pushes a view.
+   *
+   * @param line the view as a line of {@link LineProtocol}
+   */
   void push(ByteBuf line, long version) {
     pushedVersion = version;
     channel.writeAndFlush(line);
--- a/src/main/java/leadferry/consensus/ReplicaFolder.java
+++ b/src/main/java/leadferry/consensus/ReplicaFolder.java
@@ -31,7 +31,7 @@
    * @throws IOException if the folder belongs to another replica or can't be used; the message says
    *     what was expected
    */
-  static StartupOption claim(ReplicaConfig config, RaftGroupId group, boolean allowEmptyFolder)
+  static StartupOption claim(ReplicaConfig config, RaftGroupId groupId, boolean allowEmptyFolder)
       throws IOException {
     Files.createDirectories(config.folder());
     Path marker = config.folder().resolve(MARKER_FILE);
@@ -53,7 +53,7 @@
     }
     // The marker is written before the library formats its storage. A crash in between leaves only
     // the marker.
-    Path current = logFolder(config).resolve(group.getUuid().toString()).resolve("current");
+    Path current = logFolder(config).resolve(groupId.getUuid().toString()).resolve("current");
     return Files.isDirectory(current) ? StartupOption.RECOVER : StartupOption.FORMAT;
   }
 
--- a/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
+++ b/src/test/java/leadferry/consensus/DrainStateSpaceTest.java
@@ -61,7 +61,7 @@
     final FleetStateMachine stateMachine =
         new FleetStateMachine(new DisruptionState.Times(10, 10, 10));
     final Map<String, ProxyProcess> processes = new HashMap<>();
-    final Set<String> permits = new TreeSet<>();
+    final Set<String> grantIds = new TreeSet<>();
     int crashCount;
     long pushedVersion;
 
@@ -224,9 +224,9 @@
       for (String name : List.of("a", "b")) {
         steps.add(new Step("drain " + name, () -> drain(name)));
       }
-      for (String permit : permits) {
-        ObjectNode undo = Json.object().put("op", "undo").put("permit", permit);
-        steps.add(new Step("undo " + permit, () -> apply(undo)));
+      for (String grantId : grantIds) {
+        ObjectNode undo = Json.object().put("op", "undo").put("permit", grantId);
+        steps.add(new Step("undo " + grantId, () -> apply(undo)));
       }
     }
 
@@ -239,7 +239,7 @@
                   .put("name", name)
                   .put("for_ms", DRAIN_MILLIS));
       if (outcome.has("permit")) {
-        permits.add(outcome.path("permit").asText());
+        grantIds.add(outcome.path("permit").asText());
       }
     }
 
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -36,12 +36,12 @@
             .put("lease_ms", 1_000)
             .put("zone", zone)
             .put("digest", "d");
-    ArrayNode hosts = entry.putArray("hosts");
+    ArrayNode endpoints = entry.putArray("hosts");
     for (int i = 1; i <= 6; i++) {
       DisruptionState.writeTarget(
           new Target(
               TargetType.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
-          hosts.addObject());
+          endpoints.addObject());
     }
     return apply(entry).path("session").asLong();
   }
--- a/src/test/java/leadferry/consensus/ReleaseModel.java
+++ b/src/test/java/leadferry/consensus/ReleaseModel.java
@@ -248,16 +248,16 @@
     }
   }
 
-  void deliver(InFlightCommand flight) {
-    inFlightCommands.remove(flight);
-    if (flight.command() instanceof DriverAction.RunChange change) {
-      deliver(change, flight.sender());
-    } else if (flight.command() instanceof DriverAction.CheckVersion check) {
+  void deliver(InFlightCommand inFlight) {
+    inFlightCommands.remove(inFlight);
+    if (inFlight.command() instanceof DriverAction.RunChange change) {
+      deliver(change, inFlight.sender());
+    } else if (inFlight.command() instanceof DriverAction.CheckVersion check) {
       ProxyProcess process = processes.get(check.target());
       process.fence = Math.max(process.fence, check.fence());
       Optional<String> version =
           check.fence() < process.fence ? Optional.empty() : Optional.of(process.version);
-      flight.sender().onVersionChecked(check, version);
+      inFlight.sender().onVersionChecked(check, version);
     }
   }
 
@@ -299,7 +299,7 @@
                 .append(process.fence));
     drivers.forEach(
         (name, driver) -> text.append(name).append(driver.stalled).append(driver.pending));
-    inFlightCommands.forEach(flight -> text.append(flight.command()));
+    inFlightCommands.forEach(inFlight -> text.append(inFlight.command()));
     return text.append(crashCount)
         .append(stallCount)
         .append(lossCount)
--- a/src/test/java/leadferry/consensus/ReleaseModelSteps.java
+++ b/src/test/java/leadferry/consensus/ReleaseModelSteps.java
@@ -69,8 +69,8 @@
 
   private void addInFlightCommands() {
     for (int i = 0; i < model.inFlightCommands.size(); i++) {
-      InFlightCommand flight = model.inFlightCommands.get(i);
-      add("command arrives " + i, () -> model.deliver(flight));
+      InFlightCommand inFlight = model.inFlightCommands.get(i);
+      add("command arrives " + i, () -> model.deliver(inFlight));
     }
   }
 
--- a/src/test/java/leadferry/limits/LimiterTest.java
+++ b/src/test/java/leadferry/limits/LimiterTest.java
@@ -124,14 +124,14 @@
                 limit("all", Limit.Scope.ALL, null, 0, 1, 100),
                 limit("t", Limit.Scope.TENANT, "all", 0, 1, 1_000)),
             64);
-    ArrayDeque<LimitDecision> hot = new ArrayDeque<>();
+    ArrayDeque<LimitDecision> busy = new ArrayDeque<>();
     for (int i = 0; i < 200; i++) {
-      LimitDecision decision = limiter.acquire(tenant("hot"), nowNanos);
+      LimitDecision decision = limiter.acquire(tenant("busy"), nowNanos);
       if (decision.refusedBy() == null) {
-        hot.add(decision);
+        busy.add(decision);
       }
     }
-    assertThat(hot).hasSize(80);
+    assertThat(busy).hasSize(80);
     List<LimitDecision> quiet = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       LimitDecision decision = limiter.acquire(tenant("quiet" + i % 4), nowNanos);
@@ -140,8 +140,8 @@
     }
     // All tenants compete for each slot that is released, and reach equal shares.
     for (int round = 0; round < 400; round++) {
-      if (!hot.isEmpty()) {
-        hot.poll().release();
+      if (!busy.isEmpty()) {
+        busy.poll().release();
       }
       for (int i = 0; i < 4; i++) {
         LimitDecision decision = limiter.acquire(tenant("quiet" + i), nowNanos);
@@ -149,12 +149,12 @@
           quiet.add(decision);
         }
       }
-      LimitDecision decision = limiter.acquire(tenant("hot"), nowNanos);
+      LimitDecision decision = limiter.acquire(tenant("busy"), nowNanos);
       if (decision.refusedBy() == null) {
-        hot.add(decision);
+        busy.add(decision);
       }
     }
-    assertThat(hot.size()).isBetween(16, 21);
+    assertThat(busy.size()).isBetween(16, 21);
     assertThat(quiet.size()).isGreaterThan(60);
   }
 
@@ -166,18 +166,18 @@
                 limit("all", Limit.Scope.ALL, null, 100, 20, 0),
                 limit("t", Limit.Scope.TENANT, "all", 0, 1, 1_000)),
             64);
-    int hot = 0;
+    int busy = 0;
     int quiet = 0;
     for (int ms = 0; ms < 20_000; ms++) {
       nowNanos += NANOS_PER_MILLI;
       for (int i = 0; i < 5; i++) {
-        hot += isAdmittedAndReleased(limiter, "hot") ? 1 : 0; // 5,000 a second
+        busy += isAdmittedAndReleased(limiter, "busy") ? 1 : 0; // 5,000 a second
       }
       if (ms % 50 == 0) {
         quiet += isAdmittedAndReleased(limiter, "quiet") ? 1 : 0; // 20 a second
       }
     }
-    assertThat(hot + quiet).isBetween(1_700, 2_100);
+    assertThat(busy + quiet).isBetween(1_700, 2_100);
     assertThat(quiet).isGreaterThan(360); // of 400
   }
 
