--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -8,16 +8,17 @@
 import leadferry.disruption.Outcome;
 
 /**
- * Who asked what, when and why, and what became of it: the newest {@link #MAX_RECORDS} records. A
- * record is copied from the stored form of its entry, so that every build writes the same one.
+ * Records who submitted which entry, when and why, and with what outcome. Keeps the newest {@link
+ * #MAX_RECORDS} records. Each record is copied from the stored form of its entry, which makes every
+ * version write the same record.
  */
 final class AuditLog {
   static final int MAX_RECORDS = 2_000;
 
-  /** The stored word for {@code who} where no person asked. */
+  /** Stored value of {@code who} for entries that the replicas submit themselves. */
   static final String REPLICAS_ACTOR = "keepers";
 
-  /** What a record takes over of its entry, as text, in this order. */
+  /** Keys that a record copies from its entry as text, in this order. */
   private static final List<String> COPIED_KEYS =
       List.of(
           "op", "kind", "name", "permit", "who", "why", "call", "release", "target", "action",
@@ -26,33 +27,33 @@
   private final ArrayDeque<ObjectNode> records = new ArrayDeque<>();
 
   /**
-   * Adds a record.
+   * Adds a record and removes the oldest one beyond {@link #MAX_RECORDS}.
    *
-   * @param entryNumber the entry's place in the log
-   * @param viewVersion that of the fleet's view after the entry
+   * @param entryNumber the position of the entry in the log
+   * @param viewVersion the version of the fleet view after the entry
    */
   void add(long entryNumber, long viewVersion, ObjectNode stored, Outcome outcome) {
-    ObjectNode entry =
+    ObjectNode auditRecord =
         Json.object()
             .put("n", entryNumber)
             .put("version", viewVersion)
             .put("status", outcome.status().storedName());
     for (String key : COPIED_KEYS) {
       if (stored.has(key)) {
-        entry.put(key, LogEntryCodec.text(stored, key));
+        auditRecord.put(key, LogEntryCodec.text(stored, key));
       }
     }
     if (!outcome.grantId().isEmpty()) {
-      entry.put("permit", outcome.grantId());
+      auditRecord.put("permit", outcome.grantId());
     }
     if (stored.path("plan").has("name")) {
-      entry.put("release", stored.path("plan").path("name").asText());
+      auditRecord.put("release", stored.path("plan").path("name").asText());
     }
     if (stored.has("at")) {
-      entry.put("at", stored.path("at").asLong());
+      auditRecord.put("at", stored.path("at").asLong());
     }
-    outcome.reasons().forEach(entry.putArray("reasons")::add);
-    records.addLast(entry);
+    outcome.reasons().forEach(auditRecord.putArray("reasons")::add);
+    records.addLast(auditRecord);
     if (records.size() > MAX_RECORDS) {
       records.removeFirst();
     }
@@ -64,6 +65,6 @@
 
   void restore(JsonNode snapshot) {
     records.clear();
-    snapshot.forEach(entry -> records.add((ObjectNode) entry));
+    snapshot.forEach(auditRecord -> records.add((ObjectNode) auditRecord));
   }
 }
--- a/src/main/java/leadferry/consensus/RatisProperties.java
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -11,12 +11,18 @@
 import org.apache.ratis.util.SizeInBytes;
 import org.apache.ratis.util.TimeDuration;
 
-/** The settings of the Raft library for a replica: addresses, elections, reads, snapshots, log. */
+/**
+ * Maps a {@link ReplicaConfig} to settings of the Raft library: addresses, elections, reads,
+ * snapshots and log.
+ */
 final class RatisProperties {
-  /** What is sent to a follower at once, at most. */
+  /** Maximum size of a batch sent to a follower. */
   private static final SizeInBytes APPEND_BATCH = SizeInBytes.valueOf("4MB");
 
-  /** The library asks for a write buffer that holds a batch and a little more. */
+  /**
+   * Margin by which the write buffer exceeds a batch; the library requires the buffer to be larger
+   * than a batch.
+   */
   private static final long WRITE_BUFFER_MARGIN_BYTES = 64;
 
   private static final int MIN_FIRST_ELECTION_MILLIS = 50;
@@ -43,33 +49,33 @@
     GrpcConfigKeys.Server.setPort(properties, config.logAddress().getPort());
   }
 
-  private static void setElections(RaftProperties properties, int electionMillis) {
-    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionMillis));
-    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(2 * electionMillis));
+  private static void setElections(RaftProperties properties, int electionTimeoutMillis) {
+    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionTimeoutMillis));
+    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(2 * electionTimeoutMillis));
     RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(
-        properties, millis(Math.max(MIN_FIRST_ELECTION_MILLIS, electionMillis / 4)));
-    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionMillis));
-    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(electionMillis));
+        properties, millis(Math.max(MIN_FIRST_ELECTION_MILLIS, electionTimeoutMillis / 4)));
+    RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionTimeoutMillis));
+    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(electionTimeoutMillis));
     RaftServerConfigKeys.Rpc.setSleepTime(
-        properties, millis(Math.max(MIN_RETRY_MILLIS, electionMillis / 8)));
+        properties, millis(Math.max(MIN_RETRY_MILLIS, electionTimeoutMillis / 8)));
   }
 
-  private static void setReads(RaftProperties properties, int electionMillis) {
+  private static void setReads(RaftProperties properties, int electionTimeoutMillis) {
     Read.setOption(properties, Read.Option.LINEARIZABLE);
     Read.setLeaderLeaseEnabled(properties, false);
-    Read.setTimeout(properties, millis(2 * electionMillis));
+    Read.setTimeout(properties, millis(2 * electionTimeoutMillis));
   }
 
-  private static void setSnapshots(RaftProperties properties, int snapshotEntries) {
+  private static void setSnapshots(RaftProperties properties, int thresholdEntries) {
     RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
-    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshotEntries);
-    RaftServerConfigKeys.Snapshot.setCreationGap(properties, Math.max(1, snapshotEntries / 4));
+    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, thresholdEntries);
+    RaftServerConfigKeys.Snapshot.setCreationGap(properties, Math.max(1, thresholdEntries / 4));
     RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, RETAINED_SNAPSHOTS);
   }
 
   private static void setLog(RaftProperties properties) {
-    // What a replica that is down still lacks stays in the log: a snapshot is sent only to one that
-    // lost its folder.
+    // Entries that a stopped replica lacks stay in the log. A snapshot is sent only to a replica
+    // that lost its folder.
     RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, false);
     RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf("4MB"));
     RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
