--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -54,7 +54,7 @@
    * Applies an entry and returns its outcome. Invalid content of an entry is reported in the
    * outcome and not thrown.
    *
-   * @throws LaterSchemaException if a newer version with another schema wrote the entry
+   * @throws NewerSchemaException if a newer version with another schema wrote the entry
    */
   public ObjectNode apply(byte[] bytes) {
     entryCount++;
@@ -297,7 +297,7 @@
   /**
    * Replaces the whole state by a snapshot.
    *
-   * @throws LaterSchemaException if a newer version with another schema wrote the snapshot
+   * @throws NewerSchemaException if a newer version with another schema wrote the snapshot
    */
   public void restore(byte[] bytes) {
     entryCount = SnapshotCodec.decode(bytes, parts);
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -71,7 +71,7 @@
   /**
    * Parses the stored form; returns null if the bytes are not a JSON object.
    *
-   * @throws LaterSchemaException if a newer version with another schema wrote the entry
+   * @throws NewerSchemaException if a newer version with another schema wrote the entry
    */
   static ObjectNode parse(byte[] bytes) {
     ObjectNode stored = Json.parse(bytes);
@@ -87,7 +87,7 @@
    */
   static void checkSchema(int schema) {
     if (schema > SCHEMA) {
-      throw new LaterSchemaException(schema);
+      throw new NewerSchemaException(schema);
     }
   }
 
--- a/src/main/java/leadferry/consensus/LaterSchemaException.java
+++ b/src/main/java/leadferry/consensus/NewerSchemaException.java
@@ -5,10 +5,10 @@
  * the replica stops, because skipping the entry would make its state differ from that of the
  * others.
  */
-public final class LaterSchemaException extends RuntimeException {
+public final class NewerSchemaException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  LaterSchemaException(int schema) {
+  NewerSchemaException(int schema) {
     super(
         "schema: "
             + schema
--- a/src/main/java/leadferry/consensus/SnapshotCodec.java
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -34,7 +34,7 @@
    * Replaces the content of the parts.
    *
    * @return the number of entries that the snapshot covers
-   * @throws LaterSchemaException if a newer version with another schema wrote the snapshot; the
+   * @throws NewerSchemaException if a newer version with another schema wrote the snapshot; the
    *     parts are then unchanged
    */
   static long decode(byte[] bytes, Parts parts) {
--- a/src/main/java/leadferry/daemon/HostCatalogs.java
+++ b/src/main/java/leadferry/daemon/HostCatalogs.java
@@ -30,7 +30,7 @@
         byName.putIfAbsent(
             host.name(),
             new Target(
-                TargetType.HOST,
+                TargetType.ENDPOINT,
                 host.name(),
                 host.zone(),
                 Long.toHexString(host.cell()),
--- a/src/main/java/leadferry/disruption/EvictionController.java
+++ b/src/main/java/leadferry/disruption/EvictionController.java
@@ -52,7 +52,7 @@
             tables.revision.advanceVersion());
     // A grant of a proxy ends the warm-up of the endpoint with the empty name, as in earlier
     // builds: replicas of different builds must compute the same state from the same log.
-    tables.warmUps.end(target.type() == TargetType.HOST ? target.name() : "");
+    tables.warmUps.end(target.type() == TargetType.ENDPOINT ? target.name() : "");
     return new Outcome(Status.GRANTED, grant.id(), List.of());
   }
 
@@ -151,7 +151,7 @@
    */
   void releaseAcknowledgedEndpoints() {
     for (EvictionGrant grant : List.copyOf(tables.grants.all())) {
-      if (grant.isForType(TargetType.HOST)
+      if (grant.isForType(TargetType.ENDPOINT)
           && grant.isRestoring()
           && haveAllLiveMembersAcknowledged(grant.restoringVersion())) {
         tables.grants.release(grant);
--- a/src/main/java/leadferry/disruption/EvictionProgress.java
+++ b/src/main/java/leadferry/disruption/EvictionProgress.java
@@ -21,7 +21,7 @@
   Map<String, String> pendingProxies(String grantId) {
     Map<String, String> reasons = new TreeMap<>();
     EvictionGrant grant = tables.grants.find(grantId).orElse(null);
-    if (grant == null || !grant.isForType(TargetType.HOST)) {
+    if (grant == null || !grant.isForType(TargetType.ENDPOINT)) {
       return reasons;
     }
     for (ProxyMember member : tables.members.all()) {
@@ -54,7 +54,7 @@
     if (grant == null || grant.isRestoring()) {
       return false;
     }
-    if (grant.isForType(TargetType.HOST)) {
+    if (grant.isForType(TargetType.ENDPOINT)) {
       return pendingProxies(grantId).isEmpty();
     }
     return tables
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -38,7 +38,7 @@
         continue;
       }
       String name = grant.target().name();
-      if (grant.isForType(TargetType.HOST)) {
+      if (grant.isForType(TargetType.ENDPOINT)) {
         drainedEndpoints.add(name);
       } else {
         proxyEvictions.put(name, new ProxyEviction(grant.id(), grant.request().durationMillis()));
--- a/src/main/java/leadferry/disruption/StatusWriter.java
+++ b/src/main/java/leadferry/disruption/StatusWriter.java
@@ -36,7 +36,7 @@
     tables.members.all().forEach(member -> writeProxy(member, proxies.addObject()));
     ArrayNode endpoints = json.putArray("hosts");
     targets
-        .byName(TargetType.HOST)
+        .byName(TargetType.ENDPOINT)
         .values()
         .forEach(endpoint -> writeEndpoint(endpoint, endpoints.addObject()));
   }
@@ -80,7 +80,7 @@
         .put("pod", endpoint.pod())
         .put("pool", endpoint.pool())
         .put("kind", endpoint.kind())
-        .put("out", reasonOrNull(TargetType.HOST, endpoint.name()));
+        .put("out", reasonOrNull(TargetType.ENDPOINT, endpoint.name()));
   }
 
   private String reasonOrNull(TargetType type, String name) {
--- a/src/main/java/leadferry/disruption/TargetCodec.java
+++ b/src/main/java/leadferry/disruption/TargetCodec.java
@@ -22,13 +22,13 @@
   }
 
   /**
-   * Reads a target. A missing or unknown type reads as {@link TargetType#HOST}, a missing label as
-   * {@link Target#NONE}.
+   * Reads a target. A missing or unknown type reads as {@link TargetType#ENDPOINT}, a missing label
+   * as {@link Target#NONE}.
    */
   static Target decode(JsonNode json) {
     TargetType type = TargetType.fromStoredName(json.path("what").asText("host"));
     return new Target(
-        type == null ? TargetType.HOST : type,
+        type == null ? TargetType.ENDPOINT : type,
         json.path("name").asText(),
         json.path("zone").asText(Target.NONE),
         json.path("pod").asText(Target.NONE),
--- a/src/main/java/leadferry/disruption/TargetDirectory.java
+++ b/src/main/java/leadferry/disruption/TargetDirectory.java
@@ -42,7 +42,7 @@
       catalog.forEach(endpoint -> endpoints.putIfAbsent(endpoint.name(), endpoint));
     }
     for (EvictionGrant grant : tables.grants.all()) {
-      if (grant.isForType(TargetType.HOST)) {
+      if (grant.isForType(TargetType.ENDPOINT)) {
         endpoints.putIfAbsent(grant.target().name(), grant.target());
       }
     }
--- a/src/main/java/leadferry/disruption/TargetType.java
+++ b/src/main/java/leadferry/disruption/TargetType.java
@@ -6,7 +6,7 @@
   PROXY("proxy"),
 
   /** An endpoint that proxies send requests to; stored as "host". */
-  HOST("host");
+  ENDPOINT("host");
 
   private final String storedName;
 
--- a/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
+++ b/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
@@ -24,7 +24,7 @@
     if (grant.isPresent()) {
       return grant.map(Unavailability::byGrant);
     }
-    return type == TargetType.HOST
+    return type == TargetType.ENDPOINT
         ? ofEndpoint(name)
         : tables.members.find(name).flatMap(UnavailabilityEvaluator::ofProxy);
   }
--- a/src/main/java/leadferry/release/CanaryCounts.java
+++ b/src/main/java/leadferry/release/CanaryCounts.java
@@ -42,7 +42,7 @@
         .byMember()
         .forEach(
             (member, report) -> {
-              if (release.plan().targetType() == TargetType.HOST) {
+              if (release.plan().targetType() == TargetType.ENDPOINT) {
                 report
                     .countsByEndpoint()
                     .forEach(
--- a/src/main/java/leadferry/release/ReleaseStatusWriter.java
+++ b/src/main/java/leadferry/release/ReleaseStatusWriter.java
@@ -88,7 +88,7 @@
         .put("zone", knownTarget == null ? Target.NONE : knownTarget.zone())
         .put("carried_out", draining && disruption.isCarriedOut(target.grantId))
         .put("told", reportedVersion(target));
-    if (draining && targetType == TargetType.HOST) {
+    if (draining && targetType == TargetType.ENDPOINT) {
       ObjectNode awaited = json.putObject("awaited");
       disruption.pendingProxies(target.grantId).forEach(awaited::put);
     }
--- a/src/test/java/leadferry/ArchitectureTest.java
+++ b/src/test/java/leadferry/ArchitectureTest.java
@@ -137,7 +137,7 @@
     noClasses()
         .that()
         .haveNameMatching(
-            "leadferry\\.consensus\\.(FleetStateMachine|LogEntry|LaterSchemaException|SessionTable|CallHistory"
+            "leadferry\\.consensus\\.(FleetStateMachine|LogEntry|NewerSchemaException|SessionTable|CallHistory"
                 + "|AuditLog|OutcomeCodec|SnapshotCodec|LeaseTimers|Lease).*")
         .should()
         .dependOnClassesThat()
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -40,7 +40,12 @@
     for (int i = 1; i <= 6; i++) {
       DisruptionState.writeTarget(
           new Target(
-              TargetType.HOST, "h" + i, "z" + i % 2, "pod" + i % 3, i <= 4 ? "main" : "next", "-"),
+              TargetType.ENDPOINT,
+              "h" + i,
+              "z" + i % 2,
+              "pod" + i % 3,
+              i <= 4 ? "main" : "next",
+              "-"),
           endpoints.addObject());
     }
     return apply(entry).path("session").asLong();
@@ -230,7 +235,7 @@
   @Test
   void newerSchemaIsRejected() {
     assertThatThrownBy(() -> apply(operation("halt").put("schema", 2)))
-        .isInstanceOf(LaterSchemaException.class);
+        .isInstanceOf(NewerSchemaException.class);
     ObjectNode later = Json.parse(stateMachine.snapshot()).put("schema", 2);
     assertThatThrownBy(() -> stateMachine.restore(Json.bytes(later)))
         .hasMessageContaining("newer version");
--- a/src/test/java/leadferry/consensus/RecordedEntriesTest.java
+++ b/src/test/java/leadferry/consensus/RecordedEntriesTest.java
@@ -62,7 +62,7 @@
     } else if (step.has("throws")) {
       assertThatThrownBy(() -> stateMachine.apply(decoded(step.path("entry"))))
           .as(where)
-          .isInstanceOf(LaterSchemaException.class);
+          .isInstanceOf(NewerSchemaException.class);
     } else if (step.has("entry")) {
       assertThat(Json.text(stateMachine.apply(decoded(step.path("entry")))))
           .as(where)
--- a/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
+++ b/src/test/java/leadferry/disruption/BudgetEvaluatorTest.java
@@ -23,7 +23,7 @@
       new BudgetEvaluator(tables.budgets, targets, unavailability);
 
   private static Target endpoint(String name, String zone, String pool) {
-    return new Target(TargetType.HOST, name, zone, Target.NONE, pool, Target.NONE);
+    return new Target(TargetType.ENDPOINT, name, zone, Target.NONE, pool, Target.NONE);
   }
 
   private void addProxy(String name, String... ejectedEndpoints) {
@@ -42,7 +42,7 @@
     budgets.add(
         new Budget(
             "b" + budgets.size(),
-            TargetType.HOST,
+            TargetType.ENDPOINT,
             Map.of(),
             groupBy,
             maxUnavailable,
@@ -115,7 +115,7 @@
     addProxy("b", "h1");
     assertThat(ejections.isLost("h1")).isTrue();
     assertThat(ejections.lostEndpoints()).containsExactly("h1");
-    assertThat(unavailability.of(TargetType.HOST, "h1"))
+    assertThat(unavailability.of(TargetType.ENDPOINT, "h1"))
         .contains(new Unavailability(Unavailability.Cause.EJECTED, "2"));
   }
 
@@ -131,11 +131,12 @@
   void aRestoringGrantStillMakesItsTargetUnavailable() {
     Target target = endpoint("h1", "a", "p");
     EvictionGrant grant = tables.grants.add(new EvictionRequest(target, "o", "w", 0, false), 1);
-    assertThat(unavailability.of(TargetType.HOST, "h1").orElseThrow().text()).isEqualTo("permit 1");
+    assertThat(unavailability.of(TargetType.ENDPOINT, "h1").orElseThrow().text())
+        .isEqualTo("permit 1");
 
     tables.grants.beginRestoring(grant, 2, "done");
 
-    assertThat(unavailability.of(TargetType.HOST, "h1").orElseThrow().text())
+    assertThat(unavailability.of(TargetType.ENDPOINT, "h1").orElseThrow().text())
         .isEqualTo("permit 1, ending");
   }
 }
--- a/src/test/java/leadferry/disruption/BudgetTest.java
+++ b/src/test/java/leadferry/disruption/BudgetTest.java
@@ -18,7 +18,7 @@
       int maxUnavailable, double maxUnavailableShare, int minAvailable) {
     return new Budget(
         "any",
-        TargetType.HOST,
+        TargetType.ENDPOINT,
         Map.of(),
         Budget.ALL,
         maxUnavailable,
@@ -27,7 +27,7 @@
   }
 
   private static Target endpoint(String name, String zone, String pool) {
-    return new Target(TargetType.HOST, name, zone, Target.NONE, pool, Target.NONE);
+    return new Target(TargetType.ENDPOINT, name, zone, Target.NONE, pool, Target.NONE);
   }
 
   @Test
@@ -59,7 +59,8 @@
   @Test
   void aBudgetSelectsByTypeAndByAllItsLabels() {
     Budget budget =
-        new Budget("zone a", TargetType.HOST, Map.of("zone", "a", "pool", "main"), "all", 1, 2, 0);
+        new Budget(
+            "zone a", TargetType.ENDPOINT, Map.of("zone", "a", "pool", "main"), "all", 1, 2, 0);
 
     assertThat(budget.selects(endpoint("h1", "a", "main"))).isTrue();
     assertThat(budget.selects(endpoint("h2", "b", "main"))).isFalse();
@@ -69,7 +70,7 @@
 
   @Test
   void targetsWithTheSameGroupingLabelShareAGroup() {
-    Budget byZone = new Budget("zones", TargetType.HOST, Map.of(), "zone", 1, 2, 0);
+    Budget byZone = new Budget("zones", TargetType.ENDPOINT, Map.of(), "zone", 1, 2, 0);
 
     assertThat(byZone.isSameGroup(endpoint("h1", "a", "x"), endpoint("h2", "a", "y"))).isTrue();
     assertThat(byZone.isSameGroup(endpoint("h1", "a", "x"), endpoint("h2", "b", "x"))).isFalse();
--- a/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionSnapshotCodecTest.java
@@ -61,14 +61,14 @@
 
   @Test
   void grantsBudgetsHaltCountersAndTimesAreRestoredUnchanged() {
-    Target host = new Target(TargetType.HOST, "h1", "z", "pod", "pool", "kind");
+    Target host = new Target(TargetType.ENDPOINT, "h1", "z", "pod", "pool", "kind");
     tables.revision.restore(8, 9);
     tables.setHaltReason("incident");
     tables.grants.add(new EvictionRequest(host, "operator", "disk", 50, false), 2);
     EvictionGrant second = tables.grants.add(new EvictionRequest(host, "o", "w", 0, true), 3);
     tables.grants.beginRestoring(second, 4, "done");
     tables.budgets.restore(
-        List.of(new Budget("b", TargetType.HOST, Map.of("zone", "z"), "pod", 1, 0.5, 2)), 3);
+        List.of(new Budget("b", TargetType.ENDPOINT, Map.of("zone", "z"), "pod", 1, 0.5, 2)), 3);
     tables.catalogs.add("digest", List.of(host));
     tables.warmUps.begin("h1", 7);
 
--- a/src/test/java/leadferry/disruption/DisruptionTimersTest.java
+++ b/src/test/java/leadferry/disruption/DisruptionTimersTest.java
@@ -14,7 +14,7 @@
 class DisruptionTimersTest {
   private static final DisruptionState.Times TIMES = new DisruptionState.Times(500, 700, 100);
   private static final Target ENDPOINT =
-      new Target(TargetType.HOST, "h:1", "z", Target.NONE, "p", Target.NONE);
+      new Target(TargetType.ENDPOINT, "h:1", "z", Target.NONE, "p", Target.NONE);
 
   private final DisruptionState state = new DisruptionState(TIMES);
 
@@ -24,7 +24,8 @@
         "z",
         "v",
         "digest",
-        List.of(ENDPOINT, new Target(TargetType.HOST, "h2", "z", Target.NONE, "p", Target.NONE)));
+        List.of(
+            ENDPOINT, new Target(TargetType.ENDPOINT, "h2", "z", Target.NONE, "p", Target.NONE)));
   }
 
   private void report(String name, long sequenceNumber, String... ejectedEndpoints) {
@@ -35,11 +36,12 @@
   @Test
   void aGrantExpiresLaterInTheReplicatedStateThanAtItsHolder() {
     join("a");
-    state.drain(TargetType.HOST, "h:1", 50, false, "operator", "disk");
+    state.drain(TargetType.ENDPOINT, "h:1", 50, false, "operator", "disk");
 
     assertThat(state.timerDurationsMillis()).isEqualTo(Map.of("permit:1", 150L));
     state.onTimerExpired("permit:1");
-    assertThat(state.unavailabilityReason(TargetType.HOST, "h:1")).isEqualTo("permit 1, ending");
+    assertThat(state.unavailabilityReason(TargetType.ENDPOINT, "h:1"))
+        .isEqualTo("permit 1, ending");
     assertThat(state.timerDurationsMillis()).isEmpty();
   }
 
@@ -66,7 +68,7 @@
 
     assertThat(state.timerDurationsMillis()).isEqualTo(Map.of("warm:h:1:5", 700L));
     state.onTimerExpired("warm:h:1:5");
-    assertThat(state.unavailabilityReason(TargetType.HOST, "h:1")).isNull();
+    assertThat(state.unavailabilityReason(TargetType.ENDPOINT, "h:1")).isNull();
   }
 
   @Test
--- a/src/test/java/leadferry/disruption/EvictionGrantTest.java
+++ b/src/test/java/leadferry/disruption/EvictionGrantTest.java
@@ -67,6 +67,6 @@
   void aProxyAndAnEndpointOfTheSameNameHoldSeparateGrants() {
     grants.add(REQUEST, 4);
 
-    assertThat(grants.heldBy(TargetType.HOST, "a")).isEmpty();
+    assertThat(grants.heldBy(TargetType.ENDPOINT, "a")).isEmpty();
   }
 }
