--- a/src/main/java/leadferry/routing/NormalizedPath.java
+++ b/src/main/java/leadferry/routing/NormalizedPath.java
@@ -56,11 +56,11 @@
     }
     boolean isLiteral = true;
     for (int i = 0; i < length; i++) {
-      char c = rawPath.charAt(i);
-      if (c <= ' ' || c >= 0x7f || c == '\\' || c == '#') {
+      char character = rawPath.charAt(i);
+      if (character <= ' ' || character >= 0x7f || character == '\\' || character == '#') {
         return null;
       }
-      isLiteral &= c != '%';
+      isLiteral &= character != '%';
     }
     String matchPath = isLiteral ? rawPath : decode(rawPath);
     if (matchPath == null) {
@@ -88,9 +88,9 @@
   private static String decode(String rawPath) {
     StringBuilder decoded = new StringBuilder(rawPath.length());
     for (int i = 0; i < rawPath.length(); i++) {
-      char c = rawPath.charAt(i);
-      if (c != '%') {
-        decoded.append(c);
+      char character = rawPath.charAt(i);
+      if (character != '%') {
+        decoded.append(character);
         continue;
       }
       int octet = decodeEscape(rawPath, i);
@@ -104,12 +104,12 @@
   }
 
   /** Returns the octet that the escape at {@code i} encodes, or -1 if it is not a valid escape. */
-  private static int decodeEscape(String text, int i) {
-    if (i + 2 >= text.length()) {
+  private static int decodeEscape(String text, int escapeStart) {
+    if (escapeStart + 2 >= text.length()) {
       return -1;
     }
-    int high = Character.digit(text.charAt(i + 1), 16);
-    int low = Character.digit(text.charAt(i + 2), 16);
+    int high = Character.digit(text.charAt(escapeStart + 1), 16);
+    int low = Character.digit(text.charAt(escapeStart + 2), 16);
     return high < 0 || low < 0 ? -1 : high << 4 | low;
   }
 
@@ -188,17 +188,17 @@
   public static String percentEncode(String path) {
     StringBuilder encoded = new StringBuilder(path.length() + 8);
     for (int i = 0; i < path.length(); i++) {
-      char c = path.charAt(i);
-      if ((c >= 'a' && c <= 'z')
-          || (c >= 'A' && c <= 'Z')
-          || (c >= '0' && c <= '9')
-          || "/-._~!$&'()*+,;=:@".indexOf(c) >= 0) {
-        encoded.append(c);
+      char character = path.charAt(i);
+      if ((character >= 'a' && character <= 'z')
+          || (character >= 'A' && character <= 'Z')
+          || (character >= '0' && character <= '9')
+          || "/-._~!$&'()*+,;=:@".indexOf(character) >= 0) {
+        encoded.append(character);
       } else {
         encoded
             .append('%')
-            .append(Character.toUpperCase(Character.forDigit(c >> 4 & 15, 16)))
-            .append(Character.toUpperCase(Character.forDigit(c & 15, 16)));
+            .append(Character.toUpperCase(Character.forDigit(character >> 4 & 15, 16)))
+            .append(Character.toUpperCase(Character.forDigit(character & 15, 16)));
       }
     }
     return encoded.toString();
--- a/src/test/java/leadferry/consensus/FleetStateMachineTest.java
+++ b/src/test/java/leadferry/consensus/FleetStateMachineTest.java
@@ -15,6 +15,10 @@
 import leadferry.disruption.TargetType;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against grants beyond the budgets, reports of ended sessions that take effect, and state
+ * that depends on anything but the entries of the log.
+ */
 class FleetStateMachineTest {
   private final FleetStateMachine stateMachine =
       new FleetStateMachine(new DisruptionState.Times(500, 500, 100));
--- a/src/test/java/leadferry/limits/LimiterTest.java
+++ b/src/test/java/leadferry/limits/LimiterTest.java
@@ -12,6 +12,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a limit that is exceeded, that refuses requests within its bounds, or that lets a
+ * busy tenant use up the share of others.
+ */
 class LimiterTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private long nowNanos = 5_000 * NANOS_PER_MILLI;
@@ -69,14 +73,14 @@
   @Test
   void concurrencyLimitCountsOpenRequestsAndIgnoresASecondRelease() {
     Limiter limiter = new Limiter(List.of(limit("c", Limit.Scope.ALL, null, 0, 1, 2)), 64);
-    LimitDecision a = limiter.acquire(tenant("a"), nowNanos);
-    LimitDecision b = limiter.acquire(tenant("b"), nowNanos);
+    LimitDecision first = limiter.acquire(tenant("a"), nowNanos);
+    LimitDecision second = limiter.acquire(tenant("b"), nowNanos);
     assertThat(isAdmitted(limiter, "c")).isFalse();
-    a.release();
-    a.release();
+    first.release();
+    first.release();
     assertThat(isAdmitted(limiter, "c")).isTrue();
     assertThat(isAdmitted(limiter, "d")).isFalse();
-    b.release();
+    second.release();
     assertThat(isAdmitted(limiter, "d")).isTrue();
   }
 
@@ -88,14 +92,14 @@
                 limit("rate", Limit.Scope.ALL, null, 1, 3, 0),
                 limit("c", Limit.Scope.TENANT, null, 0, 1, 1)),
             64);
-    LimitDecision a = limiter.acquire(tenant("a"), nowNanos);
+    LimitDecision first = limiter.acquire(tenant("a"), nowNanos);
     for (int i = 0; i < 10; i++) {
       assertThat(limiter.acquire(tenant("a"), nowNanos).refusedBy()).isEqualTo("c");
     }
     assertThat(isAdmitted(limiter, "b")).isTrue(); // refusals have not consumed the burst
     assertThat(isAdmitted(limiter, "d")).isTrue();
     assertThat(limiter.acquire(tenant("e"), nowNanos).refusedBy()).isEqualTo("rate");
-    a.release();
+    first.release();
   }
 
   @Test
@@ -168,12 +172,12 @@
             64);
     int busy = 0;
     int quiet = 0;
-    for (int ms = 0; ms < 20_000; ms++) {
+    for (int millis = 0; millis < 20_000; millis++) {
       nowNanos += NANOS_PER_MILLI;
       for (int i = 0; i < 5; i++) {
         busy += isAdmittedAndReleased(limiter, "busy") ? 1 : 0; // 5,000 a second
       }
-      if (ms % 50 == 0) {
+      if (millis % 50 == 0) {
         quiet += isAdmittedAndReleased(limiter, "quiet") ? 1 : 0; // 20 a second
       }
     }
@@ -236,17 +240,18 @@
                 limit("t", Limit.Scope.TENANT, "all", 0, 1, 4)),
             64);
     AtomicInteger open = new AtomicInteger();
-    AtomicInteger most = new AtomicInteger();
+    AtomicInteger maxOpen = new AtomicInteger();
     int threads = 8;
     CountDownLatch done = new CountDownLatch(threads);
-    for (int t = 0; t < threads; t++) {
-      int n = t;
+    for (int thread = 0; thread < threads; thread++) {
+      int offset = thread;
       new Thread(
               () -> {
                 for (int i = 0; i < 50_000; i++) {
-                  LimitDecision decision = limiter.acquire(tenant("t" + (n + i) % 200), nowNanos);
+                  LimitDecision decision =
+                      limiter.acquire(tenant("t" + (offset + i) % 200), nowNanos);
                   if (decision.refusedBy() == null) {
-                    most.accumulateAndGet(open.incrementAndGet(), Math::max);
+                    maxOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
                     open.decrementAndGet();
                     decision.release();
                   }
@@ -256,29 +261,29 @@
           .start();
     }
     done.await();
-    assertThat(most.get()).isBetween(1, 8);
-    List<LimitDecision> again = new ArrayList<>();
+    assertThat(maxOpen.get()).isBetween(1, 8);
+    List<LimitDecision> decisions = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      again.add(limiter.acquire(tenant("x" + i), nowNanos));
+      decisions.add(limiter.acquire(tenant("x" + i), nowNanos));
     }
-    assertThat(again).allMatch(decision -> decision.refusedBy() == null);
+    assertThat(decisions).allMatch(decision -> decision.refusedBy() == null);
   }
 
   @Test
   void retryBudgetEarnsRetriesAndRunsOut() {
-    RetryBudget b = new RetryBudget(0.5, 2);
-    assertThat(b.take()).isTrue();
-    assertThat(b.take()).isTrue();
-    assertThat(b.take()).isFalse();
-    b.onRequest();
-    assertThat(b.take()).isFalse();
-    b.onRequest();
-    assertThat(b.take()).isTrue();
+    RetryBudget budget = new RetryBudget(0.5, 2);
+    assertThat(budget.take()).isTrue();
+    assertThat(budget.take()).isTrue();
+    assertThat(budget.take()).isFalse();
+    budget.onRequest();
+    assertThat(budget.take()).isFalse();
+    budget.onRequest();
+    assertThat(budget.take()).isTrue();
     for (int i = 0; i < 100; i++) {
-      b.onRequest();
+      budget.onRequest();
     }
-    assertThat(b.take()).isTrue();
-    assertThat(b.take()).isTrue();
-    assertThat(b.take()).isFalse();
+    assertThat(budget.take()).isTrue();
+    assertThat(budget.take()).isTrue();
+    assertThat(budget.take()).isFalse();
   }
 }
--- a/src/test/java/leadferry/routing/NormalizedPathTest.java
+++ b/src/test/java/leadferry/routing/NormalizedPathTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Guards against a path that bypasses its route because the upstream host reads it differently. */
 class NormalizedPathTest {
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/leadferry/routing/RouteTableTest.java
+++ b/src/test/java/leadferry/routing/RouteTableTest.java
@@ -14,6 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against a request that takes another route than the order of precedence requires. Compares
+ * the compiled table with a direct evaluation of that order on random routes.
+ */
 class RouteTableTest {
   private record Request(
       String host, String path, String method, String className, Map<String, String> headers)
@@ -173,15 +177,15 @@
         .orElse(null);
   }
 
-  private static boolean hostMatches(String pattern, String host) {
-    return pattern.equals("*")
-        || pattern.equals(host)
-        || (pattern.startsWith("*.")
-            && host.length() > pattern.length() - 1
-            && host.endsWith(pattern.substring(1)))
-        || (pattern.endsWith(".*")
-            && host.length() > pattern.length() - 1
-            && host.startsWith(pattern.substring(0, pattern.length() - 1)));
+  private static boolean hostMatches(String hostPattern, String host) {
+    return hostPattern.equals("*")
+        || hostPattern.equals(host)
+        || (hostPattern.startsWith("*.")
+            && host.length() > hostPattern.length() - 1
+            && host.endsWith(hostPattern.substring(1)))
+        || (hostPattern.endsWith(".*")
+            && host.length() > hostPattern.length() - 1
+            && host.startsWith(hostPattern.substring(0, hostPattern.length() - 1)));
   }
 
   private static boolean pathMatches(RouteRule<Integer> rule, String path) {
--- a/src/test/java/leadferry/routing/WeightedSplitTest.java
+++ b/src/test/java/leadferry/routing/WeightedSplitTest.java
@@ -6,15 +6,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a split that does not follow its weights, or that moves keys between pools whose
+ * weights did not change.
+ */
 class WeightedSplitTest {
   private static final int KEYS = 20_000;
 
-  private static WeightedSplit<String> splitOf(double a, double b, double c) {
+  private static WeightedSplit<String> splitOf(double weightA, double weightB, double weightC) {
     return new WeightedSplit<>(
         List.of(
-            new WeightedSplit.Part<>("a", a, "a"),
-            new WeightedSplit.Part<>("b", b, "b"),
-            new WeightedSplit.Part<>("c", c, "c")));
+            new WeightedSplit.Part<>("a", weightA, "a"),
+            new WeightedSplit.Part<>("b", weightB, "b"),
+            new WeightedSplit.Part<>("c", weightC, "c")));
   }
 
   @Test
