--- a/src/main/java/leadferry/engine/AcceptBackoffHandler.java
+++ b/src/main/java/leadferry/engine/AcceptBackoffHandler.java
@@ -8,29 +8,30 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a listener accepting while accept(2) fails. It stands ahead of netty's own acceptor, which
- * stops for a whole second at each failure: longer than many requests have. How long it waits says
- * {@link AcceptRetryPolicy}.
+ * Keeps a listener accepting while accept(2) fails. Precedes Netty's acceptor in the pipeline,
+ * which pauses for a whole second at each failure, longer than the deadline of many requests.
+ * {@link AcceptRetryPolicy} determines the pause.
  */
 public final class AcceptBackoffHandler extends ChannelInboundHandlerAdapter {
-  /** Of failures one in so many has a line in the log. */
+  /** Failures per log line: one in this many is logged. */
   private static final int FAILURES_PER_LINE = 100;
 
   private final Consumer<String> log;
-  private final Runnable resumed;
+  private final Runnable onResumed;
   private final AcceptRetryPolicy retryPolicy = new AcceptRetryPolicy();
   private long failures;
 
   /**
-   * {@code log} gets a line now and then; {@code resumed} runs on the listener's loop each time
-   * that it accepts again.
+   * Creates a handler; {@code log} receives a line for the first and then every hundredth failure,
+   * and {@code onResumed} runs on the listener's loop each time that the listener resumes
+   * accepting.
    */
-  public AcceptBackoffHandler(Consumer<String> log, Runnable resumed) {
+  public AcceptBackoffHandler(Consumer<String> log, Runnable onResumed) {
     this.log = log;
-    this.resumed = resumed;
+    this.onResumed = onResumed;
   }
 
-  /** One whose listener accepts whenever it can. */
+  /** Creates a handler that notifies nobody when its listener resumes accepting. */
   public AcceptBackoffHandler(Consumer<String> log) {
     this(log, () -> {});
   }
@@ -63,7 +64,7 @@
   private void resume(Channel listener) {
     if (listener.isOpen()) {
       listener.config().setAutoRead(true);
-      resumed.run();
+      onResumed.run();
     }
   }
 }
--- a/src/main/java/leadferry/engine/AcceptRetryPolicy.java
+++ b/src/main/java/leadferry/engine/AcceptRetryPolicy.java
@@ -1,13 +1,12 @@
 package leadferry.engine;
 
 /**
- * How a failed accept(2) is tried again; the one place for its bounds. Linux reports there what
- * befell the connection that was next (ECONNABORTED, EPROTO, ENETDOWN ...), and shortages of its
- * own (EMFILE, ENFILE, ENOBUFS, ENOMEM); neither says anything of the connections that stand behind
- * it.
+ * Defines all bounds on retries of a failed accept(2). On Linux, accept(2) reports errors of the
+ * next connection in the backlog (ECONNABORTED, EPROTO, ENETDOWN ...) and shortages of the system
+ * (EMFILE, ENFILE, ENOBUFS, ENOMEM). Neither kind concerns the connections behind it.
  *
  * <pre>
- *   at once        4 attempts in a row, then the failure is reported
+ *   immediate      4 attempts in a row, then the failure is reported
  *   backoff        5 ms | 10 ms | 20 ms ... 100 ms at most; 5 ms again after an accept
  *   before close   40 retries, 5 ms apart: 0.2 s
  * </pre>
@@ -15,10 +14,10 @@
  * The backoff is the state of one listener, confined to its loop.
  */
 public final class AcceptRetryPolicy {
-  /** Time (ms) between two looks at the backlog of a listener that is to be closed. */
+  /** Time (ms) between two accept calls on a listener that is to be closed. */
   public static final long CLOSE_RETRY_MILLIS = 5;
 
-  /** Attempts in a row before a failure is reported. */
+  /** Consecutive accept calls before a failure is reported. */
   static final int IMMEDIATE_ATTEMPTS = 4;
 
   private static final long FIRST_BACKOFF_MILLIS = 5;
@@ -27,27 +26,30 @@
 
   private long nextBackoffMillis = FIRST_BACKOFF_MILLIS;
 
-  /** Whether accept is tried again at once after so many failures in a row. */
+  /** Whether accept is retried immediately after {@code failuresInARow} consecutive failures. */
   static boolean shouldRetryImmediately(int failuresInARow) {
     return failuresInARow < IMMEDIATE_ATTEMPTS;
   }
 
   /**
-   * Whether a listener that is to be closed looks at its backlog again, {@link #CLOSE_RETRY_MILLIS}
-   * later, after so many looks that failed.
+   * Whether a listener that is to be closed retries accept, {@link #CLOSE_RETRY_MILLIS} later,
+   * after {@code failures} failures.
    */
-  public static boolean shouldRetryBeforeClose(int failedLooks) {
-    return failedLooks <= RETRIES_BEFORE_CLOSE;
+  public static boolean shouldRetryBeforeClose(int failures) {
+    return failures <= RETRIES_BEFORE_CLOSE;
   }
 
-  /** How long (ms) the listener waits after a failure that was reported; the next is longer. */
+  /**
+   * Returns the pause (ms) of the listener after a reported failure, and doubles the next one up to
+   * its limit.
+   */
   long nextBackoffMillis() {
     long current = nextBackoffMillis;
     nextBackoffMillis = Math.min(2 * current, LONGEST_BACKOFF_MILLIS);
     return current;
   }
 
-  /** A connection was accepted: the next backoff is the first again. */
+  /** Resets the backoff after an accepted connection. */
   void onAccepted() {
     nextBackoffMillis = FIRST_BACKOFF_MILLIS;
   }
--- a/src/main/java/leadferry/engine/Addresses.java
+++ b/src/main/java/leadferry/engine/Addresses.java
@@ -5,11 +5,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as files and lists write them. */
+/** Parses addresses in the form that files and lists use. */
 public final class Addresses {
   private Addresses() {}
 
-  /** An {@code IP:port}, or null if it is none; names are not looked up. */
+  /** Parses an {@code IP:port}; returns null for any other text. Host names are not resolved. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -6,13 +6,14 @@
 import leadferry.loadbalancer.LoadReport;
 
 /**
- * One send of a request to a host; it ends with exactly one outcome. What goes out and how the
- * answer is read is its protocol's; whether it may have run is decided here, from what went out.
+ * Sends a request to one host and ends with exactly one outcome. Subclasses of a protocol write the
+ * request and read the response; this class decides from the bytes written whether the host may
+ * have run the request.
  */
 public abstract class Attempt {
   /**
-   * Longest pause (ms) of a response past the request's deadline, once it streams and is not known
-   * to be long: the request must end within 500 ms of its deadline.
+   * Longest pause (ms) of a streamed response after the request's deadline, where the response is
+   * not known to be long: the request must end within 500 ms of its deadline.
    */
   protected static final long STREAM_STALL_MILLIS = 400;
 
@@ -23,14 +24,14 @@
   private final Dispatcher dispatcher;
   private final int number;
   private double sentAt;
-  private boolean answering;
-  private double apart;
-  private double wroteAt;
+  private boolean isResponding;
+  private double repeatWindowMillis;
+  private double firstByteSentAt;
   private AttemptPhase phase = AttemptPhase.CREATED;
   private Channel connecting;
   private UpstreamConnection connection;
 
-  /** {@code sentAt} is the module's clock. */
+  /** Creates an attempt; {@code sentAt} is a time (ms) on the load balancer's clock. */
   protected Attempt(Exchange exchange, UpstreamHost host, int number, double sentAt) {
     this.exchange = exchange;
     this.dispatcher = exchange.dispatcher();
@@ -40,33 +41,36 @@
   }
 
   /**
-   * Starts it. When its first byte is to go out, no other of its request that may have run may have
-   * gone out {@code withinMs} ago or earlier.
+   * Starts the attempt. Its first byte may be sent only while each other attempt of the request
+   * that may have run was sent less than {@code windowMillis} before.
    */
-  final void start(double withinMs) {
+  final void start(double windowMillis) {
     host.openAttempts++;
-    apart = withinMs;
+    repeatWindowMillis = windowMillis;
     dispatcher.connectionPool().start(this);
   }
 
   final double repeatWindowMillis() {
-    return apart;
+    return repeatWindowMillis;
   }
 
-  /** When (ms on the module's clock) its first byte went out, where it did. */
+  /**
+   * Returns the time (ms, load balancer clock) at which the first byte was sent, or 0 where none
+   * was sent.
+   */
   final double firstByteSentAt() {
-    return wroteAt;
+    return firstByteSentAt;
   }
 
   /**
-   * Whether it may have run, or may yet: what has begun to go out may still go on, until it is
-   * over.
+   * Whether the host may have run the attempt, or may still do so: a started write may continue
+   * until the attempt is over.
    */
   final boolean mayHaveRun() {
     return phase.mayHaveRun();
   }
 
-  /** Ends it before anything was done for it. */
+  /** Ends the attempt without starting it; it never ran. */
   final void endUnstarted() {
     host.openAttempts++;
     endAsNeverRun();
@@ -90,23 +94,25 @@
 
   // --- the protocol's part
 
-  /** Writes all of the request; the future is that of the last byte. */
+  /** Writes the whole request; the future completes when the last byte has been written. */
   protected abstract ChannelFuture write(Channel channel);
 
-  /** What the host told of its load, or null. */
+  /** Returns the load that the host reported with the response, or null. */
   protected abstract LoadReport loadReport();
 
-  /** Whether the rest of its answer waits for its client, who takes no more of it for now. */
+  /** Whether the rest of the response is held back because the client is not reading. */
   protected boolean isWaitingForClient() {
     return false;
   }
 
-  /** Whether its answer, which has begun to go to the client, may go on past the request's time. */
+  /**
+   * Whether a response that is being sent to the client may continue past the request's deadline.
+   */
   protected boolean canOutliveDeadline() {
     return true;
   }
 
-  /** The attempt is over: gives back what was kept of its answer. */
+  /** Releases the buffered part of the response; called when the attempt is over. */
   protected abstract void releaseResponse();
 
   // --- its connection
@@ -116,12 +122,12 @@
     connecting = channel;
   }
 
-  /** Whether its connection had to come up first, or to become free. */
+  /** Whether the attempt had to wait until a connection was established or became free. */
   final boolean hasWaited() {
     return phase.hasWaited();
   }
 
-  /** It stands in a queue for a connection. */
+  /** Records that the attempt waits in its host's queue for a connection. */
   final void onQueued() {
     phase = phase.pending();
   }
@@ -129,28 +135,34 @@
   final void onAttached(UpstreamConnection carrier) {
     if (phase == AttemptPhase.CONNECTING) {
       sentAt +=
-          ReadLagTracker.lagNanos() / NANOS_PER_MILLI; // it had come up before this was heard of
+          ReadLagTracker.lagNanos()
+              / NANOS_PER_MILLI; // the connection was established before this event was processed
     }
     phase = phase.attached();
     connecting = null;
     connection = carrier;
-    wroteAt = dispatcher.now();
+    firstByteSentAt = dispatcher.now();
   }
 
-  /** Its first byte has gone out, and what its host takes at once. */
+  /**
+   * Processes the start of the write: the first bytes, as many as the kernel accepts at once, have
+   * been written.
+   */
   final void onWriteStarted() {
     exchange.onWriteStarted();
   }
 
   /**
-   * Whether it has begun to go out, and its last byte has not: that may come much later, as its
-   * host takes it.
+   * Whether the write has started but the last byte has not been written; the last byte may follow
+   * much later where the host reads slowly.
    */
   final boolean isPartiallyWritten() {
     return phase == AttemptPhase.ATTACHED && !connection.isFullyWritten();
   }
 
-  /** Ends it, unless its last byte has gone out or it is over. */
+  /**
+   * Ends the attempt as one that never ran, unless its last byte has been written or it is over.
+   */
   final void endIfPartiallyWritten() {
     if (isPartiallyWritten()) {
       endAsNeverRun();
@@ -162,39 +174,48 @@
   }
 
   /**
-   * The answer is to go to the client while it still comes. True once for a request: from then on
-   * its answer is this attempt's, and what breaks it off must be shown to the client as a break.
-   * {@link #onResponseStarted} is owed once it can be.
+   * Claims the final response for streaming to the client. Returns true once for a request: the
+   * response is then this attempt's, and a break in the response must be visible to the client as a
+   * break. The caller must call {@link #onResponseStarted} once the response can start.
    */
   protected final boolean claimResponse() {
-    answering = exchange.claim();
-    return answering;
+    isResponding = exchange.claim();
+    return isResponding;
   }
 
-  /** Tells the module; it may end other attempts, and this one, before it returns. */
+  /**
+   * Notifies the load balancer that the response has started; the notification may end other
+   * attempts, and this one, before this method returns.
+   */
   protected final void onResponseStarted() {
     exchange.onResponseStarted(number, dispatcher.now() - sentAt);
   }
 
-  /** Whether its answer has begun to go to the client. */
+  /** Whether this attempt has claimed the response to the client. */
   final boolean isResponding() {
-    return answering;
+    return isResponding;
   }
 
   /**
-   * The last byte of a request that came slowly has gone out: its time with the host counts from
-   * here.
+   * Restarts the time that is charged to the host when the last byte of a slowly received request
+   * has been sent.
    */
   protected final void onLastByteSent() {
     sentAt = dispatcher.now();
   }
 
-  /** Whether the last byte may have reached the host: the one place that says so. */
+  /**
+   * Whether the last byte has been written and may have reached the host. No other check decides
+   * this.
+   */
   protected final boolean isFullyWritten() {
     return connection != null && connection.isFullyWritten();
   }
 
-  /** Ends the use of the connection, by closing it unless the answer has been read to its end. */
+  /**
+   * Ends the use of the connection. Closes the connection unless the response has been read to its
+   * end.
+   */
   final void releaseConnection() {
     if (connecting != null) {
       connecting.close();
@@ -207,25 +228,33 @@
 
   // --- its end
 
-  /** The last byte has not gone out: there was no connection, or it went away before. */
+  /**
+   * Ends the attempt as a failed connect: no connection was established, or it broke before the
+   * last byte was written.
+   */
   final void endAsConnectFailed() {
     finish(AttemptOutcome.CONNECT_FAILED);
   }
 
   /**
-   * Whether it is still wanted, and may go to its host: asked when its connection is ready, the
-   * last moment.
+   * Whether the attempt is still needed and may be sent to its host. Checked when its connection is
+   * ready, the last point at which the attempt can be held back.
    */
   final boolean canSend() {
     return exchange.canSend(this);
   }
 
-  /** It must not go on, and its last byte has not gone out: it never ran. */
+  /**
+   * Ends an attempt that must not continue and whose last byte has not been written; it never ran.
+   */
   final void endAsNeverRun() {
     finish(AttemptOutcome.MOOT);
   }
 
-  /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
+  /**
+   * Ends the attempt at the request's deadline. An attempt that was not fully written never ran,
+   * whatever it waited for.
+   */
   final void onDeadline() {
     if (!isFullyWritten()) {
       finish(AttemptOutcome.MOOT);
@@ -238,12 +267,15 @@
     finish(isFullyWritten() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
   }
 
-  /** The connection broke, or the answer is malformed; the last byte had been written. */
+  /**
+   * Ends an attempt that was fully written and whose connection broke or whose response is
+   * malformed.
+   */
   protected void onConnectionBroken() {
     finish(AttemptOutcome.RESET);
   }
 
-  /** Ends it with this outcome; harmless if it is over. */
+  /** Ends the attempt with this outcome; has no effect where it is over. */
   protected final void finish(AttemptOutcome outcome) {
     if (phase.isOver()) {
       return;
--- a/src/main/java/leadferry/engine/AttemptPhase.java
+++ b/src/main/java/leadferry/engine/AttemptPhase.java
@@ -3,37 +3,38 @@
 import leadferry.loadbalancer.AttemptOutcome;
 
 /**
- * How far an attempt has come. The one place for the transitions; an attempt that is over stays so.
+ * Phase of an attempt. All transitions are defined here; an attempt that is over keeps its phase.
  *
  * <pre>
  *   CREATED -> PENDING -> CONNECTING -> ATTACHED -> NEVER_RAN or MAY_HAVE_RUN
- *                (each but the last two may be left out, and each may end it)
+ *        (PENDING, CONNECTING and ATTACHED are optional; every phase before the
+ *         last two can end in one of them)
  * </pre>
  */
 enum AttemptPhase {
-  /** Nothing has been done for it. */
+  /** The attempt has not been started. */
   CREATED,
-  /** It stands in its host's queue for a connection. */
+  /** The attempt waits in its host's queue for a connection. */
   PENDING,
-  /** A connection is being opened for it. */
+  /** A connection is being opened for the attempt. */
   CONNECTING,
-  /** A connection carries it: its first byte may have gone out. */
+  /** A connection carries the attempt; its first byte may have been sent. */
   ATTACHED,
-  /** Over, with an outcome that proves that its host did not run it. */
+  /** The attempt is over, with an outcome that proves that the host did not run it. */
   NEVER_RAN,
-  /** Over, and its host may have run it. */
+  /** The attempt is over, and the host may have run it. */
   MAY_HAVE_RUN;
 
   boolean isOver() {
     return this == NEVER_RAN || this == MAY_HAVE_RUN;
   }
 
-  /** Whether its connection had to come up first, or to become free. */
+  /** Whether the attempt waits until a connection is established or becomes free. */
   boolean hasWaited() {
     return this == PENDING || this == CONNECTING;
   }
 
-  /** Whether it may have run, or may yet. */
+  /** Whether the host may have run the attempt, or may still do so. */
   boolean mayHaveRun() {
     return this == ATTACHED || this == MAY_HAVE_RUN;
   }
--- a/src/main/java/leadferry/engine/BackgroundWriter.java
+++ b/src/main/java/leadferry/engine/BackgroundWriter.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes text to a stream on a thread of its own, so that a reader of the stream who stops holds up
- * nobody else. A bounded queue stands between: what finds it full is dropped, and counted in the
- * text that follows.
+ * Writes text to a stream on a separate thread, so that a reader of the stream that has stopped
+ * blocks no caller. The queue in between is bounded: text that arrives while it is full is dropped,
+ * and the next text states the number dropped.
  */
 public final class BackgroundWriter {
   private static final int QUEUED_TEXTS = 256;
@@ -20,7 +20,7 @@
   private final AtomicLong dropped = new AtomicLong();
   private volatile long written;
 
-  /** Starts the thread, a daemon. */
+  /** Creates a writer and starts its daemon thread. */
   public BackgroundWriter(PrintStream out) {
     this.out = out;
     Thread thread = new Thread(this::run, "log");
@@ -28,7 +28,7 @@
     thread.start();
   }
 
-  /** Queues the text; never waits. */
+  /** Queues the text without blocking. */
   public void write(String text) {
     if (queue.offer(text)) {
       accepted.incrementAndGet();
@@ -37,12 +37,12 @@
     }
   }
 
-  /** Waits until what has been queued is written, for so long (ms) at most. */
-  public void flush(long mostMs) {
-    long all = accepted.get();
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
+  /** Waits at most {@code timeoutMillis} until the queued texts are written. */
+  public void flush(long timeoutMillis) {
+    long target = accepted.get();
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     try {
-      while (written < all && System.nanoTime() < until) {
+      while (written < target && System.nanoTime() < deadlineNanos) {
         Thread.sleep(FLUSH_POLL_MS);
       }
     } catch (InterruptedException e) {
@@ -54,13 +54,13 @@
     try {
       while (true) {
         String text = queue.take();
-        long lost = dropped.getAndSet(0);
+        long droppedTexts = dropped.getAndSet(0);
         out.print(
-            lost == 0
+            droppedTexts == 0
                 ? text
                 : text
                     + "leadferry: "
-                    + lost
+                    + droppedTexts
                     + " texts of the log were dropped: nobody reads it\n");
         out.flush();
         written++;
--- a/src/main/java/leadferry/engine/Body.java
+++ b/src/main/java/leadferry/engine/Body.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * A buffered body. Bytes are copied into blocks of its own: slices of the read buffers would keep
- * whole read buffers alive for a few bytes each when a body comes slowly.
+ * Buffers a body in its own memory blocks. Slices of the read buffers would retain a whole read
+ * buffer for a few bytes each where a body arrives slowly.
  */
 public final class Body {
-  /** Capacity (bytes) of a block at most. */
+  /** Largest capacity (bytes) of a block. */
   private static final int BLOCK_BYTES = 64 * 1024;
 
-  /** Capacity (bytes) of a block at least, where no length was announced. */
+  /** Smallest capacity (bytes) of a block where no length was announced. */
   private static final int SMALLEST_BLOCK_BYTES = 512;
 
   private final BodyBudget budget;
@@ -24,7 +24,8 @@
   private boolean partial;
 
   /**
-   * {@code expected} is the length that was announced, or -1; {@code partial} marks a request's.
+   * Creates an empty body. {@code expected} is the announced length in bytes, or -1; {@code
+   * partial} marks the body of a request that is still incomplete.
    */
   Body(BodyBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
     this.budget = budget;
@@ -33,7 +34,7 @@
     this.partial = partial;
   }
 
-  /** Copies all bytes that can be read, and charges the budget for them. */
+  /** Copies all readable bytes and charges them to the budget. */
   public void append(ByteBuf bytes) {
     int added = bytes.readableBytes();
     budget.charge(added, partial);
@@ -51,12 +52,15 @@
     }
   }
 
-  /** Bytes that are held. */
+  /** Returns the number of bytes held. */
   public long size() {
     return size;
   }
 
-  /** The request has come whole: its bytes are freed at its deadline at last. */
+  /**
+   * Marks the request as received in full: from now on its bytes are freed at its deadline at the
+   * latest.
+   */
   public void onRequestComplete() {
     if (partial) {
       partial = false;
@@ -64,7 +68,7 @@
     }
   }
 
-  /** The blocks, each retained for one write. */
+  /** Returns duplicates of the blocks, each retained for one write. */
   public List<ByteBuf> retainedBlocks() {
     List<ByteBuf> duplicates = new ArrayList<>(blocks.size());
     for (ByteBuf block : blocks) {
@@ -73,7 +77,7 @@
     return duplicates;
   }
 
-  /** Gives the bytes back; harmless if done before. */
+  /** Frees the bytes; has no effect where they have been freed. */
   public void release() {
     for (ByteBuf block : blocks) {
       block.release();
--- a/src/main/java/leadferry/engine/BodyBudget.java
+++ b/src/main/java/leadferry/engine/BodyBudget.java
@@ -4,92 +4,104 @@
 import java.util.Set;
 
 /**
- * The one bound over all buffered bodies, of requests and of answers. What does not fit waits in
- * its socket: its reader is paused and resumed in order of waiting.
+ * Limits the memory of all buffered bodies, of requests and of responses. Bytes over the limit stay
+ * in their socket: the reader is paused, and paused readers resume in order of arrival.
  */
 public final class BodyBudget {
-  /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
+  /**
+   * Largest body size (bytes) that may use the whole budget; larger bodies are limited to {@code
+   * LARGE_SHARE} of it.
+   */
   static final int SMALL_BYTES = 64 * 1024;
 
-  private static final double LARGE_PART = 0.85;
+  private static final double LARGE_SHARE = 0.85;
 
-  /** A larger body streams where it can; a smaller one too once so much of the budget is used. */
+  /**
+   * Largest body size (bytes) that is buffered although it could be streamed, and the share of the
+   * budget above which such a body is streamed as well.
+   */
   private static final int AMPLE_BYTES = 1 << 20;
 
-  private static final double AMPLE_PART = 0.4;
+  private static final double AMPLE_SHARE = 0.4;
 
-  private long limit;
-  private final Set<Runnable> waiting = new LinkedHashSet<>();
-  private long used;
-  private long incomplete;
+  private long limitBytes;
+  private final Set<Runnable> pausedReaders = new LinkedHashSet<>();
+  private long usedBytes;
+  private long incompleteBytes;
 
-  /** A budget of so many bytes. */
+  /** Creates a budget of {@code limit} bytes. */
   public BodyBudget(long limit) {
-    this.limit = limit;
+    this.limitBytes = limit;
   }
 
-  /** From now on so many bytes; what is held stays until it is freed. */
+  /** Changes the limit to {@code bytes}; bytes already held stay until they are freed. */
   public void setLimit(long bytes) {
-    limit = bytes;
+    limitBytes = bytes;
   }
 
   private long limitFor(long size) {
-    return size <= SMALL_BYTES ? limit : (long) (LARGE_PART * limit);
+    return size <= SMALL_BYTES ? limitBytes : (long) (LARGE_SHARE * limitBytes);
   }
 
-  /** Counts bytes that were read; {@code partial} ones belong to a request that still comes. */
+  /**
+   * Charges bytes that were read; {@code partial} marks bytes of a request that is still
+   * incomplete.
+   */
   void charge(int bytes, boolean partial) {
-    used += bytes;
-    incomplete += partial ? bytes : 0;
+    usedBytes += bytes;
+    incompleteBytes += partial ? bytes : 0;
   }
 
-  /** The request these bytes belong to has come whole: they are freed at its deadline at last. */
+  /**
+   * Records that the request of these bytes has been received in full: they are freed at its
+   * deadline at the latest.
+   */
   void onRequestComplete(long bytes) {
-    incomplete -= bytes;
+    incompleteBytes -= bytes;
   }
 
   void release(long bytes, boolean partial) {
-    used -= bytes;
-    incomplete -= partial ? bytes : 0;
-    if (!waiting.isEmpty() && used < limitFor(Long.MAX_VALUE)) {
-      Runnable[] resumed = waiting.toArray(Runnable[]::new);
-      waiting.clear();
+    usedBytes -= bytes;
+    incompleteBytes -= partial ? bytes : 0;
+    if (!pausedReaders.isEmpty() && usedBytes < limitFor(Long.MAX_VALUE)) {
+      Runnable[] resumed = pausedReaders.toArray(Runnable[]::new);
+      pausedReaders.clear();
       for (Runnable resume : resumed) {
         resume.run();
       }
     }
   }
 
-  /** Whether a body of this size must not grow now. */
+  /** Whether a body of this size (bytes) must not grow now. */
   public boolean isFull(long size) {
-    return used >= limitFor(size);
+    return usedBytes >= limitFor(size);
   }
 
-  /**
-   * Whether there is so much room that a body may grow to this size and be held, though it could
-   * stream.
-   */
+  /** Whether a body may grow to this size (bytes) and be buffered although it could be streamed. */
   public boolean hasAmpleRoom(long size) {
-    return size <= AMPLE_BYTES && used < AMPLE_PART * limit;
+    return size <= AMPLE_BYTES && usedBytes < AMPLE_SHARE * limitBytes;
   }
 
-  /** Whether waiting would never end: requests that still come hold all that they may. */
+  /**
+   * Whether waiting for free bytes could never end, because incomplete requests hold all bytes that
+   * they may use.
+   */
   public boolean isDeadlocked() {
-    return incomplete >= limitFor(Long.MAX_VALUE);
+    return incompleteBytes >= limitFor(Long.MAX_VALUE);
   }
 
-  /** Runs {@code resume} once when bytes have been freed. */
+  /** Runs {@code resume} once, when bytes have been freed. */
   public void awaitRoom(Runnable resume) {
-    waiting.add(resume);
+    pausedReaders.add(resume);
   }
 
-  /** Takes back an {@link #awaitRoom} that has not run; harmless if it has. */
+  /** Cancels an {@link #awaitRoom} that has not run; has no effect otherwise. */
   public void cancelAwait(Runnable resume) {
-    waiting.remove(resume);
+    pausedReaders.remove(resume);
   }
 
-  /** Bytes that are held. */
+  /** Returns the number of bytes held. */
   public long usedBytes() {
-    return used;
+    return usedBytes;
   }
 }
--- a/src/main/java/leadferry/engine/ClientCall.java
+++ b/src/main/java/leadferry/engine/ClientCall.java
@@ -1,59 +1,71 @@
 package leadferry.engine;
 
 /**
- * A client's request as its protocol holds it: its bytes, and where its one final answer goes. The
- * engine calls exactly one of {@link #sendRejection}, {@link #sendFailure} and what the protocol's
- * own attempt does after {@link Exchange#claim} has told it that it may answer.
+ * Represents a client's request in its protocol: the bytes of the request and the destination of
+ * its one final response. The final response takes exactly one of three paths: the engine calls
+ * {@link #sendRejection} or {@link #sendFailure}, or the protocol's attempt responds after {@link
+ * Exchange#claim} has returned true.
  */
 public interface ClientCall {
-  /** The request goes on as this exchange: the first one, or a further one in another pool. */
+  /**
+   * Sets the exchange that processes the request: the first one, or a further one in another pool.
+   */
   void onExchangeStarted(Exchange exchange);
 
-  /** The id by which its client and the servers know it, or null; for the log. */
+  /**
+   * Returns the id under which the client and the servers know the request, or null; the log shows
+   * it.
+   */
   default String requestId() {
     return null;
   }
 
   /**
-   * Whether every byte of the request that has come is still held, so that another attempt can be
-   * sent. A request that streams loses that with the first byte past its replay bound; the engine
-   * then gives what the module still asks for back as known not to have run.
+   * Whether every received byte of the request is still held, so that another attempt can be sent.
+   * A streamed request loses this property with the first byte past its replay limit; the engine
+   * then ends further attempts that the load balancer asks for as ones that never ran.
    */
   default boolean isReplayable() {
     return true;
   }
 
-  /** Whether bytes of the request are still to come from its client. */
+  /** Whether part of the request has not been received yet. */
   default boolean isIncomplete() {
     return false;
   }
 
   /**
-   * Whether its client has left, though that has not been read yet: asks the socket itself. Asked
-   * ahead of a send that was waited for, and costs as much as a read; where the socket can't tell
-   * without harm it is false.
+   * Whether the client has disconnected, even if the loop has not read the disconnect yet; checks
+   * the socket directly. Called before a send that had to wait; costs as much as a read. Returns
+   * false where the socket can't tell without losing bytes.
    */
   default boolean hasClientDisconnected() {
     return false;
   }
 
   /**
-   * Whether an answer that has begun to go to the client is in time, however long the rest of it
-   * takes; otherwise all of it has to come within the request's time.
+   * Whether a response meets the deadline once it has started to be sent to the client, however
+   * long the rest takes; otherwise the whole response must be received before the deadline.
    */
   default boolean isTimedToFirstByte() {
     return false;
   }
 
-  /** An attempt of the exchange at the host, not started yet. */
+  /** Creates an attempt of the exchange at the host, without starting it. */
   Attempt createAttempt(Exchange exchange, UpstreamHost host, int number, double now);
 
-  /** Final answer "no, and trying again does no harm"; {@code coolDownMs} 0 gives no advice. */
-  void sendRejection(double coolDownMs);
+  /**
+   * Sends the final response "rejected, safe to retry"; a {@code retryAfterMillis} of 0 gives no
+   * advice on when to retry.
+   */
+  void sendRejection(double retryAfterMillis);
 
-  /** Final answer "failed", which promises nothing about the effect. */
-  void sendFailure(boolean timeUp);
+  /**
+   * Sends the final response "failed", which makes no statement about the effect; {@code
+   * isDeadlinePassed} indicates whether the deadline has passed.
+   */
+  void sendFailure(boolean isDeadlinePassed);
 
-  /** The request and its attempts are over: its bytes are not needed any more. */
+  /** Frees the bytes of the request; called when the request and its attempts are over. */
   void free();
 }
--- a/src/main/java/leadferry/engine/ConnectFailure.java
+++ b/src/main/java/leadferry/engine/ConnectFailure.java
@@ -5,18 +5,21 @@
 import java.net.NoRouteToHostException;
 import java.net.SocketException;
 
-/** Whose fault it is that a connection did not come up. */
+/** Classifies the cause of a failed connect as local or remote. */
 final class ConnectFailure {
-  /** How the JDK words a reset of a connection that comes up, for which it has no type. */
+  /**
+   * Message prefix with which the JDK reports a reset during connect, for which it has no exception
+   * type.
+   */
   private static final String RESET = "Connection reset";
 
   private ConnectFailure() {}
 
   /**
-   * Whether it was for want of something of this machine's (ports, buffers, a network):
-   * EADDRNOTAVAIL is a {@link BindException} to the JDK, ENETUNREACH and ENOBUFS are plain. Guards
-   * against a server that pays for it; one that refuses, resets or can't be reached had its part in
-   * it.
+   * Whether this machine lacked a resource (ports, buffers, a network). The JDK reports
+   * EADDRNOTAVAIL as {@link BindException}, and ENETUNREACH and ENOBUFS as plain {@link
+   * SocketException}. Guards against counting a local shortage against a server; a server that
+   * refuses, resets or can't be reached is counted.
    */
   static boolean isLocal(Throwable cause) {
     boolean aboutServer =
--- a/src/main/java/leadferry/engine/ConnectionLimits.java
+++ b/src/main/java/leadferry/engine/ConnectionLimits.java
@@ -10,47 +10,48 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * How many connections all workers of a process together may hold to one host of a pool. Guards
- * hosts, which accept so many from all of their clients, against a process that opens one for
- * whatever is in flight.
+ * Limits the connections that all workers of a process together hold to one host of a pool. Guards
+ * hosts, which accept a limited number of connections from all of their clients, against a process
+ * that opens one for each request in flight.
  *
- * <p>A count is taken before a connection is begun and given back when it has been closed, so the
- * bound holds at each moment. Where it is reached, an attempt waits in its worker ({@link
- * UpstreamConnectionPool}); a connection that another worker keeps idle is asked for, and one that
- * ends passes its place on to the workers in the order in which they asked. No lock; safe for use
- * by many threads.
+ * <p>A slot is acquired before a connection is opened and released after it has closed, so the
+ * limit holds at every moment. At the limit, an attempt waits in its worker ({@link
+ * UpstreamConnectionPool}). The other workers are asked to close an idle connection, and a released
+ * slot is offered to the waiting workers in order of arrival. Lock-free and thread-safe.
  *
  * <pre>
- *   worker A   take ... carry ... idle ---- yields: close, give back -+
- *   worker B              full: asks, waits ------------------------- +-> take ... carry
+ *   worker A   acquire ... carry ... idle -- asked: close, release --+
+ *   worker B              at the limit: wait ----------------------- +-> acquire ... carry
  * </pre>
  */
 public final class ConnectionLimits {
-  /** A worker's part in one host's places; its methods are called from any thread. */
+  /** Listener of one worker for the slots of one host; its methods are called from any thread. */
   interface SlotListener {
-    /** A place is free: use it, if there is still anything to use it for. */
+    /** Called when a slot is free; uses the slot, or passes it on where no attempt needs it. */
     void onSlotFree();
 
-    /** Others wait for a place: close a connection that carries nothing, if there is one. */
+    /**
+     * Called when another worker waits for a slot; closes an unused connection, if there is one.
+     */
     void onSlotWanted();
   }
 
-  /** The places of one host. */
+  /** Connection slots of one host. */
   final class Slots {
     private final AtomicInteger taken = new AtomicInteger();
     private final Queue<SlotListener> waiting = new ConcurrentLinkedQueue<>();
-    private final Set<SlotListener> members = ConcurrentHashMap.newKeySet();
+    private final Set<SlotListener> listeners = ConcurrentHashMap.newKeySet();
 
-    void addListener(SlotListener member) {
-      members.add(member);
+    void addListener(SlotListener listener) {
+      listeners.add(listener);
     }
 
-    void removeListener(SlotListener member) {
-      members.remove(member);
-      waiting.remove(member);
+    void removeListener(SlotListener listener) {
+      listeners.remove(listener);
+      waiting.remove(listener);
     }
 
-    /** Takes a place; false where all are taken. */
+    /** Acquires a slot; returns false where all are taken. */
     boolean tryAcquire() {
       int before;
       do {
@@ -67,30 +68,30 @@
       notifyNextWaiter();
     }
 
-    /** Whether more are taken than may be, since the bound was lowered. */
+    /** Whether more slots are taken than the limit permits, after the limit was lowered. */
     boolean isOverLimit() {
       return taken.get() > limit;
     }
 
-    /** Whether a worker waits for a place. */
+    /** Whether a worker waits for a slot. */
     boolean hasWaiters() {
       return !waiting.isEmpty();
     }
 
-    /** Waits for a place and asks the other workers for one that they don't use. */
-    void awaitSlot(SlotListener member) {
-      if (!waiting.contains(member)) {
-        waiting.add(member);
+    /** Queues the listener for a slot and asks the other workers to close an unused connection. */
+    void awaitSlot(SlotListener listener) {
+      if (!waiting.contains(listener)) {
+        waiting.add(listener);
       }
-      for (SlotListener other : members) {
-        if (other != member) {
+      for (SlotListener other : listeners) {
+        if (other != listener) {
           other.onSlotWanted();
         }
       }
-      notifyNextWaiter(); // what was given back before this one stood in the queue
+      notifyNextWaiter(); // covers slots that were released before the listener was queued
     }
 
-    /** Nothing here wants the place that was offered: the next worker may have it. */
+    /** Offers an unneeded free slot to the next waiting worker. */
     void offerToNext() {
       if (!waiting.isEmpty()) {
         notifyNextWaiter();
@@ -105,38 +106,38 @@
     }
   }
 
-  private final Map<InetSocketAddress, Slots> byHost = new ConcurrentHashMap<>();
+  private final Map<InetSocketAddress, Slots> slotsByAddress = new ConcurrentHashMap<>();
   private volatile int limit;
 
-  /** So many connections to each host, at least 1. */
-  public ConnectionLimits(int most) {
-    setLimit(most);
+  /** Creates a limit of {@code limit} connections to each host, at least 1. */
+  public ConnectionLimits(int limit) {
+    setLimit(limit);
   }
 
-  /** Changes the bound; what is past it ends as soon as it carries nothing. */
+  /** Changes the limit; connections over the limit close as soon as they carry no attempt. */
   public void setLimit(int connections) {
     if (connections < 1) {
       throw new IllegalArgumentException("connections: " + connections + " (expected: >= 1)");
     }
     limit = connections;
-    byHost.values().forEach(Slots::notifyNextWaiter);
+    slotsByAddress.values().forEach(Slots::notifyNextWaiter);
   }
 
   Slots slotsOf(InetSocketAddress host) {
-    return byHost.computeIfAbsent(host, h -> new Slots());
+    return slotsByAddress.computeIfAbsent(host, h -> new Slots());
   }
 
   /**
-   * Forgets hosts that are no longer listed and have no connection; guards against a list that
-   * churns.
+   * Removes hosts that are no longer listed and have no connection. Guards against unbounded growth
+   * where the list changes continually.
    */
   public void retainListed(Collection<InetSocketAddress> listed) {
-    byHost
+    slotsByAddress
         .entrySet()
         .removeIf(
             e ->
                 !listed.contains(e.getKey())
                     && e.getValue().taken.get() == 0
-                    && e.getValue().members.isEmpty());
+                    && e.getValue().listeners.isEmpty());
   }
 }
--- a/src/main/java/leadferry/engine/ConnectionReusePolicy.java
+++ b/src/main/java/leadferry/engine/ConnectionReusePolicy.java
@@ -1,74 +1,79 @@
 package leadferry.engine;
 
 /**
- * How long a connection rests after a response, and how long it may stand idle and still be used.
- * Inputs are the pool's settings and what connections of the pool and of the host have shown. One
- * per pool and loop, confined to that loop.
+ * Determines how long a connection rests after a response and how long it may be idle and still be
+ * used. Inputs are the pool's settings and the observed behaviour of the host's and the pool's
+ * connections. One instance per pool and loop, confined to that loop.
  *
  * <pre>
- *   response read |--- rest: not used ---|--- reusable ---| keep time is over: closed, never used
+ *   response read |--- rest: not used ---|--- reusable ---| idle limit: closed, never used
  * </pre>
  */
 final class ConnectionReusePolicy {
-  /** Part of the host's idle time after which a connection is closed: well before the host does. */
-  private static final double IDLE_PART = 0.7;
+  /**
+   * Share of the host's idle time after which a connection is closed, well before the host closes
+   * it.
+   */
+  private static final double IDLE_SHARE = 0.7;
 
-  /** How long (ns) a connection to a host that was seen to send surplus bytes rests. */
+  /** Rest (ns) of connections to a host that has sent surplus bytes. */
   private static final long SURPLUS_REST_NANOS = 5_000_000L;
 
-  /** How long (ns) surplus bytes are remembered, of a host and of the pool. */
+  /** Time (ns) for which surplus bytes of a host, and of the pool, are taken into account. */
   private static final long SURPLUS_MEMORY_NANOS = 600_000_000_000L;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
   private PoolBounds bounds;
 
-  /** The rest (ns) that late surplus bytes of any host have made necessary. */
+  /** Rest (ns) that late surplus bytes of any host require. */
   private long lateSurplusRestNanos;
 
-  /** When (ns) such bytes were last seen. */
-  private long lateSurplusAt;
+  /** Time (ns) at which late surplus bytes were last received. */
+  private long lateSurplusAtNanos;
 
   ConnectionReusePolicy(PoolBounds bounds) {
     this.bounds = bounds;
   }
 
-  /** From now on these hold. */
+  /** Applies other bounds. */
   void updateBounds(PoolBounds next) {
     bounds = next;
   }
 
   /**
-   * How long (ns) a connection may stand idle and be used: by the settings, and by what was seen.
-   * Housekeeping closes it then, but a request may come first, and the host's own close would be a
-   * reset under a request that may have run.
+   * Returns the time (ns) for which a connection may be idle and still be used, according to the
+   * settings and the observed behaviour. Housekeeping closes the connection later; a request may
+   * come first, and the host's own close would then reset a request that may have run.
    */
   long maxIdleNanos(UpstreamHost host, long now) {
-    return Math.min((long) (IDLE_PART * bounds.idleMs() * NANOS_PER_MILLI), host.maxIdleNanos(now));
+    return Math.min(
+        (long) (IDLE_SHARE * bounds.idleMs() * NANOS_PER_MILLI), host.maxIdleNanos(now));
   }
 
-  /** How long (ns) a connection to the host rests after a response. */
+  /** Returns the time (ns) for which a connection to the host rests after a response. */
   long restNanos(UpstreamHost host, long now) {
-    long configured = (long) (bounds.restMs() * NANOS_PER_MILLI);
-    boolean byHost = host.hasSentSurplus && now - host.surplusAtNanos < SURPLUS_MEMORY_NANOS;
-    long learnt = Math.max(byHost ? SURPLUS_REST_NANOS : 0, rememberedRestNanos(now));
-    return Math.max(configured, learnt);
+    long configuredNanos = (long) (bounds.restMs() * NANOS_PER_MILLI);
+    boolean hasHostSurplus =
+        host.hasSentSurplus && now - host.surplusAtNanos < SURPLUS_MEMORY_NANOS;
+    long learnedNanos = Math.max(hasHostSurplus ? SURPLUS_REST_NANOS : 0, rememberedRestNanos(now));
+    return Math.max(configuredNanos, learnedNanos);
   }
 
   /**
-   * Bytes that belong to no response came so long (ns) after one. Guards against a second response
-   * that is later than the rest: on a connection in use again it would be taken for the next one's,
-   * and nothing in it says whose it is. All connections then rest for twice as long, {@link
-   * SocketSlack} at most.
+   * Records bytes that belong to no response and arrived {@code afterNanos} after one. Guards
+   * against a second response that arrives after the rest: on a connection in use it would be read
+   * as the response to the next request, and nothing in it identifies its request. All connections
+   * then rest for twice that delay, but at most {@link SocketSlack}.
    */
   void onSurplusBytes(long afterNanos) {
     long now = System.nanoTime();
     lateSurplusRestNanos =
         Math.max(rememberedRestNanos(now), Math.min(2 * afterNanos, SocketSlack.NANOS));
-    lateSurplusAt = now;
+    lateSurplusAtNanos = now;
   }
 
   private long rememberedRestNanos(long now) {
-    return now - lateSurplusAt < SURPLUS_MEMORY_NANOS ? lateSurplusRestNanos : 0;
+    return now - lateSurplusAtNanos < SURPLUS_MEMORY_NANOS ? lateSurplusRestNanos : 0;
   }
 }
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -22,190 +22,220 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Runs the module on the event loop: hands it one event at a time, in the order in which they came,
- * and carries out what it asks for. What an action brings about at once waits in a queue until the
- * module has returned.
+ * Runs one pool's load balancer on its event loop. Delivers events to the load balancer one at a
+ * time, in order of arrival, and carries out the actions that it requests. An event that an action
+ * raises while the load balancer runs is queued until the load balancer has returned.
  */
 public final class Dispatcher implements LoadBalancerActions {
-  /** The module's clock begins here, so that a host that started before this process has a time. */
+  /**
+   * Start (ms) of the load balancer's clock. A positive start gives a host that started before this
+   * process a valid time.
+   */
   private static final double CLOCK_START = 1e9;
 
-  private record Event(Exchange about, Runnable what) {}
+  private record Event(Exchange exchange, Runnable action) {}
 
   private final String name;
   private final EventLoop loop;
   private final Log log;
   private Settings settings;
-  private final UpstreamConnectionPool upstreams;
-  private final BodyBudget budget;
+  private final UpstreamConnectionPool connectionPool;
+  private final BodyBudget bodyBudget;
   private final UpstreamHosts hosts;
   private final LoadBalancer balancer;
   private final long startedAt = System.nanoTime();
   private final Map<Long, Exchange> exchanges = new HashMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
-  private final Set<String> ejected = new HashSet<>(2);
-  private boolean running;
-  private long nextId;
-  private Runnable follow = () -> {};
-  private BooleanSupplier retries = () -> true;
+  private final Set<String> ejectedNames = new HashSet<>(2);
+  private boolean isRunning;
+  private long nextRequestId;
+  private Runnable watchOpener = () -> {};
+  private BooleanSupplier retryGate = () -> true;
   private final OutcomeReporter reporter;
 
-  /** Null where the pool has not joined the other proxies of its tier. */
+  /** Null where the pool shares no suspicions with the other proxies of its tier. */
   private SharedSuspicions suspicions;
 
   /**
-   * A pool of hosts on this loop, with a module of its own that is seeded so; it may have no name.
+   * Creates a pool of hosts on {@code loop} with its own load balancer, whose random choices derive
+   * from {@code seed}; {@code name} may be null.
    */
   public Dispatcher(
       String name,
       EventLoop loop,
       Settings settings,
       long seed,
-      UpstreamConnectionPool upstreams,
-      BodyBudget budget,
+      UpstreamConnectionPool connectionPool,
+      BodyBudget bodyBudget,
       Log log) {
     this.name = name;
     this.loop = loop;
     this.log = log;
     this.settings = settings;
-    this.upstreams = upstreams;
-    this.budget = budget;
+    this.connectionPool = connectionPool;
+    this.bodyBudget = bodyBudget;
     this.reporter = new OutcomeReporter(log, settings);
     this.hosts = new UpstreamHosts(new ServerStartClock(System::currentTimeMillis, now()));
     this.balancer = new LoadBalancer(settings, seed, this);
   }
 
-  /** The module's clock (ms). */
+  /** Returns the time (ms) on the load balancer's clock. */
   public double now() {
     return CLOCK_START + (System.nanoTime() - startedAt) / 1e6;
   }
 
-  /** The pool's name, or null. */
+  /** Returns the pool's name, or null. */
   public String name() {
     return name;
   }
 
-  /** The loop to which the pool and its requests are confined. */
+  /** Returns the loop to which the pool and its requests are confined. */
   public EventLoop loop() {
     return loop;
   }
 
   UpstreamConnectionPool connectionPool() {
-    return upstreams;
+    return connectionPool;
   }
 
-  /** The bound over the bodies that the pool's requests hold in memory. */
+  /** Returns the memory limit of the bodies that the pool's requests buffer. */
   public BodyBudget bodyBudget() {
-    return budget;
+    return bodyBudget;
   }
 
   /**
-   * Lets this pool share with the other proxies of its tier which hosts are silent; what it has for
-   * all of them goes to {@code tell}. To be called before {@link #start}.
+   * Shares suspicions of silent hosts with the other proxies of the tier; {@code broadcast}
+   * receives each message that is for all of them. Must be called before {@link #start}.
    */
-  public void shareSuspicions(long seed, Consumer<byte[]> tell) {
-    suspicions = new SharedSuspicions(this, settings, seed, tell);
+  public void shareSuspicions(long seed, Consumer<byte[]> broadcast) {
+    suspicions = new SharedSuspicions(this, settings, seed, broadcast);
   }
 
-  /** A message of the proxy of that number, for a pool that has joined. */
-  public void onPeerMessage(byte[] message, int from) {
-    suspicions.onMessage(message, from);
+  /**
+   * Receives a message of the proxy with index {@code proxyIndex}; the pool must have called {@link
+   * #shareSuspicions}.
+   */
+  public void onPeerMessage(byte[] message, int proxyIndex) {
+    suspicions.onMessage(message, proxyIndex);
   }
 
-  /** The load balancer is to leave the host out for so long (ms); 0 takes it back. */
-  void onPeerHint(long host, double lengthMillis) {
-    deliver(null, () -> balancer.onGossip(now(), host, lengthMillis));
+  /**
+   * Excludes the host from the load balancer's choices for {@code durationMillis}; 0 ends the
+   * exclusion.
+   */
+  void onPeerHint(long host, double durationMillis) {
+    deliver(null, () -> balancer.onGossip(now(), host, durationMillis));
   }
 
-  /** Hosts on which attempts of this pool are in flight, or wait to be. */
+  /**
+   * Returns the names of hosts on which attempts of this pool are in flight or wait for a
+   * connection.
+   */
   public Set<String> busyHosts() {
     return hosts.busyNames();
   }
 
-  /** Whether the host of that name is listed and may get work. */
+  /** Whether the host of that name is listed and may receive requests. */
   public boolean isSendable(String host) {
     return hosts.isSendable(host);
   }
 
-  /** Hosts that the module has ejected and not readmitted. */
+  /** Returns the names of hosts that the load balancer has ejected and not readmitted. */
   public Set<String> ejectedHosts() {
-    return ejected;
+    return ejectedNames;
   }
 
-  /** Whether any host may get work. */
+  /** Whether any host may receive requests. */
   public boolean hasSendableHost() {
     return hosts.hasSendable();
   }
 
-  /** Has attempts and requests counted there. */
+  /** Sets the counter of this pool's attempts and requests. */
   public void setOutcomeCounter(OutcomeCounter counter) {
     reporter.setCounter(counter);
   }
 
-  /** A request has had its final answer from here. */
-  void onRequestEnded(Exchange exchange, boolean well) {
-    reporter.onRequestEnded(exchange, well, now() - exchange.startedAt);
+  /**
+   * Reports a request whose final response this pool gave; {@code isSuccess} indicates whether the
+   * request succeeded.
+   */
+  void onRequestEnded(Exchange exchange, boolean isSuccess) {
+    reporter.onRequestEnded(exchange, isSuccess, now() - exchange.startedAt);
   }
 
-  /** Lets these bounds over further attempts say no to what the module asks for. */
-  public void setRetryGate(BooleanSupplier retries) {
-    this.retries = retries;
+  /**
+   * Sets the check that can deny each further attempt of a request that the load balancer asks for.
+   */
+  public void setRetryGate(BooleanSupplier gate) {
+    this.retryGate = gate;
   }
 
   boolean isRetryAllowed() {
-    return retries.getAsBoolean();
+    return retryGate.getAsBoolean();
   }
 
   int maxAttempts() {
     return settings.limits().maxAttempts();
   }
 
-  /** An empty body under the budget; {@code expected} bytes or -1, {@code partial} a request's. */
+  /**
+   * Returns an empty body whose bytes count against the budget. {@code expected} is the announced
+   * length in bytes or -1; {@code partial} marks the body of a request that is still incomplete.
+   */
   public Body newBody(long expected, boolean partial) {
-    return new Body(budget, PooledByteBufAllocator.DEFAULT, expected, partial);
+    return new Body(bodyBudget, PooledByteBufAllocator.DEFAULT, expected, partial);
   }
 
-  /** Requests that are not over, or whose attempts are not. */
+  /**
+   * Returns the number of requests that still wait for a final response or have an open attempt.
+   */
   public int openRequests() {
     return exchanges.size();
   }
 
   // --- events
 
-  /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-  public void start(UpstreamHosts.ListUpdate known, Runnable follow) {
-    this.follow = follow;
+  /**
+   * Starts the load balancer with the list {@code cached}; {@code watchOpener} opens the watch on
+   * the list source.
+   */
+  public void start(UpstreamHosts.ListUpdate cached, Runnable watchOpener) {
+    this.watchOpener = watchOpener;
     deliver(null, () -> balancer.onStart(now()));
-    onEndpointList(EndpointListEvent.CACHED, known);
+    onEndpointList(EndpointListEvent.CACHED, cached);
   }
 
-  /** A list, or changes to it, that has been checked whole. */
-  public void onEndpointList(EndpointListEvent kind, UpstreamHosts.ListUpdate news) {
-    UpstreamHosts.Change change = hosts.apply(news, now());
+  /** Applies a list of hosts, or changes to it, that has been validated as a whole. */
+  public void onEndpointList(EndpointListEvent kind, UpstreamHosts.ListUpdate update) {
+    UpstreamHosts.Change change = hosts.apply(update, now());
     List<EndpointUpdate> entries = change.entries();
     deliver(null, () -> balancer.onEndpointList(now(), kind, entries));
     if (suspicions != null) {
       suspicions.onEndpointList(kind, entries, change.invalidated());
     }
-    withdrawUnsentTo(change.invalidated());
+    endUnsentTo(change.invalidated());
     hosts.removeGone();
   }
 
   /**
-   * Guards against a send to a host that drains or has moved while its connection comes up. All are
-   * taken back before the first goes on: it may go to a host that is new in this list, and is not
-   * to be taken back from there.
+   * Ends the attempts that have no connection yet and whose host has changed. Guards against a send
+   * to a host that starts to drain or moves while its connection is established. All affected
+   * attempts are collected before the first one ends: its request may be retried on a host that is
+   * new in this list, and that retry must not be ended.
    */
-  private void withdrawUnsentTo(Set<UpstreamHost> cut) {
+  private void endUnsentTo(Set<UpstreamHost> changedHosts) {
     List<Attempt> unsent = new ArrayList<>();
-    for (UpstreamHost host : cut) {
-      ejected.remove(host.name);
-      unsent.addAll(upstreams.invalidate(host));
+    for (UpstreamHost host : changedHosts) {
+      ejectedNames.remove(host.name);
+      unsent.addAll(connectionPool.invalidate(host));
     }
     unsent.forEach(Attempt::endAsNeverRun);
   }
 
-  /** Other settings hold from the next event on; what is open goes on by those it came under. */
+  /**
+   * Applies other settings from the next event on; open requests keep the settings under which they
+   * arrived.
+   */
   public void updateSettings(Settings next) {
     settings = next;
     reporter.updateSettings(next);
@@ -215,12 +245,12 @@
     deliver(null, () -> balancer.onSettings(next));
   }
 
-  /** The source of lists has said that there is nothing new. */
+  /** Records that the list source has reported no newer list. */
   public void onUpToDate() {
     hosts.onUpToDate(now());
   }
 
-  /** The watch broke or could not be opened. */
+  /** Reports that the watch broke or could not be opened. */
   public void onWatchFailed() {
     deliver(
         null,
@@ -229,14 +259,14 @@
   }
 
   /**
-   * Takes a request that has come whole; its final answer comes within {@code arrival.budget()} ms.
-   * The arrival's id is of no account: the pool has numbers of its own.
+   * Submits a request that has arrived in full; its final response is due within {@code
+   * arrival.budget()} ms. The arrival's id is ignored: the pool numbers its requests itself.
    */
   public void submit(ClientCall call, RequestArrival arrival, FallbackPools fallback) {
-    long id = nextId++;
-    Exchange e =
+    long id = nextRequestId++;
+    Exchange exchange =
         new Exchange(id, this, call, arrival.className(), now() + arrival.budgetMillis(), fallback);
-    exchanges.put(id, e);
+    exchanges.put(id, exchange);
     RequestArrival numbered =
         new RequestArrival(
             id,
@@ -245,120 +275,134 @@
             arrival.budgetMillis(),
             arrival.estimateMillis(),
             arrival.isRepeat());
-    deliver(e, () -> balancer.onRequest(now(), numbered));
+    deliver(exchange, () -> balancer.onRequest(now(), numbered));
   }
 
   void onAttemptOutcome(
-      Exchange e, Attempt a, AttemptOutcome result, double spent, boolean over, LoadReport report) {
-    int number = a.number();
-    if (suspicions != null && result.hasResponse()) {
-      suspicions.onResponse(now(), a.host.id);
+      Exchange exchange,
+      Attempt attempt,
+      AttemptOutcome outcome,
+      double spentMillis,
+      boolean isRequestOver,
+      LoadReport report) {
+    int number = attempt.number();
+    if (suspicions != null && outcome.hasResponse()) {
+      suspicions.onResponse(now(), attempt.host.id);
     }
-    reporter.onAttemptEnded(e, a, result, spent);
-    deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
+    reporter.onAttemptEnded(exchange, attempt, outcome, spentMillis);
+    deliver(
+        exchange,
+        () ->
+            balancer.onOutcome(
+                now(), exchange.id, number, outcome, spentMillis, isRequestOver, report));
   }
 
-  void onFirstByte(Exchange e, int number, double spent) {
-    deliver(e, () -> balancer.onFirstByte(now(), e.id, number, spent));
+  void onFirstByte(Exchange exchange, int number, double spentMillis) {
+    deliver(exchange, () -> balancer.onFirstByte(now(), exchange.id, number, spentMillis));
   }
 
-  void onClientDisconnect(Exchange e) {
-    deliver(e, () -> balancer.onClientDisconnect(now(), e.id));
+  void onClientDisconnect(Exchange exchange) {
+    deliver(exchange, () -> balancer.onClientDisconnect(now(), exchange.id));
   }
 
-  private void deliver(Exchange about, Runnable what) {
-    events.add(new Event(about, what));
-    if (running) {
+  private void deliver(Exchange exchange, Runnable action) {
+    events.add(new Event(exchange, action));
+    if (isRunning) {
       return;
     }
-    running = true;
+    isRunning = true;
     try {
-      Event e;
-      while ((e = events.poll()) != null) {
-        handle(e);
+      Event event;
+      while ((event = events.poll()) != null) {
+        handle(event);
       }
     } finally {
-      running = false;
+      isRunning = false;
     }
   }
 
-  private void handle(Event e) {
+  private void handle(Event event) {
     try {
       balancer.onReadUntil(now() - ReadLagTracker.lagNanos() / 1e6);
-      e.what().run();
-    } catch (RuntimeException x) {
-      // Guards against one event that ends the process: it costs its own request only.
-      log.failure("the module failed on an event", x);
-      if (e.about() != null && !e.about().isResolved()) {
-        e.about().fail();
-        onClientDisconnect(e.about());
+      event.action().run();
+    } catch (RuntimeException failure) {
+      // Guards against one faulty event that ends the process: only its own request fails.
+      log.failure("the module failed on an event", failure);
+      if (event.exchange() != null && !event.exchange().isResolved()) {
+        event.exchange().fail();
+        onClientDisconnect(event.exchange());
       }
     }
   }
 
-  void removeExchange(Exchange e) {
-    exchanges.remove(e.id);
+  void removeExchange(Exchange exchange) {
+    exchanges.remove(exchange.id);
   }
 
-  /** Upkeep, a few times a second. */
+  /** Expires idle connections and removes hosts that are gone; runs a few times a second. */
   public void sweep() {
-    upstreams.sweep(hosts.all());
+    connectionPool.sweep(hosts.all());
     hosts.removeGone();
   }
 
-  /** Ends the connections that carry nothing. */
+  /** Closes the connections that carry no attempt. */
   public void closeIdle() {
-    upstreams.closeIdle(hosts.all());
+    connectionPool.closeIdle(hosts.all());
   }
 
   // --- actions
 
   @Override
-  public void send(long request, long host, double apart) {
-    Exchange e = exchanges.get(request);
-    UpstreamHost h = hosts.get(host);
-    if (e != null && h != null) {
+  public void send(long request, long host, double repeatWindowMillis) {
+    Exchange exchange = exchanges.get(request);
+    UpstreamHost upstreamHost = hosts.get(host);
+    if (exchange != null && upstreamHost != null) {
       if (suspicions != null) {
         suspicions.onAttempt();
       }
-      e.send(h, apart);
+      exchange.send(upstreamHost, repeatWindowMillis);
     } else {
-      throw new IllegalStateException("send of " + request + " to " + host + ": not known");
+      throw new IllegalStateException(
+          "send: unknown request "
+              + request
+              + " or host "
+              + host
+              + " (expected: open request, listed host)");
     }
   }
 
   @Override
   public void reject(long request, double retryAfterMillis) {
-    Exchange e = exchanges.get(request);
-    if (e != null) {
-      e.reject(retryAfterMillis);
+    Exchange exchange = exchanges.get(request);
+    if (exchange != null) {
+      exchange.reject(retryAfterMillis);
     }
   }
 
   @Override
   public void fail(long request) {
-    Exchange e = exchanges.get(request);
-    if (e != null) {
-      e.fail();
+    Exchange exchange = exchanges.get(request);
+    if (exchange != null) {
+      exchange.fail();
     }
   }
 
   @Override
   public void cancel(long request, int attempt) {
-    Exchange e = exchanges.get(request);
-    if (e != null) {
-      e.cancel(attempt);
+    Exchange exchange = exchanges.get(request);
+    if (exchange != null) {
+      exchange.cancel(attempt);
     }
   }
 
   @Override
-  public void schedule(double delay, long token) {
+  public void schedule(double delayMillis, long token) {
     Runnable event = () -> deliver(exchanges.get(token), () -> balancer.onTimer(now(), token));
-    Exchange e = exchanges.get(token);
-    if (e != null) {
-      e.schedule(delay, event);
+    Exchange exchange = exchanges.get(token);
+    if (exchange != null) {
+      exchange.schedule(delayMillis, event);
     } else if (token < 0) {
-      loop.schedule(event, (long) (delay * 1e6), TimeUnit.NANOSECONDS);
+      loop.schedule(event, (long) (delayMillis * 1e6), TimeUnit.NANOSECONDS);
     }
   }
 
@@ -371,27 +415,28 @@
 
   @Override
   public void watchEndpoints() {
-    follow.run();
+    watchOpener.run();
   }
 
   @Override
   public void log(String line) {
     String[] words = line.split(" ", 3);
-    UpstreamHost h = words.length == 3 && words[0].equals("host") ? host(words[1]) : null;
-    if (h == null) {
+    UpstreamHost host =
+        words.length == 3 && words[0].equals("host") ? hostByNumber(words[1]) : null;
+    if (host == null) {
       log.line(line);
     } else {
       switch (words[2]) {
-        case "ejected" -> ejected.add(h.name);
-        case "readmitted" -> ejected.remove(h.name);
+        case "ejected" -> ejectedNames.add(host.name);
+        case "readmitted" -> ejectedNames.remove(host.name);
         default -> {}
       }
-      log.event("host " + h.name + " " + words[2], "server", h.name);
+      log.event("host " + host.name + " " + words[2], "server", host.name);
     }
   }
 
-  /** The host that the module calls by this number, or null. */
-  private UpstreamHost host(String number) {
+  /** Returns the host with this id in the load balancer's log text, or null. */
+  private UpstreamHost hostByNumber(String number) {
     try {
       return hosts.get(Long.parseLong(number));
     } catch (NumberFormatException e) {
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -8,11 +8,11 @@
 import leadferry.loadbalancer.LoadReport;
 
 /**
- * One client request in one pool, from its last byte on. The only place that gives a final answer,
- * and it gives exactly one; holds the deadline and the attempts.
+ * Tracks one client request in one pool from its last byte on: its deadline, its attempts and its
+ * state. Nothing else gives a final response, and an exchange gives exactly one.
  *
- * <p>Where a further pool may take the request up, a refusal by this pool's module moves it there
- * in place of answering, if {@link FallbackPools} names one and nothing that was sent may have run.
+ * <p>Where the load balancer of this pool rejects the request, the exchange moves it to the pool
+ * that {@link FallbackPools} names, if nothing that was sent may have run.
  */
 public final class Exchange {
   private static final double NANOS_PER_MILLI = 1e6;
@@ -28,10 +28,10 @@
   private final List<Future<?>> timers = new ArrayList<>(2);
   private ExchangeState state = ExchangeState.WAITING;
 
-  /** Whether an attempt has ended that may have run. */
+  /** Whether an attempt has ended that the host may have run. */
   private boolean mayHaveRun;
 
-  /** {@code deadlineAt} is on the dispatcher's clock. */
+  /** Creates an exchange; {@code deadlineAt} is a time (ms) on the dispatcher's clock. */
   Exchange(
       long id,
       Dispatcher dispatcher,
@@ -47,7 +47,7 @@
     this.deadlineAt = deadlineAt;
     this.fallback = fallback;
     call.onExchangeStarted(this);
-    schedule(deadlineAt - dispatcher.now(), this::timeUp);
+    schedule(deadlineAt - dispatcher.now(), this::onDeadline);
   }
 
   Dispatcher dispatcher() {
@@ -55,64 +55,71 @@
   }
 
   /**
-   * The request has come whole, and its time (ms) counts from now on; it must have had more until
-   * then.
+   * Restarts the deadline at {@code budgetMillis} from now, because the request has now arrived in
+   * full. The deadline until then must have been later.
    */
   public void restartDeadline(double budgetMillis) {
     deadlineAt = dispatcher.now() + budgetMillis;
-    schedule(budgetMillis, this::timeUp);
+    schedule(budgetMillis, this::onDeadline);
   }
 
-  /** Runs something so much later (ms) unless the request and its attempts are all over by then. */
+  /**
+   * Runs the task after {@code delayMillis}, unless the request and its attempts are over by then.
+   */
   void schedule(double delayMillis, Runnable task) {
     long nanos = Math.max(0, (long) (delayMillis * NANOS_PER_MILLI));
     timers.add(dispatcher.loop().schedule(task, nanos, TimeUnit.NANOSECONDS));
   }
 
-  /** Whether the final answer has been given, or nobody waits for one. */
+  /** Whether the final response has been claimed, or is no longer expected from this pool. */
   public boolean isResolved() {
     return state.isResolved();
   }
 
-  /** How long (ms) the client still waits; at least 1. */
+  /** Returns the time (ms) until the deadline, at least 1. */
   public long remainingMs() {
     return Math.max(1, (long) (deadlineAt - dispatcher.now()));
   }
 
-  /** The request's id as its client knows it, or null; for the log. */
+  /** Returns the id that the client gave the request, or null; the log shows it. */
   String requestId() {
     return call.requestId();
   }
 
-  /** The pool that has it, or null. */
+  /** Returns the name of the pool that holds the request, or null. */
   public String poolName() {
     return dispatcher.name();
   }
 
-  /** Attempts so far in this pool, withheld ones included. */
+  /**
+   * Returns the number of attempts so far in this pool, including those that were never started.
+   */
   public int attemptCount() {
     return attempts.size();
   }
 
-  /** The server of the last of them, or null. */
+  /** Returns the host of the last attempt, or null where there is none. */
   public String lastServer() {
     return attempts.size() == 0 ? null : attempts.get(attempts.size() - 1).host.name;
   }
 
   // --- attempts
 
-  /** Makes a further attempt, and starts it where one may still be made. */
-  void send(UpstreamHost host, double apart) {
+  /**
+   * Creates an attempt at the host. The attempt starts only if the request can be replayed and the
+   * limits on attempts allow it; otherwise it ends as one that never ran.
+   */
+  void send(UpstreamHost host, double repeatWindowMillis) {
     Attempt attempt = call.createAttempt(this, host, attempts.size(), dispatcher.now());
     attempts.add(attempt);
-    if (lastMayStart()) {
-      attempt.start(apart);
+    if (canStartLast()) {
+      attempt.start(repeatWindowMillis);
     } else {
       attempt.endUnstarted();
     }
   }
 
-  private boolean lastMayStart() {
+  private boolean canStartLast() {
     return call.isReplayable()
         && attempts.size() <= dispatcher.maxAttempts()
         && (attempts.size() == 1 || dispatcher.isRetryAllowed());
@@ -120,64 +127,70 @@
 
   void cancel(int number) {
     if (!state.isResolved() && call.isIncomplete()) {
-      // Guards against a host that is called silent while it waits for the rest of the request
-      // itself.
+      // Guards against a host that is judged silent while it waits for the rest of the request.
       return;
     }
     attempts.get(number).cancel();
   }
 
-  /** An attempt has ended with this outcome, {@code spent} ms after it was sent. */
-  void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, double spent, LoadReport report) {
+  /** Processes the end of an attempt, {@code spentMillis} after it was sent. */
+  void onAttemptEnded(
+      Attempt attempt, AttemptOutcome outcome, double spentMillis, LoadReport report) {
     attempts.onAttemptEnded();
     mayHaveRun |= !outcome.hasNoEffect();
     if (state.isResolved() && !outcome.hasNoEffect() && outcome != AttemptOutcome.CANCELLED) {
-      // Its response is the one that the client has had, or has had a part of.
-      count(outcome == AttemptOutcome.OK);
+      // The client received this attempt's response, or part of it.
+      countResult(outcome == AttemptOutcome.OK);
     }
-    // Guards a response that is going to the client against the end of another attempt.
-    boolean over = state.isResolved() && !attempts.isAnyResponding();
-    dispatcher.onAttemptOutcome(this, attempt, outcome, spent, over, report);
+    // Guards a response that is being sent to the client against the end of another attempt.
+    boolean isRequestOver = state.isResolved() && !attempts.isAnyResponding();
+    dispatcher.onAttemptOutcome(this, attempt, outcome, spentMillis, isRequestOver, report);
     forgetIfDone();
   }
 
-  /** The answer of this attempt goes to the client while it comes. */
-  void onResponseStarted(int number, double spent) {
-    dispatcher.onFirstByte(this, number, spent);
+  /**
+   * Processes the start of a response that is streamed to the client, {@code spentMillis} after the
+   * attempt was sent.
+   */
+  void onResponseStarted(int number, double spentMillis) {
+    dispatcher.onFirstByte(this, number, spentMillis);
     attempts.endUnsent();
   }
 
   // --- the one final answer
 
-  void reject(double coolDown) {
-    if (!state.isResolved() && move()) {
+  void reject(double retryAfterMillis) {
+    if (!state.isResolved() && moveToNextPool()) {
       return;
     }
     if (claim()) {
-      count(false);
-      call.sendRejection(coolDown);
+      countResult(false);
+      call.sendRejection(retryAfterMillis);
       forgetIfDone();
     }
   }
 
-  /** Fails the request unless it has been answered. */
+  /** Fails the request, unless its final response has been claimed. */
   public void fail() {
     if (claim()) {
-      count(false);
+      countResult(false);
       call.sendFailure(dispatcher.now() >= deadlineAt);
       forgetIfDone();
     }
   }
 
-  /** Counts how the request ended, unless that is counted, or is nobody's to count. */
-  private void count(boolean well) {
+  /** Counts the request's result, unless it is already counted or another pool counts it. */
+  private void countResult(boolean isSuccess) {
     if (state == ExchangeState.RESPONDED) {
       state = state.counted();
-      dispatcher.onRequestEnded(this, well);
+      dispatcher.onRequestEnded(this, isSuccess);
     }
   }
 
-  /** Whether the caller may give the final answer now; true once. */
+  /**
+   * Claims the final response for the caller. Returns true for the first call only, and only while
+   * a final response is expected.
+   */
   public boolean claim() {
     boolean first = !state.isResolved();
     state = state.claimed();
@@ -185,36 +198,38 @@
   }
 
   /**
-   * Lets the next pool take the request. Guards rule 2: what may have run in this pool may be
-   * repeated elsewhere only where its class is safe, since another pool is no group that drops its
-   * repeats.
+   * Moves the request to the next pool; returns false where there is none or the deadline has
+   * passed. Guards against an effect that happens twice (rule 2): a request that may have run in
+   * this pool may be repeated in another pool only if its class is safe, because no state shared by
+   * the two pools drops the repeat.
    */
-  private boolean move() {
+  private boolean moveToNextPool() {
     FallbackPools.NextPool next = fallback == null ? null : fallback.next(mayHaveRun);
-    double left = deadlineAt - dispatcher.now();
-    if (next == null || left <= 0) {
+    double remainingMillis = deadlineAt - dispatcher.now();
+    if (next == null || remainingMillis <= 0) {
       return false;
     }
     state = state.moved();
     forgetIfDone();
-    next.dispatcher().submit(call, next.arrival().withBudget(left), next.fallback());
+    next.dispatcher().submit(call, next.arrival().withBudget(remainingMillis), next.fallback());
     return true;
   }
 
   // --- ends
 
-  /** The client has gone before its answer. */
+  /** Processes a client that disconnected before it had received the whole response. */
   public void onClientDisconnect() {
     if (state.isResolved() && attempts.haveAllEnded()) {
       return;
     }
-    boolean began = state.isResolved();
+    boolean hadResponded = state.isResolved();
     state = state.clientDisconnected();
     dispatcher.onClientDisconnect(this);
-    // What is out without a response is the module's to call off, where the deployment lets it. One
-    // whose response streams, or whose request has failed on its client's side, has nobody to go
-    // to; one whose request never comes whole would wait at its host for the rest.
-    for (int i = 0; (began || call.isIncomplete()) && i < attempts.size(); i++) {
+    // Attempts without a response are cancelled by the load balancer, where the deployment permits
+    // cancelling. This loop cancels the others: a streamed response or a request that failed on the
+    // client's side has no recipient any more, and the host would wait for the rest of an
+    // incomplete request.
+    for (int i = 0; (hadResponded || call.isIncomplete()) && i < attempts.size(); i++) {
       if (attempts.get(i).isOpen()) {
         attempts.get(i).cancel();
       }
@@ -223,43 +238,43 @@
   }
 
   /**
-   * The client's side of the request broke: fails it, unless it is answered, and ends what is out
-   * for it.
+   * Fails a request whose client connection broke, unless its final response has been claimed, and
+   * ends its attempts.
    */
   public void abandon() {
     fail();
     onClientDisconnect();
   }
 
-  private void timeUp() {
+  private void onDeadline() {
     for (int i = 0; i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
       if (!attempt.isOpen()) {
         continue;
       }
-      if (goesOnPastDeadline(attempt)) {
-        // Not one of the timers that are kept: a long response would add one to them each time.
-        // Harmless once it is over.
+      if (canOutliveDeadline(attempt)) {
+        // Not added to {@code timers}: a long response would add one on each check. The check has
+        // no effect once the attempt is over.
         dispatcher
             .loop()
-            .schedule(this::timeUp, Attempt.STREAM_STALL_MILLIS, TimeUnit.MILLISECONDS);
+            .schedule(this::onDeadline, Attempt.STREAM_STALL_MILLIS, TimeUnit.MILLISECONDS);
       } else {
         attempt.onDeadline();
       }
     }
     if (!state.isResolved()) {
-      fail(); // the module holds it still: the client's time is up all the same
+      fail(); // the load balancer still holds the request, but the deadline has passed
       dispatcher.onClientDisconnect(this);
     }
   }
 
-  private boolean goesOnPastDeadline(Attempt attempt) {
+  private boolean canOutliveDeadline(Attempt attempt) {
     return attempt.isResponding() && call.isTimedToFirstByte() && attempt.canOutliveDeadline();
   }
 
   /**
-   * Whether bytes of the attempt may go out now. What was true at the decision may not be when its
-   * connection is up.
+   * Whether bytes of the attempt may be sent now. Checked again when the connection is ready,
+   * because the conditions of the decision may have changed since.
    */
   boolean canSend(Attempt attempt) {
     double now = dispatcher.now();
@@ -269,7 +284,8 @@
     if (attempts.isOutsideRepeatWindow(attempt, now)) {
       return false;
     }
-    // Guards a client that left in the turn in which the connection came up, and was read after it.
+    // Guards against a send for a client that disconnected in the loop iteration in which the
+    // connection was established, where the disconnect is read after the connect event.
     if ((attempts.size() > 1 || attempt.hasWaited()) && call.hasClientDisconnected()) {
       onClientDisconnect();
       return false;
@@ -278,16 +294,17 @@
   }
 
   /**
-   * One more attempt has begun to go out. Guards rule 2: a host counts an attempt from its last
-   * byte, and that one, too, has to be out while the class may be repeated after each other attempt
-   * that may run.
+   * Bounds the writes of partially written attempts when a further attempt has started to be
+   * written. Guards against an effect that happens twice (rule 2): a host counts an attempt from
+   * the arrival of its last byte. That byte, too, must be sent while the class permits a repeat
+   * after each other attempt that may run.
    */
   void onWriteStarted() {
     for (int i = 0; attempts.size() > 1 && i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
       if (attempt.isPartiallyWritten()) {
-        double left = attempts.lastByteDeadline(attempt, deadlineAt) - dispatcher.now();
-        schedule(left, attempt::endIfPartiallyWritten);
+        double remainingMillis = attempts.lastByteDeadline(attempt, deadlineAt) - dispatcher.now();
+        schedule(remainingMillis, attempt::endIfPartiallyWritten);
       }
     }
   }
--- a/src/main/java/leadferry/engine/ExchangeAttempts.java
+++ b/src/main/java/leadferry/engine/ExchangeAttempts.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The attempts of one exchange, in the order in which they were asked for, and what has to hold
- * between them. Confined to the exchange's loop. An attempt that ends may lead to a further one, so
- * each loop here goes by the size at its time.
+ * Holds the attempts of one exchange in order of creation and checks the conditions between them.
+ * Confined to the exchange's loop. The end of an attempt may add a further one, so each loop in
+ * this class reads the current size on every iteration.
  */
 final class ExchangeAttempts {
   private Attempt[] attempts = new Attempt[2];
@@ -20,17 +20,17 @@
     open++;
   }
 
-  /** One of them has told its outcome. */
+  /** Records that an attempt has reported its outcome. */
   void onAttemptEnded() {
     open--;
   }
 
-  /** Whether each has told its outcome. */
+  /** Whether every attempt has reported its outcome. */
   boolean haveAllEnded() {
     return open == 0;
   }
 
-  /** All of them so far, withheld ones included. */
+  /** Returns the number of attempts so far, including those that were never started. */
   int size() {
     return size;
   }
@@ -39,7 +39,7 @@
     return attempts[number];
   }
 
-  /** Whether a response is going to the client. */
+  /** Whether the response of an open attempt is being sent to the client. */
   boolean isAnyResponding() {
     for (int i = 0; i < size; i++) {
       if (attempts[i].isOpen() && attempts[i].isResponding()) {
@@ -50,9 +50,10 @@
   }
 
   /**
-   * Whether another attempt that may run went out too long ago (ms, on the module's clock) for this
-   * one to begin at {@code now}. Guards rule 2: the window was judged when the wait began, and what
-   * was sent meanwhile was not judged at all.
+   * Whether another attempt that may have run was sent too long ago (ms, load balancer clock) for
+   * {@code attempt} to be sent at {@code now}. Guards against an effect that happens twice (rule
+   * 2): the load balancer checked the repeat window when the wait for a connection began, and did
+   * not check the attempts that were sent during the wait.
    */
   boolean isOutsideRepeatWindow(Attempt attempt, double now) {
     for (int i = 0; i < size; i++) {
@@ -67,8 +68,9 @@
   }
 
   /**
-   * Until when (ms, on the module's clock) the last byte of the attempt has to be out: by {@code
-   * deadlineAt}, and within its window from each other attempt that may run.
+   * Returns the time (ms, load balancer clock) by which the last byte of the attempt must be sent:
+   * {@code deadlineAt}, or the earlier end of its repeat window after another attempt that may have
+   * run.
    */
   double lastByteDeadline(Attempt attempt, double deadlineAt) {
     double lastByteBy = deadlineAt;
@@ -82,9 +84,9 @@
   }
 
   /**
-   * Ends what is out for nobody and of which the last byte is not: it never ran. Guards rule 1
-   * where the module may not cancel, and so does not: a connection that comes up late would carry
-   * it on after its end.
+   * Ends open attempts whose last byte has not been sent; these never ran. Guards against a request
+   * that is sent after its final response (rule 1): where the load balancer may not cancel, a
+   * connection that is established late would still carry the attempt.
    */
   void endUnsent() {
     for (int i = 0; i < size; i++) {
--- a/src/main/java/leadferry/engine/ExchangeState.java
+++ b/src/main/java/leadferry/engine/ExchangeState.java
@@ -1,29 +1,34 @@
 package leadferry.engine;
 
 /**
- * What has become of a request in one pool. The one place for the transitions; a state that has
- * none for an event stays as it is, so that exactly one final answer is given and its end is
- * counted once at most.
+ * State of a request in one pool. All transitions are defined here; a state without a transition
+ * for an event stays as it is. Thus exactly one final response is given, and the result is counted
+ * at most once.
  *
  * <pre>
- *   WAITING -- claimed ----> ANSWERED -- counted --> COUNTED
- *           -- moved ------> MOVED
- *           -- clientGone -> CLIENT_GONE
+ *   WAITING -- claimed ------------> RESPONDED -- counted --> COUNTED
+ *           -- moved --------------> MOVED
+ *           -- clientDisconnected -> CLIENT_DISCONNECTED
  * </pre>
  */
 enum ExchangeState {
-  /** The client waits, and nobody has claimed the final answer. */
+  /** The client waits, and the final response has not been claimed. */
   WAITING,
-  /** The final answer is given or going out; whether it ended well is not counted yet. */
+  /**
+   * The final response has been claimed and may still be in transit; the result has not been
+   * counted.
+   */
   RESPONDED,
-  /** The final answer is given, and whether it ended well is counted. */
+  /** The final response has been claimed, and the result has been counted. */
   COUNTED,
-  /** A further pool has taken the request: that one answers and counts it. */
+  /** Another pool has taken over the request, and responds to and counts it. */
   MOVED,
-  /** The client left before a final answer: there is nothing to answer or to count. */
+  /**
+   * The client disconnected before a final response; no response is due and no result is counted.
+   */
   CLIENT_DISCONNECTED;
 
-  /** Whether the final answer has been given, or nobody waits for one here. */
+  /** Whether the final response has been claimed, or is no longer expected from this pool. */
   boolean isResolved() {
     return this != WAITING;
   }
--- a/src/main/java/leadferry/engine/FallbackPools.java
+++ b/src/main/java/leadferry/engine/FallbackPools.java
@@ -2,15 +2,19 @@
 
 import leadferry.loadbalancer.RequestArrival;
 
-/** The pools that may take a request up, in order, where those before have refused it unsent. */
+/** Ordered pools that may take over a request that the earlier pools have rejected unsent. */
 @FunctionalInterface
 public interface FallbackPools {
-  /** The next pool, the request as it arrives there, and what may follow it, or null. */
+  /**
+   * The next pool, the request's arrival there, and the pools after it, or null where there are
+   * none.
+   */
   record NextPool(Dispatcher dispatcher, RequestArrival arrival, FallbackPools fallback) {}
 
   /**
-   * The next pool, or null where there is none. {@code mayHaveRun} tells that something sent for
-   * the request may have run: only for a class that is safe to repeat may there be one then.
+   * Returns the next pool, or null where there is none. {@code mayHaveRun} indicates whether an
+   * attempt at the request may have run; a pool may then be returned only for a class that is safe
+   * to repeat.
    */
   NextPool next(boolean mayHaveRun);
 }
--- a/src/main/java/leadferry/engine/HostConnectionSlots.java
+++ b/src/main/java/leadferry/engine/HostConnectionSlots.java
@@ -5,51 +5,51 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * This pool's part in the connections that all workers together may hold to one host at one
- * address. {@link ConnectionLimits} calls it from any thread; what it does runs on the pool's loop.
+ * Represents this pool in the connection slots that all workers share for one host at one address.
+ * {@link ConnectionLimits} calls this class from any thread; its work runs on the pool's loop.
  */
 final class HostConnectionSlots implements ConnectionLimits.SlotListener {
   private final UpstreamConnectionPool pool;
   private final EventLoop loop;
   private final UpstreamHost host;
   private final InetSocketAddress address;
-  private final ConnectionLimits.Slots places;
+  private final ConnectionLimits.Slots slots;
   private final AtomicBoolean yieldRequested = new AtomicBoolean();
 
   private HostConnectionSlots(
       UpstreamConnectionPool pool,
       EventLoop loop,
       UpstreamHost host,
-      ConnectionLimits.Slots places) {
+      ConnectionLimits.Slots slots) {
     this.pool = pool;
     this.loop = loop;
     this.host = host;
     this.address = host.address;
-    this.places = places;
+    this.slots = slots;
   }
 
-  /** The host's places at the address that it has now, joined if need be. */
+  /** Returns the host's slots at its current address, registering this pool where necessary. */
   static ConnectionLimits.Slots of(
       UpstreamHost host, ConnectionLimits limits, UpstreamConnectionPool pool, EventLoop loop) {
     if (host.connectionSlots == null || !host.connectionSlots.address.equals(host.address)) {
       removeFrom(host);
       host.connectionSlots =
           new HostConnectionSlots(pool, loop, host, limits.slotsOf(host.address));
-      host.connectionSlots.places.addListener(host.connectionSlots);
+      host.connectionSlots.slots.addListener(host.connectionSlots);
     }
-    return host.connectionSlots.places;
+    return host.connectionSlots.slots;
   }
 
-  /** Takes the host out of the places that workers share, where it has a part in them. */
+  /** Unregisters this pool from the slots of the host, where it is registered. */
   static void removeFrom(UpstreamHost host) {
     if (host.connectionSlots != null) {
-      host.connectionSlots.places.removeListener(host.connectionSlots);
+      host.connectionSlots.slots.removeListener(host.connectionSlots);
       host.connectionSlots = null;
     }
   }
 
   ConnectionLimits.Slots slots() {
-    return places;
+    return slots;
   }
 
   @Override
@@ -59,7 +59,7 @@
           if (host.connectionSlots == this) {
             pool.dispatchPending(host);
           } else {
-            places.offerToNext();
+            slots.offerToNext();
           }
         });
   }
@@ -70,7 +70,7 @@
       loop.execute(
           () -> {
             yieldRequested.set(false);
-            pool.closeIdleForWaiter(host, places);
+            pool.closeIdleForWaiter(host, slots);
           });
     }
   }
--- a/src/main/java/leadferry/engine/IdleConnections.java
+++ b/src/main/java/leadferry/engine/IdleConnections.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The connections to one host that carry nothing, confined to the loop of their pool. A connection
- * rests after a response before it becomes reusable; both queues have the longest unused first, so
- * each operation looks at one end only.
+ * Holds the connections to one host that carry no attempt, confined to the loop of their pool. A
+ * connection rests after a response before it becomes reusable. Both queues start with the
+ * connection unused for longest, so each operation looks at one end only.
  *
  * <pre>
  *   response read -> resting -- rest is over --> reusable -> carries the next attempt, or expires
@@ -17,7 +17,7 @@
   private final ArrayDeque<UpstreamConnection> resting = new ArrayDeque<>(2);
   private final ArrayDeque<UpstreamConnection> reusable = new ArrayDeque<>(2);
 
-  /** A connection has just carried an attempt to its end. */
+  /** Adds a connection that has just completed an attempt. */
   void add(UpstreamConnection connection) {
     resting.addLast(connection);
   }
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Makes those reusable that have rested for {@code restNanos} at {@code now} (ns). */
+  /** Makes connections reusable that have rested for {@code restNanos} at {@code now} (ns). */
   void endRests(long now, long restNanos) {
     UpstreamConnection first;
     while ((first = resting.peekFirst()) != null && now - first.idleSinceNanos() >= restNanos) {
@@ -40,21 +40,32 @@
     return !resting.isEmpty();
   }
 
-  /** Takes the one that was used last, or null if there is none or it is too old to be used. */
-  UpstreamConnection pollNewest(long now, long keepNanos) {
+  /**
+   * Takes the most recently used connection, or returns null where there is none or it has been
+   * idle for {@code maxIdleNanos} or longer.
+   */
+  UpstreamConnection pollNewest(long now, long maxIdleNanos) {
     UpstreamConnection newest = reusable.peekLast();
-    return newest != null && now - newest.idleSinceNanos() < keepNanos ? reusable.pollLast() : null;
+    return newest != null && now - newest.idleSinceNanos() < maxIdleNanos
+        ? reusable.pollLast()
+        : null;
   }
 
-  /** Takes one that has been unused for longer than {@code keepNanos}, or null if there is none. */
-  UpstreamConnection pollExpired(long now, long keepNanos) {
+  /**
+   * Takes a connection that has been idle for longer than {@code maxIdleNanos}, or returns null
+   * where there is none.
+   */
+  UpstreamConnection pollExpired(long now, long maxIdleNanos) {
     UpstreamConnection oldest = reusable.peekFirst();
-    return oldest != null && now - oldest.idleSinceNanos() > keepNanos
+    return oldest != null && now - oldest.idleSinceNanos() > maxIdleNanos
         ? reusable.pollFirst()
         : null;
   }
 
-  /** All of them, the reusable ones first; a copy, as closing one takes it out of here. */
+  /**
+   * Returns all connections, the reusable ones first. The result is a copy, because closing a
+   * connection removes it from this object.
+   */
   List<UpstreamConnection> all() {
     List<UpstreamConnection> all = new ArrayList<>(reusable);
     all.addAll(resting);
--- a/src/main/java/leadferry/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -5,25 +5,27 @@
 import java.io.StringWriter;
 import java.util.function.Consumer;
 
-/** Lines of text, so many a second at most: the platform's log, and that of tests. */
+/**
+ * Writes a bounded number of text lines a second; the log of the platform's process and of tests.
+ */
 public final class LineLog implements Log {
   private static final int MAX_PER_SECOND = 50;
 
   private final Consumer<String> out;
   private final boolean details;
-  private long second;
-  private int written;
+  private long currentSecond;
+  private int writtenThisSecond;
   private long dropped;
 
   /**
-   * Whoever logs waits for the stream. {@code details} tells whether requests and attempts have
-   * lines.
+   * Creates a log that writes to {@code out} on the caller's thread. {@code details} indicates
+   * whether requests and attempts are logged.
    */
   public LineLog(PrintStream out, boolean details) {
     this(out::print, details);
   }
 
-  /** {@code out} gets whole lines with their ends, one call after the other. */
+  /** Creates a log; {@code out} receives whole lines with their line ends, one call at a time. */
   public LineLog(Consumer<String> out, boolean details) {
     this.out = out;
     this.details = details;
@@ -35,54 +37,54 @@
   }
 
   @Override
-  public synchronized void event(String what, Object... fields) {
-    if (admits()) {
-      StringBuilder text = new StringBuilder("leadferry: ").append(what);
+  public synchronized void event(String message, Object... fields) {
+    if (shouldWrite()) {
+      StringBuilder text = new StringBuilder("leadferry: ").append(message);
       for (int i = 0; i + 1 < fields.length; i += 2) {
         if (fields[i + 1] != null) {
           text.append(' ').append(fields[i]).append('=').append(fields[i + 1]);
         }
       }
-      line(text.toString().replace('\n', ' ').replace('\r', ' '), "");
+      write(text.toString().replace('\n', ' ').replace('\r', ' '), "");
     }
   }
 
   @Override
-  public void detail(String what, Object... fields) {
+  public void detail(String message, Object... fields) {
     if (details) {
-      event(what, fields);
+      event(message, fields);
     }
   }
 
   @Override
-  public synchronized void failure(String what, Throwable t) {
-    if (admits()) {
+  public synchronized void failure(String message, Throwable cause) {
+    if (shouldWrite()) {
       StringWriter stack = new StringWriter();
-      t.printStackTrace(new PrintWriter(stack, true));
-      line("leadferry: " + what, stack.toString());
+      cause.printStackTrace(new PrintWriter(stack, true));
+      write("leadferry: " + message, stack.toString());
     }
   }
 
-  private void line(String text, String below) {
-    out.accept(text + System.lineSeparator() + below);
+  private void write(String text, String stackTrace) {
+    out.accept(text + System.lineSeparator() + stackTrace);
   }
 
-  // Guards against a log that outgrows the machine when every request has something to say.
-  private boolean admits() {
+  // Guards against a log that fills the machine when every request logs a line.
+  private boolean shouldWrite() {
     long now = System.nanoTime() / 1_000_000_000L;
-    if (now != second) {
+    if (now != currentSecond) {
       if (dropped > 0) {
-        line("leadferry: " + dropped + " lines left out", "");
+        write("leadferry: " + dropped + " lines left out", "");
       }
-      second = now;
-      written = 0;
+      currentSecond = now;
+      writtenThisSecond = 0;
       dropped = 0;
     }
-    if (written >= MAX_PER_SECOND) {
+    if (writtenThisSecond >= MAX_PER_SECOND) {
       dropped++;
       return false;
     }
-    written++;
+    writtenThisSecond++;
     return true;
   }
 }
--- a/src/main/java/leadferry/engine/Log.java
+++ b/src/main/java/leadferry/engine/Log.java
@@ -1,33 +1,32 @@
 package leadferry.engine;
 
 /**
- * What the people on call are told. Every kind is bounded a second, and what is past the bound is
- * counted. Safe for use by many threads. Whether it waits for whoever reads it, each kind of log
- * tells.
+ * Log for operators. Each kind of entry is limited per second, and the entries over the limit are
+ * counted. Thread-safe. Each implementation documents whether it blocks on its reader.
  *
- * <p>Fields come as names and values in turn; one whose value is null is left out.
+ * <p>Fields are passed as alternating names and values; a field whose value is null is omitted.
  */
 public interface Log {
-  /** A change of state, or what operators must know, in words. */
+  /** Logs a state change or a message for operators as text. */
   default void line(String text) {
     event(text);
   }
 
-  /** The same with fields. */
-  void event(String what, Object... fields);
+  /** Logs a state change or a message for operators with fields. */
+  void event(String message, Object... fields);
 
-  /** What became of one request or attempt; there may be any number a second. */
-  void detail(String what, Object... fields);
+  /** Logs the result of one request or attempt; the number of calls a second is unbounded. */
+  void detail(String message, Object... fields);
 
-  /** Whether {@link #detail} is of any use, so that fields need not be gathered in vain. */
+  /** Whether {@link #detail} writes anything; lets callers skip the collection of fields. */
   default boolean isDetailEnabled() {
     return true;
   }
 
-  /** A failure of our own code, with its stack. */
-  void failure(String what, Throwable cause);
+  /** Logs a failure of this program with its stack trace. */
+  void failure(String message, Throwable cause);
 
-  /** The same log, with a field more in all that comes through this one. */
+  /** Returns a log that adds a field to every entry written through it. */
   default Log withField(String field, String value) {
     return new LogWithField(this, field, value);
   }
--- a/src/main/java/leadferry/engine/LogWithField.java
+++ b/src/main/java/leadferry/engine/LogWithField.java
@@ -1,23 +1,23 @@
 package leadferry.engine;
 
-/** A log with one more field, which stands before the others. */
+/** Adds one field, ahead of the others, to every entry of a log. */
 record LogWithField(Log log, String field, String value) implements Log {
-  private Object[] all(Object[] fields) {
-    Object[] out = new Object[fields.length + 2];
-    out[0] = field;
-    out[1] = value;
-    System.arraycopy(fields, 0, out, 2, fields.length);
-    return out;
+  private Object[] prependField(Object[] fields) {
+    Object[] allFields = new Object[fields.length + 2];
+    allFields[0] = field;
+    allFields[1] = value;
+    System.arraycopy(fields, 0, allFields, 2, fields.length);
+    return allFields;
   }
 
   @Override
-  public void event(String what, Object... fields) {
-    log.event(what, all(fields));
+  public void event(String message, Object... fields) {
+    log.event(message, prependField(fields));
   }
 
   @Override
-  public void detail(String what, Object... fields) {
-    log.detail(what, all(fields));
+  public void detail(String message, Object... fields) {
+    log.detail(message, prependField(fields));
   }
 
   @Override
@@ -26,7 +26,7 @@
   }
 
   @Override
-  public void failure(String what, Throwable t) {
-    log.failure(what, t);
+  public void failure(String message, Throwable cause) {
+    log.failure(message, cause);
   }
 }
--- a/src/main/java/leadferry/engine/NativeTransport.java
+++ b/src/main/java/leadferry/engine/NativeTransport.java
@@ -16,7 +16,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Linux's own sockets, through netty's native parts. */
+/** Linux-specific sockets, through Netty's native libraries. */
 public enum NativeTransport implements Transport {
   EPOLL {
     @Override
@@ -35,8 +35,8 @@
     }
   },
   /**
-   * A read is always out on each socket, so {@link #isQuiet} sees that a connection has ended, not
-   * the bytes that the kernel has already taken for that read.
+   * A read is always outstanding on each socket. {@link #isQuiet} therefore detects that a
+   * connection has ended, but not bytes that the kernel has already taken for that read.
    */
   IO_URING {
     @Override
@@ -56,17 +56,20 @@
   };
 
   /**
-   * The states of a connection whose other side has reset it, and has ended it (linux/tcp.h,
-   * tcp_info).
+   * TCP states of a connection that its peer has reset, and of one that its peer has ended
+   * (linux/tcp.h, tcp_info).
    */
   private static final int CLOSED = 7;
 
   private static final int CLOSE_WAIT = 8;
 
-  private static final ThreadLocal<ByteBuffer> ONE =
+  private static final ThreadLocal<ByteBuffer> ONE_BYTE =
       ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(1));
 
-  /** Why this one can't be had here, or null if it can. */
+  /**
+   * Returns the reason why the transport is unavailable on this machine, or null where it is
+   * available.
+   */
   public Throwable unavailabilityCause() {
     return this == EPOLL ? Epoll.unavailabilityCause() : IoUring.unavailabilityCause();
   }
@@ -88,7 +91,7 @@
   @Override
   public boolean isQuiet(Channel connection) {
     FileDescriptor descriptor = ((UnixChannel) connection).fd();
-    ByteBuffer one = ONE.get();
+    ByteBuffer one = ONE_BYTE.get();
     try {
       one.clear();
       return descriptor.read(one, 0, 1) == 0;
--- a/src/main/java/leadferry/engine/NioTransport.java
+++ b/src/main/java/leadferry/engine/NioTransport.java
@@ -8,32 +8,32 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** The JDK's sockets, on any platform. */
+/** Sockets of the JDK, on any platform. */
 public final class NioTransport implements Transport {
-  /** A socket that can be asked, ahead of the loop's next turn, what has come on it. */
+  /** Socket whose pending input can be checked before the loop's next iteration. */
   public static final class Connection extends RetryingSocketChannel {
-    private static final int BEHIND_CHUNK = 16 * 1024;
+    private static final int DISCARD_CHUNK_BYTES = 16 * 1024;
 
     /**
-     * What is looked through at most for the end of who sends without end: a look must not cost the
-     * loop its time.
+     * Most bytes that are read in search of the end of the stream; a peer that sends without end
+     * must not occupy the loop.
      */
-    private static final int BEHIND_BYTES = 2 * BEHIND_CHUNK;
+    private static final int MAX_DISCARD_BYTES = 2 * DISCARD_CHUNK_BYTES;
 
-    private final ByteBuffer one = ByteBuffer.allocate(1);
+    private final ByteBuffer oneByte = ByteBuffer.allocate(1);
 
-    /** One to a host. */
+    /** Creates a connection to a host. */
     public Connection() {}
 
-    /** A client's. */
+    /** Creates a connection that {@code listener} has accepted from a client. */
     public Connection(Channel listener, SocketChannel accepted) {
       super(listener, accepted);
     }
 
-    private ClientEnd end() {
+    private ClientEnd checkEnd() {
       try {
-        one.clear();
-        int count = readNow(one);
+        oneByte.clear();
+        int count = readNow(oneByte);
         if (count < 0) {
           return ClientEnd.ENDED;
         }
@@ -43,14 +43,14 @@
       }
     }
 
-    private ClientEnd endBehind() {
-      ByteBuffer some = ByteBuffer.allocate(BEHIND_CHUNK);
+    private ClientEnd checkEndDiscarding() {
+      ByteBuffer chunk = ByteBuffer.allocate(DISCARD_CHUNK_BYTES);
       try {
         int count = 0;
-        for (int seen = 0;
-            seen < BEHIND_BYTES && (count = readNow(some.clear())) > 0;
-            seen += count) {
-          // thrown away
+        for (int discarded = 0;
+            discarded < MAX_DISCARD_BYTES && (count = readNow(chunk.clear())) > 0;
+            discarded += count) {
+          // discard
         }
         return count < 0 ? ClientEnd.ENDED : ClientEnd.NONE;
       } catch (IOException e) {
@@ -59,13 +59,14 @@
     }
 
     /**
-     * Guards against a write to a pooled connection that the host has closed, whose end waits in
-     * the kernel for the loop's next turn: the request would count as one that may have run.
+     * Whether nothing has arrived or ended on the socket. Guards against a write to a pooled
+     * connection that the host has closed while the end of the stream waits in the kernel for the
+     * loop's next iteration: the request would count as one that may have run.
      */
     boolean isQuiet() {
       try {
-        one.clear();
-        return readNow(one) == 0;
+        oneByte.clear();
+        return readNow(oneByte) == 0;
       } catch (IOException e) {
         return false;
       }
@@ -89,12 +90,14 @@
 
   @Override
   public ClientEnd checkClientEnd(Channel client) {
-    return client instanceof Connection connection ? connection.end() : ClientEnd.NONE;
+    return client instanceof Connection connection ? connection.checkEnd() : ClientEnd.NONE;
   }
 
   @Override
   public ClientEnd checkClientEndDiscarding(Channel client) {
-    return client instanceof Connection connection ? connection.endBehind() : ClientEnd.NONE;
+    return client instanceof Connection connection
+        ? connection.checkEndDiscarding()
+        : ClientEnd.NONE;
   }
 
   @Override
--- a/src/main/java/leadferry/engine/OutcomeCounter.java
+++ b/src/main/java/leadferry/engine/OutcomeCounter.java
@@ -1,14 +1,15 @@
 package leadferry.engine;
 
 /**
- * Counts what became of attempts and requests, by class; called on the pool's loop. Bad is what
- * failed, was refused, or came later than its class's aim. What a client gave up on, or what was
- * called off, is neither.
+ * Counts the results of attempts and requests by class; called on the pool's loop. A result is bad
+ * if the attempt or request failed, was rejected, or took longer than its class's latency
+ * objective. Requests that the client gave up and cancelled attempts are counted as neither good
+ * nor bad.
  */
 public interface OutcomeCounter {
-  /** An attempt has ended at that server. */
+  /** Counts an attempt that has ended at the server. */
   void countAttempt(String server, String className, boolean bad);
 
-  /** A request has had its final answer. */
+  /** Counts a request that has had its final response. */
   void countRequest(String className, boolean bad);
 }
--- a/src/main/java/leadferry/engine/OutcomeReporter.java
+++ b/src/main/java/leadferry/engine/OutcomeReporter.java
@@ -7,12 +7,12 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Tells people and counters what became of the attempts and requests of one pool: failed attempts
- * in the log one by one, all of them to the {@link OutcomeCounter} if there is one. Decides
- * nothing. Confined to the pool's loop.
+ * Reports the results of one pool's attempts and requests: logs each failed attempt, and passes all
+ * of them to the {@link OutcomeCounter} if one is set. Makes no decisions. Confined to the pool's
+ * loop.
  */
 final class OutcomeReporter {
-  /** Outcomes of attempts that have a line in the log. */
+  /** Outcomes of attempts that are logged. */
   private static final Set<AttemptOutcome> FAILURES =
       EnumSet.of(
           AttemptOutcome.ERROR,
@@ -24,7 +24,7 @@
   private final Log log;
   private Settings settings;
 
-  /** Null where nobody counts, and so in the platform's process. */
+  /** Null where results are not counted, as in the platform's process. */
   private OutcomeCounter counter;
 
   OutcomeReporter(Log log, Settings settings) {
@@ -36,12 +36,12 @@
     counter = next;
   }
 
-  /** The latency objectives of these hold from now on. */
+  /** Applies the latency objectives of other settings. */
   void updateSettings(Settings next) {
     settings = next;
   }
 
-  /** An attempt has ended, {@code spentMillis} after it was sent. */
+  /** Reports an attempt that has ended {@code spentMillis} after it was sent. */
   void onAttemptEnded(
       Exchange exchange, Attempt attempt, AttemptOutcome outcome, double spentMillis) {
     if (counter != null && isCounted(outcome)) {
@@ -54,10 +54,13 @@
     }
   }
 
-  /** A request has had its final answer, {@code spentMillis} after it was taken. */
-  void onRequestEnded(Exchange exchange, boolean well, double spentMillis) {
+  /**
+   * Reports a request whose final response came {@code spentMillis} after the request was
+   * submitted; {@code isSuccess} indicates whether it succeeded.
+   */
+  void onRequestEnded(Exchange exchange, boolean isSuccess, double spentMillis) {
     if (counter != null) {
-      boolean bad = !well || spentMillis > objectiveMillis(exchange.className);
+      boolean bad = !isSuccess || spentMillis > objectiveMillis(exchange.className);
       counter.countRequest(exchange.className, bad);
     }
   }
@@ -86,7 +89,10 @@
     return outcome.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The latency objective (ms) of a class; none for one that was not declared. */
+  /**
+   * Returns the latency objective (ms) of a class; a class that was not declared has none and gives
+   * {@code Double.MAX_VALUE}.
+   */
   private double objectiveMillis(String className) {
     for (Settings.RequestClass declared : settings.classes()) {
       if (declared.name().equals(className)) {
--- a/src/main/java/leadferry/engine/PoolBounds.java
+++ b/src/main/java/leadferry/engine/PoolBounds.java
@@ -1,17 +1,21 @@
 package leadferry.engine;
 
 /**
- * What holds for the connections of one pool on one loop. They may be changed while it runs, but
- * for the connect time-out, which counts for connections that are begun later.
+ * Bounds on the connections of one pool on one loop. All can be changed while the pool runs; a
+ * changed connect time-out applies to connections that are opened later.
  *
- * @param idleMs how long hosts keep an idle connection; ours go after 0.7 of it
- * @param connectMs how long a connection may take to come up
- * @param restMs how long a connection rests after an answer before it carries another request;
- *     guards against bytes right behind an answer that come in a packet of their own. Where it is
- *     less than 5, a host that was seen to send such bytes rests for 5 in the ten minutes after
- * @param maxPending attempts that wait for a connection to one host at most; one more did not run
- * @param maxRequestsPerConnection requests that a connection carries at most before it is closed
- * @param limits connections to each host, shared with the other loops, or null for no bound
+ * @param idleMs time (ms) for which hosts keep an idle connection; the proxy closes its connections
+ *     after 0.7 of it
+ * @param connectMs time (ms) within which a connection must be established
+ * @param restMs time (ms) for which a connection rests after a response before it carries another
+ *     request. Guards against bytes that follow a response in a separate packet. Where the value is
+ *     less than 5, connections to a host that has sent such bytes rest for 5 ms during the
+ *     following ten minutes
+ * @param maxPending most attempts that wait for a connection to one host; a further attempt ends as
+ *     one that never ran
+ * @param maxRequestsPerConnection most requests that a connection carries before it is closed
+ * @param limits limit on the connections to each host, shared with the other loops, or null for no
+ *     limit
  */
 public record PoolBounds(
     double idleMs,
@@ -20,7 +24,7 @@
     int maxPending,
     int maxRequestsPerConnection,
     ConnectionLimits limits) {
-  /** Those of a pool whose connections nothing bounds but the process's sockets. */
+  /** Returns bounds that limit the number of connections only by the process's sockets. */
   public static PoolBounds unbounded(double idleMs, double connectMs) {
     return new PoolBounds(idleMs, connectMs, 5, 0, Integer.MAX_VALUE, null);
   }
--- a/src/main/java/leadferry/engine/ReadLagTracker.java
+++ b/src/main/java/leadferry/engine/ReadLagTracker.java
@@ -9,49 +9,50 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Until when a loop has read all that came to its sockets. What a loop reads late, since it was
- * busy, cold or stopped, is no time of a server's or a client's; this tells the two apart.
+ * Tracks the time up to which an event loop has read everything that arrived on its sockets.
+ * Separates a delay of this process, whose loop was busy, cold or stopped, from the time of a
+ * server or client.
  *
  * <pre>
- *   turn k-1   poll |--- reads ---|--- tasks ---|
- *   turn k                                      poll |--- reads ---|--- tasks ---|
- *   until                           (poll k-1)  . . . . (poll k-1)  (poll k)
+ *   iteration k-1   poll |--- reads ---|--- tasks ---|
+ *   iteration k                                      poll |--- reads ---|--- tasks ---|
+ *   until                                (poll k-1)  . . . . (poll k-1)  (poll k)
  * </pre>
  *
- * While turn k reads, what it reads came after the poll of turn k-1 at the earliest, so that is
- * what can be sworn to; once it has read all, the poll of turn k is. A poll that waited was ended
- * by what it found, which has come just then, unless it returned later than it was asked to: then
- * the process had no core, and the time asked for is what counts. Error: where a poll is stopped in
- * the middle and ends before that time, the stop is taken for the peers'. Cost: two readings of the
- * clock a turn.
+ * <p>Data that iteration k reads arrived after the poll of iteration k-1 at the earliest, so that
+ * poll is the guaranteed time while iteration k reads. Once iteration k has read everything, its
+ * own poll is the guaranteed time. A poll that waited was ended by data that had just arrived,
+ * unless it returned later than requested: the process then had no core, and the requested time
+ * counts. Known error: where a poll is stopped in the middle and ends before the requested time,
+ * the stop is attributed to the peers. Cost: two clock readings per iteration.
  */
 public final class ReadLagTracker implements IoHandler, IoHandlerContext {
   /**
-   * A poll that returned as fast as this (ns), or in less than half of the time of the work before
-   * it, is taken to have found what came meanwhile: cold code and a lost core make it look as if it
-   * had waited.
+   * A poll that returned within this time (ns), or within half of the time of the preceding work,
+   * is taken to have found data that had already arrived. Cold code and a lost core would otherwise
+   * make it look as if it had waited.
    */
   private static final long AT_ONCE_NANOS = 1_000_000;
 
-  /** A poll that returned so much later (ns) than it was asked to was kept from its core. */
+  /** A poll that returned later than requested by more than this time (ns) was kept from a core. */
   private static final long LATE_NANOS = 2_000_000;
 
-  private static final FastThreadLocal<ReadLagTracker> HERE = new FastThreadLocal<>();
+  private static final FastThreadLocal<ReadLagTracker> CURRENT = new FastThreadLocal<>();
 
   private final IoHandler handler;
-  private IoHandlerContext turn;
-  private boolean waits;
-  private long turns;
-  private long pollAt;
-  private long askedFor;
-  private long polled = System.nanoTime();
-  private long until = polled;
+  private IoHandlerContext context;
+  private boolean mayWait;
+  private long iterations;
+  private long pollStartNanos;
+  private long requestedEndNanos;
+  private long polledAtNanos = System.nanoTime();
+  private long readUntilNanos = polledAtNanos;
 
   private ReadLagTracker(IoHandler handler) {
     this.handler = handler;
   }
 
-  /** The same loops, which can be asked. */
+  /** Wraps a factory so that its loops track their read lag. */
   static IoHandlerFactory wrap(IoHandlerFactory loops) {
     return new IoHandlerFactory() {
       @Override
@@ -66,74 +67,84 @@
     };
   }
 
-  /** How long (ns) ago the present loop had read all that had come; 0 off a loop. */
+  /**
+   * Returns the age (ns) of the time up to which the current loop has read everything; 0 outside a
+   * loop.
+   */
   public static long lagNanos() {
-    ReadLagTracker horizon = HERE.get();
-    return horizon == null ? 0 : Math.max(0, System.nanoTime() - horizon.until);
+    ReadLagTracker tracker = CURRENT.get();
+    return tracker == null ? 0 : Math.max(0, System.nanoTime() - tracker.readUntilNanos);
   }
 
-  /** How many turns the present loop has begun, its polls included; 0 off a loop. */
+  /**
+   * Returns the number of iterations that the current loop has started, including their polls; 0
+   * outside a loop.
+   */
   public static long loopIterations() {
-    ReadLagTracker horizon = HERE.get();
-    return horizon == null ? 0 : horizon.turns;
+    ReadLagTracker tracker = CURRENT.get();
+    return tracker == null ? 0 : tracker.iterations;
   }
 
   @Override
   public void initialize() {
-    HERE.set(this);
+    CURRENT.set(this);
     handler.initialize();
   }
 
   @Override
-  public int run(IoHandlerContext context) {
-    turn = context;
-    turns++;
-    pollAt = System.nanoTime();
-    waits = context.canBlock();
-    askedFor = pollAt + (waits ? context.delayNanos(pollAt) : 0);
+  public int run(IoHandlerContext loopContext) {
+    context = loopContext;
+    iterations++;
+    pollStartNanos = System.nanoTime();
+    mayWait = loopContext.canBlock();
+    requestedEndNanos = pollStartNanos + (mayWait ? loopContext.delayNanos(pollStartNanos) : 0);
     try {
       return handler.run(this);
     } finally {
-      polled = Math.max(polled, pollAt); // where the poll was not told of
-      until = polled;
+      polledAtNanos =
+          Math.max(polledAtNanos, pollStartNanos); // where the handler did not report the poll
+      readUntilNanos = polledAtNanos;
     }
   }
 
-  /** The handler asks this between its poll and what it does with what was found. */
+  /**
+   * Marks the end of the poll: the handler calls this between its poll and the processing of the
+   * results.
+   */
   @Override
   public boolean shouldReportActiveIoTime() {
-    polled(System.nanoTime());
-    return turn.shouldReportActiveIoTime();
+    onPollEnded(System.nanoTime());
+    return context.shouldReportActiveIoTime();
   }
 
-  private void polled(long now) {
-    long work = pollAt - polled;
-    if (!waits || now - pollAt < Math.max(AT_ONCE_NANOS, work / 2)) {
-      until = polled;
+  private void onPollEnded(long now) {
+    long workNanos = pollStartNanos - polledAtNanos;
+    if (!mayWait || now - pollStartNanos < Math.max(AT_ONCE_NANOS, workNanos / 2)) {
+      readUntilNanos = polledAtNanos;
     } else {
-      until = now - askedFor > LATE_NANOS ? askedFor : now;
+      readUntilNanos = now - requestedEndNanos > LATE_NANOS ? requestedEndNanos : now;
     }
-    polled = now;
+    polledAtNanos = now;
   }
 
   @Override
   public void reportActiveIoTime(long nanos) {
-    turn.reportActiveIoTime(nanos);
+    context.reportActiveIoTime(nanos);
   }
 
   @Override
   public boolean canBlock() {
-    return turn.canBlock();
+    return context.canBlock();
   }
 
   @Override
   public long delayNanos(long now) {
-    return turn.delayNanos(now);
+    return context.delayNanos(now);
   }
 
   @Override
   public long deadlineNanos() {
-    return turn.deadlineNanos();
+    return context.deadlineNanos();
   }
 
   @Override
--- a/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
@@ -8,12 +8,13 @@
 import java.util.List;
 
 /**
- * A listening socket of the JDK's on which a failed accept(2) costs one connection at most, by
- * {@link AcceptRetryPolicy}. A failure that lasts is thrown, for {@link AcceptBackoffHandler}.
+ * Listening socket of the JDK on which a failed accept(2) costs at most one connection, according
+ * to {@link AcceptRetryPolicy}. A failure that persists is thrown and handled by {@link
+ * AcceptBackoffHandler}.
  */
 public class RetryingServerSocketChannel extends NioServerSocketChannel {
   /**
-   * The next connection of the backlog, or null if nobody waits there.
+   * Accepts the next connection of the backlog; returns null where the backlog is empty.
    *
    * @throws IOException if accept fails {@value AcceptRetryPolicy#IMMEDIATE_ATTEMPTS} times in a
    *     row
@@ -32,7 +33,7 @@
     throw failure;
   }
 
-  /** The channel of a connection that was accepted. */
+  /** Creates the channel of an accepted connection. */
   protected Channel createChannel(SocketChannel accepted) {
     return new RetryingSocketChannel(this, accepted);
   }
@@ -48,7 +49,7 @@
       return 1;
     } catch (RuntimeException e) {
       next.close();
-      // Guards the listener: netty closes it for any other exception.
+      // Guards the listener: Netty closes it for any other exception.
       throw new IOException("an accepted connection can't be used: " + e.getMessage(), e);
     }
   }
--- a/src/main/java/leadferry/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -13,36 +13,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection of the JDK's that outlives system calls which fail for the moment. read(2) and
- * write(2) may be interrupted (EINTR) or find the kernel short of memory or buffers (ENOMEM,
- * ENOBUFS) while the connection itself is sound; netty closes it for any of these, since the JDK
- * tells an interrupted read by a negative count that is taken for the end of the stream.
+ * Connection of the JDK that survives temporary failures of system calls. read(2) and write(2) may
+ * be interrupted (EINTR) or find the kernel short of memory or buffers (ENOMEM, ENOBUFS) while the
+ * connection itself is intact. Netty closes the connection in each of these cases, because the JDK
+ * reports an interrupted read as a negative count, which Netty takes for the end of the stream.
  *
- * <p>A failed call is made again. Linux hands an error of the connection itself out once
- * (socket(7), SO_ERROR), and whoever asks again learns that the connection has ended; then the
- * first error stands. So a dead connection is not kept, and no end that an error made is taken for
- * an orderly one. A reset is known at once.
+ * <p>A failed call is retried. Linux reports an error of the connection itself once (socket(7),
+ * SO_ERROR), and a retry then sees the end of the connection; in that case the first error is
+ * thrown. A dead connection is thus not kept, and an end caused by an error is not taken for an
+ * orderly one. A reset is reported at once.
  */
 public class RetryingSocketChannel extends NioSocketChannel {
-  /** What the JDK's channels return for an interrupted call, below -1 for the end of the stream. */
+  /**
+   * Result of a JDK channel at the end of the stream; a value below it means an interrupted call.
+   */
   private static final int END_OF_STREAM = -1;
 
-  private static final int READ_TRIES = 4;
-  private static final int CONNECT_TRIES = 8;
+  private static final int MAX_READ_ATTEMPTS = 4;
+  private static final int MAX_CONNECT_CHECKS = 8;
 
-  /** A failure that lasts so long (ns) is the connection's end. */
+  /** A failure that persists for this time (ns) ends the connection. */
   private static final long LASTING_NANOS = 50_000_000;
 
   private static final long WRITE_RETRY_MS = 2;
 
-  private long readsFailSince;
-  private long writesFailSince;
-  private boolean writeRetryPending;
+  private long readsFailSinceNanos;
+  private long writesFailSinceNanos;
+  private boolean isWriteRetryPending;
 
-  /** One that is to be connected. */
+  /** Creates a channel that is to be connected. */
   public RetryingSocketChannel() {}
 
-  /** One that {@code parent} has accepted. */
+  /** Creates a channel that {@code parent} has accepted. */
   public RetryingSocketChannel(Channel parent, SocketChannel accepted) {
     super(parent, accepted);
   }
@@ -52,17 +54,18 @@
   }
 
   /**
-   * The result of a read: bytes, 0 if nothing can be read now, -1 at the end of the stream.
+   * Runs a read, retrying interrupted and failed calls. Returns the number of bytes, 0 if nothing
+   * can be read now, or -1 at the end of the stream.
    *
    * @throws IOException if the connection is broken
    */
-  private int retried(Read read) throws IOException {
+  private int readWithRetries(Read read) throws IOException {
     IOException failure = null;
-    for (int i = 0; i < READ_TRIES; i++) {
+    for (int i = 0; i < MAX_READ_ATTEMPTS; i++) {
       try {
         int count = read.run();
         if (count >= 0) {
-          readsFailSince = 0;
+          readsFailSinceNanos = 0;
           return count;
         }
         if (count == END_OF_STREAM) {
@@ -72,30 +75,30 @@
           return count;
         }
       } catch (SocketException | ClosedChannelException e) {
-        throw e; // reset, which the JDK remembers
+        throw e; // the JDK remembers a reset
       } catch (IOException e) {
         failure = failure == null ? e : failure;
       }
     }
     long now = System.nanoTime();
-    readsFailSince = readsFailSince == 0 ? now : readsFailSince;
-    if (failure != null && now - readsFailSince > LASTING_NANOS) {
+    readsFailSinceNanos = readsFailSinceNanos == 0 ? now : readsFailSinceNanos;
+    if (failure != null && now - readsFailSinceNanos > LASTING_NANOS) {
       throw failure;
     }
-    return 0; // the socket is still readable, so the next poll tells of it
+    return 0; // the socket stays readable, and the next poll reports it again
   }
 
   /**
-   * Reads what can be read now, as {@link SocketChannel#read}; interrupted and failed calls are
-   * made again.
+   * Reads the available bytes like {@link SocketChannel#read}, retrying interrupted and failed
+   * calls.
    */
   protected final int readNow(ByteBuffer into) throws IOException {
-    return retried(() -> javaChannel().read(into));
+    return readWithRetries(() -> javaChannel().read(into));
   }
 
   @Override
   protected int doReadBytes(ByteBuf into) throws Exception {
-    return retried(
+    return readWithRetries(
         () -> {
           try {
             return super.doReadBytes(into);
@@ -108,44 +111,47 @@
   }
 
   /**
-   * poll(2), by which the JDK asks whether a connection is up, may be interrupted as well: netty
-   * takes that for a failure.
+   * Retries the check whether the connection is established: the JDK uses poll(2), which may be
+   * interrupted, and Netty treats an interrupted call as a failure.
    */
   @Override
   protected void doFinishConnect() throws Exception {
-    for (int i = 0; i < CONNECT_TRIES; i++) {
+    for (int i = 0; i < MAX_CONNECT_CHECKS; i++) {
       if (javaChannel().finishConnect()) {
         return;
       }
     }
-    throw new ConnectException("interrupted " + CONNECT_TRIES + " times");
+    throw new ConnectException("interrupted " + MAX_CONNECT_CHECKS + " times");
   }
 
   @Override
   protected void doWrite(ChannelOutboundBuffer pending) throws Exception {
     try {
       super.doWrite(pending);
-      writesFailSince = 0;
+      writesFailSinceNanos = 0;
     } catch (ClosedChannelException e) {
       throw e;
     } catch (IOException e) {
       long now = System.nanoTime();
-      writesFailSince = writesFailSince == 0 ? now : writesFailSince;
-      if (peerGone(e) || now - writesFailSince > LASTING_NANOS) {
+      writesFailSinceNanos = writesFailSinceNanos == 0 ? now : writesFailSinceNanos;
+      if (isPeerGone(e) || now - writesFailSinceNanos > LASTING_NANOS) {
         throw e;
       }
       retryWrite();
     }
   }
 
-  /** What a failed write has not taken is still in the outbound buffer, in order. */
+  /**
+   * Schedules another flush. Bytes that a failed write did not take are still in the outbound
+   * buffer, in order.
+   */
   private void retryWrite() {
-    if (!writeRetryPending) {
-      writeRetryPending = true;
+    if (!isWriteRetryPending) {
+      isWriteRetryPending = true;
       eventLoop()
           .schedule(
               () -> {
-                writeRetryPending = false;
+                isWriteRetryPending = false;
                 if (isOpen()) {
                   unsafe().flush();
                 }
@@ -156,10 +162,11 @@
   }
 
   /**
-   * EPIPE and ECONNRESET, for which the JDK has no type of their own in a write; in another
-   * language it takes longer.
+   * Whether the failure is EPIPE or ECONNRESET, for which the JDK has no exception type on a write.
+   * The check matches the English message; with other message texts, the loss of the peer is
+   * detected only after {@link #LASTING_NANOS}.
    */
-  private static boolean peerGone(IOException failure) {
+  private static boolean isPeerGone(IOException failure) {
     String message = String.valueOf(failure.getMessage());
     return message.startsWith("Broken pipe") || message.startsWith("Connection reset");
   }
--- a/src/main/java/leadferry/engine/ServerStartClock.java
+++ b/src/main/java/leadferry/engine/ServerStartClock.java
@@ -3,29 +3,26 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Turns the Unix time at which a server started into an instant of the monotonic clock, once for
- * each start, so that slow start goes by it however the wall clock is stepped later.
+ * Converts the Unix time at which a server started to an instant of the monotonic clock, once for
+ * each start. Slow start is then independent of later steps of the wall clock.
  *
- * <p>The two clocks are {@code offset = Unix time - monotonic time} apart. Each start that is
- * notified bounds the offset of the discovery's clock: the server had started when it was notified,
- * and not longer before than since the discovery had last nothing newer to say, plus what a notice
- * may be late.
+ * <p>The two clocks differ by {@code offset = Unix time - monotonic time}. Each notified start
+ * bounds the offset of discovery's clock. The server had started when it was notified. It had not
+ * started longer before the notification than discovery's last report of nothing newer, plus the
+ * delay that a notice may have.
  *
  * <pre>
  *   discovery says nothing newer      server starts      first notified at t
  *   |-------------- gap ---------------------------------|
- *        started - t  &lt;=  offset  &lt;=  started - t + gap + LATEST_NOTICE_MS
+ *        started - t  &lt;=  offset  &lt;=  started - t + gap + MAX_NOTICE_DELAY_MS
  * </pre>
  *
- * Of the offsets that this machine's clock has shown, the least counts: it makes servers younger,
- * so an error in it costs a little service and never overloads a server that is warming up. In
- * order, with a clock that is right, the bounds change nothing.
+ * <p>Of the offsets observed on this machine's clock, the smallest is used. It makes servers look
+ * younger, so an error in it costs a little service and never overloads a server that is warming
+ * up. With correct clocks, the bounds change nothing.
  */
 final class ServerStartClock {
-  /**
-   * What discovery has to tell counts as told so long (ms) later at the latest, by the protocol
-   * page.
-   */
+  /** Longest delay (ms) of a notice from discovery, according to the protocol documentation. */
   static final double MAX_NOTICE_DELAY_MS = 6_000;
 
   private final DoubleSupplier unixMs;
@@ -35,31 +32,36 @@
   private double upToDateAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * {@code unixMs} is this machine's wall clock, {@code now} (ms) the monotonic one at the moment.
+   * Creates a clock; {@code unixMs} reads this machine's wall clock, and {@code now} (ms) is the
+   * current time of the monotonic clock.
    */
   ServerStartClock(DoubleSupplier unixMs, double now) {
     this.unixMs = unixMs;
-    look(now);
+    observeOffset(now);
   }
 
-  private void look(double now) {
+  private void observeOffset(double now) {
     leastOffset = Math.min(leastOffset, unixMs.getAsDouble() - now);
   }
 
-  /** Discovery has told all that it has, at {@code now} (ms, monotonic). */
+  /**
+   * Records that discovery has reported everything that it knew at {@code now} (ms, monotonic
+   * clock).
+   */
   void onUpToDate(double now) {
     upToDateAt = now;
   }
 
   /**
-   * When (ms, monotonic, at least 0) a server started of which this is first notified {@code now}.
+   * Returns the start (ms, monotonic clock, at least 0) of a server that is first notified at
+   * {@code now}.
    */
   double startedAt(double startedUnixMs, double now) {
-    look(now);
+    observeOffset(now);
     double least = startedUnixMs - now;
     double most = least + (now - upToDateAt) + MAX_NOTICE_DELAY_MS;
     if (least > upperBound || most < lowerBound) {
-      // The discovery's own clock was stepped: what it told before bounds nothing any more.
+      // Discovery's own clock was stepped: earlier notices bound nothing any more.
       lowerBound = Double.NEGATIVE_INFINITY;
       upperBound = Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -11,9 +11,9 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * What one pool and the other proxies of its tier tell each other of silent hosts: runs {@link
- * SuspicionProtocol} on the pool's loop, to which it is confined, and gives the load balancer its
- * hints. Times are those of the dispatcher's clock (ms).
+ * Exchanges suspicions of silent hosts between one pool and the other proxies of its tier. Runs
+ * {@link SuspicionProtocol} on the pool's loop, to which it is confined, and forwards the resulting
+ * hints to the load balancer. Times are in ms on the dispatcher's clock.
  */
 final class SharedSuspicions implements SuspicionProtocol.Actions {
   private static final double NANOS_PER_MILLI = 1e6;
@@ -23,7 +23,7 @@
   private final Consumer<byte[]> peers;
   private final SuspicionProtocol protocol;
 
-  /** {@code peers} gets each message that is for all other proxies. */
+  /** Creates the exchange; {@code peers} receives each message that is for all other proxies. */
   SharedSuspicions(Dispatcher dispatcher, Settings settings, long seed, Consumer<byte[]> peers) {
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
@@ -35,34 +35,34 @@
 
   // --- what this pool has seen
 
-  /** An attempt goes out. */
+  /** Records an attempt that is sent. */
   void onAttempt() {
     protocol.onAttempt();
   }
 
-  /** A host has responded. */
+  /** Records a response of a host. */
   void onResponse(double nowMillis, long host) {
     protocol.onResponse(nowMillis, host);
   }
 
-  /** A host has been silent to an attempt that was sent at {@code sentAtMillis}. */
+  /** Records that a host was silent to an attempt that was sent at {@code sentAtMillis}. */
   void onNoResponse(double nowMillis, long host, double sentAtMillis) {
     protocol.onNoResponse(nowMillis, host, sentAtMillis);
   }
 
-  /** A list has come: what was known of the hosts that it cut off is of no account any more. */
+  /** Processes a list of hosts; suspicions of the hosts in {@code cut} are dropped. */
   void onEndpointList(
       EndpointListEvent kind, List<EndpointUpdate> entries, Collection<UpstreamHost> cut) {
     cut.forEach(host -> protocol.forget(host.id));
     protocol.onEndpointList(kind, entries);
   }
 
-  /** The shortest latency objective of the classes has changed. */
+  /** Applies a changed shortest latency objective (ms) of the classes. */
   void onSettings(double shortestAimMillis) {
     protocol.onSettings(shortestAimMillis);
   }
 
-  /** A message of the proxy of that number. */
+  /** Processes a message of the proxy with index {@code from}. */
   void onMessage(byte[] message, int from) {
     protocol.onMessage(dispatcher.now(), from, message);
   }
--- a/src/main/java/leadferry/engine/Signals.java
+++ b/src/main/java/leadferry/engine/Signals.java
@@ -4,20 +4,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals of the platform. {@code sun.misc.Signal} is the JDK's only way to them; naming it in the
- * source is a warning that can't be silenced, so it is reached by reflection and the build stays
- * strict everywhere.
+ * Handles operating system signals. {@code sun.misc.Signal} is the JDK's only access to them. A
+ * reference to it in the source gives a warning that can't be suppressed; the class uses reflection
+ * instead, so that the build can treat all warnings as errors.
  */
 public final class Signals {
   private Signals() {}
 
   /**
-   * Runs {@code what}, on a thread of the JVM's, whenever SIGHUP comes. Guards against the default,
-   * by which the JVM ends. False where the platform has no such signal, or where whoever started
-   * this process had it ignored, as {@code nohup} does: the JVM then keeps it ignored, takes the
-   * handler without a word, and tells so only by what it says was in force before.
+   * Runs {@code action} on a JVM thread whenever SIGHUP is received. Guards against the default
+   * action, which ends the JVM. Returns false where the platform has no SIGHUP, or where the parent
+   * process had it ignored, as {@code nohup} does. In the latter case the JVM keeps ignoring the
+   * signal and accepts the handler without an error; only the previous handler that it returns
+   * reveals this.
    */
-  public static boolean onHangup(Runnable what) {
+  public static boolean onHangup(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -25,14 +26,14 @@
           (self, method, args) ->
               switch (method.getName()) {
                 case "handle" -> {
-                  what.run();
+                  action.run();
                   yield null;
                 }
                 case "equals" -> self == args[0];
                 case "hashCode" -> System.identityHashCode(self);
                 default -> "reload on SIGHUP";
               };
-      Object before =
+      Object previousHandler =
           signal
               .getMethod("handle", signal, handler)
               .invoke(
@@ -40,7 +41,7 @@
                   signal.getConstructor(String.class).newInstance("HUP"),
                   Proxy.newProxyInstance(
                       Signals.class.getClassLoader(), new Class<?>[] {handler}, call));
-      return before != handler.getField("SIG_IGN").get(null);
+      return previousHandler != handler.getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException e) {
       return false;
     }
--- a/src/main/java/leadferry/engine/SocketBudget.java
+++ b/src/main/java/leadferry/engine/SocketBudget.java
@@ -5,10 +5,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The bound over all descriptors. Half of them are hosts' whenever they need them; clients have the
- * other half, and what hosts leave of their own, which they give back when a host's connection is
- * to be opened: idle ones to hosts go first, oldest first, then whichever client makes room most
- * readily.
+ * Limits all file descriptors of the process. Connections to hosts have a claim to half of them at
+ * any time. Clients have the other half, and can borrow what hosts leave unused of theirs. Borrowed
+ * descriptors are returned when a connection to a host is to be opened: idle connections to hosts
+ * close first, oldest first, then the client connection that can be closed most readily.
  *
  * <pre>
  *   |&lt;------- clients, at least -------&gt;|&lt;- lent -&gt;|&lt;- margin -&gt;|&lt;- open to hosts -&gt;|
@@ -16,128 +16,152 @@
  * </pre>
  */
 public final class SocketBudget {
-  /** A connection that carries nothing and may be closed to make room. */
+  /** Connection that carries no attempt and may be closed to free its descriptor. */
   interface IdleConnection {
     void closeIdle();
   }
 
   /**
-   * Descriptors of the JVM itself, the listeners, discovery, operators and what is being closed.
+   * Descriptors reserved for the JVM itself, the listeners, discovery, operators and connections
+   * that are being closed.
    */
   private static final int RESERVED = 40;
 
-  /** A process that goes short because of another keeps so many for each side all the same. */
-  private static final int LEAST = 8;
+  /** Descriptors that each side keeps at least, even where another process uses the rest. */
+  private static final int MIN_PER_SIDE = 8;
 
   private final int descriptors;
-  private int limit;
-  private BooleanSupplier yields = () -> false;
+  private int limitPerSide;
+  private BooleanSupplier clientCloser = () -> false;
   private int otherClients;
   private int otherUpstreams;
   private final Set<IdleConnection> idleUpstreams = new LinkedHashSet<>();
-  private int clients;
-  private int upstreams;
+  private int clientCount;
+  private int upstreamCount;
 
-  /** A bound for a process that may open so many descriptors, at first all for itself. */
+  /**
+   * Creates a budget for a process that may open {@code descriptors} file descriptors and at first
+   * uses all of them alone.
+   */
   public SocketBudget(int descriptors) {
     this.descriptors = descriptors;
     useAllDescriptors();
   }
 
-  /** All descriptors are this process's. */
+  /** Assigns all descriptors to this process. */
   public void useAllDescriptors() {
-    limit = Math.max(LEAST, (descriptors - RESERVED) / 2);
+    limitPerSide = Math.max(MIN_PER_SIDE, (descriptors - RESERVED) / 2);
     otherClients = 0;
     otherUpstreams = 0;
   }
 
-  /** Another process goes by the same bound, and holds so many. What is open here stays. */
-  public void shareDescriptors(int clientsThere, int upstreamsThere) {
-    limit = Math.max(LEAST, (descriptors - 2 * RESERVED) / 2);
-    otherClients = clientsThere;
-    otherUpstreams = upstreamsThere;
+  /**
+   * Shares the budget with another process, which holds {@code otherProcessClients} client and
+   * {@code otherProcessUpstreams} host connections. Connections already open in this process stay
+   * open.
+   */
+  public void shareDescriptors(int otherProcessClients, int otherProcessUpstreams) {
+    limitPerSide = Math.max(MIN_PER_SIDE, (descriptors - 2 * RESERVED) / 2);
+    otherClients = otherProcessClients;
+    otherUpstreams = otherProcessUpstreams;
   }
 
   /**
-   * Who closes the client that makes room most readily, where there is one; false if there is none.
+   * Sets the action that closes the client connection that can be closed most readily; the action
+   * returns false where there is none.
    */
-  public void setClientCloser(BooleanSupplier closesClient) {
-    yields = closesClient;
+  public void setClientCloser(BooleanSupplier closer) {
+    clientCloser = closer;
   }
 
-  /** What clients may have of all now: half, and what hosts leave of theirs but for a margin. */
+  /**
+   * Returns the client connections permitted now: half of all, plus what hosts leave unused of
+   * their half except for a margin.
+   */
   private int clientLimit() {
-    int hosts = upstreams + otherUpstreams;
-    return Math.max(limit, 2 * limit - hosts - Math.max(LEAST, Math.max(hosts, limit) / 4));
+    int hosts = upstreamCount + otherUpstreams;
+    return Math.max(
+        limitPerSide,
+        2 * limitPerSide - hosts - Math.max(MIN_PER_SIDE, Math.max(hosts, limitPerSide) / 4));
   }
 
-  /** Connections of clients that are open. */
+  /** Returns the number of open client connections. */
   public int clientCount() {
-    return clients;
+    return clientCount;
   }
 
-  /** Connections to hosts that are open, or being opened. */
+  /** Returns the number of connections to hosts that are open or being opened. */
   public int upstreamCount() {
-    return upstreams;
+    return upstreamCount;
   }
 
-  /** Whether one more client may be accepted. */
+  /** Whether one more client connection may be accepted. */
   public boolean hasRoomForClient() {
-    return clients < Math.max(LEAST, clientLimit() - otherClients);
+    return clientCount < Math.max(MIN_PER_SIDE, clientLimit() - otherClients);
   }
 
-  /** Whether so little is left for clients that those who have their answer should not stay. */
+  /**
+   * Whether so few descriptors are left for clients that client connections should close after
+   * their response.
+   */
   public boolean isNearClientLimit() {
-    int most = clientLimit();
-    return clients + otherClients >= most - Math.max(2, most / 16);
+    int max = clientLimit();
+    return clientCount + otherClients >= max - Math.max(2, max / 16);
   }
 
-  /** Whether one more connection to a host may be opened once something idle was closed. */
+  /**
+   * Closes idle connections and borrowed client connections until one more connection to a host
+   * fits; returns whether it may be opened.
+   */
   public boolean makeRoomForUpstream() {
-    int most = Math.max(LEAST, limit - otherUpstreams);
-    while (upstreams >= most && !idleUpstreams.isEmpty()) {
+    int max = Math.max(MIN_PER_SIDE, limitPerSide - otherUpstreams);
+    while (upstreamCount >= max && !idleUpstreams.isEmpty()) {
       IdleConnection oldest = idleUpstreams.iterator().next();
       idleUpstreams.remove(oldest);
       oldest.closeIdle();
     }
-    // What clients have been lent is the hosts' again when they need it.
-    while (upstreams < most && lacks() && yields.getAsBoolean()) {
-      // until there is room, or nobody gives way
+    // Clients return borrowed descriptors when hosts need them.
+    while (upstreamCount < max && isLackingRoom() && clientCloser.getAsBoolean()) {
+      // repeat until there is room or no client connection can be closed
     }
-    return upstreams < most && !lacks();
+    return upstreamCount < max && !isLackingRoom();
   }
 
-  /** Whether clients hold what hosts need. */
-  private boolean lacks() {
-    int others = clients + otherClients;
-    return others > limit && others + upstreams + otherUpstreams >= 2 * limit;
+  /** Whether client connections hold descriptors that hosts need. */
+  private boolean isLackingRoom() {
+    int openClients = clientCount + otherClients;
+    return openClients > limitPerSide
+        && openClients + upstreamCount + otherUpstreams >= 2 * limitPerSide;
   }
 
-  /** Whether one more request may be carried, beside so many: each needs a connection to a host. */
+  /**
+   * Whether one more request fits beside {@code carried} others; each request needs a connection to
+   * a host.
+   */
   public boolean hasRoomForRequest(int carried) {
-    return carried < limit;
+    return carried < limitPerSide;
   }
 
-  /** A client's connection has been accepted. */
+  /** Counts an accepted client connection. */
   public void onClientOpened() {
-    clients++;
+    clientCount++;
   }
 
-  /** A client's connection has closed. */
+  /** Removes a closed client connection from the count. */
   public void onClientClosed() {
-    clients--;
+    clientCount--;
   }
 
   void onUpstreamOpened() {
-    upstreams++;
+    upstreamCount++;
   }
 
   void onUpstreamClosed() {
-    upstreams--;
+    upstreamCount--;
   }
 
-  void setUpstreamIdle(IdleConnection connection, boolean idle) {
-    if (idle) {
+  void setUpstreamIdle(IdleConnection connection, boolean isIdle) {
+    if (isIdle) {
       idleUpstreams.add(connection);
     } else {
       idleUpstreams.remove(connection);
--- a/src/main/java/leadferry/engine/SocketSlack.java
+++ b/src/main/java/leadferry/engine/SocketSlack.java
@@ -1,14 +1,14 @@
 package leadferry.engine;
 
 /**
- * By how much each time limit is longer on sockets than in the settings, by the protocol page: what
- * crosses on its way may be so late.
+ * Margin by which each time limit on sockets exceeds the limit in the settings, according to the
+ * protocol documentation. Covers the delay of messages in transit.
  */
 public final class SocketSlack {
-  /** In milliseconds. */
+  /** Margin in milliseconds. */
   public static final long MS = 50;
 
-  /** In nanoseconds. */
+  /** Margin in nanoseconds. */
   public static final long NANOS = MS * 1_000_000;
 
   private SocketSlack() {}
--- a/src/main/java/leadferry/engine/Transport.java
+++ b/src/main/java/leadferry/engine/Transport.java
@@ -4,52 +4,55 @@
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.ServerChannel;
 
-/** The kind of sockets that a process uses: how its loops wait, and what they open. */
+/**
+ * Socket implementation of a process: the I/O handlers of its loops and the channel types that it
+ * opens.
+ */
 public interface Transport {
-  /** Makes what an event loop waits with. */
+  /** Returns the factory of the I/O handlers with which event loops poll. */
   IoHandlerFactory ioHandlerFactory();
 
-  /** What listens for clients. */
+  /** Returns the channel type that listens for clients. */
   Class<? extends ServerChannel> listenerType();
 
-  /** What connects to hosts. */
+  /** Returns the channel type that connects to hosts. */
   Class<? extends Channel> connectionType();
 
   /**
-   * Whether a client has ended its side of a connection, though that has not been read yet; asks
-   * the socket itself, on its loop. Only after a request has come whole: where the socket can't
-   * tell otherwise, a byte that came behind the request is lost, and the answer is {@link
-   * ClientEnd#LOST_BYTE}.
+   * Checks whether a client has ended its side of a connection, even if the loop has not read the
+   * end yet; checks the socket directly, on its loop. May be called only after a request has been
+   * received in full: where the socket can't tell otherwise, a byte that follows the request is
+   * lost, and the result is {@link ClientEnd#LOST_BYTE}.
    */
   ClientEnd checkClientEnd(Channel client);
 
   /**
-   * The same where what still comes is of no account: it is thrown away, in bounds, to see whether
-   * its end stands behind it.
+   * Checks like {@link #checkClientEnd} where further input is irrelevant: discards a bounded
+   * amount of input to see whether the end of the stream follows it.
    */
   default ClientEnd checkClientEndDiscarding(Channel client) {
     return checkClientEnd(client);
   }
 
-  /** Whether {@link #checkClientEnd} never loses a byte, so that it may be asked at any time. */
+  /** Whether {@link #checkClientEnd} never loses a byte and may be called at any time. */
   default boolean canCheckWithoutLoss() {
     return false;
   }
 
-  /** What a look at a client's socket tells. */
+  /** Result of a check of a client's socket. */
   enum ClientEnd {
-    /** Nothing has come, or it can't be told. */
+    /** Nothing has arrived, or the socket can't tell. */
     NONE,
-    /** The client has gone, or at least sends no more. */
+    /** The client has disconnected, or at least sends no more. */
     ENDED,
-    /** A byte came and is lost: nothing that comes on the connection can be read any more. */
+    /** A byte arrived and is lost; no further input of the connection can be read correctly. */
     LOST_BYTE
   }
 
   /**
-   * Whether nothing has come and nothing has ended on a connection to a host; asks the socket
-   * itself and may be asked on the channel's loop only. What it reads to find out is lost, so false
-   * means that the connection is of no further use.
+   * Whether neither bytes nor the end of the stream have arrived on a connection to a host; checks
+   * the socket directly and may be called on the channel's loop only. A byte that the check reads
+   * is lost: after false the connection is unusable.
    */
   boolean isQuiet(Channel connection);
 }
--- a/src/main/java/leadferry/engine/UpstreamConnection.java
+++ b/src/main/java/leadferry/engine/UpstreamConnection.java
@@ -6,96 +6,106 @@
 import java.net.InetSocketAddress;
 
 /**
- * A connection to a host. It carries one attempt at a time and goes back to its pool in between.
- * What comes in on it is read by its protocol's sub-class.
+ * Connection to a host. Carries one attempt at a time and returns to its pool in between. A
+ * subclass for each protocol reads the incoming bytes.
  */
 public abstract class UpstreamConnection extends ChannelInboundHandlerAdapter
     implements SocketBudget.IdleConnection {
-  /** An end so soon (ns) after a request was written tells that the connection was dead before. */
-  private static final long AT_ONCE_NANOS = 25_000_000L;
+  /**
+   * A connection that ends within this time (ns) after a request was written is taken to have been
+   * dead before the write.
+   */
+  private static final long DEAD_BEFORE_WRITE_NANOS = 25_000_000L;
 
   private final UpstreamConnectionPool pool;
   private final UpstreamHost host;
   private final InetSocketAddress address;
-  private final double started;
+  private final double startedAt;
   private final Channel channel;
   private Attempt attempt;
-  private boolean written;
-  private int carried;
-  private long since;
+  private boolean isFullyWritten;
+  private int attemptCount;
+  private long idleSinceNanos;
 
-  /** It carries nothing, and nothing of an answer is expected. */
-  private boolean unused;
+  /** Whether the connection carries no attempt and no response bytes are expected. */
+  private boolean isUnused;
 
-  private long idleFor;
-  private long writtenAt;
+  private long idleNanos;
+  private long writtenAtNanos;
 
   protected UpstreamConnection(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
     this.pool = pool;
     this.host = host;
     this.address = host.address;
-    this.started = host.startedAt;
+    this.startedAt = host.startedAt;
     this.channel = channel;
   }
 
-  /** The socket that it stands on. */
+  /** Returns the underlying channel. */
   public final Channel channel() {
     return channel;
   }
 
-  /** What it carries now, or null. */
+  /** Returns the current attempt, or null. */
   protected final Attempt attempt() {
     return attempt;
   }
 
-  /** Whether the last byte of the present attempt has been given to the kernel. */
+  /** Whether the last byte of the current attempt has been passed to the kernel. */
   protected final boolean isFullyWritten() {
-    return written;
+    return isFullyWritten;
   }
 
-  /** Whether nothing has come or ended here since it went idle; asks the socket itself. */
+  /**
+   * Whether the connection is open and has received neither bytes nor an end of stream since it
+   * became idle; checks the socket directly.
+   */
   final boolean isAlive() {
     return channel.isActive() && pool.isQuiet(channel);
   }
 
-  /** Nanoseconds at which it went idle or its unwanted rest began. */
+  /**
+   * Returns the time (ns) at which the connection became idle or the discarding of an unwanted
+   * response began.
+   */
   final long idleSinceNanos() {
-    return since;
+    return idleSinceNanos;
   }
 
   final boolean isReusable() {
-    return host.sendable && address.equals(host.address) && started == host.startedAt;
+    return host.sendable && address.equals(host.address) && startedAt == host.startedAt;
   }
 
-  /** Attempts that it has been given so far. */
+  /** Returns the number of attempts that the connection has carried. */
   final int attemptCount() {
-    return carried;
+    return attemptCount;
   }
 
   /**
-   * Bytes came that belong to no answer. Only what comes while nothing is carried tells how late
-   * such bytes are: what stands behind a fault, in the same read, or is made up when the connection
-   * ends in an answer, tells nothing.
+   * Handles bytes that belong to no response, and closes the connection. The delay of such bytes is
+   * recorded only where the connection carried no attempt: bytes that follow a malformed response
+   * in the same read, or that the decoder produces when the connection ends within a response, are
+   * not evidence of the delay.
    */
   protected final void onSurplusBytes() {
     if (!channel.isOpen()) {
       return;
     }
     host.onSurplusBytes();
-    if (unused) {
-      pool.onSurplusBytes(System.nanoTime() - ReadLagTracker.lagNanos() - since);
+    if (isUnused) {
+      pool.onSurplusBytes(System.nanoTime() - ReadLagTracker.lagNanos() - idleSinceNanos);
     }
     channel.close();
   }
 
-  /** Writes the attempt; the last moment at which it can be held back has passed. */
+  /** Writes the attempt; from this call on it cannot be held back. */
   final void send(Attempt next) {
-    writtenAt = System.nanoTime();
-    idleFor = since == 0 ? 0 : writtenAt - since;
+    writtenAtNanos = System.nanoTime();
+    idleNanos = idleSinceNanos == 0 ? 0 : writtenAtNanos - idleSinceNanos;
     attempt = next;
-    unused = false;
-    carried++;
-    written = false;
+    isUnused = false;
+    attemptCount++;
+    isFullyWritten = false;
     prepareForAttempt();
     next.onAttached(this);
     next.write(channel)
@@ -103,7 +113,7 @@
             f -> {
               if (attempt == next) {
                 if (f.isSuccess()) {
-                  written = true;
+                  isFullyWritten = true;
                 } else {
                   onConnectionLost();
                 }
@@ -112,29 +122,40 @@
     next.onWriteStarted();
   }
 
-  /** An attempt is about to be written: what was read for the one before is of no account. */
+  /**
+   * Resets the reader's state of the previous attempt; called before the next attempt is written.
+   */
   protected abstract void prepareForAttempt();
 
-  /** Whether anything of an answer to the present attempt has come. */
+  /** Whether any byte of the response to the current attempt has been received. */
   protected abstract boolean hasResponseBytes();
 
-  /** The answer has been read to its end; {@code keep} tells that nothing speaks against reuse. */
-  protected final void onResponseComplete(boolean keep) {
+  /**
+   * Handles the end of a response; {@code mayReuse} indicates whether the protocol permits reuse of
+   * the connection.
+   */
+  protected final void onResponseComplete(boolean mayReuse) {
     attempt = null;
     channel.config().setAutoRead(true);
-    if (keep && channel.isActive() && isReusable() && carried < pool.maxRequestsPerConnection()) {
-      since = System.nanoTime();
-      unused = true;
+    if (mayReuse
+        && channel.isActive()
+        && isReusable()
+        && attemptCount < pool.maxRequestsPerConnection()) {
+      idleSinceNanos = System.nanoTime();
+      isUnused = true;
       pool.onConnectionIdle(host, this);
     } else {
       channel.close();
     }
   }
 
-  /** The attempt needs no more of its answer; the rest may be read on if that is worth it. */
+  /**
+   * Detaches the attempt, which needs no more of its response. {@code readOn} keeps the connection
+   * open to read and discard the rest; otherwise the connection closes.
+   */
   protected final void detach(boolean readOn) {
     attempt = null;
-    since = System.nanoTime();
+    idleSinceNanos = System.nanoTime();
     if (readOn) {
       pool.onDiscardStarted(this);
     } else {
@@ -142,26 +163,28 @@
     }
   }
 
-  /** Gives the attempt up: nothing that comes later may reach another one. */
-  final void abort(Attempt given) {
-    if (attempt == given) {
+  /**
+   * Drops the attempt and closes the connection, so that later bytes cannot reach another attempt.
+   */
+  final void abort(Attempt expected) {
+    if (attempt == expected) {
       attempt = null;
       channel.close();
     }
   }
 
-  /** Ends the connection, and with it the attempt that it carries. */
+  /** Closes the connection and ends the attempt that it carries. */
   protected final void onConnectionLost() {
     Attempt ended = attempt;
-    boolean sent = written;
+    boolean wasFullyWritten = isFullyWritten;
     attempt = null;
     channel.close();
     if (ended != null) {
       long now = System.nanoTime();
-      if (idleFor > 0 && !hasResponseBytes() && now - writtenAt < AT_ONCE_NANOS) {
-        host.onIdleConnectionDead(idleFor, now);
+      if (idleNanos > 0 && !hasResponseBytes() && now - writtenAtNanos < DEAD_BEFORE_WRITE_NANOS) {
+        host.onIdleConnectionDead(idleNanos, now);
       }
-      if (sent) {
+      if (wasFullyWritten) {
         ended.onConnectionBroken();
       } else {
         ended.endAsConnectFailed();
--- a/src/main/java/leadferry/engine/UpstreamConnectionPool.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -11,29 +11,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections of one pool on one loop, to which it is confined: gives each attempt a connection
- * that is unused, or a new one, or a place in its host's pending queue. {@link UpstreamConnector}
- * opens them, {@link ConnectionReusePolicy} says how long they rest and are kept, {@link
- * ConnectionLimits} how many there may be.
+ * Manages the connections of one pool on one loop, to which it is confined. Gives each attempt an
+ * unused connection, a new one, or a position in its host's pending queue. {@link
+ * UpstreamConnector} opens connections, {@link ConnectionReusePolicy} determines their rest and
+ * their idle time, and {@link ConnectionLimits} their number.
  *
  * <pre>
- *   attempt -> unused connection? -> place for a new one? -> pending queue not full? -> never ran
- *                 run                     connect                  wait
+ *   attempt -> unused connection? -> slot for a new one? -> pending queue not full? -> never ran
+ *                 send                    connect                  wait
  * </pre>
  */
 public final class UpstreamConnectionPool {
-  /** Small reads bound what one connection holds in memory. */
+  /** Allocator of read buffers. Small reads limit the memory (bytes) that one connection holds. */
   public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
       new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
-  /** Low marks (bytes) bound what one connection holds unwritten. */
+  /** Write buffer marks (bytes). Low marks limit the unwritten bytes that one connection holds. */
   public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
       new WriteBufferWaterMark(16_384, 32_768);
 
-  /** How long (ns) the rest of an unwanted response is waited for. */
+  /**
+   * Time (ns) within which the rest of an unwanted response must arrive; the connection is closed
+   * afterwards.
+   */
   private static final long DISCARD_NANOS = 500_000_000L;
 
-  /** Requests that a connection carries before it goes to another worker that waits for a place. */
+  /**
+   * Requests that a connection carries before its slot passes to another worker that waits for one.
+   */
   private static final int REQUESTS_PER_TURN = 16;
 
   private final EventLoop loop;
@@ -44,7 +49,7 @@
   private final Set<UpstreamConnection> discarding = new HashSet<>();
   private PoolBounds bounds;
 
-  /** Connections of one pool on one loop. */
+  /** Creates a pool without connections. */
   public UpstreamConnectionPool(
       EventLoop loop,
       Transport transport,
@@ -61,7 +66,7 @@
     updateBounds(bounds);
   }
 
-  /** From now on these hold; {@code limits} must be the same as before. */
+  /** Applies other bounds; {@code limits} must be the same object as before. */
   public void updateBounds(PoolBounds next) {
     bounds = next;
     reusePolicy.updateBounds(next);
@@ -78,7 +83,7 @@
 
   // --- attempts
 
-  /** Carries the attempt to its host on an unused connection, on a new one, or has it wait. */
+  /** Starts the attempt on an unused connection or on a new one, or queues it. */
   void start(Attempt attempt) {
     UpstreamHost host = attempt.host;
     if (!endUnlessSendable(attempt)) {
@@ -90,13 +95,13 @@
         unused.send(attempt);
         return;
       }
-      if (bounds.limits() == null || places(host).tryAcquire()) {
+      if (bounds.limits() == null || slotsOf(host).tryAcquire()) {
         connect(attempt, host);
         return;
       }
     }
     if (host.pendingAttempts.size() >= bounds.maxPending()) {
-      // Known not to have run, and no fault of the host's: the module may ask another.
+      // The attempt never ran, through no fault of the host; the load balancer may try another one.
       attempt.endAsNeverRun();
       return;
     }
@@ -106,9 +111,9 @@
   }
 
   /**
-   * Whether an attempt may go out now; if not, it ends here, known not to have run. Asked when it
-   * comes and when its wait is over. Guards against what has become of its request, its time, its
-   * host and its other attempts meanwhile.
+   * Whether the attempt may be sent now; otherwise ends it as one that never ran. Checked when the
+   * attempt starts and again when its wait is over. Guards against changes in the meantime to its
+   * request, its deadline, its host and the request's other attempts.
    */
   static boolean endUnlessSendable(Attempt attempt) {
     boolean sendable = attempt.canSend();
@@ -118,7 +123,7 @@
     return sendable;
   }
 
-  /** The attempt is over or not wanted any more. */
+  /** Removes an attempt that is over from its host's queues and ends its use of the connection. */
   void onAttemptEnded(Attempt attempt) {
     attempt.host.connectingAttempts.remove(attempt);
     if (!attempt.host.pendingAttempts.isEmpty()) {
@@ -127,7 +132,11 @@
     attempt.releaseConnection();
   }
 
-  /** Nothing new goes to the host as it was: returns the attempts that had got no connection. */
+  /**
+   * Invalidates the host's former address and process: closes idle connections that may not be
+   * reused and unregisters this pool from the host's connection slots. Returns the attempts that
+   * had no connection yet.
+   */
   List<Attempt> invalidate(UpstreamHost host) {
     for (UpstreamConnection unused : host.idleConnections.all()) {
       if (!unused.isReusable()) {
@@ -142,18 +151,20 @@
     return unsent;
   }
 
-  /** Opens a connection for the attempt; its place has been taken. */
+  /** Opens a connection for the attempt, for which a slot has been acquired. */
   private void connect(Attempt attempt, UpstreamHost host) {
-    connector.connect(attempt, host, bounds.limits() == null ? null : places(host));
+    connector.connect(attempt, host, bounds.limits() == null ? null : slotsOf(host));
   }
 
-  private ConnectionLimits.Slots places(UpstreamHost host) {
+  private ConnectionLimits.Slots slotsOf(UpstreamHost host) {
     return HostConnectionSlots.of(host, bounds.limits(), this, loop);
   }
 
   // --- the pending queue
 
-  /** Gives pending attempts what has become free, in the order in which they came. */
+  /**
+   * Starts pending attempts on connections and slots that have become free, in order of arrival.
+   */
   void dispatchPending(UpstreamHost host) {
     if (host.pendingAttempts.isEmpty()) {
       if (host.connectionSlots != null) {
@@ -164,7 +175,7 @@
     runPending(host);
     if (!host.pendingAttempts.isEmpty()) {
       scheduleDispatch(host);
-      places(host).awaitSlot(host.connectionSlots);
+      slotsOf(host).awaitSlot(host.connectionSlots);
     }
   }
 
@@ -172,10 +183,10 @@
     Attempt next;
     while ((next = host.pendingAttempts.peekFirst()) != null) {
       if (!endUnlessSendable(next)) {
-        continue; // its end has taken it out of the queue
+        continue; // ending the attempt has removed it from the queue
       }
       UpstreamConnection unused = pollReusable(host);
-      if (unused == null && !places(host).tryAcquire()) {
+      if (unused == null && !slotsOf(host).tryAcquire()) {
         return;
       }
       host.pendingAttempts.pollFirst();
@@ -187,7 +198,9 @@
     }
   }
 
-  /** Looks at the queue again when the first rest is over, where a connection rests. */
+  /**
+   * Schedules another pass over the queue for the end of the first rest, if any connection rests.
+   */
   private void scheduleDispatch(UpstreamHost host) {
     if (!host.idleConnections.hasResting() || host.dispatchScheduled) {
       return;
@@ -205,10 +218,10 @@
   // --- unused connections
 
   /**
-   * Takes a connection that may carry now, or null. It is the one that has rested least of those
-   * that have rested enough. Guards against bytes right behind a response, a second copy of it say,
-   * that come in a packet of their own: on a connection in use again they would be the response to
-   * another request.
+   * Takes a reusable connection, or returns null. Prefers the most recently used of the connections
+   * that have rested long enough. Guards against bytes that follow a response in a separate packet,
+   * for example a second copy of the response: on a connection in use they would be read as the
+   * response to another request.
    */
   private UpstreamConnection pollReusable(UpstreamHost host) {
     UpstreamConnection newest;
@@ -228,10 +241,10 @@
     return host.idleConnections.pollNewest(now, reusePolicy.maxIdleNanos(host, now));
   }
 
-  /** A connection has carried an attempt to its end and may carry another. */
+  /** Adds a connection that has completed an attempt and may carry another one. */
   void onConnectionIdle(UpstreamHost host, UpstreamConnection connection) {
     discarding.remove(connection);
-    if (bounds.limits() != null && owesItsPlace(host, connection)) {
+    if (bounds.limits() != null && shouldFreeSlot(host, connection)) {
       connection.channel().close();
       return;
     }
@@ -243,30 +256,38 @@
   }
 
   /**
-   * Whether the connection has to end for others' sake. Guards against a worker that keeps every
-   * place of a host for itself, however long others wait.
+   * Whether the connection must be closed to free its slot for another worker. Guards against a
+   * worker that holds all slots of a host while others wait.
    */
-  private boolean owesItsPlace(UpstreamHost host, UpstreamConnection connection) {
-    ConnectionLimits.Slots places = places(host);
-    boolean turnOver =
+  private boolean shouldFreeSlot(UpstreamHost host, UpstreamConnection connection) {
+    ConnectionLimits.Slots slots = slotsOf(host);
+    boolean isTurnOver =
         host.pendingAttempts.isEmpty() || connection.attemptCount() % REQUESTS_PER_TURN == 0;
-    return places.isOverLimit() || (turnOver && places.hasWaiters());
+    return slots.isOverLimit() || (isTurnOver && slots.hasWaiters());
   }
 
-  /** Another worker waits for one of the places: closes a connection that nothing here needs. */
-  void closeIdleForWaiter(UpstreamHost host, ConnectionLimits.Slots places) {
+  /**
+   * Closes a connection that this worker does not need, because another worker waits for a slot.
+   */
+  void closeIdleForWaiter(UpstreamHost host, ConnectionLimits.Slots slots) {
     List<UpstreamConnection> unused = host.idleConnections.all();
-    if (host.pendingAttempts.isEmpty() && !unused.isEmpty() && places.hasWaiters()) {
+    if (host.pendingAttempts.isEmpty() && !unused.isEmpty() && slots.hasWaiters()) {
       unused.get(0).channel().close();
     }
   }
 
-  /** Bytes that belong to no response came so long (ns) after one, on an unused connection. */
+  /**
+   * Reports bytes that belong to no response and that arrived on an unused connection, {@code
+   * afterNanos} after the last response.
+   */
   void onSurplusBytes(long afterNanos) {
     reusePolicy.onSurplusBytes(afterNanos);
   }
 
-  /** The rest of an unwanted response is read and thrown away, for so long as it may take. */
+  /**
+   * Tracks a connection on which the rest of an unwanted response is read and discarded, within a
+   * time limit.
+   */
   void onDiscardStarted(UpstreamConnection connection) {
     discarding.add(connection);
   }
@@ -279,7 +300,10 @@
 
   // --- housekeeping
 
-  /** Closes what has been idle for long. */
+  /**
+   * Closes connections that have been idle for too long, that are over the limit, or whose unwanted
+   * response takes too long.
+   */
   void sweep(Iterable<UpstreamHost> hosts) {
     long now = System.nanoTime();
     for (UpstreamHost host : hosts) {
@@ -304,7 +328,10 @@
     }
   }
 
-  /** Closes every connection on which nothing is carried. */
+  /**
+   * Closes every connection that carries no attempt and unregisters this pool from the hosts'
+   * connection slots.
+   */
   void closeIdle(Iterable<UpstreamHost> hosts) {
     for (UpstreamHost host : hosts) {
       host.idleConnections.all().forEach(UpstreamConnection::closeIdle);
--- a/src/main/java/leadferry/engine/UpstreamConnector.java
+++ b/src/main/java/leadferry/engine/UpstreamConnector.java
@@ -8,12 +8,13 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Opens connections to hosts, within the process's bound on sockets. An attempt for which this
- * machine has no socket, port or network ends as one that never ran, and no host pays for it; one
- * whose host can't be reached ends as a failed connect. Confined to the pool's loop.
+ * Opens connections to hosts within the process's limit on sockets. An attempt for which this
+ * machine lacks a socket, port or network ends as one that never ran and is not counted against the
+ * host; an attempt whose host can't be reached ends as a failed connect. Confined to the pool's
+ * loop.
  */
 final class UpstreamConnector {
-  /** Of attempts that got no socket on this machine one in so many has a line in the log. */
+  /** Attempts that failed on this machine per log line: one in this many is logged. */
   private static final int LOCAL_FAILURES_PER_LINE = 100;
 
   private final UpstreamConnectionPool pool;
@@ -50,45 +51,50 @@
                 });
   }
 
-  /** How long connections that are begun from now on may take to come up; at least 1 ms. */
+  /**
+   * Sets the time (ms) within which connections opened from now on must be established; at least 1
+   * ms.
+   */
   void setConnectTimeout(double millis) {
     bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, millis));
   }
 
   /**
-   * Opens a connection for the attempt and runs it there. {@code places}, null where nothing bounds
-   * them, has one taken for it, which is given back when the connection has closed.
+   * Opens a connection for the attempt and sends the attempt on it. The caller must have acquired a
+   * slot of {@code slots}, which is released when the connection has closed; {@code slots} is null
+   * where the number of connections is unlimited.
    */
-  void connect(Attempt attempt, UpstreamHost host, ConnectionLimits.Slots places) {
+  void connect(Attempt attempt, UpstreamHost host, ConnectionLimits.Slots slots) {
     ChannelFuture connect = sockets.makeRoomForUpstream() ? bootstrap.connect(host.address) : null;
     if (connect == null || !connect.channel().isRegistered()) {
-      // Guards against a host that pays for a bound of this process or of the system.
-      if (nextLocalFailureIsLogged()) {
+      // Guards against charging the host for a limit of this process or of the system.
+      if (shouldLogLocalFailure()) {
         log.line("out of sockets: " + localFailures + " attempts had none");
       }
-      if (places != null) {
-        places.release();
+      if (slots != null) {
+        slots.release();
       }
       attempt.endAsNeverRun();
       return;
     }
     Channel channel = connect.channel();
     sockets.onUpstreamOpened();
-    channel.closeFuture().addListener(closed -> release(places));
+    channel.closeFuture().addListener(closed -> releaseSocket(slots));
     attempt.onConnecting(channel);
     host.connectingAttempts.add(attempt);
-    connect.addListener(done -> completed(attempt, host, channel, done.cause()));
+    connect.addListener(done -> onConnectCompleted(attempt, host, channel, done.cause()));
   }
 
-  private void release(ConnectionLimits.Slots places) {
+  private void releaseSocket(ConnectionLimits.Slots slots) {
     sockets.onUpstreamClosed();
-    if (places != null) {
-      places.release();
+    if (slots != null) {
+      slots.release();
     }
   }
 
-  /** The connection is up, or {@code cause} says why it is not. */
-  private void completed(Attempt attempt, UpstreamHost host, Channel channel, Throwable cause) {
+  /** Handles an established connection, or a failed one where {@code cause} is not null. */
+  private void onConnectCompleted(
+      Attempt attempt, UpstreamHost host, Channel channel, Throwable cause) {
     if (!host.connectingAttempts.remove(attempt)) {
       channel.close(); // the attempt ended meanwhile
     } else if (cause != null && ConnectFailure.isLocal(cause)) {
@@ -102,7 +108,7 @@
   }
 
   private void logLocalFailure(Throwable cause) {
-    if (nextLocalFailureIsLogged()) {
+    if (shouldLogLocalFailure()) {
       log.line(
           "no connection to be had here: "
               + cause.getMessage()
@@ -112,7 +118,7 @@
     }
   }
 
-  private boolean nextLocalFailureIsLogged() {
+  private boolean shouldLogLocalFailure() {
     return localFailures++ % LOCAL_FAILURES_PER_LINE == 0;
   }
 }
--- a/src/main/java/leadferry/engine/UpstreamHost.java
+++ b/src/main/java/leadferry/engine/UpstreamHost.java
@@ -5,15 +5,18 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A host as the sockets see it: where it listens, whether it may get work, its connections. */
+/** Tracks one host's address, eligibility and connections. */
 public final class UpstreamHost {
-  /** Part of an idle time found dead that is trusted from then on, and the least of it. */
-  private static final double KEEP_PART = 0.7;
+  /**
+   * Share of the idle time after which a connection was found dead that is used as the new idle
+   * limit, and the least such limit (ns).
+   */
+  private static final double IDLE_LIMIT_SHARE = 0.7;
 
-  private static final long KEEP_LEAST_NANOS = 50_000_000L;
+  private static final long MIN_IDLE_LIMIT_NANOS = 50_000_000L;
 
-  /** The time in which the trusted idle time doubles again. */
-  private static final double KEEP_DOUBLES_NANOS = 60e9;
+  /** Time (ns) in which a lowered idle limit doubles. */
+  private static final double IDLE_LIMIT_DOUBLING_NANOS = 60e9;
 
   public final String name;
   final long id;
@@ -22,73 +25,85 @@
   boolean listed;
 
   /**
-   * Where it stands: what was judged by a group of hosts may not go to it once it belongs to
-   * another.
+   * Zone of the host, and below it the cell. A request that was judged against one group of hosts
+   * must not be sent to the host once it belongs to another group.
    */
   String zone = "";
 
   long cell;
 
-  /** When its process started, as discovery tells: connections to an earlier one are dead. */
+  /**
+   * Start (ms, load balancer clock) of the host's process as reported by discovery; connections to
+   * an earlier process are dead.
+   */
   double startedAt;
 
   /**
-   * The same in Unix time (ms) by the discovery's clock: what tells one start of its process from
-   * another.
+   * Start of the host's process in Unix time (ms) on discovery's clock; distinguishes one start of
+   * the process from another.
    */
   double startedUnixMs;
 
-  /** Connections that carry nothing. */
+  /** Connections that carry no attempt. */
   final IdleConnections idleConnections = new IdleConnections();
 
-  /** Attempts that wait for a connection, the oldest first. */
+  /** Attempts that wait for a connection, oldest first. */
   final ArrayDeque<Attempt> pendingAttempts = new ArrayDeque<>(2);
 
-  /** Whether a look at {@link #pendingAttempts} is scheduled for the end of a rest. */
+  /** Whether a pass over {@link #pendingAttempts} is scheduled for the end of a rest. */
   boolean dispatchScheduled;
 
-  /** This host's part in the places that workers share, or null. */
+  /** Connection slots of this host that the workers share, or null. */
   HostConnectionSlots connectionSlots;
 
-  /** Whether, and when (ns) last, bytes came behind an answer that belong to none. */
+  /**
+   * Whether the host has sent bytes that belong to no response, and the time (ns) at which the last
+   * ones arrived.
+   */
   boolean hasSentSurplus;
 
   long surplusAtNanos;
 
   final Set<Attempt> connectingAttempts = new LinkedHashSet<>(2);
   int openAttempts;
-  private long keepNanos = Long.MAX_VALUE;
-  private long keepSince;
+  private long maxIdleNanos = Long.MAX_VALUE;
+  private long maxIdleSetAtNanos;
 
   UpstreamHost(String name, long id) {
     this.name = name;
     this.id = id;
   }
 
-  /** Bytes came behind an answer of this host's that belong to none. */
+  /** Records that the host sent bytes that belong to no response. */
   void onSurplusBytes() {
     hasSentSurplus = true;
     surplusAtNanos = System.nanoTime();
   }
 
-  /** How long (ns) a connection here may stand idle and still be used, by what has been seen. */
+  /**
+   * Returns the time (ns) for which a connection may be idle and still be used, as learned from
+   * dead connections.
+   */
   long maxIdleNanos(long now) {
-    return keepNanos == Long.MAX_VALUE
-        ? keepNanos
-        : (long) (keepNanos * Math.pow(2, (double) (now - keepSince) / KEEP_DOUBLES_NANOS));
+    return maxIdleNanos == Long.MAX_VALUE
+        ? maxIdleNanos
+        : (long)
+            (maxIdleNanos
+                * Math.pow(2, (double) (now - maxIdleSetAtNanos) / IDLE_LIMIT_DOUBLING_NANOS));
   }
 
   /**
-   * A connection that had stood idle for so long was dead without a sign when the next request was
-   * written to it. Guards against hosts, or boxes between, that drop idle connections sooner than
-   * the settings say: each such request may not be repeated. What has been learned is tried again
-   * in time. It costs new connections where the ends of connections have nothing to do with age.
+   * Lowers the idle limit after a connection that was idle for {@code idleNanos} failed at once
+   * under the next request. Guards against hosts or middleboxes that drop idle connections earlier
+   * than the settings state: a request that was written to such a connection may not be repeated.
+   * The lowered limit doubles over time, which tests the longer idle time again. Where connections
+   * end for reasons unrelated to their age, the cost is extra new connections.
    */
   void onIdleConnectionDead(long idleNanos, long now) {
-    long kept = Math.max(KEEP_LEAST_NANOS, (long) (KEEP_PART * idleNanos));
-    if (kept < maxIdleNanos(now)) {
-      keepNanos = kept;
-      keepSince = now;
+    long loweredNanos = Math.max(MIN_IDLE_LIMIT_NANOS, (long) (IDLE_LIMIT_SHARE * idleNanos));
+    if (loweredNanos < maxIdleNanos(now)) {
+      maxIdleNanos = loweredNanos;
+      maxIdleSetAtNanos = now;
     }
   }
 }
--- a/src/main/java/leadferry/engine/UpstreamHosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -11,11 +11,14 @@
 import java.util.Set;
 import leadferry.loadbalancer.EndpointUpdate;
 
-/** The hosts that discovery has named, and the numbers by which the module knows them. */
+/**
+ * Holds the hosts that discovery has listed and the ids under which the load balancer addresses
+ * them.
+ */
 public final class UpstreamHosts {
   /**
-   * A host as a list names it; {@code startedUnixMs} 0 is long ago, {@code address} may be null
-   * where it gets no work.
+   * Entry of a host in a list. A {@code startedUnixMs} of 0 means long ago; {@code address} may be
+   * null where the host receives no requests.
    */
   public record Member(
       String name,
@@ -27,11 +30,12 @@
       double weight,
       double startedUnixMs) {}
 
-  /** One list, or changes to it, checked whole before anything of it is applied. */
+  /** List of hosts, or changes to it, validated as a whole before any entry is applied. */
   public record ListUpdate(long version, boolean full, List<Member> members) {}
 
   /**
-   * What a list changed: the entries for the module, the hosts that may get nothing as they were.
+   * Result of a list: the entries for the load balancer, and the hosts whose former address,
+   * location or process receives no new requests.
    */
   record Change(List<EndpointUpdate> entries, Set<UpstreamHost> invalidated) {}
 
@@ -65,12 +69,12 @@
     return false;
   }
 
-  /** Whether the host of that name is listed and may get work. */
+  /** Whether the host of that name is listed and may receive requests. */
   boolean isSendable(String name) {
     return byId.values().stream().anyMatch(host -> host.sendable && host.name.equals(name));
   }
 
-  /** Names of the hosts on which attempts are in flight, or wait to be. */
+  /** Returns the names of the hosts on which attempts are in flight or wait for a connection. */
   Set<String> busyNames() {
     Set<String> busy = new HashSet<>();
     for (UpstreamHost host : byId.values()) {
@@ -81,33 +85,33 @@
     return busy;
   }
 
-  /** Applies a list that came at {@code now} (ms) on the module's clock. */
-  Change apply(ListUpdate news, double now) {
-    List<EndpointUpdate> entries = new ArrayList<>(news.members().size());
-    Set<UpstreamHost> cut = new LinkedHashSet<>();
-    Set<UpstreamHost> named = new HashSet<>();
-    for (Member member : news.members()) {
+  /** Applies a list that arrived at {@code now} (ms, load balancer clock). */
+  Change apply(ListUpdate update, double now) {
+    List<EndpointUpdate> entries = new ArrayList<>(update.members().size());
+    Set<UpstreamHost> invalidated = new LinkedHashSet<>();
+    Set<UpstreamHost> listed = new HashSet<>();
+    for (Member member : update.members()) {
       UpstreamHost host = hostOf(member.name());
-      named.add(host);
+      listed.add(host);
       double started = started(host, member.startedUnixMs(), now);
       entries.add(entry(host, member, started));
       if (update(host, member, started)) {
-        cut.add(host);
+        invalidated.add(host);
       }
     }
-    if (news.full()) {
-      cutUnnamed(named, cut);
+    if (update.full()) {
+      invalidateUnlisted(listed, invalidated);
     }
     clock.onUpToDate(now);
-    return new Change(entries, cut);
+    return new Change(entries, invalidated);
   }
 
   private UpstreamHost hostOf(String name) {
-    UpstreamHost known = byName.get(name);
-    if (known != null) {
-      return known;
+    UpstreamHost existing = byName.get(name);
+    if (existing != null) {
+      return existing;
     }
-    UpstreamHost added = new UpstreamHost(name, number(name));
+    UpstreamHost added = new UpstreamHost(name, idFor(name));
     byName.put(added.name, added);
     byId.put(added.id, added);
     return added;
@@ -124,14 +128,17 @@
         started);
   }
 
-  /** Takes over what the list says of a host; true if it may get nothing as it was. */
+  /**
+   * Copies a list entry to its host. Returns whether the host's former address, location or process
+   * may receive no new requests.
+   */
   private static boolean update(UpstreamHost host, Member member, double started) {
     host.listed = member.condition() != EndpointUpdate.Condition.GONE;
     host.sendable = member.condition() == EndpointUpdate.Condition.READY;
-    boolean elsewhere = host.cell != member.cell() || !host.zone.equals(member.zone());
-    boolean cut =
+    boolean hasMoved = host.cell != member.cell() || !host.zone.equals(member.zone());
+    boolean isInvalidated =
         !host.sendable
-            || elsewhere
+            || hasMoved
             || !member.address().equals(host.address)
             || host.startedAt != started;
     host.startedAt = started;
@@ -141,21 +148,22 @@
     if (member.address() != null) {
       host.address = member.address();
     }
-    return cut;
+    return isInvalidated;
   }
 
-  private void cutUnnamed(Set<UpstreamHost> named, Set<UpstreamHost> cut) {
+  private void invalidateUnlisted(Set<UpstreamHost> listed, Set<UpstreamHost> invalidated) {
     for (UpstreamHost host : byId.values()) {
-      if (!named.contains(host)) {
+      if (!listed.contains(host)) {
         host.listed = false;
         host.sendable = false;
-        cut.add(host);
+        invalidated.add(host);
       }
     }
   }
 
   /**
-   * The instant of a start never moves once it has been told, whatever becomes of the wall clock.
+   * Converts the start time of a host to the monotonic clock. The result for one start never
+   * changes, even if the wall clock is stepped.
    */
   private double started(UpstreamHost host, double startedUnixMs, double now) {
     if (startedUnixMs <= 0) {
@@ -166,13 +174,14 @@
         : clock.startedAt(startedUnixMs, now);
   }
 
-  /** Discovery has said that there is nothing new. */
+  /** Records that discovery has reported no newer list. */
   void onUpToDate(double now) {
     clock.onUpToDate(now);
   }
 
   /**
-   * Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed.
+   * Removes unlisted hosts that have no open attempt. Guards against unbounded growth where hosts
+   * are replaced continually.
    */
   void removeGone() {
     byId.values()
@@ -181,18 +190,19 @@
   }
 
   /**
-   * The number of a host. It comes from the name alone, as the module's ring must have the same
-   * order in every client proxy and after a restart; two names that collide move on by one.
+   * Computes the id of a host from its name alone: the load balancer's ring must have the same
+   * order in every client proxy and after a restart. Where two names collide, the later one takes
+   * the next free id.
    */
-  private long number(String name) {
+  private long idFor(String name) {
     long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
-    long number = hash & Long.MAX_VALUE;
-    while (byId.containsKey(number)) {
-      number = (number + 1) & Long.MAX_VALUE;
+    long id = hash & Long.MAX_VALUE;
+    while (byId.containsKey(id)) {
+      id = (id + 1) & Long.MAX_VALUE;
     }
-    return number;
+    return id;
   }
 }
