--- a/src/main/java/leadferry/engine/BackgroundWriter.java
+++ b/src/main/java/leadferry/engine/BackgroundWriter.java
@@ -61,7 +61,7 @@
                 : text
                     + "leadferry: "
                     + droppedTexts
-                    + " texts of the log were dropped: nobody reads it\n");
+                    + " log entries dropped: the reader of the log is too slow\n");
         out.flush();
         written++;
       }
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -327,7 +327,7 @@
       event.action().run();
     } catch (RuntimeException failure) {
       // Guards against one faulty event that ends the process: only its own request fails.
-      log.failure("the module failed on an event", failure);
+      log.failure("load balancer failed to process an event", failure);
       if (event.exchange() != null && !event.exchange().isResolved()) {
         event.exchange().fail();
         onClientDisconnect(event.exchange());
--- a/src/main/java/leadferry/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -74,7 +74,7 @@
     long now = System.nanoTime() / 1_000_000_000L;
     if (now != currentSecond) {
       if (dropped > 0) {
-        write("leadferry: " + dropped + " lines left out", "");
+        write("leadferry: " + dropped + " log lines dropped by the rate limit", "");
       }
       currentSecond = now;
       writtenThisSecond = 0;
--- a/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
@@ -50,7 +50,7 @@
     } catch (RuntimeException e) {
       next.close();
       // Guards the listener: Netty closes it for any other exception.
-      throw new IOException("an accepted connection can't be used: " + e.getMessage(), e);
+      throw new IOException("accepted connection is unusable: " + e.getMessage(), e);
     }
   }
 }
--- a/src/main/java/leadferry/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -121,7 +121,7 @@
         return;
       }
     }
-    throw new ConnectException("interrupted " + MAX_CONNECT_CHECKS + " times");
+    throw new ConnectException("connect check interrupted " + MAX_CONNECT_CHECKS + " times");
   }
 
   @Override
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -84,7 +84,7 @@
 
   @Override
   public void readmit(long host) {
-    dispatcher.log("host " + host + " answers another proxy");
+    dispatcher.log("host " + host + " responds to another proxy");
     dispatcher.onPeerHint(host, 0);
   }
 
--- a/src/main/java/leadferry/engine/UpstreamConnector.java
+++ b/src/main/java/leadferry/engine/UpstreamConnector.java
@@ -69,7 +69,7 @@
     if (connect == null || !connect.channel().isRegistered()) {
       // Guards against charging the host for a limit of this process or of the system.
       if (shouldLogLocalFailure()) {
-        log.line("out of sockets: " + localFailures + " attempts had none");
+        log.line("connect failed: no free socket, " + localFailures + " attempts so far");
       }
       if (slots != null) {
         slots.release();
@@ -110,11 +110,11 @@
   private void logLocalFailure(Throwable cause) {
     if (shouldLogLocalFailure()) {
       log.line(
-          "no connection to be had here: "
+          "connect failed on this machine: "
               + cause.getMessage()
               + ", "
               + localFailures
-              + " attempts had none");
+              + " attempts so far");
     }
   }
 
--- a/src/test/java/leadferry/engine/BackgroundWriterTest.java
+++ b/src/test/java/leadferry/engine/BackgroundWriterTest.java
@@ -17,7 +17,7 @@
   private final CountDownLatch read = new CountDownLatch(1);
   private final ByteArrayOutputStream arrived = new ByteArrayOutputStream();
 
-  /** A pipe that nobody reads until told. */
+  /** A pipe whose reader does not read until {@link #read} is counted down. */
   private final OutputStream pipe =
       new OutputStream() {
         @Override
@@ -38,7 +38,7 @@
 
   @Test
   @Timeout(value = 20, unit = TimeUnit.SECONDS, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-  void whoeverLogsDoesNotWaitForAReaderThatHasStopped() {
+  void stoppedReaderDoesNotBlockTheCaller() {
     BackgroundWriter writer = new BackgroundWriter(new PrintStream(pipe));
     for (int i = 0; i < TEXTS; i++) {
       writer.write("line\n");
@@ -46,12 +46,13 @@
     read.countDown();
     writer.flush(10_000);
     assertThat(arrived.toString(StandardCharsets.UTF_8))
-        .containsPattern("leadferry: [0-9]+ texts of the log were dropped");
+        .containsPattern(
+            "leadferry: [0-9]+ log entries dropped: the reader of the log is too slow");
     assertThat(arrived.toString(StandardCharsets.UTF_8).lines().count()).isLessThan(TEXTS / 2);
   }
 
   @Test
-  void whatIsQueuedIsWrittenInOrderByAFlush() {
+  void flushWritesQueuedTextsInOrder() {
     read.countDown();
     BackgroundWriter writer = new BackgroundWriter(new PrintStream(pipe));
     writer.write("one\n");
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -115,7 +115,7 @@
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
-                  .contains("h" + silent.port() + " answers another proxy"));
+                  .contains("h" + silent.port() + " responds to another proxy"));
     }
   }
 
