--- a/src/test/java/leadferry/engine/AcceptRetryPolicyTest.java
+++ b/src/test/java/leadferry/engine/AcceptRetryPolicyTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void backoffBeginsAnewAfterAnAccept() {
+  void backoffRestartsAfterAnAccept() {
     backoffs(3);
 
     policy.onAccepted();
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void acceptIsAttemptedFourTimesAtOnce() {
+  void acceptIsAttemptedFourTimesImmediately() {
     int attempts = 1;
     while (AcceptRetryPolicy.shouldRetryImmediately(attempts)) {
       attempts++;
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void listenerThatIsToBeClosedLooksAgainFortyTimes() {
+  void closingListenerRetriesFortyTimes() {
     long retries =
         IntStream.rangeClosed(1, 100).filter(AcceptRetryPolicy::shouldRetryBeforeClose).count();
 
--- a/src/test/java/leadferry/engine/AttemptPhaseTest.java
+++ b/src/test/java/leadferry/engine/AttemptPhaseTest.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void whatIsAttachedMayRunUntilItsOutcomeProvesOtherwise() {
+  void attachedAttemptMayHaveRunUntilItsOutcomeProvesOtherwise() {
     AttemptPhase attached = AttemptPhase.CREATED.attached();
 
     assertThat(attached.mayHaveRun()).isTrue();
@@ -26,13 +26,13 @@
 
   @ParameterizedTest
   @EnumSource(names = {"CREATED", "PENDING", "CONNECTING"})
-  void whatIsNotAttachedCannotHaveRun(AttemptPhase phase) {
+  void unattachedAttemptCannotHaveRun(AttemptPhase phase) {
     assertThat(phase.mayHaveRun()).isFalse();
   }
 
   @ParameterizedTest
   @EnumSource(names = {"NEVER_RAN", "MAY_HAVE_RUN"})
-  void whatIsOverStaysAsItEnded(AttemptPhase phase) {
+  void finishedAttemptKeepsItsPhase(AttemptPhase phase) {
     assertThat(phase.pending()).isEqualTo(phase);
     assertThat(phase.connecting()).isEqualTo(phase);
     assertThat(phase.attached()).isEqualTo(phase);
@@ -43,7 +43,7 @@
 
   @ParameterizedTest
   @EnumSource(AttemptOutcome.class)
-  void outcomeDecidesWhetherItMayHaveRun(AttemptOutcome outcome) {
+  void outcomeDecidesWhetherTheAttemptMayHaveRun(AttemptOutcome outcome) {
     AttemptPhase ended = AttemptPhase.ATTACHED.ended(outcome);
 
     assertThat(ended.isOver()).isTrue();
--- a/src/test/java/leadferry/engine/ConnectFailureTest.java
+++ b/src/test/java/leadferry/engine/ConnectFailureTest.java
@@ -12,7 +12,7 @@
 
 class ConnectFailureTest {
   @Test
-  void whatThisMachineLacksIsNoFaultOfTheServer() {
+  void shortageOfThisMachineIsLocal() {
     assertThat(ConnectFailure.isLocal(new BindException("Cannot assign requested address")))
         .isTrue();
     assertThat(ConnectFailure.isLocal(new SocketException("Network is unreachable"))).isTrue();
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aServerThatRefusesResetsOrCannotBeReachedHasItsPart() {
+  void refusedResetOrUnreachableIsNotLocal() {
     assertThat(ConnectFailure.isLocal(new ConnectException("Connection refused"))).isFalse();
     assertThat(ConnectFailure.isLocal(new ConnectTimeoutException("connection timed out")))
         .isFalse();
--- a/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
+++ b/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
@@ -13,37 +13,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Descriptors run out when a connection to a host is to be opened: by our own bound, or by the
- * system's.
+ * Guards against requests that hang or are charged to a host when no descriptor is left for a
+ * connection to a host, because of the process's own limit or of the system's.
  */
 class DescriptorExhaustionTest {
-  private static volatile boolean systemIsFull;
+  private static volatile boolean isSystemExhausted;
 
-  /** A socket as the system gives it, or does not. */
-  public static final class Scarce extends NioSocketChannel {
-    public Scarce() {
-      if (systemIsFull) {
+  /** A socket whose creation fails while the simulated system has no free descriptor. */
+  public static final class LimitedSocketChannel extends NioSocketChannel {
+    public LimitedSocketChannel() {
+      if (isSystemExhausted) {
         throw new ChannelException("Too many open files");
       }
     }
   }
 
-  private static final class ScarceTransport implements Transport {
-    private final NioTransport usual = new NioTransport();
+  private static final class LimitedTransport implements Transport {
+    private final NioTransport delegate = new NioTransport();
 
     @Override
     public IoHandlerFactory ioHandlerFactory() {
-      return usual.ioHandlerFactory();
+      return delegate.ioHandlerFactory();
     }
 
     @Override
     public Class<? extends ServerChannel> listenerType() {
-      return usual.listenerType();
+      return delegate.listenerType();
     }
 
     @Override
     public Class<? extends Channel> connectionType() {
-      return Scarce.class;
+      return LimitedSocketChannel.class;
     }
 
     @Override
@@ -57,14 +57,14 @@
     }
   }
 
-  private EngineFixture pool;
+  private EngineFixture engine;
 
   @BeforeEach
   void open() throws Exception {
-    systemIsFull = false;
-    pool =
+    isSystemExhausted = false;
+    engine =
         new EngineFixture(
-            new ScarceTransport(),
+            new LimitedTransport(),
             4,
             new Settings.RequestClass(
                 "c", 400, 60_000, Settings.Semantics.AT_MOST_ONCE, Settings.KeyScope.ALL, 0, 1, 0));
@@ -72,45 +72,45 @@
 
   @AfterEach
   void close() throws Exception {
-    pool.close();
+    engine.close();
   }
 
   @Test
-  void whatTheSystemHasNoDescriptorForIsRefusedAtOnceAndNoHostPays() throws Exception {
-    systemIsFull = true;
+  void systemLimitReachedRequestIsRejectedAndNoHostIsCharged() throws Exception {
+    isSystemExhausted = true;
     for (int i = 0; i < 40; i++) {
-      assertThat(pool.request()).isEqualTo("refused");
+      assertThat(engine.request()).isEqualTo("refused");
     }
-    assertThat(pool.onLoop(pool.sockets::upstreamCount)).isZero();
-    assertThat(pool.isIdle()).isTrue();
-    systemIsFull = false;
-    assertThat(pool.request()).isEqualTo("served");
-    assertThat(pool.finalResponses).isEmpty();
+    assertThat(engine.onLoop(engine.sockets::upstreamCount)).isZero();
+    assertThat(engine.isIdle()).isTrue();
+    isSystemExhausted = false;
+    assertThat(engine.request()).isEqualTo("served");
+    assertThat(engine.finalResponses).isEmpty();
   }
 
   @Test
-  void whatIsPastOurOwnBoundIsRefusedAtOnceAndNoHostPays() throws Exception {
+  void ownLimitReachedRequestIsRejectedAndNoHostIsCharged() throws Exception {
     int held =
-        pool.onLoop(
+        engine.onLoop(
             () -> {
               int opened = 0;
-              while (pool.sockets.makeRoomForUpstream()) {
-                pool.sockets.onUpstreamOpened();
+              while (engine.sockets.makeRoomForUpstream()) {
+                engine.sockets.onUpstreamOpened();
                 opened++;
               }
               return opened;
             });
     for (int i = 0; i < 40; i++) {
-      assertThat(pool.request()).isEqualTo("refused");
+      assertThat(engine.request()).isEqualTo("refused");
     }
-    assertThat(pool.onLoop(pool.sockets::upstreamCount)).isEqualTo(held);
-    assertThat(pool.isIdle()).isTrue();
-    pool.onLoop(
+    assertThat(engine.onLoop(engine.sockets::upstreamCount)).isEqualTo(held);
+    assertThat(engine.isIdle()).isTrue();
+    engine.onLoop(
         () -> {
-          pool.sockets.onUpstreamClosed();
+          engine.sockets.onUpstreamClosed();
           return null;
         });
-    assertThat(pool.request()).isEqualTo("served");
-    assertThat(pool.finalResponses).isEmpty();
+    assertThat(engine.request()).isEqualTo("served");
+    assertThat(engine.finalResponses).isEmpty();
   }
 }
--- a/src/test/java/leadferry/engine/EngineFixture.java
+++ b/src/test/java/leadferry/engine/EngineFixture.java
@@ -30,12 +30,12 @@
 import leadferry.proxy.ProxyFixture;
 
 /**
- * The engine before hosts on loopback sockets, with a protocol in which one byte is a request, and
- * its answer.
+ * Runs the engine against hosts on loopback sockets. In its protocol one byte is a request, and the
+ * same byte is the response.
  */
 final class EngineFixture {
-  /** Far within a request's time, in which it would fail of itself. */
-  private static final long PATIENCE_S = 20;
+  /** Time limit of a wait, well below the deadline of a request, which would fail it. */
+  private static final long TIMEOUT_SECONDS = 20;
 
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
@@ -43,18 +43,18 @@
   private final Dispatcher dispatcher;
   final SocketBudget sockets = new SocketBudget(140);
 
-  /** Final answers, in the order in which they were given. */
+  /** Final responses in order of arrival. */
   final BlockingQueue<String> finalResponses = new LinkedBlockingQueue<>();
 
-  /** Connections that hosts have accepted, and those of them that have ended again. */
+  /** Connections that the hosts have accepted, and those of them that have ended. */
   final List<Socket> acceptedSockets = new CopyOnWriteArrayList<>();
 
   final List<Socket> endedSockets = new CopyOnWriteArrayList<>();
 
-  /** Whether hosts send back what they get. */
+  /** Whether the hosts send back the bytes that they receive. */
   volatile boolean hostsRespond = true;
 
-  /** How an attempt of this number is written; by default its byte goes out at once. */
+  /** Writes an attempt with the given number; by default writes its byte at once. */
   volatile BiFunction<Integer, Channel, ChannelFuture> attemptWriter =
       (number, channel) -> channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
 
@@ -114,34 +114,34 @@
     }
   }
 
-  <T> T onLoop(Callable<T> what) throws Exception {
-    return loop.submit(what).get(PATIENCE_S, TimeUnit.SECONDS);
+  <T> T onLoop(Callable<T> task) throws Exception {
+    return loop.submit(task).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /**
-   * Gives it a request that has all the time of a test; its final answer comes to {@link
-   * #finalResponses}.
+   * Submits a request with a deadline beyond the end of the test; its final response is added to
+   * {@link #finalResponses}.
    */
   void submit() throws Exception {
     onLoop(
         () -> {
           dispatcher.submit(
-              new OneByte(), new RequestArrival(0, "c", null, 60_000, Double.NaN, false), null);
+              new OneByteCall(), new RequestArrival(0, "c", null, 60_000, Double.NaN, false), null);
           return null;
         });
   }
 
-  /** The final answer to one request, or null where there is none in time. */
+  /** Submits a request and returns its final response, or null where none arrives in time. */
   String request() throws Exception {
     submit();
-    return finalResponses.poll(PATIENCE_S, TimeUnit.SECONDS);
+    return finalResponses.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   int openRequests() throws Exception {
     return onLoop(dispatcher::openRequests);
   }
 
-  /** Whether nothing is open, no host has anything in flight, and none is left out. */
+  /** Whether no request is open, no host has an attempt in flight, and no host is ejected. */
   boolean isIdle() throws Exception {
     return onLoop(
         () ->
@@ -160,8 +160,8 @@
     }
   }
 
-  /** A request of one byte, and its answer. */
-  private final class OneByte implements ClientCall {
+  /** A request of one byte. */
+  private final class OneByteCall implements ClientCall {
     @Override
     public void onExchangeStarted(Exchange exchange) {}
 
@@ -199,13 +199,13 @@
 
   private UpstreamConnection connection(
       UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
-    UpstreamConnection opened = new Answered(pool, host, channel);
+    UpstreamConnection opened = new EchoConnection(pool, host, channel);
     channel.pipeline().addLast(opened);
     return opened;
   }
 
-  private final class Answered extends UpstreamConnection {
-    private Answered(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
+  private final class EchoConnection extends UpstreamConnection {
+    private EchoConnection(UpstreamConnectionPool pool, UpstreamHost host, Channel channel) {
       super(pool, host, channel);
     }
 
@@ -220,12 +220,12 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
       ReferenceCountUtil.release(msg);
-      Attempt answered = attempt();
-      if (answered.exchange.claim()) {
+      Attempt attempt = attempt();
+      if (attempt.exchange.claim()) {
         finalResponses.add("served");
       }
       onResponseComplete(true);
-      answered.finish(AttemptOutcome.OK);
+      attempt.finish(AttemptOutcome.OK);
     }
   }
 }
--- a/src/test/java/leadferry/engine/ExchangeStateTest.java
+++ b/src/test/java/leadferry/engine/ExchangeStateTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void finalAnswerIsClaimedAndThenCounted() {
+  void finalResponseIsClaimedAndThenCounted() {
     ExchangeState claimed = ExchangeState.WAITING.claimed();
 
     assertThat(claimed).isEqualTo(ExchangeState.RESPONDED);
@@ -33,24 +33,24 @@
   }
 
   @Test
-  void nothingIsCountedBeforeItIsClaimed() {
+  void unclaimedResponseIsNotCounted() {
     assertThat(ExchangeState.WAITING.counted()).isEqualTo(ExchangeState.WAITING);
   }
 
   @ParameterizedTest
   @EnumSource(value = ExchangeState.class, names = "WAITING", mode = EnumSource.Mode.EXCLUDE)
-  void noEventMakesAnAnsweredRequestWaitAgain(ExchangeState state) {
+  void noEventMakesAResolvedRequestWaitAgain(ExchangeState state) {
     assertThat(events().map(event -> event.apply(state))).allMatch(ExchangeState::isResolved);
   }
 
   @ParameterizedTest
   @EnumSource(names = {"COUNTED", "MOVED", "CLIENT_DISCONNECTED"})
-  void finalStatesStay(ExchangeState state) {
+  void finalStatesNeverChange(ExchangeState state) {
     assertThat(events().map(event -> event.apply(state))).containsOnly(state);
   }
 
   @Test
-  void clientThatLeavesAfterTheAnswerLeavesItToBeCounted() {
+  void clientDisconnectsAfterTheResponseResponseIsStillCounted() {
     assertThat(ExchangeState.RESPONDED.clientDisconnected()).isEqualTo(ExchangeState.RESPONDED);
   }
 }
--- a/src/test/java/leadferry/engine/ReadLagTrackerTest.java
+++ b/src/test/java/leadferry/engine/ReadLagTrackerTest.java
@@ -21,11 +21,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A loop that was busy knows how old what it reads may be; one that waited knows that it is new.
+ * Guards against a delay in this process that is taken for the peer's: a loop that was busy must
+ * report how long ago it last read everything, and a loop that waited must report that its data is
+ * new.
  */
 class ReadLagTrackerTest {
-  private static final long BUSY_MS = 60;
-  private final BlockingQueue<Long> behind = new LinkedBlockingQueue<>();
+  private static final long BUSY_MILLIS = 60;
+  private final BlockingQueue<Long> lags = new LinkedBlockingQueue<>();
   private MultiThreadIoEventLoopGroup group;
   private Channel listener;
   private Socket peer;
@@ -51,7 +53,7 @@
 
                   @Override
                   public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                    behind.add(ReadLagTracker.lagNanos());
+                    lags.add(ReadLagTracker.lagNanos());
                     io.netty.util.ReferenceCountUtil.release(msg);
                   }
                 })
@@ -69,18 +71,18 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
   }
 
-  private long read() throws Exception {
-    Long nanos = behind.poll(20, TimeUnit.SECONDS);
-    assertThat(nanos).as("read").isNotNull();
+  private long awaitReadLag() throws Exception {
+    Long nanos = lags.poll(20, TimeUnit.SECONDS);
+    assertThat(nanos).as("read lag").isNotNull();
     return nanos;
   }
 
   @ParameterizedTest
   @MethodSource("transports")
-  void whatCameWhileTheLoopWasBusyIsAsOldAsThat(Transport transport) throws Exception {
+  void busyLoopDataIsReportedAsOldAsTheBusyTime(Transport transport) throws Exception {
     open(transport);
     peer.getOutputStream().write(1);
-    read();
+    awaitReadLag();
     EventLoop loop = group.next();
     CountDownLatch busy = new CountDownLatch(1);
     CountDownLatch sent = new CountDownLatch(1);
@@ -89,7 +91,7 @@
           busy.countDown();
           try {
             sent.await();
-            Thread.sleep(BUSY_MS);
+            Thread.sleep(BUSY_MILLIS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -97,25 +99,25 @@
     busy.await();
     peer.getOutputStream().write(1);
     sent.countDown();
-    assertThat(read()).isGreaterThanOrEqualTo(TimeUnit.MILLISECONDS.toNanos(BUSY_MS));
+    assertThat(awaitReadLag()).isGreaterThanOrEqualTo(TimeUnit.MILLISECONDS.toNanos(BUSY_MILLIS));
   }
 
   @ParameterizedTest
   @MethodSource("transports")
-  void whatEndsAWaitIsNew(Transport transport) throws Exception {
+  void dataThatEndsAWaitIsReportedAsNew(Transport transport) throws Exception {
     open(transport);
-    long least = Long.MAX_VALUE;
-    for (int i = 0; i < 20 && least > TimeUnit.MILLISECONDS.toNanos(10); i++) {
-      Thread.sleep(30); // the loop waits
+    long smallestLagNanos = Long.MAX_VALUE;
+    for (int i = 0; i < 20 && smallestLagNanos > TimeUnit.MILLISECONDS.toNanos(10); i++) {
+      Thread.sleep(30); // the loop waits in its poll
       peer.getOutputStream().write(1);
-      least = Math.min(least, read());
+      smallestLagNanos = Math.min(smallestLagNanos, awaitReadLag());
     }
-    assertThat(least).isLessThan(TimeUnit.MILLISECONDS.toNanos(10));
+    assertThat(smallestLagNanos).isLessThan(TimeUnit.MILLISECONDS.toNanos(10));
   }
 
   @ParameterizedTest
   @MethodSource("transports")
-  void offALoopNothingIsBehind(Transport transport) throws Exception {
+  void outsideALoopLagIsZero(Transport transport) throws Exception {
     open(transport);
     assertThat(ReadLagTracker.lagNanos()).isZero();
   }
--- a/src/test/java/leadferry/engine/ServerStartClockTest.java
+++ b/src/test/java/leadferry/engine/ServerStartClockTest.java
@@ -27,10 +27,10 @@
   }
 
   /**
-   * A server starts now by the discovery's clock, which is right, and is notified a moment later;
-   * the age that it is given then.
+   * Starts a server at the current time on discovery's clock, which is correct, notifies it {@code
+   * NOTICE_MS} later, and returns the age (ms) that the server has then.
    */
-  private double ageOfOneStartedNow() {
+  private double ageOfServerStartedNow() {
     double startedUnixMs = UNIX_AT_ZERO + now;
     now += NOTICE_MS;
     double age = now - clock.startedAt(startedUnixMs, now);
@@ -39,8 +39,8 @@
   }
 
   @Test
-  void aClockThatIsRightGivesTheTrueAge() {
-    assertThat(ageOfOneStartedNow()).isEqualTo(NOTICE_MS, within(0.01));
+  void correctClockGivesTheTrueAge() {
+    assertThat(ageOfServerStartedNow()).isEqualTo(NOTICE_MS, within(0.01));
   }
 
   @Test
@@ -58,7 +58,9 @@
       step = 0;
       clock = clock();
       step = size;
-      assertThat(ageOfOneStartedNow()).as("step of %s ms", size).isEqualTo(NOTICE_MS, within(0.01));
+      assertThat(ageOfServerStartedNow())
+          .as("step of %s ms", size)
+          .isEqualTo(NOTICE_MS, within(0.01));
     }
   }
 
@@ -68,34 +70,34 @@
       step = 0;
       clock = clock();
       step = -size;
-      assertThat(ageOfOneStartedNow()).as("step of -%s ms", size).isBetween(0.0, NOTICE_MS);
+      assertThat(ageOfServerStartedNow()).as("step of -%s ms", size).isBetween(0.0, NOTICE_MS);
     }
   }
 
   @Test
-  void aProcessThatBeganWithAClockAnHourAheadTakesNoNewServerForWarm() {
+  void clockStartsAnHourAheadNewServerIsNotTakenForWarm() {
     step = HOUR_MS;
     clock = clock();
-    assertThat(ageOfOneStartedNow()).isBetween(0.0, NOTICE_MS);
+    assertThat(ageOfServerStartedNow()).isBetween(0.0, NOTICE_MS);
     step = 0;
-    assertThat(ageOfOneStartedNow()).isEqualTo(NOTICE_MS, within(0.01));
+    assertThat(ageOfServerStartedNow()).isEqualTo(NOTICE_MS, within(0.01));
   }
 
   @Test
-  void aProcessThatBeganWithAClockAnHourBehindTakesServersForAsOldAsTheyCanBe() {
+  void clockStartsAnHourBehindServerGetsTheGreatestPossibleAge() {
     step = -HOUR_MS;
     clock = clock();
-    assertThat(ageOfOneStartedNow()).isBetween(0.0, NOTICE_MS);
+    assertThat(ageOfServerStartedNow()).isBetween(0.0, NOTICE_MS);
     step = 0;
-    assertThat(ageOfOneStartedNow()).isBetween(0.0, NOTICE_MS);
+    assertThat(ageOfServerStartedNow()).isBetween(0.0, NOTICE_MS);
   }
 
   @Test
-  void aDiscoveryWhoseClockIsSteppedBoundsNothingAnyMoreByWhatItToldBefore() {
-    ageOfOneStartedNow();
+  void discoveryClockSteppedEarlierNoticesBoundNothing() {
+    ageOfServerStartedNow();
     double ahead = UNIX_AT_ZERO + now + HOUR_MS;
     assertThat(now - clock.startedAt(ahead, now)).isEqualTo(0, within(0.01));
     now += 10_000;
-    assertThat(ageOfOneStartedNow()).isBetween(0.0, NOTICE_MS);
+    assertThat(ageOfServerStartedNow()).isBetween(0.0, NOTICE_MS);
   }
 }
--- a/src/test/java/leadferry/engine/SocketBudgetTest.java
+++ b/src/test/java/leadferry/engine/SocketBudgetTest.java
@@ -5,12 +5,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * 140 descriptors, of which 40 are kept back: 50 for either side, and what hosts leave is lent to
- * clients.
+ * Uses 140 descriptors, of which 40 are reserved: 50 for each side, and clients borrow what hosts
+ * leave unused.
  */
 class SocketBudgetTest {
   private final SocketBudget sockets = new SocketBudget(140);
-  private int asked;
+  private int closeRequests;
 
   private int clientsUntilFull() {
     int opened = 0;
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void clientsGetWhatHostsLeaveButForAMargin() {
+  void clientsBorrowWhatHostsLeaveExceptForAMargin() {
     for (int i = 0; i < 10; i++) {
       sockets.onUpstreamOpened();
     }
@@ -31,11 +31,11 @@
   }
 
   @Test
-  void hostsGetBackWhatWasLent() {
+  void hostsReclaimBorrowedDescriptors() {
     clientsUntilFull();
     sockets.setClientCloser(
         () -> {
-          asked++;
+          closeRequests++;
           sockets.onClientClosed();
           return true;
         });
@@ -47,11 +47,11 @@
     }
     assertThat(hosts).isEqualTo(50);
     assertThat(sockets.clientCount()).isEqualTo(50);
-    assertThat(asked).isPositive();
+    assertThat(closeRequests).isPositive();
   }
 
   @Test
-  void whereNoClientGivesWayTheBoundOverAllHolds() {
+  void noClientCanBeClosedTotalLimitHolds() {
     clientsUntilFull();
     while (sockets.makeRoomForUpstream()) {
       sockets.onUpstreamOpened();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void anotherProcessIsLeftWhatItHolds() {
+  void otherProcessKeepsWhatItHolds() {
     sockets.shareDescriptors(30, 5);
     assertThat(clientsUntilFull()).isEqualTo(60 - 5 - 8 - 30);
   }
--- a/src/test/java/leadferry/engine/UnfinishedWritesTest.java
+++ b/src/test/java/leadferry/engine/UnfinishedWritesTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A host that takes only part of a request: its last byte may go out much later, and a host counts
- * from that one. No body that is held is longer than what the kernel takes on loopback, so the
- * write that waits is the protocol's here.
+ * Guards against a request that runs twice because a host reads only part of it: the last byte may
+ * be sent much later, and a host counts the request from that byte. Every body that is held fits
+ * into the kernel's loopback buffers, so the protocol of this test delays the write instead.
  */
 class UnfinishedWritesTest {
-  private static final int WINDOW = 600;
-  private EngineFixture pool;
+  private static final int REPEAT_WINDOW_MILLIS = 600;
+  private EngineFixture engine;
 
   @AfterEach
   void close() throws Exception {
-    pool.close();
+    engine.close();
   }
 
-  /** Whichever of the two is stuck, the first one or the copy. */
+  /** Either attempt may be the stuck one, the first or the repeat. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void whatIsStuckInItsWriteIsWithdrawnWhenTheWindowOfTheOtherEnds(int stuck) throws Exception {
-    pool =
+  void stuckWriteEndsWhenTheRepeatWindowOfTheOtherAttemptEnds(int stuck) throws Exception {
+    engine =
         new EngineFixture(
             new NioTransport(),
             2,
@@ -36,26 +36,26 @@
                 60_000,
                 Settings.Semantics.DEDUPLICATED,
                 Settings.KeyScope.ALL,
-                WINDOW,
+                REPEAT_WINDOW_MILLIS,
                 1,
                 0));
-    pool.hostsRespond = false;
-    pool.attemptWriter =
+    engine.hostsRespond = false;
+    engine.attemptWriter =
         (number, channel) ->
             number == stuck
                 ? channel.newPromise()
                 : channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {1}));
     long begun = System.nanoTime();
-    pool.submit();
+    engine.submit();
     long until = System.nanoTime() + 20_000_000_000L;
-    while (pool.endedSockets.isEmpty() && System.nanoTime() < until) {
+    while (engine.endedSockets.isEmpty() && System.nanoTime() < until) {
       Thread.sleep(1);
     }
-    assertThat(pool.acceptedSockets).hasSize(2);
-    assertThat(pool.endedSockets).hasSize(1);
+    assertThat(engine.acceptedSockets).hasSize(2);
+    assertThat(engine.endedSockets).hasSize(1);
     assertThat(System.nanoTime() - begun)
-        .isGreaterThan((WINDOW - 100) * 1_000_000L); // not before it has to be
-    assertThat(pool.openRequests()).isEqualTo(1); // the other one may answer still
-    assertThat(pool.finalResponses).isEmpty();
+        .isGreaterThan((REPEAT_WINDOW_MILLIS - 100) * 1_000_000L); // not earlier than required
+    assertThat(engine.openRequests()).isEqualTo(1); // the other attempt may still get a response
+    assertThat(engine.finalResponses).isEmpty();
   }
 }
