--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -6,9 +6,9 @@
 import leadferry.loadbalancer.LoadReport;
 
 /**
- * Sends a request to one host and ends with exactly one outcome. Subclasses of a protocol write the
- * request and read the response; this class decides from the bytes written whether the host may
- * have run the request.
+ * Sends a request to one host and ends with exactly one outcome. The subclass of a protocol writes
+ * the request and reads the response; this class decides from the bytes written whether the host
+ * may have run the request.
  */
 public abstract class Attempt {
   /**
@@ -92,7 +92,7 @@
     return dispatcher;
   }
 
-  // --- the protocol's part
+  // --- implemented by the protocol
 
   /** Writes the whole request; the future completes when the last byte has been written. */
   protected abstract ChannelFuture write(Channel channel);
@@ -115,7 +115,7 @@
   /** Releases the buffered part of the response; called when the attempt is over. */
   protected abstract void releaseResponse();
 
-  // --- its connection
+  // --- connection
 
   final void onConnecting(Channel channel) {
     phase = phase.connecting();
@@ -132,15 +132,14 @@
     phase = phase.pending();
   }
 
-  final void onAttached(UpstreamConnection carrier) {
+  final void onAttached(UpstreamConnection newConnection) {
     if (phase == AttemptPhase.CONNECTING) {
-      sentAt +=
-          ReadLagTracker.lagNanos()
-              / NANOS_PER_MILLI; // the connection was established before this event was processed
+      // The connection was established before this event was processed.
+      sentAt += ReadLagTracker.lagNanos() / NANOS_PER_MILLI;
     }
     phase = phase.attached();
     connecting = null;
-    connection = carrier;
+    connection = newConnection;
     firstByteSentAt = dispatcher.now();
   }
 
@@ -226,7 +225,7 @@
     }
   }
 
-  // --- its end
+  // --- end
 
   /**
    * Ends the attempt as a failed connect: no connection was established, or it broke before the
--- a/src/main/java/leadferry/engine/ConnectionReusePolicy.java
+++ b/src/main/java/leadferry/engine/ConnectionReusePolicy.java
@@ -43,7 +43,7 @@
 
   /**
    * Returns the time (ns) for which a connection may be idle and still be used, according to the
-   * settings and the observed behaviour. Housekeeping closes the connection later; a request may
+   * settings and the observed behaviour. Housekeeping closes an older connection, but a request may
    * come first, and the host's own close would then reset a request that may have run.
    */
   long maxIdleNanos(UpstreamHost host, long now) {
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -145,7 +145,7 @@
     // Guards a response that is being sent to the client against the end of another attempt.
     boolean isRequestOver = state.isResolved() && !attempts.isAnyResponding();
     dispatcher.onAttemptOutcome(this, attempt, outcome, spentMillis, isRequestOver, report);
-    forgetIfDone();
+    removeIfDone();
   }
 
   /**
@@ -157,7 +157,7 @@
     attempts.endUnsent();
   }
 
-  // --- the one final answer
+  // --- the one final response
 
   void reject(double retryAfterMillis) {
     if (!state.isResolved() && moveToNextPool()) {
@@ -166,7 +166,7 @@
     if (claim()) {
       countResult(false);
       call.sendRejection(retryAfterMillis);
-      forgetIfDone();
+      removeIfDone();
     }
   }
 
@@ -175,7 +175,7 @@
     if (claim()) {
       countResult(false);
       call.sendFailure(dispatcher.now() >= deadlineAt);
-      forgetIfDone();
+      removeIfDone();
     }
   }
 
@@ -210,7 +210,7 @@
       return false;
     }
     state = state.moved();
-    forgetIfDone();
+    removeIfDone();
     next.dispatcher().submit(call, next.arrival().withBudget(remainingMillis), next.fallback());
     return true;
   }
@@ -234,7 +234,7 @@
         attempts.get(i).cancel();
       }
     }
-    forgetIfDone();
+    removeIfDone();
   }
 
   /**
@@ -253,8 +253,8 @@
         continue;
       }
       if (canOutliveDeadline(attempt)) {
-        // Not added to {@code timers}: a long response would add one on each check. The check has
-        // no effect once the attempt is over.
+        // Not added to the timers of the exchange: a long response would add one on each check.
+        // The check has no effect once the attempt is over.
         dispatcher
             .loop()
             .schedule(this::onDeadline, Attempt.STREAM_STALL_MILLIS, TimeUnit.MILLISECONDS);
@@ -309,7 +309,7 @@
     }
   }
 
-  private void forgetIfDone() {
+  private void removeIfDone() {
     if (state.isResolved() && !attempts.haveAllEnded()) {
       attempts.endUnsent();
     }
--- a/src/main/java/leadferry/engine/ExchangeAttempts.java
+++ b/src/main/java/leadferry/engine/ExchangeAttempts.java
@@ -73,14 +73,14 @@
    * run.
    */
   double lastByteDeadline(Attempt attempt, double deadlineAt) {
-    double lastByteBy = deadlineAt;
+    double deadline = deadlineAt;
     for (int i = 0; i < size; i++) {
       Attempt other = attempts[i];
       if (other != attempt && other.mayHaveRun()) {
-        lastByteBy = Math.min(lastByteBy, other.firstByteSentAt() + attempt.repeatWindowMillis());
+        deadline = Math.min(deadline, other.firstByteSentAt() + attempt.repeatWindowMillis());
       }
     }
-    return lastByteBy;
+    return deadline;
   }
 
   /**
--- a/src/main/java/leadferry/engine/HostConnectionSlots.java
+++ b/src/main/java/leadferry/engine/HostConnectionSlots.java
@@ -14,7 +14,7 @@
   private final UpstreamHost host;
   private final InetSocketAddress address;
   private final ConnectionLimits.Slots slots;
-  private final AtomicBoolean yieldRequested = new AtomicBoolean();
+  private final AtomicBoolean closeRequested = new AtomicBoolean();
 
   private HostConnectionSlots(
       UpstreamConnectionPool pool,
@@ -66,10 +66,10 @@
 
   @Override
   public void onSlotWanted() {
-    if (yieldRequested.compareAndSet(false, true)) {
+    if (closeRequested.compareAndSet(false, true)) {
       loop.execute(
           () -> {
-            yieldRequested.set(false);
+            closeRequested.set(false);
             pool.closeIdleForWaiter(host, slots);
           });
     }
--- a/src/main/java/leadferry/engine/ReadLagTracker.java
+++ b/src/main/java/leadferry/engine/ReadLagTracker.java
@@ -32,10 +32,10 @@
    * is taken to have found data that had already arrived. Cold code and a lost core would otherwise
    * make it look as if it had waited.
    */
-  private static final long AT_ONCE_NANOS = 1_000_000;
+  private static final long IMMEDIATE_POLL_NANOS = 1_000_000;
 
   /** A poll that returned later than requested by more than this time (ns) was kept from a core. */
-  private static final long LATE_NANOS = 2_000_000;
+  private static final long LATE_POLL_NANOS = 2_000_000;
 
   private static final FastThreadLocal<ReadLagTracker> CURRENT = new FastThreadLocal<>();
 
@@ -101,8 +101,8 @@
     try {
       return handler.run(this);
     } finally {
-      polledAtNanos =
-          Math.max(polledAtNanos, pollStartNanos); // where the handler did not report the poll
+      // Covers a handler that did not report the poll.
+      polledAtNanos = Math.max(polledAtNanos, pollStartNanos);
       readUntilNanos = polledAtNanos;
     }
   }
@@ -119,10 +119,10 @@
 
   private void onPollEnded(long now) {
     long workNanos = pollStartNanos - polledAtNanos;
-    if (!mayWait || now - pollStartNanos < Math.max(AT_ONCE_NANOS, workNanos / 2)) {
+    if (!mayWait || now - pollStartNanos < Math.max(IMMEDIATE_POLL_NANOS, workNanos / 2)) {
       readUntilNanos = polledAtNanos;
     } else {
-      readUntilNanos = now - requestedEndNanos > LATE_NANOS ? requestedEndNanos : now;
+      readUntilNanos = now - requestedEndNanos > LATE_POLL_NANOS ? requestedEndNanos : now;
     }
     polledAtNanos = now;
   }
--- a/src/main/java/leadferry/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -33,7 +33,7 @@
   private static final int MAX_CONNECT_CHECKS = 8;
 
   /** A failure that persists for this time (ns) ends the connection. */
-  private static final long LASTING_NANOS = 50_000_000;
+  private static final long PERSISTENT_FAILURE_NANOS = 50_000_000;
 
   private static final long WRITE_RETRY_MS = 2;
 
@@ -82,7 +82,7 @@
     }
     long now = System.nanoTime();
     readsFailSinceNanos = readsFailSinceNanos == 0 ? now : readsFailSinceNanos;
-    if (failure != null && now - readsFailSinceNanos > LASTING_NANOS) {
+    if (failure != null && now - readsFailSinceNanos > PERSISTENT_FAILURE_NANOS) {
       throw failure;
     }
     return 0; // the socket stays readable, and the next poll reports it again
@@ -134,7 +134,7 @@
     } catch (IOException e) {
       long now = System.nanoTime();
       writesFailSinceNanos = writesFailSinceNanos == 0 ? now : writesFailSinceNanos;
-      if (isPeerGone(e) || now - writesFailSinceNanos > LASTING_NANOS) {
+      if (isPeerGone(e) || now - writesFailSinceNanos > PERSISTENT_FAILURE_NANOS) {
         throw e;
       }
       retryWrite();
@@ -164,7 +164,7 @@
   /**
    * Whether the failure is EPIPE or ECONNRESET, for which the JDK has no exception type on a write.
    * The check matches the English message; with other message texts, the loss of the peer is
-   * detected only after {@link #LASTING_NANOS}.
+   * detected only after {@link #PERSISTENT_FAILURE_NANOS}.
    */
   private static boolean isPeerGone(IOException failure) {
     String message = String.valueOf(failure.getMessage());
--- a/src/main/java/leadferry/engine/UpstreamConnectionPool.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -39,7 +39,7 @@
   /**
    * Requests that a connection carries before its slot passes to another worker that waits for one.
    */
-  private static final int REQUESTS_PER_TURN = 16;
+  private static final int REQUESTS_BEFORE_HANDOVER = 16;
 
   private final EventLoop loop;
   private final Transport transport;
@@ -172,14 +172,14 @@
       }
       return;
     }
-    runPending(host);
+    sendPending(host);
     if (!host.pendingAttempts.isEmpty()) {
       scheduleDispatch(host);
       slotsOf(host).awaitSlot(host.connectionSlots);
     }
   }
 
-  private void runPending(UpstreamHost host) {
+  private void sendPending(UpstreamHost host) {
     Attempt next;
     while ((next = host.pendingAttempts.peekFirst()) != null) {
       if (!endUnlessSendable(next)) {
@@ -261,9 +261,9 @@
    */
   private boolean shouldFreeSlot(UpstreamHost host, UpstreamConnection connection) {
     ConnectionLimits.Slots slots = slotsOf(host);
-    boolean isTurnOver =
-        host.pendingAttempts.isEmpty() || connection.attemptCount() % REQUESTS_PER_TURN == 0;
-    return slots.isOverLimit() || (isTurnOver && slots.hasWaiters());
+    boolean canHandOver =
+        host.pendingAttempts.isEmpty() || connection.attemptCount() % REQUESTS_BEFORE_HANDOVER == 0;
+    return slots.isOverLimit() || (canHandOver && slots.hasWaiters());
   }
 
   /**
--- a/src/main/java/leadferry/engine/UpstreamHosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -91,11 +91,11 @@
     Set<UpstreamHost> invalidated = new LinkedHashSet<>();
     Set<UpstreamHost> listed = new HashSet<>();
     for (Member member : update.members()) {
-      UpstreamHost host = hostOf(member.name());
+      UpstreamHost host = getOrCreateHost(member.name());
       listed.add(host);
-      double started = started(host, member.startedUnixMs(), now);
-      entries.add(entry(host, member, started));
-      if (update(host, member, started)) {
+      double started = convertStart(host, member.startedUnixMs(), now);
+      entries.add(createEntry(host, member, started));
+      if (applyMember(host, member, started)) {
         invalidated.add(host);
       }
     }
@@ -106,7 +106,7 @@
     return new Change(entries, invalidated);
   }
 
-  private UpstreamHost hostOf(String name) {
+  private UpstreamHost getOrCreateHost(String name) {
     UpstreamHost existing = byName.get(name);
     if (existing != null) {
       return existing;
@@ -117,7 +117,7 @@
     return added;
   }
 
-  private static EndpointUpdate entry(UpstreamHost host, Member member, double started) {
+  private static EndpointUpdate createEntry(UpstreamHost host, Member member, double started) {
     return new EndpointUpdate(
         host.id,
         member.zone(),
@@ -132,7 +132,7 @@
    * Copies a list entry to its host. Returns whether the host's former address, location or process
    * may receive no new requests.
    */
-  private static boolean update(UpstreamHost host, Member member, double started) {
+  private static boolean applyMember(UpstreamHost host, Member member, double started) {
     host.listed = member.condition() != EndpointUpdate.Condition.GONE;
     host.sendable = member.condition() == EndpointUpdate.Condition.READY;
     boolean hasMoved = host.cell != member.cell() || !host.zone.equals(member.zone());
@@ -165,7 +165,7 @@
    * Converts the start time of a host to the monotonic clock. The result for one start never
    * changes, even if the wall clock is stepped.
    */
-  private double started(UpstreamHost host, double startedUnixMs, double now) {
+  private double convertStart(UpstreamHost host, double startedUnixMs, double now) {
     if (startedUnixMs <= 0) {
       return 0;
     }
--- a/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
+++ b/src/test/java/leadferry/engine/DescriptorExhaustionTest.java
@@ -90,7 +90,7 @@
 
   @Test
   void ownLimitReachedRequestIsRejectedAndNoHostIsCharged() throws Exception {
-    int held =
+    int openUpstreams =
         engine.onLoop(
             () -> {
               int opened = 0;
@@ -103,7 +103,7 @@
     for (int i = 0; i < 40; i++) {
       assertThat(engine.request()).isEqualTo("refused");
     }
-    assertThat(engine.onLoop(engine.sockets::upstreamCount)).isEqualTo(held);
+    assertThat(engine.onLoop(engine.sockets::upstreamCount)).isEqualTo(openUpstreams);
     assertThat(engine.isIdle()).isTrue();
     engine.onLoop(
         () -> {
