--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client's connection, from its opening to its end. It owns the present request and the state of
- * the connection, and gives what it reads to the one whose turn it is: {@link RequestIntake} reads
- * requests, {@link PipelineQueue} keeps those that come ahead of a response, {@link
- * DisconnectDetector} notices that the client has gone, {@link ConnectionTimeouts} tells what takes
- * too long, {@link ResponseWriter} writes responses.
+ * Client connection from its opening to its close. It owns the current request and the connection
+ * state, and passes input to the component in charge: {@link RequestIntake} reads requests, {@link
+ * PipelineQueue} queues pipelined requests, {@link DisconnectDetector} detects a disconnected
+ * client, {@link ConnectionTimeouts} tracks time limits, and {@link ResponseWriter} writes
+ * responses.
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-  /** How long (ms) the end of a rejected message is awaited, so that its client sees its answer. */
+  /** Delay (ms) before the close, in which the client can read its last response. */
   private static final long LINGER_MILLIS = 500;
 
   private final HttpServer server;
@@ -37,8 +37,8 @@
   private boolean rejectionLogged;
 
   /**
-   * {@code acceptedAtNanos} is the earliest at which it can have been accepted: its client may have
-   * written since then.
+   * Creates the handler; {@code acceptedAtNanos} is the earliest time at which the connection can
+   * have been accepted and its client can have sent data.
    */
   ClientConnection(
       HttpServer server, SocketChannel channel, RequestDecoder decoder, long acceptedAtNanos) {
@@ -78,7 +78,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      server.log().failure("a client's connection failed", cause);
+      server.log().failure("client connection failed on an internal error", cause);
       if (call != null) {
         call.exchange().abandon();
       }
@@ -118,39 +118,37 @@
     }
   }
 
-  // --- the present request
+  // --- the current request
 
-  /** Whether requests are still taken. */
+  /** Whether the connection still accepts requests. */
   boolean acceptsRequests() {
     return state.acceptsRequests();
   }
 
-  /** The present request's response is to be the connection's last. */
+  /** Makes the response to the current request the last one of the connection. */
   void closeAfterCurrentResponse() {
     state = state.advance(ConnectionState.LAST_RESPONSE);
   }
 
   /**
-   * The client has sent a request, or as much of one as it takes to believe it; whether it is the
-   * first.
+   * Records that the client has sent a complete request or the start of a streamed one; returns
+   * true for the first one.
    */
   boolean markRequestSeen() {
     return timeouts.markRequestSeen();
   }
 
-  /**
-   * Whether the client has gone, of whom a whole request has come; its connection is closed then.
-   */
+  /** Closes the connection if the client of a complete request has disconnected; true if so. */
   boolean closeIfDisconnected() {
     return disconnects.closeIfDisconnected();
   }
 
-  /** The same, at any time at which the look at the socket does no harm. */
+  /** Same as {@link #closeIfDisconnected}, but only if checking the socket consumes no input. */
   boolean closeIfDisconnectedBetweenRequests() {
     return disconnects.closeIfDisconnectedBetweenRequests();
   }
 
-  /** The engine is about to take the request. */
+  /** Starts a request that is about to be passed to the engine. */
   void beginCall(HttpCall next) {
     call = next;
     server.onCallStarted();
@@ -163,22 +161,22 @@
     }
   }
 
-  /** What the engine has, or null. */
+  /** Returns the request that was passed to the engine, or null. */
   HttpCall call() {
     return call;
   }
 
-  /** Whether the present request is one of HTTP/1.0. */
+  /** Whether the current request uses HTTP/1.0. */
   boolean isHttp10() {
     return intake.isHttp10();
   }
 
   // --- the end of a response, and of the connection
 
-  /** Decides whether the response that is about to go out is the connection's last. */
+  /** Decides whether the response that is about to be written is the last one of the connection. */
   boolean decideLastResponse() {
-    // What a client has sent ahead is answered before it is asked to leave; what has not come whole
-    // by the time of a response can't be told from the next request.
+    // Complete pipelined requests get their responses before the client is asked to disconnect. An
+    // incomplete request at the time of a response can't be distinguished from the next request.
     if (((server.isDraining() || server.isCrowded()) && !pipeline.hasWholeRequest())
         || (intake.upload() != null && !intake.shouldSkipRemainder())) {
       closeAfterCurrentResponse();
@@ -187,8 +185,8 @@
   }
 
   /**
-   * The response is on its way; true if the connection stays, and nothing of the request comes any
-   * more.
+   * Handles a response whose end was passed to the channel. Returns true if the connection stays
+   * open and no further input of the request is expected.
    */
   boolean onResponseSubmitted(ChannelFuture written) {
     endCall();
@@ -209,7 +207,7 @@
     return true;
   }
 
-  /** The rest of a request that was answered early has come. */
+  /** Handles the end of a request whose remaining input was skipped after its response. */
   void onRemainderSkipped() {
     if (state.isClosing()) {
       markFinished();
@@ -217,12 +215,12 @@
     }
   }
 
-  /** Nothing more is taken, and nothing more is written. */
+  /** Marks the connection as finished: it accepts no request and writes no response. */
   void markFinished() {
     state = state.advance(ConnectionState.FINISHED);
   }
 
-  /** Answers what can't be a request and ends the connection. */
+  /** Rejects the current request with this status and closes the connection. */
   void reject(int status) {
     logLocalResponse(status);
     rejectionLogged = true;
@@ -230,9 +228,9 @@
     pipeline.clear();
     closeAfterCurrentResponse();
     if (call != null) {
-      call.exchange().abandon(); // its body can't be read to its end; this answers, once
+      call.exchange().abandon(); // the body can't be read to its end; this sends the only response
       if (call != null) {
-        responses.abortStream(); // a response that has begun
+        responses.abortStream(); // a response that has started
       } else {
         startDiscardingInput();
       }
@@ -242,14 +240,14 @@
     responses.send(status, 0);
   }
 
-  /** From here on whatever comes is thrown away unread: it may be much, or no HTTP at all. */
+  /** Discards all further input undecoded: it may be large or not HTTP at all. */
   private void startDiscardingInput() {
     state = state.advance(ConnectionState.DISCARDING);
     removeDecoder();
     channel.config().setAutoRead(true);
   }
 
-  /** No more requests are decoded. */
+  /** Removes the decoder, so that no further request is decoded. */
   void removeDecoder() {
     if (decoder.isInPipeline()) {
       channel.pipeline().remove(decoder);
@@ -257,8 +255,9 @@
   }
 
   /**
-   * Closes after a response. Guards against a reset that overtakes it: a close while bytes are
-   * unread would be one, so the sending ends first and what still comes is thrown away.
+   * Closes the connection after a response. Guards against a TCP reset that overtakes the response:
+   * a close with unread input sends one. The output is shut down first, and remaining input is
+   * discarded for a while.
    */
   private void linger() {
     if (!channel.isActive()) {
@@ -269,13 +268,13 @@
     channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Closes it at once, for a reason that the log tells. */
+  /** Closes the connection immediately and logs the reason. */
   void close(CloseReason reason) {
     log.logClosed(reason, call);
     channel.close();
   }
 
-  /** There is no more time: what is open is answered now, and what still comes is rejected. */
+  /** Ends the current request with an error response, or rejects it if it is incomplete. */
   void terminate() {
     if (call != null) {
       closeAfterCurrentResponse();
@@ -287,9 +286,7 @@
 
   // --- the log
 
-  /**
-   * A response of our own is about to go out: logs why, unless it is the answer to a health check.
-   */
+  /** Logs a response that the load balancer generates itself, except for health checks. */
   void logLocalResponse(int status) {
     FilterResult filterResult = intake.filterResult();
     boolean healthCheck =
@@ -302,7 +299,7 @@
     }
   }
 
-  /** Logs what became of the present request, if not served; {@code status} may be null. */
+  /** Logs the outcome of a request that was not served; {@code status} may be null. */
   void logOutcome(String outcome, Integer status) {
     FilterResult filterResult = intake.filterResult();
     long sinceNanos =
@@ -310,9 +307,9 @@
     log.logRequest(outcome, status, call, filterResult, sinceNanos);
   }
 
-  // --- housekeeping
+  // --- maintenance
 
-  /** Whether it carries a request, or part of one, or a response that is not written yet. */
+  /** Whether the connection carries part of a request or an unfinished response. */
   boolean isBusy() {
     return call != null
         || !pipeline.isEmpty()
@@ -321,30 +318,27 @@
         || state.isClosing();
   }
 
-  /** Whether it can be closed as a drain begins: a first request that is under way is awaited. */
+  /** Whether the connection is idle and can have no first request in flight. */
   boolean isClosableAtDrain() {
     return !isBusy() && !timeouts.canFirstRequestBeInFlight();
   }
 
-  /**
-   * Whether it can be closed where no more is expected: it carries nothing, and a new client had
-   * time to send a request.
-   */
+  /** Whether the connection is idle and its client had time to send a request. */
   boolean isClosable(long nowNanos) {
     return !isBusy() && timeouts.hasHadTimeForRequest(nowNanos);
   }
 
-  /** How readily it makes room for another connection. */
+  /** Returns the eviction class of the connection. */
   EvictionOrder evictionOrder(long nowNanos) {
     if (call != null || responses.isWriting() || !channel.isOpen()) {
-      return EvictionOrder.NEVER; // in use, or closed already and not yet taken off the list
+      return EvictionOrder.NEVER; // in use, or closed and not yet removed
     }
     return state == ConnectionState.DISCARDING
         ? EvictionOrder.RESPONDED
         : timeouts.evictionOrder(nowNanos);
   }
 
-  /** Ends what takes too long; called a few times a second. */
+  /** Enforces the time limits of the connection; called several times a second. */
   void enforceTimeouts(long nowNanos) {
     if (disconnects.isDiscardingPipelined() && acceptsRequests()) {
       channel.config().setAutoRead(true);
@@ -352,7 +346,7 @@
     if (call != null
         && intake.upload() != null
         && intake.upload().isStalled(nowNanos, timeouts.receiveTimeoutNanos())) {
-      call.exchange().abandon(); // a body that does not come
+      call.exchange().abandon(); // the request body has stalled
     } else if (responses.isStreamStalled(nowNanos)) {
       responses.abortStream();
     } else if (state != ConnectionState.DISCARDING && call == null) {
--- a/src/main/java/leadferry/http/ClientConnections.java
+++ b/src/main/java/leadferry/http/ClientConnections.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * The open connections of one server, oldest first. Where one is to make room, the most readily
- * spared of the oldest is found here.
+ * Open connections of one server, oldest first; selects the connection to evict when sockets are
+ * scarce.
  *
- * <p>Used on the server's event loop alone.
+ * <p>Used only on the server's event loop.
  */
 final class ClientConnections {
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -26,7 +26,8 @@
   }
 
   /**
-   * Closes, to make room, the most readily spared of the {@code maxLooks} oldest; false if none.
+   * Evicts the most evictable of the {@code maxCandidates} oldest connections; returns false if
+   * none is evictable.
    */
   boolean evictOne(int maxCandidates) {
     ClientConnection connection = findMostEvictable(maxCandidates);
@@ -55,7 +56,7 @@
     return candidate;
   }
 
-  /** A drain begins: closes what carries nothing. */
+  /** Closes idle connections at the start of a drain. */
   void closeIdleForDrain() {
     for (ClientConnection connection : snapshot()) {
       if (connection.isClosableAtDrain()) {
@@ -64,7 +65,10 @@
     }
   }
 
-  /** Closes what carries nothing and had time to send a request; true if any was closed. */
+  /**
+   * Closes idle connections whose clients had time to send a request; returns true if any was
+   * closed.
+   */
   boolean closeIdle() {
     boolean anyClosed = false;
     for (ClientConnection connection : snapshot()) {
@@ -76,14 +80,14 @@
     return anyClosed;
   }
 
-  /** Answers each request that is open as failed, and rejects what has not come whole. */
+  /** Sends an error response for each open request and rejects incomplete requests. */
   void terminateAll() {
     for (ClientConnection connection : snapshot()) {
       connection.terminate();
     }
   }
 
-  /** Whether anything that was taken, or is being taken, has no response yet. */
+  /** Whether any request that was received, completely or in part, has no response yet. */
   boolean hasPendingRequests() {
     for (ClientConnection connection : connections) {
       if (connection.isBusy()) {
@@ -93,7 +97,7 @@
     return false;
   }
 
-  /** Ends what takes too long. */
+  /** Enforces the time limits of all connections. */
   void enforceTimeouts() {
     long nowNanos = HttpServer.readUntilNanos();
     for (ClientConnection connection : snapshot()) {
@@ -101,7 +105,7 @@
     }
   }
 
-  /** A copy: a connection may leave the set while it is looked at. */
+  /** Returns a copy, because a connection may be removed during the iteration. */
   private ArrayList<ClientConnection> snapshot() {
     return new ArrayList<>(connections);
   }
--- a/src/main/java/leadferry/http/CloseReason.java
+++ b/src/main/java/leadferry/http/CloseReason.java
@@ -2,17 +2,19 @@
 
 import java.util.Locale;
 
-/** Why this side closed a client's connection. */
+/**
+ * Reason for which the load balancer closed a client connection; logged by its name in lower case.
+ */
 enum CloseReason {
-  /** Nothing came on it for as long as the settings allow. */
+  /** The connection was idle for longer than the settings allow. */
   IDLE,
-  /** The rest of a message came too slowly. */
+  /** The remaining input of a request arrived too slowly. */
   SLOW,
-  /** The client takes nothing of its response. */
+  /** The client does not read its response. */
   STALLED,
-  /** The process drains, or sends its clients away. */
+  /** The process drains or sheds its clients. */
   DRAINING,
-  /** Its descriptor is needed for another connection. */
+  /** The connection was evicted because its descriptor is needed for another one. */
   MAKE_ROOM;
 
   @Override
--- a/src/main/java/leadferry/http/ConnectionState.java
+++ b/src/main/java/leadferry/http/ConnectionState.java
@@ -1,34 +1,34 @@
 package leadferry.http;
 
 /**
- * How far a client's connection has come towards its end. States are passed in this order alone;
- * any may be left out, none is returned to.
+ * Lifecycle of a client connection. A connection passes through the states in this order; it may
+ * skip a state and never returns to an earlier one.
  *
  * <pre>
  *   OPEN --> LAST_RESPONSE --> FINISHED --> DISCARDING
  * </pre>
  */
 enum ConnectionState {
-  /** Requests are taken, and another may follow the present one. */
+  /** Requests are accepted, and another one may follow the current one. */
   OPEN,
-  /** The present request's response is the connection's last. */
+  /** The response to the current request is the last one of the connection. */
   LAST_RESPONSE,
-  /** The last response has been given to the socket, or was cut: no request is taken any more. */
+  /** The last response was passed to the channel or aborted; no further request is accepted. */
   FINISHED,
-  /** The decoder has been taken out: what still comes is thrown away unread. */
+  /** The decoder is removed; further input is discarded undecoded. */
   DISCARDING;
 
-  /** The state after {@code next} was asked for: the later of the two. */
+  /** Returns the later of this state and {@code next}. */
   ConnectionState advance(ConnectionState next) {
     return next.compareTo(this) > 0 ? next : this;
   }
 
-  /** Whether parts of requests are taken. */
+  /** Whether parts of requests are accepted. */
   boolean acceptsRequests() {
     return this == OPEN || this == LAST_RESPONSE;
   }
 
-  /** Whether no request follows the present one. */
+  /** Whether no request is accepted after the current one. */
   boolean isClosing() {
     return this != OPEN;
   }
--- a/src/main/java/leadferry/http/ConnectionTimeouts.java
+++ b/src/main/java/leadferry/http/ConnectionTimeouts.java
@@ -3,22 +3,23 @@
 import leadferry.engine.SocketSlack;
 
 /**
- * The times of one client's connection: when it was opened and last used, and whether it, or a
- * request that is still coming, has taken too long. Instants are those of {@link System#nanoTime}.
+ * Time limits of one client connection: tracks when it was opened and last used, and whether the
+ * connection or a request that is being received has exceeded a limit. Instants are values of
+ * {@link System#nanoTime}.
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class ConnectionTimeouts {
-  /** Age (ns) from which a connection that has sent nothing may have to make room. */
+  /** Age (ns) at which a connection without any request can be evicted. */
   private static final long EVICT_SILENT_NANOS = 50_000_000L;
 
-  /** Age (ns) from which a connection that has sent part of a request may have to make room. */
+  /** Age (ns) at which an incomplete request makes its connection evictable. */
   private static final long EVICT_PARTIAL_NANOS = 500_000_000L;
 
-  /** How long (ns) a client that is asked to leave may take to use its connection once more. */
+  /** Time (ns) for which a connection may stay idle while clients are shed. */
   private static final long IDLE_DEPARTURE_NANOS = 500_000_000L;
 
-  /** The same, of a client that has not sent a request yet. */
+  /** Time (ns) for which a connection without any request may stay open while clients are shed. */
   private static final long SILENT_DEPARTURE_NANOS = 1_500_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -33,8 +34,10 @@
   private long idleSinceNanos;
 
   /**
-   * {@code acceptedAtNanos} is the earliest at which the connection can have been accepted: its
-   * client may have written since then.
+   * Creates the limits of one connection.
+   *
+   * @param acceptedAtNanos earliest time at which the connection can have been accepted; the client
+   *     may have sent data since then
    */
   ConnectionTimeouts(HttpServer server, RequestDecoder decoder, long acceptedAtNanos) {
     this.server = server;
@@ -43,19 +46,19 @@
     this.receiveTimeoutNanos = server.settings().receiveTimeoutMillis() * NANOS_PER_MILLI;
   }
 
-  /** How long (ns) a request, or the next part of a streamed one, may take to come. */
+  /** Returns the time (ns) in which a request, or the next part of a streamed one, must arrive. */
   long receiveTimeoutNanos() {
     return receiveTimeoutNanos;
   }
 
-  /** A response has gone, or part of a request that has its response has come. */
+  /** Records activity: a response was written, or part of a request arrived after its response. */
   void markUsed() {
     idleSinceNanos = System.nanoTime();
   }
 
   /**
-   * The client has sent a request, or as much of one as it takes to believe it; whether it is the
-   * first.
+   * Records that the client has sent a complete request or the start of a streamed one; returns
+   * true for the first one.
    */
   boolean markRequestSeen() {
     boolean first = !requestSeen;
@@ -64,10 +67,12 @@
   }
 
   /**
-   * When what is read now can have come at the earliest, less what every time limit is longer by.
-   * Guards against a late loop: a request's time counts from its last byte, and one that stood in
-   * the kernel for longer than its client waits is not forwarded, nor answered when all of its time
-   * has gone by once more. It does harm where a stop was shorter than it looks, by a rejection.
+   * Returns the earliest time at which the input that is read now can have arrived, plus {@link
+   * SocketSlack#NANOS}, but not a time in the future. Guards against a late loop: the time budget
+   * of a request counts from its last byte. A request that waited in the kernel's buffer for longer
+   * than its client waits is not forwarded, and gets no response after twice that time. Drawback:
+   * if the loop was late for a shorter time than this bound assumes, the request is rejected
+   * without need.
    */
   long earliestReceiptNanos() {
     long earliest =
@@ -77,17 +82,20 @@
     return Math.min(System.nanoTime(), earliest + SocketSlack.NANOS);
   }
 
-  /** Whether a request may be under way that was sent before the client could know of a drain. */
+  /**
+   * Whether a first request can be in flight that the client sent before it could know of the
+   * drain.
+   */
   boolean canFirstRequestBeInFlight() {
     return !requestSeen && System.nanoTime() - openedAtNanos < receiveTimeoutNanos;
   }
 
-  /** Whether its client has had time to send a first request. */
+  /** Whether the client had time to send a first request. */
   boolean hasHadTimeForRequest(long nowNanos) {
     return requestSeen || nowNanos - openedAtNanos > EVICT_SILENT_NANOS;
   }
 
-  /** The order in which a connection makes room on which no request is open. */
+  /** Returns the eviction class of a connection without an open request. */
   EvictionOrder evictionOrder(long nowNanos) {
     if (decoder.isReceiving()) {
       return nowNanos - receivingSinceNanos() > EVICT_PARTIAL_NANOS
@@ -104,17 +112,17 @@
         : EvictionOrder.NEVER;
   }
 
-  /** Whether the rest of a request that has its response comes too slowly. */
+  /** Whether the remaining input of a request that already has its response arrives too slowly. */
   boolean isRemainderTooSlow(long nowNanos) {
     return nowNanos - idleSinceNanos > receiveTimeoutNanos;
   }
 
-  /** Whether a request of whose body {@code bodyBytes} are held comes too slowly. */
+  /** Whether a request with {@code bodyBytes} bytes of its body received arrives too slowly. */
   boolean isRequestTooSlow(long nowNanos, long bodyBytes) {
     return nowNanos - receivingSinceNanos() > receiveTimeoutNanos + bodyAllowanceNanos(bodyBytes);
   }
 
-  /** Why a connection on which nothing comes is to be closed, or null if it stays. */
+  /** Returns the reason to close an idle connection, or null if it stays open. */
   CloseReason idleCloseReason(long nowNanos) {
     if (hasDepartureTimeElapsed(nowNanos)) {
       return CloseReason.DRAINING;
@@ -128,19 +136,22 @@
   }
 
   /**
-   * Whether its client is asked to leave and has had time to use the connection once more. The
-   * daemon closes none for that: its next response asks to leave, and a request that crosses a
-   * close would be lost.
+   * Whether clients are shed and this one had time to use the connection once more. The daemon
+   * closes no connection for this reason: its next response carries {@code Connection: close}, and
+   * a request that crosses a close would be lost.
    */
   private boolean hasDepartureTimeElapsed(long nowNanos) {
-    long since = server.settings().daemon() ? 0 : server.sheddingSinceNanos();
-    return since != 0
+    long sheddingSinceNanos = server.settings().daemon() ? 0 : server.sheddingSinceNanos();
+    return sheddingSinceNanos != 0
         && (requestSeen
-            ? nowNanos - Math.max(idleSinceNanos, since) > IDLE_DEPARTURE_NANOS
-            : nowNanos - Math.max(openedAtNanos, since) > SILENT_DEPARTURE_NANOS);
+            ? nowNanos - Math.max(idleSinceNanos, sheddingSinceNanos) > IDLE_DEPARTURE_NANOS
+            : nowNanos - Math.max(openedAtNanos, sheddingSinceNanos) > SILENT_DEPARTURE_NANOS);
   }
 
-  /** What a body may take besides: a client that sends it slowly but steadily is in time. */
+  /**
+   * Returns the additional time (ns) for a body, so that a client that sends slowly but steadily
+   * stays within its limit.
+   */
   private long bodyAllowanceNanos(long bodyBytes) {
     int bytesPerSecond = server.settings().minBodyBytesPerSecond();
     return bytesPerSecond == 0 ? 0 : bodyBytes * NANOS_PER_SECOND / bytesPerSecond;
--- a/src/main/java/leadferry/http/DiscardedInput.java
+++ b/src/main/java/leadferry/http/DiscardedInput.java
@@ -6,11 +6,10 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** What is read of a client only to be thrown away, because its request has a response already. */
+/** Discards input of a request that already has its response. */
 final class DiscardedInput {
   /**
-   * How much (bytes) of a message that is answered already is read, so that its client sees its
-   * response.
+   * Maximum input (bytes) that is read after a response, so that the client can read the response.
    */
   private static final int MAX_LINGER_BYTES = 1 << 20;
 
@@ -29,29 +28,36 @@
     this.maxSkippedBytes = server.settings().maxStreamedBodyBytes();
   }
 
-  /** Whether the rest of a request is thrown away, after which its connection goes on. */
+  /**
+   * Whether the remaining input of a request is discarded, after which the connection stays usable.
+   */
   boolean isSkipping() {
     return skipping;
   }
 
-  /** A response has gone; {@code skipRest} tells whether the rest of its request still comes. */
+  /**
+   * Handles the end of a response; {@code skipRest} is true if remaining input of its request has
+   * to be skipped.
+   */
   void onResponseSubmitted(boolean skipRest) {
     skipping = skipRest;
     discardedBytes = 0;
   }
 
-  /** Nothing is left to throw away of the present request. */
+  /** Resets the count of discarded bytes at the end of the current request. */
   void reset() {
     discardedBytes = 0;
   }
 
-  /** Counts part of a body whose response is known; whether it is not worth reading on for that. */
+  /**
+   * Counts part of a body that is not forwarded; returns true once reading on is not worthwhile.
+   */
   boolean countAndCheckLimit(ByteBuf bytes) {
     discardedBytes += bytes.readableBytes();
     return discardedBytes > MAX_LINGER_BYTES;
   }
 
-  /** What comes behind the last response. */
+  /** Discards input after the last response, and closes the connection beyond the limit. */
   void discard(Object message) {
     discardedBytes += readableBytes(message);
     if (discardedBytes > MAX_LINGER_BYTES) {
@@ -60,8 +66,9 @@
   }
 
   /**
-   * The rest of a request that was answered before all of it came. Guards against a close that
-   * overtakes the response: who writes slowly reads it only then.
+   * Skips part of a request that got its response before it was complete. Guards against a close
+   * that overtakes the response: a client that sends slowly reads the response only after its
+   * request.
    */
   void skip(HttpObject part) {
     discardedBytes += readableBytes(part);
@@ -70,7 +77,8 @@
     } else if (part instanceof LastHttpContent) {
       skipping = false;
       discardedBytes = 0;
-      decoder.onRequestCompleted(); // its client has its response, so what comes behind is in order
+      decoder
+          .onRequestCompleted(); // the client has its response: following input is the next request
       client.onRemainderSkipped();
     }
   }
--- a/src/main/java/leadferry/http/DisconnectDetector.java
+++ b/src/main/java/leadferry/http/DisconnectDetector.java
@@ -5,20 +5,26 @@
 import leadferry.engine.Transport;
 
 /**
- * Notices that a client has disconnected while its request is still unanswered, also behind bytes
- * that it sent ahead of the response.
+ * Detects that a client has disconnected before its response was written, even if pipelined input
+ * precedes the end of the stream.
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class DisconnectDetector {
-  /** What is thrown away (bytes) between two sweeps of what a client sends ahead. */
+  /**
+   * Pipelined input (bytes) that is discarded between two calls of {@link
+   * ClientConnection#enforceTimeouts}.
+   */
   private static final int MAX_DISCARDED_BYTES_PER_SWEEP = 1 << 20;
 
   private final ClientConnection connection;
   private final SocketChannel channel;
   private final Transport transport;
 
-  /** Whether a look between two requests of one connection may be made at all. */
+  /**
+   * Whether the socket can be checked between two requests of a connection without consuming input
+   * that is still needed.
+   */
   private final boolean canProbeBetweenRequests;
 
   private boolean discardingPipelined;
@@ -31,16 +37,16 @@
     this.canProbeBetweenRequests = !server.settings().daemon() || transport.canCheckWithoutLoss();
   }
 
-  /** Whether what is sent ahead of the response is thrown away. */
+  /** Whether input that arrives before the response is discarded. */
   boolean isDiscardingPipelined() {
     return discardingPipelined;
   }
 
   /**
-   * More has come than the present request. Guards against floods of requests sent at once: clients
-   * send one at a time, so what comes ahead of a response is thrown away, and the connection ends
-   * with that response. It is read all the same, at a bounded rate: where nobody reads, nobody sees
-   * that the client has gone, and its request would be forwarded.
+   * Starts to discard input behind the current request; the connection closes after its response.
+   * Guards against floods of pipelined requests from clients that should send one request at a
+   * time. The input is still read, at a bounded rate: otherwise a disconnect of the client would go
+   * undetected and its request would be forwarded.
    */
   void startDiscardingPipelined() {
     connection.closeAfterCurrentResponse();
@@ -48,7 +54,10 @@
     connection.removeDecoder();
   }
 
-  /** Throws away what was sent ahead; past the bound, reading stops until the next sweep. */
+  /**
+   * Discards pipelined input; beyond the limit, reading stops until the next call of {@link
+   * ClientConnection#enforceTimeouts}.
+   */
   void discard(Object message) {
     discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
     if (discardedBytes > MAX_DISCARDED_BYTES_PER_SWEEP) {
@@ -58,10 +67,10 @@
   }
 
   /**
-   * Closes the connection if its client, of whom a whole request has come, has gone already; true
-   * if it has. Guards against a queue of requests that nobody waits for any more: after a pause, or
-   * in a crowd, they stand ahead of those that can still be answered, and make them late. It costs
-   * a look at the socket.
+   * Closes the connection if its client has already disconnected; called after a complete request.
+   * Returns true if the connection was closed. Guards against a backlog of requests whose clients
+   * no longer wait: after a pause or in a burst of connections they delay the requests that can
+   * still be served in time. Cost: one check of the socket.
    */
   boolean closeIfDisconnected() {
     Transport.ClientEnd end =
@@ -70,7 +79,9 @@
             : transport.checkClientEnd(channel);
     if (end == Transport.ClientEnd.LOST_BYTE) {
       startDiscardingPipelined();
-      end = transport.checkClientEndDiscarding(channel); // it may have sent much at once and gone
+      end =
+          transport.checkClientEndDiscarding(
+              channel); // the client may have sent more and then disconnected
     }
     if (end != Transport.ClientEnd.ENDED) {
       return false;
@@ -81,8 +92,8 @@
   }
 
   /**
-   * The same, at any time: where requests may be sent ahead, only if the look can't lose a byte of
-   * the next.
+   * Closes the connection if its client has already disconnected. Does nothing where requests may
+   * be pipelined and the check could consume a byte of the next request.
    */
   boolean closeIfDisconnectedBetweenRequests() {
     return canProbeBetweenRequests && closeIfDisconnected();
--- a/src/main/java/leadferry/http/EvictionOrder.java
+++ b/src/main/java/leadferry/http/EvictionOrder.java
@@ -1,15 +1,15 @@
 package leadferry.http;
 
-/** How readily a client's connection makes room for another one, the first of these first. */
+/** Eviction class of a client connection; the classes declared first are evicted first. */
 enum EvictionOrder {
-  /** Its last response has gone, and it only lingers. */
+  /** The last response was written, and the connection only awaits its close. */
   RESPONDED,
-  /** It has never sent a request: usual clients send one as soon as they connect. */
+  /** The client has never sent a request; regular clients send one immediately after connecting. */
   SILENT,
-  /** Nothing is open on it. */
+  /** No request is open. */
   IDLE,
-  /** Part of a request has come, and the rest is late. */
+  /** An incomplete request is overdue. */
   PARTIAL_REQUEST,
-  /** It may not make room. */
+  /** The connection must not be evicted. */
   NEVER
 }
--- a/src/main/java/leadferry/http/FilterResult.java
+++ b/src/main/java/leadferry/http/FilterResult.java
@@ -5,18 +5,18 @@
 import leadferry.loadbalancer.RequestArrival;
 
 /**
- * What a {@link RequestFilter} makes of a request's head.
+ * Result of evaluating a request head with a {@link RequestFilter}.
  *
- * @param status the status to answer with, or 0 to take the request
- * @param closesConnection whether that answer also ends the connection, whatever of the request is
- *     to come
- * @param retryAfterMillis advice that goes with the answer, or 0
- * @param target the pool that takes the request
- * @param arrival the request as it arrives there; its id is of no account
- * @param fallback what may take it up after that pool, or null
- * @param streaming whether bodies go on while they come
- * @param origin what the log tells of the request, or null
- * @param onDone run once when the request has its final answer, or is dropped before
+ * @param status status of the local response, or 0 to forward the request
+ * @param closesConnection whether the local response closes the connection without reading the
+ *     remaining input of the request
+ * @param retryAfterMillis delay that the local response advises in {@code Retry-After}, or 0
+ * @param target pool that receives the request
+ * @param arrival the request as it arrives at the pool; its id is ignored
+ * @param fallback pools to try after {@code target}, or null
+ * @param streaming whether bodies are streamed
+ * @param origin log fields of the request, or null
+ * @param onDone runs once, when the request has its final response or is dropped
  */
 public record FilterResult(
     int status,
@@ -28,31 +28,28 @@
     Streaming streaming,
     Origin origin,
     Runnable onDone) {
-  /**
-   * What a request is known by: its route, its class and the limit that refused it; each may be
-   * null.
-   */
+  /** Route and class of a request and the limit that rejected it; each may be null. */
   public record Origin(String route, String className, String limit) {}
 
   private static final Runnable NO_CALLBACK = () -> {};
 
-  /** What can't be a request: an error, and the end of the connection. */
+  /** Rejects an invalid request with an error status and closes the connection. */
   public static FilterResult reject(int status) {
     return new FilterResult(status, true, 0, null, null, null, Streaming.NEVER, null, NO_CALLBACK);
   }
 
-  /** A sound request that gets an answer of ours, after which its connection goes on. */
+  /** Sends a local response to a valid request; the connection stays open. */
   public static FilterResult respond(int status, double retryAfterMs) {
     return respond(status, retryAfterMs, null);
   }
 
-  /** The same, told in the log as of this origin. */
+  /** Sends a local response that is logged with this origin; the connection stays open. */
   public static FilterResult respond(int status, double retryAfterMs, Origin origin) {
     return new FilterResult(
         status, false, retryAfterMs, null, null, null, Streaming.NEVER, origin, NO_CALLBACK);
   }
 
-  /** A request for this pool. */
+  /** Forwards the request to a pool. */
   public static FilterResult forward(
       Dispatcher target,
       RequestArrival arrival,
--- a/src/main/java/leadferry/http/Forwarding.java
+++ b/src/main/java/leadferry/http/Forwarding.java
@@ -10,26 +10,30 @@
 import java.util.Locale;
 
 /**
- * Who called, and what hosts are told of it: {@code Forwarded} (RFC 7239), the {@code
- * X-Forwarded-*} headers, {@code X-Real-IP} and {@code Via} (RFC 9110, 7.6.3).
+ * Determines the client address of a request and sets the headers that report it to upstream hosts:
+ * {@code Forwarded} (RFC 7239), {@code X-Forwarded-*}, {@code X-Real-IP} and {@code Via} (RFC 9110,
+ * 7.6.3).
  *
- * <p>Guards limits and hosts against a caller that makes up an address: what a caller says of
- * others is believed only where it comes from a trusted network. The caller is the last address of
- * the chain that is not in one, read from the right, as each hop appends there.
+ * <p>Guards limits and upstream hosts against forged addresses: an address in these headers counts
+ * only if a trusted network sent it. The client is the last address of the chain, read from the
+ * right, that is not in a trusted network, because each hop appends its peer on the right.
  *
  * <pre>
  *   Forwarded: for=made-up, for=203.0.113.7, for=10.0.0.5     from 10.0.0.9, trusted 10.0.0.0/8
- *                                ^ the caller
+ *                                ^ the client
  * </pre>
  */
 public final class Forwarding {
-  /** What becomes of the headers. */
+  /** Handling of the forwarding headers. */
   public enum Mode {
-    /** The hop before this one is added to what a trusted one has told. */
+    /**
+     * The peer's address is appended to the headers of a trusted peer; headers of any other peer
+     * are removed first.
+     */
     APPEND,
-    /** Only the caller is told, whoever told what before. */
+    /** The headers are replaced with the client address only. */
     REPLACE,
-    /** Nothing is read, added or removed. */
+    /** The headers are neither read nor changed. */
     OFF
   }
 
@@ -54,13 +58,17 @@
   private final Mode mode;
   private final Networks trusted;
 
-  /** Tells hosts of clients in this mode; {@code trusted} are hops whose headers are believed. */
+  /**
+   * Creates a handler of the forwarding headers for this mode.
+   *
+   * @param trusted networks of proxies whose headers are trusted
+   */
   public Forwarding(Mode mode, Networks trusted) {
     this.mode = mode;
     this.trusted = trusted;
   }
 
-  /** The caller of a request that came from {@code peer}. */
+  /** Returns the client address of a request that was received from {@code peer}. */
   public InetAddress clientAddress(HttpHeaders headers, InetAddress peer) {
     if (mode == Mode.OFF || !trusted.contains(peer)) {
       return peer;
@@ -71,7 +79,7 @@
     for (int i = chain.size() - 1; i >= 0; i--) {
       InetAddress hop = parseNode(chain.get(i));
       if (hop == null) {
-        break; // hidden or unknown: what stands left of it can't be vouched for
+        break; // hidden or unknown: addresses to the left of it can't be trusted
       }
       client = hop;
       if (!trusted.contains(hop)) {
@@ -81,7 +89,7 @@
     return client;
   }
 
-  /** Writes what the host is to know into the request's headers. */
+  /** Sets the forwarding headers of a request for the upstream host. */
   public void writeHeaders(HttpHeaders headers, InetAddress peer, InetAddress client) {
     if (mode == Mode.OFF) {
       return;
@@ -120,21 +128,24 @@
   }
 
   private static List<String> listElements(HttpHeaders headers, CharSequence name) {
-    List<String> out = new ArrayList<>();
+    List<String> elements = new ArrayList<>();
     for (String line : headers.getAll(name)) {
       for (String element : line.split(",")) {
-        out.add(element.strip());
+        elements.add(element.strip());
       }
     }
-    return out;
+    return elements;
   }
 
-  /** The {@code for} of each element, an empty text where it has none (RFC 7239, 4). */
+  /**
+   * Returns the {@code for} parameter of each element, or an empty text if it has none (RFC 7239,
+   * 4).
+   */
   private static List<String> forwardedFor(HttpHeaders headers) {
-    List<String> out = new ArrayList<>();
+    List<String> nodes = new ArrayList<>();
     for (String line : headers.getAll(FORWARDED)) {
       boolean quoted = false;
-      int from = 0;
+      int pairStart = 0;
       String node = "";
       for (int i = 0; i <= line.length(); i++) {
         char character = i == line.length() ? ',' : line.charAt(i);
@@ -144,25 +155,26 @@
         if (i < line.length() && (quoted || (character != ',' && character != ';'))) {
           continue;
         }
-        String pair = line.substring(from, i).strip();
-        from = i + 1;
+        String pair = line.substring(pairStart, i).strip();
+        pairStart = i + 1;
         if (pair.toLowerCase(Locale.ROOT).startsWith("for=")) {
           node = pair.substring(4).replace("\"", "");
         }
         if (character == ',') {
-          out.add(node);
+          nodes.add(node);
           node = "";
         }
       }
     }
-    return out;
+    return nodes;
   }
 
   /**
-   * An address with a port or none, IPv6 in brackets or plain; null for any other name of a node.
+   * Parses a node identifier: an address with or without a port, IPv6 with or without brackets.
+   * Returns null for any other node name.
    */
-  private static InetAddress parseNode(String text) {
-    String address = text;
+  private static InetAddress parseNode(String identifier) {
+    String address = identifier;
     if (address.startsWith("[")) {
       int end = address.indexOf(']');
       address = end < 0 ? "" : address.substring(1, end);
--- a/src/main/java/leadferry/http/Framing.java
+++ b/src/main/java/leadferry/http/Framing.java
@@ -9,8 +9,9 @@
 import java.util.Set;
 
 /**
- * What has to hold of any request's head. Guards hosts, and the other clients that share their
- * connections, against whatever could be read in two ways (RFC 9112, request smuggling).
+ * Checks that every request head must pass. Guards upstream hosts, and other clients that share
+ * their connections, against heads that can be interpreted in two ways (RFC 9112, request
+ * smuggling).
  */
 public final class Framing {
   private static final int MAX_DIGITS = 9;
@@ -18,8 +19,10 @@
   private Framing() {}
 
   /**
-   * The status to reject the head with, or 0; {@code judged} are headers that the filter goes by,
-   * {@code old} tells whether HTTP/1.0 is spoken.
+   * Returns the status with which to reject the head, or 0 if it is valid.
+   *
+   * @param inspectedHeaders headers on which the filter bases decisions
+   * @param allowsHttp10 whether HTTP/1.0 is accepted
    */
   static int rejectionStatus(
       HttpRequest request, Set<String> inspectedHeaders, boolean allowsHttp10) {
@@ -41,7 +44,10 @@
     return 0;
   }
 
-  /** Whether there is none, or {@code chunked} alone, not in HTTP/1.0 and without a length. */
+  /**
+   * Whether the head has no {@code Transfer-Encoding}, or exactly {@code chunked} in an HTTP/1.1
+   * request without {@code Content-Length}.
+   */
   private static boolean hasValidTransferEncoding(HttpHeaders headers, boolean isHttp10) {
     if (!headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
       return true;
@@ -52,13 +58,16 @@
             String.valueOf(singleValue(headers, HttpHeaderNames.TRANSFER_ENCODING)));
   }
 
-  /** The one value of a header, or null where it has none or several. */
+  /** Returns the value of a header, or null if it is missing or occurs more than once. */
   public static String singleValue(HttpHeaders headers, CharSequence name) {
     List<String> all = headers.getAll(name);
     return all.size() == 1 ? all.get(0).trim() : null;
   }
 
-  /** A whole number that is not negative, or NaN; what does not fit is more than anyone waits. */
+  /**
+   * Parses a non-negative decimal integer; returns NaN for any other text. A number of more than 9
+   * digits is returned as {@link Double#MAX_VALUE}, which exceeds every time limit.
+   */
   public static double parseWholeNumber(String text) {
     if (text == null || text.isEmpty() || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
       return Double.NaN;
--- a/src/main/java/leadferry/http/HeadScanner.java
+++ b/src/main/java/leadferry/http/HeadScanner.java
@@ -3,15 +3,16 @@
 import io.netty.util.ByteProcessor;
 
 /**
- * Reads the bytes of a request's head beside netty's decoder and stops at the first that RFC 9112
- * does not allow: sections 3 (one space between the three parts of the request line, the exact name
- * of the protocol), 5.1 (a name is a token, the colon right behind it), 5.2 (no line continued) and
- * 2.2 (lines end with CR LF; one empty line may stand ahead), 6.3 (one {@code Content-Length}, of
- * digits: of several, netty takes the first that an HTTP/1.0 client sends).
+ * Validates the bytes of a request head before netty's decoder reads them, and stops at the first
+ * byte that RFC 9112 does not allow. It checks section 3 (single spaces between the three parts of
+ * the request line, exact protocol name), 5.1 (a field name is a token, directly followed by the
+ * colon), 5.2 (no line folding), 2.2 (lines end with CR LF; one empty line may precede the request
+ * line) and 6.3 (one {@code Content-Length}, of digits only: of several, netty uses the first one
+ * that an HTTP/1.0 client sends).
  *
- * <p>Guards hosts against a head that they and this program would read in two ways: netty's decoder
- * takes tabs, several spaces and other spellings of the protocol for the one it knows. It does harm
- * to clients that send such heads without need: they get a 400.
+ * <p>Guards upstream hosts against heads that they and the load balancer would interpret
+ * differently: netty's decoder accepts tabs, repeated spaces and other spellings of the protocol
+ * name. Drawback: clients that send such heads without harmful intent get a 400.
  *
  * <pre>
  *   START -> METHOD -> TARGET -> VERSION -> LINE_END -> NAME -> VALUE -> LINE_END ... -> HEAD_END -> done
@@ -52,7 +53,7 @@
   private int contentLengthCount;
   private boolean inContentLength;
 
-  /** Another head begins. */
+  /** Prepares for the next head. */
   void reset() {
     state = State.START;
     emptyLineSeen = false;
@@ -68,7 +69,7 @@
     return state == State.INVALID;
   }
 
-  /** Whether this text is a token (RFC 9110, 5.6.2). */
+  /** Whether the text is a token (RFC 9110, 5.6.2). */
   static boolean isToken(String text) {
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) >= 128 || !TOKEN_CHARACTERS[text.charAt(i)]) {
@@ -78,54 +79,56 @@
     return !text.isEmpty();
   }
 
-  /** Takes a byte; false once the head has ended or is faulty. */
+  /** Processes one byte; returns false once the head is complete or invalid. */
   @Override
-  public boolean process(byte b) {
+  public boolean process(byte octet) {
     state =
         switch (state) {
           case START ->
-              b == '\r' && !emptyLineSeen ? State.EMPTY_LINE : tokenState(b, State.METHOD);
+              octet == '\r' && !emptyLineSeen ? State.EMPTY_LINE : tokenState(octet, State.METHOD);
           case EMPTY_LINE -> {
             emptyLineSeen = true;
-            yield b == '\n' ? State.START : State.INVALID;
+            yield octet == '\n' ? State.START : State.INVALID;
           }
-          case METHOD -> b == ' ' ? beginPart(State.TARGET) : tokenState(b, State.METHOD);
+          case METHOD -> octet == ' ' ? beginPart(State.TARGET) : tokenState(octet, State.METHOD);
           case TARGET -> {
-            if (b == ' ' && position > 0) {
+            if (octet == ' ' && position > 0) {
               yield beginPart(State.VERSION);
             }
             position++;
-            yield b > ' ' && b < 0x7f ? State.TARGET : State.INVALID;
+            yield octet > ' ' && octet < 0x7f ? State.TARGET : State.INVALID;
           }
-          case VERSION -> versionState(b);
-          case LINE_END -> b == '\n' ? State.NAME_START : State.INVALID;
+          case VERSION -> versionState(octet);
+          case LINE_END -> octet == '\n' ? State.NAME_START : State.INVALID;
           case NAME_START -> {
             position = 0;
-            yield b == '\r' ? State.HEAD_END : nameState(b);
+            yield octet == '\r' ? State.HEAD_END : nameState(octet);
           }
-          case NAME -> b == ':' ? valueState() : nameState(b);
+          case NAME -> octet == ':' ? valueState() : nameState(octet);
           case VALUE ->
-              b == '\r'
+              octet == '\r'
                   ? State.LINE_END
-                  : inContentLength && b != ' ' && b != '\t' && (b < '0' || b > '9')
+                  : inContentLength && octet != ' ' && octet != '\t' && (octet < '0' || octet > '9')
                       ? State.INVALID
-                      : (b >= ' ' && b != 0x7f) || b == '\t' || b < 0 ? State.VALUE : State.INVALID;
-          case HEAD_END -> b == '\n' ? State.DONE : State.INVALID;
+                      : (octet >= ' ' && octet != 0x7f) || octet == '\t' || octet < 0
+                          ? State.VALUE
+                          : State.INVALID;
+          case HEAD_END -> octet == '\n' ? State.DONE : State.INVALID;
           case DONE, INVALID -> state;
         };
     return state != State.DONE && state != State.INVALID;
   }
 
   /**
-   * Another octet of a name; {@code length} counts those that fit {@link #CONTENT_LENGTH}, or is
-   * -1.
+   * Processes an octet of a field name; {@code position} counts the octets that match {@link
+   * #CONTENT_LENGTH}, or is -1 after a mismatch.
    */
   private State nameState(byte octet) {
-    boolean fits =
+    boolean matches =
         position >= 0
             && position < CONTENT_LENGTH.length()
             && (octet | 0x20) == CONTENT_LENGTH.charAt(position);
-    position = fits ? position + 1 : -1;
+    position = matches ? position + 1 : -1;
     return tokenState(octet, State.NAME);
   }
 
@@ -148,7 +151,7 @@
       return octet == '\r' ? State.LINE_END : State.INVALID;
     }
     char expected = VERSION.charAt(position++);
-    boolean fits = expected == 'd' ? octet >= '0' && octet <= '9' : octet == expected;
-    return fits ? State.VERSION : State.INVALID;
+    boolean matches = expected == 'd' ? octet >= '0' && octet <= '9' : octet == expected;
+    return matches ? State.VERSION : State.INVALID;
   }
 }
--- a/src/main/java/leadferry/http/Headers.java
+++ b/src/main/java/leadferry/http/Headers.java
@@ -9,18 +9,20 @@
 import java.util.Set;
 
 /**
- * What each header is to this program: the one table of those that it reads, sets or judges by, and
- * of those that belong to one connection only.
+ * Classification of headers: those that the load balancer reads, sets or bases decisions on, and
+ * those that are limited to one connection.
  *
- * <p>Guards rule 2 against a caller that names a header in {@code Connection} (RFC 9110, 7.6.1):
- * what is named there must not be passed on, so a request that was judged with its key would go out
- * without it, and no host could tell its repeats apart.
+ * <p>Guards the rule that no effect happens twice (rule 2) against a client that names a header in
+ * {@code Connection} (RFC 9110, 7.6.1). A header named there must not be forwarded. If it were the
+ * idempotency key, the load balancer would treat the request as repeatable but forward it without
+ * the key, and no upstream host could recognize a repeat.
  */
 public final class Headers {
   static final HttpHeaders EMPTY = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
   /**
-   * Those that frame a message, name it or bound it: no route may set or remove one. Lower case.
+   * Headers that frame a message, identify it or limit its time; no route may set or remove them.
+   * Lower case.
    */
   public static final Set<String> PROTECTED =
       Set.of(
@@ -38,7 +40,7 @@
           "keep-alive",
           "proxy-connection");
 
-  /** Those that anything here goes by; a filter may have more. Lower case. */
+  /** Headers that the load balancer bases decisions on; a filter may add more. Lower case. */
   private static final Set<String> INSPECTED =
       Set.of(
           "host",
@@ -74,14 +76,14 @@
 
   private Headers() {}
 
-  /** Whether a header, in lower case, is one that this program goes by. */
+  /** Whether the load balancer or its filter bases decisions on a header (lower case). */
   static boolean isInspected(String name, Set<String> inspectedByFilter) {
     return INSPECTED.contains(name) || inspectedByFilter.contains(name);
   }
 
   /**
-   * Whether the options of {@code Connection} are tokens and none names a header that this program
-   * goes by. {@code byFilter} holds further ones, in lower case.
+   * Whether all options of {@code Connection} are tokens and none names an inspected header. {@code
+   * inspectedByFilter} adds names in lower case.
    */
   static boolean hasValidConnectionOptions(HttpHeaders headers, Set<String> inspectedByFilter) {
     List<String> lines = headers.getAll(HttpHeaderNames.CONNECTION);
@@ -97,9 +99,7 @@
     return true;
   }
 
-  /**
-   * Whether no trailer of a request is one that this program, or what frames a message, goes by.
-   */
+  /** Whether no trailer of a request is an inspected header or a protected one. */
   static boolean hasValidTrailers(HttpHeaders trailers, Set<String> inspectedByFilter) {
     for (String name : trailers.names()) {
       String lower = name.toLowerCase(Locale.ROOT);
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** The trailers of an answer that may be passed on. */
+  /** Returns the trailers of a response that may be forwarded. */
   static HttpHeaders forwardableTrailers(HttpHeaders trailers) {
     if (trailers.isEmpty()) {
       return EMPTY;
@@ -124,10 +124,10 @@
     return forwardable;
   }
 
-  /** Removes what belongs to the connection that it came on. */
+  /** Removes headers that are limited to the connection on which they were received. */
   static void removeHopByHop(HttpHeaders headers) {
-    for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
-      for (String token : named.split(",")) {
+    for (String options : headers.getAll(HttpHeaderNames.CONNECTION)) {
+      for (String token : options.split(",")) {
         if (!token.isBlank() && !token.trim().equalsIgnoreCase("close")) {
           headers.remove(token.trim());
         }
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -15,11 +15,11 @@
 import leadferry.loadbalancer.AttemptOutcome;
 import leadferry.loadbalancer.LoadReport;
 
-/** One send of an HTTP request to a host, and how its answer is read. */
+/** Attempt to send an HTTP request to an upstream host and to read its response. */
 final class HttpAttempt extends Attempt {
   /**
-   * A response of no told length may be a long one, whose first bytes are awaited: it streams,
-   * where it may, once it has been coming for so long (ms).
+   * Time (ms) after which a response of unknown length is streamed if streaming is allowed. Such a
+   * response may be long, and the client waits for its first bytes.
    */
   private static final double STREAM_AFTER_MILLIS = 50;
 
@@ -36,8 +36,9 @@
   private double receivedAtMillis;
   private boolean serverError;
 
-  HttpAttempt(HttpCall call, Exchange exchange, UpstreamHost host, int number, double now) {
-    super(exchange, host, number, now);
+  HttpAttempt(
+      HttpCall call, Exchange exchange, UpstreamHost upstreamHost, int number, double nowMillis) {
+    super(exchange, upstreamHost, number, nowMillis);
     this.call = call;
   }
 
@@ -54,12 +55,13 @@
     if (call.upload() == null) {
       return written;
     }
-    // Its bytes follow; the first of them makes it one that may have run, so its head does.
+    // The body follows the head. The attempt may have run from the first byte of the body on,
+    // therefore the write of the head counts as the write of the request.
     call.upload().attach(this);
     return written;
   }
 
-  /** Part of a body that goes on while it comes; the bytes are this attempt's now. */
+  /** Writes part of a streamed request body; takes ownership of the bytes. */
   void writeUploadContent(ByteBuf bytes) {
     if (isOver() || connection() == null) {
       bytes.release();
@@ -68,7 +70,7 @@
     }
   }
 
-  /** The end of that body, with its trailers. */
+  /** Writes the end of a streamed request body with its trailers. */
   void writeUploadEnd(HttpHeaders trailers) {
     if (!isOver() && connection() != null) {
       connection()
@@ -82,24 +84,24 @@
     }
   }
 
-  /** Whether the host's socket takes more of the body. */
+  /** Whether the upstream socket is writable. */
   boolean isUpstreamWritable() {
     return connection() != null && connection().channel().isWritable();
   }
 
-  /** The host's socket takes more, or no more for now. */
+  /** Called when the upstream socket becomes writable or stops being writable. */
   void onUpstreamWritabilityChanged() {
     if (call.upload() != null) {
       call.upload().updateFlowControl();
     }
   }
 
-  /** Whether all of the request has gone out, so that its connection may carry another. */
+  /** Whether the request was written completely, so that its connection can be reused. */
   boolean isRequestFullySent() {
     return call.upload() == null ? isFullyWritten() : uploadComplete;
   }
 
-  /** The client takes more of an answer that streams. */
+  /** Resumes reading a streamed response when the client's socket is writable again. */
   void onClientWritable() {
     if (!isOver() && connection() != null) {
       connection().channel().config().setAutoRead(true);
@@ -111,7 +113,7 @@
     return report;
   }
 
-  /** The head of the final response. */
+  /** Handles the head of the final response. */
   void onResponseHead(HttpResponse response) {
     report = LoadReportHeaders.parse(response.headers().get(LoadReportHeaders.HEADER));
     int status = response.status().code();
@@ -122,8 +124,10 @@
     boolean notProcessed =
         (status == 503 || status == 504) && "1".equals(response.headers().get("X-Not-Processed"));
     if (status >= 500 && !notProcessed && shouldForwardError(response)) {
-      serverError =
-          true; // its body may be what the client gets; the module hears of it with its end
+      // The body may be forwarded to the client. The load balancer records the outcome at the end
+      // of
+      // the response.
+      serverError = true;
       head = response;
       lengthBytes = HttpUtil.getContentLength(response, -1L);
       return;
@@ -138,7 +142,8 @@
 
   private void acceptResponse(HttpResponse response) {
     if (!isFullyWritten()) {
-      finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
+      // No upstream host can serve a request that was not sent.
+      finish(AttemptOutcome.CONNECT_FAILED);
     } else if (!upstreamConnection().isDelimited(response)) {
       onConnectionBroken();
     } else {
@@ -146,7 +151,9 @@
     }
   }
 
-  /** Whether a server's error may be passed on to the client, with its body. */
+  /**
+   * Whether an error response of the upstream host, with its body, can be forwarded to the client.
+   */
   private boolean shouldForwardError(HttpResponse response) {
     return upstreamConnection().protocol.forwardsServerErrors()
         && isFullyWritten()
@@ -156,8 +163,8 @@
   }
 
   /**
-   * A host found fault with the request itself. Guards against a client's mistake that counts
-   * against the host, or is carried on to the next one: the response is the client's.
+   * Forwards the status of a client error (4xx). Guards against counting a client's mistake against
+   * the upstream host, or repeating it on the next one.
    */
   private void forwardClientError(int status) {
     if (exchange.claim()) {
@@ -173,24 +180,26 @@
     return isFullyWritten() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
   }
 
-  /** An answer that is served: passed on while it comes, or kept until it is whole. */
+  /**
+   * Receives the body of a response that is served: it is streamed, or held until it is complete.
+   */
   private void receiveBody(HttpResponse response) {
     head = response;
     headAtMillis = dispatcher().now();
     lengthBytes = HttpUtil.getContentLength(response, -1L);
     if (lengthBytes > upstreamConnection().protocol.maxStreamedResponseBytes()) {
-      onConnectionBroken(); // no answer is so long
+      onConnectionBroken(); // exceeds the maximum length
     } else if (!upstreamConnection().hasNoBody(response)
         && call.shouldStream(lengthBytes, upstreamConnection().protocol.maxHeldResponseBytes())) {
       startStreaming();
     } else if (lengthBytes > upstreamConnection().protocol.maxHeldResponseBytes()) {
-      onConnectionBroken(); // no answer is so long
+      onConnectionBroken(); // exceeds the maximum length
     }
   }
 
   /**
-   * The answer goes on while it comes, beginning with what is held of it; false if there is
-   * another.
+   * Starts to stream the response, beginning with the part that is held; returns false if another
+   * attempt supplies the response.
    */
   private boolean startStreaming() {
     if (!claimResponse()) {
@@ -215,7 +224,7 @@
     }
   }
 
-  /** Part of the response's body. */
+  /** Handles part of the response body. */
   void onResponseContent(HttpContent part) {
     int partBytes = part.content().readableBytes();
     if (partBytes == 0) {
@@ -224,7 +233,7 @@
     receivedAtMillis = dispatcher().now();
     if (streaming) {
       if (streamedBytes + partBytes > upstreamConnection().protocol.maxStreamedResponseBytes()) {
-        onConnectionBroken(); // it would never end
+        onConnectionBroken(); // exceeds the maximum length
       } else {
         writeToClient(part.content().retain());
       }
@@ -235,7 +244,7 @@
     }
   }
 
-  /** Whether a response of no told length has been coming for long enough to be passed on. */
+  /** Whether a response of unknown length has been arriving for long enough to be streamed. */
   private boolean shouldStreamByTime() {
     return !serverError
         && lengthBytes < 0
@@ -255,7 +264,7 @@
     }
     if (body.size() + partBytes > upstreamConnection().protocol.maxHeldResponseBytes()) {
       if (serverError || !call.shouldStreamOverflow()) {
-        onConnectionBroken(); // no response is so long: this one would never end
+        onConnectionBroken(); // exceeds the maximum length
       } else {
         startStreamingWith(part);
       }
@@ -268,16 +277,16 @@
     }
   }
 
-  /** Memory is free again. */
+  /** Resumes reading when memory for bodies is free. */
   private void resumeReading() {
     if (!isOver() && connection() != null) {
       connection().channel().config().setAutoRead(true);
     }
   }
 
-  /** The answer is whole. */
+  /** Handles the end of the response. */
   void onResponseEnd(HttpHeaders trailers) {
-    Body whole = body;
+    Body completeBody = body;
     body = null;
     if (streaming) {
       streaming = false;
@@ -286,14 +295,14 @@
       return;
     }
     if (serverError) {
-      call.keepErrorResponse(head, whole, trailers);
+      call.keepErrorResponse(head, completeBody, trailers);
       finish(AttemptOutcome.ERROR);
       return;
     }
     if (exchange.claim()) {
-      call.sendResponse(head, whole, trailers);
-    } else if (whole != null) {
-      whole.release();
+      call.sendResponse(head, completeBody, trailers);
+    } else if (completeBody != null) {
+      completeBody.release();
     }
     finish(AttemptOutcome.OK);
   }
@@ -304,9 +313,11 @@
   }
 
   /**
-   * A long answer is timed to its first byte alone. Guards against one of no told length that never
-   * ends: it is none of the long ones yet, its client waits, and to pass it on was the only answer
-   * that the request gets.
+   * Whether the streamed response may continue past the deadline of the request: a long response
+   * has to meet the deadline only with its first byte. Any other response may continue while the
+   * client is not reading or while the last pause is shorter than {@link #STREAM_STALL_MILLIS}.
+   * Guards against a response of unknown length that never ends: it is not known to be long, its
+   * client waits for it, and no other response is possible once its stream has begun.
    */
   @Override
   protected boolean canOutliveDeadline() {
@@ -316,7 +327,10 @@
         || dispatcher().now() - receivedAtMillis < STREAM_STALL_MILLIS;
   }
 
-  /** A spoilt answer: a failed attempt that may have run, and whose report is as good as it is. */
+  /**
+   * Ends the attempt after a malformed or incomplete response. The attempt may have run, and the
+   * load report of such a response is discarded.
+   */
   @Override
   protected void onConnectionBroken() {
     report = null;
@@ -331,7 +345,7 @@
     }
     if (streaming) {
       streaming = false;
-      call.abortStream(); // its client sees that the answer is not whole
+      call.abortStream(); // the client detects the incomplete response
     }
     if (body != null) {
       body.release();
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -25,7 +25,7 @@
 import leadferry.engine.Exchange;
 import leadferry.engine.UpstreamHost;
 
-/** An HTTP request, kept until its last attempt is over. */
+/** HTTP request of a client; kept until its last attempt is over. */
 final class HttpCall implements ClientCall {
   private static final AsciiString TIMEOUT_HEADER = AsciiString.cached("X-Timeout-Ms");
 
@@ -44,9 +44,13 @@
   private HttpHeaders errorTrailers;
 
   /**
-   * A request whose body has come whole, or comes as {@code upload}; {@code streaming} tells
-   * whether its answer may go on while it comes, {@code announcedMillis} (ms) what hosts are told
-   * of its time, 0 for what is left.
+   * Creates a call with a complete body, or with a body that is streamed as {@code upload}.
+   *
+   * @param body complete body, or null
+   * @param upload streamed body, or null
+   * @param streaming whether the response may be streamed
+   * @param announcedMillis time (ms) that upstream hosts are given in {@code X-Timeout-Ms} while
+   *     the body is still arriving; 0 for the remaining time
    */
   HttpCall(
       ResponseWriter client,
@@ -64,7 +68,7 @@
     this.streaming = streaming;
     this.announcedMillis = announcedMillis;
     HttpHeaders headers = head.headers();
-    boolean takesTrailers =
+    boolean acceptsTrailers =
         headers.containsValue(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS, true);
     this.chunked =
         upload != null ? !headers.contains(HttpHeaderNames.CONTENT_LENGTH) : !trailers.isEmpty();
@@ -75,8 +79,9 @@
     } else if (body != null) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, body.size());
     }
-    if (takesTrailers) {
-      // Ours to this host: trailers are passed on.
+    if (acceptsTrailers) {
+      // TE is hop-by-hop. It is set again for the connection to the upstream host, because trailers
+      // are forwarded.
       headers.set(HttpHeaderNames.TE, HttpHeaderValues.TRAILERS);
       headers.set(HttpHeaderNames.CONNECTION, HttpHeaderNames.TE);
     }
@@ -84,8 +89,8 @@
   }
 
   @Override
-  public void onExchangeStarted(Exchange by) {
-    exchange = by;
+  public void onExchangeStarted(Exchange newExchange) {
+    exchange = newExchange;
   }
 
   Exchange exchange() {
@@ -102,9 +107,10 @@
   }
 
   @Override
-  public Attempt createAttempt(Exchange by, UpstreamHost host, int number, double now) {
-    freeErrorResponse(); // only an error that ends the request is passed on
-    return new HttpAttempt(this, by, host, number, now);
+  public Attempt createAttempt(
+      Exchange attemptExchange, UpstreamHost upstreamHost, int number, double nowMillis) {
+    freeErrorResponse(); // only an error that ends the request is forwarded
+    return new HttpAttempt(this, attemptExchange, upstreamHost, number, nowMillis);
   }
 
   @Override
@@ -131,20 +137,20 @@
     return upload;
   }
 
-  /** The body has come whole. */
+  /** Starts the announced time budget when the body is complete. */
   void onUploadComplete() {
     if (announcedMillis > 0) {
       exchange.restartDeadline(announcedMillis);
     }
   }
 
-  ChannelFuture writeTo(Channel channel, long remainingMs) {
+  ChannelFuture writeTo(Channel channel, long remainingMillis) {
     HttpHeaders headers = head.headers();
     headers.set(
         TIMEOUT_HEADER,
         announcedMillis > 0 && isIncomplete()
             ? (long) announcedMillis
-            : remainingMs); // a host counts from the last byte
+            : remainingMillis); // an upstream host counts from the last byte
     if (upload != null) {
       return channel.writeAndFlush(
           new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
@@ -177,22 +183,23 @@
     return channel.writeAndFlush(lastContent(trailers));
   }
 
-  /** The end of a chunked body, with its trailers. */
+  /** Returns the last chunk of a body with its trailers. */
   static LastHttpContent lastContent(HttpHeaders trailers) {
     return trailers.isEmpty()
         ? LastHttpContent.EMPTY_LAST_CONTENT
         : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
   }
 
-  void sendResponse(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
-    client.send(response, response.status(), whole, Headers.forwardableTrailers(responseTrailers));
+  void sendResponse(HttpResponse response, Body responseBody, HttpHeaders responseTrailers) {
+    client.send(
+        response, response.status(), responseBody, Headers.forwardableTrailers(responseTrailers));
   }
 
-  // --- an answer that streams
+  // --- streamed response
 
   /**
-   * Whether an answer goes on while it comes whose length is this (-1 for not told), and of which
-   * more than {@code maxHeldBytes} can't be held.
+   * Whether a response of this length (-1 if unknown) is streamed, given that more than {@code
+   * maxHeldBytes} can't be held in memory.
    */
   boolean shouldStream(long lengthBytes, int maxHeldBytes) {
     return client.canStream(lengthBytes)
@@ -200,7 +207,7 @@
             || (streaming == Streaming.LARGE && lengthBytes > maxHeldBytes));
   }
 
-  /** Whether an answer of no told length goes on while it comes once it is too long to be held. */
+  /** Whether a response of unknown length is streamed once it is too long to be held in memory. */
   boolean shouldStreamOverflow() {
     return streaming == Streaming.LARGE && client.canStream(-1);
   }
@@ -224,18 +231,18 @@
     client.abortStream();
   }
 
-  /** The client takes more of the answer. */
+  /** Resumes the streamed response when the client's socket is writable again. */
   void onClientWritable() {
     if (streamingAttempt != null) {
       streamingAttempt.onClientWritable();
     }
   }
 
-  // --- an error of a host's that may end the request
+  // --- error response of an upstream host that may end the request
 
-  void keepErrorResponse(HttpResponse response, Body whole, HttpHeaders responseTrailers) {
+  void keepErrorResponse(HttpResponse response, Body responseBody, HttpHeaders responseTrailers) {
     errorResponse = response;
-    errorBody = whole;
+    errorBody = responseBody;
     errorTrailers = responseTrailers;
   }
 
@@ -248,19 +255,20 @@
   }
 
   /**
-   * Passes the error on. Guards rule 2 against a host's own 503: to a client it says that sending
-   * again is harmless, which holds only where the class may be repeated or nothing has run.
+   * Forwards the error response. Guards the rule that no effect happens twice (rule 2) against a
+   * 503 of an upstream host: to a client a 503 says that a retry is harmless, which holds only if
+   * the class may be repeated or nothing has run. Otherwise the 503 becomes a 502.
    */
-  private void forwardErrorResponse(boolean refused) {
+  private void forwardErrorResponse(boolean isRefused) {
     HttpResponse response = errorResponse;
-    Body whole = errorBody;
+    Body responseBody = errorBody;
     errorResponse = null;
     errorBody = null;
     HttpResponseStatus status =
-        response.status().code() == 503 && !refused
+        response.status().code() == 503 && !isRefused
             ? HttpResponseStatus.BAD_GATEWAY
             : response.status();
-    client.sendError(response, status, whole, Headers.forwardableTrailers(errorTrailers));
+    client.sendError(response, status, responseBody, Headers.forwardableTrailers(errorTrailers));
   }
 
   void sendLocalResponse(int status) {
@@ -268,20 +276,21 @@
   }
 
   @Override
-  public void sendRejection(double coolDownMs) {
+  public void sendRejection(double coolDownMillis) {
     if (errorResponse != null) {
-      forwardErrorResponse(true); // its attempts are used up, and the last of them says why
+      // The attempts are used up, and the last response gives the reason.
+      forwardErrorResponse(true);
     } else {
-      client.send(503, coolDownMs);
+      client.send(503, coolDownMillis);
     }
   }
 
   @Override
-  public void sendFailure(boolean timeUp) {
-    if (errorResponse != null && !timeUp) {
+  public void sendFailure(boolean timedOut) {
+    if (errorResponse != null && !timedOut) {
       forwardErrorResponse(false);
     } else {
-      client.send(timeUp ? 504 : 502, 0);
+      client.send(timedOut ? 504 : 502, 0);
     }
   }
 
--- a/src/main/java/leadferry/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -9,18 +9,19 @@
 import leadferry.engine.UpstreamProtocol;
 
 /**
- * HTTP/1.1 to the hosts of a pool.
+ * HTTP/1.1 as spoken to the upstream hosts of a pool.
  *
- * @param maxHeldResponseBytes bytes of an answer's body that are held; where a longer one does not
- *     stream, it is spoilt
- * @param maxStreamedResponseBytes bytes of the body of an answer that streams; a longer one never
- *     ends
- * @param allowsCloseDelimited whether an answer may end with its connection, where its head
- *     announces the close: a process that dies resets its connections, so that an end in order
- *     tells a whole answer
- * @param forwardsAllBelow500 whether any answer below 500 is served as it is; else only a 200 is,
- *     and a host's 4xx is told to the client without its body
- * @param forwardsServerErrors whether a host's 5xx that ends its request is served as it is
+ * @param maxHeldResponseBytes bytes of a response body that are held in memory; a longer response
+ *     that can't be streamed counts as broken
+ * @param maxStreamedResponseBytes maximum size in bytes of a streamed response body; a longer one
+ *     is treated as endless
+ * @param allowsCloseDelimited whether the close of the connection may delimit a response whose head
+ *     announces it. A crashed process resets its connections, so an orderly end proves that the
+ *     response is complete.
+ * @param forwardsAllBelow500 whether every response with a status below 500 is forwarded unchanged.
+ *     Otherwise only a 200 is, and of a 4xx only the status reaches the client, without the body.
+ * @param forwardsServerErrors whether a 5xx of an upstream host that ends its request is forwarded
+ *     unchanged
  */
 public record HttpProtocol(
     int maxHeldResponseBytes,
@@ -29,7 +30,7 @@
     boolean forwardsAllBelow500,
     boolean forwardsServerErrors)
     implements UpstreamProtocol {
-  /** Hosts as the platform's protocol has them. */
+  /** Protocol settings for the platform's upstream hosts. */
   public static final HttpProtocol PLATFORM =
       new HttpProtocol(64 * 1024, HttpServerSettings.MAX_PLATFORM_BODY_BYTES, true, false, false);
 
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -20,18 +20,22 @@
 import leadferry.engine.Transport;
 import leadferry.engine.UpstreamConnectionPool;
 
-/** The side that faces the application: listens, and knows all of its connections. */
+/** Accepts client connections on one event loop and owns all of them. */
 public final class HttpServer {
-  /** Connections taken in one go; more might pass the limit before it is looked at. */
+  /**
+   * Connections accepted in one read of the listener. A larger number could exceed the client limit
+   * before {@link #ensureClientCapacity} checks it.
+   */
   private static final int ACCEPTS_PER_READ = 4;
 
   /**
-   * Connections looked at for one accept where another listens. Guards against a crowd of thousands
-   * whose every connect costs a look at all of them, until nobody reads that they have gone.
+   * Connections examined per accepted connection when another component owns the listening socket.
+   * Guards against a burst of thousands of connections: examining all of them for each accepted one
+   * would keep the loop from reading that their clients have disconnected.
    */
   private static final int MAX_EVICTION_CANDIDATES = 32;
 
-  /** How long (ms) the listener rests where nothing can make room yet. */
+  /** Pause (ms) of the listener while no connection can be evicted. */
   private static final long ACCEPT_PAUSE_MILLIS = 20;
 
   private final Transport transport;
@@ -49,7 +53,10 @@
   private long memoryRejections;
   private long socketRejections;
 
-  /** A server of one loop; it listens itself, or is given what another has accepted. */
+  /**
+   * Creates a server for one event loop. It listens by itself after {@link #listen}; otherwise
+   * another component passes accepted connections to {@link #onAccepted}.
+   */
   public HttpServer(
       HttpServerSettings settings,
       RequestFilter filter,
@@ -66,7 +73,12 @@
     sockets.setClientCloser(this::evictForUpstream);
   }
 
-  /** Listens, beside other processes that do; throws what the bind throws. */
+  /**
+   * Binds the listening socket with {@code SO_REUSEPORT}, so that other processes can listen on the
+   * same address.
+   *
+   * @throws Exception the failure of the bind
+   */
   public void listen(EventLoopGroup loop, InetSocketAddress address) throws Exception {
     AcceptBackoffHandler backoff = new AcceptBackoffHandler(log::line, this::onAcceptResumed);
     listener =
@@ -87,19 +99,23 @@
                 .channel();
   }
 
-  /** The listening socket, or null if connections are given to this server. */
+  /** Returns the listening socket, or null if accepted connections are passed to this server. */
   public Channel listener() {
     return listener;
   }
 
-  /** Another process listens in this one's place: closes the socket once its backlog is empty. */
+  /**
+   * Accepts the connections in the backlog and closes the listening socket. Used when another
+   * process listens on the same address.
+   */
   public void stopListening() {
     listener.acceptBacklogAndClose();
   }
 
   /**
-   * Sends clients away, or no longer: every answer asks to leave, and a connection goes once
-   * nothing has come on it for a while.
+   * Starts or stops shedding clients. While it is enabled, every response carries {@code
+   * Connection: close}, and a connection without traffic is closed after a delay (see {@link
+   * ConnectionTimeouts}).
    */
   public void setClientShedding(boolean enabled) {
     draining = enabled;
@@ -107,23 +123,27 @@
   }
 
   /**
-   * Guards against clients that ask once and stay, where each of their requests comes on a new
-   * connection.
+   * Whether the process is close to its limit of client sockets. Guards against clients that open a
+   * new connection for each request and keep the old one open: responses close their connections
+   * while this is true.
    */
   boolean isCrowded() {
     return sockets.isNearClientLimit();
   }
 
-  /** Since when (ns) clients are sent away, 0 if they are not. */
+  /**
+   * Returns the {@link System#nanoTime} at which shedding of clients began, or 0 if it is disabled.
+   */
   long sheddingSinceNanos() {
     return sheddingSinceNanos;
   }
 
-  /** Takes a connection that has been accepted; called on its loop. */
+  /** Adds an accepted connection; called on its event loop. */
   public void onAccepted(SocketChannel channel) {
     RequestDecoder decoder = new RequestDecoder();
     sockets.onClientOpened();
-    // Not with the handlers: they never hear of a connection that was reset before its turn.
+    // The close future is used because handlers are not notified of a connection that is reset
+    // before its channel becomes active.
     channel.closeFuture().addListener(f -> sockets.onClientClosed());
     ClientConnection connection =
         new ClientConnection(this, channel, decoder, earliestAcceptNanos());
@@ -131,24 +151,27 @@
     if (listener != null) {
       ensureClientCapacity();
     } else if (!sockets.hasRoomForClient() && !connections.evictOne(MAX_EVICTION_CANDIDATES)) {
-      // Another accepts for many: what can make no room of its own is the newcomer.
+      // Another component accepts for several servers. A new connection for which this server can
+      // evict no other is closed.
       channel.close();
     }
   }
 
   /**
-   * The earliest (ns) at which the connection that is accepted now can have been let in, where this
-   * server listens itself.
+   * Returns the earliest {@link System#nanoTime} at which the kernel can have completed the
+   * handshake of the connection that is accepted now. Without a listening socket of its own, the
+   * server uses the read horizon.
    */
   private long earliestAcceptNanos() {
     return listener == null ? readUntilNanos() : listener.earliestAcceptNanos();
   }
 
   /**
-   * Sees to it that one more client can be accepted. Guards usual clients against crowds: whoever
-   * says nothing, or has been answered, makes room, and where nobody can, the rest waits in the
-   * backlog for a moment. It also catches clients that leave connections behind. It does harm where
-   * a usual client connects long before it speaks, and only in a crowd.
+   * Evicts connections until one more client can be accepted, and pauses the listener if none can
+   * be evicted; further clients wait in the backlog. Guards regular clients against bursts of
+   * connections: silent connections and those with a finished response are evicted first. This also
+   * closes connections that clients leave open unused. Drawback: while sockets are scarce, a
+   * regular client that connects long before its first request is disconnected.
    */
   private void ensureClientCapacity() {
     while (!sockets.hasRoomForClient()) {
@@ -168,12 +191,18 @@
     }
   }
 
-  /** An upstream connection needs the place of a client that can be spared; false if none can. */
+  /**
+   * Evicts a client connection to free a socket for an upstream connection; returns false if none
+   * can be evicted.
+   */
   private boolean evictForUpstream() {
     return connections.evictOne(listener == null ? MAX_EVICTION_CANDIDATES : Integer.MAX_VALUE);
   }
 
-  /** The listener had to wait for the system; it may accept before it is known here. */
+  /**
+   * Called when the listener accepts again after a failed accept. The new connection may be
+   * accepted before this server counts it.
+   */
   private void onAcceptResumed() {
     if (listener != null) {
       ensureClientCapacity();
@@ -188,9 +217,9 @@
   }
 
   /**
-   * Until when (ns) all that clients have sent has been read. Guards against the end of one whose
-   * request stands in the kernel while the loop is behind: it looks silent for as long as nobody
-   * reads.
+   * Returns the {@link System#nanoTime} up to which the loop has read all input of clients. Guards
+   * against closing a client whose request is in the kernel's buffer while the loop is late:
+   * without this bound the client looks silent.
    */
   static long readUntilNanos() {
     return System.nanoTime() - ReadLagTracker.lagNanos();
@@ -200,22 +229,25 @@
     return connections;
   }
 
-  /** A request has been given to the engine. */
+  /** Counts a request that was passed to the engine. */
   void onCallStarted() {
     openCalls++;
   }
 
-  /** Such a request has its answer, or its client has gone. */
+  /**
+   * Counts the end of a request that was passed to the engine: it has its response, or its client
+   * has disconnected.
+   */
   void onCallEnded() {
     openCalls--;
   }
 
-  /** Whether there is a connection to a host to be had for one more. */
+  /** Whether the socket limit leaves an upstream connection for one more request. */
   boolean hasUpstreamCapacity() {
     return sockets.hasRoomForRequest(openCalls);
   }
 
-  /** Takes the id of a request; false if a request that is open has it. */
+  /** Claims a request id; returns false if an open request already has it. */
   boolean claimRequestId(String id) {
     return openRequestIds.add(id);
   }
@@ -224,29 +256,33 @@
     openRequestIds.remove(id);
   }
 
-  /** The client proxy goes: answers tell clients to move off, and idle connections are closed. */
+  /**
+   * Starts the drain of this process: responses carry {@code Connection: close}, and idle
+   * connections are closed.
+   */
   public void drain() {
     draining = true;
     connections.closeIdleForDrain();
   }
 
   /**
-   * Nobody new is expected, and nobody may stay: closes what carries nothing and had time to speak.
-   * A request that crosses that close comes again, on a new connection. True if any was closed.
+   * Closes connections that carry no request and whose clients had time to send one; used when no
+   * new client is expected. A client whose request crosses the close sends it again on a new
+   * connection. Returns true if any connection was closed.
    */
   public boolean closeIdleConnections() {
     return connections.closeIdle();
   }
 
   /**
-   * No more time: each request that is open is answered as failed, and what has not come whole is
-   * turned away.
+   * Ends all requests at the end of the grace period: each open request gets an error response, and
+   * an incomplete request is rejected.
    */
   public void terminateConnections() {
     connections.terminateAll();
   }
 
-  /** Whether responses ask their clients to leave. */
+  /** Whether responses carry {@code Connection: close}. */
   public boolean isDraining() {
     return draining;
   }
@@ -256,12 +292,12 @@
     return connections.isEmpty();
   }
 
-  /** Whether anything that was taken, or is being taken, has no answer yet. */
+  /** Whether any request that was received, completely or in part, has no response yet. */
   public boolean hasPendingRequests() {
     return connections.hasPendingRequests();
   }
 
-  /** Ends what takes too long; to be called a few times a second. */
+  /** Enforces the time limits of all connections; must be called several times a second. */
   public void enforceTimeouts() {
     connections.enforceTimeouts();
   }
@@ -271,14 +307,15 @@
   }
 
   void recordMemoryRejection() {
-    log.line("out of memory for bodies: " + ++memoryRejections + " requests refused unsent");
+    log.line(
+        "request rejected unsent: out of memory for bodies (total: " + ++memoryRejections + ")");
   }
 
   void recordSocketRejection() {
-    log.line("out of sockets: " + ++socketRejections + " requests refused unsent");
+    log.line("request rejected unsent: out of sockets (total: " + ++socketRejections + ")");
   }
 
-  /** The bounds of its connections. */
+  /** Returns the limits of this server's connections. */
   public HttpServerSettings settings() {
     return settings;
   }
@@ -288,7 +325,8 @@
   }
 
   /**
-   * From the next head on, this filter judges; requests that were taken before go on under theirs.
+   * Replaces the filter for all following requests. Requests that were received before keep the
+   * result of their filter.
    */
   public void setFilter(RequestFilter newFilter) {
     filter = newFilter;
--- a/src/main/java/leadferry/http/HttpServerSettings.java
+++ b/src/main/java/leadferry/http/HttpServerSettings.java
@@ -1,23 +1,27 @@
 package leadferry.http;
 
 /**
- * Bounds of one listener.
+ * Limits of one listener.
  *
- * @param maxHeldBodyBytes bytes of a request's body that are held; a longer one streams or is
- *     turned away
- * @param maxStreamedBodyBytes bytes of the body of a request that streams
- * @param receiveTimeoutMillis how long a request may take to come, from its connection's opening
- *     where it is the first; guards against clients that say nothing, or never end what they say
- * @param minBodyBytesPerSecond bytes a second at which a body that is held must come at least,
- *     besides {@code slowMs}; 0 gives a body no time of its own
- * @param minIdleMillis how long a connection on which nothing is open is kept at least
- * @param maxIdleMillis and at most
- * @param maxOpenRequests requests that may be open in a pool at once
- * @param maxPipelinedRequests requests of a connection that are held at once, the one at hand among
- *     them; with 1 a client that sends ahead of an answer is turned away
- * @param requiresUniqueIds whether an {@code X-Request-ID} may be open only once
- * @param daemon whether it is the daemon's: {@code Retry-After} is told in whole seconds (RFC 9110,
- *     10.2.3), HTTP/1.0 is spoken, and what is turned away has a line in the log
+ * @param maxHeldBodyBytes bytes of a request body that are held in memory; a longer body is
+ *     streamed or rejected
+ * @param maxStreamedBodyBytes maximum size in bytes of a streamed request body
+ * @param receiveTimeoutMillis time in which a request must arrive, counted from the opening of the
+ *     connection for its first request; guards against clients that send nothing or never complete
+ *     a request
+ * @param minBodyBytesPerSecond minimum rate of a held body; the body's size at this rate is added
+ *     to {@code receiveTimeoutMillis}; 0 adds nothing
+ * @param minIdleMillis minimum time for which an idle connection is kept
+ * @param maxIdleMillis maximum time for which an idle connection is kept
+ * @param maxOpenRequests maximum number of open requests per pool
+ * @param maxPipelinedRequests requests of one connection that are held at the same time, including
+ *     the current one; with 1 the connection of a client that pipelines requests is closed after
+ *     the current response, or the request is rejected
+ * @param requiresUniqueIds whether each {@code X-Request-ID} may have only one open request
+ * @param daemon whether the listener belongs to the daemon: {@code Retry-After} is in whole seconds
+ *     (RFC 9110, 10.2.3), HTTP/1.0 is accepted, no connection is checked for a disconnect between
+ *     requests if the check could consume input, and no idle connection is closed while clients are
+ *     shed
  */
 public record HttpServerSettings(
     int maxHeldBodyBytes,
@@ -31,13 +35,16 @@
     boolean requiresUniqueIds,
     boolean daemon) {
 
-  /** The longest body of the platform's, with what its framing may add: 32 MB and 1%. */
+  /** Maximum body size in the platform's protocol: 32 MB, plus 1% for framing. */
   static final long MAX_PLATFORM_BODY_BYTES = 34_000_000;
 
-  /** A body comes at 64 kB a second at least; half of that is waited for. */
+  /**
+   * Minimum body rate of the platform's clients. Clients send at least 64 kB/s; the server accepts
+   * half of that.
+   */
   private static final int MIN_PLATFORM_BODY_BYTES_PER_SECOND = 32_000;
 
-  /** Those of the platform's clients. */
+  /** Returns the limits for the platform's clients. */
   public static HttpServerSettings forPlatform(int maxOpen) {
     return new HttpServerSettings(
         64 * 1024,
--- a/src/main/java/leadferry/http/HttpUpstreamConnection.java
+++ b/src/main/java/leadferry/http/HttpUpstreamConnection.java
@@ -19,9 +19,9 @@
 import leadferry.engine.UpstreamConnectionPool;
 import leadferry.engine.UpstreamHost;
 
-/** A connection that speaks HTTP/1.1 to a host. */
+/** HTTP/1.1 connection to an upstream host. */
 final class HttpUpstreamConnection extends UpstreamConnection {
-  /** Tells of bytes that came behind the end of an answer. */
+  /** Response decoder that detects bytes behind the end of a response. */
   static final class Decoder extends HttpResponseDecoder {
     private boolean expectsNoBody;
 
@@ -33,16 +33,22 @@
       return actualReadableBytes() > 0;
     }
 
-    /** Guards against heads that can't be read: netty ends a name at white space, colon or none. */
+    /**
+     * Rejects a header line without a name or colon. Guards against malformed heads: netty ends a
+     * name at white space, even without a colon.
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
       if (length == 0 || line[start + length] != ':') {
-        throw new IllegalArgumentException("a header line without name and colon");
+        throw new IllegalArgumentException("header line: missing name or colon");
       }
       return super.splitHeaderName(line, start, length);
     }
 
-    /** The answer to a HEAD has no body, whatever length it tells (RFC 9112, 6.3). */
+    /**
+     * Whether the response has no body: the response to a HEAD request has none, whatever length
+     * its head announces (RFC 9112, 6.3).
+     */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
       return super.isContentAlwaysEmpty(message) || expectsNoBody;
@@ -50,7 +56,8 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-      // Guards against an answer of two lengths: netty would drop one, and it may be the true one.
+      // Guards against a response with two lengths: netty would drop one of them, and it may be the
+      // correct one.
       throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
     }
   }
@@ -60,12 +67,16 @@
     INTERIM,
     BODY,
     /**
-     * The attempt is over, the rest of its answer is thrown away so that the connection can stay.
+     * The attempt is over; the remaining response is discarded so that the connection can be
+     * reused.
      */
     DISCARDING
   }
 
-  /** What of an unwanted answer is read before the connection is given up instead. */
+  /**
+   * Maximum number of bytes of a response that are discarded before the connection is closed
+   * instead.
+   */
   private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
   private final Decoder decoder;
@@ -94,35 +105,41 @@
     decoder.expectsNoBody = false;
   }
 
-  /** The present request is a HEAD. */
+  /** Marks the current request as a HEAD, whose response has no body. */
   void expectNoBody() {
     decoder.expectsNoBody = true;
   }
 
-  /** The present answer ends with the connection, if that ends in order. */
+  /** Marks the current response as delimited by an orderly close of the connection. */
   private void markCloseDelimited() {
     closeDelimited = true;
   }
 
-  /** Whether this response to the present request has no body, whatever its head says. */
+  /** Whether this response has no body, whatever its head announces. */
   boolean hasNoBody(HttpResponse response) {
     int status = response.status().code();
     return decoder.expectsNoBody || status == 204 || status == 304;
   }
 
-  /** Whether the end of the response can be told from its connection's. */
+  /**
+   * Whether the end of the response can be determined: from its head, or from the close of the
+   * connection if the protocol allows that.
+   */
   boolean isDelimited(HttpResponse response) {
     HttpHeaders headers = response.headers();
     if (hasNoBody(response)) {
       return true;
     }
-    boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-    boolean sized = headers.contains(HttpHeaderNames.CONTENT_LENGTH);
-    if (!chunked && !sized && protocol.allowsCloseDelimited() && !HttpUtil.isKeepAlive(response)) {
+    boolean isChunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
+    boolean hasLength = headers.contains(HttpHeaderNames.CONTENT_LENGTH);
+    if (!isChunked
+        && !hasLength
+        && protocol.allowsCloseDelimited()
+        && !HttpUtil.isKeepAlive(response)) {
       markCloseDelimited();
       return true;
     }
-    return chunked != sized && (!chunked || HttpUtil.isTransferEncodingChunked(response));
+    return isChunked != hasLength && (!isChunked || HttpUtil.isTransferEncodingChunked(response));
   }
 
   @Override
@@ -131,14 +148,14 @@
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) {
+  public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (attempt() == null && responseState != ResponseState.DISCARDING) {
-        // Guards against surplus bytes of one answer that would be taken for the next one's.
+        // Guards against surplus bytes of one response that would be read as the next response.
         onSurplusBytes();
         return;
       }
-      HttpObject part = (HttpObject) msg;
+      HttpObject part = (HttpObject) message;
       if (part.decoderResult().isFailure()) {
         onConnectionLost();
         return;
@@ -150,7 +167,7 @@
         onContent(content);
       }
     } finally {
-      ReferenceCountUtil.release(msg);
+      ReferenceCountUtil.release(message);
     }
   }
 
@@ -162,21 +179,22 @@
   }
 
   private void onHead(HttpResponse head) {
-    HttpStatusClass kind = head.status().codeClass();
-    if (kind == HttpStatusClass.INFORMATIONAL) {
+    HttpStatusClass statusClass = head.status().codeClass();
+    if (statusClass == HttpStatusClass.INFORMATIONAL) {
       if (head.status().code() == 101) {
-        onConnectionLost(); // nobody asked for another protocol
+        onConnectionLost(); // no upgrade was requested
       } else {
         responseState = ResponseState.INTERIM;
       }
       return;
     }
-    int major = head.protocolVersion().majorVersion();
+    int majorVersion = head.protocolVersion().majorVersion();
     HttpAttempt attempt = (HttpAttempt) attempt();
-    if (major != 1
+    if (majorVersion != 1
         || (responseState != ResponseState.NONE && responseState != ResponseState.INTERIM)
         || attempt == null) {
-      onConnectionLost(); // no HTTP of ours, or a second answer, which belongs to no attempt
+      // The HTTP version is unsupported, or a second response belongs to no attempt.
+      onConnectionLost();
       return;
     }
     responseState = ResponseState.BODY;
@@ -194,7 +212,8 @@
     if (attempt != null) {
       attempt.onResponseContent(part);
       if (isLast && attempt() == attempt) {
-        // An answer ahead of the request's last byte leaves a half-sent request behind it.
+        // A response that ends before the last byte of its request leaves an incomplete request on
+        // the connection.
         keepAlive &= attempt.isRequestFullySent();
         onResponseEnd();
         attempt.onResponseEnd(((LastHttpContent) part).trailingHeaders());
@@ -211,14 +230,17 @@
 
   private void onResponseEnd() {
     responseState = ResponseState.NONE;
-    boolean surplus = decoder.hasSurplusBytes();
-    if (surplus) {
+    boolean hasSurplus = decoder.hasSurplusBytes();
+    if (hasSurplus) {
       onSurplusBytes();
     }
-    onResponseComplete(keepAlive && !surplus);
+    onResponseComplete(keepAlive && !hasSurplus);
   }
 
-  /** The attempt has learned all it needs from the head; the connection may still be of use. */
+  /**
+   * Discards the remaining response after its head has settled the attempt; the connection may
+   * still be reusable.
+   */
   void discardRemainder() {
     if (attempt() != null) {
       keepAlive &= ((HttpAttempt) attempt()).isRequestFullySent();
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -12,11 +12,11 @@
 import leadferry.engine.RetryingServerSocketChannel;
 
 /**
- * A listening socket of the JDK's whose connections can be asked whether their client has gone, and
- * that can be closed with as little as possible left in its backlog.
+ * Listening socket on JDK sockets. Its connections can report whether their client has
+ * disconnected, and it can be closed with as few connections as possible left in its backlog.
  */
 public final class Listener extends RetryingServerSocketChannel {
-  /** Clients that may stand in the kernel's queue at once. */
+  /** Maximum number of connections in the kernel's accept queue. */
   static final int BACKLOG = 1_024;
 
   private long lastTurn;
@@ -27,21 +27,22 @@
   private boolean closing;
 
   /**
-   * The earliest (ns) at which the kernel can have let in what is accepted now, where the loop came
-   * late to it: when its queue was last known to be empty, or had been taken once over since. A
-   * rest that this side chose, for want of room, is not counted: how long the queue was then is not
-   * known, and a crowd would look ever older.
+   * Returns the earliest {@link System#nanoTime} at which the kernel can have queued the connection
+   * that is accepted now, for a loop that is late. This is the time at which the accept queue was
+   * last known to be empty, or at which a full pass over the queue began. Pauses that the server
+   * chose because sockets were scarce are excluded: the length of the queue during a pause is
+   * unknown, and a burst of connections would look older with every pause.
    *
    * <pre>
-   *   poll: nobody   poll: clients   poll: clients   poll: clients
-   *   queue empty         accepts 4       accepts 4       accepts 2, none left
+   *   poll: none     poll: clients   poll: clients   poll: clients
+   *   queue empty    accepts 4       accepts 4       accepts 2, queue empty
    * </pre>
    */
   long earliestAcceptNanos() {
     return queueEmptyAtNanos;
   }
 
-  /** Begins a look at the queue, unless this turn has begun one. */
+  /** Starts a check of the accept queue, once per turn of the event loop. */
   private void beginQueueCheck() {
     long turn = ReadLagTracker.loopIterations();
     if (turn == lastTurn && turn != 0) {
@@ -52,7 +53,7 @@
       queueCheckStartNanos = System.nanoTime();
       acceptedSinceQueueCheck = 0;
     } else if (acceptedSinceQueueCheck > BACKLOG) {
-      queueEmptyAtNanos = queueCheckStartNanos; // all that stood there then have been taken
+      queueEmptyAtNanos = queueCheckStartNanos; // all connections queued at that time were accepted
       queueCheckStartNanos = System.nanoTime();
       acceptedSinceQueueCheck = 0;
     }
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Takes what stands in the backlog and closes the socket; on its loop. Guards against clients
-   * that the kernel has let in and that nobody has accepted: a close resets them. What is let in
-   * between the last look and the close is lost still. A failed accept says nothing of those who
-   * wait, so it is tried again, for 0.2 s.
+   * Accepts the connections in the backlog and closes the socket; called on its event loop. Guards
+   * against clients that the kernel has connected and that were not accepted: a close resets their
+   * connections. A connection that arrives between the last accept and the close is still lost. A
+   * failed accept does not mean that the backlog is empty, so it is retried for 0.2 s.
    */
   void acceptBacklogAndClose() {
     if (!closing) {
@@ -110,11 +111,14 @@
     }
   }
 
-  /** Whether nobody waits any more, as far as can be told. */
+  /**
+   * Accepts all queued connections; returns false if an accept failed and the backlog may not be
+   * empty.
+   */
   private boolean acceptAll(List<Object> accepted) {
     try {
       while (doReadMessages(accepted) > 0) {
-        // until nobody waits
+        // until the backlog is empty
       }
       return true;
     } catch (Exception e) {
--- a/src/main/java/leadferry/http/LoadReportHeaders.java
+++ b/src/main/java/leadferry/http/LoadReportHeaders.java
@@ -2,22 +2,28 @@
 
 import leadferry.loadbalancer.LoadReport;
 
-/** Reads load reports: {@code inflight=7,queue=2,util=0.61}; what is not known is skipped. */
+/** Parses load reports such as {@code inflight=7,queue=2,util=0.61}; unknown fields are skipped. */
 final class LoadReportHeaders {
   static final String HEADER = "X-Server-Load";
 
-  /** No host holds or does more; guards against a figure that would drown all means. */
+  /**
+   * Maximum value of a field, which no upstream host exceeds. Guards against a value that would
+   * dominate every average.
+   */
   private static final double MAX_VALUE = 1e6;
 
-  /** Figures of a report. */
+  /** Number of fields in a report. */
   private static final int FIELD_COUNT = 6;
 
-  /** Pairs that are looked at. */
+  /** Maximum number of pairs that are parsed. */
   private static final int MAX_PAIRS = 16;
 
   private LoadReportHeaders() {}
 
-  /** The report in {@code text}, or null where there is none or it can't be read as a whole. */
+  /**
+   * Returns the report in {@code text}, or null if the text is null, holds no known field or has an
+   * invalid value.
+   */
   static LoadReport parse(String text) {
     if (text == null) {
       return null;
@@ -37,7 +43,7 @@
           values[field] = value;
           anyFound = true;
         } catch (NumberFormatException e) {
-          return null; // who spoils one figure can't be trusted with the others
+          return null; // one invalid value makes the others untrustworthy
         }
       }
     }
--- a/src/main/java/leadferry/http/Networks.java
+++ b/src/main/java/leadferry/http/Networks.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * A set of networks: {@code 10.0.0.0/8}, {@code fd00::/8}, or an address by itself (RFC 4632, RFC
- * 4291).
+ * Set of IP networks such as {@code 10.0.0.0/8}, {@code fd00::/8} or a single address (RFC 4632,
+ * RFC 4291).
  */
 public final class Networks {
   private record Network(byte[] address, int bits) {
@@ -29,9 +29,9 @@
   private final List<Network> networks = new ArrayList<>();
 
   /**
-   * These networks.
+   * Parses the networks.
    *
-   * @throws IllegalArgumentException if a text is none, see {@link #isInvalid}
+   * @throws IllegalArgumentException if a text is invalid, see {@link #isInvalid}
    */
   public Networks(List<String> texts) {
     for (String text : texts) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Whether this text names no network. */
+  /** Whether the text is not a valid network. */
   public static boolean isInvalid(String text) {
     return parse(text) == null;
   }
@@ -60,7 +60,7 @@
     return bits >= 0 && bits <= maxBits ? new Network(address, (int) bits) : null;
   }
 
-  /** Whether one of them holds the address. */
+  /** Whether any network of the set contains the address. */
   public boolean contains(InetAddress address) {
     byte[] bytes = address.getAddress();
     for (int i = 0; i < networks.size(); i++) {
@@ -71,7 +71,7 @@
     return false;
   }
 
-  /** The address that a text writes, or null; names are not looked up. */
+  /** Parses an IP address; returns null if the text is none. Host names are not resolved. */
   static InetAddress parseAddress(String text) {
     byte[] bytes = NetUtil.createByteArrayFromIpAddressString(text);
     try {
--- a/src/main/java/leadferry/http/PipelineQueue.java
+++ b/src/main/java/leadferry/http/PipelineQueue.java
@@ -7,14 +7,14 @@
 import java.util.ArrayDeque;
 
 /**
- * Requests that a client sent ahead of a response (RFC 9112, 9.3.2). They are taken one after the
- * other, so their responses go out in order by themselves. Bounded by number of requests, and in
- * bytes by one read, since none follows until the queue is empty.
+ * Queue of pipelined requests (RFC 9112, 9.3.2). The requests are processed one at a time, which
+ * keeps their responses in order. The queue is bounded by the number of requests, and in bytes by
+ * one read, because nothing is read until the queue is empty.
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class PipelineQueue {
-  /** Part of a request that came while another was open, and when (ns). */
+  /** Part of a request that arrived during another request, and its arrival time (ns). */
   private record QueuedPart(HttpObject part, long receivedAtNanos) {}
 
   private final ClientConnection connection;
@@ -26,7 +26,10 @@
   private int wholeRequests;
   private boolean drainScheduled;
 
-  /** A queue that has the decoder stop once it holds {@code maxQueuedRequests} whole requests. */
+  /**
+   * Creates a queue that pauses the decoder once it holds {@code maxQueuedRequests} complete
+   * requests.
+   */
   PipelineQueue(
       ClientConnection connection,
       SocketChannel channel,
@@ -44,12 +47,12 @@
     return parts.isEmpty();
   }
 
-  /** Whether a whole request waits. */
+  /** Whether a complete request is queued. */
   boolean hasWholeRequest() {
     return wholeRequests > 0;
   }
 
-  /** Keeps part of a request that came at {@code receivedAtNanos}, and reads no further. */
+  /** Queues part of a request that arrived at {@code receivedAtNanos}, and stops reading. */
   void add(HttpObject part, long receivedAtNanos) {
     channel.config().setAutoRead(false);
     parts.add(new QueuedPart(ReferenceCountUtil.retain(part), receivedAtNanos));
@@ -58,7 +61,10 @@
     }
   }
 
-  /** A response has gone: takes the next request, on the loop's next turn. */
+  /**
+   * Schedules the next request for the next turn of the event loop; called after a response was
+   * written.
+   */
   void scheduleDrain() {
     if (!drainScheduled
         && (!parts.isEmpty() || decoder.isPaused() || !channel.config().isAutoRead())) {
@@ -109,7 +115,7 @@
     }
   }
 
-  /** Releases all parts: none of them is taken any more. */
+  /** Releases all queued parts without processing them. */
   void clear() {
     QueuedPart next;
     while ((next = parts.poll()) != null) {
--- a/src/main/java/leadferry/http/RequestAdmission.java
+++ b/src/main/java/leadferry/http/RequestAdmission.java
@@ -3,16 +3,16 @@
 import io.netty.handler.codec.http.HttpRequest;
 import leadferry.engine.Dispatcher;
 
-/** Whether a request that is to be forwarded may enter the engine now. */
+/** Decides whether a request may enter the engine. */
 final class RequestAdmission {
-  /** Whether a whole request is admitted, or why not. */
+  /** Result of the decision. */
   enum Decision {
     ADMITTED,
-    /** Its client has gone; the connection is closed. */
+    /** The client has disconnected; its connection is closed. */
     CLIENT_GONE,
-    /** Another request with the same id is open: its response could be taken for this one's. */
+    /** Another open request has the same id, so that their responses could be confused. */
     DUPLICATE_ID,
-    /** The pool, or the process, has as many requests open as it may. */
+    /** The pool or the process has reached its limit of open requests. */
     POOL_FULL
   }
 
@@ -26,11 +26,12 @@
   }
 
   /**
-   * Decides on a request that has come whole; {@code first} tells whether it is its connection's
-   * first. Its id stays claimed until {@link #releaseId}.
+   * Decides on a complete request. The request's id stays claimed until {@link #releaseId}.
+   *
+   * @param first whether this is the connection's first request
    */
-  Decision decide(HttpRequest request, Dispatcher pool, boolean first) {
-    if ((first || !server.settings().daemon()) && client.closeIfDisconnected()) {
+  Decision decide(HttpRequest request, Dispatcher pool, boolean isFirst) {
+    if ((isFirst || !server.settings().daemon()) && client.closeIfDisconnected()) {
       return Decision.CLIENT_GONE;
     }
     if (!claimId(request)) {
@@ -39,7 +40,7 @@
     return isPoolFull(pool) ? Decision.POOL_FULL : Decision.ADMITTED;
   }
 
-  /** Decides on a request whose body is still to come. */
+  /** Decides on a request whose body is streamed. */
   Decision decideStreamed(HttpRequest request, Dispatcher pool) {
     if (isPoolFull(pool)) {
       return Decision.POOL_FULL;
@@ -47,7 +48,10 @@
     return claimId(request) ? Decision.ADMITTED : Decision.DUPLICATE_ID;
   }
 
-  /** Claims the request's id where it must be the only one that is open; false if it is not. */
+  /**
+   * Claims the id of the request if ids must be unique; returns false if another open request has
+   * it.
+   */
   private boolean claimId(HttpRequest request) {
     if (!server.settings().requiresUniqueIds()) {
       return true;
@@ -60,7 +64,7 @@
     return true;
   }
 
-  /** The request has its response, or never gets one. */
+  /** Releases the claimed id after the request has its response or was dropped. */
   void releaseId() {
     if (claimedId != null) {
       server.releaseRequestId(claimedId);
--- a/src/main/java/leadferry/http/RequestBodyBuffer.java
+++ b/src/main/java/leadferry/http/RequestBodyBuffer.java
@@ -6,19 +6,19 @@
 import leadferry.engine.BodyBudget;
 
 /**
- * The body of the present request while it is held whole: bounded by the listener's settings, and
- * by the memory that the process has for bodies. Where that is used up, reading waits for it.
+ * Holds the body of the current request in memory, limited by the listener's settings and by the
+ * process-wide memory budget for bodies. Reading pauses while the budget is exhausted.
  */
 final class RequestBodyBuffer {
-  /** What became of a part that was to be appended. */
+  /** Result of appending part of a body. */
   enum AppendResult {
-    /** It is held; reading may wait for memory. */
+    /** The part is held; reading may be paused until memory is free. */
     HELD,
-    /** The body is longer than this request's may be. */
+    /** The body exceeds the limit of its request. */
     TOO_LARGE,
-    /** The part is not held: the body has to be forwarded while it comes. */
+    /** The part is not held; the body has to be streamed. */
     MUST_STREAM,
-    /** There is no memory, and none to wait for. */
+    /** The memory budget is exhausted, and waiting would not free any. */
     OUT_OF_MEMORY
   }
 
@@ -35,17 +35,19 @@
     this.maxHeldBytes = server.settings().maxHeldBodyBytes();
   }
 
-  /** Bytes that are held. */
+  /** Returns the number of held bytes. */
   long heldBytes() {
     return body == null ? 0 : body.size();
   }
 
-  /** Whether reading waits for memory. */
+  /** Whether reading is paused until memory is free. */
   boolean isPaused() {
     return paused;
   }
 
-  /** Appends part of the body of a request with this head; the bytes stay the caller's. */
+  /**
+   * Appends part of the body of a request with this head; the caller keeps ownership of the bytes.
+   */
   AppendResult append(ByteBuf bytes, RequestHead head) {
     if (body == null) {
       body = head.filterResult().target().newBody(head.contentLength(), true);
@@ -75,34 +77,37 @@
     channel.config().setAutoRead(true);
   }
 
-  /** Hands over what is held, or null; the bytes are the caller's. */
+  /** Returns the held body, or null, and transfers its ownership to the caller. */
   Body take() {
-    Body held = body;
+    Body heldBody = body;
     body = null;
-    return held;
+    return heldBody;
   }
 
-  /** The body has come whole: hands it over, and waits for memory no longer. */
+  /**
+   * Returns the complete body, or null, and transfers its ownership to the caller. Stops waiting
+   * for memory.
+   */
   Body takeComplete() {
     budget.cancelAwait(resume);
     if (paused) {
       resumeReading();
     }
-    Body whole = take();
-    if (whole != null) {
-      whole.onRequestComplete();
+    Body completeBody = take();
+    if (completeBody != null) {
+      completeBody.onRequestComplete();
     }
-    return whole;
+    return completeBody;
   }
 
-  /** Frees what is held, and waits for memory no longer. */
+  /** Frees the held body and stops waiting for memory. */
   void drop() {
     budget.cancelAwait(resume);
     paused = false;
     free(take());
   }
 
-  /** Frees a body that was handed over, if there is one. */
+  /** Frees a body unless it is null. */
   static void free(Body body) {
     if (body != null) {
       body.release();
--- a/src/main/java/leadferry/http/RequestBodyUpload.java
+++ b/src/main/java/leadferry/http/RequestBodyUpload.java
@@ -7,25 +7,28 @@
 import leadferry.engine.Dispatcher;
 
 /**
- * The body of a request that goes on to a host while it comes from its client.
+ * Request body that is streamed to an upstream host while it arrives from the client.
  *
- * <p>What has come is kept while all of it fits the replay bound, so that a further attempt can be
- * sent the whole of it. With the first byte past that, once an attempt takes the body, it is let
- * go: from then on no other attempt can be sent. Memory is bounded by the replay bound, one read,
- * and the marks of the host's socket: the client is read from only while somebody takes what it
- * sends.
+ * <p>Received bytes are kept while all of them fit into the replay limit, so that a further attempt
+ * can send the complete body. Once an attempt is sending the body, the first byte beyond that limit
+ * discards the kept bytes, and no further attempt is possible. Memory use is bounded by the replay
+ * limit, one read, and the write buffer watermarks of the upstream socket: the client is read only
+ * while its input can be sent or kept.
  *
  * <pre>
- *   client  --bytes--> [ kept, at most REPLAY ] --> attempt 1 ... ends
- *                                     +---------->  attempt 2       (all of it again)
- *           --more---> let go ------------------->  attempt 2, the last one
+ *   client  --bytes--> [ kept, at most MAX_REPLAY_BYTES ] --> attempt 1 ... ends
+ *                                      +--------------------> attempt 2 (all bytes again)
+ *           --more---> kept bytes discarded ----------------> attempt 2, the last one
  * </pre>
  */
 final class RequestBodyUpload {
-  /** Bytes of a body that are kept for another attempt. */
+  /** Maximum number of bytes that are kept for another attempt. */
   static final int MAX_REPLAY_BYTES = 64 * 1024;
 
-  /** What one read may bring past the bound before the client is held. */
+  /**
+   * Maximum number of bytes in one read, which may exceed the replay limit before reading from the
+   * client stops.
+   */
   private static final int MAX_READ_BYTES = 16 * 1024;
 
   private final RequestIntake client;
@@ -38,7 +41,10 @@
   private long lastReceivedNanos = System.nanoTime();
   private boolean readingPaused;
 
-  /** A body of which {@code come} has come already, or null; it is this upload's now. */
+  /**
+   * Creates an upload; takes ownership of {@code receivedBody}, the part that has arrived already,
+   * or null.
+   */
   RequestBodyUpload(RequestIntake client, Dispatcher pool, Body receivedBody, BodyBudget budget) {
     this.client = client;
     this.budget = budget;
@@ -46,12 +52,12 @@
     this.receivedBytes = replayBuffer.size();
   }
 
-  /** Bytes that have come. */
+  /** Returns the number of received bytes. */
   long receivedBytes() {
     return receivedBytes;
   }
 
-  /** Part of the body; the bytes stay the caller's. */
+  /** Handles part of the body; the caller keeps ownership of the bytes. */
   void onContent(ByteBuf bytes) {
     lastReceivedNanos = System.nanoTime();
     receivedBytes += bytes.readableBytes();
@@ -71,7 +77,7 @@
     updateFlowControl();
   }
 
-  /** Its end has come, with these trailers. */
+  /** Handles the end of the body and its trailers. */
   void onEnd(HttpHeaders receivedTrailers) {
     trailers = receivedTrailers;
     replayBuffer.onRequestComplete();
@@ -84,12 +90,14 @@
     return trailers != null;
   }
 
-  /** Whether another attempt can be sent all of it now: one at a time takes the body. */
+  /**
+   * Whether another attempt can send the complete body now; only one attempt at a time sends it.
+   */
   boolean isReplayable() {
     return replayable && currentAttempt == null;
   }
 
-  /** An attempt takes the body, from its first byte on; its head has been written. */
+  /** Starts to send the body, from its first byte, through an attempt that has written its head. */
   void attach(HttpAttempt attempt) {
     currentAttempt = attempt;
     for (ByteBuf block : replayBuffer.retainedBlocks()) {
@@ -104,7 +112,7 @@
     updateFlowControl();
   }
 
-  /** That attempt is over. */
+  /** Handles the end of an attempt. */
   void detach(HttpAttempt attempt) {
     if (currentAttempt == attempt) {
       currentAttempt = null;
@@ -112,7 +120,7 @@
     }
   }
 
-  /** Reads on from the client only while what it sends has somewhere to go. */
+  /** Reads from the client only while its input can be sent or kept. */
   void updateFlowControl() {
     boolean hasCapacity =
         currentAttempt != null
@@ -122,7 +130,10 @@
     client.setReading(hasCapacity);
   }
 
-  /** Whether the client has been waited for in vain for so long (ns). */
+  /**
+   * Whether no input has arrived from the client for longer than {@code timeoutNanos} while it was
+   * being read.
+   */
   boolean isStalled(long nowNanos, long timeoutNanos) {
     return trailers == null && !readingPaused && nowNanos - lastReceivedNanos > timeoutNanos;
   }
--- a/src/main/java/leadferry/http/RequestDecoder.java
+++ b/src/main/java/leadferry/http/RequestDecoder.java
@@ -11,8 +11,8 @@
 import leadferry.engine.ReadLagTracker;
 
 /**
- * Reads requests: tells since when part of one has come, reads heads by the letter, and stops
- * reading ahead where told.
+ * Request decoder that validates heads strictly (see {@link HeadScanner}), tracks since when a
+ * request is being received, and can be paused so that pipelined requests stay undecoded.
  */
 final class RequestDecoder extends HttpRequestDecoder {
   private final HeadScanner scanner = new HeadScanner();
@@ -24,7 +24,8 @@
   private boolean paused;
 
   /**
-   * The turn of the loop in which its connection was accepted; 0 where loops don't count theirs.
+   * Turn of the event loop in which the connection was accepted; 0 if the event loop does not count
+   * its turns.
    */
   private final long acceptedTurn = ReadLagTracker.loopIterations();
 
@@ -33,33 +34,34 @@
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
+  public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
     if (!receiving) {
       receiving = true;
       receivingSinceNanos = System.nanoTime();
     }
-    super.channelRead(ctx, msg);
+    super.channelRead(ctx, message);
   }
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
       throws Exception {
     if (paused) {
-      return; // what has come stays as it is
+      return; // input stays undecoded
     }
     if (inHead) {
       scan(buffer);
       if (scanner.isInvalid()) {
         buffer.skipBytes(buffer.readableBytes());
-        HttpMessage faulty = createInvalidMessage();
-        faulty.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("head")));
-        out.add(faulty);
+        HttpMessage invalidMessage = createInvalidMessage();
+        invalidMessage.setDecoderResult(
+            DecoderResult.failure(new IllegalArgumentException("request head is invalid")));
+        out.add(invalidMessage);
         return;
       }
     }
-    int from = buffer.readerIndex();
+    int startIndex = buffer.readerIndex();
     super.decode(ctx, buffer, out);
-    scannedBytes = Math.max(0, scannedBytes - (buffer.readerIndex() - from));
+    scannedBytes = Math.max(0, scannedBytes - (buffer.readerIndex() - startIndex));
     if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
       scanner.reset();
       inHead = true;
@@ -67,21 +69,21 @@
     }
   }
 
-  /** Reads on in the present head, from where it was left. */
+  /** Continues to scan the current head behind the bytes that are already scanned. */
   private void scan(ByteBuf buffer) {
-    int from = buffer.readerIndex() + scannedBytes;
-    int end = buffer.forEachByte(from, buffer.writerIndex() - from, scanner);
-    scannedBytes = (end < 0 ? buffer.writerIndex() : end + 1) - buffer.readerIndex();
+    int startIndex = buffer.readerIndex() + scannedBytes;
+    int stopIndex = buffer.forEachByte(startIndex, buffer.writerIndex() - startIndex, scanner);
+    scannedBytes = (stopIndex < 0 ? buffer.writerIndex() : stopIndex + 1) - buffer.readerIndex();
     inHead = !scanner.isDone();
   }
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    // Guards against a request in the body of another: netty would drop one of the two lengths.
+    // Guards against request smuggling: netty would drop one of the two lengths.
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** Reads no further until {@link #resume}; what comes stands in the buffer. */
+  /** Stops decoding until {@link #resume}; input stays in the buffer. */
   void pause() {
     paused = true;
   }
@@ -90,7 +92,7 @@
     return paused;
   }
 
-  /** Reads on, beginning with what stands in the buffer. */
+  /** Resumes decoding, beginning with the buffered input. */
   void resume(ChannelHandlerContext ctx) throws Exception {
     if (paused) {
       paused = false;
@@ -99,8 +101,8 @@
   }
 
   /**
-   * Whether what comes now was found at the first look at this connection: no poll before has known
-   * of it.
+   * Whether the current input was found by the first poll of this connection, so that no earlier
+   * poll bounds its arrival time.
    */
   boolean isFirstRead() {
     return acceptedTurn != 0 && ReadLagTracker.loopIterations() <= acceptedTurn + 1;
@@ -110,12 +112,14 @@
     return receiving;
   }
 
-  /** When (ns) the first byte of what is being received came. */
+  /**
+   * Returns the {@link System#nanoTime} of the first byte of the request that is being received.
+   */
   long receivingSinceNanos() {
     return receivingSinceNanos;
   }
 
-  /** Whether it still stands in the pipeline. */
+  /** Whether this decoder is still part of the channel's pipeline. */
   boolean isInPipeline() {
     return !removed;
   }
@@ -125,7 +129,7 @@
     removed = true;
   }
 
-  /** The request has come whole; true if more bytes have come behind it. */
+  /** Handles the end of a request; returns true if further input follows it. */
   boolean onRequestCompleted() {
     receiving = actualReadableBytes() > 0;
     receivingSinceNanos = System.nanoTime();
--- a/src/main/java/leadferry/http/RequestFilter.java
+++ b/src/main/java/leadferry/http/RequestFilter.java
@@ -4,20 +4,23 @@
 import java.net.InetSocketAddress;
 import java.util.Set;
 
-/** Judges the heads of requests for a front: what is taken, by which pool, under which class. */
+/**
+ * Evaluates request heads for a listener: decides which requests are forwarded, to which pool, and
+ * with which class.
+ */
 public interface RequestFilter {
   /**
-   * Judges a head whose framing has been found sound. It may change the head's target and headers
-   * to what hosts are to see.
+   * Evaluates a head with valid framing. The filter may change the target and the headers to those
+   * that upstream hosts receive.
    */
   FilterResult evaluate(HttpRequest head, InetSocketAddress client);
 
   /**
-   * Names, in lower case, of the headers that this filter judges by or that what it chooses will
-   * set, besides those that every filter goes by.
+   * Returns the lower-case names of the headers on which this filter bases decisions or which its
+   * result sets, in addition to those that apply to every filter.
    */
   Set<String> inspectedHeaders();
 
-  /** Whether requests would be served. */
+  /** Whether requests can be served. */
   boolean isReady();
 }
--- a/src/main/java/leadferry/http/RequestHead.java
+++ b/src/main/java/leadferry/http/RequestHead.java
@@ -6,8 +6,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * The head of the present request: its framing is checked, and the {@link RequestFilter} asked what
- * becomes of it.
+ * Head of the current request: validates its framing and evaluates it with the {@link
+ * RequestFilter}.
  */
 final class RequestHead {
   private final HttpServer server;
@@ -24,83 +24,91 @@
   }
 
   /**
-   * Takes the head that came at {@code atNanos} ({@link System#nanoTime}); returns the status to
-   * reject the request with, or 0.
+   * Evaluates a head that was received at {@code atNanos} ({@link System#nanoTime}); returns the
+   * status with which to reject the request, or 0.
    */
-  int read(HttpRequest next, long atNanos) {
-    request = next;
+  int read(HttpRequest newRequest, long atNanos) {
+    request = newRequest;
     receivedAtNanos = atNanos;
-    http10 = next.protocolVersion().equals(HttpVersion.HTTP_1_0);
-    int fault =
+    http10 = newRequest.protocolVersion().equals(HttpVersion.HTTP_1_0);
+    int rejectionStatus =
         Framing.rejectionStatus(
-            next, server.filter().inspectedHeaders(), server.settings().daemon());
+            newRequest, server.filter().inspectedHeaders(), server.settings().daemon());
     filterResult =
-        fault != 0
-            ? FilterResult.reject(fault)
-            : server.filter().evaluate(next, channel.remoteAddress());
-    announcedBodyBytes = HttpUtil.getContentLength(next, 0L);
-    if (fault == 0 && announcedBodyBytes > maxBodyBytes()) {
+        rejectionStatus != 0
+            ? FilterResult.reject(rejectionStatus)
+            : server.filter().evaluate(newRequest, channel.remoteAddress());
+    announcedBodyBytes = HttpUtil.getContentLength(newRequest, 0L);
+    if (rejectionStatus == 0 && announcedBodyBytes > maxBodyBytes()) {
       return 413;
     }
     return filterResult.closesConnection() ? filterResult.status() : 0;
   }
 
-  /** Bytes of the request's body that may come at all. */
+  /** Returns the maximum size in bytes of the request body. */
   private long maxBodyBytes() {
     return filterResult.streaming() == Streaming.NEVER
         ? server.settings().maxHeldBodyBytes()
         : server.settings().maxStreamedBodyBytes();
   }
 
-  /** What the filter made of it; null without a request, or once that was released. */
+  /**
+   * Returns the filter result, or null before the first request and after {@link
+   * #releaseFilterResult}.
+   */
   FilterResult filterResult() {
     return filterResult;
   }
 
-  /** Whether the request is one of HTTP/1.0. */
+  /** Whether the request uses HTTP/1.0. */
   boolean isHttp10() {
     return http10;
   }
 
-  /** When ({@link System#nanoTime}) the head had come. */
+  /** Returns the {@link System#nanoTime} at which the head was received. */
   long receivedAtNanos() {
     return receivedAtNanos;
   }
 
-  /** Whether the request goes to a pool, and is not answered here. */
+  /** Whether the request is forwarded to a pool instead of getting a local response. */
   boolean isForwarded() {
     return filterResult.status() == 0;
   }
 
-  /** Whether the client waits to be told that it may send the body (RFC 9110, 10.1.1). */
+  /**
+   * Whether the client waits for {@code 100 Continue} before it sends the body (RFC 9110, 10.1.1).
+   */
   boolean expectsContinue() {
     return HttpUtil.is100ContinueExpected(request);
   }
 
-  /** Whether a body follows that is forwarded from its first byte on. */
+  /** Whether the request has a body that is streamed from its first byte. */
   boolean shouldStreamFromStart() {
     return filterResult.streaming() == Streaming.ALWAYS
         && (announcedBodyBytes > 0 || HttpUtil.isTransferEncodingChunked(request));
   }
 
-  /** Bytes of the body by its head, or -1 if not told. */
+  /** Returns the announced length of the body in bytes, or -1 if unknown. */
   long contentLength() {
     return HttpUtil.getContentLength(request, -1L);
   }
 
-  /** The request, which is the engine's from here on if it takes it. */
+  /** Returns the request; the engine owns it once it accepts the call. */
   HttpRequest request() {
     return request;
   }
 
   /**
-   * Lets go of the request; what the filter made of it stays until {@link #releaseFilterResult}.
+   * Drops the reference to the request; the filter result stays until {@link #releaseFilterResult}.
    */
   void clearRequest() {
     request = null;
   }
 
-  /** The request has its response, or never gets one: what the filter counts it for is over. */
+  /**
+   * Runs the completion callback of the filter result; called when the request has its response or
+   * was dropped.
+   */
   void releaseFilterResult() {
     if (filterResult != null) {
       Runnable done = filterResult.onDone();
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -19,23 +19,25 @@
 import leadferry.loadbalancer.RequestArrival;
 
 /**
- * The way into a client's connection: from the decoded parts of one request to the call that the
- * engine takes. {@link RequestHead} reads the head, {@link RequestBodyBuffer} holds the body,
+ * Assembles one request of a client connection from its decoded parts and passes it to the engine
+ * as a call. {@link RequestHead} evaluates the head, {@link RequestBodyBuffer} holds the body, and
  * {@link RequestAdmission} decides whether the request may enter the engine.
  *
  * <pre>
- *   head --> filter result --+--> body held whole ----------------> call
- *                            +--> call, body streams after it (RequestBodyUpload)
- *                            +--> answered at once; the rest of it is read and thrown away
+ *   head --> filter result --+--> complete body held in memory -----> call
+ *                            +--> call, body streamed after it (RequestBodyUpload)
+ *                            +--> local response; the remaining input is read and discarded
  * </pre>
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class RequestIntake {
-  /** How long (ms) the longest body may take that streams ahead of its request's own time. */
+  /**
+   * Maximum time (ms) for a streamed body to arrive, in addition to the time budget of its request.
+   */
   private static final double MAX_UPLOAD_MILLIS = 3_600_000;
 
-  /** A request with less time left (ms) than this is rejected. */
+  /** Minimum remaining time (ms) of a request that is forwarded; with less, it is rejected. */
   private static final double MIN_REMAINING_MILLIS = 1;
 
   private static final double NANOS_PER_MILLI = 1e6;
@@ -68,46 +70,46 @@
     this.discarded = new DiscardedInput(client, server, channel, decoder);
   }
 
-  // --- the present request
+  // --- the current request
 
-  /** The present request's, or null. */
+  /** Returns the filter result of the current request, or null. */
   FilterResult filterResult() {
     return head.filterResult();
   }
 
-  /** The body that is forwarded while it comes, or null. */
+  /** Returns the streamed body of the current request, or null. */
   RequestBodyUpload upload() {
     return upload;
   }
 
-  /** Whether the present request is one of HTTP/1.0. */
+  /** Whether the current request uses HTTP/1.0. */
   boolean isHttp10() {
     return head.isHttp10();
   }
 
-  /** When ({@link System#nanoTime}) the present request's head had come. */
+  /** Returns the {@link System#nanoTime} at which the head of the current request was received. */
   long headReceivedAtNanos() {
     return head.receivedAtNanos();
   }
 
-  /** What of the connection is read only to be thrown away. */
+  /** Returns the part that discards input after a response. */
   DiscardedInput discardedInput() {
     return discarded;
   }
 
-  /** Whether reading waits for memory. */
+  /** Whether reading is paused until memory for bodies is free. */
   boolean isPaused() {
     return buffer.isPaused();
   }
 
-  /** Bytes of the present body that are held. */
+  /** Returns the number of bytes of the current body that are held in memory. */
   long heldBodyBytes() {
     return buffer.heldBytes();
   }
 
   /**
-   * Whether the rest of a request that still comes is read and thrown away, so that its connection
-   * can stay.
+   * Whether the remaining input of the request is read and discarded after its response, so that
+   * the connection stays usable.
    */
   boolean shouldSkipRemainder() {
     return upload != null && head.filterResult().streaming() == Streaming.LARGE;
@@ -115,20 +117,24 @@
 
   // --- reading
 
-  /** Part of the present request, or of the next; {@code atNanos} is when it came. */
-  void onPart(HttpObject part, long atNanos) {
+  /**
+   * Handles part of the current request or of the next one, which arrived at {@code
+   * receivedAtNanos}.
+   */
+  void onPart(HttpObject part, long receivedAtNanos) {
     if (part.decoderResult().isFailure()) {
       client.reject(statusForFailure(part.decoderResult().cause()));
       return;
     }
     if (part instanceof HttpRequest request) {
-      begin(request, atNanos);
+      beginRequest(request, receivedAtNanos);
     }
     if (upload != null
         && part instanceof LastHttpContent
         && client.closeIfDisconnectedBetweenRequests()) {
-      return; // the last byte is not forwarded: its client left while a connection was waited for,
-      // and its end was not read
+      // The last byte is not forwarded: the client disconnected while the request waited for an
+      // upstream connection, and the end of its stream was not read.
+      return;
     }
     if (part instanceof HttpContent content && client.acceptsRequests()) {
       ByteBuf bytes = content.content();
@@ -136,12 +142,12 @@
         append(bytes);
       }
       if (part instanceof LastHttpContent last && client.acceptsRequests()) {
-        complete(last.trailingHeaders(), atNanos);
+        complete(last.trailingHeaders(), receivedAtNanos);
       }
     }
   }
 
-  /** The status of a request that can't be decoded. */
+  /** Returns the response status for a request that can't be decoded. */
   private static int statusForFailure(Throwable decoderFailure) {
     if (decoderFailure instanceof TooLongHttpLineException) {
       return 414;
@@ -149,13 +155,13 @@
     return decoderFailure instanceof TooLongHttpHeaderException ? 431 : 400;
   }
 
-  private void begin(HttpRequest request, long atNanos) {
+  private void beginRequest(HttpRequest request, long receivedAtNanos) {
     if (!HttpUtil.isKeepAlive(request)) {
       client.closeAfterCurrentResponse();
     }
-    int rejectedWith = head.read(request, atNanos);
-    if (rejectedWith != 0) {
-      client.reject(rejectedWith);
+    int rejectionStatus = head.read(request, receivedAtNanos);
+    if (rejectionStatus != 0) {
+      client.reject(rejectionStatus);
       return;
     }
     if (!head.isForwarded()) {
@@ -171,7 +177,7 @@
     }
   }
 
-  /** The body is forwarded while it comes: the request enters the engine ahead of its last byte. */
+  /** Starts to stream the body: the request enters the engine before its last byte has arrived. */
   private void startStreaming() {
     client.markRequestSeen();
     FilterResult result = head.filterResult();
@@ -185,8 +191,8 @@
 
   private void dispatchStreamed(FilterResult result, Dispatcher pool) {
     RequestArrival arrival = result.arrival();
-    boolean large = result.streaming() == Streaming.LARGE;
-    double announcedMillis = large ? arrival.budgetMillis() : 0;
+    boolean isLarge = result.streaming() == Streaming.LARGE;
+    double announcedMillis = isLarge ? arrival.budgetMillis() : 0;
     upload = new RequestBodyUpload(this, pool, buffer.take(), server.budget());
     HttpCall call =
         new HttpCall(
@@ -201,11 +207,11 @@
     client.beginCall(call);
     pool.submit(
         call,
-        large ? arrival.withBudget(arrival.budgetMillis() + MAX_UPLOAD_MILLIS) : arrival,
+        isLarge ? arrival.withBudget(arrival.budgetMillis() + MAX_UPLOAD_MILLIS) : arrival,
         result.fallback());
   }
 
-  /** Reads on, or no longer: what an upload goes to, or the room that it has, tells. */
+  /** Enables or disables reading from the client, depending on whether the upload has capacity. */
   void setReading(boolean enabled) {
     if (upload != null && !buffer.isPaused() && channel.config().isAutoRead() != enabled) {
       channel.config().setAutoRead(enabled);
@@ -217,7 +223,7 @@
       appendToUpload(bytes);
     } else if (!head.isForwarded()) {
       if (discarded.countAndCheckLimit(bytes)) {
-        client.reject(413); // not worth reading on for a response that is known
+        client.reject(413); // not worth reading on: the response is already decided
       }
     } else {
       appendToBuffer(bytes);
@@ -243,38 +249,40 @@
         }
       }
       case OUT_OF_MEMORY -> {
-        // Guards against requests that wait for each other's memory: the one at hand gives way.
+        // Guards against a deadlock of requests that wait for each other's memory: the current
+        // request is rejected.
         server.recordMemoryRejection();
         client.reject(503);
       }
     }
   }
 
-  private void complete(HttpHeaders trailers, long atNanos) {
+  private void complete(HttpHeaders trailers, long receivedAtNanos) {
     if (decoder.onRequestCompleted() && server.settings().maxPipelinedRequests() <= 1) {
-      client.reject(400); // a second request behind this one, whose client keeps to no order
+      client.reject(400); // a pipelined request where pipelining is disabled
     } else if (!Headers.hasValidTrailers(trailers, server.filter().inspectedHeaders())) {
-      client.reject(400); // a server may take one of them for a header that was judged
+      client.reject(400); // an upstream host could take such a trailer for an inspected header
     } else if (upload != null) {
       completeUpload(trailers);
     } else {
-      completeHeld(trailers, atNanos);
+      completeHeld(trailers, receivedAtNanos);
     }
   }
 
   private void completeUpload(HttpHeaders trailers) {
-    RequestBodyUpload whole = upload;
+    RequestBodyUpload completedUpload = upload;
     upload = null;
-    // It may have waited for room; from here on its client's end is to be seen.
+    // Reading may be paused for lack of capacity. It resumes here, so that a disconnect of the
+    // client is detected.
     channel.config().setAutoRead(true);
     if (client.call() != null) {
       client.call().onUploadComplete();
     }
-    whole.onEnd(trailers);
+    completedUpload.onEnd(trailers);
   }
 
-  private void completeHeld(HttpHeaders trailers, long atNanos) {
-    boolean first = client.markRequestSeen();
+  private void completeHeld(HttpHeaders trailers, long receivedAtNanos) {
+    boolean isFirst = client.markRequestSeen();
     Body body = buffer.takeComplete();
     HttpRequest request = head.request();
     head.clearRequest();
@@ -285,23 +293,24 @@
       responses.send(result.status(), result.retryAfterMillis());
       return;
     }
-    switch (admission.decide(request, result.target(), first)) {
+    switch (admission.decide(request, result.target(), isFirst)) {
       case CLIENT_GONE -> RequestBodyBuffer.free(body);
       case DUPLICATE_ID -> {
         client.reject(409);
         RequestBodyBuffer.free(body);
       }
       case POOL_FULL -> rejectUnsent(body);
-      case ADMITTED -> dispatch(request, body, trailers, atNanos);
+      case ADMITTED -> dispatch(request, body, trailers, receivedAtNanos);
     }
   }
 
-  private void dispatch(HttpRequest request, Body body, HttpHeaders trailers, long atNanos) {
+  private void dispatch(
+      HttpRequest request, Body body, HttpHeaders trailers, long receivedAtNanos) {
     FilterResult result = head.filterResult();
-    double elapsedMillis = (System.nanoTime() - atNanos) / NANOS_PER_MILLI;
+    double elapsedMillis = (System.nanoTime() - receivedAtNanos) / NANOS_PER_MILLI;
     double remainingMillis = result.arrival().budgetMillis() - elapsedMillis;
     if (remainingMillis < MIN_REMAINING_MILLIS) {
-      rejectUnsent(body); // its time went by behind those that were sent ahead of it
+      rejectUnsent(body); // its time elapsed while it was queued behind pipelined requests
       return;
     }
     HttpCall call = new HttpCall(responses, request, body, null, trailers, result.streaming(), 0);
@@ -309,16 +318,17 @@
     result.target().submit(call, result.arrival().withBudget(remainingMillis), result.fallback());
   }
 
-  /** Rejects a whole request that the engine has not been given. */
+  /** Rejects a complete request that was not passed to the engine. */
   private void rejectUnsent(Body body) {
     RequestBodyBuffer.free(body);
     responses.send(503, 0);
   }
 
-  // --- ends
+  // --- completion
 
   /**
-   * The present request has its response; what of it still comes is thrown away, or is not taken.
+   * Handles the end of the response: remaining input of the request is skipped, or no longer
+   * accepted.
    */
   void onResponseSubmitted() {
     discarded.onResponseSubmitted(shouldSkipRemainder());
@@ -327,14 +337,17 @@
     head.releaseFilterResult();
   }
 
-  /** The present request is not taken any more. */
+  /** Drops the current request without forwarding it. */
   void dropRequest() {
     buffer.drop();
     head.clearRequest();
     head.releaseFilterResult();
   }
 
-  /** The client has gone. */
+  /**
+   * Releases everything that belongs to the connection's current request after the client has
+   * disconnected.
+   */
   void onClientClosed() {
     dropRequest();
     admission.releaseId();
--- a/src/main/java/leadferry/http/RequestLog.java
+++ b/src/main/java/leadferry/http/RequestLog.java
@@ -5,7 +5,7 @@
 import leadferry.engine.Log;
 
 /**
- * The log's lines about one client connection and its requests; none where the log has no use for
+ * Logs events of one client connection and its requests; does nothing unless the log records
  * details.
  */
 final class RequestLog {
@@ -17,7 +17,7 @@
     this.channel = channel;
   }
 
-  /** The word for a response of our own. */
+  /** Returns the logged outcome of a local response with this status. */
   static String outcome(int status) {
     return switch (status) {
       case 429 -> "limited";
@@ -29,12 +29,12 @@
   }
 
   /**
-   * A request was not served.
+   * Logs a request that was not served.
    *
-   * @param status what its client was told, or null
-   * @param call what the engine has of it, or null
-   * @param filterResult of the filter, or null
-   * @param sinceNanos when (ns) it came, 0 if that is not known
+   * @param status status sent to the client, or null
+   * @param call the call of the request in the engine, or null
+   * @param filterResult filter result of the request, or null
+   * @param sinceNanos {@link System#nanoTime} at which the request was received, 0 if unknown
    */
   void logRequest(
       String outcome, Integer status, HttpCall call, FilterResult filterResult, long sinceNanos) {
@@ -69,7 +69,7 @@
         id(call));
   }
 
-  /** This side closes the connection. */
+  /** Logs that the load balancer closes the connection. */
   void logClosed(CloseReason reason, HttpCall call) {
     if (log.isDetailEnabled()) {
       log.detail(
@@ -83,7 +83,7 @@
     }
   }
 
-  /** The connection broke. */
+  /** Logs an I/O error of the connection. */
   void logFailed(Throwable cause, HttpCall call) {
     if (log.isDetailEnabled()) {
       log.detail("client connection failed", "cause", cause.getMessage(), "id", id(call));
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -18,15 +18,17 @@
 import leadferry.engine.Body;
 
 /**
- * The way out of a client's connection: writes its responses, and knows how far they have got.
+ * Writes the responses of a client connection and tracks their progress.
  *
- * <p>Used on the connection's event loop alone.
+ * <p>Used only on the connection's event loop.
  */
 final class ResponseWriter {
-  /** A client that takes nothing of its answer for so long (ns) has gone. */
+  /**
+   * Time (ns) without progress after which a client that does not read its response counts as gone.
+   */
   private static final long CLIENT_STALLED_NANOS = 5_000_000_000L;
 
-  /** An answer that streams and of which nothing moves for so long (ns) never ends. */
+  /** Time (ns) without progress after which a streamed response is aborted. */
   private static final long STREAM_STALLED_NANOS = 30_000_000_000L;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -43,7 +45,7 @@
     this.channel = channel;
   }
 
-  /** An answer of our own. */
+  /** Sends a local response, which the load balancer generates. */
   void send(int status, double retryAfterMillis) {
     client.logLocalResponse(status);
     DefaultFullHttpResponse message =
@@ -63,8 +65,8 @@
     trackWrite(channel.writeAndFlush(message));
   }
 
-  /** A host's answer that has come whole; {@code status} is the status that its client is told. */
-  void send(HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+  /** Sends a complete response of an upstream host with this status. */
+  void send(HttpResponse response, HttpResponseStatus status, Body body, HttpHeaders trailers) {
     HttpHeaders headers = response.headers();
     Headers.removeHopByHop(headers);
     boolean isHead = client.call().isHead();
@@ -73,34 +75,37 @@
       headers.remove(HttpHeaderNames.CONTENT_LENGTH);
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (!isHead) {
-      headers.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
+      headers.set(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.size());
     }
-    ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joinBlocks(whole);
+    ByteBuf bytes = body == null ? Unpooled.EMPTY_BUFFER : joinBlocks(body);
     DefaultFullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, bytes, headers, hasTrailers ? trailers : Headers.EMPTY);
     setConnectionHeader(message);
     ChannelFuture written = channel.writeAndFlush(message);
-    if (whole != null) {
-      written.addListener(f -> whole.release());
+    if (body != null) {
+      written.addListener(f -> body.release());
     }
     trackWrite(written);
   }
 
-  /** A host's error that ends the request. */
+  /** Sends the error response of an upstream host that ends the request. */
   void sendError(
-      HttpResponse response, HttpResponseStatus status, Body whole, HttpHeaders trailers) {
+      HttpResponse response, HttpResponseStatus status, Body body, HttpHeaders trailers) {
     client.logOutcome("server-error", status.code());
-    send(response, status, whole, trailers);
+    send(response, status, body, trailers);
   }
 
-  /** Whether the client has left, and has not been read. */
+  /**
+   * Closes the connection if the client has disconnected although its end of stream was not read
+   * yet; returns true if the connection was closed.
+   */
   boolean closeIfDisconnected() {
     return client.closeIfDisconnectedBetweenRequests();
   }
 
-  private static ByteBuf joinBlocks(Body whole) {
-    ByteBuf[] blocks = whole.retainedBlocks().toArray(ByteBuf[]::new);
+  private static ByteBuf joinBlocks(Body body) {
+    ByteBuf[] blocks = body.retainedBlocks().toArray(ByteBuf[]::new);
     return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
   }
 
@@ -120,15 +125,17 @@
     }
   }
 
-  // --- an answer that streams
+  // --- streamed response
 
-  /** Whether an answer of this length, -1 for not told, can go on while it comes. */
+  /** Whether a response of this length (-1 if unknown) can be streamed to this client. */
   boolean canStream(long lengthBytes) {
     return lengthBytes >= 0
-        || !client.isHttp10(); // to HTTP/1.0 the end of such a one can't be told from a cut
+        // An HTTP/1.0 client can't distinguish the end of a response of unknown length from an
+        // abort.
+        || !client.isHttp10();
   }
 
-  /** The head of an answer whose body goes on while it comes. */
+  /** Writes the head of a streamed response. */
   void beginStream(HttpResponse response, long lengthBytes) {
     HttpHeaders headers = response.headers();
     Headers.removeHopByHop(headers);
@@ -142,49 +149,52 @@
     channel.writeAndFlush(message);
   }
 
-  /** Part of its body; false if no more should come until {@link HttpCall#onClientWritable}. */
+  /**
+   * Writes part of the body; returns false if the sender has to wait for {@link
+   * HttpCall#onClientWritable}.
+   */
   boolean writeStreamContent(ByteBuf bytes) {
     lastProgressNanos = System.nanoTime();
     channel.writeAndFlush(new DefaultHttpContent(bytes));
     return channel.isWritable();
   }
 
-  /** Its end. */
+  /** Writes the end of a streamed response. */
   void finishStream(HttpHeaders trailers) {
     trackWrite(channel.writeAndFlush(HttpCall.lastContent(trailers)));
   }
 
   /**
-   * It can't be finished: the connection ends without the mark of its end, so that the client can
-   * tell.
+   * Aborts a streamed response: the connection closes without the end of the body, so that the
+   * client detects the incomplete response.
    */
   void abortStream() {
     client.logOutcome("cut", null);
     client.markFinished();
-    if (channel.isOpen()) { // it may be its client's end that cuts it
+    if (channel.isOpen()) { // the client's disconnect may be the cause
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
     }
   }
 
-  /** The client takes more. */
+  /** Records progress when the client's socket is writable again. */
   void onWritable() {
     lastProgressNanos = lastProgressNanos == 0 ? 0 : System.nanoTime();
   }
 
-  // --- upkeep
+  // --- time limits
 
-  /** Whether an answer is not written yet to its last byte. */
+  /** Whether a complete response is not fully written yet. */
   boolean isWriting() {
     return writingSinceNanos != 0;
   }
 
-  /** Whether the client takes no more of an answer that was given whole. */
+  /** Whether the client has stopped reading a complete response. */
   boolean isStalled(long nowNanos) {
     return nowNanos - writingSinceNanos > CLIENT_STALLED_NANOS;
   }
 
-  /** Whether a host, or a client, has stopped in the middle of an answer that streams. */
+  /** Whether the upstream host or the client has stalled during a streamed response. */
   boolean isStreamStalled(long nowNanos) {
     return lastProgressNanos != 0 && nowNanos - lastProgressNanos > STREAM_STALLED_NANOS;
   }
--- a/src/main/java/leadferry/http/ServerSockets.java
+++ b/src/main/java/leadferry/http/ServerSockets.java
@@ -9,18 +9,18 @@
 import java.util.function.Consumer;
 import leadferry.engine.AcceptBackoffHandler;
 
-/** What every listening TCP socket of the process is set up with. */
+/** Configures the listening TCP sockets of the process. */
 public final class ServerSockets {
   private ServerSockets() {}
 
   /**
-   * A bootstrap that is ready to bind, and to which options may be added.
+   * Returns a bootstrap that is ready to bind and accepts further options.
    *
-   * @param loop where connections are accepted and served
-   * @param socketType the listening socket's class
-   * @param backlog connections that may stand in the kernel's queue at once
-   * @param backoff pauses after accepts that failed
-   * @param accepted given each connection, on its event loop, before anything is read of it
+   * @param loop event loops that accept and serve connections
+   * @param socketType class of the listening socket
+   * @param backlog maximum number of connections in the kernel's accept queue
+   * @param backoff pauses accepting after failed accepts
+   * @param accepted receives each connection on its event loop before any of its input is read
    */
   public static ServerBootstrap bootstrap(
       EventLoopGroup loop,
--- a/src/main/java/leadferry/http/Streaming.java
+++ b/src/main/java/leadferry/http/Streaming.java
@@ -1,16 +1,19 @@
 package leadferry.http;
 
-/** Whether the bodies of a request and of its answer go on while they come. */
+/**
+ * Selects whether the bodies of a request and its response are streamed, that is, forwarded before
+ * they are complete.
+ */
 public enum Streaming {
-  /** Never: a body past its bound is none that is taken. */
+  /** Bodies are never streamed; a body over its limit is rejected. */
   NEVER,
 
   /**
-   * Those that are longer than what is held whole. Such a request's time counts from its last byte;
-   * such an answer is in time with its first.
+   * Bodies that are too long to be held in memory are streamed. The time budget of such a request
+   * counts from its last byte; such a response meets the deadline with its first byte.
    */
   LARGE,
 
-  /** All, from their heads on. */
+  /** All bodies are streamed from their first byte. */
   ALWAYS
 }
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzTest.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzTest.java
@@ -8,7 +8,8 @@
 class HttpServerFuzzTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void forwardedRequests_matchStrictParse(long seed) throws Exception {
-    assertThat(HttpServerFuzzer.run(seed, 1_500)).isGreaterThan(50); // some do get through
+  void forwardedRequestsMatchStrictParse(long seed) throws Exception {
+    // Guards against a run in which too few requests reach the upstream host to test anything.
+    assertThat(HttpServerFuzzer.run(seed, 1_500)).isGreaterThan(50);
   }
 }
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -9,13 +9,14 @@
 import leadferry.daemon.FuzzedDaemon;
 
 /**
- * Sends bytes to a daemon and compares what its host was sent with what {@link StrictReader} makes
- * of the bytes. As a program it makes bytes of a grammar for some seconds; {@code
- * fuzzerTestOneInput} is where a coverage-guided fuzzer comes in ({@code bench/fuzz}).
+ * Sends bytes to a daemon and compares the requests that its upstream host receives with those that
+ * {@link StrictReader} parses from the same bytes. As a program it generates inputs from a grammar
+ * for a number of seconds; {@code fuzzerTestOneInput} is the entry point of a coverage-guided
+ * fuzzer ({@code bench/fuzz}).
  */
 public final class HttpServerFuzzer {
-  /** Headers whose values must arrive as they were read. */
-  private static final List<String> JUDGED =
+  /** Headers that must reach the upstream host with unchanged values. */
+  private static final List<String> INSPECTED =
       List.of(
           "host",
           "idempotency-key",
@@ -28,7 +29,10 @@
 
   private HttpServerFuzzer() {}
 
-  /** Jazzer's entry: the first byte tells how the rest is split. */
+  /**
+   * Entry point of Jazzer: the first byte selects the size of the parts in which the others are
+   * sent.
+   */
   public static void fuzzerTestOneInput(byte[] data) throws Exception {
     if (data.length > 1) {
       byte[] rest = java.util.Arrays.copyOfRange(data, 1, data.length);
@@ -43,63 +47,72 @@
     return daemon;
   }
 
-  /** Sends these bytes in parts of so many; throws what was wrong. */
-  static synchronized int check(byte[] bytes, int part) throws Exception {
-    FuzzedDaemon d = daemon();
-    d.forget();
-    try (Socket s = d.client()) {
-      s.setTcpNoDelay(true);
+  /**
+   * Sends the bytes in parts of {@code partBytes}; returns the number of requests that reached the
+   * upstream host.
+   *
+   * @throws AssertionError if the upstream host received a request that the bytes do not contain
+   */
+  static synchronized int check(byte[] bytes, int partBytes) throws Exception {
+    FuzzedDaemon fuzzedDaemon = daemon();
+    fuzzedDaemon.forget();
+    try (Socket socket = fuzzedDaemon.client()) {
+      socket.setTcpNoDelay(true);
       try {
-        for (int at = 0; at < bytes.length; at += part) {
-          s.getOutputStream().write(bytes, at, Math.min(part, bytes.length - at));
+        for (int offset = 0; offset < bytes.length; offset += partBytes) {
+          socket.getOutputStream().write(bytes, offset, Math.min(partBytes, bytes.length - offset));
         }
-        // A client that ends its sending has gone: it waits a little for answers first.
-        s.setSoTimeout(3);
-        boolean more = true;
-        while (more) {
+        // A client that shuts down its output counts as disconnected, so the fuzzer waits for
+        // responses first.
+        socket.setSoTimeout(3);
+        boolean hasMore = true;
+        while (hasMore) {
           try {
-            more = s.getInputStream().read(new byte[4_096]) >= 0;
+            hasMore = socket.getInputStream().read(new byte[4_096]) >= 0;
           } catch (java.net.SocketTimeoutException e) {
-            more = false;
+            hasMore = false;
           }
         }
-        s.setSoTimeout(5_000);
-        s.shutdownOutput();
-        while (s.getInputStream().read(new byte[4_096]) >= 0) {}
+        socket.setSoTimeout(5_000);
+        socket.shutdownOutput();
+        while (socket.getInputStream().read(new byte[4_096]) >= 0) {}
       } catch (java.net.SocketTimeoutException e) {
-        throw new AssertionError("neither an answer nor a close", e);
+        throw new AssertionError("neither a response nor a close within 5 s", e);
       } catch (IOException e) {
-        // turned away while it was still sending
+        // rejected while the input was still being sent
       }
     }
-    d.settle();
-    List<byte[]> sent = List.copyOf(d.received());
-    List<StrictReader.Request> read = StrictReader.parse(bytes);
-    int at = 0;
-    for (byte[] one : sent) {
-      List<StrictReader.Request> there = StrictReader.parse(one);
-      if (there.size() != 1) {
-        throw new AssertionError("a host was sent what is no request: " + text(one));
+    fuzzedDaemon.settle();
+    List<byte[]> forwarded = List.copyOf(fuzzedDaemon.received());
+    List<StrictReader.Request> expected = StrictReader.parse(bytes);
+    int index = 0;
+    for (byte[] forwardedBytes : forwarded) {
+      List<StrictReader.Request> forwardedRequests = StrictReader.parse(forwardedBytes);
+      if (forwardedRequests.size() != 1) {
+        throw new AssertionError(
+            "upstream host received bytes that are not one valid request: " + text(forwardedBytes));
       }
-      StrictReader.Request host = there.get(0);
-      // The front may answer one by itself (404, 400), so those that follow have a later place.
-      while (at < read.size() && !same(read.get(at), host)) {
-        at++;
+      StrictReader.Request forwardedRequest = forwardedRequests.get(0);
+      // The server may send a local response (404, 400) to a request, so later requests have a
+      // higher index.
+      while (index < expected.size() && !isSameRequest(expected.get(index), forwardedRequest)) {
+        index++;
       }
-      if (at++ == read.size()) {
-        throw new AssertionError("a host was sent " + text(one) + " of what was no such request");
+      if (index++ == expected.size()) {
+        throw new AssertionError(
+            "upstream host received " + text(forwardedBytes) + ", which the client did not send");
       }
     }
-    return sent.size();
+    return forwarded.size();
   }
 
-  private static String text(byte[] b) {
-    return new String(b, java.nio.charset.StandardCharsets.ISO_8859_1);
+  private static String text(byte[] bytes) {
+    return new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1);
   }
 
-  private static boolean same(StrictReader.Request client, StrictReader.Request host) {
-    String target = client.target();
-    List<String> hosts = client.all("host");
+  private static boolean isSameRequest(StrictReader.Request sent, StrictReader.Request forwarded) {
+    String target = sent.target();
+    List<String> hosts = sent.all("host");
     boolean absolute = target.regionMatches(true, 0, "http://", 0, 7);
     if (absolute) {
       int end = 7;
@@ -112,26 +125,26 @@
               ? target.substring(end)
               : "/" + target.substring(end);
     }
-    if (hosts.isEmpty() && client.version().equals("HTTP/1.0")) {
+    if (hosts.isEmpty() && sent.version().equals("HTTP/1.0")) {
       hosts = List.of("");
     }
-    if (!client.method().equals(host.method())
-        || !target.equals(host.target())
-        || !client.body().equals(host.body())
-        || !hosts.equals(host.all("host"))) {
+    if (!sent.method().equals(forwarded.method())
+        || !target.equals(forwarded.target())
+        || !sent.body().equals(forwarded.body())
+        || !hosts.equals(forwarded.all("host"))) {
       return false;
     }
-    for (String name : JUDGED) {
-      if (!name.equals("host") && !client.all(name).equals(host.all(name))) {
+    for (String name : INSPECTED) {
+      if (!name.equals("host") && !sent.all(name).equals(forwarded.all(name))) {
         return false;
       }
     }
     return true;
   }
 
-  // --- a grammar of its own
+  // --- grammar
 
-  private static final String[] LINES = {
+  private static final String[] REQUEST_LINES = {
     "GET /a HTTP/1.1",
     "POST /a?q=1 HTTP/1.1",
     "POST http://b.test/a HTTP/1.1",
@@ -142,7 +155,7 @@
     "GET /a HTTP/1.2",
     "M-X /%61 HTTP/1.1"
   };
-  private static final String[] FIELDS = {
+  private static final String[] HEADER_LINES = {
     "Host: a.test",
     "Host: a.test",
     "Host: a.test",
@@ -192,45 +205,44 @@
     "5\r\nhelloXX0\r\n\r\n"
   };
 
-  /** Requests of the grammar with a few bytes changed. */
-  static byte[] make(SplittableRandom random) {
-    StringBuilder s = new StringBuilder();
-    for (int n = 1 + random.nextInt(3); n > 0; n--) {
-      s.append(pick(LINES, random)).append("\r\n");
-      for (int f = random.nextInt(4); f > 0; f--) {
-        s.append(pick(FIELDS, random)).append("\r\n");
+  /** Generates requests from the grammar and changes a few of their bytes. */
+  static byte[] generate(SplittableRandom random) {
+    StringBuilder text = new StringBuilder();
+    for (int remaining = 1 + random.nextInt(3); remaining > 0; remaining--) {
+      text.append(pick(REQUEST_LINES, random)).append("\r\n");
+      for (int headersLeft = random.nextInt(4); headersLeft > 0; headersLeft--) {
+        text.append(pick(HEADER_LINES, random)).append("\r\n");
       }
       switch (random.nextInt(4)) {
-        case 0 -> s.append("\r\n").append(pick(BODIES, random));
-        case 1 -> s.append("Host: c.test\r\nContent-Length: 5\r\n\r\nhello");
+        case 0 -> text.append("\r\n").append(pick(BODIES, random));
+        case 1 -> text.append("Host: c.test\r\nContent-Length: 5\r\n\r\nhello");
         case 2 ->
-            s.append("Transfer-Encoding: chunked\r\n\r\n").append(BODIES[1 + random.nextInt(3)]);
-        default -> s.append("\r\n");
+            text.append("Transfer-Encoding: chunked\r\n\r\n").append(BODIES[1 + random.nextInt(3)]);
+        default -> text.append("\r\n");
       }
     }
-    for (int n = random.nextInt(4) - 1; n > 0; n--) {
-      int at = random.nextInt(s.length());
+    for (int remaining = random.nextInt(4) - 1; remaining > 0; remaining--) {
+      int index = random.nextInt(text.length());
       switch (random.nextInt(3)) {
-        case 0 -> s.setCharAt(at, (char) random.nextInt(256));
-        case 1 -> s.insert(at, " \t\r\n:,;\u0000".charAt(random.nextInt(8)));
-        default -> s.deleteCharAt(at);
+        case 0 -> text.setCharAt(index, (char) random.nextInt(256));
+        case 1 -> text.insert(index, " \t\r\n:,;\u0000".charAt(random.nextInt(8)));
+        default -> text.deleteCharAt(index);
       }
     }
-    return s.toString().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+    return text.toString().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
   }
 
-  private static String pick(String[] of, SplittableRandom random) {
-    return of[random.nextInt(of.length)];
+  private static String pick(String[] choices, SplittableRandom random) {
+    return choices[random.nextInt(choices.length)];
   }
 
   /**
-   * Writes so many inputs of the grammar, in {@link #fuzzerTestOneInput}'s form, for a fuzzer to
-   * begin with.
+   * Writes generated inputs as a seed corpus, in the form that {@link #fuzzerTestOneInput} reads.
    */
-  private static void corpus(Path folder, int inputs) throws IOException {
+  private static void writeCorpus(Path folder, int inputs) throws IOException {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < inputs; i++) {
-      byte[] bytes = make(random);
+      byte[] bytes = generate(random);
       byte[] input = new byte[bytes.length + 1];
       input[0] = (byte) random.nextInt(256);
       System.arraycopy(bytes, 0, input, 1, bytes.length);
@@ -239,36 +251,42 @@
   }
 
   /**
-   * Makes inputs for so many seconds, from a seed on: {@code HttpServerFuzzer SECONDS [SEED]}.
-   * {@code HttpServerFuzzer corpus FOLDER N} writes N of them instead.
+   * Runs generated inputs for a number of seconds, beginning with a seed: {@code HttpServerFuzzer
+   * SECONDS [SEED]}. {@code HttpServerFuzzer corpus FOLDER N} writes N inputs to a folder instead.
    */
   public static void main(String[] args) throws Exception {
     if (args[0].equals("corpus")) {
-      corpus(Path.of(args[1]), Integer.parseInt(args[2]));
+      writeCorpus(Path.of(args[1]), Integer.parseInt(args[2]));
       return;
     }
-    long until = System.nanoTime() + (long) (Double.parseDouble(args[0]) * 1e9);
+    long endNanos = System.nanoTime() + (long) (Double.parseDouble(args[0]) * 1e9);
     long seed = args.length > 1 ? Long.parseLong(args[1]) : System.nanoTime();
     long inputs = 0;
     long reached = 0;
-    for (; System.nanoTime() < until; seed++) {
+    for (; System.nanoTime() < endNanos; seed++) {
       reached += run(seed, 500);
       inputs += 500;
     }
     System.out.println(
-        inputs + " inputs, " + reached + " requests reached the host, none of them wrong");
+        inputs
+            + " inputs, "
+            + reached
+            + " requests reached the upstream host, all of them as sent");
     System.exit(0);
   }
 
-  /** So many inputs from this seed; returns how many requests reached the host. */
+  /**
+   * Runs a number of inputs generated from a seed; returns how many requests reached the upstream
+   * host.
+   */
   static int run(long seed, int inputs) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
     int reached = 0;
     for (int i = 0; i < inputs; i++) {
-      byte[] bytes = make(random);
-      int part = random.nextInt(3) == 0 ? 1 + random.nextInt(20) : bytes.length;
+      byte[] bytes = generate(random);
+      int partBytes = random.nextInt(3) == 0 ? 1 + random.nextInt(20) : bytes.length;
       try {
-        reached += check(bytes, part);
+        reached += check(bytes, partBytes);
       } catch (AssertionError e) {
         throw new AssertionError(
             "seed "
@@ -276,7 +294,7 @@
                 + ", input "
                 + i
                 + " in parts of "
-                + part
+                + partBytes
                 + ": "
                 + text(bytes).replace("\r", "\\r")
                 + "\n"
--- a/src/test/java/leadferry/fuzz/StrictReader.java
+++ b/src/test/java/leadferry/fuzz/StrictReader.java
@@ -7,11 +7,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads requests from bytes by the grammar of RFC 9112 and nothing else: the first thing that is
- * not of it ends the reading. Written apart from the front, by the ABNF, as the other opinion.
+ * Parses requests strictly by the grammar of RFC 9112 and stops at the first byte that violates it.
+ * Written from the ABNF, independently of the server, as the reference of the fuzz test.
  */
 final class StrictReader {
-  /** A request: names of headers in lower case, in order. */
+  /** Parsed request; header names are in lower case, in their order of arrival. */
   record Request(
       String method, String target, String version, List<String[]> headers, String body) {
     List<String> all(String name) {
@@ -20,78 +20,76 @@
   }
 
   private static final String TCHAR = "[!#$%&'*+.^_`|~0-9A-Za-z-]";
-  private static final Pattern LINE =
+  private static final Pattern REQUEST_LINE =
       Pattern.compile("(" + TCHAR + "+) ([\\x21-\\x7e]+) (HTTP/[0-9]\\.[0-9])");
   private static final Pattern FIELD =
       Pattern.compile("(" + TCHAR + "+):[ \\t]*([\\x20-\\x7e\\x80-\\xff\\t]*?)[ \\t]*");
 
-  /**
-   * Extensions are passed over without being read (7.1.1), so only their octets have to be sound.
-   */
+  /** Chunk extensions are ignored (7.1.1), so only their octets have to be valid. */
   private static final Pattern CHUNK =
       Pattern.compile("0*([0-9A-Fa-f]{1,8})(?:[ \\t]*;[\\x20-\\x7e\\x80-\\xff\\t]*)?");
 
   private final String text;
-  private int at;
+  private int position;
 
   private StrictReader(byte[] bytes) {
     text = new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** The requests that stand at the beginning of these bytes, up to the first fault or the end. */
+  /** Returns the requests at the beginning of the bytes, up to the first violation or the end. */
   static List<Request> parse(byte[] bytes) {
-    StrictReader r = new StrictReader(bytes);
-    List<Request> out = new ArrayList<>();
+    StrictReader reader = new StrictReader(bytes);
+    List<Request> requests = new ArrayList<>();
     Request next;
-    while ((next = r.request()) != null) {
-      out.add(next);
+    while ((next = reader.readRequest()) != null) {
+      requests.add(next);
     }
-    return out;
+    return requests;
   }
 
-  /** A line without its CR LF; null where none ends, or a bare CR or LF stands in it. */
-  private String line() {
-    int end = text.indexOf("\r\n", at);
-    String l = end < 0 ? null : text.substring(at, end);
-    if (l == null || l.indexOf('\r') >= 0 || l.indexOf('\n') >= 0) {
+  /** Returns the next line without its CR LF, or null if no line ends or a bare CR or LF occurs. */
+  private String readLine() {
+    int end = text.indexOf("\r\n", position);
+    String line = end < 0 ? null : text.substring(position, end);
+    if (line == null || line.indexOf('\r') >= 0 || line.indexOf('\n') >= 0) {
       return null;
     }
-    at = end + 2;
-    return l;
+    position = end + 2;
+    return line;
   }
 
-  private List<String[]> fields() {
-    List<String[]> out = new ArrayList<>();
+  private List<String[]> readFields() {
+    List<String[]> fields = new ArrayList<>();
     while (true) {
-      String l = line();
-      if (l == null) {
+      String line = readLine();
+      if (line == null) {
         return null;
       }
-      if (l.isEmpty()) {
-        return out;
+      if (line.isEmpty()) {
+        return fields;
       }
-      var m = FIELD.matcher(l);
-      if (!m.matches()) {
+      var matcher = FIELD.matcher(line);
+      if (!matcher.matches()) {
         return null;
       }
-      out.add(new String[] {m.group(1).toLowerCase(Locale.ROOT), m.group(2)});
+      fields.add(new String[] {matcher.group(1).toLowerCase(Locale.ROOT), matcher.group(2)});
     }
   }
 
-  private Request request() {
-    if (text.startsWith("\r\n", at)) {
-      at += 2; // section 2.2: one empty line ahead
+  private Request readRequest() {
+    if (text.startsWith("\r\n", position)) {
+      position += 2; // section 2.2: one empty line may precede the request line
     }
-    String first = line();
-    var m = first == null ? null : LINE.matcher(first);
-    if (m == null || !m.matches()) {
+    String requestLine = readLine();
+    var matcher = requestLine == null ? null : REQUEST_LINE.matcher(requestLine);
+    if (matcher == null || !matcher.matches()) {
       return null;
     }
-    List<String[]> h = fields();
-    if (h == null) {
+    List<String[]> headers = readFields();
+    if (headers == null) {
       return null;
     }
-    Request head = new Request(m.group(1), m.group(2), m.group(3), h, "");
+    Request head = new Request(matcher.group(1), matcher.group(2), matcher.group(3), headers, "");
     List<String> lengths = head.all("content-length");
     List<String> codings = head.all("transfer-encoding");
     String body;
@@ -101,36 +99,38 @@
           || !codings.get(0).equalsIgnoreCase("chunked")) {
         return null;
       }
-      body = chunks();
+      body = readChunkedBody();
     } else if (!lengths.isEmpty()) {
       if (lengths.size() != 1 || !lengths.get(0).matches("[0-9]{1,9}")) {
         return null;
       }
-      int n = Integer.parseInt(lengths.get(0));
-      body = at + n > text.length() ? null : text.substring(at, at += n);
+      int length = Integer.parseInt(lengths.get(0));
+      body =
+          position + length > text.length() ? null : text.substring(position, position += length);
     } else {
       body = "";
     }
-    return body == null ? null : new Request(head.method, head.target, head.version, h, body);
+    return body == null ? null : new Request(head.method, head.target, head.version, headers, body);
   }
 
-  private String chunks() {
-    StringBuilder out = new StringBuilder();
+  private String readChunkedBody() {
+    StringBuilder body = new StringBuilder();
     while (true) {
-      String l = line();
-      var m = l == null ? null : CHUNK.matcher(l);
-      if (m == null || !m.matches()) {
+      String line = readLine();
+      var matcher = line == null ? null : CHUNK.matcher(line);
+      if (matcher == null || !matcher.matches()) {
         return null;
       }
-      long n = Long.parseLong(m.group(1), 16);
-      if (n == 0) {
-        return fields() == null ? null : out.toString();
+      long length = Long.parseLong(matcher.group(1), 16);
+      if (length == 0) {
+        return readFields() == null ? null : body.toString();
       }
-      if (at + n + 2 > text.length() || !text.startsWith("\r\n", (int) (at + n))) {
+      if (position + length + 2 > text.length()
+          || !text.startsWith("\r\n", (int) (position + length))) {
         return null;
       }
-      out.append(text, at, (int) (at + n));
-      at += (int) n + 2;
+      body.append(text, position, (int) (position + length));
+      position += (int) length + 2;
     }
   }
 }
--- a/src/test/java/leadferry/fuzz/package-info.java
+++ b/src/test/java/leadferry/fuzz/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Whatever bytes come to the front reach a host as the request that they are by the RFC's grammar,
- * or not at all. Begin with {@code HttpServerFuzzer}; {@code StrictReader} is the second reading.
+ * Fuzz test of the HTTP server: whatever bytes a client sends, an upstream host receives either the
+ * request that they form by the grammar of RFC 9112, or nothing. Entry point: {@code
+ * HttpServerFuzzer}; {@code StrictReader} is the independent parser that it compares with.
  */
 package leadferry.fuzz;
--- a/src/test/java/leadferry/http/LoadReportHeadersTest.java
+++ b/src/test/java/leadferry/http/LoadReportHeadersTest.java
@@ -6,7 +6,7 @@
 
 class LoadReportHeadersTest {
   @Test
-  void invalidValue_discardsWholeReport() {
+  void invalidValueDiscardsWholeReport() {
     assertThat(LoadReportHeaders.parse("inflight=1e300")).isNull();
     assertThat(LoadReportHeaders.parse("inflight=3,eps=none")).isNull();
     assertThat(LoadReportHeaders.parse("inflight=3,other=none").heldRequests()).isEqualTo(3);
