--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -25,12 +25,12 @@
   private final HttpServer server;
   private final SocketChannel channel;
   private final RequestDecoder decoder;
-  private final ResponseWriter responses;
+  private final ResponseWriter responseWriter;
   private final RequestIntake intake;
   private final DiscardedInput discarded;
   private final ConnectionTimeouts timeouts;
   private final PipelineQueue pipeline;
-  private final DisconnectDetector disconnects;
+  private final DisconnectDetector disconnectDetector;
   private final RequestLog log;
   private ConnectionState state = ConnectionState.OPEN;
   private HttpCall call;
@@ -47,9 +47,9 @@
     this.decoder = decoder;
     this.log = new RequestLog(server.log(), channel);
     this.timeouts = new ConnectionTimeouts(server, decoder, acceptedAtNanos);
-    this.responses = new ResponseWriter(this, server, channel);
-    this.disconnects = new DisconnectDetector(this, server, channel);
-    this.intake = new RequestIntake(this, server, channel, decoder, responses);
+    this.responseWriter = new ResponseWriter(this, server, channel);
+    this.disconnectDetector = new DisconnectDetector(this, server, channel);
+    this.intake = new RequestIntake(this, server, channel, decoder, responseWriter);
     this.discarded = intake.discardedInput();
     int maxQueuedRequests = server.settings().maxPipelinedRequests() - 1;
     this.pipeline = new PipelineQueue(this, channel, decoder, intake, maxQueuedRequests);
@@ -93,8 +93,8 @@
     try {
       if (!state.acceptsRequests()) {
         discarded.discard(message);
-      } else if (disconnects.isDiscardingPipelined()) {
-        disconnects.discard(message);
+      } else if (disconnectDetector.isDiscardingPipelined()) {
+        disconnectDetector.discard(message);
       } else if (discarded.isSkipping()) {
         timeouts.markUsed();
         discarded.skip((HttpObject) message);
@@ -103,7 +103,7 @@
       } else if (server.settings().maxPipelinedRequests() > 1) {
         pipeline.add((HttpObject) message, timeouts.earliestReceiptNanos());
       } else {
-        disconnects.startDiscardingPipelined();
+        disconnectDetector.startDiscardingPipelined();
       }
     } finally {
       ReferenceCountUtil.release(message);
@@ -113,7 +113,7 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (call != null && channel.isWritable()) {
-      responses.onWritable();
+      responseWriter.onWritable();
       call.onClientWritable();
     }
   }
@@ -140,17 +140,17 @@
 
   /** Closes the connection if the client of a complete request has disconnected; true if so. */
   boolean closeIfDisconnected() {
-    return disconnects.closeIfDisconnected();
+    return disconnectDetector.closeIfDisconnected();
   }
 
   /** Same as {@link #closeIfDisconnected}, but only if checking the socket consumes no input. */
   boolean closeIfDisconnectedBetweenRequests() {
-    return disconnects.closeIfDisconnectedBetweenRequests();
+    return disconnectDetector.closeIfDisconnectedBetweenRequests();
   }
 
   /** Starts a request that is about to be passed to the engine. */
-  void beginCall(HttpCall next) {
-    call = next;
+  void beginCall(HttpCall newCall) {
+    call = newCall;
     server.onCallStarted();
   }
 
@@ -177,7 +177,7 @@
   boolean decideLastResponse() {
     // Complete pipelined requests get their responses before the client is asked to disconnect. An
     // incomplete request at the time of a response can't be distinguished from the next request.
-    if (((server.isDraining() || server.isCrowded()) && !pipeline.hasWholeRequest())
+    if (((server.isDraining() || server.isCrowded()) && !pipeline.hasCompleteRequest())
         || (intake.upload() != null && !intake.shouldSkipRemainder())) {
       closeAfterCurrentResponse();
     }
@@ -188,7 +188,7 @@
    * Handles a response whose end was passed to the channel. Returns true if the connection stays
    * open and no further input of the request is expected.
    */
-  boolean onResponseSubmitted(ChannelFuture written) {
+  boolean onResponseSubmitted(ChannelFuture writeFuture) {
     endCall();
     intake.onResponseSubmitted();
     timeouts.markUsed();
@@ -200,7 +200,7 @@
       markFinished();
       pipeline.clear();
       channel.config().setAutoRead(true);
-      written.addListener(f -> linger());
+      writeFuture.addListener(f -> linger());
       return false;
     }
     pipeline.scheduleDrain();
@@ -230,14 +230,14 @@
     if (call != null) {
       call.exchange().abandon(); // the body can't be read to its end; this sends the only response
       if (call != null) {
-        responses.abortStream(); // a response that has started
+        responseWriter.abortStream(); // a response that has started
       } else {
         startDiscardingInput();
       }
       return;
     }
     startDiscardingInput();
-    responses.send(status, 0);
+    responseWriter.send(status, 0);
   }
 
   /** Discards all further input undecoded: it may be large or not HTTP at all. */
@@ -314,7 +314,7 @@
     return call != null
         || !pipeline.isEmpty()
         || decoder.isReceiving()
-        || responses.isWriting()
+        || responseWriter.isWriting()
         || state.isClosing();
   }
 
@@ -330,7 +330,7 @@
 
   /** Returns the eviction class of the connection. */
   EvictionOrder evictionOrder(long nowNanos) {
-    if (call != null || responses.isWriting() || !channel.isOpen()) {
+    if (call != null || responseWriter.isWriting() || !channel.isOpen()) {
       return EvictionOrder.NEVER; // in use, or closed and not yet removed
     }
     return state == ConnectionState.DISCARDING
@@ -340,15 +340,15 @@
 
   /** Enforces the time limits of the connection; called several times a second. */
   void enforceTimeouts(long nowNanos) {
-    if (disconnects.isDiscardingPipelined() && acceptsRequests()) {
+    if (disconnectDetector.isDiscardingPipelined() && acceptsRequests()) {
       channel.config().setAutoRead(true);
     }
     if (call != null
         && intake.upload() != null
         && intake.upload().isStalled(nowNanos, timeouts.receiveTimeoutNanos())) {
       call.exchange().abandon(); // the request body has stalled
-    } else if (responses.isStreamStalled(nowNanos)) {
-      responses.abortStream();
+    } else if (responseWriter.isStreamStalled(nowNanos)) {
+      responseWriter.abortStream();
     } else if (state != ConnectionState.DISCARDING && call == null) {
       enforceTimeoutsWithoutCall(nowNanos);
     }
@@ -357,8 +357,8 @@
   private void enforceTimeoutsWithoutCall(long nowNanos) {
     if (discarded.isSkipping()) {
       closeWhenDue(timeouts.isRemainderTooSlow(nowNanos), CloseReason.SLOW);
-    } else if (responses.isWriting()) {
-      closeWhenDue(responses.isStalled(nowNanos), CloseReason.STALLED);
+    } else if (responseWriter.isWriting()) {
+      closeWhenDue(responseWriter.isStalled(nowNanos), CloseReason.STALLED);
     } else if (decoder.isReceiving()) {
       if (timeouts.isRequestTooSlow(nowNanos, intake.heldBodyBytes())) {
         reject(intake.isPaused() ? 503 : 408);
--- a/src/main/java/leadferry/http/ConnectionTimeouts.java
+++ b/src/main/java/leadferry/http/ConnectionTimeouts.java
@@ -61,18 +61,18 @@
    * true for the first one.
    */
   boolean markRequestSeen() {
-    boolean first = !requestSeen;
+    boolean isFirst = !requestSeen;
     requestSeen = true;
-    return first;
+    return isFirst;
   }
 
   /**
    * Returns the earliest time at which the input that is read now can have arrived, plus {@link
    * SocketSlack#NANOS}, but not a time in the future. Guards against a late loop: the time budget
    * of a request counts from its last byte. A request that waited in the kernel's buffer for longer
-   * than its client waits is not forwarded, and gets no response after twice that time. Drawback:
-   * if the loop was late for a shorter time than this bound assumes, the request is rejected
-   * without need.
+   * than its client waits is not forwarded; after twice that time it gets no response at all.
+   * Drawback: if the loop was late for a shorter time than this bound assumes, the request is
+   * rejected without need.
    */
   long earliestReceiptNanos() {
     long earliest =
@@ -117,7 +117,7 @@
     return nowNanos - idleSinceNanos > receiveTimeoutNanos;
   }
 
-  /** Whether a request with {@code bodyBytes} bytes of its body received arrives too slowly. */
+  /** Whether a request arrives too slowly of whose body {@code bodyBytes} bytes are held. */
   boolean isRequestTooSlow(long nowNanos, long bodyBytes) {
     return nowNanos - receivingSinceNanos() > receiveTimeoutNanos + bodyAllowanceNanos(bodyBytes);
   }
@@ -128,11 +128,11 @@
       return CloseReason.DRAINING;
     }
     long idleNanos = server.settings().maxIdleMillis() * NANOS_PER_MILLI;
-    boolean idle =
+    boolean isIdle =
         requestSeen
             ? nowNanos - idleSinceNanos > idleNanos
             : nowNanos - openedAtNanos > receiveTimeoutNanos;
-    return idle ? CloseReason.IDLE : null;
+    return isIdle ? CloseReason.IDLE : null;
   }
 
   /**
--- a/src/main/java/leadferry/http/DiscardedInput.java
+++ b/src/main/java/leadferry/http/DiscardedInput.java
@@ -77,8 +77,7 @@
     } else if (part instanceof LastHttpContent) {
       skipping = false;
       discardedBytes = 0;
-      decoder
-          .onRequestCompleted(); // the client has its response: following input is the next request
+      decoder.onRequestCompleted(); // following input is the next request
       client.onRemainderSkipped();
     }
   }
--- a/src/main/java/leadferry/http/DisconnectDetector.java
+++ b/src/main/java/leadferry/http/DisconnectDetector.java
@@ -12,10 +12,10 @@
  */
 final class DisconnectDetector {
   /**
-   * Pipelined input (bytes) that is discarded between two calls of {@link
+   * Maximum pipelined input (bytes) that is discarded between two calls of {@link
    * ClientConnection#enforceTimeouts}.
    */
-  private static final int MAX_DISCARDED_BYTES_PER_SWEEP = 1 << 20;
+  private static final int MAX_DISCARDED_BYTES_PER_INTERVAL = 1 << 20;
 
   private final ClientConnection connection;
   private final SocketChannel channel;
@@ -60,7 +60,7 @@
    */
   void discard(Object message) {
     discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-    if (discardedBytes > MAX_DISCARDED_BYTES_PER_SWEEP) {
+    if (discardedBytes > MAX_DISCARDED_BYTES_PER_INTERVAL) {
       discardedBytes = 0;
       channel.config().setAutoRead(false);
     }
@@ -79,9 +79,8 @@
             : transport.checkClientEnd(channel);
     if (end == Transport.ClientEnd.LOST_BYTE) {
       startDiscardingPipelined();
-      end =
-          transport.checkClientEndDiscarding(
-              channel); // the client may have sent more and then disconnected
+      // The client may have sent more and then disconnected.
+      end = transport.checkClientEndDiscarding(channel);
     }
     if (end != Transport.ClientEnd.ENDED) {
       return false;
--- a/src/main/java/leadferry/http/FilterResult.java
+++ b/src/main/java/leadferry/http/FilterResult.java
@@ -33,30 +33,30 @@
 
   private static final Runnable NO_CALLBACK = () -> {};
 
-  /** Rejects an invalid request with an error status and closes the connection. */
+  /** Returns a result that rejects an invalid request and closes the connection. */
   public static FilterResult reject(int status) {
     return new FilterResult(status, true, 0, null, null, null, Streaming.NEVER, null, NO_CALLBACK);
   }
 
-  /** Sends a local response to a valid request; the connection stays open. */
-  public static FilterResult respond(int status, double retryAfterMs) {
-    return respond(status, retryAfterMs, null);
+  /** Returns a result that sends a local response to a valid request and keeps the connection. */
+  public static FilterResult respond(int status, double retryAfterMillis) {
+    return respond(status, retryAfterMillis, null);
   }
 
-  /** Sends a local response that is logged with this origin; the connection stays open. */
-  public static FilterResult respond(int status, double retryAfterMs, Origin origin) {
+  /** Same as {@link #respond(int, double)}; the response is logged with this origin. */
+  public static FilterResult respond(int status, double retryAfterMillis, Origin origin) {
     return new FilterResult(
-        status, false, retryAfterMs, null, null, null, Streaming.NEVER, origin, NO_CALLBACK);
+        status, false, retryAfterMillis, null, null, null, Streaming.NEVER, origin, NO_CALLBACK);
   }
 
-  /** Forwards the request to a pool. */
+  /** Returns a result that forwards the request to a pool. */
   public static FilterResult forward(
       Dispatcher target,
       RequestArrival arrival,
       FallbackPools fallback,
       Streaming streaming,
       Origin origin,
-      Runnable done) {
+      Runnable onDone) {
     return new FilterResult(
         0,
         false,
@@ -66,6 +66,6 @@
         fallback,
         streaming,
         origin,
-        done == null ? NO_CALLBACK : done);
+        onDone == null ? NO_CALLBACK : onDone);
   }
 }
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -51,14 +51,14 @@
     if (call.isHead()) {
       upstreamConnection().expectNoBody();
     }
-    ChannelFuture written = call.writeTo(channel, exchange.remainingMs());
+    ChannelFuture writeFuture = call.writeTo(channel, exchange.remainingMs());
     if (call.upload() == null) {
-      return written;
+      return writeFuture;
     }
     // The body follows the head. The attempt may have run from the first byte of the body on,
     // therefore the write of the head counts as the write of the request.
     call.upload().attach(this);
-    return written;
+    return writeFuture;
   }
 
   /** Writes part of a streamed request body; takes ownership of the bytes. */
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -146,11 +146,10 @@
 
   ChannelFuture writeTo(Channel channel, long remainingMillis) {
     HttpHeaders headers = head.headers();
+    // An upstream host counts the announced time from the last byte of the request.
     headers.set(
         TIMEOUT_HEADER,
-        announcedMillis > 0 && isIncomplete()
-            ? (long) announcedMillis
-            : remainingMillis); // an upstream host counts from the last byte
+        announcedMillis > 0 && isIncomplete() ? (long) announcedMillis : remainingMillis);
     if (upload != null) {
       return channel.writeAndFlush(
           new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
@@ -301,7 +300,7 @@
       body.release();
     }
     if (upload != null) {
-      upload.free();
+      upload.releaseReplayBuffer();
     }
   }
 }
--- a/src/main/java/leadferry/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -18,10 +18,10 @@
  * @param allowsCloseDelimited whether the close of the connection may delimit a response whose head
  *     announces it. A crashed process resets its connections, so an orderly end proves that the
  *     response is complete.
- * @param forwardsAllBelow500 whether every response with a status below 500 is forwarded unchanged.
- *     Otherwise only a 200 is, and of a 4xx only the status reaches the client, without the body.
+ * @param forwardsAllBelow500 whether every response with a status below 500 is forwarded with its
+ *     body. Otherwise only a 200 is, and of a 4xx only the status reaches the client.
  * @param forwardsServerErrors whether a 5xx of an upstream host that ends its request is forwarded
- *     unchanged
+ *     with its body
  */
 public record HttpProtocol(
     int maxHeldResponseBytes,
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -159,8 +159,8 @@
 
   /**
    * Returns the earliest {@link System#nanoTime} at which the kernel can have completed the
-   * handshake of the connection that is accepted now. Without a listening socket of its own, the
-   * server uses the read horizon.
+   * handshake of the connection that is accepted now. A server without a listening socket of its
+   * own returns {@link #readUntilNanos}.
    */
   private long earliestAcceptNanos() {
     return listener == null ? readUntilNanos() : listener.earliestAcceptNanos();
--- a/src/main/java/leadferry/http/HttpServerSettings.java
+++ b/src/main/java/leadferry/http/HttpServerSettings.java
@@ -11,8 +11,8 @@
  *     a request
  * @param minBodyBytesPerSecond minimum rate of a held body; the body's size at this rate is added
  *     to {@code receiveTimeoutMillis}; 0 adds nothing
- * @param minIdleMillis minimum time for which an idle connection is kept
- * @param maxIdleMillis maximum time for which an idle connection is kept
+ * @param minIdleMillis time for which an idle connection can't be evicted
+ * @param maxIdleMillis time after which an idle connection is closed
  * @param maxOpenRequests maximum number of open requests per pool
  * @param maxPipelinedRequests requests of one connection that are held at the same time, including
  *     the current one; with 1 the connection of a client that pipelines requests is closed after
@@ -45,7 +45,7 @@
   private static final int MIN_PLATFORM_BODY_BYTES_PER_SECOND = 32_000;
 
   /** Returns the limits for the platform's clients. */
-  public static HttpServerSettings forPlatform(int maxOpen) {
+  public static HttpServerSettings forPlatform(int maxOpenRequests) {
     return new HttpServerSettings(
         64 * 1024,
         MAX_PLATFORM_BODY_BYTES,
@@ -53,7 +53,7 @@
         MIN_PLATFORM_BODY_BYTES_PER_SECOND,
         2_000,
         6_000,
-        maxOpen,
+        maxOpenRequests,
         1,
         true,
         false);
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -19,7 +19,7 @@
   /** Maximum number of connections in the kernel's accept queue. */
   static final int BACKLOG = 1_024;
 
-  private long lastTurn;
+  private long lastIteration;
   private boolean queueMayBeNonEmpty;
   private int acceptedSinceQueueCheck;
   private long queueEmptyAtNanos = System.nanoTime();
@@ -42,13 +42,13 @@
     return queueEmptyAtNanos;
   }
 
-  /** Starts a check of the accept queue, once per turn of the event loop. */
+  /** Starts a check of the accept queue, once per iteration of the event loop. */
   private void beginQueueCheck() {
-    long turn = ReadLagTracker.loopIterations();
-    if (turn == lastTurn && turn != 0) {
+    long iteration = ReadLagTracker.loopIterations();
+    if (iteration == lastIteration && iteration != 0) {
       return;
     }
-    if (!queueMayBeNonEmpty || turn != lastTurn + 1 || turn == 0) {
+    if (!queueMayBeNonEmpty || iteration != lastIteration + 1 || iteration == 0) {
       queueEmptyAtNanos = System.nanoTime() - ReadLagTracker.lagNanos();
       queueCheckStartNanos = System.nanoTime();
       acceptedSinceQueueCheck = 0;
@@ -57,7 +57,7 @@
       queueCheckStartNanos = System.nanoTime();
       acceptedSinceQueueCheck = 0;
     }
-    lastTurn = turn;
+    lastIteration = iteration;
     queueMayBeNonEmpty = true;
   }
 
--- a/src/main/java/leadferry/http/PipelineQueue.java
+++ b/src/main/java/leadferry/http/PipelineQueue.java
@@ -23,7 +23,7 @@
   private final RequestIntake intake;
   private final int maxQueuedRequests;
   private final ArrayDeque<QueuedPart> parts = new ArrayDeque<>(0);
-  private int wholeRequests;
+  private int completeRequests;
   private boolean drainScheduled;
 
   /**
@@ -48,22 +48,22 @@
   }
 
   /** Whether a complete request is queued. */
-  boolean hasWholeRequest() {
-    return wholeRequests > 0;
+  boolean hasCompleteRequest() {
+    return completeRequests > 0;
   }
 
   /** Queues part of a request that arrived at {@code receivedAtNanos}, and stops reading. */
   void add(HttpObject part, long receivedAtNanos) {
     channel.config().setAutoRead(false);
     parts.add(new QueuedPart(ReferenceCountUtil.retain(part), receivedAtNanos));
-    if (part instanceof LastHttpContent && ++wholeRequests >= maxQueuedRequests) {
+    if (part instanceof LastHttpContent && ++completeRequests >= maxQueuedRequests) {
       decoder.pause();
     }
   }
 
   /**
-   * Schedules the next request for the next turn of the event loop; called after a response was
-   * written.
+   * Schedules the next request for the next iteration of the event loop; called after a response
+   * was written.
    */
   void scheduleDrain() {
     if (!drainScheduled
@@ -93,7 +93,7 @@
         && connection.acceptsRequests()
         && (next = parts.poll()) != null) {
       if (next.part() instanceof LastHttpContent) {
-        wholeRequests--;
+        completeRequests--;
       }
       try {
         intake.onPart(next.part(), next.receivedAtNanos());
@@ -121,6 +121,6 @@
     while ((next = parts.poll()) != null) {
       ReferenceCountUtil.release(next.part());
     }
-    wholeRequests = 0;
+    completeRequests = 0;
   }
 }
--- a/src/main/java/leadferry/http/RequestAdmission.java
+++ b/src/main/java/leadferry/http/RequestAdmission.java
@@ -28,7 +28,7 @@
   /**
    * Decides on a complete request. The request's id stays claimed until {@link #releaseId}.
    *
-   * @param first whether this is the connection's first request
+   * @param isFirst whether this is the connection's first request
    */
   Decision decide(HttpRequest request, Dispatcher pool, boolean isFirst) {
     if ((isFirst || !server.settings().daemon()) && client.closeIfDisconnected()) {
@@ -72,6 +72,10 @@
     }
   }
 
+  /**
+   * Whether the pool or the process has reached its limit of open requests; counts and logs the
+   * rejection if so.
+   */
   private boolean isPoolFull(Dispatcher pool) {
     if (pool.openRequests() < server.settings().maxOpenRequests() && server.hasUpstreamCapacity()) {
       return false;
--- a/src/main/java/leadferry/http/RequestBodyBuffer.java
+++ b/src/main/java/leadferry/http/RequestBodyBuffer.java
@@ -78,7 +78,7 @@
   }
 
   /** Returns the held body, or null, and transfers its ownership to the caller. */
-  Body take() {
+  Body takeBody() {
     Body heldBody = body;
     body = null;
     return heldBody;
@@ -93,7 +93,7 @@
     if (paused) {
       resumeReading();
     }
-    Body completeBody = take();
+    Body completeBody = takeBody();
     if (completeBody != null) {
       completeBody.onRequestComplete();
     }
@@ -101,14 +101,14 @@
   }
 
   /** Frees the held body and stops waiting for memory. */
-  void drop() {
+  void discard() {
     budget.cancelAwait(resume);
     paused = false;
-    free(take());
+    release(takeBody());
   }
 
   /** Frees a body unless it is null. */
-  static void free(Body body) {
+  static void release(Body body) {
     if (body != null) {
       body.release();
     }
--- a/src/main/java/leadferry/http/RequestBodyUpload.java
+++ b/src/main/java/leadferry/http/RequestBodyUpload.java
@@ -143,7 +143,7 @@
     replayBuffer.release();
   }
 
-  void free() {
+  void releaseReplayBuffer() {
     replayable = false;
     replayBuffer.release();
   }
--- a/src/main/java/leadferry/http/RequestDecoder.java
+++ b/src/main/java/leadferry/http/RequestDecoder.java
@@ -24,10 +24,10 @@
   private boolean paused;
 
   /**
-   * Turn of the event loop in which the connection was accepted; 0 if the event loop does not count
-   * its turns.
+   * Iteration of the event loop in which the connection was accepted; 0 if the event loop does not
+   * count its iterations.
    */
-  private final long acceptedTurn = ReadLagTracker.loopIterations();
+  private final long acceptedIteration = ReadLagTracker.loopIterations();
 
   RequestDecoder() {
     super(HttpProtocol.DECODER_CONFIG);
@@ -105,7 +105,7 @@
    * poll bounds its arrival time.
    */
   boolean isFirstRead() {
-    return acceptedTurn != 0 && ReadLagTracker.loopIterations() <= acceptedTurn + 1;
+    return acceptedIteration != 0 && ReadLagTracker.loopIterations() <= acceptedIteration + 1;
   }
 
   boolean isReceiving() {
--- a/src/main/java/leadferry/http/RequestHead.java
+++ b/src/main/java/leadferry/http/RequestHead.java
@@ -27,7 +27,7 @@
    * Evaluates a head that was received at {@code atNanos} ({@link System#nanoTime}); returns the
    * status with which to reject the request, or 0.
    */
-  int read(HttpRequest newRequest, long atNanos) {
+  int evaluate(HttpRequest newRequest, long atNanos) {
     request = newRequest;
     receivedAtNanos = atNanos;
     http10 = newRequest.protocolVersion().equals(HttpVersion.HTTP_1_0);
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -46,7 +46,7 @@
   private final HttpServer server;
   private final SocketChannel channel;
   private final RequestDecoder decoder;
-  private final ResponseWriter responses;
+  private final ResponseWriter responseWriter;
   private final RequestHead head;
   private final RequestBodyBuffer buffer;
   private final RequestAdmission admission;
@@ -58,12 +58,12 @@
       HttpServer server,
       SocketChannel channel,
       RequestDecoder decoder,
-      ResponseWriter responses) {
+      ResponseWriter responseWriter) {
     this.client = client;
     this.server = server;
     this.channel = channel;
     this.decoder = decoder;
-    this.responses = responses;
+    this.responseWriter = responseWriter;
     this.head = new RequestHead(server, channel);
     this.buffer = new RequestBodyBuffer(server, channel);
     this.admission = new RequestAdmission(client, server);
@@ -159,7 +159,7 @@
     if (!HttpUtil.isKeepAlive(request)) {
       client.closeAfterCurrentResponse();
     }
-    int rejectionStatus = head.read(request, receivedAtNanos);
+    int rejectionStatus = head.evaluate(request, receivedAtNanos);
     if (rejectionStatus != 0) {
       client.reject(rejectionStatus);
       return;
@@ -193,10 +193,10 @@
     RequestArrival arrival = result.arrival();
     boolean isLarge = result.streaming() == Streaming.LARGE;
     double announcedMillis = isLarge ? arrival.budgetMillis() : 0;
-    upload = new RequestBodyUpload(this, pool, buffer.take(), server.budget());
+    upload = new RequestBodyUpload(this, pool, buffer.takeBody(), server.budget());
     HttpCall call =
         new HttpCall(
-            responses,
+            responseWriter,
             head.request(),
             null,
             upload,
@@ -288,16 +288,16 @@
     head.clearRequest();
     FilterResult result = head.filterResult();
     if (!head.isForwarded()) {
-      RequestBodyBuffer.free(body);
+      RequestBodyBuffer.release(body);
       discarded.reset();
-      responses.send(result.status(), result.retryAfterMillis());
+      responseWriter.send(result.status(), result.retryAfterMillis());
       return;
     }
     switch (admission.decide(request, result.target(), isFirst)) {
-      case CLIENT_GONE -> RequestBodyBuffer.free(body);
+      case CLIENT_GONE -> RequestBodyBuffer.release(body);
       case DUPLICATE_ID -> {
         client.reject(409);
-        RequestBodyBuffer.free(body);
+        RequestBodyBuffer.release(body);
       }
       case POOL_FULL -> rejectUnsent(body);
       case ADMITTED -> dispatch(request, body, trailers, receivedAtNanos);
@@ -313,15 +313,16 @@
       rejectUnsent(body); // its time elapsed while it was queued behind pipelined requests
       return;
     }
-    HttpCall call = new HttpCall(responses, request, body, null, trailers, result.streaming(), 0);
+    HttpCall call =
+        new HttpCall(responseWriter, request, body, null, trailers, result.streaming(), 0);
     client.beginCall(call);
     result.target().submit(call, result.arrival().withBudget(remainingMillis), result.fallback());
   }
 
   /** Rejects a complete request that was not passed to the engine. */
   private void rejectUnsent(Body body) {
-    RequestBodyBuffer.free(body);
-    responses.send(503, 0);
+    RequestBodyBuffer.release(body);
+    responseWriter.send(503, 0);
   }
 
   // --- completion
@@ -339,7 +340,7 @@
 
   /** Drops the current request without forwarding it. */
   void dropRequest() {
-    buffer.drop();
+    buffer.discard();
     head.clearRequest();
     head.releaseFilterResult();
   }
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -82,11 +82,11 @@
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, bytes, headers, hasTrailers ? trailers : Headers.EMPTY);
     setConnectionHeader(message);
-    ChannelFuture written = channel.writeAndFlush(message);
+    ChannelFuture writeFuture = channel.writeAndFlush(message);
     if (body != null) {
-      written.addListener(f -> body.release());
+      writeFuture.addListener(f -> body.release());
     }
-    trackWrite(written);
+    trackWrite(writeFuture);
   }
 
   /** Sends the error response of an upstream host that ends the request. */
@@ -117,11 +117,11 @@
     }
   }
 
-  private void trackWrite(ChannelFuture written) {
+  private void trackWrite(ChannelFuture writeFuture) {
     lastProgressNanos = 0;
-    if (client.onResponseSubmitted(written) && !written.isDone()) {
+    if (client.onResponseSubmitted(writeFuture) && !writeFuture.isDone()) {
       writingSinceNanos = System.nanoTime();
-      written.addListener(f -> writingSinceNanos = 0);
+      writeFuture.addListener(f -> writingSinceNanos = 0);
     }
   }
 
@@ -129,10 +129,8 @@
 
   /** Whether a response of this length (-1 if unknown) can be streamed to this client. */
   boolean canStream(long lengthBytes) {
-    return lengthBytes >= 0
-        // An HTTP/1.0 client can't distinguish the end of a response of unknown length from an
-        // abort.
-        || !client.isHttp10();
+    // An HTTP/1.0 client can't distinguish the end of a response of unknown length from an abort.
+    return lengthBytes >= 0 || !client.isHttp10();
   }
 
   /** Writes the head of a streamed response. */
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzTest.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzTest.java
@@ -5,6 +5,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against request smuggling: an upstream host receives a request that the client did not
+ * send, because the server and a strict parser interpret the same bytes differently.
+ */
 class HttpServerFuzzTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -112,7 +112,7 @@
 
   private static boolean isSameRequest(StrictReader.Request sent, StrictReader.Request forwarded) {
     String target = sent.target();
-    List<String> hosts = sent.all("host");
+    List<String> hosts = sent.headerValues("host");
     boolean absolute = target.regionMatches(true, 0, "http://", 0, 7);
     if (absolute) {
       int end = 7;
@@ -131,11 +131,11 @@
     if (!sent.method().equals(forwarded.method())
         || !target.equals(forwarded.target())
         || !sent.body().equals(forwarded.body())
-        || !hosts.equals(forwarded.all("host"))) {
+        || !hosts.equals(forwarded.headerValues("host"))) {
       return false;
     }
     for (String name : INSPECTED) {
-      if (!name.equals("host") && !sent.all(name).equals(forwarded.all(name))) {
+      if (!name.equals("host") && !sent.headerValues(name).equals(forwarded.headerValues(name))) {
         return false;
       }
     }
--- a/src/test/java/leadferry/fuzz/StrictReader.java
+++ b/src/test/java/leadferry/fuzz/StrictReader.java
@@ -14,7 +14,7 @@
   /** Parsed request; header names are in lower case, in their order of arrival. */
   record Request(
       String method, String target, String version, List<String[]> headers, String body) {
-    List<String> all(String name) {
+    List<String> headerValues(String name) {
       return headers.stream().filter(h -> h[0].equals(name)).map(h -> h[1]).toList();
     }
   }
@@ -90,8 +90,8 @@
       return null;
     }
     Request head = new Request(matcher.group(1), matcher.group(2), matcher.group(3), headers, "");
-    List<String> lengths = head.all("content-length");
-    List<String> codings = head.all("transfer-encoding");
+    List<String> lengths = head.headerValues("content-length");
+    List<String> codings = head.headerValues("transfer-encoding");
     String body;
     if (!codings.isEmpty()) {
       if (!lengths.isEmpty()
--- a/src/test/java/leadferry/http/LoadReportHeadersTest.java
+++ b/src/test/java/leadferry/http/LoadReportHeadersTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against a load report that is used although one of its values is invalid. */
 class LoadReportHeadersTest {
   @Test
   void invalidValueDiscardsWholeReport() {
