--- a/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -62,8 +62,8 @@
         for (int offset = 0; offset < bytes.length; offset += partBytes) {
           socket.getOutputStream().write(bytes, offset, Math.min(partBytes, bytes.length - offset));
         }
-        // A client that shuts down its output counts as disconnected, so the fuzzer waits for
-        // responses first.
+        // A client that shuts down its output counts as disconnected, so the fuzzer waits briefly
+        // for responses first.
         socket.setSoTimeout(3);
         boolean hasMore = true;
         while (hasMore) {
