--- a/src/main/java/leadferry/disruption/BudgetEvaluator.java
+++ b/src/main/java/leadferry/disruption/BudgetEvaluator.java
@@ -37,36 +37,37 @@
    * built-in rules.
    */
   List<BudgetBound> evaluateBounds(Target candidate) {
-    Collection<Target> all = targets.byName(candidate.type()).values();
+    Collection<Target> allTargets = targets.byName(candidate.type()).values();
     List<BudgetBound> bounds = new ArrayList<>();
     for (Budget budget : budgets.all()) {
       if (budget.selects(candidate)) {
-        bounds.add(evaluateBudget(budget, all, candidate));
+        bounds.add(evaluateBudget(budget, allTargets, candidate));
       }
     }
     if (budgets.all().stream().noneMatch(budget -> budget.targetType() == candidate.type())) {
       String name = "no budget of " + candidate.type().storedName() + ": one at a time";
-      bounds.add(evaluateBound(name, all, ALLOWED_WITHOUT_BUDGET, candidate));
+      bounds.add(evaluateBound(name, allTargets, ALLOWED_WITHOUT_BUDGET, candidate));
     }
-    bounds.add(evaluateLastOneBound(all, candidate));
+    bounds.add(evaluateLastOneBound(allTargets, candidate));
     return bounds;
   }
 
-  private BudgetBound evaluateBudget(Budget budget, Collection<Target> all, Target candidate) {
+  private BudgetBound evaluateBudget(
+      Budget budget, Collection<Target> allTargets, Target candidate) {
     List<Target> group =
-        all.stream()
+        allTargets.stream()
             .filter(target -> budget.selects(target) && budget.isSameGroup(target, candidate))
             .toList();
     return evaluateBound(
         "budget " + budget.name(), group, budget.allowedUnavailable(group.size()), candidate);
   }
 
-  private BudgetBound evaluateLastOneBound(Collection<Target> all, Target candidate) {
+  private BudgetBound evaluateLastOneBound(Collection<Target> allTargets, Target candidate) {
     if (candidate.type() == TargetType.PROXY) {
-      return evaluateBound("the last proxy", all, all.size() - 1, candidate);
+      return evaluateBound("the last proxy", allTargets, allTargets.size() - 1, candidate);
     }
     List<Target> pool =
-        all.stream().filter(endpoint -> endpoint.pool().equals(candidate.pool())).toList();
+        allTargets.stream().filter(endpoint -> endpoint.pool().equals(candidate.pool())).toList();
     return evaluateBound(
         "the last host of pool " + candidate.pool(), pool, pool.size() - 1, candidate);
   }
--- a/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
+++ b/src/main/java/leadferry/disruption/DisruptionSnapshotCodec.java
@@ -13,7 +13,7 @@
 
 /**
  * Maps {@link DisruptionTables} to and from snapshots. Snapshots of earlier builds hold the same
- * keys, so the keys must not change. Some differ from the names in the code:
+ * keys, so the keys must not change. Some keys differ from the names in the code:
  *
  * <pre>
  *   permits       grants; in each:
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -63,8 +63,8 @@
   ProxyMember withReport(ProxyReport report, boolean serving, long changeNumber) {
     MemberState next = state.afterReport(serving);
     boolean beginsToServe = next == MemberState.SERVING && state != MemberState.SERVING;
-    long since = beginsToServe && isStabilizing() ? changeNumber : stabilizingSinceChange;
-    return new ProxyMember(name, session, next, report, since, catalogDigest);
+    long sinceChange = beginsToServe && isStabilizing() ? changeNumber : stabilizingSinceChange;
+    return new ProxyMember(name, session, next, report, sinceChange, catalogDigest);
   }
 
   ProxyMember withSessionEnded(boolean clean) {
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -45,22 +45,22 @@
    * Applies a view in its wire form, see {@link FleetViewCodec}. A view older than the newest one
    * is ignored.
    *
-   * @param leaseHolds whether the proxy's lease is valid now
+   * @param hasValidLease whether the proxy's lease is valid now
    * @param nowNanos time of a monotonic clock
    * @return whether the view changed
    */
-  public boolean applyView(JsonNode view, boolean leaseHolds, long nowNanos) {
-    return applyView(FleetViewCodec.decode(view), leaseHolds, nowNanos);
+  public boolean applyView(JsonNode view, boolean hasValidLease, long nowNanos) {
+    return applyView(FleetViewCodec.decode(view), hasValidLease, nowNanos);
   }
 
-  /** Takes a view, see {@link #applyView(JsonNode, boolean, long)}. */
-  boolean applyView(FleetView view, boolean leaseHolds, long nowNanos) {
+  /** Applies a view, see {@link #applyView(JsonNode, boolean, long)}. */
+  boolean applyView(FleetView view, boolean hasValidLease, long nowNanos) {
     if (view.version() < version) {
       return false;
     }
     ProxyEviction eviction = view.evictionOf(name);
     boolean isNewGrant = eviction.isPresent() && !eviction.grantId().equals(grantId);
-    if (isNewGrant && !leaseHolds) {
+    if (isNewGrant && !hasValidLease) {
       pendingView = view;
       return false;
     }
@@ -69,7 +69,7 @@
       grantUnlimited = eviction.isUnlimited();
       grantExpiryNanos = nowNanos + eviction.durationMillis() * NANOS_PER_MILLI;
     }
-    boolean evicted = eviction.isPresent() && (isNewGrant || !grantExpired(nowNanos));
+    boolean evicted = eviction.isPresent() && (isNewGrant || !isGrantExpired(nowNanos));
     boolean changed =
         view.version() != version
             || !view.drainedEndpoints().equals(drainedEndpoints)
@@ -85,22 +85,22 @@
    * Applies the view that waits for a lease if the lease is valid, and ends a grant that has
    * expired by the proxy's own clock.
    *
-   * @param leaseHolds whether the proxy's lease is valid now
+   * @param hasValidLease whether the proxy's lease is valid now
    * @param nowNanos time of a monotonic clock
    * @return whether the view changed
    */
-  public boolean refresh(boolean leaseHolds, long nowNanos) {
-    if (pendingView != null && leaseHolds) {
+  public boolean refresh(boolean hasValidLease, long nowNanos) {
+    if (pendingView != null && hasValidLease) {
       return applyView(pendingView, true, nowNanos);
     }
-    if (outOfService && grantExpired(nowNanos)) {
+    if (outOfService && isGrantExpired(nowNanos)) {
       outOfService = false;
       return true;
     }
     return false;
   }
 
-  private boolean grantExpired(long nowNanos) {
+  private boolean isGrantExpired(long nowNanos) {
     return !grantUnlimited && nowNanos - grantExpiryNanos >= 0;
   }
 
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -22,14 +22,14 @@
  * {@code share(previous) + maxBadShareIncrease}, and the terms of the previous version are left
  * out.
  *
- * <p>With too few requests or a missing report the analysis waits and names what it waits for.
- * {@code CanaryAnalysisTest} measures its rates of false alarms and misses, and {@code
- * docs/design/release.md} lists them.
+ * <p>The analysis gives no verdict from too few requests, and passes no step while a report is
+ * missing. It waits and names what it waits for. {@code CanaryAnalysisTest} measures its rates of
+ * false alarms and misses, and {@code docs/design/release.md} lists them.
  */
 public final class CanaryAnalysis {
   /**
-   * Divisor of {@link Bounds#minRequests} for a verdict against the new version, so that a clearly
-   * bad version halts before its baking time ends.
+   * Divisor of {@link Bounds#minRequests}: a verdict against the new version needs only this
+   * fraction of the requests, so that a clearly bad version halts before its baking time ends.
    */
   private static final int EARLY_VERDICT_DIVISOR = 10;
 
@@ -136,8 +136,8 @@
     double pooled =
         (canary.bad() + effectiveBaseline.bad() + 1.0)
             / (canary.total() + effectiveBaseline.total() + 2.0);
-    double comparedTerm = hasNoBaseline ? 0 : 1.0 / effectiveBaseline.total();
-    return Math.sqrt(pooled * (1 - pooled) * (1.0 / canary.total() + comparedTerm));
+    double baselineTerm = hasNoBaseline ? 0 : 1.0 / effectiveBaseline.total();
+    return Math.sqrt(pooled * (1 - pooled) * (1.0 / canary.total() + baselineTerm));
   }
 
   private boolean hasTooFewRequests(OutcomeCount count) {
--- a/src/main/java/leadferry/release/DriverCommands.java
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -69,12 +69,13 @@
         .orElseGet(() -> drainTarget(target, nextAction, command.fence()));
   }
 
-  private Optional<Outcome> rejectionWhileNotRunning(boolean withReason) {
+  private Optional<Outcome> rejectionWhileNotRunning(boolean includeReason) {
     if (release.isRunning()) {
       return Optional.empty();
     }
     Status status = release.state == ReleaseState.HALTED ? Status.HALTED : Status.REFUSED;
-    String reason = withReason && !release.stateReason.isEmpty() ? ": " + release.stateReason : "";
+    String reason =
+        includeReason && !release.stateReason.isEmpty() ? ": " + release.stateReason : "";
     return Optional.of(Outcome.of(status, release.describe() + reason));
   }
 
--- a/src/main/java/leadferry/release/MemberReports.java
+++ b/src/main/java/leadferry/release/MemberReports.java
@@ -45,7 +45,8 @@
     reported
         .path("hosts")
         .properties()
-        .forEach(host -> countsByEndpoint.put(host.getKey(), readCounts(host.getValue())));
+        .forEach(
+            endpoint -> countsByEndpoint.put(endpoint.getKey(), readCounts(endpoint.getValue())));
     return new MemberReport(
         json.path("session").asText(),
         json.path("age_ms").asLong(),
--- a/src/main/java/leadferry/release/NextTargetSelector.java
+++ b/src/main/java/leadferry/release/NextTargetSelector.java
@@ -18,12 +18,12 @@
     Stream<ReleaseTargetView> candidates =
         release.targets().stream().filter(target -> isCandidate(target, forward));
     Optional<ReleaseTargetView> next =
-        forward ? candidates.findFirst() : candidates.sorted(LATEST_FIRST).findFirst();
+        forward ? candidates.findFirst() : candidates.sorted(LATEST_RETURN_FIRST).findFirst();
     return next.filter(
         target -> inProgress < release.plan().steps().get(target.step()).maxConcurrent());
   }
 
-  private static final Comparator<ReleaseTargetView> LATEST_FIRST =
+  private static final Comparator<ReleaseTargetView> LATEST_RETURN_FIRST =
       Comparator.comparingLong(ReleaseTargetView::returnOrder).reversed();
 
   /**
--- a/src/main/java/leadferry/release/ReleaseCommand.java
+++ b/src/main/java/leadferry/release/ReleaseCommand.java
@@ -25,10 +25,10 @@
   /** Gives the lease of a driver back, by the fencing token of the lease. */
   record YieldLease(String release, long fence) implements ReleaseCommand {}
 
-  /** Announces that a driver takes a target out of service to change it. */
+  /** Drains a target, so that the driver can change it. */
   record IntendChange(String release, long fence, String target) implements ReleaseCommand {}
 
-  /** Announces that a driver is about to run the command that changes a target. */
+  /** Records that a driver is about to run the command that changes a target. */
   record BeginChange(String release, long fence, String target, long action)
       implements ReleaseCommand {}
 
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -61,12 +61,12 @@
    *
    * @param release release as reported by the replicas
    * @param reports reports of the members; empty if they were not fetched
-   * @param leaseHolds whether the lease of this driver is valid now; commands start only with a
+   * @param hasValidLease whether the lease of this driver is valid now; commands start only with a
    *     valid lease
    * @param nowNanos time of a monotonic clock
    */
   public List<DriverAction> nextActions(
-      ReleaseView release, Optional<MemberReports> reports, boolean leaseHolds, long nowNanos) {
+      ReleaseView release, Optional<MemberReports> reports, boolean hasValidLease, long nowNanos) {
     if (release.state().isClosed()) {
       return List.of();
     }
@@ -74,9 +74,9 @@
       return release.hasDriver() ? List.of() : List.of(acquireLease(release));
     }
     List<DriverAction> actions = new ArrayList<>();
-    DriverContext situation = new DriverContext(release, leaseHolds, nowNanos);
+    DriverContext context = new DriverContext(release, hasValidLease, nowNanos);
     for (ReleaseTargetView target : release.targets()) {
-      reconciler.reconcile(situation, target, actions);
+      reconciler.reconcile(context, target, actions);
     }
     if (release.isRunning()) {
       NextTargetSelector.select(release)
--- a/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
+++ b/src/main/java/leadferry/release/ReleaseSnapshotCodec.java
@@ -8,14 +8,14 @@
 
 /**
  * Maps a {@link Release} to and from its part of a snapshot. Snapshots of earlier builds hold the
- * same keys and enum names, so they must not change. Some differ from the names in the code:
+ * same keys and enum names, so these must not change. Some differ from the names in the code:
  *
  * <ul>
  *   <li>{@code items}, {@code at}, {@code permit}, {@code tries}, {@code late}: the targets, and a
  *       target's version, grant, attempts and whether it is overdue;
  *   <li>{@code forgiven}, {@code lost_driver}, {@code longest_over}, {@code orders}: acknowledged
- *       losses, whether the lease's holder was lost, whether the time limit passed, the count of
- *       returns;
+ *       lost targets, whether the holder of the lease was lost, whether the time limit was
+ *       exceeded, the count of returns;
  *   <li>enums by their {@link StoredName} in upper case: {@code IN}, {@code LEAVING}, {@code
  *       ACTING} and {@code COMING} are the {@link TargetPhase phases}, {@code OLD} is {@link
  *       TargetVersion#PREVIOUS}, {@code DONE}, {@code RETURNED} and {@code ENDED} are {@link
--- a/src/main/java/leadferry/release/TargetReconciler.java
+++ b/src/main/java/leadferry/release/TargetReconciler.java
@@ -35,12 +35,12 @@
     results.put(attempt, result);
   }
 
-  void reconcile(DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
+  void reconcile(DriverContext context, ReleaseTargetView target, List<DriverAction> actions) {
     switch (target.phase()) {
       case IN_SERVICE -> {}
-      case DRAINING -> reconcileDraining(situation.release(), target, actions);
-      case CHANGING -> reconcileChanging(situation, target, actions);
-      case RESTORING -> reconcileRestoring(situation.release(), target, actions);
+      case DRAINING -> reconcileDraining(context.release(), target, actions);
+      case CHANGING -> reconcileChanging(context, target, actions);
+      case RESTORING -> reconcileRestoring(context.release(), target, actions);
     }
   }
 
@@ -58,8 +58,8 @@
   }
 
   private void reconcileChanging(
-      DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
-    ReleaseView release = situation.release();
+      DriverContext context, ReleaseTargetView target, List<DriverAction> actions) {
+    ReleaseView release = context.release();
     ActionAttempt attempt = target.attempt();
     boolean isOwnAction = target.action().fence() == release.fence();
     String observation = target.observation();
@@ -69,26 +69,26 @@
     Optional<CommandResult> result = Optional.ofNullable(results.get(attempt));
     boolean observedHere = isOwnAction && !observation.isEmpty();
     if (isOwnAction && observation.isEmpty() && result.isEmpty()) {
-      runChange(situation, target, actions);
+      runChange(context, target, actions);
     } else if (observedHere && canRetryChange(release, target)) {
       actions.add(beginChange(release, target));
     } else if (observedHere && target.version() == TargetVersion.UNKNOWN) {
       // The target may still start.
-      observer.observe(situation, target, result, observation, actions);
+      observer.observe(context, target, result, observation, actions);
     } else if (observedHere && !release.isRunning()) {
       // Halted meanwhile: a target known to run one of the versions returns to service.
       actions.add(recordObservation(release, target, observation, "halted"));
     } else {
-      observer.observe(situation, target, result, "", actions);
+      observer.observe(context, target, result, "", actions);
     }
   }
 
   private void runChange(
-      DriverContext situation, ReleaseTargetView target, List<DriverAction> actions) {
-    if (!situation.leaseHolds()) {
+      DriverContext context, ReleaseTargetView target, List<DriverAction> actions) {
+    if (!context.hasValidLease()) {
       return;
     }
-    ReleaseView release = situation.release();
+    ReleaseView release = context.release();
     ActionAttempt attempt = target.attempt();
     changesInProgress.add(attempt);
     actions.add(
--- a/src/main/java/leadferry/release/VersionObserver.java
+++ b/src/main/java/leadferry/release/VersionObserver.java
@@ -48,7 +48,7 @@
    *     case
    */
   void observe(
-      DriverContext situation,
+      DriverContext context,
       ReleaseTargetView target,
       Optional<CommandResult> result,
       String recordedObservation,
@@ -58,10 +58,10 @@
     if (!reported.isEmpty()) {
       // Newer than any check, because the target reported it after the action.
       version = Optional.of(reported);
-    } else if (situation.release().changeCommands().checkCommand().isPresent()) {
-      version = versionByCheck(situation, target, !recordedObservation.isEmpty(), actions);
+    } else if (context.release().changeCommands().checkCommand().isPresent()) {
+      version = versionByCheck(context, target, !recordedObservation.isEmpty(), actions);
     } else {
-      version = versionByResult(situation, target, result, actions);
+      version = versionByResult(context, target, result, actions);
     }
     if (version.isPresent() && !describe(version.get()).equals(recordedObservation)) {
       String text =
@@ -69,7 +69,7 @@
               .map(ended -> ended.succeeded() ? "" : ended.output())
               .orElse("begun by a driver that was lost");
       actions.add(
-          TargetReconciler.recordObservation(situation.release(), target, version.get(), text));
+          TargetReconciler.recordObservation(context.release(), target, version.get(), text));
     }
   }
 
@@ -78,7 +78,7 @@
   }
 
   private Optional<String> versionByCheck(
-      DriverContext situation,
+      DriverContext context,
       ReleaseTargetView target,
       boolean mayRepeat,
       List<DriverAction> actions) {
@@ -86,20 +86,20 @@
     if (checksInProgress.contains(attempt)) {
       return Optional.empty();
     }
-    long now = situation.nowNanos();
+    long now = context.nowNanos();
     Optional<String> version = Optional.ofNullable(checkedVersions.get(attempt));
     boolean repeat =
         mayRepeat && now - observedSinceNanos.getOrDefault(attempt, now) >= RECHECK_NANOS;
     if (version.isPresent() && !repeat) {
       return version;
     }
-    if (situation.leaseHolds()) {
+    if (context.hasValidLease()) {
       checksInProgress.add(attempt);
       checkedVersions.remove(attempt);
       observedSinceNanos.put(attempt, now);
       actions.add(
           new DriverAction.CheckVersion(
-              target.name(), attempt.action(), attempt.attempt(), situation.release().fence()));
+              target.name(), attempt.action(), attempt.attempt(), context.release().fence()));
     }
     return Optional.empty();
   }
@@ -109,15 +109,15 @@
    * action, for the target to report its version, as a proxy does after its return.
    */
   private Optional<String> versionByResult(
-      DriverContext situation,
+      DriverContext context,
       ReleaseTargetView target,
       Optional<CommandResult> result,
       List<DriverAction> actions) {
     if (result.isPresent() && !result.get().succeeded()) {
       return Optional.of("");
     }
-    ReleaseView release = situation.release();
-    long now = situation.nowNanos();
+    ReleaseView release = context.release();
+    long now = context.nowNanos();
     boolean begunByLostDriver = target.action().fence() != release.fence() && release.isRunning();
     if (begunByLostDriver
         && now - observedSinceNanos.computeIfAbsent(target.attempt(), attempt -> now)
