--- a/src/main/java/leadferry/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -45,7 +45,7 @@
         requestClasses(root.path("classes")),
         tenants(root.path("tenants")),
         limits(root.path("limits")),
-        rules(root.path("rules")),
+        warmUpRules(root.path("rules")),
         root.path("membershipMode").asText("automatic").equals("subscribe"),
         zone.isTextual() ? zone.asText() : null,
         root.path("position").asInt(0),
@@ -84,7 +84,7 @@
         node.path("streamsPerConn").asInt(1));
   }
 
-  private static Settings.WarmUpRules rules(JsonNode node) {
+  private static Settings.WarmUpRules warmUpRules(JsonNode node) {
     return new Settings.WarmUpRules(
         node.path("cold").asDouble(0),
         node.path("startCapacity").asDouble(1),
@@ -94,7 +94,7 @@
   }
 
   private static Settings.RequestClass requestClass(JsonNode node) {
-    double deadline = node.path("deadline").asDouble(1000);
+    double deadlineMillis = node.path("deadline").asDouble(1000);
     Settings.Semantics semantics =
         switch (node.path("semantics").asText()) {
           case "idempotent" -> Settings.Semantics.IDEMPOTENT;
@@ -102,7 +102,7 @@
           // an unknown name gets the strictest semantics
           default -> Settings.Semantics.AT_MOST_ONCE;
         };
-    Settings.KeyScope scope =
+    Settings.KeyScope keyScope =
         switch (node.path("keyScope").asText()) {
           case "all" -> Settings.KeyScope.ALL;
           case "zone" -> Settings.KeyScope.ZONE;
@@ -110,10 +110,10 @@
         };
     return new Settings.RequestClass(
         node.path("name").asText(),
-        Math.max(1, node.path("aim").asDouble(deadline)),
-        deadline,
+        Math.max(1, node.path("aim").asDouble(deadlineMillis)),
+        deadlineMillis,
         semantics,
-        scope,
+        keyScope,
         node.path("repeatWindow").asDouble(0),
         node.path("value").asDouble(1),
         node.path("lateWorth").asDouble(0));
--- a/src/main/java/leadferry/adapter/WireLine.java
+++ b/src/main/java/leadferry/adapter/WireLine.java
@@ -5,15 +5,13 @@
 
 /** One line of the wire format, parsed in place: a name and name=value fields. */
 final class WireLine {
-  /** Largest part of a malformed line that an error message quotes. */
+  /** Most bytes of a malformed line that an error message quotes. */
   private static final int MAX_SHOWN_BYTES = 60;
 
-  /**
-   * Most digits of an integer, and most characters of a decimal that is parsed without {@link
-   * Double#parseDouble}.
-   */
+  /** Most digits of an integer. */
   private static final int MAX_INTEGER_DIGITS = 18;
 
+  /** Most characters of a decimal that is parsed without {@link Double#parseDouble}. */
   private static final int MAX_DECIMAL_DIGITS = 16;
 
   private byte[] buffer = {};
@@ -53,8 +51,8 @@
     if (equals >= end || buffer[equals] != '=' || equals == key) {
       throw malformed("field is not of the form name=value");
     }
-    boolean runsToTheEnd = matches(key, equals, "conf") || matches(key, equals, "text");
-    int stop = runsToTheEnd ? end : indexOf(' ', equals, end);
+    boolean isLastField = matches(key, equals, "conf") || matches(key, equals, "text");
+    int stop = isLastField ? end : indexOf(' ', equals, end);
     add(key, equals, stop);
     return stop;
   }
--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -15,8 +15,8 @@
  */
 final class AdmissionController {
   /**
-   * Largest share of requests of mean value that is shed. The remaining requests detect the end of
-   * the overload.
+   * Largest probability with which pressure sheds a request. The remaining requests detect the end
+   * of the overload.
    */
   private static final double MAX_SHED_SHARE = 0.9;
 
--- a/src/main/java/leadferry/loadbalancer/AttemptState.java
+++ b/src/main/java/leadferry/loadbalancer/AttemptState.java
@@ -18,7 +18,10 @@
   final int ownInFlightAtSend;
 
   boolean isOpen = true;
+
+  /** Whether the endpoint may have executed the request; false if the outcome rules that out. */
   boolean mayHaveRun = true;
+
   boolean isCancelled;
   private boolean isInFlight = true;
 
--- a/src/main/java/leadferry/loadbalancer/FailurePenalty.java
+++ b/src/main/java/leadferry/loadbalancer/FailurePenalty.java
@@ -12,7 +12,7 @@
   /** Time constant of the decay of the penalty, in shortest latency objectives. */
   private static final double DECAY_OBJECTIVES = 5;
 
-  /** A penalty below this counts as 0. */
+  /** A recorded penalty that is below this before its decay counts as 0. */
   private static final double MIN_REQUESTS = 0.05;
 
   private final LiveSettings settings;
--- a/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
@@ -44,8 +44,8 @@
    * Returns the time in milliseconds after an attempt that may have been executed within which
    * another attempt of the class may leave this process; 0 or less if never.
    */
-  static double windowMillis(Settings.RequestClass rules) {
-    return rules.repeatWindowMillis() - WINDOW_MARGIN_MILLIS;
+  static double windowMillis(Settings.RequestClass requestClass) {
+    return requestClass.repeatWindowMillis() - WINDOW_MARGIN_MILLIS;
   }
 
   private static boolean isAwaitingResponse(RequestState request) {
@@ -60,20 +60,20 @@
   }
 
   /**
-   * Returns whether every earlier attempt permits another one at {@code endpoint}, or at any
+   * Returns whether every earlier attempt permits another one at {@code endpoint}, or at every
    * endpoint if it is null.
    */
   private static boolean isSafe(RequestState request, Endpoint endpoint, double nowMillis) {
-    Settings.RequestClass rules = request.requestClass();
-    if (rules.semantics() == Settings.Semantics.IDEMPOTENT) {
+    Settings.RequestClass requestClass = request.requestClass();
+    if (requestClass.semantics() == Settings.Semantics.IDEMPOTENT) {
       return true;
     }
-    double windowMillis = windowMillis(rules);
+    double windowMillis = windowMillis(requestClass);
     for (int i = 0; i < request.attempts.size(); i++) {
       AttemptState attempt = request.attempts.get(i);
       if (attempt.mayHaveRun
           && (nowMillis - attempt.sentAtMillis >= windowMillis
-              || !sharesDeduplicationMemory(rules.keyScope(), attempt, endpoint))) {
+              || !sharesDeduplicationMemory(requestClass.keyScope(), attempt, endpoint))) {
         return false;
       }
     }
@@ -81,8 +81,8 @@
   }
 
   private static boolean sharesDeduplicationMemory(
-      Settings.KeyScope scope, AttemptState attempt, Endpoint endpoint) {
-    return switch (scope) {
+      Settings.KeyScope keyScope, AttemptState attempt, Endpoint endpoint) {
+    return switch (keyScope) {
       case ALL -> true;
       case ZONE -> endpoint != null && attempt.zone != null && attempt.zone.equals(endpoint.zone);
       case CELL -> endpoint != null && attempt.cell == endpoint.cell;
--- a/src/main/java/leadferry/loadbalancer/LoadBalancerContext.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancerContext.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Dependencies and estimates that the rules of one {@link LoadBalancer} share. Owned by the load
- * balancer and confined to its thread.
+ * Dependencies and estimates that the decision classes of one {@link LoadBalancer} share. Owned by
+ * the load balancer and confined to its thread.
  */
 final class LoadBalancerContext {
   final LiveSettings settings;
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -6,7 +6,10 @@
  * this process may itself be the bottleneck.
  */
 final class OutcomeObserver {
-  /** A rejection by a full endpoint counts as a response after this many latency objectives. */
+  /**
+   * A rejection by a full endpoint counts as a response after this many latency objectives of the
+   * request class.
+   */
   private static final double FULL_PRESSURE_OBJECTIVES = 2;
 
   private final PendingResponseTracker pendingResponses;
@@ -78,15 +81,15 @@
   // the highest pressure.
   private void onFull(AttemptState attempt, double nowMillis) {
     Endpoint endpoint = attempt.endpoint;
-    Settings.RequestClass rules = attempt.request.requestClass();
+    Settings.RequestClass requestClass = attempt.request.requestClass();
     pendingResponses.onResponse(endpoint, nowMillis);
     if (loadReports.isIdle(endpoint, nowMillis)) {
-      classEjections.eject(endpoint, rules, nowMillis);
+      classEjections.eject(endpoint, requestClass, nowMillis);
     } else {
       outlierDetector.onOverloaded(endpoint, nowMillis);
       pressure.onResponse(
-          FULL_PRESSURE_OBJECTIVES * rules.latencyObjectiveMillis(),
-          rules.latencyObjectiveMillis(),
+          FULL_PRESSURE_OBJECTIVES * requestClass.latencyObjectiveMillis(),
+          requestClass.latencyObjectiveMillis(),
           nowMillis);
     }
   }
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -46,7 +46,7 @@
   /**
    * Returns whether the endpoint may get a request. It may not while ejected. While half-open, it
    * gets one request at a time. Otherwise, it must not be silent for longer than {@code
-   * allowedMillis}.
+   * allowedSilenceMillis}.
    */
   boolean isAvailable(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
     if (nowMillis < endpoint.ejection.ejectedUntilMillis) {
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -50,7 +50,7 @@
 
   /**
    * Returns whether the endpoint has sent no response since a request was sent to it for longer
-   * than {@code allowedMillis}, which applies to an endpoint of mean speed.
+   * than {@code allowedSilenceMillis}, which applies to an endpoint of mean speed.
    */
   boolean isUnresponsive(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
     return Math.min(nowMillis, readUntilMillis) - endpoint.pendingSinceMillis
--- a/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
+++ b/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
@@ -42,16 +42,16 @@
 
   private boolean hasCredit(
       Endpoint endpoint, double capacityShare, int endpointCount, double nowMillis) {
-    Settings.WarmUpRules rules = settings.current().warmUpRules();
+    Settings.WarmUpRules warmUpRules = settings.current().warmUpRules();
     double meanPerMilli = arrivals.servedPerMilli(nowMillis) / Math.max(1, endpointCount);
     double earned =
         USED_SHARE
-            * rules.overloadMultiple()
+            * warmUpRules.overloadMultiple()
             * capacityShare
             * meanPerMilli
             * (nowMillis - endpoint.creditAtMillis);
     endpoint.creditAtMillis = nowMillis;
-    double maxCredit = 1 + meanPerMilli * rules.overloadWindowMillis() / 2;
+    double maxCredit = 1 + meanPerMilli * warmUpRules.overloadWindowMillis() / 2;
     endpoint.credit = Math.min(endpoint.credit + earned, maxCredit);
     return endpoint.credit >= 1;
   }
