--- a/src/main/java/leadferry/cli/CheckCommand.java
+++ b/src/main/java/leadferry/cli/CheckCommand.java
@@ -33,7 +33,7 @@
     try {
       Daemon.check(file);
     } catch (ConfigurationException e) {
-      faults.addAll(e.faults());
+      faults.addAll(e.errors());
     }
     if (json) {
       Map<String, Object> out = new LinkedHashMap<>();
--- a/src/main/java/leadferry/cli/DaemonCommand.java
+++ b/src/main/java/leadferry/cli/DaemonCommand.java
@@ -52,7 +52,7 @@
                 () -> {
                   daemon.drain();
                   try {
-                    daemon.awaitEnd();
+                    daemon.awaitTermination();
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
@@ -63,7 +63,7 @@
                 },
                 "drain"));
     log.line("ready");
-    daemon.awaitEnd();
+    daemon.awaitTermination();
     return 0;
   }
 
--- a/src/main/java/leadferry/cli/FleetCommand.java
+++ b/src/main/java/leadferry/cli/FleetCommand.java
@@ -128,7 +128,7 @@
     public Integer call() {
       ObjectNode entry = entry("budgets").put("against", expectedVersion);
       try {
-        entry.set("budgets", ReplicaFile.budgets(file));
+        entry.set("budgets", ReplicaFile.readBudgets(file));
       } catch (ConfigurationException e) {
         System.err.println(e.getMessage());
         return FleetExitStatus.FAULTY;
--- a/src/main/java/leadferry/cli/ReplicaCommand.java
+++ b/src/main/java/leadferry/cli/ReplicaCommand.java
@@ -8,7 +8,7 @@
 import leadferry.consensus.ReplicaConfig;
 import leadferry.daemon.ConfigurationException;
 import leadferry.daemon.DaemonLog;
-import leadferry.daemon.LogForm;
+import leadferry.daemon.LogFormat;
 import leadferry.daemon.ReplicaFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -41,7 +41,7 @@
   private boolean fresh;
 
   @Option(names = "--log", defaultValue = "text", description = "${COMPLETION-CANDIDATES}.")
-  private LogForm form;
+  private LogFormat form;
 
   private final CountDownLatch broken = new CountDownLatch(1);
 
--- a/src/main/java/leadferry/daemon/ConfigurationException.java
+++ b/src/main/java/leadferry/daemon/ConfigurationException.java
@@ -7,14 +7,14 @@
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final transient List<ConfigurationError> faults;
+  private final transient List<ConfigurationError> errors;
 
   ConfigurationException(List<ConfigurationError> faults) {
     super(faults.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
-    this.faults = List.copyOf(faults);
+    this.errors = List.copyOf(faults);
   }
 
-  public List<ConfigurationError> faults() {
-    return faults;
+  public List<ConfigurationError> errors() {
+    return errors;
   }
 }
--- a/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
+++ b/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
@@ -26,48 +26,48 @@
  */
 final class ConfigurationSnapshot {
   /** A route as requests take it. */
-  record Target(
+  record RouteTarget(
       DaemonConfig.Route route,
       WeightedSplit<String> split,
       Map<String, FilterResult.Origin> origins) {}
 
   /** A pool with its hosts as they are told to the modules. */
-  record Pool(
+  record PoolSnapshot(
       DaemonConfig.Pool config,
-      UpstreamHosts.ListUpdate members,
-      RetryBudget retries,
+      UpstreamHosts.ListUpdate endpoints,
+      RetryBudget retryBudget,
       ConnectionLimits connections) {
     PoolBounds bounds() {
       return new PoolBounds(
-          config.connIdle(),
-          config.connectTimeout(),
-          config.rest(),
+          config.connectionIdleMillis(),
+          config.connectTimeoutMillis(),
+          config.restMillis(),
           config.maxPending(),
-          config.maxRequests(),
+          config.maxRequestsPerConnection(),
           connections);
     }
   }
 
-  final long number;
+  final long version;
   final DaemonConfig config;
   final Limiter limiter;
-  final RetryBudget retries;
-  final Map<String, Pool> pools = new HashMap<>();
-  final Map<String, RouteTable<Target>> routes = new HashMap<>();
+  final RetryBudget retryBudget;
+  final Map<String, PoolSnapshot> pools = new HashMap<>();
+  final Map<String, RouteTable<RouteTarget>> routes = new HashMap<>();
 
   /** By listener, in lower case: the headers that the file has requests judged by, or sets. */
-  final Map<String, Set<String>> judged = new HashMap<>();
+  final Map<String, Set<String>> inspectedHeaders = new HashMap<>();
 
   final Map<String, Settings.RequestClass> classes = new HashMap<>();
 
   /** Hosts that are out of service by what the fleet has agreed. */
-  final Set<String> hostsOut;
+  final Set<String> drainedEndpoints;
 
   /** {@code before} is the version that this one follows, or null; {@code unixMs} the time. */
   ConfigurationSnapshot(
       DaemonConfig config, Set<String> hostsOut, ConfigurationSnapshot before, double unixMs) {
-    this.hostsOut = Set.copyOf(hostsOut);
-    this.number = before == null ? 1 : before.number + 1;
+    this.drainedEndpoints = Set.copyOf(hostsOut);
+    this.version = before == null ? 1 : before.version + 1;
     this.config = config;
     this.limiter =
         new Limiter(
@@ -77,23 +77,24 @@
         before != null
             && before.config.process().retryRatio() == p.retryRatio()
             && before.config.process().retryBurst() == p.retryBurst();
-    this.retries = sameBudget ? before.retries : new RetryBudget(p.retryRatio(), p.retryBurst());
+    this.retryBudget =
+        sameBudget ? before.retryBudget : new RetryBudget(p.retryRatio(), p.retryBurst());
     for (Settings.RequestClass c : config.classes()) {
       classes.put(c.name(), c);
     }
     for (DaemonConfig.Pool pool : config.pools().values()) {
       pools.put(
           pool.name(),
-          pool(
+          poolSnapshot(
               pool,
               before == null ? null : before.pools.get(pool.name()),
-              before == null ? Set.of() : before.hostsOut,
+              before == null ? Set.of() : before.drainedEndpoints,
               unixMs));
     }
-    List<Target> targets = new ArrayList<>();
+    List<RouteTarget> targets = new ArrayList<>();
     for (DaemonConfig.Route r : config.routes()) {
       targets.add(
-          new Target(
+          new RouteTarget(
               r,
               new WeightedSplit<>(
                   r.split().stream()
@@ -103,16 +104,16 @@
                   .collect(
                       Collectors.toMap(c -> c, c -> new FilterResult.Origin(r.name(), c, null)))));
     }
-    Set<String> byRoutes = judgedByRoutes(config);
+    Set<String> byRoutes = headersUsedByRoutes(config);
     for (DaemonConfig.Listener l : config.listeners().values()) {
       Set<String> names = new HashSet<>(byRoutes);
       names.add(l.classHeader().toLowerCase(Locale.ROOT));
       names.add(l.tenantHeader().toLowerCase(Locale.ROOT));
-      judged.put(l.name(), Set.copyOf(names));
+      inspectedHeaders.put(l.name(), Set.copyOf(names));
     }
     for (String listener : config.listeners().keySet()) {
-      List<RouteRule<Target>> rules = new ArrayList<>();
-      for (Target t : targets) {
+      List<RouteRule<RouteTarget>> rules = new ArrayList<>();
+      for (RouteTarget t : targets) {
         DaemonConfig.Route r = t.route();
         if (r.listeners().isEmpty() || r.listeners().contains(listener)) {
           RouteRule<Integer> m = r.match();
@@ -132,7 +133,7 @@
     }
   }
 
-  private static Set<String> judgedByRoutes(DaemonConfig config) {
+  private static Set<String> headersUsedByRoutes(DaemonConfig config) {
     Set<String> names = new HashSet<>();
     for (DaemonConfig.Route r : config.routes()) {
       names.add(r.splitHeader().toLowerCase(Locale.ROOT));
@@ -149,20 +150,21 @@
    * its time, and those of the first file have run for long. One that comes back into service may
    * have been started anew meanwhile. What the fleet has agreed only takes hosts out, never in.
    */
-  private Pool pool(DaemonConfig.Pool pool, Pool before, Set<String> outBefore, double unixMs) {
+  private PoolSnapshot poolSnapshot(
+      DaemonConfig.Pool pool, PoolSnapshot before, Set<String> outBefore, double unixMs) {
     Map<String, UpstreamHosts.Member> known = new HashMap<>();
     if (before != null) {
-      before.members.members().forEach(m -> known.put(m.name(), m));
+      before.endpoints.members().forEach(m -> known.put(m.name(), m));
     }
     List<UpstreamHosts.Member> members = new ArrayList<>();
     for (UpstreamHosts.Member m : pool.members()) {
       UpstreamHosts.Member old = known.get(m.name());
-      boolean out = hostsOut.contains(m.name());
+      boolean out = drainedEndpoints.contains(m.name());
       boolean back = before != null && !out && outBefore.contains(m.name());
       double started =
           old != null && old.address().equals(m.address()) && !back
               ? old.startedUnixMs()
-              : number == 1 ? 0 : unixMs;
+              : version == 1 ? 0 : unixMs;
       members.add(
           new UpstreamHosts.Member(
               m.name(),
@@ -184,10 +186,10 @@
     connections.setLimit(pool.maxConnections());
     connections.retainListed(
         members.stream().map(UpstreamHosts.Member::address).collect(Collectors.toSet()));
-    return new Pool(
+    return new PoolSnapshot(
         pool,
-        new UpstreamHosts.ListUpdate(number, true, members),
-        sameBudget ? before.retries : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
+        new UpstreamHosts.ListUpdate(version, true, members),
+        sameBudget ? before.retryBudget : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
         connections);
   }
 }
--- a/src/main/java/leadferry/daemon/Daemon.java
+++ b/src/main/java/leadferry/daemon/Daemon.java
@@ -45,38 +45,38 @@
  */
 public final class Daemon implements AutoCloseable {
   private static final int BACKLOG = 1_024;
-  private static final long POLL_MS = 10;
+  private static final long DRAIN_POLL_MILLIS = 10;
 
   /**
    * How long (ms) a socket that goes is still accepted from. Guards against clients that connected
    * and sent before they could know: closing at once would reset them in the backlog.
    */
-  static final long LAST_ACCEPT_MS = 500;
+  static final long ACCEPT_GRACE_MILLIS = 500;
 
   private final Path file;
   private final Log log;
   private final Transport transport;
   private final MultiThreadIoEventLoopGroup acceptor;
-  private final MultiThreadIoEventLoopGroup group;
+  private final MultiThreadIoEventLoopGroup workerGroup;
   private final Map<EventLoop, Worker> workers = new LinkedHashMap<>();
-  private final Map<String, Bound> bound = new HashMap<>();
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private ConfigurationSnapshot version;
-  private final FleetAgent member;
+  private final Map<String, BoundListener> boundListeners = new HashMap<>();
+  private final CountDownLatch terminated = new CountDownLatch(1);
+  private ConfigurationSnapshot snapshot;
+  private final FleetAgent fleetAgent;
   private final AutoCloseable replica;
-  private Set<String> hostsOut = Set.of();
-  private boolean away;
+  private Set<String> drainedEndpoints = Set.of();
+  private boolean clientShedding;
   private boolean draining;
 
   /** A listener's socket; {@code asked} is the address in the file. */
-  private record Bound(InetSocketAddress asked, Channel channel) {}
+  private record BoundListener(InetSocketAddress configuredAddress, Channel channel) {}
 
   /**
    * Starts a daemon by this file; {@code logs} gives it the log of the form that the file asks for.
    *
    * @throws FaultyFileException if the file is faulty, or a listener's address can't be had
    */
-  public Daemon(Path file, Function<LogForm, Log> logs) throws ConfigurationException {
+  public Daemon(Path file, Function<LogFormat, Log> logs) throws ConfigurationException {
     this(file, false, logs);
   }
 
@@ -84,27 +84,27 @@
    * As {@link #Daemon(Path, Function)}; {@code newReplica}: the replica that its file names never
    * had a log.
    */
-  public Daemon(Path file, boolean newReplica, Function<LogForm, Log> logs)
+  public Daemon(Path file, boolean newReplica, Function<LogFormat, Log> logs)
       throws ConfigurationException {
     this(file, OperatorFile.read(file), newReplica, logs, System.nanoTime());
   }
 
   private Daemon(
-      Path file, DaemonConfig config, boolean newReplica, Function<LogForm, Log> logs, long seed)
+      Path file, DaemonConfig config, boolean newReplica, Function<LogFormat, Log> logs, long seed)
       throws ConfigurationException {
     this.file = file;
-    this.log = logs.apply(config.process().log());
+    this.log = logs.apply(config.process().logFormat());
     this.transport = transport(config.process().transport(), log);
     this.acceptor =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("accept", true), transport.ioHandlerFactory());
-    this.group =
+    this.workerGroup =
         new MultiThreadIoEventLoopGroup(
             config.process().workers(),
             new DefaultThreadFactory("worker", true),
             transport.ioHandlerFactory());
     for (int i = 0; i < config.process().workers(); i++) {
-      EventLoop loop = (EventLoop) group.next();
+      EventLoop loop = (EventLoop) workerGroup.next();
       workers.put(
           loop, new Worker(loop, transport, i, config.process(), seed + 1_000_003L * i, log));
     }
@@ -112,9 +112,10 @@
         config.fleet() == null || config.fleet().replica() == null
             ? null
             : startReplica(config, newReplica);
-    this.member = config.fleet() == null ? null : new FleetAgent(config.fleet(), this, log);
-    if (member != null) {
-      member.begin(config); // what the fleet has taken out is known before the first request
+    this.fleetAgent = config.fleet() == null ? null : new FleetAgent(config.fleet(), this, log);
+    if (fleetAgent != null) {
+      fleetAgent.loadInitialView(
+          config); // what the fleet has taken out is known before the first request
     }
     try {
       apply(config);
@@ -122,8 +123,8 @@
       close();
       throw e;
     }
-    if (member != null) {
-      member.serving();
+    if (fleetAgent != null) {
+      fleetAgent.onServing();
     }
   }
 
@@ -155,17 +156,17 @@
    * Puts in force what the fleet has agreed: hosts that get nothing, and whether this process sends
    * its clients away.
    */
-  synchronized void agreed(Set<String> hosts, boolean sendAway) {
-    boolean others = !hosts.equals(hostsOut);
-    hostsOut = hosts;
-    if (away != sendAway) {
-      away = sendAway;
-      log.line(away ? "out of service by the fleet's permit" : "back in service");
-      workers.values().forEach(w -> w.loop().execute(() -> w.sendAway(sendAway)));
+  synchronized void applyFleetView(Set<String> hosts, boolean sendAway) {
+    boolean others = !hosts.equals(drainedEndpoints);
+    drainedEndpoints = hosts;
+    if (clientShedding != sendAway) {
+      clientShedding = sendAway;
+      log.line(clientShedding ? "out of service by the fleet's permit" : "back in service");
+      workers.values().forEach(w -> w.loop().execute(() -> w.setClientShedding(sendAway)));
     }
-    if (others && version != null && !draining) {
+    if (others && snapshot != null && !draining) {
       try {
-        apply(version.config);
+        apply(snapshot.config);
       } catch (ConfigurationException e) {
         log.failure("what the fleet agreed", e); // nothing is bound anew by the same file
       }
@@ -173,7 +174,7 @@
   }
 
   /** What workers tell of hosts, all of them together; waits for their loops. */
-  Set<String> hosts(Function<Worker, Set<String>> of) {
+  Set<String> collectHosts(Function<Worker, Set<String>> of) {
     Set<String> out = new HashSet<>();
     for (Worker w : workers.values()) {
       out.addAll(w.loop().submit(() -> of.apply(w)).syncUninterruptibly().getNow());
@@ -184,10 +185,10 @@
   /**
    * What became of requests since this process began, for the fleet; waits for the workers' loops.
    */
-  com.fasterxml.jackson.databind.node.ObjectNode report() {
+  com.fasterxml.jackson.databind.node.ObjectNode outcomeReport() {
     com.fasterxml.jackson.databind.node.ObjectNode out = leadferry.consensus.Json.object();
     for (Worker w : workers.values()) {
-      w.loop().submit(() -> w.report(out)).syncUninterruptibly();
+      w.loop().submit(() -> w.addOutcomesTo(out)).syncUninterruptibly();
     }
     return out;
   }
@@ -195,12 +196,14 @@
   /**
    * The sockets that were asked for; where Linux does not give them, those of the JDK and a line.
    */
-  private static Transport transport(DaemonConfig.Sockets asked, Log log) {
-    if (asked == DaemonConfig.Sockets.NIO) {
+  private static Transport transport(DaemonConfig.TransportType asked, Log log) {
+    if (asked == DaemonConfig.TransportType.NIO) {
       return new NioTransport();
     }
     NativeTransport wanted =
-        asked == DaemonConfig.Sockets.IO_URING ? NativeTransport.IO_URING : NativeTransport.EPOLL;
+        asked == DaemonConfig.TransportType.IO_URING
+            ? NativeTransport.IO_URING
+            : NativeTransport.EPOLL;
     Throwable missing = wanted.unavailabilityCause();
     if (missing == null) {
       return wanted;
@@ -225,25 +228,25 @@
     }
     try {
       DaemonConfig next = OperatorFile.read(file);
-      DaemonConfig.Process was = version.config.process();
+      DaemonConfig.Process was = snapshot.config.process();
       DaemonConfig.Process is = next.process();
       if (is.workers() != was.workers()
           || is.descriptors() != was.descriptors()
           || is.bodyMemoryMb() != was.bodyMemoryMb()
           || is.transport() != was.transport()
-          || is.log() != was.log()
-          || !java.util.Objects.equals(next.fleet(), version.config.fleet())) {
+          || is.logFormat() != was.logFormat()
+          || !java.util.Objects.equals(next.fleet(), snapshot.config.fleet())) {
         log.line(
             "workers, descriptors, body_memory_mb, transport, log and [fleet] change with a restart only");
       }
       apply(next);
-      if (member != null) {
-        member.lists(next);
+      if (fleetAgent != null) {
+        fleetAgent.onReload(next);
       }
-      log.event("version " + version.number + " in force", "version", version.number);
+      log.event("version " + snapshot.version + " in force", "version", snapshot.version);
       return true;
     } catch (ConfigurationException e) {
-      for (ConfigurationError f : e.faults()) {
+      for (ConfigurationError f : e.errors()) {
         log.event(
             "not taken: " + f,
             "file",
@@ -262,9 +265,9 @@
   }
 
   private void apply(DaemonConfig config) throws ConfigurationException {
-    Map<String, Bound> fresh = bindNew(config);
+    Map<String, BoundListener> fresh = bindNewListeners(config);
     ConfigurationSnapshot next =
-        new ConfigurationSnapshot(config, hostsOut, version, System.currentTimeMillis());
+        new ConfigurationSnapshot(config, drainedEndpoints, snapshot, System.currentTimeMillis());
     List<Future<?>> applied = new ArrayList<>();
     for (Worker w : workers.values()) {
       applied.add(w.loop().submit(() -> w.apply(next)));
@@ -272,39 +275,42 @@
     for (Future<?> f : applied) {
       f.syncUninterruptibly();
     }
-    version = next;
+    snapshot = next;
     // Only now does the first connection of a new listener find a front on every worker.
-    bound
+    boundListeners
         .entrySet()
         .removeIf(
             e -> {
               DaemonConfig.Listener l = config.listeners().get(e.getKey());
-              boolean gone = l == null || !l.address().equals(e.getValue().asked());
+              boolean gone = l == null || !l.address().equals(e.getValue().configuredAddress());
               if (gone) {
-                closeLater(e.getValue().channel());
+                closeAfterGrace(e.getValue().channel());
               }
               return gone;
             });
-    bound.putAll(fresh);
+    boundListeners.putAll(fresh);
     fresh.values().forEach(b -> b.channel().config().setAutoRead(true));
   }
 
-  private static void closeLater(Channel listener) {
-    listener.eventLoop().schedule(() -> listener.close(), LAST_ACCEPT_MS, TimeUnit.MILLISECONDS);
+  private static void closeAfterGrace(Channel listener) {
+    listener
+        .eventLoop()
+        .schedule(() -> listener.close(), ACCEPT_GRACE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Binds every address that is not bound yet, or none. */
-  private Map<String, Bound> bindNew(DaemonConfig config) throws ConfigurationException {
-    Map<String, Bound> fresh = new HashMap<>();
+  private Map<String, BoundListener> bindNewListeners(DaemonConfig config)
+      throws ConfigurationException {
+    Map<String, BoundListener> fresh = new HashMap<>();
     List<ConfigurationError> faults = new ArrayList<>();
     for (DaemonConfig.Listener l : config.listeners().values()) {
-      Bound b = bound.get(l.name());
-      if (b != null && b.asked().equals(l.address())) {
+      BoundListener b = boundListeners.get(l.name());
+      if (b != null && b.configuredAddress().equals(l.address())) {
         continue;
       }
       ChannelFuture f = bind(l).awaitUninterruptibly();
       if (f.isSuccess()) {
-        fresh.put(l.name(), new Bound(l.address(), f.channel()));
+        fresh.put(l.name(), new BoundListener(l.address(), f.channel()));
       } else {
         faults.add(
             new ConfigurationError(
@@ -324,7 +330,7 @@
 
   private ChannelFuture bind(DaemonConfig.Listener l) {
     return new ServerBootstrap()
-        .group(acceptor, group)
+        .group(acceptor, workerGroup)
         .channel(transport.listenerType())
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
@@ -346,7 +352,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel ch) {
-                workers.get(ch.eventLoop()).accepted(l.name(), ch);
+                workers.get(ch.eventLoop()).onAccepted(l.name(), ch);
               }
             })
         .bind(l.address());
@@ -354,18 +360,18 @@
 
   /** Where the listener of that name is bound, or null. */
   public synchronized InetSocketAddress address(String listener) {
-    Bound b = bound.get(listener);
+    BoundListener b = boundListeners.get(listener);
     return b == null ? null : (InetSocketAddress) b.channel().localAddress();
   }
 
   /** The workers' loops. */
-  Set<EventLoop> loops() {
+  Set<EventLoop> eventLoops() {
     return workers.keySet();
   }
 
   /** The number of the version in force, from 1. */
   public synchronized long version() {
-    return version.number;
+    return snapshot.version;
   }
 
   /** Begins the end: new connections for half a second more, all that was taken is answered. */
@@ -375,15 +381,16 @@
     }
     draining = true;
     log.line("draining");
-    if (member != null) {
-      member.leaving();
+    if (fleetAgent != null) {
+      fleetAgent.onDraining();
     }
-    bound.values().forEach(b -> closeLater(b.channel()));
+    boundListeners.values().forEach(b -> closeAfterGrace(b.channel()));
     workers.values().forEach(w -> w.loop().execute(w::drain));
-    long until = System.nanoTime() + version.config.process().drainMs() * 1_000_000L;
+    long until = System.nanoTime() + snapshot.config.process().drainMillis() * 1_000_000L;
     acceptor
         .next()
-        .schedule(() -> pollDrain(until), LAST_ACCEPT_MS + POLL_MS, TimeUnit.MILLISECONDS);
+        .schedule(
+            () -> pollDrain(until), ACCEPT_GRACE_MILLIS + DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void pollDrain(long until) {
@@ -392,7 +399,7 @@
     int i = 0;
     for (Worker w : workers.values()) {
       int at = i++;
-      asked[at] = CompletableFuture.runAsync(() -> busy[at] = w.busy(), w.loop());
+      asked[at] = CompletableFuture.runAsync(() -> busy[at] = w.hasPendingRequests(), w.loop());
     }
     CompletableFuture.allOf(asked)
         .whenComplete(
@@ -403,25 +410,27 @@
               }
               boolean late = System.nanoTime() >= until;
               if (any && !late) {
-                acceptor.next().schedule(() -> pollDrain(until), POLL_MS, TimeUnit.MILLISECONDS);
+                acceptor
+                    .next()
+                    .schedule(() -> pollDrain(until), DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
               } else {
                 log.line(any ? "drain cut short by its time" : "drained");
-                if (member == null) {
-                  ended.countDown();
+                if (fleetAgent == null) {
+                  terminated.countDown();
                 } else {
                   // Its replica goes last: the member's own word may need it.
-                  member.gone(!any, this::ended);
+                  fleetAgent.onDrained(!any, this::finish);
                 }
               }
             });
   }
 
   /** Waits until the drain is over. */
-  public void awaitEnd() throws InterruptedException {
-    ended.await();
+  public void awaitTermination() throws InterruptedException {
+    terminated.await();
   }
 
-  private void ended() {
+  private void finish() {
     if (replica != null) {
       try {
         replica.close();
@@ -429,17 +438,17 @@
         log.failure("the end of the replica", e);
       }
     }
-    ended.countDown();
+    terminated.countDown();
   }
 
   /** Ends all at once. */
   @Override
   public void close() {
-    if (member != null) {
-      member.close();
+    if (fleetAgent != null) {
+      fleetAgent.close();
     }
     acceptor.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
-    ended();
+    workerGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+    finish();
   }
 }
--- a/src/main/java/leadferry/daemon/DaemonConfig.java
+++ b/src/main/java/leadferry/daemon/DaemonConfig.java
@@ -27,7 +27,7 @@
   /** The daemon as a whole. */
   record Process(
       int workers,
-      int drainMs,
+      int drainMillis,
       int descriptors,
       int bodyMemoryMb,
       int limitKeys,
@@ -35,11 +35,11 @@
       int instances,
       double retryRatio,
       double retryBurst,
-      Sockets transport,
-      LogForm log) {}
+      TransportType transport,
+      LogFormat logFormat) {}
 
   /** What a start does where no replica can be reached: goes by what it last knew, or waits. */
-  enum Unreachable {
+  enum UnreachablePolicy {
     LAST,
     WAIT
   }
@@ -50,9 +50,9 @@
    * @param fleet the fleet's name
    * @param name this process's name, its own in the fleet
    * @param zone its zone, or "-"
-   * @param leaseMs after so long without a word the fleet takes it for lost
-   * @param startWaitMs how long a start asks replicas before it takes them for unreachable
-   * @param state the file in which it keeps what it goes by, or null
+   * @param leaseMillis after so long without a word the fleet takes it for lost
+   * @param startWaitMillis how long a start asks replicas before it takes them for unreachable
+   * @param stateFile the file in which it keeps what it goes by, or null
    * @param version what runs here, as releases call it, or "-"
    * @param replicas where they are, by name
    * @param replica the replica that runs in this process as well, or null
@@ -61,16 +61,16 @@
       String fleet,
       String name,
       String zone,
-      int leaseMs,
-      int startWaitMs,
-      Unreachable onUnreachable,
-      java.nio.file.Path state,
+      int leaseMillis,
+      int startWaitMillis,
+      UnreachablePolicy onUnreachable,
+      java.nio.file.Path stateFile,
       String version,
       Map<String, InetSocketAddress> replicas,
       ReplicaConfig replica) {}
 
   /** The kind of sockets: the best that is there, or a certain one. */
-  enum Sockets {
+  enum TransportType {
     AUTO,
     NIO,
     EPOLL,
@@ -81,15 +81,15 @@
   record Listener(
       String name,
       InetSocketAddress address,
-      NormalizedPath.Mode paths,
+      NormalizedPath.Mode pathMode,
       String classHeader,
       String tenantHeader,
       String healthPath,
-      int maxBody,
-      int slowMs,
-      int idleMs,
-      int maxOpen,
-      int pipeline,
+      int maxBodyBytes,
+      int receiveTimeoutMillis,
+      int idleMillis,
+      int maxOpenRequests,
+      int maxPipelinedRequests,
       Forwarding forwarding) {}
 
   /** A pool of servers; {@code settings} is what its module is told. */
@@ -97,29 +97,29 @@
       String name,
       List<UpstreamHosts.Member> members,
       Settings settings,
-      int maxAnswer,
+      int maxResponseBytes,
       boolean passErrors,
-      double connIdle,
-      double connectTimeout,
+      double connectionIdleMillis,
+      double connectTimeoutMillis,
       int maxConnections,
       int maxPending,
-      int maxRequests,
-      double rest,
+      int maxRequestsPerConnection,
+      double restMillis,
       double retryRatio,
       double retryBurst) {
 
     /** Whether the other one can take over what this one's module has learnt. */
-    boolean continues(Pool other) {
+    boolean canReuseDispatcherOf(Pool other) {
       return settings.equals(other.settings)
-          && maxAnswer == other.maxAnswer
+          && maxResponseBytes == other.maxResponseBytes
           && passErrors == other.passErrors
-          && connIdle == other.connIdle
-          && connectTimeout == other.connectTimeout;
+          && connectionIdleMillis == other.connectionIdleMillis
+          && connectTimeoutMillis == other.connectTimeoutMillis;
     }
   }
 
   /** A part of a route's traffic. */
-  record Share(String pool, double weight) {}
+  record PoolShare(String pool, double weight) {}
 
   /** What is read from a request to keep its key on one side of a split. */
   enum SplitBy {
@@ -134,7 +134,7 @@
       List<String> listeners,
       RouteRule<Integer> match,
       String className,
-      List<Share> split,
+      List<PoolShare> split,
       SplitBy splitBy,
       String splitHeader,
       List<String> fallback,
--- a/src/main/java/leadferry/daemon/DaemonLog.java
+++ b/src/main/java/leadferry/daemon/DaemonLog.java
@@ -33,10 +33,10 @@
   static final String LOGGER = "leadferry";
 
   /** Records a second, of requests and of all else, each. */
-  static final int PER_SECOND = 50;
+  static final int RECORDS_PER_SECOND = 50;
 
   /** Records that wait to be written; some seconds of both budgets. */
-  private static final int QUEUE = 512;
+  private static final int QUEUE_CAPACITY = 512;
 
   private final LoggerContext context;
   private final Logger logger;
@@ -45,7 +45,7 @@
   private final RecordBudget events;
 
   /** A log of this context, which is emptied first, with so many records of each kind a second. */
-  DaemonLog(LoggerContext context, LogForm form, OutputStream out, int perSecond) {
+  DaemonLog(LoggerContext context, LogFormat form, OutputStream out, int perSecond) {
     this.context = context;
     this.requests = new RecordBudget(perSecond);
     this.events = new RecordBudget(perSecond);
@@ -59,10 +59,10 @@
     writer.setOutputStream(out);
     writer.start();
     queue.setContext(context);
-    queue.setQueueSize(QUEUE);
+    queue.setQueueSize(QUEUE_CAPACITY);
     queue.setDiscardingThreshold(0);
     queue.setNeverBlock(true);
-    queue.addFilter(new OfLibraries());
+    queue.addFilter(new LibraryRecordFilter());
     queue.addAppender(writer);
     queue.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
@@ -73,7 +73,7 @@
   }
 
   /** The log of this process, libraries' warnings included. */
-  public static DaemonLog onStandardError(LogForm form) {
+  public static DaemonLog onStandardError(LogFormat form) {
     OutputStream open =
         new FilterOutputStream(System.err) {
           @Override
@@ -86,33 +86,34 @@
             out.flush(); // others write there, too
           }
         };
-    return new DaemonLog((LoggerContext) LoggerFactory.getILoggerFactory(), form, open, PER_SECOND);
+    return new DaemonLog(
+        (LoggerContext) LoggerFactory.getILoggerFactory(), form, open, RECORDS_PER_SECOND);
   }
 
   /** Libraries log by themselves, so their records meet the budget here. */
-  private final class OfLibraries extends Filter<ILoggingEvent> {
+  private final class LibraryRecordFilter extends Filter<ILoggingEvent> {
     @Override
     public FilterReply decide(ILoggingEvent e) {
-      return e.getLoggerName().equals(LOGGER) || admits(events)
+      return e.getLoggerName().equals(LOGGER) || tryAcquire(events)
           ? FilterReply.NEUTRAL
           : FilterReply.DENY;
     }
   }
 
-  private boolean admits(RecordBudget budget) {
-    if (!budget.admits(System.nanoTime() / 1_000_000_000L)) {
+  private boolean tryAcquire(RecordBudget budget) {
+    if (!budget.tryAcquire(System.nanoTime() / 1_000_000_000L)) {
       return false;
     }
     if (queue.getRemainingCapacity() == 0) {
-      budget.leftOut();
+      budget.countDropped();
       return false;
     }
     return true;
   }
 
   /** Tells what was left out, with the next record that is not. */
-  private void tellLeftOut(RecordBudget budget, String kind) {
-    long n = budget.takeLeftOut();
+  private void logDropped(RecordBudget budget, String kind) {
+    long n = budget.takeDropped();
     if (n > 0) {
       write(logger.atWarn(), "left out", "of", kind, "count", n);
     }
@@ -130,24 +131,24 @@
 
   @Override
   public void event(String what, Object... fields) {
-    if (admits(events)) {
-      tellLeftOut(events, "events");
+    if (tryAcquire(events)) {
+      logDropped(events, "events");
       write(logger.atInfo(), what, fields);
     }
   }
 
   @Override
   public void detail(String what, Object... fields) {
-    if (admits(requests)) {
-      tellLeftOut(requests, "requests");
+    if (tryAcquire(requests)) {
+      logDropped(requests, "requests");
       write(logger.atInfo(), what, fields);
     }
   }
 
   @Override
   public void failure(String what, Throwable t) {
-    if (admits(events)) {
-      tellLeftOut(events, "events");
+    if (tryAcquire(events)) {
+      logDropped(events, "events");
       logger.atError().setCause(t).log(what);
     }
   }
@@ -155,8 +156,8 @@
   /** Writes what waits, for a second at most, and ends. */
   @Override
   public void close() {
-    tellLeftOut(requests, "requests");
-    tellLeftOut(events, "events");
+    logDropped(requests, "requests");
+    logDropped(events, "events");
     context.stop();
   }
 }
--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -33,30 +33,30 @@
  */
 final class DaemonRequestFilter implements RequestFilter {
   /** A host name, or an address in brackets, with a port or none. */
-  private static final int MAX_HOST = 255;
+  private static final int MAX_HOST_LENGTH = 255;
 
-  private static final String SCHEME = "http://";
+  private static final String HTTP_SCHEME = "http://";
   private static final FilterResult.Origin NO_ROUTE = new FilterResult.Origin(null, null, null);
 
   private final Worker worker;
-  private final ConfigurationSnapshot version;
+  private final ConfigurationSnapshot snapshot;
   private final DaemonConfig.Listener listener;
-  private final leadferry.routing.RouteTable<ConfigurationSnapshot.Target> routes;
-  private final Set<String> judged;
-  private final View view = new View();
+  private final leadferry.routing.RouteTable<ConfigurationSnapshot.RouteTarget> routes;
+  private final Set<String> inspectedHeaders;
+  private final RequestView view = new RequestView();
   private final SplittableRandom random = new SplittableRandom();
 
   DaemonRequestFilter(
       Worker worker, ConfigurationSnapshot version, DaemonConfig.Listener listener) {
     this.worker = worker;
-    this.version = version;
+    this.snapshot = version;
     this.listener = listener;
-    this.judged = version.judged.get(listener.name());
+    this.inspectedHeaders = version.inspectedHeaders.get(listener.name());
     this.routes = version.routes.get(listener.name());
   }
 
   /** The request at hand as routes see it; used anew for each, on one loop. */
-  private static final class View implements RequestAttributes {
+  private static final class RequestView implements RequestAttributes {
     private HttpRequest head;
     private String host;
     private String path;
@@ -90,17 +90,17 @@
 
   @Override
   public Set<String> inspectedHeaders() {
-    return judged;
+    return inspectedHeaders;
   }
 
   @Override
   public boolean isReady() {
-    return worker.serves();
+    return worker.isServing();
   }
 
   @Override
   public FilterResult evaluate(HttpRequest head, InetSocketAddress client) {
-    if (!originForm(head)) {
+    if (!convertToOriginForm(head)) {
       return FilterResult.reject(400);
     }
     String uri = head.uri();
@@ -112,17 +112,17 @@
     }
     int query = uri.indexOf('?');
     NormalizedPath path =
-        NormalizedPath.normalize(query < 0 ? uri : uri.substring(0, query), listener.paths());
-    String host = host(head);
-    if (path == null || host == null || (query >= 0 && !plain(uri, query))) {
+        NormalizedPath.normalize(query < 0 ? uri : uri.substring(0, query), listener.pathMode());
+    String host = requestedHost(head);
+    if (path == null || host == null || (query >= 0 && !hasOnlyQueryCharacters(uri, query))) {
       return FilterResult.reject(400);
     }
     view.head = head;
     view.host = host;
     view.path = path.matchPath();
     String claimed = head.headers().get(listener.classHeader());
-    view.className = claimed != null && version.classes.containsKey(claimed) ? claimed : null;
-    RouteRule<ConfigurationSnapshot.Target> rule = routes.find(view);
+    view.className = claimed != null && snapshot.classes.containsKey(claimed) ? claimed : null;
+    RouteRule<ConfigurationSnapshot.RouteTarget> rule = routes.find(view);
     if (rule == null) {
       return FilterResult.respond(404, 0, NO_ROUTE);
     }
@@ -134,16 +134,16 @@
    * place of {@code Host}, before anything judges by either. False where it is none that can be
    * served here.
    */
-  private static boolean originForm(HttpRequest head) {
+  private static boolean convertToOriginForm(HttpRequest head) {
     String uri = head.uri();
-    if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
+    if (!uri.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
       return true;
     }
-    int end = SCHEME.length();
+    int end = HTTP_SCHEME.length();
     while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
       end++;
     }
-    String authority = uri.substring(SCHEME.length(), end);
+    String authority = uri.substring(HTTP_SCHEME.length(), end);
     boolean old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
     if (authority.isEmpty()
         || (!old && Framing.singleValue(head.headers(), HttpHeaderNames.HOST) == null)) {
@@ -160,14 +160,14 @@
       InetSocketAddress client,
       NormalizedPath path,
       String query,
-      RouteRule<ConfigurationSnapshot.Target> rule) {
+      RouteRule<ConfigurationSnapshot.RouteTarget> rule) {
     HttpHeaders h = head.headers();
     DaemonConfig.Route route = rule.target().route();
     String name =
         !route.className().isEmpty()
             ? route.className()
             : view.className != null ? view.className : DaemonConfig.DEFAULT_CLASS;
-    Settings.RequestClass type = version.classes.get(name);
+    Settings.RequestClass type = snapshot.classes.get(name);
     FilterResult.Origin origin = rule.target().origins().get(name);
     String key = Framing.singleValue(h, "Idempotency-Key");
     if (type.semantics() == Settings.Semantics.DEDUPLICATED && (key == null || key.isBlank())) {
@@ -180,9 +180,9 @@
     if (!(timeout >= 1)) {
       return FilterResult.respond(400, 0, origin);
     }
-    if (doubled(h, listener.classHeader())
-        || doubled(h, listener.tenantHeader())
-        || doubled(h, route.splitHeader())) {
+    if (hasRepeatedHeader(h, listener.classHeader())
+        || hasRepeatedHeader(h, listener.tenantHeader())
+        || hasRepeatedHeader(h, route.splitHeader())) {
       return FilterResult.respond(400, 0, origin); // a host may go by the other one
     }
     String tenant = h.get(listener.tenantHeader(), "");
@@ -190,7 +190,7 @@
         client == null ? null : listener.forwarding().clientAddress(h, client.getAddress());
     String address = caller == null ? "" : caller.getHostAddress();
     LimitDecision grant =
-        version.limiter.acquire(
+        snapshot.limiter.acquire(
             new ClientIdentity(listener.name(), route.name(), tenant, name, address),
             System.nanoTime());
     if (grant.refusedBy() != null) {
@@ -203,7 +203,7 @@
     boolean safe = type.semantics() == Settings.Semantics.IDEMPOTENT;
     RequestArrival arrival =
         new RequestArrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
-    Dispatcher target = take(pool);
+    Dispatcher target = countAndGetDispatcher(pool);
     if (target == null) {
       grant.release();
       return FilterResult.respond(503, 0, origin);
@@ -215,25 +215,25 @@
     return FilterResult.forward(
         target,
         arrival,
-        fallback(route.fallback(), 0, pool, arrival, safe),
+        fallbackPools(route.fallback(), 0, pool, arrival, safe),
         route.stream() ? Streaming.ALWAYS : Streaming.NEVER,
         origin,
         grant::release);
   }
 
-  private static boolean doubled(HttpHeaders h, String name) {
+  private static boolean hasRepeatedHeader(HttpHeaders h, String name) {
     return h.contains(name) && h.getAll(name).size() > 1;
   }
 
   /** The worker's pool, which counts what comes to it. */
-  private Dispatcher take(String pool) {
-    ConfigurationSnapshot.Pool p = version.pools.get(pool);
-    p.retries().onRequest();
-    version.retries.onRequest();
-    return worker.pool(pool);
+  private Dispatcher countAndGetDispatcher(String pool) {
+    ConfigurationSnapshot.PoolSnapshot p = snapshot.pools.get(pool);
+    p.retryBudget().onRequest();
+    snapshot.retryBudget.onRequest();
+    return worker.dispatcher(pool);
   }
 
-  private FallbackPools fallback(
+  private FallbackPools fallbackPools(
       List<String> names, int from, String first, RequestArrival arrival, boolean safe) {
     if (from >= names.size()) {
       return null;
@@ -243,10 +243,10 @@
         return null;
       }
       for (int i = from; i < names.size(); i++) {
-        Dispatcher d = names.get(i).equals(first) ? null : worker.pool(names.get(i));
+        Dispatcher d = names.get(i).equals(first) ? null : worker.dispatcher(names.get(i));
         if (d != null) {
           return new FallbackPools.NextPool(
-              d, arrival, fallback(names, i + 1, first, arrival, safe));
+              d, arrival, fallbackPools(names, i + 1, first, arrival, safe));
         }
       }
       return null;
@@ -269,7 +269,7 @@
   private void rewrite(
       HttpRequest head,
       DaemonConfig.Route route,
-      RouteRule<ConfigurationSnapshot.Target> rule,
+      RouteRule<ConfigurationSnapshot.RouteTarget> rule,
       NormalizedPath path,
       String query) {
     String forward = path.forwardPath();
@@ -293,14 +293,14 @@
   }
 
   /** The host asked for in lower case without port or last dot, or null where it can't be one. */
-  private static String host(HttpRequest head) {
+  private static String requestedHost(HttpRequest head) {
     String h = Framing.singleValue(head.headers(), HttpHeaderNames.HOST);
     if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)
         && !head.headers().contains(HttpHeaderNames.HOST)) {
       head.headers().set(HttpHeaderNames.HOST, ""); // what goes on is HTTP/1.1, which has one
       return "";
     }
-    if (h == null || h.length() > MAX_HOST) {
+    if (h == null || h.length() > MAX_HOST_LENGTH) {
       return null;
     }
     int end = h.length();
@@ -334,7 +334,7 @@
     return upper ? name.toLowerCase(Locale.ROOT) : name;
   }
 
-  private static boolean plain(String s, int from) {
+  private static boolean hasOnlyQueryCharacters(String s, int from) {
     for (int i = from; i < s.length(); i++) {
       char c = s.charAt(i);
       if (c <= ' ' || c == 0x7f || c == '#') {
--- a/src/main/java/leadferry/daemon/Names.java
+++ b/src/main/java/leadferry/daemon/DeclaredNames.java
@@ -9,7 +9,7 @@
  * What an operator's file names so far, for the checks of one part against another: a part is read
  * after those that it may name.
  */
-final class Names {
+final class DeclaredNames {
   private static final String NAME = "[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}";
 
   /** A token of RFC 9110, 5.6.2: the name of a header. */
@@ -21,20 +21,20 @@
   final Set<String> routes = new LinkedHashSet<>();
 
   /** Takes a name among its kind, or notes what is wrong with it. */
-  static void take(TomlSection s, String name, Set<String> among) {
+  static void declare(TomlSection s, String name, Set<String> among) {
     if (!name.matches(NAME)) {
-      s.fault("", "the name '" + name + "'", "letters, digits, _, - and ., at most 64");
+      s.addError("", "the name '" + name + "'", "letters, digits, _, - and ., at most 64");
     } else if (!among.add(name)) {
-      s.fault("", "the name '" + name + "' a second time", "a name of its own");
+      s.addError("", "the name '" + name + "' a second time", "a name of its own");
     }
   }
 
   /** The address that the key holds, or null and a fault. */
-  static InetSocketAddress address(TomlSection s, String key, boolean portZero) {
-    String text = s.text(key, null, "IP:port");
+  static InetSocketAddress readAddress(TomlSection s, String key, boolean portZero) {
+    String text = s.string(key, null, "IP:port");
     InetSocketAddress a = text.isEmpty() ? null : Addresses.parse(text);
     if (!text.isEmpty() && (a == null || (a.getPort() == 0 && !portZero))) {
-      s.fault(key, "'" + text + "'", "IP:port, with a port from 1 to 65535");
+      s.addError(key, "'" + text + "'", "IP:port, with a port from 1 to 65535");
       return null;
     }
     return a;
--- a/src/main/java/leadferry/daemon/HostCatalogs.java
+++ b/src/main/java/leadferry/daemon/EndpointCatalogCache.java
@@ -10,12 +10,12 @@
 import leadferry.engine.UpstreamHosts;
 
 /** The hosts of a configuration as the log knows them, made once for each configuration. */
-final class HostCatalogs {
+final class EndpointCatalogCache {
   private DaemonConfig config;
   private LogEntry.EndpointCatalog catalog;
 
   /** The hosts of all pools by name; a host of several pools counts in the first. */
-  LogEntry.EndpointCatalog of(DaemonConfig current) {
+  LogEntry.EndpointCatalog catalogOf(DaemonConfig current) {
     if (current != config) {
       catalog = build(current);
       config = current;
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -46,10 +46,10 @@
   private final ReplicaReachability replicas;
   private final ProxyMemberView view;
   private final FleetStateFile stateFile;
-  private final HostCatalogs catalogs = new HostCatalogs();
+  private final EndpointCatalogCache catalogs = new EndpointCatalogCache();
   private final Thread thread;
   private boolean reportsWanted;
-  private volatile DaemonConfig current;
+  private volatile DaemonConfig currentConfig;
   private volatile Phase phase = Phase.STARTING;
   private volatile Departure departure;
   private volatile boolean closed;
@@ -58,11 +58,11 @@
     this.config = config;
     this.daemon = daemon;
     this.log = log;
-    this.client = new SessionClient(config.fleet(), config.replicas(), this::take);
-    this.session = new MemberSession(config.name(), config.leaseMs());
+    this.client = new SessionClient(config.fleet(), config.replicas(), this::onView);
+    this.session = new MemberSession(config.name(), config.leaseMillis());
     this.replicas = new ReplicaReachability(log);
     this.view = new ProxyMemberView(config.name());
-    this.stateFile = new FleetStateFile(config.fleet(), config.state(), log);
+    this.stateFile = new FleetStateFile(config.fleet(), config.stateFile(), log);
     this.thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
   }
@@ -71,19 +71,19 @@
    * Learns what is in force before the first request: from the replicas, or as {@code
    * on_unreachable} says.
    */
-  void begin(DaemonConfig first) {
-    current = first;
-    long startDeadline = System.nanoTime() + config.startWaitMs() * NANOS_PER_MILLI;
-    boolean mayUseStateFile = config.onUnreachable() == DaemonConfig.Unreachable.LAST;
+  void loadInitialView(DaemonConfig first) {
+    currentConfig = first;
+    long startDeadline = System.nanoTime() + config.startWaitMillis() * NANOS_PER_MILLI;
+    boolean mayUseStateFile = config.onUnreachable() == DaemonConfig.UnreachablePolicy.LAST;
     boolean waitLogged = false;
     while (true) {
-      boolean answered = join(System.nanoTime() + config.leaseMs() * NANOS_PER_MILLI);
+      boolean answered = join(System.nanoTime() + config.leaseMillis() * NANOS_PER_MILLI);
       if (session.isOpen()) {
         break;
       }
       boolean overdue = !answered && System.nanoTime() - startDeadline >= 0;
       if (overdue && mayUseStateFile) {
-        goByStateFile();
+        applyStateFile();
         break;
       }
       if (overdue && !waitLogged) {
@@ -96,28 +96,28 @@
   }
 
   /** Goes by what was in force when this process, or the one before it, last heard. */
-  private void goByStateFile() {
+  private void applyStateFile() {
     log.line("no replica can be reached: starting by what was last in force");
     Optional<JsonNode> stored = stateFile.read();
     if (stored.isPresent()) {
       view.applyView(stored.get(), true, System.nanoTime());
-      daemon.agreed(view.drainedEndpoints(), view.isOutOfService());
+      daemon.applyFleetView(view.drainedEndpoints(), view.isOutOfService());
       view.onSessionStarted();
     }
   }
 
   /** The listeners are there. */
-  void serving() {
+  void onServing() {
     advance(Phase.SERVING);
   }
 
   /** A reload has changed what is balanced over. */
-  void lists(DaemonConfig next) {
-    current = next;
+  void onReload(DaemonConfig next) {
+    currentConfig = next;
   }
 
   /** The process was told to end: the fleet can't refuse that, and hears of it. */
-  void leaving() {
+  void onDraining() {
     advance(Phase.DRAINING);
   }
 
@@ -131,14 +131,14 @@
    * The drain is over; {@code listener} runs once the replicas know, or can't be told within a
    * second.
    */
-  void gone(boolean nothingInFlight, Runnable listener) {
+  void onDrained(boolean nothingInFlight, Runnable listener) {
     departure = new Departure(nothingInFlight, listener);
   }
 
   // --- on the agent's own thread
 
   private void run() {
-    long renewalIntervalNanos = config.leaseMs() * NANOS_PER_MILLI / RENEWALS_PER_LEASE;
+    long renewalIntervalNanos = config.leaseMillis() * NANOS_PER_MILLI / RENEWALS_PER_LEASE;
     long nextRenewal = System.nanoTime();
     while (!closed) {
       try {
@@ -149,7 +149,7 @@
         nextRenewal = keepSession(nextRenewal, renewalIntervalNanos);
         long now = System.nanoTime();
         if (view.refresh(session.leaseHolds(now), now)) {
-          putInForce();
+          applyView();
         }
         if (session.isOpen()) {
           report(now + renewalIntervalNanos);
@@ -179,33 +179,38 @@
 
   /** Asks for a session; false if nobody answered. */
   private boolean join(long deadline) {
-    LogEntry.EndpointCatalog catalog = catalogs.of(current);
+    LogEntry.EndpointCatalog catalog = catalogs.catalogOf(currentConfig);
     LogEntry.Join join =
         new LogEntry.Join(
-            config.name(), incarnation, config.leaseMs(), config.zone(), config.version(), catalog);
+            config.name(),
+            incarnation,
+            config.leaseMillis(),
+            config.zone(),
+            config.version(),
+            catalog);
     long askedAt = System.nanoTime();
     Optional<SessionClient.Result> answer = submit(() -> client.join(join, deadline));
     if (answer.isEmpty()) {
       return false;
     }
     if (answer.get() instanceof SessionClient.Joined joined) {
-      opened(joined, catalog, askedAt, deadline);
+      onJoined(joined, catalog, askedAt, deadline);
     } else if (answer.get() instanceof SessionClient.Refused refused) {
       log.event("not admitted to the fleet: " + refused.reasons(), "name", config.name());
-      waitBetweenRenewals();
+      sleepRenewalInterval();
     }
     return true;
   }
 
-  private void opened(
+  private void onJoined(
       SessionClient.Joined joined, LogEntry.EndpointCatalog catalog, long askedAt, long deadline) {
-    session.joined(joined.session(), catalog);
+    session.onJoined(joined.session(), catalog);
     view.onSessionStarted();
     // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
     // asks the leader anew.
     renew(askedAt, deadline);
     if (session.isOpen()) {
-      take(joined.view());
+      onView(joined.view());
       log.event(
           "member of fleet " + config.fleet(), "name", config.name(), "session", session.id());
     }
@@ -213,7 +218,7 @@
 
   private void renew(long askedAt, long deadline) {
     Optional<ObjectNode> loadReport =
-        reportsWanted ? Optional.of(daemon.report()) : Optional.empty();
+        reportsWanted ? Optional.of(daemon.outcomeReport()) : Optional.empty();
     Optional<SessionClient.Renewal> renewal =
         replicas.attempt(() -> client.renew(config.name(), session.id(), loadReport, deadline));
     if (renewal.isEmpty()) {
@@ -221,9 +226,9 @@
     }
     reportsWanted = renewal.get().reportRequested();
     if (renewal.get().live()) {
-      session.renewed(askedAt);
+      session.onRenewed(askedAt);
     } else {
-      session.lost();
+      session.onLost();
       log.line("the session is over: joining again");
     }
   }
@@ -231,14 +236,14 @@
   /** Reports what has changed of what the daemon does. */
   private void report(long deadline) {
     MemberSession.Activity activity = activity();
-    LogEntry.EndpointCatalog catalog = catalogs.of(current);
+    LogEntry.EndpointCatalog catalog = catalogs.catalogOf(currentConfig);
     Optional<LogEntry.MemberReport> report = session.nextReport(activity, catalog);
     if (report.isEmpty()) {
       return;
     }
     Optional<SessionClient.Result> answer = submit(() -> client.report(report.get(), deadline));
     if (answer.isPresent() && answer.get() instanceof SessionClient.Applied) {
-      session.reported(activity, catalog);
+      session.onReported(activity, catalog);
     }
   }
 
@@ -246,10 +251,10 @@
     boolean serving = phase == Phase.SERVING && !view.isOutOfService();
     SortedSet<String> busy = new TreeSet<>();
     if (!view.drainedEndpoints().isEmpty()) {
-      busy.addAll(daemon.hosts(Worker::busyHosts));
+      busy.addAll(daemon.collectHosts(Worker::busyHosts));
       busy.retainAll(view.drainedEndpoints());
     }
-    SortedSet<String> suspected = new TreeSet<>(daemon.hosts(Worker::ejectedHosts));
+    SortedSet<String> suspected = new TreeSet<>(daemon.collectHosts(Worker::ejectedHosts));
     return new MemberSession.Activity(view.version(), serving, busy, suspected);
   }
 
@@ -259,25 +264,25 @@
     Optional<SessionClient.Result> result = replicas.attempt(submission);
     if (result.isPresent() && result.get() instanceof SessionClient.Rejected rejected) {
       log.line("replicas: " + rejected.reason());
-      waitBetweenRenewals();
+      sleepRenewalInterval();
       return Optional.empty();
     }
     return result;
   }
 
-  private void waitBetweenRenewals() {
-    Sleep.millis(config.leaseMs() / RENEWALS_PER_LEASE);
+  private void sleepRenewalInterval() {
+    Sleep.millis(config.leaseMillis() / RENEWALS_PER_LEASE);
   }
 
-  private void take(JsonNode pushed) {
+  private void onView(JsonNode pushed) {
     long now = System.nanoTime();
     if (view.applyView(pushed, session.leaseHolds(now), now)) {
-      putInForce();
+      applyView();
     }
   }
 
-  private void putInForce() {
-    daemon.agreed(view.drainedEndpoints(), view.isOutOfService());
+  private void applyView() {
+    daemon.applyFleetView(view.drainedEndpoints(), view.isOutOfService());
     stateFile.write(view);
   }
 
--- a/src/main/java/leadferry/daemon/FleetStateFile.java
+++ b/src/main/java/leadferry/daemon/FleetStateFile.java
@@ -19,7 +19,7 @@
   private final String fleet;
   private final Path file;
   private final Log log;
-  private String written = "";
+  private String lastWritten = "";
 
   /** {@code file} may be null. */
   FleetStateFile(String fleet, Path file, Log log) {
@@ -53,14 +53,14 @@
     ObjectNode state = Json.object().put("fleet", fleet);
     view.write(state.putObject("view"));
     String text = Json.text(state);
-    if (text.equals(written)) {
+    if (text.equals(lastWritten)) {
       return;
     }
     try {
       Path part = file.resolveSibling(file.getFileName() + ".part");
       Files.writeString(part, text);
       Files.move(part, file, StandardCopyOption.ATOMIC_MOVE);
-      written = text;
+      lastWritten = text;
     } catch (IOException e) {
       log.failure(file.toString(), e);
     }
--- a/src/main/java/leadferry/daemon/MemberSession.java
+++ b/src/main/java/leadferry/daemon/MemberSession.java
@@ -57,7 +57,7 @@
   }
 
   /** The log has opened the session, and knows the hosts that came with the join. */
-  void joined(long session, LogEntry.EndpointCatalog catalog) {
+  void onJoined(long session, LogEntry.EndpointCatalog catalog) {
     state = State.OPEN;
     id = session;
     reportedActivity = Optional.empty();
@@ -65,12 +65,12 @@
   }
 
   /** The leader has renewed the session, as was asked at that time (ns). */
-  void renewed(long askedAtNanos) {
+  void onRenewed(long askedAtNanos) {
     lease.onConfirmed(askedAtNanos);
   }
 
   /** The leader says that the session is over. */
-  void lost() {
+  void onLost() {
     state = State.NONE;
     lease.onSessionLost();
   }
@@ -95,7 +95,7 @@
   }
 
   /** The log has applied a report of this. */
-  void reported(Activity activity, LogEntry.EndpointCatalog catalog) {
+  void onReported(Activity activity, LogEntry.EndpointCatalog catalog) {
     reportedActivity = Optional.of(activity);
     reportedCatalog = catalog.digest();
   }
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -32,10 +32,10 @@
   private static final String NONE = "-";
 
   /** A longer file is none of ours (bytes). */
-  private static final long MOST_BYTES = 64L << 20;
+  private static final long MAX_BYTES = 64L << 20;
 
   private final TomlSection root;
-  private final Names names = new Names();
+  private final DeclaredNames names = new DeclaredNames();
 
   private OperatorFile(TomlSection.Source source, JsonNode root) {
     this.root = new TomlSection(source, "", root);
@@ -49,11 +49,11 @@
   static DaemonConfig read(Path file) throws ConfigurationException {
     String name = file.toString();
     try {
-      if (Files.size(file) > MOST_BYTES) {
+      if (Files.size(file) > MAX_BYTES) {
         throw new ConfigurationException(
             List.of(
                 new ConfigurationError(
-                    name, 0, "", "a longer file", "at most " + MOST_BYTES + " bytes")));
+                    name, 0, "", "a longer file", "at most " + MAX_BYTES + " bytes")));
       }
       return parse(name, Files.readString(file));
     } catch (CharacterCodingException e) {
@@ -71,7 +71,7 @@
   static DaemonConfig parse(String name, String text) throws ConfigurationException {
     TomlTree tree;
     try {
-      tree = TomlTree.of(name, text);
+      tree = TomlTree.parse(name, text);
     } catch (RuntimeException | StackOverflowError e) {
       // Guards against a parser that answers odd texts, thousands of brackets say, with errors of
       // its own.
@@ -79,15 +79,15 @@
           List.of(new ConfigurationError(name, 0, "", e.toString(), "TOML 1.0")));
     }
     TomlSection.Source source = new TomlSection.Source(name, tree);
-    DaemonConfig config = new OperatorFile(source, tree.root).all();
-    if (!source.faults.isEmpty()) {
-      source.faults.sort(java.util.Comparator.comparingInt(ConfigurationError::line));
-      throw new ConfigurationException(source.faults);
+    DaemonConfig config = new OperatorFile(source, tree.root).readAll();
+    if (!source.errors.isEmpty()) {
+      source.errors.sort(java.util.Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.errors);
     }
     return config;
   }
 
-  private DaemonConfig all() {
+  private DaemonConfig readAll() {
     DaemonConfig.Process process = process();
     Map<String, DaemonConfig.Listener> listeners = listeners();
     List<Settings.RequestClass> classes = classes();
@@ -95,7 +95,7 @@
     List<DaemonConfig.Route> routes = new RouteReader(root, names).read();
     List<Limit> limits = limits();
     DaemonConfig.Fleet fleet = fleet();
-    root.end();
+    root.rejectUnknownKeys();
     return new DaemonConfig(process, listeners, classes, pools, routes, limits, fleet);
   }
 
@@ -114,10 +114,11 @@
             instances,
             r.number("ratio", 0.2, 0, 10),
             r.number("burst", 100, 0, 1e6),
-            d.word("transport", DaemonConfig.Sockets.AUTO, DaemonConfig.Sockets.class),
-            d.word("log", LogForm.TEXT, LogForm.class));
-    r.end();
-    d.end();
+            d.enumValue(
+                "transport", DaemonConfig.TransportType.AUTO, DaemonConfig.TransportType.class),
+            d.enumValue("log", LogFormat.TEXT, LogFormat.class));
+    r.rejectUnknownKeys();
+    d.rejectUnknownKeys();
     return p;
   }
 
@@ -126,33 +127,35 @@
     if (!root.has("fleet")) {
       return null;
     }
-    String name = section.text("name", null, "this process's name in the fleet");
+    String name = section.string("name", null, "this process's name in the fleet");
     if (!name.isEmpty()) {
-      Names.take(section, name, new HashSet<>());
+      DeclaredNames.declare(section, name, new HashSet<>());
     }
     Map<String, InetSocketAddress> replicas = replicaAddresses(section);
     String stateFile =
-        section.text(
+        section.string(
             "state_file",
             NONE,
             "a file, for what is in force when no replica can be reached at a start");
-    DaemonConfig.Unreachable onUnreachable =
-        section.word(
-            "on_unreachable", DaemonConfig.Unreachable.WAIT, DaemonConfig.Unreachable.class);
-    if (onUnreachable == DaemonConfig.Unreachable.LAST && stateFile.equals(NONE)) {
-      section.fault("state_file", "missing", "a file, where on_unreachable is 'last'");
+    DaemonConfig.UnreachablePolicy onUnreachable =
+        section.enumValue(
+            "on_unreachable",
+            DaemonConfig.UnreachablePolicy.WAIT,
+            DaemonConfig.UnreachablePolicy.class);
+    if (onUnreachable == DaemonConfig.UnreachablePolicy.LAST && stateFile.equals(NONE)) {
+      section.addError("state_file", "missing", "a file, where on_unreachable is 'last'");
     }
-    String fleet = section.text("fleet", null, "the fleet's name");
-    String version = section.text("version", NONE, "what runs here, as releases call it");
+    String fleet = section.string("fleet", null, "the fleet's name");
+    String version = section.string("version", NONE, "what runs here, as releases call it");
     if (!version.matches(DisruptionState.NAME_PATTERN) && !version.equals(NONE)) {
-      section.fault(
+      section.addError(
           "version", "'" + version + "'", "letters, digits, _, -, . and :, at most 64, no - first");
     }
     DaemonConfig.Fleet result =
         new DaemonConfig.Fleet(
             fleet,
             name,
-            section.text("zone", NONE, "the zone's name"),
+            section.string("zone", NONE, "the zone's name"),
             section.integer("lease_ms", 3_000, 200, 600_000),
             section.integer("start_wait_ms", 5_000, 0, 600_000),
             onUnreachable,
@@ -160,7 +163,7 @@
             version,
             replicas,
             ownReplica(section, fleet));
-    section.end();
+    section.rejectUnknownKeys();
     return result;
   }
 
@@ -169,10 +172,10 @@
     Map<String, InetSocketAddress> replicas = new LinkedHashMap<>();
     TomlSection section = fleet.table("keepers");
     for (String name : section.keys()) {
-      replicas.put(name, Names.address(section, name, false));
+      replicas.put(name, DeclaredNames.readAddress(section, name, false));
     }
     if (replicas.isEmpty()) {
-      fleet.fault("keepers", "none", "replicas by name, as in [fleet.keepers] k1 = \"IP:port\"");
+      fleet.addError("keepers", "none", "replicas by name, as in [fleet.keepers] k1 = \"IP:port\"");
     }
     return replicas;
   }
@@ -183,7 +186,7 @@
    */
   private static ReplicaConfig ownReplica(TomlSection section, String fleet) {
     String file =
-        section.text(
+        section.string(
             "keeper_file", NONE, "the file of the replica that runs in this process as well");
     if (file.equals(NONE)) {
       return null;
@@ -191,14 +194,14 @@
     try {
       ReplicaConfig replica = ReplicaFile.read(Path.of(file));
       if (!replica.fleet().equals(fleet)) {
-        section.fault(
+        section.addError(
             "keeper_file", file + ", of fleet " + replica.fleet(), "a replica of fleet " + fleet);
       }
       return replica;
     } catch (ConfigurationException e) {
-      e.faults()
+      e.errors()
           .forEach(
-              error -> section.fault("keeper_file", error.toString(), "a sound replica's file"));
+              error -> section.addError("keeper_file", error.toString(), "a sound replica's file"));
       return null;
     }
   }
@@ -206,26 +209,26 @@
   private Map<String, DaemonConfig.Listener> listeners() {
     Map<String, DaemonConfig.Listener> out = new LinkedHashMap<>();
     Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (Map.Entry<String, TomlSection> e : root.named("listener").entrySet()) {
+    for (Map.Entry<String, TomlSection> e : root.tablesByName("listener").entrySet()) {
       TomlSection s = e.getValue();
-      Names.take(s, e.getKey(), names.listeners);
-      InetSocketAddress at = Names.address(s, "address", true);
+      DeclaredNames.declare(s, e.getKey(), names.listeners);
+      InetSocketAddress at = DeclaredNames.readAddress(s, "address", true);
       String other = at == null || at.getPort() == 0 ? null : taken.putIfAbsent(at, e.getKey());
       if (other != null) {
-        s.fault("address", "the address of listener '" + other + "'", "an address of its own");
+        s.addError("address", "the address of listener '" + other + "'", "an address of its own");
       }
-      String health = s.text("health_path", "/_health", "a path, or 'none'");
+      String health = s.string("health_path", "/_health", "a path, or 'none'");
       if (!health.startsWith("/") && !health.equals("none")) {
-        s.fault("health_path", "'" + health + "'", "a path that begins with /, or 'none'");
+        s.addError("health_path", "'" + health + "'", "a path that begins with /, or 'none'");
       }
       out.put(
           e.getKey(),
           new DaemonConfig.Listener(
               e.getKey(),
               at,
-              s.word("paths", NormalizedPath.Mode.STRICT, NormalizedPath.Mode.class),
-              token(s, "class_header", "X-Priority-Class"),
-              token(s, "tenant_header", "X-Tenant-Id"),
+              s.enumValue("paths", NormalizedPath.Mode.STRICT, NormalizedPath.Mode.class),
+              headerName(s, "class_header", "X-Priority-Class"),
+              headerName(s, "tenant_header", "X-Tenant-Id"),
               health,
               s.integer("max_body_bytes", 64 * 1024, 0, 256 << 20),
               s.integer("slow_ms", 10_000, 100, 600_000),
@@ -233,21 +236,21 @@
               s.integer("max_open", 100_000, 1, 10_000_000),
               s.integer("pipeline", 16, 1, 10_000),
               new Forwarding(
-                  s.word("forwarded", Forwarding.Mode.APPEND, Forwarding.Mode.class),
-                  networks(s))));
-      s.end();
+                  s.enumValue("forwarded", Forwarding.Mode.APPEND, Forwarding.Mode.class),
+                  trustedNetworks(s))));
+      s.rejectUnknownKeys();
     }
     if (out.isEmpty()) {
-      root.fault("listener", "none", "at least one [listener.NAME]");
+      root.addError("listener", "none", "at least one [listener.NAME]");
     }
     return out;
   }
 
-  private static Networks networks(TomlSection s) {
-    List<String> texts = s.texts("trusted");
+  private static Networks trustedNetworks(TomlSection s) {
+    List<String> texts = s.strings("trusted");
     for (int i = 0; i < texts.size(); i++) {
       if (Networks.isInvalid(texts.get(i))) {
-        s.fault(
+        s.addError(
             "trusted[" + i + "]",
             "'" + texts.get(i) + "'",
             "a network as 10.0.0.0/8 or fd00::/8, or an address");
@@ -256,21 +259,21 @@
     return new Networks(texts.stream().filter(t -> !Networks.isInvalid(t)).toList());
   }
 
-  private static String token(TomlSection s, String key, String otherwise) {
-    String t = s.text(key, otherwise, "the name of a header");
-    if (!t.matches(Names.TOKEN)) {
-      s.fault(key, "'" + t + "'", "the name of a header");
+  private static String headerName(TomlSection s, String key, String otherwise) {
+    String t = s.string(key, otherwise, "the name of a header");
+    if (!t.matches(DeclaredNames.TOKEN)) {
+      s.addError(key, "'" + t + "'", "the name of a header");
     }
     return t;
   }
 
-  private enum Repeat {
+  private enum RepeatPolicy {
     SAFE,
     KEYED,
     UNSAFE
   }
 
-  private enum Within {
+  private enum KeyScopeName {
     POD,
     ZONE,
     ALL
@@ -278,22 +281,22 @@
 
   private List<Settings.RequestClass> classes() {
     List<Settings.RequestClass> out = new ArrayList<>();
-    for (Map.Entry<String, TomlSection> e : root.named("class").entrySet()) {
+    for (Map.Entry<String, TomlSection> e : root.tablesByName("class").entrySet()) {
       TomlSection s = e.getValue();
-      Names.take(s, e.getKey(), names.classes);
+      DeclaredNames.declare(s, e.getKey(), names.classes);
       double deadline = s.number("deadline_ms", 5_000, 1, 3_600_000);
       double aim = s.number("aim_ms", Math.min(1_000, deadline), 1, 3_600_000);
       if (aim > deadline) {
-        s.fault("aim_ms", Double.toString(aim), "no more than deadline_ms, " + deadline);
+        s.addError("aim_ms", Double.toString(aim), "no more than deadline_ms, " + deadline);
       }
-      Repeat repeat = s.word("repeat", Repeat.UNSAFE, Repeat.class);
-      Within within = s.word("scope", Within.POD, Within.class);
+      RepeatPolicy repeat = s.enumValue("repeat", RepeatPolicy.UNSAFE, RepeatPolicy.class);
+      KeyScopeName within = s.enumValue("scope", KeyScopeName.POD, KeyScopeName.class);
       double window = s.number("window_ms", 0, 0, 86_400_000);
-      if (repeat == Repeat.KEYED && !s.has("window_ms")) {
-        s.fault("window_ms", "missing", "how long servers remember a key, for a keyed class");
+      if (repeat == RepeatPolicy.KEYED && !s.has("window_ms")) {
+        s.addError("window_ms", "missing", "how long servers remember a key, for a keyed class");
       }
-      if (repeat != Repeat.KEYED && (s.has("scope") || s.has("window_ms"))) {
-        s.fault(s.has("scope") ? "scope" : "window_ms", "set", "only where repeat = 'keyed'");
+      if (repeat != RepeatPolicy.KEYED && (s.has("scope") || s.has("window_ms"))) {
+        s.addError(s.has("scope") ? "scope" : "window_ms", "set", "only where repeat = 'keyed'");
       }
       out.add(
           new Settings.RequestClass(
@@ -313,7 +316,7 @@
               window,
               s.number("worth", 1, 0.001, 1e6),
               0));
-      s.end();
+      s.rejectUnknownKeys();
     }
     if (!names.classes.contains(DaemonConfig.DEFAULT_CLASS)) {
       names.classes.add(DaemonConfig.DEFAULT_CLASS);
@@ -334,33 +337,33 @@
   private List<Limit> limits() {
     List<Limit> out = new ArrayList<>();
     Set<String> limitNames = new LinkedHashSet<>();
-    for (TomlSection s : root.list("limit")) {
-      String name = s.text("name", null, "the limit's name");
-      String within = s.text("within", "", "the name of a limit that stands before");
+    for (TomlSection s : root.tables("limit")) {
+      String name = s.string("name", null, "the limit's name");
+      String within = s.string("within", "", "the name of a limit that stands before");
       if (!within.isEmpty()) {
-        s.known("within", within, limitNames, "limit that stands before this one");
+        s.requireKnown("within", within, limitNames, "limit that stands before this one");
       }
       if (!name.isEmpty()) {
-        Names.take(s, name, limitNames);
+        DeclaredNames.declare(s, name, limitNames);
       }
       Limit l =
           new Limit(
               name,
-              s.word("by", Limit.Scope.ALL, Limit.Scope.class),
+              s.enumValue("by", Limit.Scope.ALL, Limit.Scope.class),
               within.isEmpty() ? null : within,
-              s.names("listeners", names.listeners, "listener"),
-              s.names("routes", names.routes, "route"),
-              s.names("classes", names.classes, "class"),
+              s.knownNames("listeners", names.listeners, "listener"),
+              s.knownNames("routes", names.routes, "route"),
+              s.knownNames("classes", names.classes, "class"),
               s.number("per_second", 0, 0.001, 1e9),
               s.number("burst", 1, 1, 1e9),
               s.integer("concurrency", 0, 1, 10_000_000));
       if (!s.has("per_second") && !s.has("concurrency")) {
-        s.fault("", "no bound", "per_second, concurrency or both");
+        s.addError("", "no bound", "per_second, concurrency or both");
       }
       if (s.has("burst") && !s.has("per_second")) {
-        s.fault("burst", "set", "only beside per_second");
+        s.addError("burst", "set", "only beside per_second");
       }
-      s.end();
+      s.rejectUnknownKeys();
       out.add(l);
     }
     return out;
--- a/src/main/java/leadferry/daemon/PoolReader.java
+++ b/src/main/java/leadferry/daemon/PoolReader.java
@@ -16,14 +16,14 @@
 /** Reads and judges {@code [pool.NAME]} and its members. */
 final class PoolReader {
   private final TomlSection root;
-  private final Names names;
+  private final DeclaredNames names;
 
-  PoolReader(TomlSection root, Names names) {
+  PoolReader(TomlSection root, DeclaredNames names) {
     this.root = root;
     this.names = names;
   }
 
-  private enum State {
+  private enum MemberState {
     UP,
     DRAINING
   }
@@ -32,12 +32,12 @@
   Map<String, DaemonConfig.Pool> read(
       List<Settings.RequestClass> classes, DaemonConfig.Process process) {
     Map<String, DaemonConfig.Pool> out = new LinkedHashMap<>();
-    for (Map.Entry<String, TomlSection> e : root.named("pool").entrySet()) {
+    for (Map.Entry<String, TomlSection> e : root.tablesByName("pool").entrySet()) {
       TomlSection s = e.getValue();
-      Names.take(s, e.getKey(), names.pools);
+      DeclaredNames.declare(s, e.getKey(), names.pools);
       TomlSection cold = s.table("cold");
       TomlSection retries = s.table("retries");
-      String zone = s.text("zone", "-", "the zone to prefer");
+      String zone = s.string("zone", "-", "the zone to prefer");
       Settings settings =
           new Settings(
               classes,
@@ -56,7 +56,7 @@
               process.instances() * process.workers(),
               1,
               false);
-      cold.end();
+      cold.rejectUnknownKeys();
       out.put(
           e.getKey(),
           new DaemonConfig.Pool(
@@ -73,11 +73,11 @@
               s.number("rest_ms", 0, 0, 1_000),
               retries.number("ratio", 0.2, 0, 10),
               retries.number("burst", 20, 0, 1e6)));
-      retries.end();
-      s.end();
+      retries.rejectUnknownKeys();
+      s.rejectUnknownKeys();
     }
     if (out.isEmpty()) {
-      root.fault("pool", "none", "at least one [pool.NAME]");
+      root.addError("pool", "none", "at least one [pool.NAME]");
     }
     return out;
   }
@@ -86,33 +86,33 @@
     List<UpstreamHosts.Member> out = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (TomlSection s : pool.list("member")) {
-      String id = s.text("id", null, "the server's id");
+    for (TomlSection s : pool.tables("member")) {
+      String id = s.string("id", null, "the server's id");
       if (!id.isEmpty() && !ids.add(id)) {
-        s.fault("id", "'" + id + "' a second time", "an id of its own");
+        s.addError("id", "'" + id + "' a second time", "an id of its own");
       }
-      InetSocketAddress at = Names.address(s, "address", false);
+      InetSocketAddress at = DeclaredNames.readAddress(s, "address", false);
       String other = at == null ? null : taken.putIfAbsent(at, id);
       if (other != null) {
-        s.fault("address", "the address of '" + other + "'", "an address of its own");
+        s.addError("address", "the address of '" + other + "'", "an address of its own");
       }
       double weight = s.number("weight", 1, 0, 1e6);
-      State state = s.word("state", State.UP, State.class);
-      String pod = s.text("pod", "-", "the pod's name");
+      MemberState state = s.enumValue("state", MemberState.UP, MemberState.class);
+      String pod = s.string("pod", "-", "the pod's name");
       out.add(
           new UpstreamHosts.Member(
               id,
               at,
-              s.text("zone", "-", "the zone's name"),
-              s.text("kind", "-", "the kind of machine"),
+              s.string("zone", "-", "the zone's name"),
+              s.string("kind", "-", "the kind of machine"),
               // A server of no pod shares the memory of its keys with no other.
               WeightedSplit.hash(pod.equals("-") ? "server " + id : "pod " + pod),
-              state == State.UP && weight > 0
+              state == MemberState.UP && weight > 0
                   ? EndpointUpdate.Condition.READY
                   : EndpointUpdate.Condition.TERMINATING,
               weight,
               0));
-      s.end();
+      s.rejectUnknownKeys();
     }
     return out;
   }
--- a/src/main/java/leadferry/daemon/QuietLogging.java
+++ b/src/main/java/leadferry/daemon/QuietLogging.java
@@ -18,7 +18,7 @@
     // Not an appender of a stream: the end of that one closes standard error for everybody.
     ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
     out.setContext(context);
-    out.setEncoder(new RecordEncoder(context, LogForm.TEXT));
+    out.setEncoder(new RecordEncoder(context, LogFormat.TEXT));
     out.setTarget("System.err");
     out.start();
     var root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
--- a/src/main/java/leadferry/daemon/RecordBudget.java
+++ b/src/main/java/leadferry/daemon/RecordBudget.java
@@ -8,11 +8,11 @@
  */
 final class RecordBudget {
   private static final int USED_BITS = 20;
-  private static final long USED = (1L << USED_BITS) - 1;
+  private static final long USED_MASK = (1L << USED_BITS) - 1;
 
   private final int perSecond;
   private final AtomicLong state = new AtomicLong();
-  private final AtomicLong leftOut = new AtomicLong();
+  private final AtomicLong dropped = new AtomicLong();
 
   /** {@code perSecond} from 1 to 2^20 - 2. */
   RecordBudget(int perSecond) {
@@ -20,12 +20,12 @@
   }
 
   /** Whether one more may be written in this second; one that may not is counted. */
-  boolean admits(long second) {
+  boolean tryAcquire(long second) {
     while (true) {
       long s = state.get();
-      long used = s >>> USED_BITS == second ? s & USED : 0;
+      long used = s >>> USED_BITS == second ? s & USED_MASK : 0;
       if (used >= perSecond) {
-        leftOut();
+        countDropped();
         return false;
       }
       if (state.compareAndSet(s, second << USED_BITS | used + 1)) {
@@ -35,12 +35,12 @@
   }
 
   /** One that was admitted could not be written all the same. */
-  void leftOut() {
-    leftOut.incrementAndGet();
+  void countDropped() {
+    dropped.incrementAndGet();
   }
 
   /** How many were left out since this was last asked. */
-  long takeLeftOut() {
-    return leftOut.get() == 0 ? 0 : leftOut.getAndSet(0);
+  long takeDropped() {
+    return dropped.get() == 0 ? 0 : dropped.getAndSet(0);
   }
 }
--- a/src/main/java/leadferry/daemon/RecordEncoder.java
+++ b/src/main/java/leadferry/daemon/RecordEncoder.java
@@ -17,38 +17,38 @@
 
 /**
  * Writes a record as one line. Guards readers against a value that a caller chose: in text, control
- * characters become spaces, and no text is longer than {@link #MOST}.
+ * characters become spaces, and no text is longer than {@link #MAX_TEXT_CHARS}.
  */
 final class RecordEncoder extends EncoderBase<ILoggingEvent> {
   /** Characters of one text, and of a stack. */
-  private static final int MOST = 300;
+  private static final int MAX_TEXT_CHARS = 300;
 
-  private static final int MOST_OF_STACK = 8_192;
-  private static final byte[] NONE = {};
+  private static final int MAX_STACK_CHARS = 8_192;
+  private static final byte[] NO_BYTES = {};
 
   private final JsonFactory json = new JsonFactory();
-  private final LogForm form;
+  private final LogFormat format;
 
   /** One that is ready to write. */
-  RecordEncoder(LoggerContext context, LogForm form) {
-    this.form = form;
+  RecordEncoder(LoggerContext context, LogFormat form) {
+    this.format = form;
     setContext(context);
     start();
   }
 
   @Override
   public byte[] headerBytes() {
-    return NONE;
+    return NO_BYTES;
   }
 
   @Override
   public byte[] footerBytes() {
-    return NONE;
+    return NO_BYTES;
   }
 
   @Override
   public byte[] encode(ILoggingEvent e) {
-    return (form == LogForm.JSON ? json(e) : text(e)).getBytes(StandardCharsets.UTF_8);
+    return (format == LogFormat.JSON ? json(e) : text(e)).getBytes(StandardCharsets.UTF_8);
   }
 
   private static String time(ILoggingEvent e) {
@@ -63,26 +63,26 @@
     return e.getKeyValuePairs() == null ? List.of() : e.getKeyValuePairs();
   }
 
-  private static boolean foreign(ILoggingEvent e) {
+  private static boolean isFromLibrary(ILoggingEvent e) {
     return !e.getLoggerName().equals(DaemonLog.LOGGER);
   }
 
-  private static String cut(String s, int most) {
+  private static String truncate(String s, int most) {
     return s.length() <= most ? s : s.substring(0, most) + "...";
   }
 
   private static String stack(ILoggingEvent e) {
-    return cut(ThrowableProxyUtil.asString(e.getThrowableProxy()), MOST_OF_STACK);
+    return truncate(ThrowableProxyUtil.asString(e.getThrowableProxy()), MAX_STACK_CHARS);
   }
 
   private String text(ILoggingEvent e) {
     StringBuilder s = new StringBuilder(time(e)).append(' ').append(level(e)).append(' ');
-    if (foreign(e)) {
+    if (isFromLibrary(e)) {
       s.append(e.getLoggerName()).append(": ");
     }
-    s.append(plain(e.getFormattedMessage()));
+    s.append(replaceControlCharacters(e.getFormattedMessage()));
     for (KeyValuePair f : fields(e)) {
-      String v = plain(String.valueOf(f.value));
+      String v = replaceControlCharacters(String.valueOf(f.value));
       s.append(' ').append(f.key).append('=');
       s.append(
           v.isEmpty() || v.indexOf(' ') >= 0 || v.indexOf('"') >= 0
@@ -96,8 +96,8 @@
     return s.toString();
   }
 
-  private static String plain(String s) {
-    String c = cut(s, MOST);
+  private static String replaceControlCharacters(String s) {
+    String c = truncate(s, MAX_TEXT_CHARS);
     StringBuilder out = null;
     for (int i = 0; i < c.length(); i++) {
       if (Character.isISOControl(c.charAt(i))
@@ -116,8 +116,8 @@
       g.writeStartObject();
       g.writeStringField("time", time(e));
       g.writeStringField("level", level(e));
-      g.writeStringField("event", cut(e.getFormattedMessage(), MOST));
-      if (foreign(e)) {
+      g.writeStringField("event", truncate(e.getFormattedMessage(), MAX_TEXT_CHARS));
+      if (isFromLibrary(e)) {
         g.writeStringField("library", e.getLoggerName());
       }
       for (KeyValuePair f : fields(e)) {
@@ -129,7 +129,7 @@
         } else if (f.value instanceof Boolean b) {
           g.writeBoolean(b);
         } else {
-          g.writeString(cut(String.valueOf(f.value), MOST));
+          g.writeString(truncate(String.valueOf(f.value), MAX_TEXT_CHARS));
         }
       }
       if (e.getThrowableProxy() != null) {
--- a/src/main/java/leadferry/daemon/ReleaseFile.java
+++ b/src/main/java/leadferry/daemon/ReleaseFile.java
@@ -53,8 +53,8 @@
    */
   public static ObjectNode read(Path file, JsonNode status) throws ConfigurationException {
     TomlSection.Source source =
-        new TomlSection.Source(file.toString(), TomlTree.of(file.toString(), text(file)));
-    TomlSection root = new TomlSection(source, "", source.lines.root);
+        new TomlSection.Source(file.toString(), TomlTree.parse(file.toString(), text(file)));
+    TomlSection root = new TomlSection(source, "", source.tree.root);
     TomlSection release = root.table("release");
     ObjectNode plan = Json.object();
     readIdentity(release, plan);
@@ -62,14 +62,14 @@
     readGuard(release.table("guard"), plan.putObject("guard"));
     readCommands(release.table("carry"), plan.putObject("carry"));
     new ReleaseFileSteps(plan.path("of").asText(), status).read(release, plan.putArray("steps"));
-    release.end();
-    root.end();
-    if (source.faults.isEmpty()) {
-      addFaultsOfPlan(plan, release);
+    release.rejectUnknownKeys();
+    root.rejectUnknownKeys();
+    if (source.errors.isEmpty()) {
+      addPlanErrors(plan, release);
     }
-    if (!source.faults.isEmpty()) {
-      source.faults.sort(Comparator.comparingInt(ConfigurationError::line));
-      throw new ConfigurationException(source.faults);
+    if (!source.errors.isEmpty()) {
+      source.errors.sort(Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.errors);
     }
     return plan;
   }
@@ -86,10 +86,11 @@
   }
 
   private static void readIdentity(TomlSection release, ObjectNode plan) {
-    plan.put("name", release.text("name", null, "the release's own name in the fleet"));
-    plan.put("of", release.text("of", null, "proxy or host"));
-    plan.put("version", release.text("version", null, "what its targets are once it is done"));
-    plan.put("from", release.text("from", null, "what they were, and are again after a rollback"));
+    plan.put("name", release.string("name", null, "the release's own name in the fleet"));
+    plan.put("of", release.string("of", null, "proxy or host"));
+    plan.put("version", release.string("version", null, "what its targets are once it is done"));
+    plan.put(
+        "from", release.string("from", null, "what they were, and are again after a rollback"));
   }
 
   /** What the file leaves out gets its default where the plan is read. */
@@ -103,7 +104,7 @@
     plan.put("halt_lost", release.integer("halt_lost", DEFAULT_LOST_TARGETS, 0, MAX_LOST_TARGETS));
     for (String key : List.of("on_takeover", "on_missing", "on_wrong", "on_verdict")) {
       if (release.has(key)) {
-        plan.put(key, release.text(key, null, "a word as docs/RELEASES.md tells"));
+        plan.put(key, release.string(key, null, "a word as docs/RELEASES.md tells"));
       }
     }
   }
@@ -114,22 +115,22 @@
         .put("max_bad", guard.number("max_bad", DEFAULT_MAX_BAD, 0, 1))
         .put("sigmas", guard.number("sigmas", DEFAULT_SIGMAS, MIN_SIGMAS, MAX_SIGMAS))
         .put("wait_ms", guard.integer("wait_ms", DEFAULT_WAIT_MILLIS, 0, Integer.MAX_VALUE));
-    guard.end();
+    guard.rejectUnknownKeys();
   }
 
   private static void readCommands(TomlSection commands, ObjectNode json) {
-    Executor executor = commands.word("by", Executor.COMMAND, Executor.class);
+    Executor executor = commands.enumValue("by", Executor.COMMAND, Executor.class);
     json.put("by", executor.word);
-    List<String> change = commands.texts("command");
+    List<String> change = commands.strings("command");
     if (!change.isEmpty()) {
       change.forEach(json.putArray("command")::add);
     } else if (executor == Executor.COMMAND) {
-      commands.fault(
+      commands.addError(
           "command",
           "missing",
           "the program that changes a target, with its arguments; {target} and {version} stand for these");
     }
-    List<String> check = commands.texts("check");
+    List<String> check = commands.strings("check");
     if (!check.isEmpty()) {
       check.forEach(json.putArray("check")::add);
     }
@@ -137,12 +138,12 @@
         "timeout_ms",
         commands.integer(
             "timeout_ms", DEFAULT_COMMAND_MILLIS, MIN_COMMAND_MILLIS, MAX_COMMAND_MILLIS));
-    commands.end();
+    commands.rejectUnknownKeys();
   }
 
-  private static void addFaultsOfPlan(ObjectNode plan, TomlSection release) {
+  private static void addPlanErrors(ObjectNode plan, TomlSection release) {
     List<String> faults = new ArrayList<>();
     ReleasePlanCodec.read(plan, faults);
-    faults.forEach(fault -> release.fault("", fault, "a plan as docs/RELEASES.md tells"));
+    faults.forEach(fault -> release.addError("", fault, "a plan as docs/RELEASES.md tells"));
   }
 }
--- a/src/main/java/leadferry/daemon/ReleaseFileSteps.java
+++ b/src/main/java/leadferry/daemon/ReleaseFileSteps.java
@@ -37,9 +37,9 @@
 
   void read(TomlSection release, ArrayNode steps) {
     Map<String, String> releaseLabels = labels(release);
-    for (TomlSection section : release.list("step")) {
+    for (TomlSection section : release.tables("step")) {
       ObjectNode step =
-          steps.addObject().put("name", section.text("name", null, "the step's name"));
+          steps.addObject().put("name", section.string("name", null, "the step's name"));
       step.put("at_once", section.integer("at_once", 1, 1, MAX_AT_ONCE))
           .put("bake_ms", section.integer("bake_ms", 0, 0, Integer.MAX_VALUE));
       Map<String, String> stepLabels = labels(section);
@@ -48,22 +48,22 @@
       if (targets.isEmpty()) {
         targets = targetsByLabels(releaseLabels, stepLabels, share);
         if (targets.isEmpty()) {
-          section.fault("", "no " + targetType + " is left for it", "a step with targets");
+          section.addError("", "no " + targetType + " is left for it", "a step with targets");
         }
       }
-      section.end();
+      section.rejectUnknownKeys();
       targets.forEach(step.putArray("targets")::add);
     }
   }
 
   private List<String> namedTargets(TomlSection section) {
-    List<String> targets = new ArrayList<>(section.texts("targets"));
+    List<String> targets = new ArrayList<>(section.strings("targets"));
     for (int index = 0; index < targets.size(); index++) {
       String key = "targets[" + index + "]";
       String target = targets.get(index);
-      section.known(key, target, fleet.keySet(), targetType);
+      section.requireKnown(key, target, fleet.keySet(), targetType);
       if (!taken.add(target)) {
-        section.fault(
+        section.addError(
             key, "'" + target + "', in a step before", "a target that no step before has");
       }
     }
@@ -90,10 +90,10 @@
   }
 
   private static Map<String, String> labels(TomlSection section) {
-    Map<String, String> labels = section.map("where");
+    Map<String, String> labels = section.stringMap("where");
     for (String label : labels.keySet()) {
       if (!Budget.LABELS.contains(label)) {
-        section.fault("where." + label, "'" + label + "'", "zone, pod, pool or kind");
+        section.addError("where." + label, "'" + label + "'", "zone, pod, pool or kind");
       }
     }
     return labels;
--- a/src/main/java/leadferry/daemon/ReplicaFile.java
+++ b/src/main/java/leadferry/daemon/ReplicaFile.java
@@ -40,20 +40,20 @@
    */
   public static ReplicaConfig read(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
-    TomlSection root = new TomlSection(source, "", source.lines.root);
+    TomlSection root = new TomlSection(source, "", source.tree.root);
     TomlSection replica = root.table("keeper");
-    String fleet = replica.text("fleet", null, "the fleet's name");
-    String name = replica.text("name", null, "this replica's name");
-    InetSocketAddress logAddress = Names.address(replica, "log_address", false);
-    InetSocketAddress apiAddress = Names.address(replica, "api_address", false);
-    String folder = replica.text("folder", null, "the folder of its log");
+    String fleet = replica.string("fleet", null, "the fleet's name");
+    String name = replica.string("name", null, "this replica's name");
+    InetSocketAddress logAddress = DeclaredNames.readAddress(replica, "log_address", false);
+    InetSocketAddress apiAddress = DeclaredNames.readAddress(replica, "api_address", false);
+    String folder = replica.string("folder", null, "the folder of its log");
     int electionMillis = replica.integer("election_ms", 300, 50, 60_000);
     int snapshotEntries = replica.integer("snapshot_entries", 20_000, 50, 10_000_000);
-    replica.end();
+    replica.rejectUnknownKeys();
     DisruptionState.Times times = times(root.table("fleet"));
     Map<String, InetSocketAddress> peers = peers(root, name);
-    root.end();
-    end(source);
+    root.rejectUnknownKeys();
+    throwIfErrors(source);
     return new ReplicaConfig(
         fleet,
         name,
@@ -72,25 +72,25 @@
             fleet.integer("settle_ms", 5_000, 0, MAX_PERIOD_MILLIS),
             fleet.integer("warm_ms", 10_000, 0, MAX_PERIOD_MILLIS),
             fleet.integer("fence_ms", 1_000, 0, MAX_PERIOD_MILLIS));
-    fleet.end();
+    fleet.rejectUnknownKeys();
     return times;
   }
 
   private static Map<String, InetSocketAddress> peers(TomlSection root, String ownName) {
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    for (Map.Entry<String, TomlSection> peer : root.named("peer").entrySet()) {
-      Names.take(peer.getValue(), peer.getKey(), new HashSet<>());
-      peers.put(peer.getKey(), Names.address(peer.getValue(), "log_address", false));
-      peer.getValue().end();
+    for (Map.Entry<String, TomlSection> peer : root.tablesByName("peer").entrySet()) {
+      DeclaredNames.declare(peer.getValue(), peer.getKey(), new HashSet<>());
+      peers.put(peer.getKey(), DeclaredNames.readAddress(peer.getValue(), "log_address", false));
+      peer.getValue().rejectUnknownKeys();
     }
     if (!peers.containsKey(ownName)) {
-      root.fault(
+      root.addError(
           "peer",
           "none named '" + ownName + "'",
           "a [peer.NAME] for each replica, this one among them");
     }
     if (peers.size() % 2 == 0) {
-      root.fault(
+      root.addError(
           "peer",
           peers.size() + " replicas",
           "an odd number: an even one bears no more failures than one less");
@@ -103,45 +103,45 @@
    *
    * @throws ConfigurationException with every fault that was found
    */
-  public static ArrayNode budgets(Path file) throws ConfigurationException {
+  public static ArrayNode readBudgets(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
-    TomlSection root = new TomlSection(source, "", source.lines.root);
+    TomlSection root = new TomlSection(source, "", source.tree.root);
     ArrayNode budgets = Json.object().putArray("budgets");
-    for (TomlSection section : root.list("budget")) {
+    for (TomlSection section : root.tables("budget")) {
       readBudget(section, budgets.addObject());
     }
-    root.end();
-    end(source);
+    root.rejectUnknownKeys();
+    throwIfErrors(source);
     return budgets;
   }
 
   private static void readBudget(TomlSection section, ObjectNode budget) {
     budget
-        .put("name", section.text("name", null, "the budget's name"))
-        .put("of", section.text("of", null, "proxy or host"))
-        .put("by", section.text("by", Budget.ALL, "all, zone, pod, pool or kind"))
+        .put("name", section.string("name", null, "the budget's name"))
+        .put("of", section.string("of", null, "proxy or host"))
+        .put("by", section.string("by", Budget.ALL, "all, zone, pod, pool or kind"))
         .put("max_out", section.integer("max_out", NO_LIMIT, 0, MAX_BUDGET))
         .put("max_share", section.number("max_share", NO_SHARE, 0, 1))
         .put("min_in", section.integer("min_in", 0, 0, MAX_BUDGET));
     ObjectNode where = budget.putObject("where");
-    section.map("where").forEach(where::put);
-    section.end();
+    section.stringMap("where").forEach(where::put);
+    section.rejectUnknownKeys();
     List<String> faults = new ArrayList<>();
     Budget.read(budget, faults);
-    faults.forEach(fault -> section.fault("", fault, "a budget as docs/FLEET.md tells"));
+    faults.forEach(fault -> section.addError("", fault, "a budget as docs/FLEET.md tells"));
   }
 
-  private static void end(TomlSection.Source source) throws ConfigurationException {
-    if (!source.faults.isEmpty()) {
-      source.faults.sort(Comparator.comparingInt(ConfigurationError::line));
-      throw new ConfigurationException(source.faults);
+  private static void throwIfErrors(TomlSection.Source source) throws ConfigurationException {
+    if (!source.errors.isEmpty()) {
+      source.errors.sort(Comparator.comparingInt(ConfigurationError::line));
+      throw new ConfigurationException(source.errors);
     }
   }
 
   private static TomlSection.Source source(Path file) throws ConfigurationException {
     try {
       return new TomlSection.Source(
-          file.toString(), TomlTree.of(file.toString(), Files.readString(file)));
+          file.toString(), TomlTree.parse(file.toString(), Files.readString(file)));
     } catch (IOException e) {
       throw new ConfigurationException(
           List.of(
--- a/src/main/java/leadferry/daemon/ReplicaReachability.java
+++ b/src/main/java/leadferry/daemon/ReplicaReachability.java
@@ -22,15 +22,15 @@
   <T> Optional<T> attempt(Call<T> call) {
     try {
       T answer = call.call();
-      note(true);
+      updateReachable(true);
       return Optional.of(answer);
     } catch (UnreachableException e) {
-      note(false);
+      updateReachable(false);
       return Optional.empty();
     }
   }
 
-  private void note(boolean now) {
+  private void updateReachable(boolean now) {
     if (now == reachable) {
       return;
     }
--- a/src/main/java/leadferry/daemon/RouteReader.java
+++ b/src/main/java/leadferry/daemon/RouteReader.java
@@ -21,9 +21,9 @@
  */
 final class RouteReader {
   private final TomlSection root;
-  private final Names names;
+  private final DeclaredNames names;
 
-  RouteReader(TomlSection root, Names names) {
+  RouteReader(TomlSection root, DeclaredNames names) {
     this.root = root;
     this.names = names;
   }
@@ -31,10 +31,10 @@
   /** The routes in the order of the file, none of them out of reach of all requests. */
   List<DaemonConfig.Route> read() {
     List<DaemonConfig.Route> out = new ArrayList<>();
-    List<TomlSection> sections = root.list("route");
+    List<TomlSection> sections = root.tables("route");
     for (TomlSection s : sections) {
       out.add(route(s, out.size()));
-      s.end();
+      s.rejectUnknownKeys();
     }
     for (String listener : names.listeners) {
       List<RouteRule<Integer>> rules = new ArrayList<>();
@@ -47,7 +47,7 @@
         RouteRule<Integer> r = rules.get(shadowed.routeIndex());
         sections
             .get(r.target())
-            .fault(
+            .addError(
                 "",
                 "can't be reached at listener '"
                     + listener
@@ -61,52 +61,52 @@
   }
 
   private DaemonConfig.Route route(TomlSection s, int index) {
-    String name = s.text("name", null, "the route's name");
+    String name = s.string("name", null, "the route's name");
     if (!name.isEmpty()) {
-      Names.take(s, name, names.routes);
+      DeclaredNames.declare(s, name, names.routes);
     }
-    Set<String> at = s.names("listeners", names.listeners, "listener");
-    String pool = s.text("pool", "", "the name of a pool");
-    List<DaemonConfig.Share> split = split(s, pool);
-    List<String> fallback = new ArrayList<>(s.names("fallback", names.pools, "pool"));
-    String className = s.text("class", "", "the name of a class");
+    Set<String> at = s.knownNames("listeners", names.listeners, "listener");
+    String pool = s.string("pool", "", "the name of a pool");
+    List<DaemonConfig.PoolShare> split = split(s, pool);
+    List<String> fallback = new ArrayList<>(s.knownNames("fallback", names.pools, "pool"));
+    String className = s.string("class", "", "the name of a class");
     if (!className.isEmpty()) {
-      s.known("class", className, names.classes, "class");
+      s.requireKnown("class", className, names.classes, "class");
     }
-    String by = s.text("split_by", "key", "key, tenant, address or header:NAME");
+    String by = s.string("split_by", "key", "key, tenant, address or header:NAME");
     DaemonConfig.SplitBy splitBy = DaemonConfig.SplitBy.KEY;
     String splitHeader = "X-Route-Key";
-    if (by.startsWith("header:") && by.substring(7).matches(Names.TOKEN)) {
+    if (by.startsWith("header:") && by.substring(7).matches(DeclaredNames.TOKEN)) {
       splitHeader = by.substring(7);
     } else if (by.equals("tenant") || by.equals("address")) {
       splitBy = DaemonConfig.SplitBy.valueOf(by.toUpperCase(Locale.ROOT));
     } else if (!by.equals("key")) {
-      s.fault("split_by", "'" + by + "'", "key, tenant, address or header:NAME");
+      s.addError("split_by", "'" + by + "'", "key, tenant, address or header:NAME");
     }
     RouteRule<Integer> match = match(s, name, index);
-    String rewrite = s.text("rewrite_prefix", "", "a path that begins with /");
+    String rewrite = s.string("rewrite_prefix", "", "a path that begins with /");
     if (!rewrite.isEmpty()) {
       NormalizedPath form =
           NormalizedPath.normalize(
               NormalizedPath.percentEncode(NormalizedPath.toOctetChars(rewrite)),
               NormalizedPath.Mode.STRICT);
       if (form == null) {
-        s.fault("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
+        s.addError("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
       } else if (match.kind() != RouteRule.Kind.PREFIX) {
-        s.fault("rewrite_prefix", "set", "only where the route has a prefix");
+        s.addError("rewrite_prefix", "set", "only where the route has a prefix");
       }
     }
-    Map<String, String> set = s.map("set_headers");
+    Map<String, String> set = s.stringMap("set_headers");
     set.forEach(
         (k, v) -> {
-          header(s, "set_headers." + k, k);
+          checkHeaderName(s, "set_headers." + k, k);
           if (!v.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
-            s.fault("set_headers." + k, "'" + v + "'", "printable ASCII");
+            s.addError("set_headers." + k, "'" + v + "'", "printable ASCII");
           }
         });
-    List<String> remove = s.texts("remove_headers");
+    List<String> remove = s.strings("remove_headers");
     for (int i = 0; i < remove.size(); i++) {
-      header(s, "remove_headers[" + i + "]", remove.get(i));
+      checkHeaderName(s, "remove_headers[" + i + "]", remove.get(i));
     }
     return new DaemonConfig.Route(
         name,
@@ -123,45 +123,46 @@
         List.copyOf(remove));
   }
 
-  private static void header(TomlSection s, String key, String name) {
-    if (!name.matches(Names.TOKEN) || Headers.PROTECTED.contains(name.toLowerCase(Locale.ROOT))) {
-      s.fault(key, "'" + name + "'", "a header that does not frame the message");
+  private static void checkHeaderName(TomlSection s, String key, String name) {
+    if (!name.matches(DeclaredNames.TOKEN)
+        || Headers.PROTECTED.contains(name.toLowerCase(Locale.ROOT))) {
+      s.addError(key, "'" + name + "'", "a header that does not frame the message");
     }
   }
 
-  private List<DaemonConfig.Share> split(TomlSection s, String pool) {
-    List<DaemonConfig.Share> out = new ArrayList<>();
-    List<TomlSection> parts = s.list("split");
+  private List<DaemonConfig.PoolShare> split(TomlSection s, String pool) {
+    List<DaemonConfig.PoolShare> out = new ArrayList<>();
+    List<TomlSection> parts = s.tables("split");
     if (pool.isEmpty() == parts.isEmpty()) {
-      s.fault("pool", pool.isEmpty() ? "missing" : "set beside split", "either pool or split");
+      s.addError("pool", pool.isEmpty() ? "missing" : "set beside split", "either pool or split");
     }
     if (!pool.isEmpty()) {
-      s.known("pool", pool, names.pools, "pool");
-      out.add(new DaemonConfig.Share(pool, 1));
+      s.requireKnown("pool", pool, names.pools, "pool");
+      out.add(new DaemonConfig.PoolShare(pool, 1));
     }
     double sum = 0;
     Set<String> named = new HashSet<>();
     for (TomlSection p : parts) {
-      String name = p.text("pool", null, "the name of a pool");
+      String name = p.string("pool", null, "the name of a pool");
       if (!name.isEmpty()) {
-        p.known("pool", name, names.pools, "pool");
+        p.requireKnown("pool", name, names.pools, "pool");
         if (!named.add(name)) {
-          p.fault("pool", "'" + name + "' a second time", "each pool once");
+          p.addError("pool", "'" + name + "' a second time", "each pool once");
         }
       }
       double weight = p.number("weight", 1, 0, 1e6);
       sum += weight;
-      out.add(new DaemonConfig.Share(name, weight));
-      p.end();
+      out.add(new DaemonConfig.PoolShare(name, weight));
+      p.rejectUnknownKeys();
     }
     if (!parts.isEmpty() && sum <= 0) {
-      s.fault("split", "all weights zero", "a weight above 0");
+      s.addError("split", "all weights zero", "a weight above 0");
     }
     return out;
   }
 
   private RouteRule<Integer> match(TomlSection s, String name, int index) {
-    List<String> hosts = s.texts("hosts");
+    List<String> hosts = s.strings("hosts");
     for (int i = 0; i < hosts.size(); i++) {
       String h = hosts.get(i).toLowerCase(Locale.ROOT);
       String plain =
@@ -169,7 +170,7 @@
               ? h.substring(2)
               : h.endsWith(".*") ? h.substring(0, h.length() - 2) : h;
       if (!h.equals("*") && !plain.matches("[a-z0-9_-]+(\\.[a-z0-9_-]+)*|\\[[0-9a-f:.]+\\]")) {
-        s.fault("hosts[" + i + "]", "'" + hosts.get(i) + "'", "a name, *.name, name.* or *");
+        s.addError("hosts[" + i + "]", "'" + hosts.get(i) + "'", "a name, *.name, name.* or *");
       }
       hosts.set(i, h);
     }
@@ -178,7 +179,8 @@
     int given = 0;
     for (RouteRule.Kind k : RouteRule.Kind.values()) {
       String key = k == RouteRule.Kind.EXACT ? "path" : k.name().toLowerCase(Locale.ROOT);
-      String text = s.text(key, "", k == RouteRule.Kind.REGEX ? "a regular expression" : "a path");
+      String text =
+          s.string(key, "", k == RouteRule.Kind.REGEX ? "a regular expression" : "a path");
       if (text.isEmpty()) {
         continue;
       }
@@ -189,7 +191,7 @@
         try {
           Pattern.compile(text);
         } catch (PatternSyntaxException e) {
-          s.fault(key, e.getMessage(), "a regular expression in RE2 syntax");
+          s.addError(key, e.getMessage(), "a regular expression in RE2 syntax");
           path = "/";
           kind = RouteRule.Kind.PREFIX;
         }
@@ -197,28 +199,29 @@
           || NormalizedPath.normalize(
                   NormalizedPath.percentEncode(path), NormalizedPath.Mode.STRICT)
               == null) {
-        s.fault(key, "'" + text + "'", "a decoded path that begins with /, without . or .. or //");
+        s.addError(
+            key, "'" + text + "'", "a decoded path that begins with /, without . or .. or //");
       }
     }
     if (given != 1) {
-      s.fault(
+      s.addError(
           "",
           given == 0 ? "no path" : "more than one of path, prefix, regex",
           "one of path, prefix, regex");
     }
-    List<String> methods = s.texts("methods");
+    List<String> methods = s.strings("methods");
     for (int i = 0; i < methods.size(); i++) {
       if (!methods.get(i).matches("[A-Z][A-Z-]*") || methods.get(i).equals("CONNECT")) {
-        s.fault(
+        s.addError(
             "methods[" + i + "]", "'" + methods.get(i) + "'", "a method in capitals, not CONNECT");
       }
     }
     Map<String, String> headers = new LinkedHashMap<>();
-    s.map("headers")
+    s.stringMap("headers")
         .forEach(
             (k, v) -> {
-              if (!k.matches(Names.TOKEN)) {
-                s.fault("headers." + k, "'" + k + "'", "the name of a header");
+              if (!k.matches(DeclaredNames.TOKEN)) {
+                s.addError("headers." + k, "'" + k + "'", "the name of a header");
               }
               headers.put(k.toLowerCase(Locale.ROOT), v);
             });
@@ -229,7 +232,7 @@
         path,
         new LinkedHashSet<>(methods),
         headers,
-        s.names("classes", names.classes, "class"),
+        s.knownNames("classes", names.classes, "class"),
         index);
   }
 }
--- a/src/main/java/leadferry/daemon/TomlSection.java
+++ b/src/main/java/leadferry/daemon/TomlSection.java
@@ -17,36 +17,36 @@
 /**
  * A table of the operator's file while it is read. Each getter notes a fault where the value is not
  * what it should be and goes on with the default, so that one reading finds all faults; {@link
- * #end} notes keys that nobody asked for.
+ * #rejectUnknownKeys} notes keys that nobody asked for.
  */
 final class TomlSection {
   /** What all sections of one file share. */
   static final class Source {
     final String file;
-    final TomlTree lines;
-    final List<ConfigurationError> faults = new ArrayList<>();
+    final TomlTree tree;
+    final List<ConfigurationError> errors = new ArrayList<>();
 
     Source(String file, TomlTree lines) {
       this.file = file;
-      this.lines = lines;
+      this.tree = lines;
     }
 
-    void fault(String path, String found, String expected) {
-      faults.add(new ConfigurationError(file, lines.line(path), path, found, expected));
+    void addError(String path, String found, String expected) {
+      errors.add(new ConfigurationError(file, tree.lineOf(path), path, found, expected));
     }
   }
 
   private final Source source;
   private final String path;
   private final JsonNode node;
-  private final Set<String> asked = new LinkedHashSet<>();
+  private final Set<String> requestedKeys = new LinkedHashSet<>();
 
   TomlSection(Source source, String path, JsonNode node) {
     this.source = source;
     this.path = path;
     this.node = node;
     if (!node.isMissingNode() && !node.isObject()) {
-      source.fault(path, show(node), "a table");
+      source.addError(path, describe(node), "a table");
     }
   }
 
@@ -58,26 +58,26 @@
     return node.has(key);
   }
 
-  void fault(String key, String found, String expected) {
-    source.fault(key.isEmpty() ? path : path(key), found, expected);
+  void addError(String key, String found, String expected) {
+    source.addError(key.isEmpty() ? path : path(key), found, expected);
   }
 
-  private JsonNode ask(String key) {
-    asked.add(key);
+  private JsonNode child(String key) {
+    requestedKeys.add(key);
     return node.path(key);
   }
 
   TomlSection table(String key) {
-    JsonNode n = ask(key);
+    JsonNode n = child(key);
     return new TomlSection(source, path(key), n);
   }
 
   /** Tables by name, as in {@code [pool.roster]}, in the order of the file. */
-  Map<String, TomlSection> named(String key) {
-    JsonNode n = ask(key);
+  Map<String, TomlSection> tablesByName(String key) {
+    JsonNode n = child(key);
     Map<String, TomlSection> out = new LinkedHashMap<>();
     if (!n.isMissingNode() && !n.isObject()) {
-      source.fault(path(key), show(n), "tables by name, as in [" + key + ".NAME]");
+      source.addError(path(key), describe(n), "tables by name, as in [" + key + ".NAME]");
       return out;
     }
     for (Iterator<Map.Entry<String, JsonNode>> i = n.fields(); i.hasNext(); ) {
@@ -88,11 +88,11 @@
   }
 
   /** Tables in a row, as in {@code [[route]]}. */
-  List<TomlSection> list(String key) {
-    JsonNode n = ask(key);
+  List<TomlSection> tables(String key) {
+    JsonNode n = child(key);
     List<TomlSection> out = new ArrayList<>();
     if (!n.isMissingNode() && !n.isArray()) {
-      source.fault(path(key), show(n), "an array of tables, as in [[" + key + "]]");
+      source.addError(path(key), describe(n), "an array of tables, as in [[" + key + "]]");
       return out;
     }
     for (int i = 0; i < n.size(); i++) {
@@ -102,93 +102,94 @@
   }
 
   double number(String key, double otherwise, double least, double most) {
-    JsonNode n = ask(key);
+    JsonNode n = child(key);
     if (n.isMissingNode()) {
       return otherwise;
     }
     double v = n.isNumber() ? n.asDouble() : Double.NaN;
     if (!(v >= least && v <= most)) {
-      source.fault(path(key), show(n), "a number from " + show(least) + " to " + show(most));
+      source.addError(
+          path(key), describe(n), "a number from " + describe(least) + " to " + describe(most));
       return otherwise;
     }
     return v;
   }
 
   int integer(String key, int otherwise, int least, int most) {
-    JsonNode n = ask(key);
+    JsonNode n = child(key);
     if (n.isMissingNode()) {
       return otherwise;
     }
     if (!n.isIntegralNumber() || !n.canConvertToInt() || n.asInt() < least || n.asInt() > most) {
-      source.fault(path(key), show(n), "a whole number from " + least + " to " + most);
+      source.addError(path(key), describe(n), "a whole number from " + least + " to " + most);
       return otherwise;
     }
     return n.asInt();
   }
 
   boolean flag(String key, boolean otherwise) {
-    JsonNode n = ask(key);
+    JsonNode n = child(key);
     if (n.isMissingNode()) {
       return otherwise;
     }
     if (!n.isBoolean()) {
-      source.fault(path(key), show(n), "true or false");
+      source.addError(path(key), describe(n), "true or false");
       return otherwise;
     }
     return n.asBoolean();
   }
 
   /** A text that is not empty; {@code otherwise} null makes it one that must be there. */
-  String text(String key, String otherwise, String expected) {
-    JsonNode n = ask(key);
+  String string(String key, String otherwise, String expected) {
+    JsonNode n = child(key);
     if (n.isMissingNode() && otherwise != null) {
       return otherwise;
     }
     if (!n.isTextual() || n.asText().isBlank()) {
-      source.fault(path(key), n.isMissingNode() ? "missing" : show(n), expected);
+      source.addError(path(key), n.isMissingNode() ? "missing" : describe(n), expected);
       return otherwise == null ? "" : otherwise;
     }
     return n.asText();
   }
 
   /** One of several words. */
-  <E extends Enum<E>> E word(String key, E otherwise, Class<E> type) {
-    JsonNode n = ask(key);
+  <E extends Enum<E>> E enumValue(String key, E otherwise, Class<E> type) {
+    JsonNode n = child(key);
     if (n.isMissingNode()) {
       return otherwise;
     }
     for (E e : type.getEnumConstants()) {
-      if (n.asText().equals(word(e))) {
+      if (n.asText().equals(enumValue(e))) {
         return e;
       }
     }
-    source.fault(
+    source.addError(
         path(key),
-        show(n),
+        describe(n),
         Arrays.stream(type.getEnumConstants())
-            .map(TomlSection::word)
+            .map(TomlSection::enumValue)
             .collect(Collectors.joining(", ")));
     return otherwise;
   }
 
-  private static String word(Enum<?> e) {
+  private static String enumValue(Enum<?> e) {
     return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
   /** Texts in an array. */
-  List<String> texts(String key) {
-    JsonNode n = ask(key);
+  List<String> strings(String key) {
+    JsonNode n = child(key);
     List<String> out = new ArrayList<>();
     if (n.isMissingNode()) {
       return out;
     }
     if (!n.isArray()) {
-      source.fault(path(key), show(n), "an array of texts");
+      source.addError(path(key), describe(n), "an array of texts");
       return out;
     }
     for (int i = 0; i < n.size(); i++) {
       if (!n.get(i).isTextual() || n.get(i).asText().isBlank()) {
-        source.fault(path(key) + "[" + i + "]", show(n.get(i)), "a text");
+        source.addError(path(key) + "[" + i + "]", describe(n.get(i)), "a text");
       } else {
         out.add(n.get(i).asText());
       }
@@ -197,21 +198,21 @@
   }
 
   /** Names in an array, each of those that are known. */
-  Set<String> names(String key, Collection<String> known, String what) {
+  Set<String> knownNames(String key, Collection<String> known, String what) {
     Set<String> out = new LinkedHashSet<>();
-    List<String> texts = texts(key);
+    List<String> texts = strings(key);
     for (int i = 0; i < texts.size(); i++) {
-      known(key + "[" + i + "]", texts.get(i), known, what);
+      requireKnown(key + "[" + i + "]", texts.get(i), known, what);
       out.add(texts.get(i));
     }
     return out;
   }
 
   /** Notes a fault unless the name is known. */
-  void known(String key, String name, Collection<String> known, String what) {
+  void requireKnown(String key, String name, Collection<String> known, String what) {
     if (!known.contains(name)) {
-      String near = nearest(name, known);
-      fault(
+      String near = nearestName(name, known);
+      addError(
           key,
           "'" + name + "'",
           "the name of a " + what + (near == null ? "" : ", perhaps '" + near + "'"));
@@ -222,16 +223,16 @@
   Set<String> keys() {
     Set<String> out = new LinkedHashSet<>();
     node.fieldNames().forEachRemaining(out::add);
-    asked.addAll(out);
+    requestedKeys.addAll(out);
     return out;
   }
 
   /** A table of texts. */
-  Map<String, String> map(String key) {
-    JsonNode n = ask(key);
+  Map<String, String> stringMap(String key) {
+    JsonNode n = child(key);
     Map<String, String> out = new LinkedHashMap<>();
     if (!n.isMissingNode() && !n.isObject()) {
-      source.fault(path(key), show(n), "a table of texts");
+      source.addError(path(key), describe(n), "a table of texts");
       return out;
     }
     for (Iterator<Map.Entry<String, JsonNode>> i = n.fields(); i.hasNext(); ) {
@@ -239,27 +240,27 @@
       if (e.getValue().isTextual()) {
         out.put(e.getKey(), e.getValue().asText());
       } else {
-        source.fault(path(key) + "." + e.getKey(), show(e.getValue()), "a text");
+        source.addError(path(key) + "." + e.getKey(), describe(e.getValue()), "a text");
       }
     }
     return out;
   }
 
   /** Notes every key that was not asked for, with the nearest one that would have been. */
-  void end() {
+  void rejectUnknownKeys() {
     for (Iterator<String> i = node.fieldNames(); i.hasNext(); ) {
       String key = i.next();
-      if (!asked.contains(key)) {
-        String near = nearest(key, asked);
-        fault(
+      if (!requestedKeys.contains(key)) {
+        String near = nearestName(key, requestedKeys);
+        addError(
             key,
             "unknown key",
-            near == null ? "one of " + String.join(", ", asked) : "perhaps '" + near + "'");
+            near == null ? "one of " + String.join(", ", requestedKeys) : "perhaps '" + near + "'");
       }
     }
   }
 
-  static String nearest(String name, Collection<String> known) {
+  static String nearestName(String name, Collection<String> known) {
     String best = null;
     int least = Math.max(2, name.length() / 2) + 1;
     for (String k : known) {
@@ -291,7 +292,7 @@
     return row[b.length()];
   }
 
-  static String show(JsonNode n) {
+  static String describe(JsonNode n) {
     if (n instanceof MissingNode) {
       return "missing";
     }
@@ -299,7 +300,7 @@
     return s.length() > 80 ? s.substring(0, 77) + "..." : s;
   }
 
-  private static String show(double d) {
+  private static String describe(double d) {
     return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
   }
 }
--- a/src/main/java/leadferry/daemon/TomlTree.java
+++ b/src/main/java/leadferry/daemon/TomlTree.java
@@ -31,7 +31,7 @@
    *
    * @throws FaultyFileException with every place at which it is no TOML
    */
-  static TomlTree of(String name, String text) throws ConfigurationException {
+  static TomlTree parse(String name, String text) throws ConfigurationException {
     TomlParseResult parsed = Toml.parse(text);
     if (parsed.hasErrors()) {
       List<ConfigurationError> faults = new ArrayList<>();
@@ -47,7 +47,7 @@
   /**
    * The line of a key's path, as in {@code route[2].pool}, or of the nearest one above it, or 0.
    */
-  int line(String path) {
+  int lineOf(String path) {
     String p = path;
     while (!p.isEmpty()) {
       Integer l = lines.get(p);
@@ -65,7 +65,7 @@
     for (String key : t.keySet()) {
       List<String> here = List.of(key); // a path of one: keys may hold dots
       String below = path.isEmpty() ? key : path + "." + key;
-      at(below, t.inputPositionOf(here));
+      recordLine(below, t.inputPositionOf(here));
       out.set(key, value(t.get(here), below));
     }
     return out;
@@ -75,13 +75,13 @@
     ArrayNode out = NODES.arrayNode(a.size());
     for (int i = 0; i < a.size(); i++) {
       String below = path + "[" + i + "]";
-      at(below, a.inputPositionOf(i));
+      recordLine(below, a.inputPositionOf(i));
       out.add(value(a.get(i), below));
     }
     return out;
   }
 
-  private void at(String path, TomlPosition position) {
+  private void recordLine(String path, TomlPosition position) {
     if (position != null) {
       lines.put(path, position.line());
     }
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -26,21 +26,21 @@
  * clients of each listener, its part of the budgets. Everything here runs on that loop.
  */
 final class Worker {
-  private static final long SWEEP_MS = 200;
+  private static final long SWEEP_MILLIS = 200;
 
   /** A pool on this worker. */
   private static final class WorkerPool {
     final Dispatcher dispatcher;
     final UpstreamConnectionPool upstreams;
-    ConfigurationSnapshot.Pool version;
+    ConfigurationSnapshot.PoolSnapshot snapshot;
 
     WorkerPool(
         Dispatcher dispatcher,
         UpstreamConnectionPool upstreams,
-        ConfigurationSnapshot.Pool version) {
+        ConfigurationSnapshot.PoolSnapshot version) {
       this.dispatcher = dispatcher;
       this.upstreams = upstreams;
-      this.version = version;
+      this.snapshot = version;
     }
   }
 
@@ -48,22 +48,22 @@
    * A listener that has gone from the file, and until when (ns) its backlog may still tell of
    * clients.
    */
-  private record Closing(String name, HttpServer front, long until) {}
+  private record ClosingServer(String listener, HttpServer server, long deadlineNanos) {}
 
   private final EventLoop loop;
   private final Transport transport;
-  private final int number;
+  private final int index;
   private final Log log;
-  private final SocketBudget sockets;
-  private final BodyBudget budget;
+  private final SocketBudget socketBudget;
+  private final BodyBudget bodyBudget;
   private final Map<String, WorkerPool> pools = new HashMap<>();
-  private final List<WorkerPool> leaving = new ArrayList<>();
-  private final Map<String, HttpServer> fronts = new HashMap<>();
-  private final List<Closing> closing = new ArrayList<>();
-  private final Counts counts = new Counts();
-  private long seeds;
+  private final List<WorkerPool> retiredPools = new ArrayList<>();
+  private final Map<String, HttpServer> servers = new HashMap<>();
+  private final List<ClosingServer> closingServers = new ArrayList<>();
+  private final OutcomeCounts outcomeCounts = new OutcomeCounts();
+  private long nextSeed;
   private boolean draining;
-  private boolean away;
+  private boolean clientShedding;
 
   /** A worker of so many; its part of the budgets is an equal one. */
   Worker(
@@ -75,12 +75,12 @@
       Log log) {
     this.loop = loop;
     this.transport = transport;
-    this.number = number;
+    this.index = number;
     this.log = log;
-    this.seeds = seed;
-    this.sockets = new SocketBudget(process.descriptors() / process.workers());
-    this.budget = new BodyBudget(((long) process.bodyMemoryMb() << 20) / process.workers());
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    this.nextSeed = seed;
+    this.socketBudget = new SocketBudget(process.descriptors() / process.workers());
+    this.bodyBudget = new BodyBudget(((long) process.bodyMemoryMb() << 20) / process.workers());
+    loop.scheduleAtFixedRate(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   EventLoop loop() {
@@ -91,21 +91,21 @@
   void apply(ConfigurationSnapshot v) {
     for (Iterator<Map.Entry<String, WorkerPool>> i = pools.entrySet().iterator(); i.hasNext(); ) {
       Map.Entry<String, WorkerPool> e = i.next();
-      ConfigurationSnapshot.Pool next = v.pools.get(e.getKey());
-      if (next == null || !next.config().continues(e.getValue().version.config())) {
+      ConfigurationSnapshot.PoolSnapshot next = v.pools.get(e.getKey());
+      if (next == null || !next.config().canReuseDispatcherOf(e.getValue().snapshot.config())) {
         i.remove();
-        leaving.add(e.getValue()); // what it has taken ends there
+        retiredPools.add(e.getValue()); // what it has taken ends there
       }
     }
-    for (ConfigurationSnapshot.Pool p : v.pools.values()) {
+    for (ConfigurationSnapshot.PoolSnapshot p : v.pools.values()) {
       WorkerPool kept = pools.get(p.config().name());
       if (kept == null) {
-        pools.put(p.config().name(), start(p));
+        pools.put(p.config().name(), startPool(p));
       } else {
-        if (!p.members().members().equals(kept.version.members().members())) {
-          kept.dispatcher.onEndpointList(EndpointListEvent.FULL, p.members());
+        if (!p.endpoints().members().equals(kept.snapshot.endpoints().members())) {
+          kept.dispatcher.onEndpointList(EndpointListEvent.FULL, p.endpoints());
         }
-        kept.version = p;
+        kept.snapshot = p;
         kept.upstreams.updateBounds(p.bounds());
         kept.dispatcher
             .sweep(); // what a lower bound leaves no room for, and carries nothing, goes now
@@ -113,95 +113,101 @@
       WorkerPool pool = pools.get(p.config().name());
       pool.dispatcher.setRetryGate(() -> retryAllowed(v, p));
     }
-    for (Iterator<Map.Entry<String, HttpServer>> i = fronts.entrySet().iterator(); i.hasNext(); ) {
+    for (Iterator<Map.Entry<String, HttpServer>> i = servers.entrySet().iterator(); i.hasNext(); ) {
       Map.Entry<String, HttpServer> e = i.next();
       DaemonConfig.Listener l = v.config.listeners().get(e.getKey());
-      if (l == null || !settings(l).equals(e.getValue().settings())) {
+      if (l == null || !serverSettings(l).equals(e.getValue().settings())) {
         i.remove();
         e.getValue().drain();
-        closing.add(
-            new Closing(
+        closingServers.add(
+            new ClosingServer(
                 e.getKey(),
                 e.getValue(),
-                System.nanoTime() + 2 * Daemon.LAST_ACCEPT_MS * 1_000_000L));
+                System.nanoTime() + 2 * Daemon.ACCEPT_GRACE_MILLIS * 1_000_000L));
       }
     }
     for (DaemonConfig.Listener l : v.config.listeners().values()) {
       DaemonRequestFilter gate = new DaemonRequestFilter(this, v, l);
-      HttpServer front = fronts.get(l.name());
+      HttpServer front = servers.get(l.name());
       if (front == null) {
         HttpServer fresh =
             new HttpServer(
-                settings(l), gate, transport, sockets, budget, log.withField("listener", l.name()));
-        fresh.setClientShedding(away);
-        fronts.put(l.name(), fresh);
+                serverSettings(l),
+                gate,
+                transport,
+                socketBudget,
+                bodyBudget,
+                log.withField("listener", l.name()));
+        fresh.setClientShedding(clientShedding);
+        servers.put(l.name(), fresh);
       } else {
         front.setFilter(gate);
       }
     }
   }
 
-  private static boolean retryAllowed(ConfigurationSnapshot v, ConfigurationSnapshot.Pool p) {
-    if (!p.retries().take()) {
+  private static boolean retryAllowed(
+      ConfigurationSnapshot v, ConfigurationSnapshot.PoolSnapshot p) {
+    if (!p.retryBudget().take()) {
       return false;
     }
-    if (!v.retries.take()) {
-      p.retries().refund();
+    if (!v.retryBudget.take()) {
+      p.retryBudget().refund();
       return false;
     }
     return true;
   }
 
-  private static HttpServerSettings settings(DaemonConfig.Listener l) {
+  private static HttpServerSettings serverSettings(DaemonConfig.Listener l) {
     return new HttpServerSettings(
-        l.maxBody(),
+        l.maxBodyBytes(),
         Long.MAX_VALUE,
-        l.slowMs(),
+        l.receiveTimeoutMillis(),
         0,
-        Math.min(2_000, l.idleMs()),
-        l.idleMs(),
-        l.maxOpen(),
-        l.pipeline(),
+        Math.min(2_000, l.idleMillis()),
+        l.idleMillis(),
+        l.maxOpenRequests(),
+        l.maxPipelinedRequests(),
         false,
         true);
   }
 
-  private WorkerPool start(ConfigurationSnapshot.Pool p) {
+  private WorkerPool startPool(ConfigurationSnapshot.PoolSnapshot p) {
     DaemonConfig.Pool c = p.config();
     Log named = log.withField("pool", c.name());
     UpstreamConnectionPool upstreams =
         new UpstreamConnectionPool(
             loop,
             transport,
-            new HttpProtocol(c.maxAnswer(), Long.MAX_VALUE, false, true, c.passErrors()),
+            new HttpProtocol(c.maxResponseBytes(), Long.MAX_VALUE, false, true, c.passErrors()),
             p.bounds(),
-            sockets,
+            socketBudget,
             named);
     Dispatcher d =
         new Dispatcher(
             c.name(),
             loop,
-            c.settings().withProxyIndex(c.settings().proxyIndex() + number),
-            seeds++,
+            c.settings().withProxyIndex(c.settings().proxyIndex() + index),
+            nextSeed++,
             upstreams,
-            budget,
+            bodyBudget,
             named);
-    d.setOutcomeCounter(counts);
-    d.start(p.members(), () -> {});
+    d.setOutcomeCounter(outcomeCounts);
+    d.start(p.endpoints(), () -> {});
     return new WorkerPool(d, upstreams, p);
   }
 
   /** The pool of that name, or null. */
-  Dispatcher pool(String name) {
+  Dispatcher dispatcher(String name) {
     WorkerPool p = pools.get(name);
     return p == null ? null : p.dispatcher;
   }
 
   /** A connection that the listener has accepted. */
-  void accepted(String listener, SocketChannel ch) {
-    HttpServer f = fronts.get(listener);
-    for (int i = closing.size() - 1; f == null && i >= 0; i--) {
-      f = closing.get(i).name().equals(listener) ? closing.get(i).front() : null;
+  void onAccepted(String listener, SocketChannel ch) {
+    HttpServer f = servers.get(listener);
+    for (int i = closingServers.size() - 1; f == null && i >= 0; i--) {
+      f = closingServers.get(i).listener().equals(listener) ? closingServers.get(i).server() : null;
     }
     if (f == null) {
       ch.close();
@@ -210,20 +216,20 @@
     }
   }
 
-  boolean draining() {
+  boolean isDraining() {
     return draining;
   }
 
   /** Whether requests would be served. */
-  boolean serves() {
-    return !draining && !away;
+  boolean isServing() {
+    return !draining && !clientShedding;
   }
 
   /** Sends clients away, or no longer; who comes all the same is served. */
-  void sendAway(boolean now) {
-    away = now;
+  void setClientShedding(boolean now) {
+    clientShedding = now;
     if (!draining) {
-      fronts.values().forEach(f -> f.setClientShedding(now));
+      servers.values().forEach(f -> f.setClientShedding(now));
     }
   }
 
@@ -231,7 +237,7 @@
   Set<String> busyHosts() {
     Set<String> out = new HashSet<>();
     pools.values().forEach(p -> out.addAll(p.dispatcher.busyHosts()));
-    leaving.forEach(p -> out.addAll(p.dispatcher.busyHosts()));
+    retiredPools.forEach(p -> out.addAll(p.dispatcher.busyHosts()));
     return out;
   }
 
@@ -239,9 +245,9 @@
    * What has become of attempts and requests here since this process began, by class; on the
    * worker's loop only.
    */
-  private static final class Counts implements leadferry.engine.OutcomeCounter {
-    final Map<String, Map<String, long[]>> hosts = new HashMap<>();
-    final Map<String, long[]> own = new HashMap<>();
+  private static final class OutcomeCounts implements leadferry.engine.OutcomeCounter {
+    final Map<String, Map<String, long[]>> attemptsByHost = new HashMap<>();
+    final Map<String, long[]> requests = new HashMap<>();
 
     private static void add(Map<String, long[]> to, String className, boolean bad) {
       long[] n = to.computeIfAbsent(className, k -> new long[2]);
@@ -251,12 +257,12 @@
 
     @Override
     public void countAttempt(String server, String className, boolean bad) {
-      add(hosts.computeIfAbsent(server, k -> new HashMap<>()), className, bad);
+      add(attemptsByHost.computeIfAbsent(server, k -> new HashMap<>()), className, bad);
     }
 
     @Override
     public void countRequest(String className, boolean bad) {
-      add(own, className, bad);
+      add(requests, className, bad);
     }
   }
 
@@ -264,12 +270,13 @@
    * Adds what was counted here to a member's report; hosts that are in no list any more are
    * forgotten.
    */
-  void report(com.fasterxml.jackson.databind.node.ObjectNode to) {
+  void addOutcomesTo(com.fasterxml.jackson.databind.node.ObjectNode to) {
     Set<String> known = new HashSet<>();
-    pools.values().forEach(p -> p.version.members().members().forEach(m -> known.add(m.name())));
-    counts.hosts.keySet().retainAll(known);
-    counts.hosts.forEach((host, by) -> add(by, to.withObject("/hosts").withObjectProperty(host)));
-    add(counts.own, to.withObject("/own"));
+    pools.values().forEach(p -> p.snapshot.endpoints().members().forEach(m -> known.add(m.name())));
+    outcomeCounts.attemptsByHost.keySet().retainAll(known);
+    outcomeCounts.attemptsByHost.forEach(
+        (host, by) -> add(by, to.withObject("/hosts").withObjectProperty(host)));
+    add(outcomeCounts.requests, to.withObject("/own"));
   }
 
   private static void add(
@@ -291,13 +298,13 @@
   /** Answers what was taken and asks clients to leave. */
   void drain() {
     draining = true;
-    fronts.values().forEach(HttpServer::drain);
+    servers.values().forEach(HttpServer::drain);
   }
 
   /** Whether anything that was taken has no answer yet. */
-  boolean busy() {
-    return fronts.values().stream().anyMatch(HttpServer::hasPendingRequests)
-        || closing.stream().anyMatch(c -> c.front().hasPendingRequests());
+  boolean hasPendingRequests() {
+    return servers.values().stream().anyMatch(HttpServer::hasPendingRequests)
+        || closingServers.stream().anyMatch(c -> c.server().hasPendingRequests());
   }
 
   private void sweep() {
@@ -305,7 +312,7 @@
       for (WorkerPool p : pools.values()) {
         p.dispatcher.sweep();
       }
-      for (Iterator<WorkerPool> i = leaving.iterator(); i.hasNext(); ) {
+      for (Iterator<WorkerPool> i = retiredPools.iterator(); i.hasNext(); ) {
         WorkerPool p = i.next();
         p.dispatcher.sweep();
         if (p.dispatcher.openRequests() == 0) {
@@ -313,14 +320,14 @@
           i.remove();
         }
       }
-      for (HttpServer f : fronts.values()) {
+      for (HttpServer f : servers.values()) {
         f.enforceTimeouts();
       }
       long now = System.nanoTime();
-      for (Closing c : closing) {
-        c.front().enforceTimeouts();
+      for (ClosingServer c : closingServers) {
+        c.server().enforceTimeouts();
       }
-      closing.removeIf(c -> c.front().hasNoClients() && now > c.until());
+      closingServers.removeIf(c -> c.server().hasNoClients() && now > c.deadlineNanos());
     } catch (RuntimeException e) {
       // Guards against a periodic task that ends for ever with its first exception.
       log.failure("upkeep failed", e);
--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -34,16 +34,16 @@
   private static final String PATIENT = "[class.claim]\naim_ms = 20000\ndeadline_ms = 20000\n";
 
   @TempDir Path folder;
-  private DaemonFixture it;
+  private DaemonFixture fixture;
 
   @BeforeEach
   void open() {
-    it = new DaemonFixture(folder);
+    fixture = new DaemonFixture(folder);
   }
 
   @AfterEach
   void close() {
-    it.close();
+    fixture.close();
   }
 
   /** Clients that each send so many requests one after the other; all must be served. */
@@ -56,7 +56,7 @@
       Thread t =
           new Thread(
               () -> {
-                try (Socket s = it.client()) {
+                try (Socket s = fixture.client()) {
                   for (int i = 0; i < each; i++) {
                     String id = prefix + n + "-" + i;
                     ProxyFixture.write(s, request("POST", "/claim", id));
@@ -81,14 +81,14 @@
     }
     assertThat(wrong).isEmpty();
     assertThat(served).hasValue(clients * each);
-    assertThat(it.ledger.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"1, 1", "4, 1", "4, 3"})
   void aCrowdBeforeASlowHostNeverHoldsMoreThanItsBound(int workers, int most) throws Exception {
-    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(2, 1));
-    it.start(
+    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(2, 1));
+    fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
         PATIENT,
@@ -100,15 +100,15 @@
 
   @Test
   void aBoundThatIsLoweredUnderLoadHoldsAsSoonAsAnswersHaveGone() throws Exception {
-    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(5, 8));
-    it.start(
+    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(5, 8));
+    fixture.start(
         "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 8", slow), CLAIMS);
     Thread load = new Thread(() -> quietly(() -> crowd(32, 40, "d")));
     load.start();
     ProxyFixture.await(() -> slow.connections() == 8);
-    it.write(
+    fixture.write(
         "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 2", slow), CLAIMS);
-    assertThat(it.daemon.reload()).isTrue();
+    assertThat(fixture.daemon.reload()).isTrue();
     ProxyFixture.await(() -> slow.connections() <= 2);
     for (int i = 0; load.isAlive(); i++) {
       assertThat(slow.connections()).isLessThanOrEqualTo(3); // one of them may be closing
@@ -116,7 +116,7 @@
     }
     assertThat(failure.get()).isFalse();
     assertThat(slow.mostConnections()).isLessThanOrEqualTo(8);
-    assertThat(it.ledger.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   private final AtomicBoolean failure = new AtomicBoolean();
@@ -135,22 +135,24 @@
 
   @Test
   void whereNothingMayWaitARequestGoesToAnotherHostOrIsRefusedUnsent() throws Exception {
-    FakeUpstream a = it.host("a");
-    FakeUpstream b = it.host("b");
+    FakeUpstream a = fixture.startUpstream("a");
+    FakeUpstream b = fixture.startUpstream("b");
     a.misbehave(Fault.SILENT, 1);
     b.misbehave(Fault.SILENT, 1);
-    it.start(LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
+    fixture.start(
+        LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
     List<Socket> out = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       out.add(s);
       int n = i + 1;
-      ProxyFixture.await(() -> it.ledger.executions() == n);
+      ProxyFixture.await(() -> fixture.executionLog.executions() == n);
     }
-    assertThat(it.ledger.of("in0").get(0).host()).isNotEqualTo(it.ledger.of("in1").get(0).host());
-    assertThat(it.status(request("POST", "/claim", "past"))).isEqualTo(503);
-    assertThat(it.ledger.of("past")).isEmpty();
+    assertThat(fixture.executionLog.of("in0").get(0).host())
+        .isNotEqualTo(fixture.executionLog.of("in1").get(0).host());
+    assertThat(fixture.status(request("POST", "/claim", "past"))).isEqualTo(503);
+    assertThat(fixture.executionLog.of("past")).isEmpty();
     for (Socket s : out) {
       s.close();
     }
@@ -158,21 +160,21 @@
 
   @Test
   void whatWaitsForAConnectionWhenItsTimeIsUpIsRefusedAndNeverRan() throws Exception {
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    it.start(
+    fixture.start(
         LISTENER,
         PATIENT,
         "[class.short]\naim_ms = 300\ndeadline_ms = 300",
         pool("a", "max_connections = 1", a),
         CLAIMS,
         route("short", "/short", "class = \"short\"\npool = \"a\""));
-    try (Socket s = it.client()) {
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> it.ledger.executions() == 1);
-      assertThat(it.status(request("POST", "/short", "waits"))).isEqualTo(503);
+      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      assertThat(fixture.status(request("POST", "/short", "waits"))).isEqualTo(503);
     }
-    assertThat(it.ledger.of("waits")).isEmpty();
+    assertThat(fixture.executionLog.of("waits")).isEmpty();
     a.misbehave(Fault.NONE, 0);
     ProxyFixture.await(() -> quietly200("after"));
   }
@@ -186,19 +188,19 @@
     Assumptions.assumeTrue(
         NativeTransport.EPOLL.unavailabilityCause() == null,
         "the JDK's sockets can't be asked without losing a byte");
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    it.start(
+    fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"epoll\"",
         LISTENER,
         PATIENT,
         pool("a", "max_connections = 1", a),
         CLAIMS);
-    try (Socket s = it.client()) {
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> it.ledger.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
       for (boolean reset : new boolean[] {false, true}) {
-        try (Socket leaver = it.client()) {
+        try (Socket leaver = fixture.client()) {
           ProxyFixture.write(
               leaver,
               request("POST", "/claim", "waits" + reset)
@@ -210,14 +212,14 @@
       a.misbehave(Fault.NONE, 0);
     }
     ProxyFixture.await(() -> quietly200("after"));
-    assertThat(it.ledger.of("waitsfalse")).isEmpty();
-    assertThat(it.ledger.of("waitstrue")).isEmpty();
-    assertThat(it.ledger.of("aheadfalse")).isEmpty();
+    assertThat(fixture.executionLog.of("waitsfalse")).isEmpty();
+    assertThat(fixture.executionLog.of("waitstrue")).isEmpty();
+    assertThat(fixture.executionLog.of("aheadfalse")).isEmpty();
   }
 
   private boolean quietly200(String id) {
     try {
-      return it.status(request("POST", "/claim", id + System.nanoTime())) == 200;
+      return fixture.status(request("POST", "/claim", id + System.nanoTime())) == 200;
     } catch (Exception e) {
       return false;
     }
@@ -225,21 +227,21 @@
 
   @Test
   void aHostThatLeavesGivesItsWaitingRequestsToAnother() throws Exception {
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    it.start(LISTENER, PATIENT, pool("a", "max_connections = 1", a), CLAIMS);
-    try (Socket s = it.client();
-        Socket waits = it.client()) {
+    fixture.start(LISTENER, PATIENT, pool("a", "max_connections = 1", a), CLAIMS);
+    try (Socket s = fixture.client();
+        Socket waits = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> it.ledger.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
       ProxyFixture.write(waits, request("POST", "/claim", "waits"));
-      FakeUpstream b = it.host("b");
-      it.write(LISTENER, PATIENT, pool("a", "max_connections = 1", a, b), CLAIMS);
-      assertThat(it.daemon.reload()).isTrue();
-      it.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
-      assertThat(it.daemon.reload()).isTrue();
+      FakeUpstream b = fixture.startUpstream("b");
+      fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", a, b), CLAIMS);
+      assertThat(fixture.daemon.reload()).isTrue();
+      fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
+      assertThat(fixture.daemon.reload()).isTrue();
       assertThat(ProxyFixture.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
-      assertThat(it.ledger.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
+      assertThat(fixture.executionLog.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
     }
   }
 
@@ -247,7 +249,7 @@
   void aConnectionIsClosedAfterItsNumberOfRequests() throws Exception {
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host = world.new Host(h -> ProxyFixture.ok("x"));
-      it.start(
+      fixture.start(
           LISTENER,
           CLASSES,
           "[pool.a]\nmax_requests_per_connection = 3\n[[pool.a.member]]\nid=\"h\"\naddress=\""
@@ -255,7 +257,7 @@
               + "\"",
           CLAIMS);
       for (int i = 0; i < 7; i++) {
-        assertThat(it.status(request("POST", "/claim", "r" + i))).isEqualTo(200);
+        assertThat(fixture.status(request("POST", "/claim", "r" + i))).isEqualTo(200);
       }
       assertThat(host.connections()).isEqualTo(3);
     }
@@ -267,12 +269,12 @@
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host =
           world.new Host(h -> ProxyFixture.ok("x") + (spoils.get() ? "noise" : ""));
-      it.start(
+      fixture.start(
           LISTENER,
           CLASSES,
           "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
           CLAIMS);
-      try (Socket s = it.client()) {
+      try (Socket s = fixture.client()) {
         ask(s, "calm", 50);
         assertThat(host.reusedAtOnce()).isPositive();
         spoils.set(true);
@@ -297,8 +299,8 @@
   @ParameterizedTest
   @ValueSource(strings = {"auto", "nio", "epoll", "io-uring"})
   void everyTransportServesOrGivesWayToTheJdk(String transport) throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(
         "[daemon]\nworkers = 2\ntransport = \"" + transport + "\"",
         LISTENER,
         PATIENT,
@@ -312,14 +314,14 @@
   @ParameterizedTest
   @ValueSource(strings = {"nio", "epoll", "io-uring"})
   void aRequestOnAConnectionThatIsOlderThanItsTimeHasAllOfIt(String transport) throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"" + transport + "\"",
         LISTENER,
         "[class.claim]\naim_ms = 900\ndeadline_ms = 900\n",
         pool("a", "", a),
         CLAIMS);
-    try (Socket s = it.client()) {
+    try (Socket s = fixture.client()) {
       for (int i = 0; i < 2; i++) {
         Thread.sleep(1_000);
         ProxyFixture.write(s, request("POST", "/claim", "r" + i));
--- a/src/test/java/leadferry/daemon/DaemonFixture.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -18,37 +18,37 @@
 
 /** A daemon between stand-ins and clients on loopback, with a file that tests write. */
 final class DaemonFixture implements AutoCloseable {
-  final ExecutionLog ledger = new ExecutionLog(1_000_000);
-  final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+  final ExecutionLog executionLog = new ExecutionLog(1_000_000);
+  final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
   final Path file;
-  private final List<FakeUpstream> hosts = new ArrayList<>();
-  final List<RawUpstream> raw = new ArrayList<>();
+  private final List<FakeUpstream> upstreams = new ArrayList<>();
+  final List<RawUpstream> rawUpstreams = new ArrayList<>();
   Daemon daemon;
 
   DaemonFixture(Path folder) {
     file = folder.resolve("leadferry.toml");
   }
 
-  FakeUpstream host(String name) {
-    return host(FakeUpstream.Options.quick(name));
+  FakeUpstream startUpstream(String name) {
+    return startUpstream(FakeUpstream.Options.quick(name));
   }
 
-  FakeUpstream host(FakeUpstream.Options options) {
-    FakeUpstream h = new FakeUpstream(options, ledger);
-    hosts.add(h);
+  FakeUpstream startUpstream(FakeUpstream.Options options) {
+    FakeUpstream h = new FakeUpstream(options, executionLog);
+    upstreams.add(h);
     return h;
   }
 
   /** A host that answers to the byte what it is told to. */
-  RawUpstream raw(RawUpstream.Serving serving) throws IOException {
+  RawUpstream startRawUpstream(RawUpstream.ConnectionHandler serving) throws IOException {
     RawUpstream h = new RawUpstream(serving);
-    raw.add(h);
+    rawUpstreams.add(h);
     return h;
   }
 
   /** Requests that came to such hosts. */
-  int rawHeads() {
-    return raw.stream().mapToInt(h -> h.heads.size()).sum();
+  int rawRequestCount() {
+    return rawUpstreams.stream().mapToInt(h -> h.heads.size()).sum();
   }
 
   /** A pool with these members; {@code more} are further lines of its table. */
@@ -93,11 +93,12 @@
     write(parts);
     daemon =
         new Daemon(
-            file, form -> new LineLog(new PrintStream(logged, true, StandardCharsets.UTF_8), true));
+            file,
+            form -> new LineLog(new PrintStream(logOutput, true, StandardCharsets.UTF_8), true));
   }
 
   String log() {
-    return logged.toString(StandardCharsets.UTF_8);
+    return logOutput.toString(StandardCharsets.UTF_8);
   }
 
   InetSocketAddress address() {
@@ -129,7 +130,7 @@
   }
 
   /** The whole answer on a connection of its own, or null where that ended without one. */
-  String ask(String request) throws IOException {
+  String exchange(String request) throws IOException {
     try (Socket s = client()) {
       ProxyFixture.write(s, request);
       return ProxyFixture.read(s.getInputStream());
@@ -138,14 +139,14 @@
 
   /** The status of the answer, or 0 for none. */
   int status(String request) throws IOException {
-    return status0(ask(request));
+    return statusOf(exchange(request));
   }
 
-  static int status0(String answer) {
+  static int statusOf(String answer) {
     return answer == null ? 0 : Integer.parseInt(answer.split(" ")[1]);
   }
 
-  LoadGenerator load(double rate, double seconds, List<LoadGenerator.Kind> kinds) {
+  LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.Kind> kinds) {
     return new LoadGenerator(
         new LoadGenerator.Plan(address(), rate, 0, seconds, 128, 1, kinds, "load-"), null);
   }
@@ -155,7 +156,7 @@
     if (daemon != null) {
       daemon.close();
     }
-    hosts.forEach(FakeUpstream::close);
-    raw.forEach(RawUpstream::close);
+    upstreams.forEach(FakeUpstream::close);
+    rawUpstreams.forEach(RawUpstream::close);
   }
 }
--- a/src/test/java/leadferry/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -32,7 +32,7 @@
   @Test
   void aRecordOfJsonHasItsFieldsByNameWhateverTheyHold() throws Exception {
     String odd = "a\"b\n\u0001\u2028" + "x".repeat(1_000);
-    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogForm.JSON, out, 50)) {
+    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, out, 50)) {
       log.withField("listener", "main")
           .detail("request", "outcome", "refused", "ms", 12L, "route", odd, "server", null);
       log.failure("it broke", new IllegalStateException("why"));
@@ -49,7 +49,7 @@
 
   @Test
   void aRecordOfTextIsOneLineWhateverItsFieldsHold() throws Exception {
-    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogForm.TEXT, out, 50)) {
+    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.TEXT, out, 50)) {
       log.event("ready", "server", "a\r\n2026 forged \"line\"\u0085");
     }
     String text = out.toString(StandardCharsets.UTF_8);
@@ -59,7 +59,7 @@
 
   @Test
   void aStormOfRequestsIsCountedAndHidesNoChangeOfState() throws Exception {
-    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogForm.JSON, out, 50)) {
+    try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, out, 50)) {
       for (int i = 0; i < 20_000; i++) {
         log.detail("request", "n", i);
       }
@@ -87,7 +87,7 @@
           new Thread(
               () -> {
                 for (int i = 0; i < 10_000; i++) {
-                  admitted[at] += budget.admits(7) ? 1 : 0;
+                  admitted[at] += budget.tryAcquire(7) ? 1 : 0;
                 }
               });
       threads[t].start();
@@ -96,8 +96,8 @@
       t.join();
     }
     assertThat(admitted[0] + admitted[1] + admitted[2] + admitted[3]).isEqualTo(1_000);
-    assertThat(budget.takeLeftOut()).isEqualTo(39_000);
-    assertThat(budget.admits(8)).isTrue();
+    assertThat(budget.takeDropped()).isEqualTo(39_000);
+    assertThat(budget.tryAcquire(8)).isTrue();
   }
 
   @Test
@@ -120,7 +120,7 @@
             out.write(b, from, n);
           }
         };
-    DaemonLog log = new DaemonLog(new LoggerContext(), LogForm.JSON, stuck, 1_000_000);
+    DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, stuck, 1_000_000);
     Thread loop =
         new Thread(
             () -> {
@@ -142,10 +142,10 @@
   @Test
   void whatIsNotServedIsToldWithItsRouteClassPoolServerAndAttempt(@TempDir Path folder)
       throws Exception {
-    try (DaemonFixture it = new DaemonFixture(folder)) {
-      FakeUpstream a = it.host("a");
-      FakeUpstream broken = it.host("broken");
-      it.start(
+    try (DaemonFixture fixture = new DaemonFixture(folder)) {
+      FakeUpstream a = fixture.startUpstream("a");
+      FakeUpstream broken = fixture.startUpstream("broken");
+      fixture.start(
           DaemonFixture.LISTENER,
           "[class.list]\naim_ms = 200\ndeadline_ms = 400\nrepeat = \"safe\"\n",
           DaemonFixture.pool("p", "max_attempts = 1\n", a),
@@ -154,12 +154,13 @@
           DaemonFixture.route("two", "/two", "pool = \"q\"\nclass = \"list\""),
           "[[limit]]\nname = \"tight\"\nroutes = [\"one\"]\nper_second = 0.001\nburst = 1\n");
       broken.misbehave(FakeUpstream.Fault.RESET_AFTER, 1);
-      assertThat(it.status(request("GET", "/one", "1"))).isEqualTo(200);
-      assertThat(it.status(request("GET", "/one", "2"))).isEqualTo(429);
-      assertThat(it.status(request("GET", "/three", "3"))).isEqualTo(404);
-      assertThat(it.status(request("GET", "/two", "4"))).isIn(502, 503, 504);
-      assertThat(it.status(request("GET", "/_health", "5"))).isEqualTo(200);
-      List<String> told = it.log().lines().filter(l -> l.startsWith("leadferry: request")).toList();
+      assertThat(fixture.status(request("GET", "/one", "1"))).isEqualTo(200);
+      assertThat(fixture.status(request("GET", "/one", "2"))).isEqualTo(429);
+      assertThat(fixture.status(request("GET", "/three", "3"))).isEqualTo(404);
+      assertThat(fixture.status(request("GET", "/two", "4"))).isIn(502, 503, 504);
+      assertThat(fixture.status(request("GET", "/_health", "5"))).isEqualTo(200);
+      List<String> told =
+          fixture.log().lines().filter(l -> l.startsWith("leadferry: request")).toList();
       assertThat(told).hasSize(3);
       assertThat(told.get(0))
           .contains(
@@ -173,7 +174,7 @@
           .contains("outcome=turned-away", "status=404")
           .doesNotContain("route=");
       assertThat(told.get(2)).contains("route=two", "pool=q", "server=broken", "attempt=1", "ms=");
-      assertThat(it.log().lines())
+      assertThat(fixture.log().lines())
           .anyMatch(
               l -> l.startsWith("leadferry: attempt pool=q outcome=reset server=broken attempt=1"));
     }
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -40,25 +40,25 @@
       new LoadGenerator.Kind("claim", 1, "POST", "/claim", "", 100, 3_000);
 
   @TempDir Path folder;
-  private DaemonFixture it;
+  private DaemonFixture fixture;
 
   @BeforeEach
   void open() {
-    it = new DaemonFixture(folder);
+    fixture = new DaemonFixture(folder);
   }
 
   @AfterEach
   void close() {
-    it.close();
+    fixture.close();
   }
 
   // --- reload
 
   @Test
   void aReloadEvery50MsHalfOfThemBadLosesNothingAndPutsNoBadFileInForce() throws Exception {
-    FakeUpstream a = it.host("a");
-    FakeUpstream b = it.host("b");
-    FakeUpstream never = it.host("never");
+    FakeUpstream a = fixture.startUpstream("a");
+    FakeUpstream b = fixture.startUpstream("b");
+    FakeUpstream never = fixture.startUpstream("never");
     String[] good = {
       String.join("\n", LISTENER, CLASSES, pool("a", "", a), CLAIMS),
       String.join(
@@ -84,13 +84,13 @@
       String.join("\n", LISTENER, CLASSES, badPool, CLAIMS).substring(0, 150),
       String.join("\n", LISTENER.replace(":0", ":1"), CLASSES, badPool, CLAIMS, "x = 1"),
     };
-    it.start(good[0]);
+    fixture.start(good[0]);
     int taken = 0;
-    try (LoadGenerator load = it.load(300, 20, List.of(CLAIM)).start()) {
+    try (LoadGenerator load = fixture.loadGenerator(300, 20, List.of(CLAIM)).start()) {
       for (int i = 0; i < 400; i++) {
         boolean isBad = i % 2 == 1;
-        it.write(isBad ? bad[i / 2 % bad.length] : good[i / 2 % good.length]);
-        boolean inForce = it.daemon.reload();
+        fixture.write(isBad ? bad[i / 2 % bad.length] : good[i / 2 % good.length]);
+        boolean inForce = fixture.daemon.reload();
         assertThat(inForce).isNotEqualTo(isBad);
         taken += inForce ? 1 : 0;
         Thread.sleep(50);
@@ -101,49 +101,49 @@
       assertThat(load.count(Outcome.FAILED)).isZero();
       assertThat(load.count(Outcome.SERVED)).isGreaterThan(load.sent() * 95 / 100);
     }
-    assertThat(it.daemon.version()).isEqualTo(1 + taken);
+    assertThat(fixture.daemon.version()).isEqualTo(1 + taken);
     assertThat(never.lastArrival()).isZero();
-    assertThat(it.ledger.repeated()).isEmpty();
-    assertThat(it.log()).contains("not taken: ");
+    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.log()).contains("not taken: ");
   }
 
   @Test
   void aRequestEndsUnderTheVersionThatTookIt() throws Exception {
-    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(400, 1));
-    it.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(400, 1));
+    fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> it.ledger.of("out").size() == 1);
-      FakeUpstream other = it.host("other");
-      it.write(
+      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      FakeUpstream other = fixture.startUpstream("other");
+      fixture.write(
           LISTENER,
           CLASSES,
           pool("b", "", other),
           route("else", "/else", "class = \"claim\"\npool = \"b\""));
-      assertThat(it.daemon.reload()).isTrue();
-      assertThat(it.status(request("POST", "/claim", "late"))).isEqualTo(404);
+      assertThat(fixture.daemon.reload()).isTrue();
+      assertThat(fixture.status(request("POST", "/claim", "late"))).isEqualTo(404);
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("out");
     }
     ProxyFixture.await(() -> slow.connections() == 0); // the pool that went has let go
-    assertThat(it.ledger.of("out")).hasSize(1);
-    assertThat(it.ledger.of("late")).isEmpty();
+    assertThat(fixture.executionLog.of("out")).hasSize(1);
+    assertThat(fixture.executionLog.of("late")).isEmpty();
   }
 
   @Test
   void whatStaysOverAReloadKeepsItsConnections() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    try (Socket s = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         ProxyFixture.write(s, request("POST", "/claim", "r" + i));
         assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
-        it.write(
+        fixture.write(
             LISTENER,
             CLASSES,
             pool("a", "", a),
             CLAIMS,
             route("more" + i, "/more" + i, "class = \"claim\"\npool = \"a\""));
-        assertThat(it.daemon.reload()).isTrue();
+        assertThat(fixture.daemon.reload()).isTrue();
         Thread.sleep(20); // longer than a connection rests after an answer
       }
       assertThat(a.mostConnections()).isEqualTo(1);
@@ -152,112 +152,113 @@
 
   @Test
   void aListenerWhosePortIsTakenIsAFaultAndChangesNothing() throws Exception {
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     try (ServerSocket other = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       String taken = "[listener.second]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\"\n";
-      it.write(LISTENER, taken, CLASSES, pool("a", "", a), CLAIMS);
-      assertThatThrownBy(() -> new Daemon(it.file, form -> new LineLog(quiet(), false)))
+      fixture.write(LISTENER, taken, CLASSES, pool("a", "", a), CLAIMS);
+      assertThatThrownBy(() -> new Daemon(fixture.file, form -> new LineLog(quiet(), false)))
           .isInstanceOf(ConfigurationException.class)
           .hasMessageContaining("listener.second.address");
-      it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-      it.write(
+      fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+      fixture.write(
           LISTENER,
           taken,
           CLASSES,
           pool("a", "", a),
           route("else", "/else", "class = \"claim\"\npool = \"a\""));
-      assertThat(it.daemon.reload()).isFalse();
-      assertThat(it.daemon.address("second")).isNull();
-      assertThat(it.status(request("POST", "/claim", "r"))).isEqualTo(200);
+      assertThat(fixture.daemon.reload()).isFalse();
+      assertThat(fixture.daemon.address("second")).isNull();
+      assertThat(fixture.status(request("POST", "/claim", "r"))).isEqualTo(200);
     }
   }
 
   @Test
   void aListenerThatGoesAnswersWhatItHasTakenAndAskedClientsLeave() throws Exception {
-    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(300, 2));
+    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(300, 2));
     String second = "[listener.second]\naddress = \"127.0.0.1:0\"\n";
-    it.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
-    try (Socket s = DaemonFixture.client(it.daemon.address("second"))) {
+    fixture.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
+    try (Socket s = DaemonFixture.client(fixture.daemon.address("second"))) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> it.ledger.of("out").size() == 1);
-      it.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
-      assertThat(it.daemon.reload()).isTrue();
+      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      fixture.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
+      assertThat(fixture.daemon.reload()).isTrue();
       assertThat(ProxyFixture.read(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .containsIgnoringCase("connection: close");
       assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    assertThat(it.daemon.address("second")).isNull();
+    assertThat(fixture.daemon.address("second")).isNull();
   }
 
   @Test
   void anEmptiedPoolRefusesAndAFilledOneServesAgain() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    it.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
-    assertThat(it.daemon.reload()).isTrue();
-    assertThat(it.status(request("POST", "/claim", "r1"))).isEqualTo(503);
-    assertThat(it.ledger.executions()).isZero();
-    it.write(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    assertThat(it.daemon.reload()).isTrue();
-    assertThat(it.status(request("POST", "/claim", "r2"))).isEqualTo(200);
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    fixture.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
+    assertThat(fixture.daemon.reload()).isTrue();
+    assertThat(fixture.status(request("POST", "/claim", "r1"))).isEqualTo(503);
+    assertThat(fixture.executionLog.executions()).isZero();
+    fixture.write(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    assertThat(fixture.daemon.reload()).isTrue();
+    assertThat(fixture.status(request("POST", "/claim", "r2"))).isEqualTo(200);
   }
 
   @Test
   void aDrainDuringReloadsAnswersAllThatWasTaken() throws Exception {
-    FakeUpstream slow = it.host(FakeUpstream.Options.quick("slow").takes(150, 50));
-    it.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
+    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(150, 50));
+    fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    ProxyFixture.await(() -> it.ledger.executions() == 20);
+    ProxyFixture.await(() -> fixture.executionLog.executions() == 20);
     Thread reloads =
         new Thread(
             () -> {
               for (int i = 0; i < 50; i++) {
-                it.daemon.reload();
+                fixture.daemon.reload();
               }
             });
     reloads.start();
-    it.daemon.drain();
+    fixture.daemon.drain();
     reloads.join();
     for (Socket s : clients) {
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
       s.close();
     }
-    it.daemon.awaitEnd();
-    assertThat(it.daemon.reload()).isFalse(); // nothing comes back to life
-    assertThat(it.ledger.repeated()).isEmpty();
+    fixture.daemon.awaitTermination();
+    assertThat(fixture.daemon.reload()).isFalse(); // nothing comes back to life
+    assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   // --- limits
 
   @Test
   void aLimitThatIsLoweredCountsWhatIsInFlight() throws Exception {
-    FakeUpstream silent = it.host("silent");
+    FakeUpstream silent = fixture.startUpstream("silent");
     silent.misbehave(Fault.SILENT, 1);
     String limit = "[[limit]]\nname = \"l\"\nconcurrency = ";
-    it.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
+    fixture.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    ProxyFixture.await(() -> it.ledger.executions() == 5);
-    it.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
-    assertThat(it.daemon.reload()).isTrue();
-    String refused = it.ask(request("POST", "/claim", "over"));
+    ProxyFixture.await(() -> fixture.executionLog.executions() == 5);
+    fixture.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
+    assertThat(fixture.daemon.reload()).isTrue();
+    String refused = fixture.exchange(request("POST", "/claim", "over"));
     assertThat(refused).startsWith("HTTP/1.1 429").containsIgnoringCase("retry-after: 1\r\n");
-    assertThat(it.ledger.of("over")).isEmpty();
+    assertThat(fixture.executionLog.of("over")).isEmpty();
     for (int i = 0; i < 3; i++) {
       clients.get(i).close();
     }
     silent.misbehave(Fault.NONE, 0);
-    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
+    ProxyFixture.await(
+        () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
     for (Socket s : clients) {
       s.close();
     }
@@ -265,9 +266,9 @@
 
   @Test
   void aHotTenantLeavesRoomForQuietOnes() throws Exception {
-    FakeUpstream silent = it.host("silent");
+    FakeUpstream silent = fixture.startUpstream("silent");
     silent.misbehave(Fault.SILENT, 1);
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         pool("a", "", silent),
@@ -276,21 +277,22 @@
         "[[limit]]\nname = \"tenant\"\nby = \"tenant\"\nwithin = \"all\"\nconcurrency = 1000");
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       clients.add(s);
       ProxyFixture.write(s, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
     }
-    ProxyFixture.await(() -> it.ledger.executions() >= 16);
+    ProxyFixture.await(() -> fixture.executionLog.executions() >= 16);
     List<String> quiet = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       clients.add(s);
       String id = "quiet" + i;
       ProxyFixture.write(s, request("POST", "/claim", id, "X-Tenant-Id: quiet" + i));
       quiet.add(id);
     }
-    ProxyFixture.await(() -> quiet.stream().allMatch(id -> it.ledger.of(id).size() == 1));
-    assertThat(it.ledger.executions()).isLessThanOrEqualTo(20);
+    ProxyFixture.await(
+        () -> quiet.stream().allMatch(id -> fixture.executionLog.of(id).size() == 1));
+    assertThat(fixture.executionLog.executions()).isLessThanOrEqualTo(20);
     for (Socket s : clients) {
       s.close();
     }
@@ -299,9 +301,9 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 4})
   void clientsThatGoMidRequestLeaveNothingBehindOnAnyWorker(int workers) throws Exception {
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    it.start(
+    fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
         CLASSES,
@@ -311,7 +313,7 @@
     for (int round = 0; round < 4; round++) {
       List<Socket> clients = new ArrayList<>();
       for (int i = 0; i < 16; i++) {
-        Socket s = it.client();
+        Socket s = fixture.client();
         clients.add(s);
         String whole = request("POST", "/claim", "g" + round + "-" + i);
         // Half of them go while their request still comes, after the limit has counted it.
@@ -319,7 +321,7 @@
             s, i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
       }
       int expected = 8 * (round + 1);
-      ProxyFixture.await(() -> it.ledger.executions() == expected);
+      ProxyFixture.await(() -> fixture.executionLog.executions() == expected);
       for (Socket s : clients) {
         s.close();
       }
@@ -329,33 +331,34 @@
     for (int i = 0; i < 16; i++) {
       int n = i;
       ProxyFixture.await(
-          () -> quietly(() -> it.status(request("POST", "/claim", "after" + n))) == 200);
+          () -> quietly(() -> fixture.status(request("POST", "/claim", "after" + n))) == 200);
     }
   }
 
   @Test
   void aCrowdPastTheBoundIsClosedAndLeavesThoseInsideAlone() throws Exception {
-    FakeUpstream a = it.host("a");
+    FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
     // 64 descriptors are 12 for clients: 40 are kept back, the rest is halved. One is for the
     // newcomer.
-    it.start("[daemon]\ndescriptors = 64", LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    fixture.start("[daemon]\ndescriptors = 64", LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     List<Socket> inside = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
-      Socket s = it.client();
+      Socket s = fixture.client();
       ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       inside.add(s);
     }
-    ProxyFixture.await(() -> it.ledger.executions() == 11);
-    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "past"))) == 0);
-    assertThat(it.ledger.of("past")).isEmpty();
+    ProxyFixture.await(() -> fixture.executionLog.executions() == 11);
+    ProxyFixture.await(() -> quietly(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
+    assertThat(fixture.executionLog.of("past")).isEmpty();
     for (Socket s : inside) {
       assertThat(ProxyFixture.read(s.getInputStream()))
           .startsWith("HTTP/1.1 50"); // their one answer
       s.close();
     }
     a.misbehave(Fault.NONE, 0);
-    ProxyFixture.await(() -> quietly(() -> it.status(request("POST", "/claim", "after"))) == 200);
+    ProxyFixture.await(
+        () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
   }
 
   private interface Asked {
@@ -398,9 +401,9 @@
     "/public/%0d%0aX:1"
   })
   void aPathOfTwoReadingsReachesNoHost(String path) throws Exception {
-    FakeUpstream open = it.host("open");
-    FakeUpstream admin = it.host("admin");
-    it.start(
+    FakeUpstream open = fixture.startUpstream("open");
+    FakeUpstream admin = fixture.startUpstream("admin");
+    fixture.start(
         LISTENER,
         CLASSES,
         pool("a", "", open),
@@ -408,24 +411,24 @@
         route("public", "/public", "pool = \"a\""),
         route("admin", "/admin", "pool = \"b\""),
         route("rest", "/", "pool = \"a\""));
-    assertThat(it.status(request("GET", path, "r"))).isEqualTo(400);
-    assertThat(it.ledger.executions()).isZero();
-    assertThat(it.log()).contains("outcome=turned-away status=400");
+    assertThat(fixture.status(request("GET", path, "r"))).isEqualTo(400);
+    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.log()).contains("outcome=turned-away status=400");
   }
 
   @Test
   void anEncodedLetterCannotPassItsRoute() throws Exception {
-    FakeUpstream open = it.host("open");
-    FakeUpstream admin = it.host("admin");
-    it.start(
+    FakeUpstream open = fixture.startUpstream("open");
+    FakeUpstream admin = fixture.startUpstream("admin");
+    fixture.start(
         LISTENER,
         CLASSES,
         pool("a", "", open),
         pool("b", "", admin),
         route("admin", "/admin", "pool = \"b\""),
         route("rest", "/", "pool = \"a\""));
-    assertThat(it.ask(request("GET", "/%61dmin/x", "r"))).contains("X-Served-By: admin");
-    assertThat(it.ask(request("GET", "/administer", "s"))).contains("X-Served-By: open");
+    assertThat(fixture.exchange(request("GET", "/%61dmin/x", "r"))).contains("X-Served-By: admin");
+    assertThat(fixture.exchange(request("GET", "/administer", "s"))).contains("X-Served-By: open");
   }
 
   @Test
@@ -439,13 +442,13 @@
                 seen.add(h.split(" ")[1]);
                 return ProxyFixture.ok("x");
               });
-      it.start(
+      fixture.start(
           LISTENER + "paths = \"resolve\"",
           CLASSES,
           "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
           route("all", "/", "pool = \"a\""));
-      assertThat(it.status(request("GET", "/a/../b//c/./d%20e?q=../x", "r"))).isEqualTo(200);
-      assertThat(it.status(request("GET", "/a/%2e%2e/..", "s"))).isEqualTo(400);
+      assertThat(fixture.status(request("GET", "/a/../b//c/./d%20e?q=../x", "r"))).isEqualTo(200);
+      assertThat(fixture.status(request("GET", "/a/%2e%2e/..", "s"))).isEqualTo(400);
       assertThat(seen).containsExactly("/b/c/d%20e?q=../x");
     }
   }
@@ -461,7 +464,7 @@
                 heads.add(h);
                 return ProxyFixture.ok("x");
               });
-      it.start(
+      fixture.start(
           LISTENER,
           CLASSES,
           "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
@@ -470,8 +473,9 @@
               "/old",
               "pool = \"a\"\nrewrite_prefix = \"/new/\"\n"
                   + "set_headers = { X-Office = \"7\" }\nremove_headers = [\"X-Secret\"]"));
-      assertThat(it.status(request("GET", "/old/x%20y?q=1", "r", "X-Secret: s"))).isEqualTo(200);
-      assertThat(it.status(request("GET", "/old", "s"))).isEqualTo(200);
+      assertThat(fixture.status(request("GET", "/old/x%20y?q=1", "r", "X-Secret: s")))
+          .isEqualTo(200);
+      assertThat(fixture.status(request("GET", "/old", "s"))).isEqualTo(200);
       assertThat(heads.get(0))
           .startsWith("GET /new/x%20y?q=1 ")
           .contains("X-Office: 7")
@@ -482,9 +486,9 @@
 
   @Test
   void aSplitKeepsAKeyOnOneSide() throws Exception {
-    FakeUpstream a = it.host("a");
-    FakeUpstream b = it.host("b");
-    it.start(
+    FakeUpstream a = fixture.startUpstream("a");
+    FakeUpstream b = fixture.startUpstream("b");
+    fixture.start(
         LISTENER,
         CLASSES,
         pool("a", "", a),
@@ -495,8 +499,8 @@
       Set<String> servers = new HashSet<>();
       for (int i = 0; i < 3; i++) {
         String id = "k" + key + "-" + i;
-        assertThat(it.status(request("GET", "/x", id, "X-Carer: carer" + key))).isEqualTo(200);
-        servers.add(it.ledger.of(id).get(0).host());
+        assertThat(fixture.status(request("GET", "/x", id, "X-Carer: carer" + key))).isEqualTo(200);
+        servers.add(fixture.executionLog.of(id).get(0).host());
       }
       assertThat(servers).hasSize(1);
     }
@@ -513,51 +517,55 @@
   })
   void aFallbackTakesOnlyWhatIsKnownNotToHaveRunOrIsSafe(
       String type, Fault fault, int status, int runsAtNext) throws Exception {
-    FakeUpstream first = it.host("first");
-    FakeUpstream next = it.host("next");
+    FakeUpstream first = fixture.startUpstream("first");
+    FakeUpstream next = fixture.startUpstream("next");
     first.misbehave(fault, 1);
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         pool("a", "", first),
         pool("b", "", next),
         route("r", "/", "class = \"" + type + "\"\npool = \"a\"\nfallback = [\"b\"]"));
-    assertThat(it.status(request("POST", "/x", "r"))).isEqualTo(status);
-    assertThat(it.ledger.of("r").stream().filter(e -> e.host().equals("next"))).hasSize(runsAtNext);
+    assertThat(fixture.status(request("POST", "/x", "r"))).isEqualTo(status);
+    assertThat(fixture.executionLog.of("r").stream().filter(e -> e.host().equals("next")))
+        .hasSize(runsAtNext);
   }
 
   @Test
   void aKeyedRequestThatMayHaveRunStaysInItsPool() throws Exception {
-    FakeUpstream first = it.host("first");
-    FakeUpstream next = it.host("next");
+    FakeUpstream first = fixture.startUpstream("first");
+    FakeUpstream next = fixture.startUpstream("next");
     first.misbehave(Fault.RESET_AFTER, 1);
-    it.start(
+    fixture.start(
         LISTENER,
         "[class.log]\nrepeat = \"keyed\"\nscope = \"all\"\nwindow_ms = 2000\ndeadline_ms = 3000",
         pool("a", "", first),
         pool("b", "", next),
         route("r", "/", "class = \"log\"\npool = \"a\"\nfallback = [\"b\"]"));
-    it.status(request("POST", "/x", "r", "Idempotency-Key: k"));
-    assertThat(it.ledger.of("r")).isNotEmpty().allMatch(e -> e.host().equals("first"));
-    assertThat(it.status(request("POST", "/x", "s"))).isEqualTo(400); // no key tells its repeats
-    assertThat(it.ledger.of("s")).isEmpty();
+    fixture.status(request("POST", "/x", "r", "Idempotency-Key: k"));
+    assertThat(fixture.executionLog.of("r")).isNotEmpty().allMatch(e -> e.host().equals("first"));
+    assertThat(fixture.status(request("POST", "/x", "s")))
+        .isEqualTo(400); // no key tells its repeats
+    assertThat(fixture.executionLog.of("s")).isEmpty();
   }
 
   @Test
   void aRetryBudgetOnlySaysNo() throws Exception {
-    FakeUpstream[] hosts = {it.host("a"), it.host("b"), it.host("c")};
+    FakeUpstream[] hosts = {
+      fixture.startUpstream("a"), fixture.startUpstream("b"), fixture.startUpstream("c")
+    };
     for (FakeUpstream h : hosts) {
       h.misbehave(Fault.TURN_AWAY, 1);
     }
     String route = route("r", "/", "class = \"list\"\npool = \"a\"");
-    it.start(LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", hosts), route);
-    assertThat(it.status(request("GET", "/x", "r"))).isEqualTo(503);
+    fixture.start(LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", hosts), route);
+    assertThat(fixture.status(request("GET", "/x", "r"))).isEqualTo(503);
     long asked = java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > 0).count();
     assertThat(asked).isEqualTo(1);
-    it.daemon.close();
+    fixture.daemon.close();
     long before = System.nanoTime();
-    it.start(LISTENER, CLASSES, pool("a", "", hosts), route);
-    assertThat(it.status(request("GET", "/x", "s"))).isEqualTo(503);
+    fixture.start(LISTENER, CLASSES, pool("a", "", hosts), route);
+    assertThat(fixture.status(request("GET", "/x", "s"))).isEqualTo(503);
     assertThat(java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > before).count())
         .isGreaterThan(1);
   }
@@ -580,36 +588,38 @@
         "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
       })
   void whatCannotBeARequestGetsAnErrorAndReachesNoHost(String bytes) throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    assertThat(it.status(bytes)).isBetween(400, 505);
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    assertThat(fixture.status(bytes)).isBetween(400, 505);
     assertThat(a.lastArrival()).isZero();
-    assertThat(it.status(request("POST", "/claim", "good"))).isEqualTo(200);
+    assertThat(fixture.status(request("POST", "/claim", "good"))).isEqualTo(200);
   }
 
   @Test
   void aBodyOverTheBoundIsTurnedAwayHoweverItIsFramed() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER + "max_body_bytes = 100", CLASSES, pool("a", "", a), CLAIMS);
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER + "max_body_bytes = 100", CLASSES, pool("a", "", a), CLAIMS);
     String sized = request("POST", "/c", "r").replace("Content-Length: 0", "Content-Length: 101");
-    assertThat(it.status(sized + "x".repeat(101))).isEqualTo(413);
+    assertThat(fixture.status(sized + "x".repeat(101))).isEqualTo(413);
     String chunked =
         request("POST", "/c", "s").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    assertThat(it.status(chunked + "65\r\n" + "x".repeat(101) + "\r\n0\r\n\r\n")).isEqualTo(413);
+    assertThat(fixture.status(chunked + "65\r\n" + "x".repeat(101) + "\r\n0\r\n\r\n"))
+        .isEqualTo(413);
     assertThat(a.lastArrival()).isZero();
-    assertThat(it.status(sized.replace("101", "100").replace(": r", ": t") + "x".repeat(100)))
+    assertThat(fixture.status(sized.replace("101", "100").replace(": r", ": t") + "x".repeat(100)))
         .isEqualTo(200);
   }
 
   @Test
   void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    assertThat(it.status(request("POST", "/c", "warm"))).isEqualTo(200);
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    assertThat(fixture.status(request("POST", "/c", "warm"))).isEqualTo(200);
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
-    it.daemon
-        .loops()
+    fixture
+        .daemon
+        .eventLoops()
         .iterator()
         .next()
         .submit(
@@ -618,8 +628,8 @@
               return release.await(30, java.util.concurrent.TimeUnit.SECONDS);
             });
     held.await();
-    try (Socket stays = it.client()) {
-      try (Socket gone = it.client()) {
+    try (Socket stays = fixture.client()) {
+      try (Socket gone = fixture.client()) {
         ProxyFixture.write(gone, request("POST", "/c", "gone"));
       }
       ProxyFixture.write(stays, request("POST", "/c", "stays"));
@@ -631,21 +641,21 @@
 
   @Test
   void theLogOfBadInputIsBounded() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     for (int i = 0; i < 300; i++) {
-      assertThat(it.status("GET /../x HTTP/1.1\r\nHost: a\r\n\r\n")).isEqualTo(400);
+      assertThat(fixture.status("GET /../x HTTP/1.1\r\nHost: a\r\n\r\n")).isEqualTo(400);
     }
     long seconds = 3; // ample: the loop above takes less, and the log counts whole seconds
-    assertThat(it.log().lines().filter(l -> l.contains("outcome=turned-away")).count())
+    assertThat(fixture.log().lines().filter(l -> l.contains("outcome=turned-away")).count())
         .isLessThanOrEqualTo(50 * (seconds + 1));
   }
 
   @Test
   void aHeadRequestGetsTheLengthWithoutTheBody() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    try (Socket s = fixture.client()) {
       for (int i = 0; i < 2; i++) {
         ProxyFixture.write(s, request("HEAD", "/x", "h" + i));
         String head = head(s);
@@ -676,14 +686,18 @@
                       : h.contains("/moved")
                           ? "HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n"
                           : "HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\ntaken");
-      it.start(
+      fixture.start(
           LISTENER,
           CLASSES,
           "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
           CLAIMS);
-      assertThat(it.ask(request("POST", "/x", "a"))).startsWith("HTTP/1.1 409").endsWith("taken");
-      assertThat(it.ask(request("GET", "/moved", "b"))).startsWith("HTTP/1.1 302").contains("/y");
-      assertThat(it.ask(request("GET", "/none", "c"))).startsWith("HTTP/1.1 204");
+      assertThat(fixture.exchange(request("POST", "/x", "a")))
+          .startsWith("HTTP/1.1 409")
+          .endsWith("taken");
+      assertThat(fixture.exchange(request("GET", "/moved", "b")))
+          .startsWith("HTTP/1.1 302")
+          .contains("/y");
+      assertThat(fixture.exchange(request("GET", "/none", "c"))).startsWith("HTTP/1.1 204");
     }
   }
 
--- a/src/test/java/leadferry/daemon/FuzzedDaemon.java
+++ b/src/test/java/leadferry/daemon/FuzzedDaemon.java
@@ -11,11 +11,11 @@
 public final class FuzzedDaemon {
   private final List<byte[]> received = new CopyOnWriteArrayList<>();
   private final RawUpstream host;
-  private final DaemonFixture it = new DaemonFixture(Files.createTempDirectory("fuzz"));
+  private final DaemonFixture fixture = new DaemonFixture(Files.createTempDirectory("fuzz"));
 
   public FuzzedDaemon() throws Exception {
     host = new RawUpstream((h, in, out, s) -> serve(in, out));
-    it.start(
+    fixture.start(
         DaemonFixture.LISTENER + "slow_ms = 2000\nforwarded = \"off\"",
         "[class.claim]\ndeadline_ms = 2000\n[class.log]\nrepeat = \"keyed\"\nwindow_ms = 500\n",
         RawUpstream.pool("a", "max_requests_per_connection = 1", host),
@@ -29,7 +29,7 @@
    */
   private void serve(java.io.InputStream in, java.io.OutputStream out) throws Exception {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    String head = RawUpstream.until(in, "\r\n\r\n");
+    String head = RawUpstream.readUntil(in, "\r\n\r\n");
     if (head == null) {
       return;
     }
@@ -39,7 +39,7 @@
     if (lower.contains("\r\ntransfer-encoding:")) {
       String line;
       do {
-        line = RawUpstream.until(in, "\r\n");
+        line = RawUpstream.readUntil(in, "\r\n");
         all.write(line.getBytes(StandardCharsets.ISO_8859_1));
         all.write(in.readNBytes(Integer.parseInt(line.trim(), 16)));
         if (!line.equals("0\r\n")) {
@@ -47,7 +47,7 @@
         }
       } while (!line.equals("0\r\n"));
       do {
-        line = RawUpstream.until(in, "\r\n");
+        line = RawUpstream.readUntil(in, "\r\n");
         all.write(line.getBytes(StandardCharsets.ISO_8859_1));
       } while (!line.equals("\r\n"));
     } else if (length >= 0) {
@@ -63,23 +63,24 @@
   }
 
   public Socket client() throws Exception {
-    return it.client();
+    return fixture.client();
   }
 
   /** Waits until nothing that was sent before can reach the host any more. */
-  public void settle() throws Exception {
-    if (it.status(DaemonFixture.request("GET", "/fence", "f")) != 200) {
+  public void awaitIdle() throws Exception {
+    if (fixture.status(DaemonFixture.request("GET", "/fence", "f")) != 200) {
       throw new AssertionError("the daemon serves no more");
     }
-    leadferry.proxy.ProxyFixture.await(() -> host.ended.get() == host.accepted.get());
+    leadferry.proxy.ProxyFixture.await(
+        () -> host.closedConnections.get() == host.acceptedConnections.get());
   }
 
-  /** All requests since the last {@link #forget}, in the order in which they came. */
+  /** All requests since the last {@link #clearReceived}, in the order in which they came. */
   public List<byte[]> received() {
     return received;
   }
 
-  public void forget() {
+  public void clearReceived() {
     received.clear();
   }
 }
--- a/src/test/java/leadferry/daemon/HeadersTest.java
+++ b/src/test/java/leadferry/daemon/HeadersTest.java
@@ -23,7 +23,7 @@
 /** What was judged is what is sent, whatever a caller writes. */
 class HeadersTest {
   /** Every header that the program goes by here, with a value that a caller may give it. */
-  private static final Map<String, String> JUDGED =
+  private static final Map<String, String> INSPECTED =
       Map.of(
           "Host", "api.test",
           "X-Request-ID", "id",
@@ -38,12 +38,12 @@
 
   @TempDir Path folder;
   private final List<String> heads = new CopyOnWriteArrayList<>();
-  private DaemonFixture it;
+  private DaemonFixture fixture;
   private ProxyFixture world;
 
   @BeforeEach
   void open() throws Exception {
-    it = new DaemonFixture(folder);
+    fixture = new DaemonFixture(folder);
     world = new ProxyFixture(folder, 128);
     ProxyFixture.Host host =
         world
@@ -52,7 +52,7 @@
               heads.add(h);
               return ProxyFixture.ok("x");
             });
-    it.start(
+    fixture.start(
         LISTENER + "class_header = \"X-Kind\"\ntenant_header = \"X-Office\"",
         CLASSES + "[class.log]\nrepeat = \"keyed\"\nwindow_ms = 500\n",
         "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
@@ -63,19 +63,19 @@
 
   @AfterEach
   void close() throws Exception {
-    it.close();
+    fixture.close();
     world.close();
   }
 
   private static String judged(String more) {
     StringBuilder s = new StringBuilder("POST /x HTTP/1.1\r\n");
-    JUDGED.forEach((k, v) -> s.append(k).append(": ").append(v).append("\r\n"));
+    INSPECTED.forEach((k, v) -> s.append(k).append(": ").append(v).append("\r\n"));
     return s + more + "\r\n";
   }
 
   @Test
   void everyHeaderThatIsJudgedReachesTheHostAsItWasJudged() throws Exception {
-    try (Socket client = it.client()) {
+    try (Socket client = fixture.client()) {
       ProxyFixture.write(client, judged("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
       assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 100");
       // A client that leaves behind the interim response is gone: its request need not be
@@ -84,7 +84,7 @@
     }
     assertThat(heads).hasSize(1);
     String head = heads.get(0).toLowerCase(Locale.ROOT);
-    JUDGED.forEach(
+    INSPECTED.forEach(
         (k, v) -> {
           String line = "\r\n" + k.toLowerCase(Locale.ROOT) + ": ";
           switch (k) {
@@ -124,9 +124,9 @@
         "a1,a2,a3,a4,a5,a6,a7,a8,a9,a10,a11,a12,a13,a14,a15,a16,a17,a18,a19,a20,Idempotency-Key"
       })
   void noConnectionOptionTakesAwayWhatWasJudged(String options) throws Exception {
-    assertThat(it.status(judged("Connection: " + options + "\r\n"))).isEqualTo(400);
+    assertThat(fixture.status(judged("Connection: " + options + "\r\n"))).isEqualTo(400);
     assertThat(heads).isEmpty();
-    assertThat(it.log()).contains("outcome=turned-away status=400");
+    assertThat(fixture.log()).contains("outcome=turned-away status=400");
   }
 
   @Test
@@ -137,7 +137,8 @@
       options.append(i % 3 == 0 ? "," : " , ").append("x-hop-").append(i);
       lines.append("X-Hop-").append(i).append(": 1\r\n");
     }
-    assertThat(it.status(request("GET", "/x", "r", options + "\r\n" + lines.toString().strip())))
+    assertThat(
+            fixture.status(request("GET", "/x", "r", options + "\r\n" + lines.toString().strip())))
         .isEqualTo(200);
     assertThat(heads.get(0).toLowerCase(Locale.ROOT)).doesNotContain("x-hop");
   }
@@ -152,7 +153,7 @@
         "Idempotency-Key: l"
       })
   void whatIsJudgedOnceMayNotStandTwice(String line) throws Exception {
-    assertThat(it.status(judged(line + "\r\n").replace("Expect: 100-continue\r\n", "")))
+    assertThat(fixture.status(judged(line + "\r\n").replace("Expect: 100-continue\r\n", "")))
         .isEqualTo(400);
     assertThat(heads).isEmpty();
   }
@@ -184,7 +185,7 @@
         "\nGET / HTTP/1.1"
       })
   void aHeadThatIsNotOfTheGrammarReachesNoHost(String head) throws Exception {
-    assertThat(it.status(head + "\r\nHost: a\r\n\r\n")).isEqualTo(400);
+    assertThat(fixture.status(head + "\r\nHost: a\r\n\r\n")).isEqualTo(400);
     assertThat(heads).isEmpty();
   }
 
@@ -192,7 +193,7 @@
   void oneEmptyLineMayStandAheadAndAnySplitOfBytesReadsTheSame() throws Exception {
     byte[] bytes =
         ("\r\n" + request("GET", "/x", "r")).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-    try (java.net.Socket s = it.client()) {
+    try (java.net.Socket s = fixture.client()) {
       s.setTcpNoDelay(true);
       for (byte b : bytes) {
         s.getOutputStream().write(b);
@@ -205,8 +206,10 @@
 
   @Test
   void anExpectationThatNobodyKnowsIsNotTaken() throws Exception {
-    assertThat(it.status(request("GET", "/x", "r", "Expect: the-moon"))).isEqualTo(417);
-    assertThat(it.status(request("GET", "/x", "s", "Expect: 100-continue", "Expect: 100-continue")))
+    assertThat(fixture.status(request("GET", "/x", "r", "Expect: the-moon"))).isEqualTo(417);
+    assertThat(
+            fixture.status(
+                request("GET", "/x", "s", "Expect: 100-continue", "Expect: 100-continue")))
         .isEqualTo(417);
     assertThat(heads).isEmpty();
   }
