--- a/src/test/java/leadferry/daemon/OperatorFileTest.java
+++ b/src/test/java/leadferry/daemon/OperatorFileTest.java
@@ -33,7 +33,7 @@
   private static List<ConfigurationError> faults(String text) {
     ConfigurationException e =
         catchThrowableOfType(ConfigurationException.class, () -> OperatorFile.parse("f", text));
-    return e == null ? List.of() : e.faults();
+    return e == null ? List.of() : e.errors();
   }
 
   @Test
@@ -42,7 +42,7 @@
         "[fleet]\nfleet = \"f\"\nname = \"p1\"\nlease_ms = 1000\n[fleet.keepers]\nk1 = \"127.0.0.1:9\"\n";
     DaemonConfig.Fleet f = OperatorFile.parse("f", SMALL + sound).fleet();
     assertThat(f.replicas()).containsOnlyKeys("k1");
-    assertThat(f.onUnreachable()).isEqualTo(DaemonConfig.Unreachable.WAIT);
+    assertThat(f.onUnreachable()).isEqualTo(DaemonConfig.UnreachablePolicy.WAIT);
     assertThat(OperatorFile.parse("f", SMALL).fleet()).isNull();
     assertThat(
             faults(SMALL + "[fleet]\nname = \"a b\"\nlease_ms = 5\non_unreachable = \"last\"\n")
@@ -62,7 +62,7 @@
   void whatIsNotSaidHasItsDefault() throws Exception {
     DaemonConfig c = OperatorFile.parse("f", SMALL);
     assertThat(c.process().workers()).isEqualTo(1);
-    assertThat(c.listeners().get("main").maxBody()).isEqualTo(65_536);
+    assertThat(c.listeners().get("main").maxBodyBytes()).isEqualTo(65_536);
     Settings.RequestClass undeclared = c.classes().get(0);
     assertThat(undeclared.name()).isEqualTo("default");
     assertThat(undeclared.semantics()).isEqualTo(Settings.Semantics.AT_MOST_ONCE);
@@ -159,7 +159,7 @@
   @Test
   void linesAreFoundInEveryShapeThatTomlHas() throws ConfigurationException {
     TomlTree l =
-        TomlTree.of(
+        TomlTree.parse(
             "f",
             """
             # comment [x]
@@ -181,18 +181,18 @@
             [a.list.inner]
             m = 1
             """);
-    assertThat(l.line("top")).isEqualTo(2);
-    assertThat(l.line("a.b")).isEqualTo(3);
-    assertThat(l.line("a.b.c d")).isEqualTo(4);
-    assertThat(l.line("a.b.e")).isEqualTo(7);
-    assertThat(l.line("a.b.e[0].g")).isEqualTo(8);
-    assertThat(l.line("a.b.e[1].f")).isEqualTo(9);
-    assertThat(l.line("a.b.h.i")).isEqualTo(11);
-    assertThat(l.line("a.list[0].k")).isEqualTo(13);
-    assertThat(l.line("a.list[1].k")).isEqualTo(16);
-    assertThat(l.line("a.list[1].inner.m")).isEqualTo(18);
-    assertThat(l.line("a.list[1].nothing")).isEqualTo(15);
-    assertThat(l.line("nothing")).isZero();
+    assertThat(l.lineOf("top")).isEqualTo(2);
+    assertThat(l.lineOf("a.b")).isEqualTo(3);
+    assertThat(l.lineOf("a.b.c d")).isEqualTo(4);
+    assertThat(l.lineOf("a.b.e")).isEqualTo(7);
+    assertThat(l.lineOf("a.b.e[0].g")).isEqualTo(8);
+    assertThat(l.lineOf("a.b.e[1].f")).isEqualTo(9);
+    assertThat(l.lineOf("a.b.h.i")).isEqualTo(11);
+    assertThat(l.lineOf("a.list[0].k")).isEqualTo(13);
+    assertThat(l.lineOf("a.list[1].k")).isEqualTo(16);
+    assertThat(l.lineOf("a.list[1].inner.m")).isEqualTo(18);
+    assertThat(l.lineOf("a.list[1].nothing")).isEqualTo(15);
+    assertThat(l.lineOf("nothing")).isZero();
   }
 
   /** Whatever is done to a file, reading it ends with a configuration or with faults. */
@@ -226,7 +226,7 @@
         OperatorFile.parse("f", s);
       } catch (ConfigurationException e) {
         faulty++;
-        assertThat(e.faults()).isNotEmpty();
+        assertThat(e.errors()).isNotEmpty();
       }
     }
     assertThat(faulty).isGreaterThan(spoilt.size() / 2);
--- a/src/test/java/leadferry/daemon/RawUpstream.java
+++ b/src/test/java/leadferry/daemon/RawUpstream.java
@@ -17,7 +17,7 @@
 /** A host that a test writes to the byte: one thread a connection, small socket buffers. */
 final class RawUpstream implements AutoCloseable {
   /** What is done with a connection; returns when it is to be closed. */
-  interface Serving {
+  interface ConnectionHandler {
     void serve(RawUpstream host, InputStream in, OutputStream out, Socket s) throws Exception;
   }
 
@@ -25,31 +25,31 @@
    * A small buffer shows back-pressure: what is not read here stands in the daemon or at its
    * client.
    */
-  static final int BUFFER = 512 * 1024;
+  static final int SOCKET_BUFFER_BYTES = 512 * 1024;
 
   private final ServerSocket listener = new ServerSocket();
   private final List<Socket> open = new CopyOnWriteArrayList<>();
   final List<String> heads = new CopyOnWriteArrayList<>();
-  final AtomicInteger accepted = new AtomicInteger();
-  final AtomicInteger ended = new AtomicInteger();
+  final AtomicInteger acceptedConnections = new AtomicInteger();
+  final AtomicInteger closedConnections = new AtomicInteger();
 
-  RawUpstream(Serving serving) throws IOException {
-    listener.setReceiveBufferSize(BUFFER);
+  RawUpstream(ConnectionHandler serving) throws IOException {
+    listener.setReceiveBufferSize(SOCKET_BUFFER_BYTES);
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    thread(
+    startThread(
         () -> {
           while (true) {
             Socket s = listener.accept();
-            s.setSendBufferSize(BUFFER);
+            s.setSendBufferSize(SOCKET_BUFFER_BYTES);
             open.add(s);
-            accepted.incrementAndGet();
-            thread(
+            acceptedConnections.incrementAndGet();
+            startThread(
                 () -> {
                   try (s) {
                     serving.serve(
                         this, new BufferedInputStream(s.getInputStream()), s.getOutputStream(), s);
                   } finally {
-                    ended.incrementAndGet();
+                    closedConnections.incrementAndGet();
                   }
                 });
           }
@@ -60,7 +60,7 @@
     void run() throws Exception;
   }
 
-  static Thread thread(Task what) {
+  static Thread startThread(Task what) {
     Thread t =
         new Thread(
             () -> {
@@ -92,8 +92,8 @@
   }
 
   /** The next head, or null at the end. */
-  String head(InputStream in) throws IOException {
-    String head = until(in, "\r\n\r\n");
+  String readHead(InputStream in) throws IOException {
+    String head = readUntil(in, "\r\n\r\n");
     if (head != null) {
       heads.add(head);
     }
@@ -101,7 +101,7 @@
   }
 
   /** What comes up to and with this text, or null if the stream ends before. */
-  static String until(InputStream in, String end) throws IOException {
+  static String readUntil(InputStream in, String end) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] last = end.getBytes(StandardCharsets.ISO_8859_1);
     int fits = 0;
@@ -119,9 +119,9 @@
   /**
    * Reads a chunked body; adds its length to {@code count[0]} as it comes. Returns the trailers.
    */
-  static String chunks(InputStream in, long[] count) throws IOException {
+  static String readChunkedBody(InputStream in, long[] count) throws IOException {
     while (true) {
-      String line = until(in, "\r\n");
+      String line = readUntil(in, "\r\n");
       if (line == null) {
         throw new IOException("cut");
       }
@@ -129,7 +129,7 @@
       if (n == 0) {
         StringBuilder trailers = new StringBuilder();
         String t;
-        while ((t = until(in, "\r\n")) != null && !t.equals("\r\n")) {
+        while ((t = readUntil(in, "\r\n")) != null && !t.equals("\r\n")) {
           trailers.append(t);
         }
         return trailers.toString();
@@ -142,7 +142,7 @@
         left -= Math.max(1, skipped);
         count[0] += Math.max(1, skipped);
       }
-      until(in, "\r\n");
+      readUntil(in, "\r\n");
     }
   }
 
--- a/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
+++ b/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
@@ -139,7 +139,7 @@
 
   /** Keeps what it gets, and answers always the same; nothing where the answer is empty. */
   private RawUpstream upstream(String answer) throws Exception {
-    return fixture.raw((host, in, out, socket) -> serve(in, out, answer));
+    return fixture.startRawUpstream((host, in, out, socket) -> serve(in, out, answer));
   }
 
   private void serve(InputStream input, OutputStream out, String answer) throws Exception {
--- a/src/test/java/leadferry/daemon/RecordedOperatorFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedOperatorFileTest.java
@@ -45,7 +45,7 @@
   @Test
   void budgetsAndReleasesAreWrittenAsRecorded() throws Exception {
     StringBuilder forms = new StringBuilder();
-    forms.append(ReplicaFile.budgets(RecordedText.path(FOLDER + "budgets.toml"))).append('\n');
+    forms.append(ReplicaFile.readBudgets(RecordedText.path(FOLDER + "budgets.toml"))).append('\n');
     for (String name : new String[] {"release", "release-defaults"}) {
       ObjectNode plan = ReleaseFile.read(RecordedText.path(FOLDER + name + ".toml"), fleet());
       forms.append(Json.text(plan)).append('\n');
@@ -88,7 +88,7 @@
     errors.append(
         errorsOf(() -> ReplicaFile.read(RecordedText.path(FOLDER + "keeper-faulty.toml"))));
     errors.append(
-        errorsOf(() -> ReplicaFile.budgets(RecordedText.path(FOLDER + "budgets-faulty.toml"))));
+        errorsOf(() -> ReplicaFile.readBudgets(RecordedText.path(FOLDER + "budgets-faulty.toml"))));
     for (String name : new String[] {"release-faulty", "release-contradictory"}) {
       errors.append(
           errorsOf(() -> ReleaseFile.read(RecordedText.path(FOLDER + name + ".toml"), fleet())));
@@ -112,7 +112,7 @@
   private static String errorsOf(ThrowingCallable reading) {
     ConfigurationException thrown = catchThrowableOfType(ConfigurationException.class, reading);
     assertThat(thrown).isNotNull();
-    return thrown.faults().stream()
+    return thrown.errors().stream()
         .map(error -> error.toString().replace('\n', ' ') + "\n")
         .collect(Collectors.joining());
   }
--- a/src/test/java/leadferry/daemon/RecordedStateFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedStateFileTest.java
@@ -68,7 +68,7 @@
     Files.writeString(state, RecordedText.read("state-file/host-drained.json"));
     startDaemon();
     for (int i = 0; i < REQUESTS; i++) {
-      String answer = daemonFixture.ask(DaemonFixture.request("GET", "/x", "r" + i));
+      String answer = daemonFixture.exchange(DaemonFixture.request("GET", "/x", "r" + i));
       assertThat(answer).endsWith("host h2");
     }
     assertThat(health()).startsWith("HTTP/1.1 200");
@@ -82,7 +82,7 @@
   }
 
   private String health() throws IOException {
-    return daemonFixture.ask(DaemonFixture.request("GET", "/_health", "health"));
+    return daemonFixture.exchange(DaemonFixture.request("GET", "/_health", "health"));
   }
 
   private String written() {
--- a/src/test/java/leadferry/daemon/ReleaseFileTest.java
+++ b/src/test/java/leadferry/daemon/ReleaseFileTest.java
@@ -66,7 +66,7 @@
                     HEAD
                         + "halt_losst = 1\n[release.guard]\nmax_worse = 2\n[[release.step]]\nname = \"x\"\ntargets = [\"h2\", \"h9\"]\n[[release.step]]\nname = \"y\"\ntargets = [\"h2\"]\n"
                         + "[[release.step]]\nname = \"z\"\nwhere = { zone = \"c\" }\n"));
-    assertThat(exception.faults())
+    assertThat(exception.errors())
         .extracting(ConfigurationError::key)
         .contains(
             "release.halt_losst",
@@ -75,7 +75,7 @@
             "release.step[0].targets[1]",
             "release.step[1].targets[0]",
             "release.step[2]");
-    assertThat(exception.faults())
+    assertThat(exception.errors())
         .allMatch(f -> f.line() > 0 || f.key().equals("release.carry.command"));
   }
 
--- a/src/test/java/leadferry/daemon/StreamingTest.java
+++ b/src/test/java/leadferry/daemon/StreamingTest.java
@@ -43,23 +43,24 @@
   private static final long LONG = 48L << 20;
 
   @TempDir Path folder;
-  private DaemonFixture it;
+  private DaemonFixture fixture;
 
   @BeforeEach
   void open() {
-    it = new DaemonFixture(folder);
+    fixture = new DaemonFixture(folder);
   }
 
   @AfterEach
   void close() {
-    it.close();
+    fixture.close();
   }
 
   private Socket client() throws Exception {
     Socket s = new Socket();
-    s.setReceiveBufferSize(RawUpstream.BUFFER);
-    s.setSendBufferSize(RawUpstream.BUFFER);
-    s.connect(new InetSocketAddress("127.0.0.1", it.address().getPort()), ProxyFixture.PATIENCE_MS);
+    s.setReceiveBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
+    s.setSendBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
+    s.connect(
+        new InetSocketAddress("127.0.0.1", fixture.address().getPort()), ProxyFixture.PATIENCE_MS);
     s.setSoTimeout(ProxyFixture.PATIENCE_MS);
     return s;
   }
@@ -91,13 +92,13 @@
     AtomicLong got = new AtomicLong();
     CountDownLatch reads = new CountDownLatch(1);
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              while (host.head(in) != null) {
+              while (host.readHead(in) != null) {
                 reads.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
                 if (chunked) {
                   long[] n = new long[1];
-                  RawUpstream.chunks(in, n);
+                  RawUpstream.readChunkedBody(in, n);
                   got.addAndGet(n[0]);
                 } else {
                   for (long left = LONG; left > 0; left -= in.skip(left)) {}
@@ -106,12 +107,12 @@
                 RawUpstream.write(out, OK);
               }
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     AtomicLong sent = new AtomicLong();
     try (Socket s = client()) {
       ProxyFixture.write(
           s, upload("r", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LONG));
-      RawUpstream.thread(
+      RawUpstream.startThread(
           () -> {
             OutputStream out = s.getOutputStream();
             byte[] block = new byte[32 * 1024];
@@ -140,16 +141,20 @@
 
   @Test
   void aBodyThatTakesLongerThanTheAimIsNotItsHostsSilence() throws Exception {
-    RawUpstream.Serving serving =
+    RawUpstream.ConnectionHandler serving =
         (host, in, out, s) -> {
-          host.head(in);
+          host.readHead(in);
           in.readNBytes(200_000);
           RawUpstream.write(out, OK);
         };
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES.replace("aim_ms = 20000", "aim_ms = 100"),
-        RawUpstream.pool("a", "parallel = true", it.raw(serving), it.raw(serving)),
+        RawUpstream.pool(
+            "a",
+            "parallel = true",
+            fixture.startRawUpstream(serving),
+            fixture.startRawUpstream(serving)),
         LISTS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 200000"));
@@ -159,44 +164,45 @@
       }
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
-    assertThat(it.rawHeads()).isEqualTo(1);
+    assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
   void anUploadThatIsCutHalfWayIsCutAtItsHostAndNotSentAgain() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
-              RawUpstream.chunks(in, new long[1]);
+              host.readHead(in);
+              RawUpstream.readChunkedBody(in, new long[1]);
               RawUpstream.write(out, OK);
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Transfer-Encoding: chunked") + "5\r\nhello\r\n");
       ProxyFixture.await(() -> h.heads.size() == 1);
     }
-    ProxyFixture.await(() -> h.ended.get() == 1); // it saw the end of the stream inside the body
+    ProxyFixture.await(
+        () -> h.closedConnections.get() == 1); // it saw the end of the stream inside the body
     assertThat(h.heads).hasSize(1);
     try (Socket s = client()) {
       ProxyFixture.write(
           s, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
       assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    ProxyFixture.await(() -> h.ended.get() == h.heads.size());
+    ProxyFixture.await(() -> h.closedConnections.get() == h.heads.size());
   }
 
   @Test
   void anEarlyErrorIsPassedOnAndEndsTheConnection() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
+              host.readHead(in);
               RawUpstream.write(out, "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nfull");
               in.read(new byte[1024]);
               Thread.sleep(300);
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 1000000") + "begins");
       assertThat(ProxyFixture.read(s.getInputStream()))
@@ -214,9 +220,9 @@
       throws Exception {
     java.util.concurrent.atomic.AtomicInteger first =
         new java.util.concurrent.atomic.AtomicInteger();
-    RawUpstream.Serving serving =
+    RawUpstream.ConnectionHandler serving =
         (host, in, out, s) -> {
-          while (host.head(in) != null) {
+          while (host.readHead(in) != null) {
             for (long left = length; left > 0; left -= in.skip(left)) {}
             RawUpstream.write(
                 out,
@@ -225,56 +231,64 @@
                     : OK);
           }
         };
-    it.start(
-        LISTENER, CLASSES, RawUpstream.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
+    fixture.start(
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool(
+            "a", "", fixture.startRawUpstream(serving), fixture.startRawUpstream(serving)),
+        CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: " + length) + "x".repeat(length));
-      assertThat(RawUpstream.until(s.getInputStream(), "\r\n\r\n"))
+      assertThat(RawUpstream.readUntil(s.getInputStream(), "\r\n\r\n"))
           .startsWith("HTTP/1.1 " + status);
     }
-    assertThat(it.rawHeads()).isEqualTo(1 + other);
+    assertThat(fixture.rawRequestCount()).isEqualTo(1 + other);
   }
 
   @Test
   void anUploadThatMayHaveRunIsNotSentAgain() throws Exception {
-    RawUpstream.Serving serving =
+    RawUpstream.ConnectionHandler serving =
         (host, in, out, s) -> {
-          host.head(in);
+          host.readHead(in);
           in.read();
           s.setSoLinger(true, 0);
         };
-    it.start(
-        LISTENER, CLASSES, RawUpstream.pool("a", "", it.raw(serving), it.raw(serving)), CLAIMS);
+    fixture.start(
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool(
+            "a", "", fixture.startRawUpstream(serving), fixture.startRawUpstream(serving)),
+        CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
     }
-    assertThat(it.rawHeads()).isEqualTo(1);
+    assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
   void aBodyThatStopsComingIsGivenUp() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
-              RawUpstream.chunks(in, new long[1]);
+              host.readHead(in);
+              RawUpstream.readChunkedBody(in, new long[1]);
             });
-    it.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
       assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    ProxyFixture.await(() -> h.ended.get() == 1);
+    ProxyFixture.await(() -> h.closedConnections.get() == 1);
   }
 
   // --- answers
 
   private RawUpstream longAnswers(AtomicLong sent, long upTo) throws Exception {
-    return it.raw(
+    return fixture.startRawUpstream(
         (host, in, out, s) -> {
-          while (host.head(in) != null) {
+          while (host.readHead(in) != null) {
             RawUpstream.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             byte[] block = new byte[32 * 1024];
             for (long n = 0; n < upTo; n += block.length) {
@@ -299,10 +313,10 @@
   void thirtyClientsThatReadNothingCostOthersNothing() throws Exception {
     byte[] block = new byte[32 * 1024];
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
               String head;
-              while ((head = host.head(in)) != null) {
+              while ((head = host.readHead(in)) != null) {
                 if (head.contains("/long")) {
                   RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
                   for (long n = 0; n < LONG; n += block.length) {
@@ -313,7 +327,7 @@
                 }
               }
             });
-    it.start(
+    fixture.start(
         LISTENER,
         """
         [class.short]
@@ -338,8 +352,8 @@
       java.util.Map<Integer, Integer> statuses = new java.util.TreeMap<>();
       int after = 0;
       for (int i = 0; after < 100; i++) { // until all of the long ones have been cut, and on
-        statuses.merge(it.status(request("GET", "/x", "short-" + i)), 1, Integer::sum);
-        after += h.ended.get() >= 30 ? 1 : 0;
+        statuses.merge(fixture.status(request("GET", "/x", "short-" + i)), 1, Integer::sum);
+        after += h.closedConnections.get() >= 30 ? 1 : 0;
         Thread.sleep(5);
       }
       assertThat(statuses).containsOnlyKeys(200);
@@ -353,28 +367,28 @@
   @Test
   void aClientThatStopsReadingHoldsItsHostAndTakesNoMemory() throws Exception {
     AtomicLong sent = new AtomicLong();
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", longAnswers(sent, LONG)), LISTS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", longAnswers(sent, LONG)), LISTS);
     try (Socket s = client()) {
       ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
       assertThat(still(sent)).isLessThan(LONG / 4);
       long[] got = new long[1];
-      assertThat(RawUpstream.chunks(in, got)).isEqualTo("X-Sum: 7\r\n");
+      assertThat(RawUpstream.readChunkedBody(in, got)).isEqualTo("X-Sum: 7\r\n");
       assertThat(got[0]).isEqualTo(LONG);
       ProxyFixture.write(s, request("GET", "/x", "again"));
-      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
     }
     ProxyFixture.await(
         () ->
-            it.raw.get(0).ended.get()
+            fixture.rawUpstreams.get(0).closedConnections.get()
                 == 1); // a client that leaves in the middle takes its attempt with it
   }
 
   @Test
   void anAnswerThatBreaksOffIsCutSoThatItsClientCanTell() throws Exception {
     AtomicLong sent = new AtomicLong();
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         RawUpstream.pool("a", "", longAnswers(sent, 1 << 20), longAnswers(sent, 1 << 20)),
@@ -382,70 +396,71 @@
     try (Socket s = client()) {
       ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawUpstream.until(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
       long[] got = new long[1];
-      org.assertj.core.api.Assertions.assertThatThrownBy(() -> RawUpstream.chunks(in, got))
+      org.assertj.core.api.Assertions.assertThatThrownBy(() -> RawUpstream.readChunkedBody(in, got))
           .isInstanceOf(java.io.IOException.class);
     }
-    assertThat(it.rawHeads()).isEqualTo(1); // it has begun: no other may answer
+    assertThat(fixture.rawRequestCount()).isEqualTo(1); // it has begun: no other may answer
   }
 
   @Test
   void aStreamWhoseTimeIsUpIsCut() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
+              host.readHead(in);
               RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nbegins");
               in.read();
             });
-    it.start(LISTENER, CLASSES.replace("20000", "400"), RawUpstream.pool("a", "", h), LISTS);
+    fixture.start(LISTENER, CLASSES.replace("20000", "400"), RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
       ProxyFixture.write(s, request("GET", "/x", "r"));
-      assertThat(RawUpstream.until(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
+      assertThat(RawUpstream.readUntil(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
       assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    ProxyFixture.await(() -> h.ended.get() == 1);
+    ProxyFixture.await(() -> h.closedConnections.get() == 1);
   }
 
   @Test
   void aDrainWaitsForAnOpenStream() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
+              host.readHead(in);
               RawUpstream.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
               go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
               RawUpstream.write(out, "2\r\ncd\r\n0\r\n\r\n");
             });
-    it.start("[daemon]\ndrain_ms = 20000", LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
+    fixture.start(
+        "[daemon]\ndrain_ms = 20000", LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
     try (Socket s = client()) {
       ProxyFixture.write(s, request("GET", "/x", "r"));
       InputStream in = s.getInputStream();
-      assertThat(RawUpstream.until(in, "ab\r\n")).contains("2\r\nab");
-      it.daemon.drain();
+      assertThat(RawUpstream.readUntil(in, "ab\r\n")).contains("2\r\nab");
+      fixture.daemon.drain();
       Thread.sleep(50);
       go.countDown();
-      assertThat(RawUpstream.until(in, "0\r\n\r\n")).isEqualTo("2\r\ncd\r\n0\r\n\r\n");
-      it.daemon.awaitEnd();
-      assertThat(it.log()).contains("drained").doesNotContain("cut short");
+      assertThat(RawUpstream.readUntil(in, "0\r\n\r\n")).isEqualTo("2\r\ncd\r\n0\r\n\r\n");
+      fixture.daemon.awaitTermination();
+      assertThat(fixture.log()).contains("drained").doesNotContain("cut short");
     }
   }
 
   @Test
   void toHttp10AnAnswerWithoutALengthIsGivenOne() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
+              host.readHead(in);
               RawUpstream.write(
                   out,
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n");
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
-    assertThat(it.ask("GET /x HTTP/1.0\r\n\r\n"))
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
+    assertThat(fixture.exchange("GET /x HTTP/1.0\r\n\r\n"))
         .startsWith("HTTP/1.1 200")
         .containsIgnoringCase("content-length: 4")
         .endsWith("abcd");
--- a/src/test/java/leadferry/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -27,23 +27,23 @@
   private static final String LISTS = route("lists", "/", "class = \"list\"\npool = \"a\"");
 
   @TempDir Path folder;
-  private DaemonFixture it;
+  private DaemonFixture fixture;
 
   @BeforeEach
   void open() {
-    it = new DaemonFixture(folder);
+    fixture = new DaemonFixture(folder);
   }
 
   @AfterEach
   void close() {
-    it.close();
+    fixture.close();
   }
 
   /** A host that gives every request, without a body, this answer. */
   private RawUpstream host(String answer) throws Exception {
-    return it.raw(
+    return fixture.startRawUpstream(
         (host, in, out, s) -> {
-          while (host.head(in) != null) {
+          while (host.readHead(in) != null) {
             RawUpstream.write(out, answer);
           }
         });
@@ -57,43 +57,44 @@
   @Test
   void anErrorThatEndsAnUnsafeRequestIsPassedOnWhole() throws Exception {
     RawUpstream h = host(ERROR);
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h, host(ERROR)), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r")))
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h, host(ERROR)), CLAIMS);
+    assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 500 ")
         .contains("X-Trace: t7")
         .endsWith("{\"error\":\"full\"}");
-    assertThat(it.rawHeads()).isEqualTo(1);
+    assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
   void theLastErrorOfASafeRequestIsPassedOnWhenItsAttemptsAreUsedUp() throws Exception {
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         RawUpstream.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)),
         LISTS);
-    assertThat(it.ask(request("GET", "/x", "r")))
+    assertThat(fixture.exchange(request("GET", "/x", "r")))
         .startsWith("HTTP/1.1 500 ")
         .endsWith("{\"error\":\"full\"}");
-    assertThat(it.rawHeads()).isEqualTo(2);
+    assertThat(fixture.rawRequestCount()).isEqualTo(2);
   }
 
   @Test
   void aServersOwn503ToWhatMayHaveRunDoesNotInviteAnotherTry() throws Exception {
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         RawUpstream.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))),
         CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r")))
+    assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .contains("{\"error\"");
   }
 
   @Test
   void whereAnOperatorDoesNotWantThemErrorsStayInside() throws Exception {
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r")))
+    fixture.start(
+        LISTENER, CLASSES, RawUpstream.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
+    assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("error");
   }
@@ -101,13 +102,13 @@
   @Test
   void anErrorWhoseBodyBreaksOffIsNotPassedOn() throws Exception {
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              host.head(in);
+              host.readHead(in);
               RawUpstream.write(out, ERROR.substring(0, ERROR.length() - 3));
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
-    assertThat(it.ask(request("POST", "/claim", "r")))
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("X-Trace");
   }
@@ -117,8 +118,8 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 16})
   void whatIsSentAheadIsAnsweredInOrderHoweverMuchItIs(int pipeline) throws Exception {
-    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(1, 4));
-    it.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
+    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(1, 4));
+    fixture.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 400; i++) {
       String body = i % 3 == 0 ? "x".repeat(i) : "";
@@ -126,22 +127,22 @@
               request("POST", "/claim", "p" + i).replace("Length: 0", "Length: " + body.length()))
           .append(body);
     }
-    try (Socket s = it.client()) {
-      RawUpstream.thread(() -> ProxyFixture.write(s, all.toString()));
+    try (Socket s = fixture.client()) {
+      RawUpstream.startThread(() -> ProxyFixture.write(s, all.toString()));
       for (int i = 0; i < 400; i++) {
         assertThat(ProxyFixture.read(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .contains("\r\n\r\np" + i + " ");
       }
     }
-    assertThat(it.ledger.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   @Test
   void aBadThirdRequestEndsThePipelineBehindTheAnswersOfTheFirstTwo() throws Exception {
-    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(20, 1));
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(20, 1));
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(
           s,
           request("POST", "/claim", "p0")
@@ -157,35 +158,35 @@
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
       assertThat(ProxyFixture.ends(s)).isTrue();
     }
-    assertThat(it.ledger.of("p3")).isEmpty();
+    assertThat(fixture.executionLog.of("p3")).isEmpty();
   }
 
   @Test
   void aClientThatLeavesItsPipelineLeavesNothingBehind() throws Exception {
-    FakeUpstream a = it.host(FakeUpstream.Options.quick("a").takes(50, 1));
-    it.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(50, 1));
+    fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(
           s,
           request("POST", "/claim", "q0")
               + request("POST", "/claim", "q1")
               + request("POST", "/claim", "q2"));
-      ProxyFixture.await(() -> it.ledger.of("q0").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.of("q0").size() == 1);
     }
     ProxyFixture.await(() -> a.connections() == 0);
-    assertThat(it.status(request("POST", "/claim", "after"))).isEqualTo(200);
-    assertThat(it.ledger.of("q2")).isEmpty();
+    assertThat(fixture.status(request("POST", "/claim", "after"))).isEqualTo(200);
+    assertThat(fixture.executionLog.of("q2")).isEmpty();
   }
 
   @Test
   void aPipelineOfOneIsNone() throws Exception {
-    FakeUpstream a = it.host("a");
-    it.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = it.client()) {
+    FakeUpstream a = fixture.startUpstream("a");
+    fixture.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
-    assertThat(it.ledger.executions()).isZero();
+    assertThat(fixture.executionLog.executions()).isZero();
   }
 
   // --- HTTP/1.0 and targets
@@ -193,8 +194,8 @@
   @Test
   void clientsOfHttp10AreServedWithAndWithoutKeepAlive() throws Exception {
     RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
-    try (Socket s = it.client()) {
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    try (Socket s = fixture.client()) {
       for (int i = 0; i < 3; i++) {
         ProxyFixture.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
         assertThat(ProxyFixture.read(s.getInputStream()))
@@ -211,7 +212,7 @@
         .containsIgnoringCase("\r\nhost: \r\n")
         .doesNotContainIgnoringCase("keep-alive");
     assertThat(h.heads.get(3)).containsIgnoringCase("\r\nhost: api.test\r\n");
-    assertThat(it.status("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
+    assertThat(fixture.status("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
         .isEqualTo(400);
   }
 
@@ -230,12 +231,12 @@
   void theHostOfAnAbsoluteTargetWins(
       String target, String host, String path, String told, int status) throws Exception {
     RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         RawUpstream.pool("a", "", h),
         "[[route]]\nname = \"b\"\nhosts = [\"b.test\"]\nprefix = \"/\"\npool = \"a\"");
-    assertThat(it.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"))
+    assertThat(fixture.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"))
         .isEqualTo(status);
     assertThat(h.heads).hasSize(status == 200 ? 1 : 0);
     if (status == 200) {
@@ -251,34 +252,35 @@
   void trailersGoBothWays() throws Exception {
     List<String> trailers = new java.util.concurrent.CopyOnWriteArrayList<>();
     RawUpstream h =
-        it.raw(
+        fixture.startRawUpstream(
             (host, in, out, s) -> {
-              while (host.head(in) != null) {
-                trailers.add(RawUpstream.chunks(in, new long[1]));
+              while (host.readHead(in) != null) {
+                trailers.add(RawUpstream.readChunkedBody(in, new long[1]));
                 RawUpstream.write(
                     out,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 7\r\nContent-Length: 9\r\n\r\n");
               }
             });
-    it.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     String head =
         request("POST", "/x", "r", "TE: trailers", "Connection: TE")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    try (Socket s = it.client()) {
+    try (Socket s = fixture.client()) {
       for (int i = 0; i < 2; i++) {
         ProxyFixture.write(s, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
         InputStream in = s.getInputStream();
-        assertThat(RawUpstream.until(in, "\r\n\r\n"))
+        assertThat(RawUpstream.readUntil(in, "\r\n\r\n"))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("transfer-encoding: chunked");
-        assertThat(RawUpstream.until(in, "\r\n\r\n")).isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
+        assertThat(RawUpstream.readUntil(in, "\r\n\r\n"))
+            .isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
       ProxyFixture.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
       assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
-    try (Socket s = it.client()) {
+    try (Socket s = fixture.client()) {
       ProxyFixture.write(
           s, "GET /x HTTP/1.0\r\n\r\n"); // answered by a host that waits for a body: not at all
       ProxyFixture.await(() -> h.heads.size() == 3);
@@ -293,21 +295,23 @@
   @Test
   void aCallerThatIsNotTrustedCannotMakeUpAnAddress() throws Exception {
     RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(
+    fixture.start(
         LISTENER,
         CLASSES,
         RawUpstream.pool("a", "", h),
         CLAIMS,
         "[[limit]]\nname = \"each\"\nby = \"address\"\nper_second = 0.001\nburst = 2");
-    assertThat(it.status(request("GET", "/x", "r", MADE_UP))).isEqualTo(200);
+    assertThat(fixture.status(request("GET", "/x", "r", MADE_UP))).isEqualTo(200);
     assertThat(h.heads.get(0))
         .doesNotContain("6.6.6.6")
         .containsIgnoringCase("x-forwarded-for: 127.0.0.1\r\n")
         .containsIgnoringCase("forwarded: for=127.0.0.1;host=\"api.test\";proto=http\r\n")
         .containsIgnoringCase("x-forwarded-host: api.test")
         .containsIgnoringCase("via: 1.1 leadferry");
-    assertThat(it.status(request("GET", "/x", "s", "X-Forwarded-For: 7.7.7.7"))).isEqualTo(200);
-    assertThat(it.status(request("GET", "/x", "t", "X-Forwarded-For: 8.8.8.8"))).isEqualTo(429);
+    assertThat(fixture.status(request("GET", "/x", "s", "X-Forwarded-For: 7.7.7.7")))
+        .isEqualTo(200);
+    assertThat(fixture.status(request("GET", "/x", "t", "X-Forwarded-For: 8.8.8.8")))
+        .isEqualTo(429);
   }
 
   @ParameterizedTest
@@ -324,21 +328,22 @@
       })
   void ofAChainTheLastThatIsNotTrustedIsTheCaller(String line, String caller) throws Exception {
     RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(
+    fixture.start(
         LISTENER + "trusted = [\"127.0.0.0/8\", \"10.0.0.0/8\"]\nforwarded = \"replace\"",
         CLASSES,
         RawUpstream.pool("a", "", h),
         CLAIMS);
-    assertThat(it.status(request("GET", "/x", "r", line))).isEqualTo(200);
+    assertThat(fixture.status(request("GET", "/x", "r", line))).isEqualTo(200);
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nx-forwarded-for: " + caller + "\r\n");
   }
 
   @Test
   void aTrustedHopIsAddedTo() throws Exception {
     RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    it.start(LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(
+        LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     assertThat(
-            it.status(
+            fixture.status(
                 request(
                     "GET",
                     "/x",
--- a/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
+++ b/src/test/java/leadferry/fuzz/HttpServerFuzzer.java
@@ -55,7 +55,7 @@
    */
   static synchronized int check(byte[] bytes, int partBytes) throws Exception {
     FuzzedDaemon fuzzedDaemon = daemon();
-    fuzzedDaemon.forget();
+    fuzzedDaemon.clearReceived();
     try (Socket socket = fuzzedDaemon.client()) {
       socket.setTcpNoDelay(true);
       try {
@@ -82,7 +82,7 @@
         // rejected while the input was still being sent
       }
     }
-    fuzzedDaemon.settle();
+    fuzzedDaemon.awaitIdle();
     List<byte[]> forwarded = List.copyOf(fuzzedDaemon.received());
     List<StrictReader.Request> expected = StrictReader.parse(bytes);
     int index = 0;
