--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -60,7 +60,7 @@
                   for (int i = 0; i < each; i++) {
                     String id = prefix + n + "-" + i;
                     ProxyFixture.write(s, request("POST", "/claim", id));
-                    String answer = ProxyFixture.read(s.getInputStream());
+                    String answer = ProxyFixture.readMessage(s.getInputStream());
                     if (answer != null
                         && answer.startsWith("HTTP/1.1 200")
                         && answer.contains("\r\n\r\n" + id)) {
@@ -240,7 +240,7 @@
       assertThat(fixture.daemon.reload()).isTrue();
       fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      assertThat(ProxyFixture.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(waits.getInputStream())).startsWith("HTTP/1.1 200");
       assertThat(fixture.executionLog.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
     }
   }
@@ -248,7 +248,7 @@
   @Test
   void aConnectionIsClosedAfterItsNumberOfRequests() throws Exception {
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host = world.new Host(h -> ProxyFixture.ok("x"));
+      ProxyFixture.UpstreamHost host = world.new UpstreamHost(h -> ProxyFixture.ok("x"));
       fixture.start(
           LISTENER,
           CLASSES,
@@ -259,7 +259,7 @@
       for (int i = 0; i < 7; i++) {
         assertThat(fixture.status(request("POST", "/claim", "r" + i))).isEqualTo(200);
       }
-      assertThat(host.connections()).isEqualTo(3);
+      assertThat(host.acceptedConnections()).isEqualTo(3);
     }
   }
 
@@ -267,8 +267,8 @@
   void onlyAHostThatWasSeenToSendSurplusRests() throws Exception {
     AtomicBoolean spoils = new AtomicBoolean();
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
-          world.new Host(h -> ProxyFixture.ok("x") + (spoils.get() ? "noise" : ""));
+      ProxyFixture.UpstreamHost host =
+          world.new UpstreamHost(h -> ProxyFixture.ok("x") + (spoils.get() ? "noise" : ""));
       fixture.start(
           LISTENER,
           CLASSES,
@@ -276,13 +276,13 @@
           CLAIMS);
       try (Socket s = fixture.client()) {
         ask(s, "calm", 50);
-        assertThat(host.reusedAtOnce()).isPositive();
+        assertThat(host.immediateReuses()).isPositive();
         spoils.set(true);
         ask(s, "spoilt", 1);
         spoils.set(false);
-        int before = host.reusedAtOnce();
+        int before = host.immediateReuses();
         ask(s, "after", 50);
-        assertThat(host.reusedAtOnce()).isEqualTo(before);
+        assertThat(host.immediateReuses()).isEqualTo(before);
       }
     }
   }
@@ -290,7 +290,7 @@
   private static void ask(Socket s, String prefix, int times) throws Exception {
     for (int i = 0; i < times; i++) {
       ProxyFixture.write(s, request("POST", "/claim", prefix + i));
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .endsWith("\r\n\r\nx");
     }
@@ -325,7 +325,7 @@
       for (int i = 0; i < 2; i++) {
         Thread.sleep(1_000);
         ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
       }
     }
   }
--- a/src/test/java/leadferry/daemon/DaemonFixture.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -111,8 +111,8 @@
 
   static Socket client(InetSocketAddress to) throws IOException {
     Socket s = new Socket();
-    s.connect(to, ProxyFixture.PATIENCE_MS);
-    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
+    s.connect(to, ProxyFixture.TIMEOUT_MILLIS);
+    s.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
     return s;
   }
 
@@ -133,7 +133,7 @@
   String exchange(String request) throws IOException {
     try (Socket s = client()) {
       ProxyFixture.write(s, request);
-      return ProxyFixture.read(s.getInputStream());
+      return ProxyFixture.readMessage(s.getInputStream());
     }
   }
 
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -122,7 +122,9 @@
           route("else", "/else", "class = \"claim\"\npool = \"b\""));
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(fixture.status(request("POST", "/claim", "late"))).isEqualTo(404);
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("out");
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .contains("out");
     }
     ProxyFixture.await(() -> slow.connections() == 0); // the pool that went has let go
     assertThat(fixture.executionLog.of("out")).hasSize(1);
@@ -136,7 +138,7 @@
     try (Socket s = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
         fixture.write(
             LISTENER,
             CLASSES,
@@ -182,10 +184,10 @@
       ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
       fixture.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .containsIgnoringCase("connection: close");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     assertThat(fixture.daemon.address("second")).isNull();
   }
@@ -225,7 +227,7 @@
     fixture.daemon.drain();
     reloads.join();
     for (Socket s : clients) {
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
       s.close();
     }
     fixture.daemon.awaitTermination();
@@ -352,7 +354,7 @@
     ProxyFixture.await(() -> quietly(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
     assertThat(fixture.executionLog.of("past")).isEmpty();
     for (Socket s : inside) {
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 50"); // their one answer
       s.close();
     }
@@ -435,9 +437,9 @@
   void whereTheListenerResolvesPathsTheHostIsSentWhatWasMatched() throws Exception {
     List<String> seen = new java.util.concurrent.CopyOnWriteArrayList<>();
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           world
-          .new Host(
+          .new UpstreamHost(
               h -> {
                 seen.add(h.split(" ")[1]);
                 return ProxyFixture.ok("x");
@@ -457,9 +459,9 @@
   void aRouteRewritesItsPrefixAndHeaders() throws Exception {
     List<String> heads = new java.util.concurrent.CopyOnWriteArrayList<>();
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           world
-          .new Host(
+          .new UpstreamHost(
               h -> {
                 heads.add(h);
                 return ProxyFixture.ok("x");
@@ -634,7 +636,7 @@
       }
       ProxyFixture.write(stays, request("POST", "/c", "stays"));
       release.countDown();
-      assertThat(ProxyFixture.read(stays.getInputStream())).contains("stays");
+      assertThat(ProxyFixture.readMessage(stays.getInputStream())).contains("stays");
     }
     assertThat(a.served()).isEqualTo(2);
   }
@@ -662,7 +664,7 @@
         assertThat(head).startsWith("HTTP/1.1 200").containsIgnoringCase("content-length: 64");
       }
       ProxyFixture.write(s, request("GET", "/x", "g"));
-      assertThat(ProxyFixture.read(s.getInputStream())).contains("\r\n\r\ng ");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).contains("\r\n\r\ng ");
     }
   }
 
@@ -677,9 +679,9 @@
   @Test
   void answersBelow500ArePassedOnAsTheyAre() throws Exception {
     try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           world
-          .new Host(
+          .new UpstreamHost(
               h ->
                   h.contains("/none")
                       ? "HTTP/1.1 204 No Content\r\n\r\n"
--- a/src/test/java/leadferry/daemon/HeadersTest.java
+++ b/src/test/java/leadferry/daemon/HeadersTest.java
@@ -45,9 +45,9 @@
   void open() throws Exception {
     fixture = new DaemonFixture(folder);
     world = new ProxyFixture(folder, 128);
-    ProxyFixture.Host host =
+    ProxyFixture.UpstreamHost host =
         world
-        .new Host(
+        .new UpstreamHost(
             h -> {
               heads.add(h);
               return ProxyFixture.ok("x");
@@ -77,10 +77,10 @@
   void everyHeaderThatIsJudgedReachesTheHostAsItWasJudged() throws Exception {
     try (Socket client = fixture.client()) {
       ProxyFixture.write(client, judged("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
-      assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 100");
+      assertThat(ProxyFixture.readMessage(client.getInputStream())).startsWith("HTTP/1.1 100");
       // A client that leaves behind the interim response is gone: its request need not be
       // forwarded.
-      assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(client.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(heads).hasSize(1);
     String head = heads.get(0).toLowerCase(Locale.ROOT);
@@ -198,9 +198,9 @@
       for (byte b : bytes) {
         s.getOutputStream().write(b);
       }
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
       ProxyFixture.write(s, request("GET", "/x", "again"));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
   }
 
--- a/src/test/java/leadferry/daemon/RecordedStateFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedStateFileTest.java
@@ -52,7 +52,7 @@
       startDaemon();
       Operator operator =
           new Operator("roster", List.of(new InetSocketAddress("127.0.0.1", replicaPort)));
-      operator.change(budgets(), "b1", 0, ProxyFixture.PATIENCE_MS);
+      operator.change(budgets(), "b1", 0, ProxyFixture.TIMEOUT_MILLIS);
       drain(operator, "host", "h1");
       ProxyFixture.await(() -> written().contains("\"hosts_out\":[\"h1\"]"));
       RecordedText.assertSame("state-file/host-drained.json", written());
@@ -106,7 +106,8 @@
   }
 
   private String member(String name) throws IOException {
-    ProxyFixture.Host host = hosts.new Host(head -> ProxyFixture.ok("host " + name));
+    ProxyFixture.UpstreamHost host =
+        hosts.new UpstreamHost(head -> ProxyFixture.ok("host " + name));
     return "[[pool.a.member]]\nid = \"" + name + "\"\naddress = \"" + host.address() + "\"";
   }
 
@@ -153,7 +154,8 @@
             .put("runs", "-")
             .put("digest", "none");
     join.putArray("hosts");
-    JsonNode session = operator.change(join, "join", 0, ProxyFixture.PATIENCE_MS).path("session");
+    JsonNode session =
+        operator.change(join, "join", 0, ProxyFixture.TIMEOUT_MILLIS).path("session");
     ObjectNode tell =
         Operator.entry("tell")
             .put("name", "p2")
@@ -161,7 +163,7 @@
             .put("number", 1)
             .put("seen", Integer.MAX_VALUE)
             .put("serving", true);
-    operator.change(tell, "tell", 0, ProxyFixture.PATIENCE_MS);
+    operator.change(tell, "tell", 0, ProxyFixture.TIMEOUT_MILLIS);
   }
 
   /** Asks until it is granted: the fleet first has to know the daemon. */
@@ -171,7 +173,7 @@
         () -> {
           ObjectNode entry = Operator.entry("drain").put("kind", type).put("name", name);
           String call = "drain-" + System.nanoTime();
-          JsonNode answer = operator.change(entry, call, 0, ProxyFixture.PATIENCE_MS);
+          JsonNode answer = operator.change(entry, call, 0, ProxyFixture.TIMEOUT_MILLIS);
           return answer != null && answer.path("status").asText().equals("granted");
         });
   }
--- a/src/test/java/leadferry/daemon/StreamingTest.java
+++ b/src/test/java/leadferry/daemon/StreamingTest.java
@@ -60,8 +60,9 @@
     s.setReceiveBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
     s.setSendBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
     s.connect(
-        new InetSocketAddress("127.0.0.1", fixture.address().getPort()), ProxyFixture.PATIENCE_MS);
-    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
+        new InetSocketAddress("127.0.0.1", fixture.address().getPort()),
+        ProxyFixture.TIMEOUT_MILLIS);
+    s.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
     return s;
   }
 
@@ -95,7 +96,7 @@
         fixture.startRawUpstream(
             (host, in, out, s) -> {
               while (host.readHead(in) != null) {
-                reads.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                reads.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 if (chunked) {
                   long[] n = new long[1];
                   RawUpstream.readChunkedBody(in, n);
@@ -134,7 +135,9 @@
           () -> h.heads.size() == 1); // the host has the head while the body still comes
       assertThat(still(sent)).isLessThan(LONG / 4);
       reads.countDown();
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .endsWith("ok");
       assertThat(got).hasValue(LONG);
     }
   }
@@ -162,7 +165,7 @@
         Thread.sleep(80); // what the test is about: time in which the host has nothing to answer
         ProxyFixture.write(s, "x".repeat(20_000));
       }
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
@@ -187,7 +190,7 @@
     try (Socket s = client()) {
       ProxyFixture.write(
           s, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     ProxyFixture.await(() -> h.closedConnections.get() == h.heads.size());
   }
@@ -205,11 +208,11 @@
     fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 1000000") + "begins");
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 500")
           .containsIgnoringCase("connection: close")
           .endsWith("full");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     assertThat(h.heads).hasSize(1);
   }
@@ -261,7 +264,7 @@
         CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 502");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
@@ -277,8 +280,8 @@
     fixture.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
     try (Socket s = client()) {
       ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     ProxyFixture.await(() -> h.closedConnections.get() == 1);
   }
@@ -417,7 +420,7 @@
     try (Socket s = client()) {
       ProxyFixture.write(s, request("GET", "/x", "r"));
       assertThat(RawUpstream.readUntil(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     ProxyFixture.await(() -> h.closedConnections.get() == 1);
   }
@@ -431,7 +434,7 @@
               host.readHead(in);
               RawUpstream.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
-              go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+              go.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               RawUpstream.write(out, "2\r\ncd\r\n0\r\n\r\n");
             });
     fixture.start(
--- a/src/test/java/leadferry/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -130,7 +130,7 @@
     try (Socket s = fixture.client()) {
       RawUpstream.startThread(() -> ProxyFixture.write(s, all.toString()));
       for (int i = 0; i < 400; i++) {
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        assertThat(ProxyFixture.readMessage(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .contains("\r\n\r\np" + i + " ");
       }
@@ -149,14 +149,14 @@
               + request("POST", "/claim", "p1")
               + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n"
               + request("POST", "/claim", "p3"));
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np0 ");
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np1 ");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     assertThat(fixture.executionLog.of("p3")).isEmpty();
   }
@@ -184,7 +184,7 @@
     fixture.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(fixture.executionLog.executions()).isZero();
   }
@@ -198,14 +198,16 @@
     try (Socket s = fixture.client()) {
       for (int i = 0; i < 3; i++) {
         ProxyFixture.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        assertThat(ProxyFixture.readMessage(s.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("connection: keep-alive")
             .endsWith("ok");
       }
       ProxyFixture.write(s, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.readMessage(s.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .endsWith("ok");
+      assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
     assertThat(h.heads.get(0))
         .startsWith("GET /x HTTP/1.1\r\n")
@@ -276,7 +278,7 @@
             .isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
       ProxyFixture.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
     assertThat(h.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
