--- a/src/main/java/leadferry/cli/DemoCommand.java
+++ b/src/main/java/leadferry/cli/DemoCommand.java
@@ -88,8 +88,8 @@
                       daemon.address("main"), rate, 0, seconds, 512, 1, kinds, "demo-"),
                   done::add)) {
         load.start();
-        Progress progress = new Progress();
-        Thread shown = progress.show(() -> load.over() + " requests over");
+        ProgressLine progress = new ProgressLine();
+        Thread shown = progress.start(() -> load.over() + " requests over");
         pause(0.33);
         hosts.get(2).misbehave(FakeUpstream.Fault.SILENT, 1);
         pause(0.17);
@@ -100,7 +100,7 @@
         boolean reloaded = daemon.reload();
         long drainedAt = System.nanoTime();
         load.await();
-        progress.end(shown);
+        progress.stop(shown);
         return tell(load, reloaded, drainedAt);
       }
     } catch (ConfigurationException e) {
--- a/src/main/java/leadferry/cli/LoadCommand.java
+++ b/src/main/java/leadferry/cli/LoadCommand.java
@@ -109,11 +109,11 @@
             "load-" + Long.toHexString(System.nanoTime()) + "-");
     try (LoadGenerator load = new LoadGenerator(plan, null)) {
       load.start();
-      Progress progress = new Progress();
+      ProgressLine progress = new ProgressLine();
       Thread shown =
-          progress.show(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
+          progress.start(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
       load.await();
-      progress.end(shown);
+      progress.stop(shown);
       Map<String, Object> result = result(load);
       if (json) {
         System.out.println(new ObjectMapper().writeValueAsString(result));
--- a/src/main/java/leadferry/cli/OverloadTestCommand.java
+++ b/src/main/java/leadferry/cli/OverloadTestCommand.java
@@ -137,7 +137,7 @@
         System.err.println("the proxy does not listen: " + Files.readString(folder.resolve("log")));
         return 1;
       }
-      return play(proxy, startSeconds, launcher.path());
+      return play(proxy, startSeconds, launcher.requestPath());
     } finally {
       Files.deleteIfExists(folder.resolve("config"));
       Files.deleteIfExists(folder.resolve("log"));
@@ -182,13 +182,13 @@
       Thread sampling = new Thread(() -> sample(proxy, samples), "samples");
       sampling.setDaemon(true);
       sampling.start();
-      Progress progress = new Progress();
+      ProgressLine progress = new ProgressLine();
       Thread shown =
-          progress.show(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
+          progress.start(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
       test.run();
       sampling.interrupt();
       sampling.join();
-      progress.end(shown);
+      progress.stop(shown);
       OverloadTimeline timeline = test.timeline();
       print(result(timeline, startSeconds, restartSeconds[0]), timeline, samples);
       return Double.isNaN(timeline.recoveredAfter()) ? 1 : 0;
