--- a/src/main/java/leadferry/cli/LoadCommand.java
+++ b/src/main/java/leadferry/cli/LoadCommand.java
@@ -95,8 +95,9 @@
     }
     StringBuilder lines = new StringBuilder();
     headers.forEach(h -> lines.append(h).append("\r\n"));
-    LoadGenerator.Kind kind =
-        new LoadGenerator.Kind("all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
+    LoadGenerator.RequestKind kind =
+        new LoadGenerator.RequestKind(
+            "all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
     LoadGenerator.Plan plan =
         new LoadGenerator.Plan(
             to,
@@ -111,7 +112,8 @@
       load.start();
       ProgressLine progress = new ProgressLine();
       Thread shown =
-          progress.start(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
+          progress.start(
+              () -> load.completed() + " of " + (long) (rate * (warmUp + seconds)) + " over");
       load.await();
       progress.stop(shown);
       Map<String, Object> result = result(load);
--- a/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
+++ b/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
@@ -95,7 +95,7 @@
     return """
         {"id":"%s","addr":"%s","zone":"","kind":"","cell":1,"state":"up",
          "weight":1.0,"started_ms":0}"""
-        .formatted(upstream.name(), upstream.place());
+        .formatted(upstream.name(), upstream.hostAndPort());
   }
 
   private String operatorFile(int port, List<FakeUpstream> upstreams) {
@@ -131,6 +131,6 @@
         id = "%s"
         address = "%s"
         """
-        .formatted(upstream.name(), upstream.place());
+        .formatted(upstream.name(), upstream.hostAndPort());
   }
 }
--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -81,13 +81,14 @@
     }
     assertThat(wrong).isEmpty();
     assertThat(served).hasValue(clients * each);
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"1, 1", "4, 1", "4, 3"})
   void aCrowdBeforeASlowHostNeverHoldsMoreThanItsBound(int workers, int most) throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(2, 1));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(2, 1));
     fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
@@ -95,12 +96,13 @@
         pool("a", "max_connections = " + most, slow),
         CLAIMS);
     crowd(64, 4, "c");
-    assertThat(slow.mostConnections()).isLessThanOrEqualTo(most);
+    assertThat(slow.maxConcurrentConnections()).isLessThanOrEqualTo(most);
   }
 
   @Test
   void aBoundThatIsLoweredUnderLoadHoldsAsSoonAsAnswersHaveGone() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(5, 8));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(5, 8));
     fixture.start(
         "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 8", slow), CLAIMS);
     Thread load = new Thread(() -> quietly(() -> crowd(32, 40, "d")));
@@ -115,8 +117,8 @@
       Thread.sleep(5);
     }
     assertThat(failure.get()).isFalse();
-    assertThat(slow.mostConnections()).isLessThanOrEqualTo(8);
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(slow.maxConcurrentConnections()).isLessThanOrEqualTo(8);
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   private final AtomicBoolean failure = new AtomicBoolean();
@@ -137,8 +139,8 @@
   void whereNothingMayWaitARequestGoesToAnotherHostOrIsRefusedUnsent() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     FakeUpstream b = fixture.startUpstream("b");
-    a.misbehave(Fault.SILENT, 1);
-    b.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
+    b.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
     List<Socket> out = new ArrayList<>();
@@ -147,12 +149,12 @@
       ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       out.add(s);
       int n = i + 1;
-      ProxyFixture.await(() -> fixture.executionLog.executions() == n);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == n);
     }
-    assertThat(fixture.executionLog.of("in0").get(0).host())
-        .isNotEqualTo(fixture.executionLog.of("in1").get(0).host());
+    assertThat(fixture.executionLog.executionsOf("in0").get(0).upstream())
+        .isNotEqualTo(fixture.executionLog.executionsOf("in1").get(0).upstream());
     assertThat(fixture.status(request("POST", "/claim", "past"))).isEqualTo(503);
-    assertThat(fixture.executionLog.of("past")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("past")).isEmpty();
     for (Socket s : out) {
       s.close();
     }
@@ -161,7 +163,7 @@
   @Test
   void whatWaitsForAConnectionWhenItsTimeIsUpIsRefusedAndNeverRan() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER,
         PATIENT,
@@ -171,11 +173,11 @@
         route("short", "/short", "class = \"short\"\npool = \"a\""));
     try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       assertThat(fixture.status(request("POST", "/short", "waits"))).isEqualTo(503);
     }
-    assertThat(fixture.executionLog.of("waits")).isEmpty();
-    a.misbehave(Fault.NONE, 0);
+    assertThat(fixture.executionLog.executionsOf("waits")).isEmpty();
+    a.setFault(Fault.NONE, 0);
     ProxyFixture.await(() -> quietly200("after"));
   }
 
@@ -189,7 +191,7 @@
         NativeTransport.EPOLL.unavailabilityCause() == null,
         "the JDK's sockets can't be asked without losing a byte");
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"epoll\"",
         LISTENER,
@@ -198,7 +200,7 @@
         CLAIMS);
     try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       for (boolean reset : new boolean[] {false, true}) {
         try (Socket leaver = fixture.client()) {
           ProxyFixture.write(
@@ -209,12 +211,12 @@
           leaver.setSoLinger(reset, 0);
         }
       }
-      a.misbehave(Fault.NONE, 0);
+      a.setFault(Fault.NONE, 0);
     }
     ProxyFixture.await(() -> quietly200("after"));
-    assertThat(fixture.executionLog.of("waitsfalse")).isEmpty();
-    assertThat(fixture.executionLog.of("waitstrue")).isEmpty();
-    assertThat(fixture.executionLog.of("aheadfalse")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("waitsfalse")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("waitstrue")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("aheadfalse")).isEmpty();
   }
 
   private boolean quietly200(String id) {
@@ -228,12 +230,12 @@
   @Test
   void aHostThatLeavesGivesItsWaitingRequestsToAnother() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(LISTENER, PATIENT, pool("a", "max_connections = 1", a), CLAIMS);
     try (Socket s = fixture.client();
         Socket waits = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       ProxyFixture.write(waits, request("POST", "/claim", "waits"));
       FakeUpstream b = fixture.startUpstream("b");
       fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", a, b), CLAIMS);
@@ -241,7 +243,9 @@
       fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(ProxyFixture.readMessage(waits.getInputStream())).startsWith("HTTP/1.1 200");
-      assertThat(fixture.executionLog.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
+      assertThat(fixture.executionLog.executionsOf("waits"))
+          .allMatch(e -> e.upstream().equals("b"))
+          .hasSize(1);
     }
   }
 
@@ -307,7 +311,7 @@
         pool("a", "max_connections = 4", a),
         CLAIMS);
     crowd(8, 20, transport);
-    assertThat(a.mostConnections()).isLessThanOrEqualTo(4);
+    assertThat(a.maxConcurrentConnections()).isLessThanOrEqualTo(4);
   }
 
   /** Its time counts from its last byte, not from when its connection was let in. */
--- a/src/test/java/leadferry/daemon/DaemonFixture.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -30,7 +30,7 @@
   }
 
   FakeUpstream startUpstream(String name) {
-    return startUpstream(FakeUpstream.Options.quick(name));
+    return startUpstream(FakeUpstream.Options.instant(name));
   }
 
   FakeUpstream startUpstream(FakeUpstream.Options options) {
@@ -60,7 +60,7 @@
           .append(".member]]\nid = \"")
           .append(h.name())
           .append("\"\naddress = \"")
-          .append(h.place())
+          .append(h.hostAndPort())
           .append("\"\npod = \"")
           .append(h.pod())
           .append("\"\n");
@@ -146,7 +146,7 @@
     return answer == null ? 0 : Integer.parseInt(answer.split(" ")[1]);
   }
 
-  LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.Kind> kinds) {
+  LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.RequestKind> kinds) {
     return new LoadGenerator(
         new LoadGenerator.Plan(address(), rate, 0, seconds, 128, 1, kinds, "load-"), null);
   }
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -36,8 +36,8 @@
 /** The daemon between clients and hosts that misbehave, and under files that change. */
 class DaemonTest {
   private static final String CLAIMS = route("claims", "/", "class = \"claim\"\npool = \"a\"");
-  private static final LoadGenerator.Kind CLAIM =
-      new LoadGenerator.Kind("claim", 1, "POST", "/claim", "", 100, 3_000);
+  private static final LoadGenerator.RequestKind CLAIM =
+      new LoadGenerator.RequestKind("claim", 1, "POST", "/claim", "", 100, 3_000);
 
   @TempDir Path folder;
   private DaemonFixture fixture;
@@ -102,18 +102,19 @@
       assertThat(load.count(Outcome.SERVED)).isGreaterThan(load.sent() * 95 / 100);
     }
     assertThat(fixture.daemon.version()).isEqualTo(1 + taken);
-    assertThat(never.lastArrival()).isZero();
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(never.lastArrivalNanos()).isZero();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
     assertThat(fixture.log()).contains("not taken: ");
   }
 
   @Test
   void aRequestEndsUnderTheVersionThatTookIt() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(400, 1));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(400, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     try (Socket s = fixture.client()) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("out").size() == 1);
       FakeUpstream other = fixture.startUpstream("other");
       fixture.write(
           LISTENER,
@@ -127,8 +128,8 @@
           .contains("out");
     }
     ProxyFixture.await(() -> slow.connections() == 0); // the pool that went has let go
-    assertThat(fixture.executionLog.of("out")).hasSize(1);
-    assertThat(fixture.executionLog.of("late")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("out")).hasSize(1);
+    assertThat(fixture.executionLog.executionsOf("late")).isEmpty();
   }
 
   @Test
@@ -148,7 +149,7 @@
         assertThat(fixture.daemon.reload()).isTrue();
         Thread.sleep(20); // longer than a connection rests after an answer
       }
-      assertThat(a.mostConnections()).isEqualTo(1);
+      assertThat(a.maxConcurrentConnections()).isEqualTo(1);
     }
   }
 
@@ -176,12 +177,13 @@
 
   @Test
   void aListenerThatGoesAnswersWhatItHasTakenAndAskedClientsLeave() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(300, 2));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(300, 2));
     String second = "[listener.second]\naddress = \"127.0.0.1:0\"\n";
     fixture.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
     try (Socket s = DaemonFixture.client(fixture.daemon.address("second"))) {
       ProxyFixture.write(s, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("out").size() == 1);
       fixture.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(ProxyFixture.readMessage(s.getInputStream()))
@@ -199,7 +201,7 @@
     fixture.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
     assertThat(fixture.daemon.reload()).isTrue();
     assertThat(fixture.status(request("POST", "/claim", "r1"))).isEqualTo(503);
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
     fixture.write(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.daemon.reload()).isTrue();
     assertThat(fixture.status(request("POST", "/claim", "r2"))).isEqualTo(200);
@@ -207,7 +209,8 @@
 
   @Test
   void aDrainDuringReloadsAnswersAllThatWasTaken() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(150, 50));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(150, 50));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -215,7 +218,7 @@
       ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 20);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 20);
     Thread reloads =
         new Thread(
             () -> {
@@ -232,7 +235,7 @@
     }
     fixture.daemon.awaitTermination();
     assertThat(fixture.daemon.reload()).isFalse(); // nothing comes back to life
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   // --- limits
@@ -240,7 +243,7 @@
   @Test
   void aLimitThatIsLoweredCountsWhatIsInFlight() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
-    silent.misbehave(Fault.SILENT, 1);
+    silent.setFault(Fault.SILENT, 1);
     String limit = "[[limit]]\nname = \"l\"\nconcurrency = ";
     fixture.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
     List<Socket> clients = new ArrayList<>();
@@ -249,16 +252,16 @@
       ProxyFixture.write(s, request("POST", "/claim", "r" + i));
       clients.add(s);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 5);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 5);
     fixture.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
     assertThat(fixture.daemon.reload()).isTrue();
     String refused = fixture.exchange(request("POST", "/claim", "over"));
     assertThat(refused).startsWith("HTTP/1.1 429").containsIgnoringCase("retry-after: 1\r\n");
-    assertThat(fixture.executionLog.of("over")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("over")).isEmpty();
     for (int i = 0; i < 3; i++) {
       clients.get(i).close();
     }
-    silent.misbehave(Fault.NONE, 0);
+    silent.setFault(Fault.NONE, 0);
     ProxyFixture.await(
         () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
     for (Socket s : clients) {
@@ -269,7 +272,7 @@
   @Test
   void aHotTenantLeavesRoomForQuietOnes() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
-    silent.misbehave(Fault.SILENT, 1);
+    silent.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER,
         CLASSES,
@@ -283,7 +286,7 @@
       clients.add(s);
       ProxyFixture.write(s, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() >= 16);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() >= 16);
     List<String> quiet = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       Socket s = fixture.client();
@@ -293,8 +296,8 @@
       quiet.add(id);
     }
     ProxyFixture.await(
-        () -> quiet.stream().allMatch(id -> fixture.executionLog.of(id).size() == 1));
-    assertThat(fixture.executionLog.executions()).isLessThanOrEqualTo(20);
+        () -> quiet.stream().allMatch(id -> fixture.executionLog.executionsOf(id).size() == 1));
+    assertThat(fixture.executionLog.executionCount()).isLessThanOrEqualTo(20);
     for (Socket s : clients) {
       s.close();
     }
@@ -304,7 +307,7 @@
   @ValueSource(ints = {1, 2, 4})
   void clientsThatGoMidRequestLeaveNothingBehindOnAnyWorker(int workers) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
@@ -323,13 +326,13 @@
             s, i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
       }
       int expected = 8 * (round + 1);
-      ProxyFixture.await(() -> fixture.executionLog.executions() == expected);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == expected);
       for (Socket s : clients) {
         s.close();
       }
       ProxyFixture.await(() -> a.connections() == 0); // their attempts were given up
     }
-    a.misbehave(Fault.NONE, 0);
+    a.setFault(Fault.NONE, 0);
     for (int i = 0; i < 16; i++) {
       int n = i;
       ProxyFixture.await(
@@ -340,7 +343,7 @@
   @Test
   void aCrowdPastTheBoundIsClosedAndLeavesThoseInsideAlone() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     // 64 descriptors are 12 for clients: 40 are kept back, the rest is halved. One is for the
     // newcomer.
     fixture.start("[daemon]\ndescriptors = 64", LISTENER, CLASSES, pool("a", "", a), CLAIMS);
@@ -350,15 +353,15 @@
       ProxyFixture.write(s, request("POST", "/claim", "in" + i));
       inside.add(s);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 11);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 11);
     ProxyFixture.await(() -> quietly(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
-    assertThat(fixture.executionLog.of("past")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("past")).isEmpty();
     for (Socket s : inside) {
       assertThat(ProxyFixture.readMessage(s.getInputStream()))
           .startsWith("HTTP/1.1 50"); // their one answer
       s.close();
     }
-    a.misbehave(Fault.NONE, 0);
+    a.setFault(Fault.NONE, 0);
     ProxyFixture.await(
         () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
   }
@@ -414,7 +417,7 @@
         route("admin", "/admin", "pool = \"b\""),
         route("rest", "/", "pool = \"a\""));
     assertThat(fixture.status(request("GET", path, "r"))).isEqualTo(400);
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
     assertThat(fixture.log()).contains("outcome=turned-away status=400");
   }
 
@@ -502,7 +505,7 @@
       for (int i = 0; i < 3; i++) {
         String id = "k" + key + "-" + i;
         assertThat(fixture.status(request("GET", "/x", id, "X-Carer: carer" + key))).isEqualTo(200);
-        servers.add(fixture.executionLog.of(id).get(0).host());
+        servers.add(fixture.executionLog.executionsOf(id).get(0).upstream());
       }
       assertThat(servers).hasSize(1);
     }
@@ -521,7 +524,7 @@
       String type, Fault fault, int status, int runsAtNext) throws Exception {
     FakeUpstream first = fixture.startUpstream("first");
     FakeUpstream next = fixture.startUpstream("next");
-    first.misbehave(fault, 1);
+    first.setFault(fault, 1);
     fixture.start(
         LISTENER,
         CLASSES,
@@ -529,7 +532,9 @@
         pool("b", "", next),
         route("r", "/", "class = \"" + type + "\"\npool = \"a\"\nfallback = [\"b\"]"));
     assertThat(fixture.status(request("POST", "/x", "r"))).isEqualTo(status);
-    assertThat(fixture.executionLog.of("r").stream().filter(e -> e.host().equals("next")))
+    assertThat(
+            fixture.executionLog.executionsOf("r").stream()
+                .filter(e -> e.upstream().equals("next")))
         .hasSize(runsAtNext);
   }
 
@@ -537,7 +542,7 @@
   void aKeyedRequestThatMayHaveRunStaysInItsPool() throws Exception {
     FakeUpstream first = fixture.startUpstream("first");
     FakeUpstream next = fixture.startUpstream("next");
-    first.misbehave(Fault.RESET_AFTER, 1);
+    first.setFault(Fault.RESET_AFTER, 1);
     fixture.start(
         LISTENER,
         "[class.log]\nrepeat = \"keyed\"\nscope = \"all\"\nwindow_ms = 2000\ndeadline_ms = 3000",
@@ -545,10 +550,12 @@
         pool("b", "", next),
         route("r", "/", "class = \"log\"\npool = \"a\"\nfallback = [\"b\"]"));
     fixture.status(request("POST", "/x", "r", "Idempotency-Key: k"));
-    assertThat(fixture.executionLog.of("r")).isNotEmpty().allMatch(e -> e.host().equals("first"));
+    assertThat(fixture.executionLog.executionsOf("r"))
+        .isNotEmpty()
+        .allMatch(e -> e.upstream().equals("first"));
     assertThat(fixture.status(request("POST", "/x", "s")))
         .isEqualTo(400); // no key tells its repeats
-    assertThat(fixture.executionLog.of("s")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("s")).isEmpty();
   }
 
   @Test
@@ -557,18 +564,18 @@
       fixture.startUpstream("a"), fixture.startUpstream("b"), fixture.startUpstream("c")
     };
     for (FakeUpstream h : hosts) {
-      h.misbehave(Fault.TURN_AWAY, 1);
+      h.setFault(Fault.TURN_AWAY, 1);
     }
     String route = route("r", "/", "class = \"list\"\npool = \"a\"");
     fixture.start(LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", hosts), route);
     assertThat(fixture.status(request("GET", "/x", "r"))).isEqualTo(503);
-    long asked = java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > 0).count();
+    long asked = java.util.Arrays.stream(hosts).filter(h -> h.lastArrivalNanos() > 0).count();
     assertThat(asked).isEqualTo(1);
     fixture.daemon.close();
     long before = System.nanoTime();
     fixture.start(LISTENER, CLASSES, pool("a", "", hosts), route);
     assertThat(fixture.status(request("GET", "/x", "s"))).isEqualTo(503);
-    assertThat(java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > before).count())
+    assertThat(java.util.Arrays.stream(hosts).filter(h -> h.lastArrivalNanos() > before).count())
         .isGreaterThan(1);
   }
 
@@ -593,7 +600,7 @@
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.status(bytes)).isBetween(400, 505);
-    assertThat(a.lastArrival()).isZero();
+    assertThat(a.lastArrivalNanos()).isZero();
     assertThat(fixture.status(request("POST", "/claim", "good"))).isEqualTo(200);
   }
 
@@ -607,7 +614,7 @@
         request("POST", "/c", "s").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     assertThat(fixture.status(chunked + "65\r\n" + "x".repeat(101) + "\r\n0\r\n\r\n"))
         .isEqualTo(413);
-    assertThat(a.lastArrival()).isZero();
+    assertThat(a.lastArrivalNanos()).isZero();
     assertThat(fixture.status(sized.replace("101", "100").replace(": r", ": t") + "x".repeat(100)))
         .isEqualTo(200);
   }
--- a/src/test/java/leadferry/daemon/RecordedStateFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedStateFileTest.java
@@ -52,7 +52,7 @@
       startDaemon();
       Operator operator =
           new Operator("roster", List.of(new InetSocketAddress("127.0.0.1", replicaPort)));
-      operator.change(budgets(), "b1", 0, ProxyFixture.TIMEOUT_MILLIS);
+      operator.submit(budgets(), "b1", 0, ProxyFixture.TIMEOUT_MILLIS);
       drain(operator, "host", "h1");
       ProxyFixture.await(() -> written().contains("\"hosts_out\":[\"h1\"]"));
       RecordedText.assertSame("state-file/host-drained.json", written());
@@ -155,7 +155,7 @@
             .put("digest", "none");
     join.putArray("hosts");
     JsonNode session =
-        operator.change(join, "join", 0, ProxyFixture.TIMEOUT_MILLIS).path("session");
+        operator.submit(join, "join", 0, ProxyFixture.TIMEOUT_MILLIS).path("session");
     ObjectNode tell =
         Operator.entry("tell")
             .put("name", "p2")
@@ -163,7 +163,7 @@
             .put("number", 1)
             .put("seen", Integer.MAX_VALUE)
             .put("serving", true);
-    operator.change(tell, "tell", 0, ProxyFixture.TIMEOUT_MILLIS);
+    operator.submit(tell, "tell", 0, ProxyFixture.TIMEOUT_MILLIS);
   }
 
   /** Asks until it is granted: the fleet first has to know the daemon. */
@@ -173,7 +173,7 @@
         () -> {
           ObjectNode entry = Operator.entry("drain").put("kind", type).put("name", name);
           String call = "drain-" + System.nanoTime();
-          JsonNode answer = operator.change(entry, call, 0, ProxyFixture.TIMEOUT_MILLIS);
+          JsonNode answer = operator.submit(entry, call, 0, ProxyFixture.TIMEOUT_MILLIS);
           return answer != null && answer.path("status").asText().equals("granted");
         });
   }
--- a/src/test/java/leadferry/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -118,7 +118,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 16})
   void whatIsSentAheadIsAnsweredInOrderHoweverMuchItIs(int pipeline) throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(1, 4));
+    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(1, 4));
     fixture.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 400; i++) {
@@ -135,12 +135,13 @@
             .contains("\r\n\r\np" + i + " ");
       }
     }
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   @Test
   void aBadThirdRequestEndsThePipelineBehindTheAnswersOfTheFirstTwo() throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(20, 1));
+    FakeUpstream a =
+        fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(20, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = fixture.client()) {
       ProxyFixture.write(
@@ -158,12 +159,13 @@
       assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 400");
       assertThat(ProxyFixture.isClosedByPeer(s)).isTrue();
     }
-    assertThat(fixture.executionLog.of("p3")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("p3")).isEmpty();
   }
 
   @Test
   void aClientThatLeavesItsPipelineLeavesNothingBehind() throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(50, 1));
+    FakeUpstream a =
+        fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(50, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket s = fixture.client()) {
       ProxyFixture.write(
@@ -171,11 +173,11 @@
           request("POST", "/claim", "q0")
               + request("POST", "/claim", "q1")
               + request("POST", "/claim", "q2"));
-      ProxyFixture.await(() -> fixture.executionLog.of("q0").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("q0").size() == 1);
     }
     ProxyFixture.await(() -> a.connections() == 0);
     assertThat(fixture.status(request("POST", "/claim", "after"))).isEqualTo(200);
-    assertThat(fixture.executionLog.of("q2")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("q2")).isEmpty();
   }
 
   @Test
@@ -186,7 +188,7 @@
       ProxyFixture.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
       assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 400");
     }
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
   }
 
   // --- HTTP/1.0 and targets
