--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -19,8 +19,8 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * The configuration of one client proxy, as its file and environment variables have it. What a file
- * that replaces another must hold is checked by {@link ConfigCheck}.
+ * Configuration of one client proxy, read from its JSON file and the environment variables that
+ * override it. {@link ConfigCheck} validates a file that replaces the one in force.
  */
 record Config(
     String name,
@@ -35,7 +35,7 @@
     double connectionIdleMillis,
     double connectTimeoutMillis,
     int maxOpen) {
-  /** The variable that names the configuration's file. */
+  /** Environment variable that holds the path of the configuration file. */
   static final String FILE_VARIABLE = "BALANCER_CONFIG";
 
   private static final int DEFAULT_MEMORY_MEGABYTES = 128;
@@ -48,7 +48,10 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** A configuration of no deployment, with a class of each kind. */
+  /**
+   * Returns a configuration that belongs to no deployment, with a deduplicated and an at-most-once
+   * class.
+   */
   static Config example() {
     String kinds =
         "{\"classes\":[{\"name\":\"a\",\"semantics\":\"deduplicated\"},"
@@ -74,7 +77,10 @@
     }
   }
 
-  /** Reads the file that {@code BALANCER_CONFIG} names; the other variables win over it. */
+  /**
+   * Reads the file named by {@code BALANCER_CONFIG}; the other environment variables override its
+   * values.
+   */
   static Config load(Map<String, String> environment) throws ConfigException {
     String file = environment.get(FILE_VARIABLE);
     if (file == null || file.isEmpty()) {
@@ -104,7 +110,7 @@
     try {
       root = JSON.readTree(Files.readAllBytes(Path.of(file)));
     } catch (JsonProcessingException e) {
-      throw new ConfigException(file + ": not JSON: " + e.getOriginalMessage());
+      throw new ConfigException(file + ": invalid JSON: " + e.getOriginalMessage());
     } catch (IOException | InvalidPathException e) {
       throw new ConfigException(file + ": can't be read: " + e);
     }
@@ -123,8 +129,8 @@
   }
 
   /**
-   * Where the other client proxies of the tier are, or null where they may not talk or the
-   * addresses are not told.
+   * Returns the addresses of the client proxies of the tier, or null if peer messages are disabled
+   * or the addresses are missing.
    */
   PeerAddresses peerAddresses() {
     JsonNode peers = root.path("peers");
@@ -143,7 +149,10 @@
     return new PeerAddresses(listen, all, numbers);
   }
 
-  /** How long a proxy may still send to an endpoint once it was notified of its drain. */
+  /**
+   * Returns the time (ms) for which a proxy may still send to an endpoint after it was notified of
+   * the endpoint's drain.
+   */
   double drainGraceMillis() {
     return root.path("settings")
         .path("rules")
@@ -151,15 +160,15 @@
         .asDouble(DEFAULT_DRAIN_GRACE_MILLIS);
   }
 
-  /** The endpoint list as this proxy last had it, in discovery's form. */
+  /** Returns the last known endpoint list of this proxy, in the JSON form of discovery. */
   JsonNode knownList() {
     return root.path("known");
   }
 
   /**
-   * The configuration that a file tells anew, for one that is in force.
+   * Loads the configuration that replaces this one.
    *
-   * @throws ConfigException if anything of it is faulty, with every fault in its message
+   * @throws ConfigException if the file is invalid; its message lists every error
    */
   Config loadReplacement(Path file) throws ConfigException {
     Config replacement = load(Map.of(FILE_VARIABLE, file.toString()));
@@ -170,7 +179,10 @@
     return replacement;
   }
 
-  /** This one with what of another may change while it runs. */
+  /**
+   * Returns a copy of this configuration with those values of {@code next} that may change without
+   * a restart.
+   */
   Config withReloadableSettings(Config next) {
     return new Config(
         name,
@@ -187,13 +199,13 @@
         maxOpen);
   }
 
-  /** The bounds of connections to upstreams. */
+  /** Returns the limits of the connection pool for upstream hosts. */
   PoolBounds bounds() {
     return PoolBounds.unbounded(
         settings.idleTimeoutMillis(connectionIdleMillis), connectTimeoutMillis);
   }
 
-  /** Where operators call, or null where none is told. */
+  /** Returns the management address, or null if none is configured. */
   private static InetSocketAddress managementAddress(String text) throws ConfigException {
     return text.isEmpty() ? null : address(text, "management");
   }
@@ -209,14 +221,14 @@
       return Long.parseUnsignedLong(hexadecimal, 16);
     } catch (NumberFormatException e) {
       return hexadecimal.hashCode()
-          ^ System.nanoTime(); // any will do, as long as no two starts share it
+          ^ System.nanoTime(); // Any seed works, as long as each start gets a different one.
     }
   }
 
   private static InetSocketAddress address(String text, String key) throws ConfigException {
     InetSocketAddress address = Addresses.parse(text);
     if (address == null) {
-      throw new ConfigException(key + " is not IP:port: '" + text + "'");
+      throw new ConfigException(key + ": '" + text + "' (expected: IP:port)");
     }
     return address;
   }
--- a/src/main/java/leadferry/proxy/ConfigCheck.java
+++ b/src/main/java/leadferry/proxy/ConfigCheck.java
@@ -9,14 +9,15 @@
 import java.util.Set;
 
 /**
- * Validates a configuration that is to replace the one in force. At a start, keys with a harmless
- * default may be absent; a replacement has the same author as the configuration before it, so an
- * absent key is a broken file, and a default in its place would be a rule that nobody chose.
+ * Validates a configuration file that replaces the one in force. The file read at startup may omit
+ * keys that have a harmless default. A replacement has the same author as the file before it. A key
+ * that only the replacement omits therefore indicates a broken file, and the default of that key
+ * would be a rule that nobody chose.
  */
 final class ConfigCheck {
   private static final Set<String> SEMANTICS = Set.of("idempotent", "deduplicated", "at_most_once");
 
-  /** Keys that the platform's protocol lets be absent. */
+  /** Keys that the platform's protocol declares optional. */
   private static final Set<String> OPTIONAL =
       Set.of("aimStretch", "passesDeadline", "warmKeys", "fleet");
 
@@ -27,8 +28,8 @@
   private ConfigCheck() {}
 
   /**
-   * Every fault of {@code next}, as {@code key: what was expected}; none if it may replace the
-   * other.
+   * Returns every error of {@code next} as {@code key: expectation}. The list is empty if {@code
+   * next} may replace {@code inForce}.
    */
   static List<String> faults(JsonNode inForce, JsonNode next) {
     ConfigCheck check = new ConfigCheck();
@@ -40,7 +41,10 @@
     return check.faults;
   }
 
-  /** Requires each key in force, with a value of its type; not within the known endpoint list. */
+  /**
+   * Requires {@code next} to have each key in force, with a value of the same type. Skips the
+   * entries of the known endpoint list.
+   */
   private void requireSameKeys(String prefix, JsonNode inForce, JsonNode next) {
     Iterator<Map.Entry<String, JsonNode>> fields = inForce.fields();
     while (fields.hasNext()) {
@@ -62,7 +66,7 @@
 
   private void requireClasses(JsonNode inForce, JsonNode next) {
     if (next.isEmpty()) {
-      faults.add("settings.classes: expected one at least");
+      faults.add("settings.classes: empty (expected: at least one class)");
     }
     Set<String> requiredKeys = commonKeys(inForce);
     Set<String> names = new HashSet<>();
@@ -80,7 +84,7 @@
     }
     String name = requestClass.path("name").asText("");
     if (name.isEmpty() || !names.add(name)) {
-      faults.add(prefix + "name: expected one that no other class has");
+      faults.add(prefix + "name: expected a name that no other class has");
     }
     if (!SEMANTICS.contains(requestClass.path("semantics").asText(""))) {
       faults.add(prefix + "semantics: expected one of " + SEMANTICS);
@@ -92,7 +96,9 @@
     }
   }
 
-  /** Keys that each class of the configuration in force has. */
+  /**
+   * Returns the keys that every class of the configuration in force has, without the optional ones.
+   */
   private static Set<String> commonKeys(JsonNode classes) {
     Set<String> common = null;
     for (JsonNode requestClass : classes) {
--- a/src/main/java/leadferry/proxy/ConfigException.java
+++ b/src/main/java/leadferry/proxy/ConfigException.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-/** The configuration is missing or makes no sense; the message is one plain line. */
+/** Reports a configuration that is missing or invalid, in a message of one line. */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/leadferry/proxy/ConfigReloader.java
+++ b/src/main/java/leadferry/proxy/ConfigReloader.java
@@ -9,13 +9,17 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * The configuration in force, and its replacement by what its file says anew: settings, bounds of
- * connections, and the address of discovery; all else takes a restart. Guards against a file that
- * is faulty or still being written: it is read again for a while, and nothing of it is taken if it
- * never becomes sound. Confined to the event loop, but for {@link #reload} and {@link #watch}.
+ * Holds the configuration in force and replaces it when its file changes. A reload applies the
+ * settings, the limits of upstream connections and the address of discovery; any other change takes
+ * a restart. Guards against a file that is invalid or still being written: the file is read again
+ * for a while, and none of its values is applied unless the whole file is valid. Confined to the
+ * event loop, except for {@link #reload} and {@link #watch}.
  */
 final class ConfigReloader {
-  /** A file that can't be read may be half written: it is read so often, so far apart. */
+  /**
+   * Number of attempts, {@link #RETRY_MILLIS} apart, to read an invalid file, which may be half
+   * written.
+   */
   private static final int MAX_ATTEMPTS = 10;
 
   private static final long RETRY_MILLIS = 150;
@@ -29,7 +33,10 @@
   private Future<?> scheduledTransitionEnd;
   private volatile WatchedFile watchedFile;
 
-  /** {@code onReload} gets the configuration that is in force after each reload. */
+  /**
+   * Creates a reloader that passes the configuration in force to {@code onReload} after each
+   * reload.
+   */
   ConfigReloader(
       EventLoop loop,
       Config config,
@@ -43,7 +50,7 @@
     this.onReload = onReload;
   }
 
-  /** The configuration in force. */
+  /** Returns the configuration in force. */
   Config config() {
     return config;
   }
@@ -61,7 +68,7 @@
     }
   }
 
-  /** Reads the file and takes what is new, in place of a reload that is being retried. */
+  /** Reads the file and applies its changes. Cancels the pending retry of an earlier reload. */
   void reload(Path file) {
     loop.execute(
         () -> {
@@ -82,7 +89,7 @@
             loop.schedule(
                 () -> attempt(file, attemptsLeft - 1), RETRY_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        log.line("configuration kept as it was: " + e.getMessage());
+        log.line("configuration not reloaded: " + e.getMessage());
       }
     }
   }
@@ -95,10 +102,13 @@
     onReload.accept(config);
   }
 
-  /** Other settings from now on; for a while, clients may not know it. */
+  /**
+   * Applies new settings. Clients may not know them yet: requests of the previous form are accepted
+   * for {@link RequestClassResolver#TRANSITION_MILLIS}.
+   */
   private void apply(Settings next) {
     requestFilter.applySettings(next);
-    log.line("other settings in force");
+    log.line("new settings in force");
     if (scheduledTransitionEnd != null) {
       scheduledTransitionEnd.cancel(false);
     }
--- a/src/main/java/leadferry/proxy/DiscoveryConnection.java
+++ b/src/main/java/leadferry/proxy/DiscoveryConnection.java
@@ -20,9 +20,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * One HTTP connection to discovery: writes requests, and reads the endpoint lists of the responses.
- * What they mean is decided by {@link DiscoveryWatch}, and only while this is its present
- * connection. Confined to the event loop.
+ * HTTP connection to discovery that sends requests and reads the endpoint lists of the responses.
+ * {@link DiscoveryWatch} handles what was read, for its present connection only. Confined to the
+ * event loop.
  */
 final class DiscoveryConnection extends ChannelInboundHandlerAdapter {
   private static final String LIST_PATH = "/catalog/members";
@@ -41,7 +41,7 @@
     this.channel = channel;
   }
 
-  /** Installs the HTTP codec, once the channel is connected. */
+  /** Installs the HTTP codec; called once the channel is connected. */
   void open() {
     channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
   }
@@ -50,13 +50,15 @@
     channel.close();
   }
 
-  /** Requests the whole list, once. */
+  /** Requests the full list, in a response that ends with it. */
   void requestList() {
     followsChanges = false;
     request(LIST_PATH);
   }
 
-  /** Requests all changes after {@code version}, in a response that goes on. */
+  /**
+   * Requests all changes after {@code version}, in a response that stays open for later changes.
+   */
   void requestChangesSince(long version) {
     followsChanges = true;
     request(LIST_PATH + CHANGES_QUERY + version);
@@ -70,7 +72,10 @@
     channel.writeAndFlush(request);
   }
 
-  /** When the last part of a response was read, or this connection was made. */
+  /**
+   * Returns the time (ns) at which the last part of a response was read, or this connection was
+   * created.
+   */
   long lastReadNanos() {
     return lastReadNanos;
   }
@@ -114,7 +119,7 @@
         case EMPTY_LINE -> watch.onUnchanged();
         case LIST -> readList();
         case TRUNCATED_LIST -> fail("can't be understood: a list that is cut");
-        case TOO_LONG -> fail("a list without an end");
+        case TOO_LONG -> fail("list exceeds the maximum size");
       }
     }
   }
@@ -123,14 +128,15 @@
     try {
       watch.onList(framer.takeList());
     } catch (MalformedEndpointListException e) {
-      // The last good list stays in force; the changes of this one are requested again.
+      // The last valid list stays in force; the next connection requests the changes of this one
+      // again.
       fail("can't be understood: " + e.getMessage());
     }
   }
 
   private void endResponse() {
     if (!followsChanges && !framer.isEmpty()) {
-      readList(); // the last line of a whole list may be without its end
+      readList(); // The last line of a full list may lack its line feed.
     }
     if (watch.isCurrent(this)) {
       watch.onResponseEnd(followsChanges);
--- a/src/main/java/leadferry/proxy/DiscoveryWatch.java
+++ b/src/main/java/leadferry/proxy/DiscoveryWatch.java
@@ -21,29 +21,32 @@
 import leadferry.loadbalancer.EndpointListEvent;
 
 /**
- * The watch on discovery's endpoint list. It resumes from the last version that was applied, so
- * that a lost connection loses no change; at another discovery, whose versions may count otherwise,
- * it begins with the whole list. Its states are those of {@link WatchState}.
+ * Watches the endpoint list of discovery. A new connection resumes from the last version that was
+ * applied, and a lost connection therefore loses no change. At another discovery address, where
+ * versions may be numbered differently, the watch starts with the full list. {@link WatchState}
+ * defines its states.
  *
- * <p>Where the settings say that the load balancer polls, it decides when the next connection is
- * opened; else {@link ReconnectBackoff} does. Confined to the event loop.
+ * <p>If the settings let the load balancer poll discovery, the load balancer decides when the next
+ * connection is opened; otherwise {@link ReconnectBackoff} does. Confined to the event loop.
  */
 final class DiscoveryWatch {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   /**
-   * A watch receives something every 2 s. Guards against half-open watches: what they would have
-   * told counts as notified after 6 s, and a new one has to be open and answered by then.
+   * Maximum time without data on a watch, which receives some every 2 s. Guards against half-open
+   * watches: changes missed on such a watch count as notified after 6 s, and its replacement has to
+   * be open and to have a response by then.
    */
   private static final long SILENCE_TIMEOUT_NANOS = 3_000_000_000L;
 
   /**
-   * An agent on the same machine answers a request at once; one that has not is asked anew, once.
-   * Guards against a new connection that is silent as well: two silence timeouts exceed the 6 s.
+   * Maximum time until the first response of a connection. An agent on the same machine responds at
+   * once; a connection without a response is replaced after this time, once. Guards against a
+   * replacement that is silent as well: two silence timeouts exceed the 6 s.
    */
   private static final long FIRST_RESPONSE_TIMEOUT_NANOS = 1_000_000_000L;
 
-  /** The version where none was received from the present address. */
+  /** Version while no list has been received from the present address. */
   private static final long NO_VERSION = -1;
 
   private final Dispatcher dispatcher;
@@ -64,7 +67,7 @@
   /** Whether discovery itself has sent or confirmed a list since the start. */
   private boolean confirmed;
 
-  /** Why the last connection failed, until one is sound again: repetitions are not logged. */
+  /** Cause of the last failure, or null after a valid response. A repeated cause is not logged. */
   private String lastFailure;
 
   /** Whether the next connection has the shorter timeout for its first response. */
@@ -74,7 +77,7 @@
     this(loop, config, dispatcher, log, RetryingSocketChannel.class);
   }
 
-  /** Connects with channels of the class {@code channelType}. */
+  /** Creates a watch that connects with channels of type {@code channelType}. */
   DiscoveryWatch(
       EventLoopGroup loop,
       Config config,
@@ -98,7 +101,7 @@
                 });
   }
 
-  /** Starts the load balancer with the list of the configuration, and the watch behind it. */
+  /** Starts the load balancer with the endpoint list of the configuration, then the watch. */
   void start(JsonNode knownList) {
     dispatcher.start(decodeKnown(knownList), this::connect);
     if (!polled) {
@@ -121,7 +124,10 @@
     return confirmed;
   }
 
-  /** Moves the watch to another address; the endpoints stay until it has sent its own list. */
+  /**
+   * Moves the watch to another address. The present endpoints stay until the new discovery has sent
+   * its list.
+   */
   void moveTo(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
@@ -131,30 +137,30 @@
     }
   }
 
-  /** Fails a connection that has gone silent. */
+  /** Fails a connection that has received nothing for too long, or whose list does not end. */
   void checkTimeouts() {
     if (connection == null) {
       return;
     }
     boolean prompt = !polled && expectsPromptResponse && !state.hasReceived();
     long timeoutNanos = prompt ? FIRST_RESPONSE_TIMEOUT_NANOS : SILENCE_TIMEOUT_NANOS;
-    // What stands unread in this process is not silence.
+    // Data that this process has not read yet does not count as silence.
     long readUpToNanos = System.nanoTime() - ReadLagTracker.lagNanos();
     if (readUpToNanos - connection.lastReadNanos() > timeoutNanos) {
       expectsPromptResponse = !prompt;
       onFailure(connection, "silent");
     } else if (connection.isListStalled(readUpToNanos, SILENCE_TIMEOUT_NANOS)) {
-      onFailure(connection, "can't be understood: a list that does not end");
+      onFailure(connection, "list incomplete after the timeout");
     }
   }
 
-  /** Opens a connection, in place of one that is open. */
+  /** Opens a connection and closes the present one. */
   private void connect() {
     disconnect();
     ChannelFuture connecting = bootstrap.connect(address);
     if (!connecting.channel().isRegistered()) {
-      // Guards against a watch that never ends: a channel that was never opened is never closed.
-      onConnectionLost("out of sockets");
+      // Guards against a watch that waits forever: a channel that was never opened is never closed.
+      onConnectionLost("no socket available");
       return;
     }
     DiscoveryConnection opened = new DiscoveryConnection(this, address, connecting.channel());
@@ -165,7 +171,7 @@
           if (done.isSuccess()) {
             onConnected(opened);
           } else {
-            onFailure(opened, "can't be reached");
+            onFailure(opened, "connect failed");
           }
         });
   }
@@ -201,12 +207,12 @@
     }
   }
 
-  /** Whether {@code candidate} is the connection of this watch, and not one it has given up. */
+  /** Whether {@code candidate} is the present connection of this watch, and not a replaced one. */
   boolean isCurrent(DiscoveryConnection candidate) {
     return connection == candidate;
   }
 
-  /** A part of a response has come. */
+  /** Handles a part of a response. */
   void onResponsePart() {
     expectsPromptResponse = true;
     if (state == WatchState.AWAITING_RESPONSE) {
@@ -214,7 +220,7 @@
     }
   }
 
-  /** A sound list has come, whole or with changes. */
+  /** Handles a valid list, either full or with changes only. */
   void onList(UpstreamHosts.ListUpdate list) {
     boolean first = state != WatchState.SYNCHRONIZED;
     apply(list);
@@ -223,12 +229,13 @@
     }
   }
 
-  /** Discovery has told that nothing has changed. */
+  /** Handles the message of discovery that nothing has changed. */
   void onUnchanged() {
     boolean first = state != WatchState.SYNCHRONIZED;
     dispatcher.onUpToDate();
     if (first && polled && version != NO_VERSION) {
-      // Guards against a poll interval that grew during a failure and would outlast the next one.
+      // Guards against a poll interval that grew during a failure and would outlast the next
+      // failure.
       dispatcher.onEndpointList(
           EndpointListEvent.DELTA, new UpstreamHosts.ListUpdate(version, false, List.of()));
     }
@@ -237,7 +244,7 @@
     }
   }
 
-  /** A response is over, one that follows changes or one with the whole list. */
+  /** Handles the end of a response that carried changes or the full list. */
   void onResponseEnd(boolean followedChanges) {
     if (followedChanges || version == NO_VERSION) {
       onFailure(connection, "ended");
@@ -246,7 +253,7 @@
     }
   }
 
-  /** Ends a connection; where it is the current one, the next is opened in its turn. */
+  /** Closes a connection. If it is the present one, the next connection is scheduled. */
   void onFailure(DiscoveryConnection failed, String reason) {
     failed.close();
     if (isCurrent(failed)) {
@@ -254,10 +261,10 @@
     }
   }
 
-  /** An exception has come up on a connection. */
+  /** Handles an exception on a connection. */
   void onException(DiscoveryConnection failed, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      log.failure("the watch failed", cause);
+      log.failure("watch: connection failed", cause);
     }
     onFailure(failed, "failed");
   }
@@ -275,7 +282,10 @@
     dispatcher.onEndpointList(list.full() ? EndpointListEvent.FULL : EndpointListEvent.DELTA, list);
   }
 
-  /** Takes the first sound response of a connection, even if its list could not be applied. */
+  /**
+   * Marks the watch as synchronized at the first valid response of a connection, even if its list
+   * could not be applied.
+   */
   private void confirm() {
     if (state == WatchState.RECEIVING) {
       transition(WatchState.SYNCHRONIZED);
@@ -285,7 +295,10 @@
     backoff.reset();
   }
 
-  /** There is no connection any more; the next one is scheduled, or left to the load balancer. */
+  /**
+   * Schedules the next connection after the present one was lost, or leaves the schedule to the
+   * load balancer.
+   */
   private void onConnectionLost(String reason) {
     connection = null;
     if (!reason.equals(lastFailure)) {
--- a/src/main/java/leadferry/proxy/EndpointListDecoder.java
+++ b/src/main/java/leadferry/proxy/EndpointListDecoder.java
@@ -14,8 +14,8 @@
 import leadferry.loadbalancer.EndpointUpdate;
 
 /**
- * Validates and decodes endpoint lists. The only class that knows the words of discovery's JSON: a
- * list is taken whole or not at all.
+ * Validates and decodes endpoint lists. No other class knows the field names of discovery's JSON. A
+ * list is either accepted as a whole or rejected.
  */
 final class EndpointListDecoder {
   private static final String VERSION = "version";
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Decodes a list that is parsed already. */
+  /** Decodes a parsed list. */
   static UpstreamHosts.ListUpdate decode(JsonNode list) throws MalformedEndpointListException {
     JsonNode servers = list.path(SERVERS);
     if (!list.isObject() || !servers.isArray() || !list.path(VERSION).canConvertToLong()) {
@@ -61,7 +61,7 @@
     for (JsonNode server : servers) {
       UpstreamHosts.Member member = decodeMember(server);
       if (!names.add(member.name())) {
-        // Which of the two is in force can't be told.
+        // Nothing shows which of the two entries is the current one.
         throw new MalformedEndpointListException("an id twice in one list");
       }
       members.add(member);
@@ -94,7 +94,7 @@
     return switch (state) {
       case STATE_UP -> EndpointUpdate.Condition.READY;
       case STATE_REMOVED -> EndpointUpdate.Condition.GONE;
-      // An unknown state gets no new requests.
+      // An endpoint in an unknown state gets no new requests.
       default -> EndpointUpdate.Condition.TERMINATING;
     };
   }
--- a/src/main/java/leadferry/proxy/EndpointListFramer.java
+++ b/src/main/java/leadferry/proxy/EndpointListFramer.java
@@ -5,19 +5,19 @@
 import leadferry.engine.UpstreamHosts;
 
 /**
- * Finds the end of each endpoint list in the bytes of a response. A list is one line, or is
- * indented over several; an empty line between lists says that nothing has changed.
+ * Finds the end of each endpoint list in the bytes of a response. A list takes one line, or several
+ * lines if it is indented. An empty line between lists means that nothing has changed.
  */
 final class EndpointListFramer {
-  /** What the bytes read so far amount to. */
+  /** Result of reading a part of a response. */
   enum Frame {
     /** More bytes are needed. */
     INCOMPLETE,
     /** An empty line between two lists. */
     EMPTY_LINE,
-    /** A whole list, for {@link #takeList()}. */
+    /** A complete list, which {@link #takeList()} returns. */
     LIST,
-    /** An empty line within an indented list: the rest of it will not come. */
+    /** An empty line within an indented list: the rest of the list is missing. */
     TRUNCATED_LIST,
     /** More than {@link #MAX_LIST_BYTES} without the end of a list. */
     TOO_LONG
@@ -32,13 +32,13 @@
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int size;
 
-  /** Where the present line begins in the buffer; above 0 within an indented list. */
+  /** Offset of the present line in the buffer; above 0 within an indented list. */
   private int lineStart;
 
   private int openBrackets;
   private long firstLineNanos;
 
-  /** Reads up to the end of a line, or all of {@code bytes}. */
+  /** Reads up to and including the next line feed, or all of {@code bytes} if they contain none. */
   Frame read(ByteBuf bytes) {
     int beforeLineFeed = bytes.bytesBefore((byte) '\n');
     int length = beforeLineFeed < 0 ? bytes.readableBytes() : beforeLineFeed + 1;
@@ -49,7 +49,7 @@
     return beforeLineFeed < 0 ? Frame.INCOMPLETE : endLine();
   }
 
-  /** Whether no byte of a further list has come. */
+  /** Whether no byte of the next list has been read. */
   boolean isEmpty() {
     return size == 0;
   }
@@ -59,7 +59,7 @@
     return lineStart > 0 && nowNanos - firstLineNanos > timeoutNanos;
   }
 
-  /** Decodes what has been read as one list, and begins with the next. */
+  /** Decodes the bytes read so far as one list and empties the buffer. */
   UpstreamHosts.ListUpdate takeList() throws MalformedEndpointListException {
     int length = size;
     size = 0;
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Whether the list goes on behind the present line: brackets are open, and the line does not end
-   * within a value. A first line that is cut is thus reported at once, as a malformed list.
+   * Whether the list continues after the present line: brackets are open, and the line does not end
+   * within a value. A first line that is truncated is thus reported at once, as a malformed list.
    */
   private boolean listContinues() {
     byte last = scanLine();
--- a/src/main/java/leadferry/proxy/GracefulShutdown.java
+++ b/src/main/java/leadferry/proxy/GracefulShutdown.java
@@ -8,28 +8,35 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * The drain after SIGTERM: all that was taken is answered, then the process may end.
+ * Drains the proxy after SIGTERM: serves every accepted request, then lets the process exit.
  *
  * <pre>
- *   SIGTERM           new connections end         longest deadline       given up   cut short   SIGKILL
- *   |-- accepts, answers ask to leave --|-- nobody may stay; -----------------|---------|----------|
- *   0                                 0.8 s   once all are gone, ends      + 0.5 s   + 0.6 s    + 0.7 s
+ *   SIGTERM                  accepting ends           longest deadline terminate  exit  SIGKILL
+ *   |-- accepts; responses close --|-- closes idle connections --|--------|--------|--------|
+ *   0                            0.8 s  exits once none is left  D     + 0.5 s  + 0.6 s  + 0.7 s
  * </pre>
  *
- * <p>It ends with no connection open. Guards against a request that is written to one between the
- * last check and the end. Confined to the event loop.
+ * <p>Before its time limit, the drain ends only when no connection is open. Guards against a
+ * request that is written to an open connection between the last check and the exit. Confined to
+ * the event loop.
  */
 final class GracefulShutdown {
-  /** After SIGTERM new connections come for 0.4 s at most; they are accepted for longer. */
+  /** New connections arrive for at most 0.4 s after SIGTERM; the proxy accepts them for longer. */
   private static final long ACCEPT_MILLIS = 800;
 
-  /** SIGKILL comes 0.7 s after the longest deadline, of which no more than this counts. */
+  /** SIGKILL arrives 0.7 s after the longest deadline, of which at most this much counts. */
   private static final double MAX_COUNTED_DEADLINE_MILLIS = 3_000;
 
-  /** Past the longest deadline, requests are given up: their answers are out before SIGKILL. */
+  /**
+   * Time after the longest deadline at which open requests are terminated, early enough for their
+   * responses to be sent before SIGKILL.
+   */
   private static final long TERMINATE_AFTER_DEADLINE_MILLIS = 500;
 
-  /** Past the longest deadline, what is not written has nobody who reads it. */
+  /**
+   * Time after the longest deadline at which the process exits: no client reads unsent bytes any
+   * more.
+   */
   private static final long EXIT_AFTER_DEADLINE_MILLIS = 600;
 
   private static final long POLL_MILLIS = 10;
@@ -44,7 +51,9 @@
   private long acceptUntilNanos;
   private boolean anotherProcessListens;
 
-  /** Its time counts from now on; {@code onEnd} runs once the drain is over. */
+  /**
+   * Creates a shutdown whose time limits start now; {@code onFinished} runs once the drain is over.
+   */
   GracefulShutdown(
       EventLoop loop, HttpServer httpServer, Settings settings, Log log, Runnable onFinished) {
     this.loop = loop;
@@ -59,7 +68,10 @@
     acceptUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS);
   }
 
-  /** Waits for the last client; where another process listens, this one no longer has to. */
+  /**
+   * Starts polling for the end of the drain. If another process listens, this one stops waiting for
+   * new connections.
+   */
   void startPolling(boolean anotherListens) {
     anotherProcessListens = anotherListens;
     if (anotherProcessListens) {
@@ -76,12 +88,15 @@
     return Math.min(longest, MAX_COUNTED_DEADLINE_MILLIS);
   }
 
-  /** Guards against an end that never comes, as one step of it failed. */
+  /**
+   * Checks the progress and schedules the next check. Guards against a drain that never ends
+   * because one check has failed.
+   */
   private void poll() {
     try {
       checkProgress(System.nanoTime());
     } catch (RuntimeException e) {
-      log.failure("a step of the drain failed", e);
+      log.failure("drain check failed", e);
       if (System.nanoTime() < exitAtNanos) {
         schedulePoll();
       } else {
@@ -92,7 +107,8 @@
 
   private void checkProgress(long now) {
     if (now >= terminateAtNanos) {
-      // A class may have a longer deadline than SIGKILL leaves, or be one that a reload dropped.
+      // A class may have a longer deadline than SIGKILL allows, or may have been removed by a
+      // reload.
       httpServer.terminateConnections();
     }
     if (!anotherProcessListens && now >= acceptUntilNanos) {
@@ -110,12 +126,13 @@
 
   private void stopListeningOnceIdle(long now) {
     if (httpServer.closeIdleConnections()) {
-      // Guards a request that crossed such a close: its client sends it again, on a new connection.
+      // Guards a request that crossed such a close: its client sends the request again on a new
+      // connection.
       acceptUntilNanos = Math.min(terminateAtNanos, now + SocketSlack.NANOS);
     }
     boolean idle = httpServer.hasNoClients() && now >= acceptUntilNanos;
     if (isListening() && (idle || now >= terminateAtNanos)) {
-      httpServer.stopListening(); // clients in its backlog are waited for, too
+      httpServer.stopListening(); // The drain waits for clients in the backlog, too.
     }
   }
 
--- a/src/main/java/leadferry/proxy/HotRestart.java
+++ b/src/main/java/leadferry/proxy/HotRestart.java
@@ -13,32 +13,39 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The processes that serve one clients' address at a time: during an upgrade two. Each keeps a file
- * in a folder that they share, locked for as long as it lives, since the kernel drops a lock with
- * its process however that ends. The file tells whether its process listens and what it holds.
+ * Coordinates the processes that serve one client address, of which there are two during an
+ * upgrade. Each process keeps a file in a shared folder and holds a lock on it while it lives: the
+ * kernel releases the lock when the process ends, whatever the cause. The file holds the {@link
+ * ProcessState} of its process.
  *
  * <pre>
- *   old:  file, locked ------------------------------- SIGTERM: another listens? closes its socket at once
- *   new:            file, locked ---- tells: listens ------------------------------------------
+ *   old:  locks its file ------------------- SIGTERM: closes its socket at once if another listens
+ *   new:          locks its file ---- publishes that it listens ----------------------------------
  * </pre>
  *
- * <p>Without a folder a process believes itself alone, which is right but where an upgrade happens.
+ * <p>Without a folder, a process assumes that it is the only one, which is wrong during an upgrade
+ * only.
  */
 final class HotRestart implements AutoCloseable {
-  /** Kept from earlier builds: during an upgrade one of them may run beside this one. */
+  /**
+   * Prefix of the file names, which earlier builds use as well: one of them may run beside this
+   * build during an upgrade.
+   */
   private static final String PREFIX = "corkproxy-";
 
   private static final String SUFFIX = ".lock";
   private static final int JOIN_ATTEMPTS = 3;
 
-  /** One byte for {@code listens}, two ints and a long. */
+  /** One byte for {@code isListening}, two ints and a long. */
   private static final int RECORD_BYTES = 1 + 2 * Integer.BYTES + Long.BYTES;
 
   /**
-   * How a process stands.
+   * State of a process, as other processes read it.
    *
-   * @param clientConnections connections of its clients, and {@code upstreams} to its hosts
-   * @param bodyBytes bytes of bodies that it holds
+   * @param isListening whether the process listens on the client address
+   * @param clientConnections connections of its clients
+   * @param upstreamConnections connections to upstream hosts
+   * @param bodyBytes bytes of request and response bodies that the process holds
    */
   record ProcessState(
       boolean isListening, int clientConnections, int upstreamConnections, long bodyBytes) {
@@ -76,7 +83,10 @@
     this.channel = channel;
   }
 
-  /** Joins those in the folder, or nobody where it is null or can't be used. */
+  /**
+   * Joins the processes of the folder; returns {@link #disabled()} if the folder is null or can't
+   * be used.
+   */
   static HotRestart join(String folder) {
     for (int i = 0; i < JOIN_ATTEMPTS && folder != null && !folder.isEmpty(); i++) {
       try {
@@ -86,7 +96,9 @@
         if (Files.exists(ownFile)) {
           return new HotRestart(Path.of(folder), ownFile, channel);
         }
-        channel.close(); // another process removed it as a dead one's, before it was locked
+        // Another process took the file for that of a dead process and deleted it before it was
+        // locked.
+        channel.close();
       } catch (IOException | RuntimeException e) {
         break;
       }
@@ -94,23 +106,23 @@
     return disabled();
   }
 
-  /** Those of a process that knows of no other. */
+  /** Returns an instance that publishes nothing and finds no other process. */
   static HotRestart disabled() {
     return new HotRestart(null, null, null);
   }
 
-  /** Tells the others how this process stands; harmless where it can't be told. */
+  /** Publishes the state of this process to the others; ignores a failed write. */
   void publish(ProcessState state) {
     try {
       if (channel != null) {
         channel.write(state.encode(), 0);
       }
     } catch (IOException e) {
-      // They go by what was told before.
+      // The other processes use the state published before.
     }
   }
 
-  /** What the other processes that live hold together, or null where there are none. */
+  /** Returns the combined state of the other live processes, or null if there are none. */
   ProcessState readOtherProcesses() {
     if (folder == null) {
       return null;
@@ -129,7 +141,10 @@
     return sum;
   }
 
-  /** How the process of this file stands; null if it is dead, and its file goes. */
+  /**
+   * Returns the state of the process that owns the file. If that process is dead, deletes the file
+   * and returns null.
+   */
   private static ProcessState read(Path file) throws IOException {
     try (FileChannel channel =
         FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -139,7 +154,7 @@
           return null;
         }
       } catch (OverlappingFileLockException e) {
-        // Its process lives: it is this one.
+        // This process holds the lock, so the owner of the file is alive.
       }
       ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES);
       boolean complete = channel.read(bytes, 0) == RECORD_BYTES;
@@ -157,7 +172,7 @@
         channel.close();
       }
     } catch (IOException e) {
-      // The kernel drops the lock with the process.
+      // The kernel releases the lock when the process ends.
     }
   }
 }
--- a/src/main/java/leadferry/proxy/MalformedEndpointListException.java
+++ b/src/main/java/leadferry/proxy/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-/** A text that is not an endpoint list of discovery's form. */
+/** Reports a text that is not an endpoint list in the form of discovery. */
 final class MalformedEndpointListException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/leadferry/proxy/ManagementServer.java
+++ b/src/main/java/leadferry/proxy/ManagementServer.java
@@ -33,15 +33,18 @@
 import leadferry.http.ServerSockets;
 
 /**
- * The HTTP server for operators: one request a connection, answered with 200 or an error status. It
- * has a thread of its own. Guards operators against a client proxy that does not answer them when
- * it is busiest; what it reads and sets of the rest must be safe for use by another thread.
+ * HTTP server for operators. It serves one request per connection and responds with 200 or an error
+ * status. It runs on its own thread. Guards operators against a client proxy that is too busy to
+ * respond; all state that the server shares with the rest of the proxy must be thread-safe.
  */
 final class ManagementServer implements AutoCloseable {
-  /** Past it, the oldest is closed. Guards descriptors against callers that send nothing. */
+  /**
+   * Maximum number of connections; a further one closes the oldest. Guards the file descriptors
+   * against callers that send nothing.
+   */
   static final int MAX_CONNECTIONS = 12;
 
-  /** How long a connection may stay open: time enough for a slow caller's request. */
+  /** Maximum lifetime of a connection; it leaves enough time for the request of a slow caller. */
   private static final long CONNECTION_TIMEOUT_MILLIS = 5_000;
 
   private static final int BACKLOG = 128;
@@ -57,7 +60,7 @@
           .setMaxHeaderSize(MAX_HEADER_BYTES)
           .setInitialBufferSize(INITIAL_BUFFER_BYTES);
 
-  /** What one path does; {@code action} returns whether it could be done. */
+  /** Operation behind one path; {@code action} returns whether it succeeded. */
   private record Operation(HttpMethod method, BooleanSupplier action) {}
 
   private final Map<String, Operation> operations;
@@ -69,8 +72,8 @@
   private Channel listener;
 
   /**
-   * {@code ready} tells whether this process can serve; the others carry out what they are named
-   * for.
+   * Creates a server. {@code ready} returns whether this process can serve; {@code drain} and
+   * {@code activate} run at the calls of the same name.
    */
   ManagementServer(BooleanSupplier ready, Runnable drain, Runnable activate, Log log) {
     this.log = log;
@@ -88,7 +91,7 @@
     };
   }
 
-  /** Listens; throws what the bind throws. */
+  /** Binds the address; throws the exception of a failed bind. */
   void listen(InetSocketAddress address) throws Exception {
     listener =
         ServerSockets.bootstrap(
@@ -130,7 +133,7 @@
     return done ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
-  /** The one request of a connection; a malformed one is answered with 400. */
+  /** Handles the one request of a connection; a malformed request gets a 400 response. */
   private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
     private HttpRequest request;
     private boolean responded;
@@ -164,7 +167,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (!(cause instanceof IOException)) {
-        log.failure("an operator's call failed", cause);
+        log.failure("management: connection failed", cause);
       }
       context.close();
     }
--- a/src/main/java/leadferry/proxy/OperatorState.java
+++ b/src/main/java/leadferry/proxy/OperatorState.java
@@ -1,15 +1,15 @@
 package leadferry.proxy;
 
 /**
- * What operators have asked of this process, and what it tells them; safe for use by several
- * threads.
+ * Holds what operators have requested of this process, and whether the process is ready.
+ * Thread-safe.
  */
 final class OperatorState {
   private volatile boolean ready;
   private volatile boolean draining;
   private volatile Runnable listener = () -> {};
 
-  /** {@code listener} runs, on the caller's thread, at each call of drain or activate. */
+  /** Sets the listener that runs, on the caller's thread, at each call of drain or activate. */
   void onChange(Runnable listener) {
     this.listener = listener;
   }
@@ -23,7 +23,7 @@
     this.ready = ready;
   }
 
-  /** Whether operators want clients to be sent away. */
+  /** Whether operators have requested a drain. */
   boolean isDraining() {
     return draining;
   }
--- a/src/main/java/leadferry/proxy/PeerAddresses.java
+++ b/src/main/java/leadferry/proxy/PeerAddresses.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Where client proxies hear each other.
+ * Addresses of the datagrams between client proxies.
  *
- * @param listen the own address
- * @param broadcast reaches every client proxy of the tier
- * @param indexByAddress the numbers of the others, by the address from which they send
+ * @param listen address of this proxy
+ * @param broadcast address that reaches every client proxy of the tier
+ * @param indexByAddress indexes of the other proxies, by the address from which they send
  */
 record PeerAddresses(
     InetSocketAddress listen,
--- a/src/main/java/leadferry/proxy/PeerMessenger.java
+++ b/src/main/java/leadferry/proxy/PeerMessenger.java
@@ -16,12 +16,12 @@
 import leadferry.engine.Log;
 
 /**
- * The datagrams between client proxies: bytes out, bytes and their sender's number in. A message is
- * a hint, so one that can't be sent is dropped, and one from an address that is no peer's is passed
- * over. On one loop, its proxy's.
+ * Sends and receives the datagrams between client proxies; a received message comes with the index
+ * of its sender. A message is a hint: one that can't be sent is dropped, and one from an unknown
+ * address is ignored. Confined to the event loop of its proxy.
  */
 final class PeerMessenger extends SimpleChannelInboundHandler<DatagramPacket> {
-  /** The platform's bound on a datagram. */
+  /** Maximum size of a datagram on the platform. */
   private static final int MAX_MESSAGE_BYTES = 256;
 
   private static final long RETRY_MILLIS = 500;
@@ -32,7 +32,10 @@
   private Channel channel;
   private boolean bindFailureLogged;
 
-  /** {@code onMessage} gets each message with its sender's number. */
+  /**
+   * Creates a messenger that passes each message to {@code onMessage}, with the index of its
+   * sender.
+   */
   PeerMessenger(PeerAddresses addresses, ObjIntConsumer<byte[]> onMessage, Log log) {
     this.addresses = addresses;
     this.onMessage = onMessage;
@@ -40,14 +43,13 @@
   }
 
   /**
-   * Listens. A port that can't be had is one line in the log, and tried again: the proxy works
-   * without its peers.
+   * Binds the peer address. Logs a failed bind once and retries: the proxy works without its peers.
    */
   void start(EventLoop loop) {
     new Bootstrap()
         .group(loop)
         .channel(NioDatagramChannel.class)
-        // During an upgrade two processes have the same address.
+        // During an upgrade, two processes bind the same address.
         .option(ChannelOption.SO_REUSEADDR, true)
         .handler(this)
         .bind(addresses.listen())
@@ -61,7 +63,7 @@
 
   private void onBindFailure(EventLoop loop, Throwable cause) {
     if (!bindFailureLogged) {
-      log.line("peers can't be heard at " + addresses.listen() + ": " + cause.getMessage());
+      log.line("peer messages: can't listen on " + addresses.listen() + ": " + cause.getMessage());
     }
     bindFailureLogged = true;
     scheduleStart(loop);
@@ -88,8 +90,7 @@
   }
 
   /**
-   * A socket that a read error has closed is opened anew: netty closes it for any that it does not
-   * know.
+   * Opens the socket again: Netty closes a datagram socket at any read error that it does not know.
    */
   @Override
   public void channelInactive(ChannelHandlerContext context) {
@@ -99,7 +100,7 @@
 
   @Override
   public boolean isSharable() {
-    return true; // it is added to one socket after the other
+    return true; // each new socket gets the same handler
   }
 
   @Override
@@ -113,6 +114,6 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // Guards against the close of the socket by an unreachable peer: only a hint is lost.
+    // Guards against closing the socket because a peer is unreachable; only a hint is lost.
   }
 }
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -14,9 +14,9 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Validates a request of the platform's protocol before anything of it is taken. Guards upstreams
- * against requests that are of no use to them, and the load balancer against names that clients
- * make up. A client that strays from the protocol without need gets an error of its own.
+ * Validates requests of the platform's protocol before any part of them is accepted. Guards
+ * upstream hosts against requests that they can't use, and the load balancer against class names
+ * that clients invent. A client that violates the protocol needlessly gets a specific error status.
  */
 final class PlatformRequestFilter implements RequestFilter {
   private static final int MAX_ID_CHARACTERS = 128;
@@ -43,14 +43,14 @@
   }
 
   /**
-   * Other settings hold for what comes from now on; {@link #endSettingsTransition} ends their
-   * grace.
+   * Applies new settings to later requests. Requests of the previous form are accepted until {@link
+   * #endSettingsTransition}.
    */
   void applySettings(Settings next) {
     dispatcher.updateSettings(classResolver.replaceSettings(next));
   }
 
-  /** Requests of the form before the last change of settings are no longer taken. */
+  /** Stops accepting requests of the form that preceded the last change of settings. */
   void endSettingsTransition() {
     Settings settled = classResolver.endTransition();
     if (settled != null) {
@@ -114,7 +114,10 @@
         || name.equals(Framing.singleValue(headers, PRIORITY_CLASS));
   }
 
-  /** The deadline of the class or of the request, the shorter; NaN for a malformed header. */
+  /**
+   * Returns the deadline (ms) of the class or of the request, whichever is shorter; NaN for a
+   * malformed header.
+   */
   private static double timeoutMillis(HttpHeaders headers, Settings.RequestClass requestClass) {
     double deadlineMillis = requestClass.deadlineMillis();
     return headers.contains(TIMEOUT_MILLIS)
@@ -134,7 +137,10 @@
         "1".equals(headers.get(RETRIED)));
   }
 
-  /** The expected work, which clients state in microseconds; NaN where it is not stated. */
+  /**
+   * Returns the expected work (ms), which clients state in microseconds; NaN if it is absent or
+   * malformed.
+   */
   private static double costMillis(String text) {
     try {
       double micros = text == null ? Double.NaN : Double.parseDouble(text.trim());
@@ -144,7 +150,7 @@
     }
   }
 
-  /** The first part of the path. */
+  /** Returns the first segment of the path, which names the class. */
   private static String className(String path) {
     int start = path.startsWith("/") ? 1 : 0;
     int end = start;
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -20,8 +20,8 @@
 import leadferry.http.HttpServerSettings;
 
 /**
- * One client proxy, with all of its state on one event loop thread: puts its parts together, starts
- * them, keeps house and drains. Its states are those of {@link ProxyLifecycle}.
+ * Client proxy whose state is confined to one event loop thread. Creates its components, starts
+ * them, runs periodic housekeeping and drains. {@link ProxyLifecycle} defines its states.
  */
 final class Proxy {
   private static final Transport TRANSPORT = new NioTransport();
@@ -29,17 +29,19 @@
   private static final long HOUSEKEEPING_MILLIS = 200;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** For how long the clients' address is tried, and how often. */
+  /** Time for which binding the client address is retried, every {@link #LISTEN_RETRY_MILLIS}. */
   private static final long LISTEN_TIMEOUT_MILLIS = 1_000;
 
   private static final long LISTEN_RETRY_MILLIS = 20;
 
-  /** How long a process that takes over from another waits for discovery before it listens. */
+  /**
+   * Time for which a process that takes over from another waits for discovery before it listens.
+   */
   private static final long LIST_TIMEOUT_MILLIS = 1_500;
 
   /**
-   * And any other, as a part of the drain's grace: an agent on the same machine answers at once, or
-   * is silent.
+   * Time for which any other process waits for discovery, as a fraction of the drain grace. An
+   * agent on the same machine responds at once or not at all.
    */
   private static final double LIST_TIMEOUT_GRACE_FRACTION = 0.5;
 
@@ -106,7 +108,10 @@
     return messenger;
   }
 
-  /** Starts the watch, and listens once discovery has told its list or was waited for. */
+  /**
+   * Starts the discovery watch, and listens once discovery has sent its list or the wait for the
+   * list has timed out.
+   */
   void start() throws ConfigException {
     try {
       loop.submit(() -> discoveryWatch.start(initialConfig.knownList())).sync();
@@ -118,7 +123,7 @@
       lifecycle.advance(ProxyLifecycle.State.SERVING);
       loop.submit(() -> sharedLimits.exchangeStates(loop, this::isListening)).sync();
       operatorState.onChange(() -> loop.execute(this::applyOperatorState));
-      loop.submit(this::applyOperatorState).sync(); // calls that came before
+      loop.submit(this::applyOperatorState).sync(); // calls made before the listener was set
       loop.submit(this::runHousekeeping).sync();
     } catch (Exception e) {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -135,9 +140,10 @@
   }
 
   /**
-   * Waits for discovery's list. Guards against a new process that goes by the old list of its
-   * configuration: what discovery has counts as notified from its first moment, so an endpoint that
-   * drains already has no grace left. Where discovery is down it makes the start longer by as much.
+   * Waits for the list of discovery. Guards against a new process that uses the outdated list of
+   * its configuration: the changes that discovery has count as notified from the start of the
+   * process, and an endpoint that already drains has no grace left. If discovery is down, the start
+   * takes longer by this wait.
    */
   private void awaitEndpointList() throws Exception {
     double graceMillis = LIST_TIMEOUT_GRACE_FRACTION * initialConfig.drainGraceMillis();
@@ -150,9 +156,9 @@
   }
 
   /**
-   * Listens, and tries again for a while where the system has no socket or buffer at the moment, or
-   * the address is not free yet. Guards a start against a shortage that passes: a process that ends
-   * there is a crash.
+   * Binds the client address, and retries for a while if the system has no socket or buffer
+   * available or the address is still in use. Guards the start against a temporary shortage: a
+   * process that ended for it would count as crashed.
    */
   private void listen() throws Exception {
     long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MILLIS);
@@ -173,7 +179,7 @@
     return failure instanceof SocketException || failure instanceof ChannelException;
   }
 
-  /** Waits for the end of the start; returns whether it serves. */
+  /** Waits until the start has finished; returns whether the proxy serves. */
   boolean awaitStart() {
     return lifecycle.awaitStart();
   }
@@ -181,7 +187,10 @@
   private void applyOperatorState() {
     if (operatorState.isDraining() != sheddingClients && !lifecycle.isShuttingDown()) {
       sheddingClients = !sheddingClients;
-      log.line(sheddingClients ? "clients are sent away" : "clients are taken back");
+      log.line(
+          sheddingClients
+              ? "operator drain started: clients are asked to leave"
+              : "operator drain ended: clients may stay");
       httpServer.setClientShedding(sheddingClients);
     }
   }
@@ -196,7 +205,7 @@
       discoveryWatch.checkTimeouts();
       configReloader.reloadIfChanged();
     } catch (RuntimeException e) {
-      // Guards against a periodic task that ends for ever with its first exception.
+      // Guards against the end of the periodic task: its first exception would cancel it.
       log.failure("housekeeping failed", e);
     }
   }
@@ -213,11 +222,11 @@
 
   private void onReload(Config config) {
     upstreams.updateBounds(config.bounds());
-    log.line("configuration read again, discovery at " + config.discovery());
+    log.line("configuration reloaded, discovery at " + config.discovery());
     discoveryWatch.moveTo(config.discovery());
   }
 
-  /** Begins the {@link GracefulShutdown}. */
+  /** Starts the {@link GracefulShutdown}. */
   void drain() {
     loop.execute(
         () -> {
@@ -228,8 +237,9 @@
           operatorState.setReady(false);
           boolean anotherProcessListens = sharedLimits.isAnotherProcessListening();
           if (anotherProcessListens) {
-            // The other process has the clients; who is still here leaves with its next answer.
-            log.line("draining, another process listens");
+            // The other process accepts new clients; a client still connected here is asked to
+            // leave with its next response.
+            log.line("draining: another process listens");
             httpServer.stopListening();
             httpServer.setClientShedding(true);
           } else {
@@ -249,7 +259,7 @@
     lifecycle.awaitEnd();
   }
 
-  /** Ends the loop at once. */
+  /** Shuts the event loop down at once, without a drain. */
   void stop() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     lifecycle.advance(ProxyLifecycle.State.ENDED);
@@ -259,27 +269,29 @@
     return (InetSocketAddress) httpServer.listener().localAddress();
   }
 
-  /** Whether its own socket takes clients. */
+  /** Whether the listening socket of this process is open. */
   boolean isListening() {
     return httpServer.listener().isOpen();
   }
 
-  /** Requests that are not over, or whose attempts are not; on its loop. */
+  /**
+   * Returns the number of requests that are open or have open attempts; called on the event loop.
+   */
   int openRequests() {
     return dispatcher.openRequests();
   }
 
-  /** Whether the endpoint of that name may get requests; on its loop. */
+  /** Whether the named endpoint may get requests; called on the event loop. */
   boolean canSendTo(String endpoint) {
     return dispatcher.isSendable(endpoint);
   }
 
-  /** What it holds of descriptors; on its loop. */
+  /** Returns the budget of file descriptors for sockets; called on the event loop. */
   SocketBudget socketBudget() {
     return socketBudget;
   }
 
-  /** The loop on which all of it runs. */
+  /** Returns the event loop to which the proxy is confined. */
   EventLoop loop() {
     return loop;
   }
--- a/src/main/java/leadferry/proxy/ProxyLifecycle.java
+++ b/src/main/java/leadferry/proxy/ProxyLifecycle.java
@@ -3,19 +3,19 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * The states of one proxy, and those who wait for them. The states follow each other in their order
- * and none is entered again; safe for use by several threads.
+ * State machine of one proxy, with methods that wait for its start and its end. A proxy passes
+ * through the states in the order of their declaration and enters none twice. Thread-safe.
  */
 final class ProxyLifecycle {
-  /** What a proxy does for its clients. */
+  /** Phase in the life of a proxy. */
   enum State {
-    /** It does not listen yet. */
+    /** The proxy does not listen yet. */
     STARTING,
-    /** It listens, and answers. */
+    /** The proxy listens and serves requests. */
     SERVING,
-    /** It answers what it has taken, and asks its clients to leave. */
+    /** The proxy serves the requests that it has accepted, and asks its clients to leave. */
     DRAINING,
-    /** All that was taken is answered, or its time is over. */
+    /** Every accepted request has its response, or the time limit of the drain has passed. */
     ENDED
   }
 
@@ -23,7 +23,7 @@
   private final CountDownLatch ended = new CountDownLatch(1);
   private volatile State state = State.STARTING;
 
-  /** Goes on to {@code next}; has no effect where that state was reached before. */
+  /** Advances to {@code next}; has no effect if the proxy has already reached that state. */
   synchronized void advance(State next) {
     if (next.compareTo(state) > 0) {
       state = next;
@@ -33,12 +33,12 @@
     }
   }
 
-  /** The start is over, with a proxy that serves or without one. */
+  /** Marks the start as finished, whether or not the proxy serves. */
   void finishStart() {
     startFinished.countDown();
   }
 
-  /** Waits for the end of the start; returns whether the proxy serves. */
+  /** Waits until the start has finished; returns whether the proxy serves. */
   boolean awaitStart() {
     await(startFinished);
     return state == State.SERVING;
--- a/src/main/java/leadferry/proxy/ProxyProcess.java
+++ b/src/main/java/leadferry/proxy/ProxyProcess.java
@@ -8,22 +8,25 @@
 import leadferry.engine.Log;
 import leadferry.engine.Signals;
 
-/** The platform's process: one proxy, its log, its management address and its signals. */
+/** Process of the platform: runs one proxy with its log, management server and signal handlers. */
 public final class ProxyProcess {
-  /** Logs each request and attempt that failed and each connection closed, where it is 1. */
+  /**
+   * Variable that, set to 1, enables log lines for each failed request, failed attempt and closed
+   * connection.
+   */
   private static final String LOG_DETAILS_VARIABLE = "BALANCER_LOG_DETAILS";
 
   private static final String LOCK_FOLDER_VARIABLE = "TMPDIR";
 
-  /** How long the end waits for the last lines of the log to be written. */
+  /** Maximum time for which the exit waits for the last log lines to be written. */
   private static final long LOG_FLUSH_TIMEOUT_MILLIS = 50;
 
   private ProxyProcess() {}
 
   /**
-   * Runs a client proxy as the environment describes it, until SIGTERM has been carried out.
+   * Runs a client proxy, configured by the environment, until SIGTERM has been handled.
    *
-   * @throws ConfigException if there is no configuration to run with
+   * @throws ConfigException if there is no valid configuration, or the proxy can't start with it
    */
   public static void run(Map<String, String> environment) throws ConfigException {
     useJdkLogger();
@@ -33,25 +36,26 @@
     HotRestart hotRestart = HotRestart.join(environment.get(LOCK_FOLDER_VARIABLE));
     OperatorState operatorState = new OperatorState();
     if (config.management() != null) {
-      // Before the warm-up: operators are answered while the process still starts.
+      // Starts before the warm-up: operators get responses while the process is still starting.
       listenForOperators(config, operatorState, log);
     }
     WarmUp.run(config, hotRestart.readOtherProcesses() != null, log);
     Proxy proxy = new Proxy(config, operatorState, hotRestart, log);
     reloadOnHangup(proxy, environment.get(Config.FILE_VARIABLE), log);
-    // Guards what is taken in the first moment: a SIGTERM without a hook ends the process at once.
+    // Guards requests accepted right after the start: without a hook, SIGTERM ends the process at
+    // once.
     Runtime.getRuntime().addShutdownHook(new Thread(() -> terminate(proxy, writer), "drain"));
     proxy.start();
     proxy.awaitEnd();
   }
 
-  /** Runs only what comes before a client proxy listens, with classes of its own. */
+  /** Runs only the warm-up that precedes a client proxy, with example classes. */
   public static void warmUp() {
     useJdkLogger();
     WarmUp.run(Config.example(), false, new LineLog(System.err, false));
   }
 
-  /** Guards against the loading of the daemon's log, which Netty takes by itself. */
+  /** Guards against loading the daemon's logging library, which Netty selects by default. */
   private static void useJdkLogger() {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
   }
@@ -71,12 +75,12 @@
   private static void reloadOnHangup(Proxy proxy, String file, Log log) {
     if (!Signals.onHangup(() -> proxy.reload(file))) {
       log.line(
-          "SIGHUP is ignored in this process: the configuration's time and size are looked at in its place");
+          "SIGHUP is ignored in this process: polling the time and size of the configuration file instead");
       proxy.watch(file);
     }
   }
 
-  /** Carries out SIGTERM; a drain that is done is a success, and not the JVM's status 143. */
+  /** Handles SIGTERM. A completed drain exits with status 0, in place of the JVM's 143. */
   private static void terminate(Proxy proxy, BackgroundWriter writer) {
     if (proxy.awaitStart()) {
       proxy.drain();
--- a/src/main/java/leadferry/proxy/ReconnectBackoff.java
+++ b/src/main/java/leadferry/proxy/ReconnectBackoff.java
@@ -1,16 +1,16 @@
 package leadferry.proxy;
 
 /**
- * The delay before a broken watch is opened anew: exponential up to a limit, with jitter.
+ * Computes the delay before a broken watch is opened again: exponential up to a limit, with jitter.
  *
- * <p>A change made while no watch is open counts as notified all the same, so the limit is a part
- * of the drain's grace, which leaves the rest of it for the list to come.
+ * <p>A change made while no watch is open counts as notified all the same. The limit is therefore a
+ * fraction of the drain grace, and the rest of the grace remains for receiving the list.
  */
 final class ReconnectBackoff {
   private static final long FIRST_MILLIS = 50;
   private static final long LIMIT_MILLIS = 500;
 
-  /** The limit as a part of the drain's grace; jitter adds up to half as much again. */
+  /** Limit as a fraction of the drain grace; jitter adds up to half as much again. */
   private static final double LIMIT_GRACE_FRACTION = 0.25;
 
   private final long firstMillis;
@@ -24,14 +24,14 @@
     currentMillis = firstMillis;
   }
 
-  /** The next delay, from half to one and a half times the present step; the step doubles. */
+  /** Returns the next delay, between 0.5 and 1.5 times the present step, and doubles the step. */
   long nextDelayMillis() {
     long delayMillis = currentMillis / 2 + (long) (Math.random() * currentMillis);
     currentMillis = Math.min(2 * currentMillis, limitMillis);
     return delayMillis;
   }
 
-  /** Begins again with the shortest delay. */
+  /** Restarts with the shortest delay. */
   void reset() {
     currentMillis = firstMillis;
   }
--- a/src/main/java/leadferry/proxy/RequestClassResolver.java
+++ b/src/main/java/leadferry/proxy/RequestClassResolver.java
@@ -8,24 +8,28 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * The classes by which requests are judged, and for a while after a change of the settings those
- * that changed their semantics or went, as they were.
+ * Resolves the class of a request. For a while after a change of settings, it also knows the
+ * previous form of the classes that were removed or got other semantics.
  *
  * <pre>
- *   SIGHUP, read      clients name the new classes           what was is forgotten
- *   |------ old form and new form are taken ------|----------------|
- *   0                                           1.2 s            2.5 s
+ *   SIGHUP, reload                      clients use the new classes  previous classes dropped
+ *   |--------- previous and new form are accepted ------|---------------|
+ *   0                                                 1.2 s           2.5 s
  * </pre>
  *
- * <p>Method and key tell the form: it is safe ({@code GET}), keyed or neither. A request in the new
- * form falls under the new rules; one in the old form under the old ones, by a name of its own in
- * the module, so that nothing of the old rules reaches a request of the new form.
+ * <p>Method and key define the form of a request: safe ({@code GET}), keyed or neither. A request
+ * of the new form gets the new class. A request of the previous form gets the previous class, which
+ * has a separate name in the load balancer: no state of the previous class affects requests of the
+ * new form.
  */
 final class RequestClassResolver {
-  /** How long requests of the old form are taken. */
+  /** Time for which requests of the previous form are accepted. */
   static final long TRANSITION_MILLIS = 2_500;
 
-  /** No class of the platform's can be named so: it can't stand in a path. */
+  /**
+   * Suffix for the names of previous classes. No class of the platform has such a name, because the
+   * suffix can't appear in a path.
+   */
   private static final String PREVIOUS_SUFFIX = " (before)";
 
   private Settings settings;
@@ -37,7 +41,9 @@
     classes = byName(first);
   }
 
-  /** Takes other settings; returns those for the module, which know the former classes too. */
+  /**
+   * Replaces the settings; returns those for the load balancer, which include the previous classes.
+   */
   Settings replaceSettings(Settings next) {
     Map<String, Settings.RequestClass> replaced = classes;
     Map<String, Settings.RequestClass> previous = new HashMap<>();
@@ -57,8 +63,8 @@
   }
 
   /**
-   * Forgets what was; returns the settings for the module from now on, or null if they are the
-   * same.
+   * Drops the previous classes; returns the settings for the load balancer from now on, or null if
+   * they are unchanged.
    */
   Settings endTransition() {
     if (previousClasses.isEmpty()) {
@@ -68,9 +74,7 @@
     return settings;
   }
 
-  /**
-   * The class that a request of this name, method and key falls under; null where there is none.
-   */
+  /** Returns the class for a request with this name, method and key; null if there is none. */
   Settings.RequestClass resolve(String name, HttpMethod method, boolean keyed) {
     Settings.RequestClass current = classes.get(name);
     Settings.RequestClass previous = previousClasses.get(name);
@@ -84,7 +88,7 @@
     return oldForm ? previous : current;
   }
 
-  /** Whether a request of a class comes by this method, with its key where it needs one. */
+  /** Whether a request has the method of the class, and a key if the class needs one. */
   static boolean matchesForm(Settings.RequestClass requestClass, HttpMethod method, boolean keyed) {
     Settings.Semantics semantics = requestClass.semantics();
     HttpMethod expected =
--- a/src/main/java/leadferry/proxy/SharedLimits.java
+++ b/src/main/java/leadferry/proxy/SharedLimits.java
@@ -8,21 +8,21 @@
 import leadferry.engine.SocketBudget;
 
 /**
- * The limits of descriptors and memory, shared with the other process of an upgrade: each goes by
- * what the other leaves of them. Confined to the event loop once it is started.
+ * Splits the limits of file descriptors and memory with the other process of an upgrade: each
+ * process uses what the other leaves. Confined to the event loop once the exchange has started.
  */
 final class SharedLimits {
-  /** What the JVM takes of the memory limit besides bodies. */
+  /** Part of the memory limit that the JVM needs besides bodies. */
   private static final long JVM_MEGABYTES = 88;
 
   private static final long MIN_BODY_MEGABYTES = 8;
   private static final long MAX_BODY_MEGABYTES = 80;
   private static final int MEGABYTE_SHIFT = 20;
 
-  /** How often two processes tell each other what they hold. */
+  /** Interval at which two processes exchange their states. */
   private static final long SHARED_INTERVAL_MILLIS = 20;
 
-  /** How often a process looks for another one. */
+  /** Interval at which a process looks for another one. */
   private static final long ALONE_INTERVAL_MILLIS = 200;
 
   private final HotRestart hotRestart;
@@ -46,23 +46,26 @@
     update(hotRestart.readOtherProcesses());
   }
 
-  /** Whether another process lived at the last look. */
+  /** Whether another process was alive at the last exchange. */
   boolean isShared() {
     return shared;
   }
 
-  /** Whether another process has the clients' address; no, where that can't be found out. */
+  /** Whether another process listens on the client address; false if that can't be determined. */
   boolean isAnotherProcessListening() {
     try {
       HotRestart.ProcessState others = hotRestart.readOtherProcesses();
       return others != null && others.isListening();
     } catch (RuntimeException e) {
-      log.failure("other processes could not be looked for", e);
+      log.failure("hot restart: state of other processes could not be read", e);
       return false;
     }
   }
 
-  /** Tells the other processes of this one and asks about them, from now on; on the loop. */
+  /**
+   * Publishes the state of this process, applies the limits that the other processes leave, and
+   * schedules the next exchange; called on the event loop.
+   */
   void exchangeStates(EventLoop loop, BooleanSupplier isListening) {
     try {
       hotRestart.publish(
@@ -73,7 +76,7 @@
               bodyBudget.usedBytes()));
       update(hotRestart.readOtherProcesses());
     } catch (RuntimeException e) {
-      log.failure("processes could not be compared", e); // until the next time
+      log.failure("hot restart: exchange of states failed", e); // The next exchange tries again.
     }
     long intervalMillis = shared ? SHARED_INTERVAL_MILLIS : ALONE_INTERVAL_MILLIS;
     loop.schedule(() -> exchangeStates(loop, isListening), intervalMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/leadferry/proxy/WarmUp.java
+++ b/src/main/java/leadferry/proxy/WarmUp.java
@@ -15,12 +15,12 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Requests that a proxy of its own forwards on loopback before the real one listens. Guards the
- * first seconds: with part of a core, loading and compiling the code while clients wait costs most
- * of what they ask for then. It makes a start longer by as much, which clients wait for after a
- * restart, so it is no longer than it takes. {@code deploy/proxy.jvm} has methods compiled after a
- * fifth of the usual calls, so that a fifth of the requests warms as much. A warm-up that fails is
- * left out.
+ * Forwards requests through a separate proxy on loopback before the real proxy listens. Guards the
+ * first seconds after a start: on part of a core, loading and compiling the code while clients wait
+ * costs most of their requests. The warm-up delays the start, for which clients wait after a
+ * restart, and is therefore no longer than it has to be. {@code deploy/proxy.jvm} has methods
+ * compiled after a fifth of the usual number of calls, and a fifth of the requests therefore warms
+ * up as much. A warm-up that fails is skipped.
  */
 final class WarmUp {
   static final int REQUESTS = 300;
@@ -29,14 +29,15 @@
   private static final int SOCKETS = 64;
   private static final int SEED = 1;
 
-  /** Where another process serves meanwhile: how long to pause, in times of a request. */
+  /** Pause after each request, as a multiple of its duration, while another process serves. */
   private static final int PAUSES_PER_REQUEST = 2;
 
   private static final long MAX_PACED_NANOS = 2_500_000_000L;
 
   /**
-   * The deadline of each class. Guards against a warm-up that ends with its first request: cold
-   * code is so slow that the load balancer would shed what it can't serve in time.
+   * Deadline of each class during the warm-up. Guards against a warm-up that ends with its first
+   * request: cold code is so slow that the load balancer would shed requests that it can't serve in
+   * time.
    */
   private static final double DEADLINE_MILLIS = 60_000;
 
@@ -52,17 +53,17 @@
   }
 
   /**
-   * Forwards some requests of each class, for three seconds at most; {@code paced} leaves most of
-   * the core to a process that serves meanwhile, and takes 2.5 s.
+   * Forwards requests of each class, for at most 3 s. With {@code paced}, it leaves most of the
+   * core to a process that serves meanwhile, and takes at most 2.5 s.
    *
-   * @return how many were served
+   * @return number of requests that were served
    */
   static int run(Config config, boolean paced, Log log) {
     try (WarmUpServer server = new WarmUpServer(BODY)) {
       server.start();
       return new WarmUp(config, paced).forwardRequestsTo(server);
     } catch (IOException | ConfigException | RuntimeException e) {
-      log.line("warm-up left out: " + e);
+      log.line("warm-up skipped: " + e);
       return 0;
     }
   }
--- a/src/main/java/leadferry/proxy/WarmUpMessageReader.java
+++ b/src/main/java/leadferry/proxy/WarmUpMessageReader.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 
 /**
- * Reads the messages of one connection of the warm-up, one at a time, as cheaply as can be: what is
- * spent here is taken from the code that is warmed, and this class is never needed again. Bodies
- * are of one length or none.
+ * Reads the messages of one warm-up connection, one at a time and at minimal cost: its own work
+ * takes time from the code that is warmed up, and the class is not used afterwards. Bodies have a
+ * fixed length or are absent.
  */
 final class WarmUpMessageReader {
-  /** What kind of request has been read. */
+  /** Kind of the request that was read. */
   enum RequestKind {
     /** The connection has ended. */
     END,
@@ -33,7 +33,7 @@
     this.input = input;
   }
 
-  /** Reads a response, which has a body; false where the connection has ended. */
+  /** Reads a response, which has a body; returns false if the connection has ended. */
   boolean readResponse() throws IOException {
     int headBytes = readHead();
     if (headBytes < 0) {
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /** Reads a request; a GET has no body. */
+  /** Reads a request and returns its kind; a GET request has no body. */
   RequestKind readRequest() throws IOException {
     int headBytes = readHead();
     if (headBytes < 0) {
@@ -56,7 +56,7 @@
     return toDiscovery ? RequestKind.TO_DISCOVERY : RequestKind.TO_UPSTREAM;
   }
 
-  /** Reads at least up to the empty line; returns the bytes of the head, or -1 at an end. */
+  /** Reads at least the head; returns its length in bytes, or -1 at the end of the stream. */
   private int readHead() throws IOException {
     int from = 0;
     while (size < buffer.length) {
@@ -78,6 +78,6 @@
     if (messageBytes > size) {
       input.skipNBytes(messageBytes - size);
     }
-    size = 0; // one message at a time: nothing comes behind
+    size = 0; // The peer sends one message at a time: no byte of the next one has been read.
   }
 }
--- a/src/main/java/leadferry/proxy/WarmUpServer.java
+++ b/src/main/java/leadferry/proxy/WarmUpServer.java
@@ -7,7 +7,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** The upstream host and the discovery of the warm-up, at one address; a thread a connection. */
+/**
+ * Serves as the upstream host and the discovery of the warm-up, at one address and with a thread
+ * per connection.
+ */
 final class WarmUpServer implements AutoCloseable {
   private static final int BACKLOG = 16;
   private static final String THREAD_NAME = "warm-up";
@@ -15,7 +18,7 @@
   private final ServerSocket listener;
   private final byte[] response;
 
-  /** Listens on loopback; {@code body} is that of each response. */
+  /** Listens on loopback; {@code body} is the body of each response. */
   WarmUpServer(String body) throws IOException {
     listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     response =
@@ -34,7 +37,7 @@
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** The endpoint list with this server alone, in discovery's form. */
+  /** Returns an endpoint list with this server only, in the JSON form of discovery. */
   String endpointList() {
     return "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"warm-up\",\"addr\":\"127.0.0.1:"
         + listener.getLocalPort()
--- a/src/main/java/leadferry/proxy/WatchState.java
+++ b/src/main/java/leadferry/proxy/WatchState.java
@@ -1,7 +1,7 @@
 package leadferry.proxy;
 
 /**
- * The state of the watch on discovery, with its transitions.
+ * State of the watch on discovery, with its transitions.
  *
  * <pre>
  *   IDLE --> CONNECTING --> AWAITING_RESPONSE --> RECEIVING --> SYNCHRONIZED
@@ -15,11 +15,11 @@
   IDLE,
   /** The connection is being opened. */
   CONNECTING,
-  /** The request is sent, and nothing was received yet. */
+  /** The request has been sent, and nothing has been received yet. */
   AWAITING_RESPONSE,
-  /** A response has begun, without a sound list yet. */
+  /** A response has begun, without a valid list yet. */
   RECEIVING,
-  /** This connection has told a sound list, or that nothing has changed. */
+  /** The connection has delivered a valid list, or the message that nothing has changed. */
   SYNCHRONIZED,
   /** The connection was lost, and the next one is scheduled. */
   BACKING_OFF;
--- a/src/main/java/leadferry/proxy/WatchedFile.java
+++ b/src/main/java/leadferry/proxy/WatchedFile.java
@@ -6,8 +6,9 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * A file whose time and size are polled, for a process that no signal reaches. A poll is one system
- * call. A file that is being written shows as several changes; its reader must expect half a file.
+ * File whose time and size are polled, for a process that receives no signal. A poll is one system
+ * call. A file that is being written shows as several changes, and its reader must expect an
+ * incomplete file.
  */
 final class WatchedFile {
   private static final String MISSING = "none";
@@ -24,7 +25,7 @@
     return file;
   }
 
-  /** Whether it has changed, appeared or gone since the last call. */
+  /** Whether the file has changed, appeared or disappeared since the last call. */
   boolean hasChanged() {
     String attributes = readAttributes();
     boolean changed = !attributes.equals(lastAttributes);
--- a/src/main/java/leadferry/proxy/package-info.java
+++ b/src/main/java/leadferry/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The platform's process: its configuration, request filter, discovery and management, the warm-up
- * before it listens, and the graceful shutdown. Begin with {@link leadferry.proxy.ProxyProcess},
- * which runs one {@code Proxy}. Loads nothing of the daemon, the command line or consensus.
+ * Process of the platform: configuration, request filter, discovery watch, management server,
+ * warm-up and graceful shutdown. Start reading at {@link leadferry.proxy.ProxyProcess}, which runs
+ * one {@code Proxy}. Loads no class of the daemon, the command line or consensus.
  */
 package leadferry.proxy;
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -163,7 +163,7 @@
       ProxyFixture.UpstreamHost silent = fixture.new UpstreamHost(h -> null);
       startProxy(fixture, silent, log);
       ProxyFixture.await(
-          () -> log.toString(StandardCharsets.UTF_8).contains("peers can't be heard"));
+          () -> log.toString(StandardCharsets.UTF_8).contains("peer messages: can't listen on"));
       holder.close();
       ProxyFixture.await(this::isPortInUse);
       SuspicionMessage report = reportSilentHost(fixture, silent);
