--- a/src/main/java/leadferry/proxy/DiscoveryWatch.java
+++ b/src/main/java/leadferry/proxy/DiscoveryWatch.java
@@ -160,7 +160,7 @@
     ChannelFuture connecting = bootstrap.connect(address);
     if (!connecting.channel().isRegistered()) {
       // Guards against a watch that waits forever: a channel that was never opened is never closed.
-      onConnectionLost("no socket available");
+      onConnectionLost("out of sockets");
       return;
     }
     DiscoveryConnection opened = new DiscoveryConnection(this, address, connecting.channel());
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -45,7 +45,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Discovery that breaks off, can't be read, contradicts itself, or has no room. */
+/**
+ * Tests the watch with a discovery server that disconnects, sends malformed or contradictory lists,
+ * or rejects requests, and with a shortage of descriptors.
+ */
 class DiscoveryTest {
   private static final int BAD_RESPONSES = 3;
   private static final long TENTH_SECOND_NANOS = 100_000_000L;
@@ -65,7 +68,8 @@
   }
 
   /**
-   * Answers the first questions with these bytes and an end, and later ones as a discovery does.
+   * Discovery server that sends a bad response and a close to the first requests, and a valid list
+   * to later ones.
    */
   private final class FailingDiscovery extends ProxyFixture.Server {
     final List<Long> requestNanos = new CopyOnWriteArrayList<>();
@@ -79,18 +83,18 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException {
-      if (ProxyFixture.readMessage(s.getInputStream()) == null) {
+    void serve(Socket socket) throws IOException {
+      if (ProxyFixture.readMessage(socket.getInputStream()) == null) {
         return;
       }
       requestNanos.add(System.nanoTime());
       if (requestNanos.size() <= BAD_RESPONSES) {
-        write(s, badResponse);
-        s.shutdownOutput();
-        s.close();
+        write(socket, badResponse);
+        socket.shutdownOutput();
+        socket.close();
       } else {
-        write(s, chunk(goodList + "\n"));
-        ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
+        write(socket, chunk(goodList + "\n"));
+        ProxyFixture.readMessage(socket.getInputStream()); // until the watch ends
       }
     }
   }
@@ -120,7 +124,7 @@
         + "\"weight\":1.0,\"started_ms\":0}";
   }
 
-  static Stream<String> badAnswers() {
+  static Stream<String> malformedResponses() {
     String whole = list(50, entry("x", "127.0.0.1:1"));
     return Stream.of(
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -146,9 +150,12 @@
         file, new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
   }
 
-  /** The list in force stays, whole, until one comes that is sound; and that one is taken. */
+  /**
+   * Guards against a bad response that changes the list in force, and against a watch that fails to
+   * apply the next valid list.
+   */
   @ParameterizedTest
-  @MethodSource("badAnswers")
+  @MethodSource("malformedResponses")
   void badResponseChangesNothingAndTheNextGoodOneIsApplied(String bad) throws Exception {
     ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
     ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
@@ -169,7 +176,10 @@
     assertThat(discovery.requestNanos).hasSize(BAD_RESPONSES + 1);
   }
 
-  /** Turns away all calls but a few in each tenth of a second, and tells the others the list. */
+  /**
+   * Discovery server that rejects all but a few requests in each tenth of a second, and sends the
+   * list to the others.
+   */
   private final class RateLimitedDiscovery extends ProxyFixture.Server {
     final List<Long> requestNanos = new CopyOnWriteArrayList<>();
     final AtomicInteger accepted = new AtomicInteger();
@@ -190,22 +200,22 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException {
-      while (ProxyFixture.readMessage(s.getInputStream()) != null) {
+    void serve(Socket socket) throws IOException {
+      while (ProxyFixture.readMessage(socket.getInputStream()) != null) {
         if (tryAccept()) {
           accepted.incrementAndGet();
-          write(s, chunk(list + "\n"));
-          sendKeepAlives(s);
+          write(socket, chunk(list + "\n"));
+          sendKeepAlives(socket);
         } else {
-          write(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+          write(socket, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
       }
     }
   }
 
   /**
-   * Sends the empty lines of a watch on which nothing changes, until it ends: one that is silent
-   * would be asked again.
+   * Sends the empty lines of a watch without changes until the connection ends; a silent watch
+   * would be replaced.
    */
   private static void sendKeepAlives(Socket socket) throws IOException {
     while (true) {
@@ -215,21 +225,20 @@
   }
 
   /**
-   * Guards against watchers that come again together: those turned away at once would all be turned
-   * away again.
+   * Guards against watches that retry in step: rejected together, they would all be rejected again.
    */
   @Test
   void thirtyWatchesOnARateLimitedDiscoveryAllConnectWithoutAStorm() throws Exception {
     RateLimitedDiscovery discovery =
         new RateLimitedDiscovery(3, list(51, entry("h", "127.0.0.1:1")));
-    List<ProxyFixture> worlds = new ArrayList<>();
+    List<ProxyFixture> fixtures = new ArrayList<>();
     try {
       List<Thread> starts = new ArrayList<>();
       for (int i = 0; i < 30; i++) {
         ProxyFixture other = new ProxyFixture(Files.createDirectory(folder.resolve("p" + i)), 128);
         other.pollsDiscovery = true;
         other.seed = 10 + i;
-        worlds.add(other);
+        fixtures.add(other);
         Path file = other.writeConfig(discovery.address(), list(40, entry("h", "127.0.0.1:1")));
         Log quiet = new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false);
         starts.add(
@@ -248,17 +257,20 @@
       }
       ProxyFixture.await(() -> discovery.accepted.get() >= 30);
       assertThat(discovery.accepted).hasValue(30);
-      // 81 and 87 with waits that double, at chance; 135 where all wait alike.
+      // 81 and 87 requests with randomized exponential delays; 135 with equal delays.
       assertThat(discovery.requestNanos.size()).isLessThan(120);
     } finally {
-      for (ProxyFixture other : worlds) {
+      for (ProxyFixture other : fixtures) {
         other.close();
       }
     }
   }
 
-  /** As one object a line is shown on the protocol's page, and as printers indent it. */
-  static Stream<String> indents() {
+  /**
+   * Layouts of one list: on one line, as in the documentation of the protocol, and indented, as
+   * JSON printers write it.
+   */
+  static Stream<String> listLayouts() {
     String whole = list(51, entry("next", "ADDRESS"));
     String printed = whole.replaceAll("([{\\[,])", "$1\n  ").replaceAll("([}\\]])", "\n $1");
     return Stream.of(
@@ -271,32 +283,32 @@
   }
 
   /**
-   * Tells this list, whole where it is asked for, and on a watch in pieces cut anywhere, with more
-   * behind it.
+   * Returns a discovery server that sends this list: in one piece if it is requested, and on a
+   * watch in arbitrary pieces, with more data behind it.
    */
   private ProxyFixture.Server discoveryServing(String list, List<String> paths) throws IOException {
     return fixture.new Server() {
       @Override
-      void serve(Socket s) throws IOException {
+      void serve(Socket socket) throws IOException {
         String head;
-        while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
+        while ((head = ProxyFixture.readMessage(socket.getInputStream())) != null) {
           paths.add(head.split(" ")[1]);
           if (!head.contains("follow")) {
-            write(s, ok(list));
+            write(socket, ok(list));
             continue;
           }
-          write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+          write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           for (String piece : (list + "\n\n").split("(?<=[5\":])")) {
-            write(s, Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
+            write(socket, Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
           }
-          sendKeepAlives(s);
+          sendKeepAlives(socket);
         }
       }
     };
   }
 
   @ParameterizedTest
-  @MethodSource("indents")
+  @MethodSource("listLayouts")
   void indentedListOnTheWatchIsApplied(String indented) throws Exception {
     ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
     ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
@@ -312,21 +324,22 @@
   }
 
   @ParameterizedTest
-  @MethodSource("indents")
+  @MethodSource("listLayouts")
   void indentedFullListIsApplied(String indented) throws Exception {
     ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
     start(
         discoveryServing(indented.replace("ADDRESS", next.address()), paths),
-        "{}"); // no version to go on from
+        "{}"); // no version to resume from
     ProxyFixture.await(() -> paths.contains("/catalog/members?follow=1&since=51"));
     assertThat(paths).containsExactly("/catalog/members", "/catalog/members?follow=1&since=51");
     assertThat(fixture.<Boolean>callOnLoop(() -> fixture.proxy.canSendTo("next"))).isTrue();
   }
 
   /**
-   * Its first lines look like any other list's; the empty line that follows when nothing changes
-   * shows that it is none.
+   * Guards against a truncated list that is awaited forever. Its first lines look like those of any
+   * other list; the empty line after them, which means that nothing has changed, shows the
+   * truncation.
    */
   @Test
   void truncatedIndentedListIsRequestedAgain() throws Exception {
@@ -335,12 +348,13 @@
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
-          void serve(Socket s) throws IOException {
-            ProxyFixture.readMessage(s.getInputStream());
+          void serve(Socket socket) throws IOException {
+            ProxyFixture.readMessage(socket.getInputStream());
             String list = list(51, entry("next", next.address()));
             write(
-                s, chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
-            sendKeepAlives(s);
+                socket,
+                chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
+            sendKeepAlives(socket);
           }
         };
     start(discovery, list(40));
@@ -357,8 +371,8 @@
   }
 
   /**
-   * What a watch misses counts as told 6 s after it fell silent, so a replacement that is silent,
-   * too, must not cost them.
+   * Guards against a drain that is missed: the changes on a silent watch count as notified 6 s
+   * after it fell silent, even if its replacement is silent as well.
    */
   @Test
   void listArrivesInTimeAfterTwoSilentWatches() throws Exception {
@@ -370,12 +384,12 @@
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
-          void serve(Socket s) throws IOException {
-            ProxyFixture.readMessage(s.getInputStream());
+          void serve(Socket socket) throws IOException {
+            ProxyFixture.readMessage(socket.getInputStream());
             switch (watches.incrementAndGet()) {
               case 1 -> {
                 write(
-                    s,
+                    socket,
                     chunk(
                         list(40, entry("old", old.address()), entry("next", next.address()))
                             + "\n"));
@@ -383,11 +397,11 @@
               }
               case 2 -> {}
               default -> {
-                write(s, chunk(drainingDelta(41, "old", old.address()) + "\n"));
+                write(socket, chunk(drainingDelta(41, "old", old.address()) + "\n"));
                 toldAt.compareAndSet(0, System.nanoTime());
               }
             }
-            ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
+            ProxyFixture.readMessage(socket.getInputStream()); // until the watch ends
           }
         };
     start(discovery, list(39));
@@ -400,8 +414,8 @@
   }
 
   /**
-   * The waits grew while discovery failed; a watch on which nothing has changed is as good as any,
-   * and they begin anew.
+   * Guards against a poll interval that stays long after a failure of discovery: a watch on which
+   * nothing has changed is a valid one and resets the interval.
    */
   @Test
   void unchangedResponseResetsThePollInterval() throws Exception {
@@ -413,30 +427,30 @@
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
-          void serve(Socket s) throws IOException {
-            ProxyFixture.readMessage(s.getInputStream());
+          void serve(Socket socket) throws IOException {
+            ProxyFixture.readMessage(socket.getInputStream());
             if (calls.incrementAndGet() <= 4) {
-              write(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-              s.close();
+              write(socket, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+              socket.close();
             } else if (calls.get() == 5) {
-              write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+              write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
               silentFrom.set(System.nanoTime());
-              ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
+              ProxyFixture.readMessage(socket.getInputStream()); // until the watch ends
             } else {
               askedAt.compareAndSet(0, System.nanoTime());
-              sendKeepAlives(s);
+              sendKeepAlives(socket);
             }
           }
         };
     start(discovery, list(40, entry("h", host.address())));
     ProxyFixture.await(() -> askedAt.get() != 0);
-    // 3 s of silence, 0.2 s until it is looked at, and the first wait of 0.75 s at the most.
+    // 3 s of silence, 0.2 s until the next check, and a first interval of 0.75 s at most.
     assertThat(askedAt.get() - silentFrom.get()).isBetween(2_900_000_000L, 4_400_000_000L);
   }
 
   private static volatile int failuresLeft;
 
-  /** A socket, once the system has one to give. */
+  /** Channel that fails to open while the system has no free descriptor. */
   public static final class DescriptorLimitedChannel extends NioSocketChannel {
     public DescriptorLimitedChannel() {
       if (failuresLeft-- > 0) {
@@ -445,7 +459,10 @@
     }
   }
 
-  /** The system has no descriptor for a watch that is to be opened: later it has. */
+  /**
+   * Guards against a watch that is never opened because the system had no free descriptor at the
+   * first attempts.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void watchIsOpenedOnceADescriptorIsFree(boolean asked) throws Exception {
@@ -472,7 +489,7 @@
       DiscoveryWatch watch =
           loop.submit(
                   () -> {
-                    Dispatcher d =
+                    Dispatcher dispatcher =
                         new Dispatcher(
                             null,
                             loop,
@@ -481,10 +498,11 @@
                             upstreams,
                             new BodyBudget(1 << 20),
                             quiet);
-                    DiscoveryWatch other =
-                        new DiscoveryWatch(group, config, d, quiet, DescriptorLimitedChannel.class);
-                    other.start(config.knownList());
-                    return other;
+                    DiscoveryWatch opened =
+                        new DiscoveryWatch(
+                            group, config, dispatcher, quiet, DescriptorLimitedChannel.class);
+                    opened.start(config.knownList());
+                    return opened;
                   })
               .get();
       ProxyFixture.await(() -> loop.submit(watch::isConfirmed).syncUninterruptibly().getNow());
@@ -494,7 +512,10 @@
     }
   }
 
-  /** What the agent gets while no watch is open counts as told at once. */
+  /**
+   * Guards against reconnect delays beyond the drain grace: changes that the agent receives while
+   * no watch is open count as notified at once.
+   */
   @ParameterizedTest
   @ValueSource(ints = {250, 500})
   void repeatedlyResetWatchReconnectsWithinTheDrainGrace(int grace) throws Exception {
@@ -503,10 +524,10 @@
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
-          void serve(Socket s) throws IOException {
+          void serve(Socket socket) throws IOException {
             tries.add(System.nanoTime());
-            s.setSoLinger(true, 0);
-            s.close();
+            socket.setSoLinger(true, 0);
+            socket.close();
           }
         };
     start(discovery, list(39));
@@ -519,8 +540,8 @@
   }
 
   /**
-   * What discovery has counts as told from the first moment of a new process, and the list of its
-   * configuration may be old.
+   * Guards against a new process that uses the outdated list of its configuration: the changes that
+   * discovery has count as notified from the start of the process.
    */
   @Test
   void firstRequestOfANewProcessUsesTheCurrentList() throws Exception {
@@ -531,17 +552,17 @@
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
-            ProxyFixture.readMessage(s.getInputStream());
+          void serve(Socket socket) throws IOException, InterruptedException {
+            ProxyFixture.readMessage(socket.getInputStream());
             asked.countDown();
             answers.await();
             write(
-                s,
+                socket,
                 chunk(
                     drainingDelta(41, "drained", drained.address())
                             .replace("}]", "}," + entry("up", up.address()) + "]")
                         + "\n"));
-            ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
+            ProxyFixture.readMessage(socket.getInputStream()); // until the watch ends
           }
         };
     fixture.drainGraceMillis = 4_000;
@@ -560,9 +581,8 @@
     asked.await();
     ProxyFixture.await(
         new BooleanSupplier() {
-          private final long until =
-              System.nanoTime()
-                  + 5 * TENTH_SECOND_NANOS; // what goes by the old list has been sent by then
+          // a request that used the old list has been sent by then
+          private final long until = System.nanoTime() + 5 * TENTH_SECOND_NANOS;
 
           @Override
           public boolean getAsBoolean() {
@@ -575,7 +595,7 @@
     assertThat(drained.requests).isEmpty();
   }
 
-  /** The answer to a request that is sent as soon as anybody listens there. */
+  /** Returns the response to a request that is sent as soon as the port accepts connections. */
   private static String firstResponse(int port) {
     long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
     while (System.nanoTime() < until) {
--- a/src/test/java/leadferry/proxy/LargeBodiesTest.java
+++ b/src/test/java/leadferry/proxy/LargeBodiesTest.java
@@ -20,13 +20,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Bodies of the platform's that are longer than what is held, and clients and hosts that are slow.
+ * Tests the platform's bodies that are larger than the part held in memory, with slow clients and
+ * slow hosts.
  */
 class LargeBodiesTest {
-  /** More than is held of a request, and far more than is held of an answer. */
+  /**
+   * Larger than the part of a request that is held in memory, and much larger than that of a
+   * response.
+   */
   private static final int LARGE_BYTES = 3 << 20;
 
-  /** A request after which its connection ends. */
+  /** Request that closes its connection after the response. */
   private static final String CLOSING_REQUEST =
       atMostOnceRequest("a", "Content-Length: 0", "Connection: close");
 
@@ -44,34 +48,36 @@
   }
 
   private static String pattern(int size) {
-    StringBuilder s = new StringBuilder(size + 10);
-    for (int i = 0; s.length() < size; i++) {
-      s.append(i).append(' ');
+    StringBuilder text = new StringBuilder(size + 10);
+    for (int i = 0; text.length() < size; i++) {
+      text.append(i).append(' ');
     }
-    return s.substring(0, size);
+    return text.substring(0, size);
   }
 
-  /** A host that writes its answer in two parts, the second once it is let. */
+  /**
+   * Returns a host that writes its response in two parts, the second one after {@code go} opens.
+   */
   private ProxyFixture.UpstreamHost twoPartHost(
       String first, String second, CountDownLatch go, boolean reset) throws IOException {
     return fixture.new UpstreamHost(h -> null) {
       @Override
-      void serve(Socket s) throws IOException {
-        while (ProxyFixture.readMessage(s.getInputStream()) != null) {
-          write(s, first);
+      void serve(Socket socket) throws IOException {
+        while (ProxyFixture.readMessage(socket.getInputStream()) != null) {
+          write(socket, first);
           try {
             go.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             return;
           }
           if (reset) {
-            s.setSoLinger(true, 0);
-            s.close();
+            socket.setSoLinger(true, 0);
+            socket.close();
             return;
           }
-          write(s, second);
+          write(socket, second);
           if (first.contains("Connection: close")) {
-            s.close();
+            socket.close();
           }
         }
       }
@@ -85,17 +91,17 @@
     ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> ok(h.endsWith("\r\n\r\n" + body) ? "whole" : "other"));
     fixture.start(host);
-    try (Socket s = fixture.connectClient()) {
-      write(s, atMostOnceRequest("a", "Content-Length: " + LARGE_BYTES));
-      write(s, body.substring(0, LARGE_BYTES / 2));
-      Thread.sleep(700); // longer than its time with the host
-      write(s, body.substring(LARGE_BYTES / 2));
-      assertThat(ProxyFixture.readMessage(s.getInputStream())).endsWith("whole");
-      write(s, atMostOnceRequest("b"));
-      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("a", "Content-Length: " + LARGE_BYTES));
+      write(socket, body.substring(0, LARGE_BYTES / 2));
+      Thread.sleep(700); // longer than the request's timeout at the host
+      write(socket, body.substring(LARGE_BYTES / 2));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("whole");
+      write(socket, atMostOnceRequest("b"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(host.requests.get(0))
-        .contains("X-Timeout-Ms: 500"); // a host counts from the last byte too
+        .contains("X-Timeout-Ms: 500"); // the host's timeout starts at the last byte, too
   }
 
   @Test
@@ -140,9 +146,9 @@
             sized ? rest : chunk(rest) + "0\r\n\r\n",
             go,
             false));
-    try (Socket s = fixture.connectClient()) {
-      write(s, CLOSING_REQUEST);
-      InputStream in = s.getInputStream();
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, CLOSING_REQUEST);
+      InputStream in = socket.getInputStream();
       byte[] early = in.readNBytes(LARGE_BYTES / 4);
       Thread.sleep(600);
       go.countDown();
@@ -163,17 +169,19 @@
       hosts[i] =
           fixture.new UpstreamHost(h -> null) {
             @Override
-            void serve(Socket s) throws IOException {
-              while (ProxyFixture.readMessage(s.getInputStream()) != null) {
-                both.countDown(); // the first is silent until a second copy is out
+            void serve(Socket socket) throws IOException {
+              while (ProxyFixture.readMessage(socket.getInputStream()) != null) {
+                both.countDown(); // the first host is silent until the second attempt arrives
                 try {
                   both.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-                  write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half));
+                  write(
+                      socket,
+                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half));
                   Thread.sleep(100);
                 } catch (InterruptedException e) {
                   return;
                 }
-                write(s, chunk(body.substring(half.length())) + "0\r\n\r\n");
+                write(socket, chunk(body.substring(half.length())) + "0\r\n\r\n");
               }
             }
           };
@@ -195,9 +203,9 @@
             "",
             go,
             true));
-    try (Socket s = fixture.connectClient()) {
-      write(s, atMostOnceRequest("a"));
-      InputStream in = s.getInputStream();
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("a"));
+      InputStream in = socket.getInputStream();
       in.readNBytes(LARGE_BYTES / 4);
       go.countDown();
       String rest;
@@ -212,15 +220,15 @@
 
   @Test
   void requestBodyIsDrainedAfterAnEarlyResponse() throws Exception {
-    fixture.start(); // no host: refused as soon as the module is asked
-    try (Socket s = fixture.connectClient()) {
+    fixture.start(); // no host: rejected as soon as the load balancer gets the request
+    try (Socket socket = fixture.connectClient()) {
       for (int i = 0; i < 3; i++) {
-        write(s, atMostOnceRequest("a" + i, "Content-Length: " + LARGE_BYTES));
+        write(socket, atMostOnceRequest("a" + i, "Content-Length: " + LARGE_BYTES));
         String body = pattern(LARGE_BYTES);
-        write(s, body.substring(0, LARGE_BYTES / 2));
+        write(socket, body.substring(0, LARGE_BYTES / 2));
         Thread.sleep(50);
-        write(s, body.substring(LARGE_BYTES / 2));
-        assertThat(ProxyFixture.readMessage(s.getInputStream()))
+        write(socket, body.substring(LARGE_BYTES / 2));
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith("HTTP/1.1 503")
             .doesNotContain("close");
       }
@@ -239,14 +247,14 @@
   }
 
   private static String responseBody(ProxyFixture fixture, String request) throws IOException {
-    try (Socket s = fixture.connectClient()) {
-      write(s, request);
-      String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, request);
+      String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
       return all.contains("chunked") ? decode(all) : all.substring(all.indexOf("\r\n\r\n") + 4);
     }
   }
 
-  /** The body of a chunked message, which must have its end. */
+  /** Returns the body of a chunked message, which must be complete. */
   private static String decode(String message) {
     StringBuilder out = new StringBuilder();
     int offset = message.indexOf("\r\n\r\n") + 4;
--- a/src/test/java/leadferry/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators ask of a client proxy that serves. */
+/** Tests operators' actions on a running client proxy: management calls, reloads and upgrades. */
 class OperationsTest {
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
@@ -51,7 +51,7 @@
     }
   }
 
-  // --- where they call
+  // --- management calls
 
   private String callManagement(String request) throws IOException {
     try (Socket socket = connectToManagement()) {
@@ -123,13 +123,14 @@
     }
     assertThat(callManagement(put("/v1/client-proxy/drain"))).startsWith("HTTP/1.1 200");
     assertThat(state.isDraining()).isTrue();
-    assertThat(ProxyFixture.isClosedByPeer(silent.get(0))).isTrue(); // the oldest made room
+    // the oldest connection was closed to make room
+    assertThat(ProxyFixture.isClosedByPeer(silent.get(0))).isTrue();
     for (Socket socket : silent) {
       socket.close();
     }
   }
 
-  // --- sending clients away
+  // --- drain by operators
 
   @Test
   void drainServesClientsAndClosesTheirConnections() throws Exception {
@@ -148,7 +149,7 @@
       write(used, atMostOnceRequest("a"));
       assertThat(ProxyFixture.readMessage(used.getInputStream())).endsWith("served");
       assertThat(fixture.sendRequest(atMostOnceRequest("b")))
-          .endsWith("served"); // the front may still send some
+          .endsWith("served"); // the front end may still send requests
       assertThat(ProxyFixture.isClosedByPeer(idle)).isTrue();
       assertThat(ProxyFixture.isClosedByPeer(used)).isTrue();
     }
@@ -164,7 +165,7 @@
         });
   }
 
-  // --- other settings
+  // --- reloads
 
   private static final String VISIT =
       "{\"name\":\"visit\",\"aim\":400,\"deadline\":3000,\"semantics\":\"idempotent\"}";
@@ -212,7 +213,7 @@
     await(request("GET", "visit", "b"), "200");
     rewriteConfig(VISIT + ",", "");
     fixture.reload();
-    await(request("GET", "visit", "c"), "404"); // when its clients have had their time
+    await(request("GET", "visit", "c"), "404"); // after the transition period
   }
 
   @Test
@@ -226,16 +227,16 @@
     fixture.start(fixture.new UpstreamHost(fails), fixture.new UpstreamHost(fails));
     String keyed = request("POST", "log", "a", "Idempotency-Key: k", "Content-Length: 0");
     fixture.sendRequest(keyed);
-    assertThat(run).hasSizeGreaterThan(1); // a keyed one is tried again within its group
+    assertThat(run).hasSizeGreaterThan(1); // a keyed request is retried within its cell
     rewriteConfig(
         "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"deduplicated\"",
         "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"at_most_once\"");
     fixture.reload();
-    // Without a key it is a fault of the client's, until the new rules hold.
+    // Until the new settings apply, a request without a key is a client error.
     await(request("POST", "log", "b", "Content-Length: 0"), "502");
     int before = run.size();
     assertThat(fixture.sendRequest(keyed.replace("ID: a", "ID: c"))).startsWith("HTTP/1.1 502");
-    assertThat(run).hasSize(before + 1); // what may have run is not repeated any more
+    assertThat(run).hasSize(before + 1); // a request that may have run is not repeated any more
   }
 
   @Test
@@ -329,7 +330,8 @@
                     wrong.add(answer);
                   }
                 } catch (IOException e) {
-                  // let in between the old socket's last look and its close: reset, and asked anew
+                  // accepted between the last check and the close of the old socket: reset, and
+                  // sent again
                 }
               }
             });
@@ -337,7 +339,7 @@
     old.drain();
     ProxyFixture.await(() -> !old.isListening());
     assertThat(ProxyFixture.isClosedByPeer(kept)).isTrue();
-    old.awaitEnd(); // nobody is left there
+    old.awaitEnd(); // no client is connected to it any more
     over.set(true);
     clients.join();
     assertThat(fixture.sendRequest(atMostOnceRequest("last"))).endsWith("served");
@@ -349,7 +351,7 @@
   @Test
   void lockFileOfADeadProcessIsIgnored() throws Exception {
     HotRestart one = HotRestart.join(folder.toString());
-    Files.createTempFile(folder, "corkproxy-", ".lock"); // nobody holds it
+    Files.createTempFile(folder, "corkproxy-", ".lock"); // no process holds its lock
     assertThat(one.readOtherProcesses()).isNull();
     assertThat(HotRestart.join(null).readOtherProcesses()).isNull();
     assertThat(HotRestart.join(folder.resolve("nowhere").toString()).readOtherProcesses()).isNull();
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What a proxy says to the others of its tier and makes of what it hears, over loopback datagrams.
+ * Tests the messages between a proxy and the other proxies of its tier, over loopback datagrams.
  */
 class PeersTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -30,7 +30,7 @@
   private DatagramSocket peer;
   private InetSocketAddress proxy;
 
-  /** The second proxy of the tier, which also stands for all of them. */
+  /** Opens the socket of the second proxy of the tier, which also stands for all of them. */
   @BeforeEach
   void listen() throws Exception {
     peer = new DatagramSocket(0, LOOPBACK);
@@ -70,11 +70,14 @@
     from.send(new DatagramPacket(message, message.length, proxy));
   }
 
-  /** Asks until the silent host has lost a request, and returns what the proxy says of it. */
+  /**
+   * Sends requests until the silent host has lost one, and returns the proxy's message about the
+   * host.
+   */
   private SuspicionMessage reportSilentHost(ProxyFixture fixture, ProxyFixture.UpstreamHost silent)
       throws Exception {
-    // Of its own requests: a proxy of another run on this machine may look for its discovery at a
-    // port that is this host's now.
+    // Counts requests of this test only: a proxy of another run on this machine may look for its
+    // discovery at a port that now belongs to this host.
     for (int i = 0;
         silent.requests.stream().noneMatch(head -> head.contains("X-Request-ID: lost"));
         i++) {
@@ -85,7 +88,7 @@
     return report;
   }
 
-  /** Runs a proxy before a silent host and three that answer, with its log. */
+  /** Starts a proxy with a silent host and three that respond, and with this log. */
   private void startProxy(
       ProxyFixture fixture, ProxyFixture.UpstreamHost silent, ByteArrayOutputStream log)
       throws Exception {
@@ -140,13 +143,13 @@
         }
       }
       assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
-      sendMessage(peer, silence); // behind all of these in the same queue
+      sendMessage(peer, silence); // queued behind all messages above
       ProxyFixture.await(() -> log.toString(StandardCharsets.UTF_8).contains("silent to several"));
       assertThat(log.toString(StandardCharsets.UTF_8)).containsOnlyOnce("silent to several");
     }
   }
 
-  /** Whether the proxy has its port: nobody else can have it then. */
+  /** Whether the proxy has bound its port: no other socket can bind it then. */
   private boolean isPortInUse() {
     try (DatagramSocket probe = new DatagramSocket(proxy)) {
       return !probe.isBound();
--- a/src/test/java/leadferry/proxy/ProxyFixture.java
+++ b/src/test/java/leadferry/proxy/ProxyFixture.java
@@ -26,9 +26,12 @@
 import leadferry.engine.LineLog;
 import leadferry.engine.Log;
 
-/** A client proxy between hosts, a discovery and clients, all on loopback sockets. */
+/**
+ * Runs a client proxy between upstream hosts, a discovery server and clients, all on loopback
+ * sockets.
+ */
 public final class ProxyFixture implements AutoCloseable {
-  /** Ample: no test waits so long unless it fails. */
+  /** Timeout of every wait; only a failing test reaches it. */
   public static final int TIMEOUT_MILLIS = 20_000;
 
   private final List<Server> servers = new CopyOnWriteArrayList<>();
@@ -41,22 +44,24 @@
   int listenPort;
   int seed = 7;
 
-  /** MB; what is past 88 of it is for bodies. */
+  /** Memory limit (MB); the part above 88 MB is for bodies. */
   int memoryMegabytes = 128;
 
-  /** What the settings allow, and how long (ms) a connection to a host may take to come up. */
+  /** Whether the settings allow attempts to be cancelled. */
   boolean allowsCancel = true;
 
   boolean allowsParallelAttempts = true;
+
+  /** Time within which a connection to a host has to be established. */
   int connectTimeoutMillis = 500;
 
-  /** How long (ms) hosts keep a connection that carries nothing. */
+  /** Time for which hosts keep an idle connection. */
   int connectionIdleMillis = 60_000;
 
-  /** Whether discovery is a service that is asked, in place of an agent that pushes. */
+  /** Whether the load balancer polls discovery; otherwise discovery is an agent that pushes. */
   boolean pollsDiscovery;
 
-  /** Where the proxy talks to others, as keys of the configuration; empty where it may not. */
+  /** Peer addresses, as keys of the configuration; empty if peer messages are disabled. */
   String peerSettings = "";
 
   OperatorState operatorState = new OperatorState();
@@ -68,7 +73,7 @@
     this.sockets = sockets;
   }
 
-  /** A server of one thread a connection; what it does with each is the sub-class's. */
+  /** Server with one thread per connection; a subclass serves the connections. */
   public abstract class Server {
     final ServerSocket listener;
     final List<Socket> acceptedSockets = new CopyOnWriteArrayList<>();
@@ -78,8 +83,8 @@
     }
 
     /**
-     * Accepts nobody until told; past {@code backlog} and one more, connections don't come up
-     * meanwhile.
+     * Accepts no connection until {@code acceptGate} opens. Meanwhile, {@code backlog} connections
+     * and one more can be established.
      */
     Server(int backlog, CountDownLatch acceptGate) throws IOException {
       listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
@@ -88,9 +93,9 @@
           () -> {
             acceptGate.await();
             while (true) {
-              Socket s = listener.accept();
-              acceptedSockets.add(s);
-              runInBackground(() -> serve(s));
+              Socket socket = listener.accept();
+              acceptedSockets.add(socket);
+              runInBackground(() -> serve(socket));
             }
           });
     }
@@ -103,16 +108,22 @@
       return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    abstract void serve(Socket s) throws IOException, InterruptedException;
+    abstract void serve(Socket socket) throws IOException, InterruptedException;
   }
 
-  /** A host that answers each request as told; null leaves it without an answer. */
+  /**
+   * Host that responds to each request with the result of {@code responder}; null sends no
+   * response.
+   */
   public class UpstreamHost extends Server {
     private final Function<String, String> responder;
     final List<String> requests = new CopyOnWriteArrayList<>();
     String kind = "k";
 
-    /** Requests that came on a connection less than 5 ms after an answer on it had begun. */
+    /**
+     * Number of requests that arrived on a connection less than 5 ms after a response on it had
+     * begun.
+     */
     final AtomicInteger immediateReuses = new AtomicInteger();
 
     public UpstreamHost(Function<String, String> responder) throws IOException {
@@ -125,7 +136,7 @@
       this.responder = responder;
     }
 
-    /** Connections that have been accepted so far. */
+    /** Returns the number of connections accepted so far. */
     public int acceptedConnections() {
       return acceptedSockets.size();
     }
@@ -135,10 +146,10 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException, InterruptedException {
+    void serve(Socket socket) throws IOException, InterruptedException {
       String request;
       long respondedAtNanos = System.nanoTime() - 1_000_000_000L;
-      while ((request = readMessage(s.getInputStream())) != null) {
+      while ((request = readMessage(socket.getInputStream())) != null) {
         if (System.nanoTime() - respondedAtNanos < 5_000_000L) {
           immediateReuses.incrementAndGet();
         }
@@ -146,15 +157,15 @@
         String response = responder.apply(request);
         if (response != null) {
           respondedAtNanos = System.nanoTime();
-          write(s, response);
+          write(socket, response);
         }
       }
     }
   }
 
   /**
-   * A host to which no connection comes up until it is told to accept; the kernel tries again each
-   * second or so.
+   * Host that accepts no connection until {@link #startAccepting}; the kernel retries each connect
+   * about once a second.
    */
   final class DelayedAcceptHost extends UpstreamHost {
     private final CountDownLatch acceptGate;
@@ -170,32 +181,34 @@
       this.acceptGate = acceptGate;
       boolean full = false;
       while (!full) {
-        Socket s = new Socket();
+        Socket socket = new Socket();
         try {
-          s.connect(new InetSocketAddress("127.0.0.1", port()), 300);
-          backlogFillers.add(s);
+          socket.connect(new InetSocketAddress("127.0.0.1", port()), 300);
+          backlogFillers.add(socket);
         } catch (java.net.SocketTimeoutException e) {
           full = true;
-          s.close();
+          socket.close();
         }
       }
     }
 
-    /** From now on connections come up. */
+    /** Accepts connections from now on. */
     void startAccepting() throws IOException {
       acceptGate.countDown();
-      for (Socket s : backlogFillers) {
-        s.close();
+      for (Socket socket : backlogFillers) {
+        socket.close();
       }
     }
 
-    /** Connections that have come up for others than the crowd. */
+    /** Returns the number of accepted connections, without those that filled the backlog. */
     int proxyConnections() {
       return acceptedSockets.size() - backlogFillers.size();
     }
   }
 
-  /** A host that ends a connection at the first request that comes after it stood idle so long. */
+  /**
+   * Host that resets a connection at the first request after the connection was idle for too long.
+   */
   final class IdleResettingHost extends UpstreamHost {
     private final long idleMillis;
 
@@ -205,35 +218,35 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException {
+    void serve(Socket socket) throws IOException {
       long idleSince = System.nanoTime();
-      while (readMessage(s.getInputStream()) != null) {
+      while (readMessage(socket.getInputStream()) != null) {
         if (System.nanoTime() - idleSince > idleMillis * 1_000_000L) {
-          s.setSoLinger(true, 0); // a reset
-          s.close();
+          socket.setSoLinger(true, 0); // a reset
+          socket.close();
           return;
         }
-        write(s, ok("served"));
+        write(socket, ok("served"));
         idleSince = System.nanoTime();
       }
     }
   }
 
-  /** A discovery that knows a list and is watched. */
+  /** Discovery server with a fixed list, which can be watched. */
   final class DiscoveryServer extends Server {
     private final String endpointList;
     final List<String> requestedPaths = new CopyOnWriteArrayList<>();
 
     DiscoveryServer(int version, UpstreamHost... hosts) throws IOException {
       List<String> entries = new ArrayList<>();
-      for (UpstreamHost h : hosts) {
+      for (UpstreamHost host : hosts) {
         entries.add(
             "{\"id\":\"h"
-                + h.listener.getLocalPort()
+                + host.listener.getLocalPort()
                 + "\",\"addr\":\""
-                + h.address()
+                + host.address()
                 + "\",\"zone\":\"z\",\"kind\":\""
-                + h.kind
+                + host.kind
                 + "\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
                 + "\"started_ms\":0}");
       }
@@ -245,33 +258,34 @@
               + "]}";
     }
 
-    /** The list as it tells it. */
+    /** Returns the list in the JSON form of discovery. */
     String endpointList() {
       return endpointList;
     }
 
     @Override
-    void serve(Socket s) throws IOException {
-      String head;
-      while ((head = readMessage(s.getInputStream())) != null) {
-        String path = head.split(" ")[1];
+    void serve(Socket socket) throws IOException {
+      String request;
+      while ((request = readMessage(socket.getInputStream())) != null) {
+        String path = request.split(" ")[1];
         requestedPaths.add(path);
         if (path.contains("follow")) {
-          write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+          write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         } else {
-          write(s, ok(endpointList));
+          write(socket, ok(endpointList));
         }
       }
     }
   }
 
-  /** What a thread of a peer's does. */
+  /** Task of a background thread. */
   public interface Task {
     void run() throws IOException, InterruptedException;
   }
 
   /**
-   * Runs it on a thread of its own, until it is over or the other side, or the test, has ended it.
+   * Runs the task on a new thread, until the task ends or the peer or the test closes its
+   * connection.
    */
   public static void runInBackground(Task task) {
     Thread thread =
@@ -280,14 +294,14 @@
               try {
                 task.run();
               } catch (IOException | InterruptedException e) {
-                // the other side, or the test, has ended it
+                // The peer or the test has closed the connection.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Writes the configuration, as the platform does. */
+  /** Writes the configuration file in the form that the platform uses. */
   Path writeConfig(String discovery, String known) throws IOException {
     return Files.writeString(
         configFile,
@@ -339,21 +353,24 @@
             + "\"report\":{\"how\":\"answers\"},\"balancers\":1}}");
   }
 
-  /** Starts the client proxy with these hosts; its discovery tells the same. */
+  /** Starts a discovery server and a client proxy with these hosts. */
   DiscoveryServer start(UpstreamHost... hosts) throws Exception {
     DiscoveryServer discovery = new DiscoveryServer(40, hosts);
     startWithDiscovery(discovery, hosts);
     return discovery;
   }
 
-  /** Starts one at this discovery, also while another runs, which is the caller's to stop. */
+  /**
+   * Starts a client proxy with this discovery server. The caller has to stop a proxy that already
+   * runs.
+   */
   void startWithDiscovery(DiscoveryServer discovery, UpstreamHost... hosts) throws Exception {
     startProxy(
         writeConfig(discovery.address(), discovery.endpointList),
         new LineLog(discardingStream(), false));
   }
 
-  /** Starts one as this file says, with this log. */
+  /** Starts a client proxy with this configuration file and this log. */
   void startProxy(Path configuration, Log log) throws Exception {
     proxy =
         new Proxy(
@@ -364,10 +381,10 @@
     proxy.start();
   }
 
-  /** Requests that hosts have got so far. */
+  /** Returns the number of requests that hosts have received so far. */
   int receivedRequests() {
     return servers.stream()
-        .mapToInt(socket -> socket instanceof UpstreamHost h ? h.requests.size() : 0)
+        .mapToInt(server -> server instanceof UpstreamHost host ? host.requests.size() : 0)
         .sum();
   }
 
@@ -375,14 +392,14 @@
     proxy.reload(configFile.toString());
   }
 
-  /** A port that nobody listens on now. */
+  /** Returns a port on which nothing listens at the moment. */
   public static int freePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
   }
 
-  /** What a header of a message says that has it. */
+  /** Returns the value of a header that the message has. */
   static String headerValue(String head, String name) {
     return head.split(name + ": ")[1].split("\r\n")[0];
   }
@@ -395,51 +412,51 @@
     return new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8);
   }
 
-  /** What the proxy's loop says. */
+  /** Returns the result of a task on the event loop of the proxy. */
   <T> T callOnLoop(Callable<T> task) {
     return proxy.loop().submit(task).syncUninterruptibly().getNow();
   }
 
-  /** Requests that are open in the proxy. */
+  /** Returns the number of requests that are open in the proxy. */
   int openRequests() {
     return callOnLoop(() -> proxy.openRequests());
   }
 
-  /** Connections to hosts that are open in the proxy, or being opened. */
+  /** Returns the number of connections to hosts that are open or being opened. */
   int upstreamConnections() {
     return callOnLoop(() -> proxy.socketBudget().upstreamCount());
   }
 
-  /** Has the proxy end as at SIGTERM; the future is done when its process would be gone. */
+  /** Drains the proxy as SIGTERM does; the future completes when the process would exit. */
   CompletableFuture<Void> drain() {
     proxy.drain();
     return CompletableFuture.runAsync(proxy::awaitEnd);
   }
 
-  /** Connections of clients that are open in the proxy. */
+  /** Returns the number of client connections that are open in the proxy. */
   int clientConnections() {
     return callOnLoop(() -> proxy.socketBudget().clientCount());
   }
 
   /**
-   * Stops the proxy's loop until what is returned is closed: what comes meanwhile comes to it in
-   * one turn.
+   * Pauses the event loop of the proxy until the result is closed. All events that arrive meanwhile
+   * are handled in one turn of the loop.
    */
   AutoCloseable pauseLoop() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch paused = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     proxy
         .loop()
         .execute(
             () -> {
-              held.countDown();
+              paused.countDown();
               try {
                 release.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-    held.await();
+    paused.await();
     return release::countDown;
   }
 
@@ -452,7 +469,7 @@
     return socket;
   }
 
-  /** A request with a key. */
+  /** Returns a request with an idempotency key. */
   static String keyedRequest(String id) {
     return "POST /log/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
         + id
@@ -461,7 +478,7 @@
         + "\r\nContent-Length: 0\r\n\r\n";
   }
 
-  /** A request that may not be repeated, with these further header lines. */
+  /** Returns a request that may not be repeated, with these additional header lines. */
   static String atMostOnceRequest(String id, String... lines) {
     return "POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
         + id
@@ -479,7 +496,10 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Sends on a connection of its own; the whole answer, or null where the connection ended. */
+  /**
+   * Sends a request on a new connection; returns the complete response, or null if the connection
+   * ended.
+   */
   String sendRequest(String request) throws IOException {
     try (Socket socket = connectClient()) {
       write(socket, request);
@@ -487,7 +507,7 @@
     }
   }
 
-  /** One message with its body, or null at the end of the stream. */
+  /** Reads one message with its body; returns null at the end of the stream. */
   public static String readMessage(InputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     String text;
@@ -515,11 +535,11 @@
     return text;
   }
 
-  /** Whether the other side ends the connection; what it sends before is passed over. */
+  /** Whether the peer closes the connection; discards the data that it sends before. */
   public static boolean isClosedByPeer(Socket socket) throws IOException {
     try {
       while (socket.getInputStream().read() >= 0) {
-        // passed over
+        // discarded
       }
       return true;
     } catch (java.net.SocketTimeoutException e) {
@@ -533,7 +553,7 @@
     long until = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        throw new AssertionError("did not come about in " + TIMEOUT_MILLIS + " ms");
+        throw new AssertionError("condition not met within " + TIMEOUT_MILLIS + " ms");
       }
       Thread.sleep(1);
     }
@@ -544,10 +564,10 @@
     if (proxy != null) {
       proxy.stop();
     }
-    for (Server socket : servers) {
-      socket.listener.close();
-      for (Socket c : socket.acceptedSockets) {
-        c.close();
+    for (Server server : servers) {
+      server.listener.close();
+      for (Socket socket : server.acceptedSockets) {
+        socket.close();
       }
     }
   }
--- a/src/test/java/leadferry/proxy/ProxyTest.java
+++ b/src/test/java/leadferry/proxy/ProxyTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The client proxy between sockets that misbehave. */
+/** Tests the client proxy with clients and hosts that fail, leave or violate the protocol. */
 class ProxyTest {
-  private static final String FOUR_HUNDREDS = "HTTP/1.1 4";
+  private static final String CLIENT_ERROR = "HTTP/1.1 4";
 
   @TempDir Path folder;
   private ProxyFixture fixture;
@@ -40,7 +40,7 @@
     fixture.close();
   }
 
-  // --- new configurations
+  // --- reloads
 
   @Test
   void reloadMovesTheWatchToADiscoveryWithLowerVersions() throws Exception {
@@ -75,8 +75,9 @@
   // --- connections to hosts
 
   /**
-   * Hosts take few connections, and many proxies hold one to each: what is not used goes back after
-   * two aims.
+   * Guards against idle connections that use up a host's limit: hosts accept few connections, and
+   * many proxies hold one to each. An unused connection is closed after twice the latency target
+   * ({@code aim}).
    */
   @Test
   void idleUpstreamConnectionIsClosedBeforeTheHostWouldCloseIt() throws Exception {
@@ -84,19 +85,19 @@
     ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> ok("done")) {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
-            super.serve(s);
+          void serve(Socket socket) throws IOException, InterruptedException {
+            super.serve(socket);
             ended.incrementAndGet();
           }
         };
     fixture.start(host);
     assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("done");
-    ProxyFixture.await(() -> ended.get() == 1); // the configuration lets it stand idle for a minute
+    ProxyFixture.await(() -> ended.get() == 1); // the configuration allows a minute of idle time
     assertThat(fixture.sendRequest(atMostOnceRequest("b"))).endsWith("done");
     assertThat(host.acceptedConnections()).isEqualTo(2);
   }
 
-  // --- clients that have given up
+  // --- clients that leave, and signals
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -105,7 +106,7 @@
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
     fixture.start(host);
     assertThat(fixture.sendRequest(atMostOnceRequest("warm")))
-        .endsWith("done"); // its connection to the host stands ready
+        .endsWith("done"); // its connection to the host is ready for reuse
     Socket gone = fixture.connectClient();
     try (Socket stays = fixture.connectClient()) {
       if (onAnOldConnection) {
@@ -113,7 +114,7 @@
         assertThat(ProxyFixture.readMessage(gone.getInputStream())).endsWith("done");
       }
       int before = fixture.receivedRequests();
-      Thread.sleep(50); // the rest of a connection to a host is over
+      Thread.sleep(50); // the reuse delay of upstream connections is over
       CountDownLatch held = new CountDownLatch(1);
       CountDownLatch release = new CountDownLatch(1);
       fixture
@@ -144,7 +145,10 @@
     assertThat(told.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
-  /** As {@code nohup} starts a process: the JVM takes the handler and never calls it. */
+  /**
+   * Guards against waiting for a SIGHUP that never arrives: in a process started by {@code nohup},
+   * the JVM accepts the handler and never calls it.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"", "trap '' HUP; "})
   void ignoredHangupIsDetected(String before) throws Exception {
@@ -181,9 +185,12 @@
         });
   }
 
-  // --- what hosts tell
+  // --- load reports and failures of hosts
 
-  /** Reports come late and count requests of ours that are gone: they must not refuse new ones. */
+  /**
+   * Guards against rejections because of late load reports, which still count finished requests of
+   * this proxy.
+   */
   @Test
   void loadReportsOfAFinishedBurstRejectNoRequest() throws Exception {
     int burst = 20;
@@ -203,7 +210,7 @@
       clients.add(socket);
     }
     ProxyFixture.await(() -> host.requests.size() == burst);
-    Thread.sleep(500); // longer than the aim of 400 ms
+    Thread.sleep(500); // longer than the latency target of 400 ms
     go.countDown();
     for (Socket socket : clients) {
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
@@ -214,7 +221,7 @@
   }
 
   /**
-   * Clients give up before any time-out: a host that says nothing must be found out all the same.
+   * Guards against a silent host that goes undetected because clients give up before every timeout.
    */
   @Test
   void silentHostIsDetectedWhenClientsGiveUpBeforeTheTimeout() throws Exception {
@@ -244,7 +251,10 @@
     assertThat(silent.requests.size()).isBetween(1, 20);
   }
 
-  /** Idle connections that die sooner than the settings say, without a sign, are learned of. */
+  /**
+   * Guards against requests lost on idle connections that die, without a sign, sooner than the
+   * settings say: the proxy learns the shorter idle time.
+   */
   @Test
   void idleTimeIsShortenedWhenIdleConnectionsFail() throws Exception {
     ProxyFixture.UpstreamHost host = fixture.new IdleResettingHost(150);
@@ -258,7 +268,8 @@
   }
 
   /**
-   * Without a host nothing can be sent: the client is refused at once and told when to come back.
+   * Without a host, no request can be sent: the client is rejected at once, with the time after
+   * which to retry.
    */
   @Test
   void rejectionsCarryRetryAfter() throws Exception {
@@ -268,7 +279,10 @@
         .containsIgnoringCase("retry-after: 0.100\r");
   }
 
-  /** One failure is held against a host for a few aims, not for seconds where aims are short. */
+  /**
+   * Guards against a host that is avoided for seconds after one failure although latency targets
+   * are short: a failure counts for a few targets.
+   */
   @Test
   void failureExpiresAfterAFewLatencyTargets() throws Exception {
     fixture.aimMillis = 40;
@@ -291,14 +305,17 @@
     for (int i = 0; failed.get() == 0; i++) {
       fixture.sendRequest(atMostOnceRequest("before" + i));
     }
-    sleep(600); // 15 aims
+    sleep(600); // 15 latency targets
     for (int i = 0; i < 100 && failed.get() == 1; i++) {
       fixture.sendRequest(atMostOnceRequest("after" + i));
     }
     assertThat(failed.get()).isGreaterThan(1);
   }
 
-  /** Where a slow host is full of our own requests, a fast one that was drawn too gets the next. */
+  /**
+   * Guards against requests that wait for a slow host at capacity, which is full of requests of
+   * this proxy, while a fast host that was drawn, too, is free.
+   */
   @Test
   void hostAtCapacityYieldsToAFasterOne() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
@@ -311,7 +328,7 @@
               h -> {
                 if (h.contains("learn")) {
                   awaitRequests(hosts[self], 8);
-                  sleep(self == 0 ? 150 : 5); // some 20 ms, or 1, for each request held
+                  sleep(self == 0 ? 150 : 5); // about 20 ms or 1 ms per request held
                 } else {
                   await(go);
                 }
@@ -331,14 +348,14 @@
         }
       }
     }
-    // Equal counts up to 8 or 9 at each, where the slow one is full; the fast one takes more.
+    // Both hosts get equal counts up to 8 or 9, where the slow one is full; the fast one gets more.
     ProxyFixture.await(() -> hosts[0].requests.size() + hosts[1].requests.size() >= 16 + 22);
     go.countDown();
   }
 
-  private static void awaitRequests(ProxyFixture.UpstreamHost host, int n) {
+  private static void awaitRequests(ProxyFixture.UpstreamHost host, int count) {
     try {
-      ProxyFixture.await(() -> host.requests.size() >= n);
+      ProxyFixture.await(() -> host.requests.size() >= count);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -360,7 +377,7 @@
     }
   }
 
-  // --- bad clients
+  // --- invalid or slow clients
 
   @ParameterizedTest
   @ValueSource(
@@ -391,7 +408,7 @@
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
     fixture.start(host);
     String[] split = lines.split("\\|");
-    assertThat(fixture.sendRequest(atMostOnceRequest("a", split))).startsWith(FOUR_HUNDREDS);
+    assertThat(fixture.sendRequest(atMostOnceRequest("a", split))).startsWith(CLIENT_ERROR);
     assertThat(host.requests).isEmpty();
   }
 
@@ -409,7 +426,7 @@
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
     fixture.start(host);
     String request = lines.replace("|", "\r\n") + "\r\nContent-Length: 0\r\n\r\n";
-    assertThat(fixture.sendRequest(request)).startsWith(FOUR_HUNDREDS);
+    assertThat(fixture.sendRequest(request)).startsWith(CLIENT_ERROR);
     assertThat(host.requests).isEmpty();
   }
 
@@ -449,7 +466,7 @@
     }
     try (Socket socket = fixture.connectClient()) {
       write(socket, flood.toString());
-      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith(FOUR_HUNDREDS);
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith(CLIENT_ERROR);
       assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     assertThat(host.requests).isEmpty();
@@ -484,8 +501,8 @@
   }
 
   /**
-   * Whoever takes long over a head looks like those that never end it: room decides, so hosts lend
-   * theirs.
+   * Guards against closing slow clients along with those that never complete a head. The two look
+   * alike, and the free room decides: clients may use the room reserved for hosts.
    */
   @Test
   void slowRequestHeadsSurviveManyIncompleteOnes() throws Exception {
@@ -493,12 +510,12 @@
     fixture.start(host);
     List<Socket> slow = new ArrayList<>();
     List<Socket> endless = new ArrayList<>();
-    for (int i = 0; i < 60; i++) { // the half of the clients' holds 44
+    for (int i = 0; i < 60; i++) { // the clients' half of the sockets holds 44
       Socket socket = fixture.connectClient();
       (i < 10 ? slow : endless).add(socket);
       write(socket, "POST /claim/x HTTP/1.1\r\nX-Request-ID: c" + i + "\r\n");
     }
-    Thread.sleep(600); // from now on each of them may have to make room
+    Thread.sleep(600); // from now on each of them may be closed to make room
     assertThat(fixture.sendRequest(atMostOnceRequest("usual"))).endsWith("served");
     for (Socket socket : slow) {
       write(socket, "Content-Length: 0\r\n\r\n");
@@ -509,7 +526,7 @@
     }
   }
 
-  // --- bad hosts
+  // --- invalid host responses
 
   @ParameterizedTest
   @ValueSource(
@@ -547,7 +564,10 @@
     }
   }
 
-  /** A second copy may come in a packet of its own, a moment after the answer. */
+  /**
+   * Guards against a duplicate response that is taken for that of the next request: it may arrive
+   * in a separate packet, a moment after the first one.
+   */
   @Test
   void upstreamConnectionIsNotReusedAtOnce() throws Exception {
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
@@ -588,13 +608,13 @@
     assertThat(a.requests).hasSize(10);
   }
 
-  /** Each of them asks once and stays, as if another request were to come. */
+  /** Each client sends one request and stays connected, as if another request were to follow. */
   @Test
   void responsesCloseConnectionsWhenClientsAreMany() throws Exception {
     fixture.start(fixture.new UpstreamHost(h -> ok("served")));
     List<Socket> staying = new ArrayList<>();
     List<String> answers = new ArrayList<>();
-    for (int i = 0; i < 100; i++) { // room is for 44, and for what hosts leave of as many
+    for (int i = 0; i < 100; i++) { // there is room for 44, and for what hosts leave of as many
       Socket socket = fixture.connectClient();
       staying.add(socket);
       write(socket, atMostOnceRequest("a" + i));
--- a/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
@@ -21,16 +21,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What the platform's process sends to discovery, byte for byte, and what it makes of each form of
- * answer: a list whole or changed, in one piece or many, on one line or indented, sound or not. The
- * version that it goes on from tells what it has applied.
+ * Compares, byte for byte, the requests of the platform's process to discovery and the effect of
+ * each form of response: full list or changes, in one piece or many, on one line or indented, valid
+ * or not. The version from which the process resumes shows which list it has applied.
  */
 class RecordedDiscoveryTest {
   private static final int REQUESTS_SHOWN = 2;
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   private static final String LAST_CHUNK = "0\r\n\r\n";
 
-  /** Fewer: between polls the policy waits, and answers are read by the same code. */
+  /** Fewer forms: the load balancer waits between polls, and the same code reads the responses. */
   private static final Set<String> POLLED_FORMS =
       new TreeSet<>(
           Set.of("full", "full, indented", "delta with a removed host", "no JSON", "503", "no id"));
@@ -50,7 +50,7 @@
     RecordedText.assertSame("discovery/" + name + ".txt", transcript.toString());
   }
 
-  /** Forms of answers, each as the pieces in which it is written. */
+  /** Returns the forms of responses, each as the pieces in which it is written. */
   private static Map<String, List<String>> forms(String first, String second) {
     String added = entry("b", second, "up");
     Map<String, List<String>> forms = new LinkedHashMap<>();
@@ -181,7 +181,10 @@
     return RecordedText.maskPorts(description.toString());
   }
 
-  /** Answers the first request as told, and says at later ones that nothing has changed. */
+  /**
+   * Discovery server that sends {@code response} to the first request, and to later ones that
+   * nothing has changed.
+   */
   private static final class ScriptedDiscovery extends ProxyFixture.Server {
     private final List<String> requests = new CopyOnWriteArrayList<>();
     private final List<String> response;
--- a/src/test/java/leadferry/proxy/RecordedHeadsTest.java
+++ b/src/test/java/leadferry/proxy/RecordedHeadsTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform's process forwards, and what its client gets, byte for byte. */
+/**
+ * Compares, byte for byte, what the platform's process forwards to a host and what its client
+ * receives.
+ */
 class RecordedHeadsTest {
   private static final String SERVED = ProxyFixture.ok("served");
   private static final String CLAIM = ProxyFixture.atMostOnceRequest("r1");
@@ -52,7 +55,7 @@
           CLAIM.replace("Host: api\r\n", "Host: api\r\nConnection: close\r\n"),
           ProxyFixture.atMostOnceRequest("r5", "Content-Length: 2", "Expect: 100-continue") + "ab");
 
-  /** Requests that no host is to see. */
+  /** Requests that must not reach a host. */
   private static final List<String> REJECTED =
       List.of(
           CLAIM.replace("X-Request-ID: r1\r\n", ""),
@@ -72,7 +75,7 @@
           "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n",
           "HEAD /_health HTTP/1.1\r\nHost: a\r\n\r\n");
 
-  /** Answers of hosts to one claim. */
+  /** Responses of a host to one request. */
   private static final List<String> RESPONSES =
       List.of(
           "HTTP/1.1 200 Fine\r\nServer: s/1\r\nDate: Thu, 01 Jan 2026 00:00:00 GMT\r\n"
@@ -119,7 +122,7 @@
     RecordedText.assertSame("heads/platform-answers.txt", transcript.toString());
   }
 
-  /** A proxy of its own for each exchange, so that none depends on what went before. */
+  /** Starts a new proxy for each exchange: no exchange depends on an earlier one. */
   private void record(String request, String response) throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(folder, 128)) {
       RecordingHost host = new RecordingHost(fixture, response);
@@ -145,7 +148,10 @@
     transcript.append(RecordedText.visible(RecordedText.maskPorts(shortened))).append('\n');
   }
 
-  /** Keeps what it gets, and answers always the same; an empty answer ends the connection. */
+  /**
+   * Host that records the messages that it receives and always sends the same response; an empty
+   * response closes the connection.
+   */
   private static final class RecordingHost extends ProxyFixture.UpstreamHost {
     private final List<String> messages = new CopyOnWriteArrayList<>();
     private final String response;
--- a/src/test/java/leadferry/proxy/RecordedManagementTest.java
+++ b/src/test/java/leadferry/proxy/RecordedManagementTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators' calls are answered, byte for byte, before, during and after a drain. */
+/** Compares, byte for byte, the responses to operators' calls before, during and after a drain. */
 class RecordedManagementTest {
   private static final String EMPTY_BODY = "Host: a\r\nContent-Length: 0\r\n\r\n";
   private static final String DRAIN = "PUT /v1/client-proxy/drain HTTP/1.1\r\n" + EMPTY_BODY;
@@ -90,7 +90,10 @@
     record(when, call, management.address());
   }
 
-  /** Sends, ends the sending, and reads up to the end of the connection. */
+  /**
+   * Sends a call and records the response. Shuts down the output after an incomplete management
+   * call.
+   */
   private void record(String when, String call, InetSocketAddress address) throws IOException {
     try (Socket socket = new Socket()) {
       socket.connect(address, ProxyFixture.TIMEOUT_MILLIS);
--- a/src/test/java/leadferry/proxy/RestartsTest.java
+++ b/src/test/java/leadferry/proxy/RestartsTest.java
@@ -25,15 +25,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One client proxy after another at the same address, each ended as at SIGTERM, with requests in
- * flight throughout.
+ * Restarts the client proxy repeatedly at the same address, each time with a drain as at SIGTERM
+ * and with requests in flight. Guards against requests that a restart loses or runs twice.
  */
 class RestartsTest {
   private static final int RESTARTS = 20;
   private static final int REQUESTS = 10_000;
   private static final int CLIENTS = 12;
 
-  /** For how long (ns) after SIGTERM new connections go on coming, as the platform has it. */
+  /** Time for which new connections go on arriving after SIGTERM, as on the platform. */
   private static final long NEW_CONNECTION_NANOS = 400_000_000L;
 
   @TempDir Path folder;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A client as the protocol has it: one request at a time, kept connections, once more on a new
-   * one where a close crossed it.
+   * Client that follows the protocol: one request at a time on a kept connection, and one more
+   * attempt on a new connection if a close crossed the request.
    */
   private final class Client extends Thread {
     private final int number;
@@ -92,7 +92,7 @@
       }
     }
 
-    /** The answer, or null where the connection ended without one. */
+    /** Returns the response, or null if the connection ended without one. */
     private String sendRequest(String request, boolean resent) {
       try {
         if (connection == null) {
@@ -112,7 +112,7 @@
       }
     }
 
-    /** Whoever finds nobody listening comes again: nothing of his was taken. */
+    /** Connects, and retries while nothing listens: no request was accepted then. */
     private Socket connect(boolean resent) throws IOException {
       long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
       while (!resent && draining && System.nanoTime() - drainStartNanos > NEW_CONNECTION_NANOS) {
@@ -149,7 +149,7 @@
     fixture.listenPort = ProxyFixture.freePort();
     ProxyFixture.UpstreamHost[] hosts = {
       host(1), host(20), host(50), host(1_000_000), host(1_000_000)
-    }; // the first one answers nobody
+    }; // the first host never responds
     ProxyFixture.DiscoveryServer discovery = fixture.new DiscoveryServer(40, hosts);
     for (int i = 0; i < CLIENTS; i++) {
       new Client(i).start();
--- a/src/test/java/leadferry/proxy/SignalsTest.java
+++ b/src/test/java/leadferry/proxy/SignalsTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The platform's process itself, with the signals that it gets at the wrong instant; it is ended by
- * id, whatever comes.
+ * Runs the platform's process and sends signals to it at critical moments. The process is ended by
+ * its id in any case.
  */
 class SignalsTest {
   @TempDir Path folder;
@@ -41,7 +41,7 @@
     fixture.close();
   }
 
-  /** A host that answers once it is let. */
+  /** Returns a host that responds once {@code responseGate} opens. */
   private ProxyFixture.UpstreamHost host(String response) throws IOException {
     return fixture
     .new UpstreamHost(
@@ -75,7 +75,7 @@
     return file;
   }
 
-  /** The first connection that anybody can have, as soon as the process listens. */
+  /** Connects as soon as the process listens. */
   private Socket connectWhenListening() throws IOException, InterruptedException {
     long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
@@ -103,7 +103,10 @@
     assertThat(process.exitValue()).isZero();
   }
 
-  /** What is taken in the first moment is answered, though the end is asked for in that moment. */
+  /**
+   * Guards against losing a request that is accepted right after the start, at the moment of a
+   * SIGTERM.
+   */
   @Test
   void sigtermRightAfterListeningLosesNoRequest() throws Exception {
     ProxyFixture.UpstreamHost host = host(ok("done"));
@@ -111,7 +114,7 @@
     try (Socket socket = connectWhenListening()) {
       write(socket, atMostOnceRequest("first"));
       signal("TERM");
-      signal("TERM"); // and once more
+      signal("TERM"); // a second SIGTERM changes nothing
       ProxyFixture.await(() -> host.requests.size() == 1);
       responseGate.countDown();
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
@@ -119,7 +122,7 @@
     assertCleanExit();
   }
 
-  /** Nobody has been let in, so nothing is owed. */
+  /** No client has been accepted yet, and the process may exit at once. */
   @Test
   void sigtermBeforeListeningEndsTheProcess() throws Exception {
     start(host(ok("done")));
@@ -129,8 +132,8 @@
   }
 
   /**
-   * The old configuration or the new one: the request in flight keeps its host, and gets its
-   * answer.
+   * Guards against a request in flight that is lost to a reload: with either configuration, it
+   * keeps its host and gets its response.
    */
   @Test
   void reloadFollowedBySigtermLosesNoRequest() throws Exception {
@@ -151,8 +154,8 @@
   }
 
   /**
-   * More than the kernel takes for a client that reads slowly: the process goes on until it is out,
-   * and then ends.
+   * Guards against an exit that truncates a response. The response is larger than the kernel's
+   * buffers and its client reads slowly; the process exits only after all of it has been written.
    */
   @Test
   void slowlyReadResponseIsCompleteDespiteSigterm() throws Exception {
@@ -167,7 +170,7 @@
       InputStream in = socket.getInputStream();
       int head = in.readNBytes(4).length;
       signal("TERM");
-      Thread.sleep(1_500); // past the time in which it accepts; nothing is read meanwhile
+      Thread.sleep(1_500); // longer than the process accepts connections; nothing is read meanwhile
       String rest = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
       assertThat(rest.length() - rest.indexOf("\r\n\r\n") - 4).isEqualTo(size);
       assertThat(head).isEqualTo(4);
--- a/src/test/java/leadferry/proxy/StartTest.java
+++ b/src/test/java/leadferry/proxy/StartTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A start that finds something missing for a moment. */
+/** Tests a start while the listen address is still in use. */
 class StartTest {
   private static final long HOLD_MILLIS = 300;
 
--- a/src/test/java/leadferry/proxy/TerminationRaceTest.java
+++ b/src/test/java/leadferry/proxy/TerminationRaceTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Endings while something is still owed, each order of events forced by the peers:
- * docs/design/endings.md.
+ * Tests disconnects, timeouts and drains while a request is in progress, in an order of events that
+ * the peers force. Described in docs/design/endings.md.
  */
 class TerminationRaceTest {
   @TempDir Path folder;
@@ -44,7 +44,7 @@
     fixture.close();
   }
 
-  // --- while a connection to a host comes up
+  // --- while an upstream connection is being opened
 
   @ParameterizedTest
   @CsvSource({"true,false", "false,false", "true,true", "false,true"})
@@ -60,15 +60,18 @@
         leaver.setSoLinger(true, 0);
       }
     }
-    ProxyFixture.await(
-        () -> fixture.openRequests() == 0); // long before its time, and its connection's
+    // long before the deadline of the request and the timeout of its connection
+    ProxyFixture.await(() -> fixture.openRequests() == 0);
     ProxyFixture.await(() -> fixture.upstreamConnections() == 0);
     host.startAccepting();
     assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
     assertThat(host.requests).hasSize(1).first().asString().contains("next");
   }
 
-  /** Who sends ahead of an answer is read no further as a client, but its going has to be seen. */
+  /**
+   * Guards against a disconnect that goes unnoticed: the proxy stops reading requests from a client
+   * that pipelines them, and must still detect its disconnect.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 300, 30_000})
   void disconnectIsDetectedBehindPipelinedRequests(int requestsAhead) throws Exception {
@@ -87,7 +90,8 @@
   }
 
   /**
-   * The connection has come up first, and both stand unread: what is read first must not decide.
+   * Guards against a result that depends on the order of reads: the upstream connection is
+   * established first, the client leaves after that, and both events are unread.
    */
   @ParameterizedTest
   @CsvSource({
@@ -126,8 +130,8 @@
   }
 
   /**
-   * All of it stands in the kernel when the loop comes to it: a request, more than is read at once,
-   * and the end.
+   * Guards against sending the request of a client that has left: a request, more data than one
+   * read takes, and the close are all in the kernel when the loop reads them.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 300})
@@ -135,7 +139,8 @@
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
     fixture.start(host);
     assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("done");
-    Thread.sleep(20); // its connection has rested, and carries the next one at once
+    // its upstream connection is past the reuse delay and ready for the next request
+    Thread.sleep(20);
     AutoCloseable paused = fixture.pauseLoop();
     try (Socket leaver = fixture.connectClient()) {
       write(leaver, atMostOnceRequest("leaver") + atMostOnceRequest("ahead").repeat(requestsAhead));
@@ -147,8 +152,8 @@
   }
 
   /**
-   * What the users count: of clients that leave while their requests wait, whose is sent on 0.3 s
-   * later.
+   * Counts the requests that are sent on although their clients left while the requests waited, and
+   * those still waiting 0.3 s later, as the users do.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -190,7 +195,8 @@
     System.out.println(
         "leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
     assertThat(sent).isZero();
-    assertThat(fixture.upstreamConnections()).isEqualTo(1); // that of the one that has stayed
+    // the connection of the client that has stayed
+    assertThat(fixture.upstreamConnections()).isEqualTo(1);
     ProxyFixture.await(() -> fixture.clientConnections() == 0);
   }
 
@@ -226,8 +232,8 @@
   }
 
   /**
-   * More than is held, so that the rest stands in the kernel, unread, with its client's end behind
-   * it.
+   * Guards against sending the complete body of a client that has left. The body is larger than the
+   * part held in memory: the rest of it is unread in the kernel, with the client's close behind it.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -251,15 +257,15 @@
   }
 
   /**
-   * All of it has come, so its client's time runs, and what its host is told must not be more than
-   * is left.
+   * Guards against a timeout header that exceeds the time left: the request is complete, and its
+   * deadline runs while it waits.
    */
   @Test
   void timeoutSentForAWaitingLargeBodyIsTheTimeLeft() throws Exception {
     fixture.hotRestart = HotRestart.join(folder.toString());
     ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
     fixture.start(host);
-    int most = 1 << 20; // past this it is not held
+    int most = 1 << 20; // a larger body is not held in memory
     try (HotRestart beside = HotRestart.join(folder.toString());
         Socket socket = fixture.connectClient()) {
       write(
@@ -267,7 +273,7 @@
           atMostOnceRequest("long", "Content-Length: " + (most + 2_000))
               + "x".repeat(most - 1_000));
       ProxyFixture.await(() -> beside.readOtherProcesses().bodyBytes() == most - 1_000);
-      write(socket, "x".repeat(3_000)); // in one read, with the last byte
+      write(socket, "x".repeat(3_000)); // one read, which includes the last byte
       ProxyFixture.await(() -> fixture.openRequests() == 1);
       long whole = System.nanoTime();
       ProxyFixture.await(() -> System.nanoTime() - whole > 200_000_000L);
@@ -279,7 +285,7 @@
     }
   }
 
-  /** Requests of which the host has got a body so long, to its last byte. */
+  /** Returns the number of requests of which the host has received a complete body of this size. */
   private static long completeRequests(ProxyFixture.UpstreamHost host, int size) {
     return host.requests.stream()
         .filter(h -> h.length() - h.indexOf("\r\n\r\n") - 4 == size)
@@ -287,8 +293,9 @@
   }
 
   /**
-   * Its host waits for a rest that never comes: nobody else ends that where the deployment allows
-   * no cancel.
+   * Guards against a host connection that stays open after an aborted body: the host waits for the
+   * rest of the body, and nothing else closes the connection where the deployment allows no
+   * cancelling.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -310,7 +317,10 @@
     assertThat(completeRequests(host, 3 << 20)).isZero();
   }
 
-  /** Either may be the first: what counts is when the other's first byte went out. */
+  /**
+   * Guards against a repeat after the repeat window, which begins when the first byte of the other
+   * attempt is sent. Either host may be the first.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void keyedRequestIsNotRepeatedAfterItsRepeatWindow(boolean cancel) throws Exception {
@@ -329,11 +339,11 @@
       ProxyFixture.await(() -> late.proxyConnections() == 1);
       ProxyFixture.await(() -> fixture.upstreamConnections() == 1 || !late.requests.isEmpty());
       assertThat(late.requests).isEmpty();
-      assertThat(fixture.openRequests()).isEqualTo(1); // the one that hangs may answer still
+      assertThat(fixture.openRequests()).isEqualTo(1); // the silent host may still respond
     }
   }
 
-  /** A discovery that tells its list, and what else it is given to tell. */
+  /** Discovery server that sends its list, and later the updates that a test adds. */
   private final class ScriptedDiscovery extends ProxyFixture.Server {
     private final String list;
     private final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
@@ -344,12 +354,12 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException, InterruptedException {
-      ProxyFixture.readMessage(s.getInputStream());
-      write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
+    void serve(Socket socket) throws IOException, InterruptedException {
+      ProxyFixture.readMessage(socket.getInputStream());
+      write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
       while (true) {
         String line = updates.poll(500, TimeUnit.MILLISECONDS);
-        write(s, chunk(line == null ? "" : line));
+        write(socket, chunk(line == null ? "" : line));
       }
     }
 
@@ -393,8 +403,8 @@
   }
 
   /**
-   * What waits for the host as it was has not gone out, so it must not go out to what it has
-   * become, or after its grace.
+   * Guards against sending a waiting request to a host that has changed meanwhile, or that drains
+   * and whose grace is over.
    */
   @ParameterizedTest
   @ValueSource(strings = {"draining", "removed", "left out", "moved", "started anew"})
@@ -425,14 +435,14 @@
                 fixture.callOnLoop(
                     () ->
                         fixture.proxy.canSendTo(
-                            "behind"))); // and so the change before it has been taken
-        host.startAccepting(); // for a connection of its own: the one before was withdrawn
+                            "behind"))); // the change before it has been applied, too
+        host.startAccepting(); // for a new connection: the one before was closed
         assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("late");
         assertThat(host.requests).hasSize(1);
         ProxyFixture.await(() -> host.proxyConnections() == 1);
       } else {
         assertThat(ProxyFixture.readMessage(socket.getInputStream()))
-            .contains(" 503 "); // refused: it never ran
+            .contains(" 503 "); // rejected: it never ran
         assertThat(host.requests).isEmpty();
         ProxyFixture.await(() -> fixture.upstreamConnections() == 0);
         host.startAccepting();
@@ -441,12 +451,15 @@
     }
   }
 
-  /** Its reading waits for memory, so its end stands unread behind the rest of its body. */
+  /**
+   * Guards against sending the request of a client that has left: the proxy stops reading the body
+   * until memory is free, and the close is unread behind the rest of the body.
+   */
   @Test
   void bodyWaitingForMemoryIsNotSentAfterItsClientLeft() throws Exception {
     fixture.close();
     fixture = new ProxyFixture(folder, 512);
-    fixture.memoryMegabytes = 96; // 8 MB of bodies
+    fixture.memoryMegabytes = 96; // 8 MB for bodies
     fixture.deadlineMillis = 1_500;
     int size = 65_536;
     ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
@@ -458,7 +471,7 @@
       write(socket, atMostOnceRequest("holder" + i, "Content-Length: " + size) + "x".repeat(size));
     }
     ProxyFixture.await(
-        () -> hangs.requests.size() == holders.size()); // 4.6 MB, until their time is over
+        () -> hangs.requests.size() == holders.size()); // 4.6 MB, held until the deadlines
     List<Socket> leavers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
       Socket socket = fixture.connectClient();
@@ -469,19 +482,18 @@
     }
     ProxyFixture.await(() -> fixture.clientConnections() == holders.size() + leavers.size());
     for (Socket socket : leavers) {
-      write(
-          socket,
-          "x".repeat(100)); // those that had room have been taken, the others stand in the kernel
+      // requests that had room have been accepted, the others are unread in the kernel
+      write(socket, "x".repeat(100));
     }
     int taken = 0;
     for (long since = System.nanoTime();
         System.nanoTime() - since < 300_000_000L;
         Thread.sleep(1)) {
       since = taken == hangs.requests.size() ? since : System.nanoTime();
-      taken = hangs.requests.size(); // until no more come
+      taken = hangs.requests.size(); // until no more requests arrive
     }
-    // Those that wait leave first: whoever was taken gives back its memory as it leaves, and one
-    // that waits still would be taken.
+    // Clients whose requests wait leave first: an accepted request frees its memory when its client
+    // leaves, and a request that still waits would be accepted then.
     for (int i = leavers.size() - 1; i >= 0; i--) {
       leavers.get(i).close();
     }
@@ -496,8 +508,8 @@
   }
 
   /**
-   * A copy was judged by the cell in which both hosts stood; another cell knows nothing of what the
-   * first one has run.
+   * Guards against a parallel attempt in another cell. The attempt was allowed while both hosts
+   * were in one cell; another cell does not know which requests the first one has run.
    */
   @Test
   void waitingParallelAttemptIsNotSentToAnotherCell() throws Exception {
@@ -516,12 +528,13 @@
       ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
       late.startAccepting();
       assertThat(late.requests).isEmpty();
-      assertThat(fixture.openRequests()).isEqualTo(1); // the one that hangs may answer still
+      assertThat(fixture.openRequests()).isEqualTo(1); // the silent host may still respond
     }
   }
 
   /**
-   * It goes on to the new one, and is not withdrawn from there because that has changed as well.
+   * Guards against withdrawing the request from the new host because that host has changed in the
+   * same list.
    */
   @Test
   void waitingRequestMovesToAHostAddedInTheSameList() throws Exception {
@@ -546,11 +559,11 @@
     }
   }
 
-  // --- a host's connection at the wrong instant
+  // --- upstream connections that fail at a critical moment
 
   /**
-   * The request is read first, and the host's end of the pooled connection stands in the kernel
-   * behind it.
+   * Guards against a write to a closed connection: the request is read first, and the host's close
+   * of the pooled connection is unread behind it.
    */
   @Test
   void unreadCloseOfAPooledConnectionIsDetectedBeforeTheWrite() throws Exception {
@@ -559,7 +572,7 @@
     assertThat(fixture.sendRequest(atMostOnceRequest("warm"))).endsWith("done");
     try (Socket socket = fixture.connectClient()) {
       ProxyFixture.await(() -> fixture.clientConnections() == 1);
-      Thread.sleep(10); // its rest is over
+      Thread.sleep(10); // the reuse delay is over
       AutoCloseable paused = fixture.pauseLoop();
       write(socket, atMostOnceRequest("crosses"));
       host.acceptedSockets.get(0).shutdownOutput();
@@ -570,67 +583,68 @@
   }
 
   /**
-   * Later than a connection rests at first; seen once on one that carried nothing, it is not taken
-   * for another's answer.
+   * Guards against a duplicate response that is taken for that of a later request. It arrives after
+   * the initial reuse delay; the delay grows once a duplicate was seen on an idle connection.
    */
   @Test
   void lateDuplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
     ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> null) {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
+          void serve(Socket socket) throws IOException, InterruptedException {
             String head;
-            while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
+            while ((head = ProxyFixture.readMessage(socket.getInputStream())) != null) {
               String id = ProxyFixture.headerValue(head, "X-Request-ID");
-              Thread.sleep(id.equals("third") ? 100 : 0); // what is late comes before it
-              write(s, ok(id));
+              // the late duplicate arrives before this response
+              Thread.sleep(id.equals("third") ? 100 : 0);
+              write(socket, ok(id));
               Thread.sleep(25);
-              write(s, ok(id));
+              write(socket, ok(id));
             }
           }
         };
     fixture.start(host);
     assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("first");
     ProxyFixture.await(
-        () -> fixture.upstreamConnections() == 0); // it came where nothing was carried
+        () -> fixture.upstreamConnections() == 0); // the duplicate arrived on an idle connection
     try (Socket socket = fixture.connectClient()) {
       ProxyFixture.await(() -> fixture.clientConnections() == 1);
       write(socket, atMostOnceRequest("second"));
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("second");
       Thread.sleep(
-          10); // longer than a connection rests at first, and not yet as late as what is late
+          10); // longer than the initial reuse delay, and shorter than the delay of the duplicate
       write(socket, atMostOnceRequest("third"));
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("third");
     }
   }
 
   /**
-   * What stands behind a fault, or is made up when a connection ends in an answer, came with no
-   * rest and tells of none.
+   * Guards against a longer reuse delay after a fault. Data behind a faulty response, or the end
+   * that is made up for a response whose connection closes, did not arrive on an idle connection.
    */
   @ParameterizedTest
   @CsvSource({"reset", "unframed", "interim"})
   void faultOnABusyConnectionDoesNotExtendTheReuseDelay(String fault) throws Exception {
-    fixture.aimMillis = ProxyFixture.TIMEOUT_MILLIS; // two aims of idle time
+    fixture.aimMillis = ProxyFixture.TIMEOUT_MILLIS; // an idle connection is kept for two aims
     ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> null) {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
+          void serve(Socket socket) throws IOException, InterruptedException {
             String head;
-            while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
+            while ((head = ProxyFixture.readMessage(socket.getInputStream())) != null) {
               String id = ProxyFixture.headerValue(head, "X-Request-ID");
               switch (id) {
                 case "reset" -> {
-                  write(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it");
+                  write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it");
                   ProxyFixture.await(
-                      () -> fixture.callOnLoop(() -> true)); // a turn of the loop has passed
-                  s.setSoLinger(true, 0);
-                  s.close();
+                      () -> fixture.callOnLoop(() -> true)); // one turn of the loop has passed
+                  socket.setSoLinger(true, 0);
+                  socket.close();
                   return;
                 }
-                case "unframed" -> write(s, "HTTP/1.1 200 OK\r\n\r\nits end can't be told");
-                case "interim" -> write(s, "HTTP/1.1 101 Switching Protocols\r\n\r\n");
-                default -> write(s, ok(id));
+                case "unframed" -> write(socket, "HTTP/1.1 200 OK\r\n\r\nits end can't be told");
+                case "interim" -> write(socket, "HTTP/1.1 101 Switching Protocols\r\n\r\n");
+                default -> write(socket, ok(id));
               }
             }
           }
@@ -641,21 +655,23 @@
         write(socket, atMostOnceRequest(id));
         assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith(id.equals(fault) ? "HTTP/1.1 502" : "HTTP/1.1 200");
-        Thread.sleep(
-            20); // the next one is on the same connection, which has stood idle for as long
+        Thread.sleep(20); // the next request uses the same connection, which was idle for this time
       }
       assertThat(host.acceptedConnections()).isEqualTo(1);
       for (int i = 0; i < 10; i++) {
         write(socket, atMostOnceRequest("after" + i));
         assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("after" + i);
         Thread.sleep(
-            20); // longer than a connection rests, and shorter than it would after a late answer
+            20); // longer than the reuse delay, and shorter than the delay after a late response
       }
     }
     assertThat(host.acceptedConnections()).isEqualTo(2);
   }
 
-  /** Whichever is taken first, there is one answer, and the next request has its own. */
+  /**
+   * Guards against two responses to one request when response and deadline are due in one turn of
+   * the loop, and against a response that is taken for that of the next request.
+   */
   @Test
   void responseAndDeadlineInOneLoopTurnGiveOneResponse() throws Exception {
     fixture.deadlineMillis = 400;
@@ -675,8 +691,8 @@
               return ok(h.contains("both") ? "both" : "next");
             }) {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
-            super.serve(s);
+          void serve(Socket socket) throws IOException, InterruptedException {
+            super.serve(socket);
             answered.countDown();
           }
         };
@@ -698,8 +714,8 @@
   }
 
   /**
-   * It has begun to go to its client, since it may be a long one, and then nothing comes: the
-   * client is owed an end.
+   * Guards against a response that never ends. The proxy has begun to forward it, because it may be
+   * a long one, and then nothing more arrives: its client must see the end.
    */
   @Test
   void endlessChunkedResponseIsTruncatedAtItsDeadline() throws Exception {
@@ -708,12 +724,12 @@
     ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> head) {
           @Override
-          void serve(Socket s) throws IOException, InterruptedException {
-            ProxyFixture.readMessage(s.getInputStream());
-            write(s, head);
-            Thread.sleep(150); // past which an answer that still comes is passed on
-            write(s, "4\r\nmore\r\n");
-            ProxyFixture.readMessage(s.getInputStream());
+          void serve(Socket socket) throws IOException, InterruptedException {
+            ProxyFixture.readMessage(socket.getInputStream());
+            write(socket, head);
+            Thread.sleep(150); // after this time, an incomplete response is forwarded
+            write(socket, "4\r\nmore\r\n");
+            ProxyFixture.readMessage(socket.getInputStream());
           }
         };
     fixture.start(host);
@@ -736,8 +752,7 @@
       ProxyFixture.await(() -> fixture.clientConnections() == 1);
       ended = fixture.drain();
       long until =
-          System.nanoTime()
-              + 1_000_000_000L; // past the time at which nobody may stay who carries nothing
+          System.nanoTime() + 1_000_000_000L; // past the time at which idle connections are closed
       ProxyFixture.await(() -> System.nanoTime() > until);
       write(socket, "cd");
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
@@ -746,8 +761,8 @@
   }
 
   /**
-   * SIGKILL comes 3.7 s after SIGTERM at the latest that is promised, however long a class may
-   * take.
+   * Guards against a request that SIGKILL ends without a response: SIGKILL arrives 3.7 s after
+   * SIGTERM at the latest, whatever the deadline of a class.
    */
   @Test
   void requestWithADeadlineBeyondSigkillGetsAResponse() throws Exception {
@@ -762,7 +777,7 @@
     }
   }
 
-  /** One that is open may be written to at any instant, so none is at the end. */
+  /** Guards against a request that is written to an open connection when the process exits. */
   @Test
   void drainEndsWithNoOpenConnection() throws Exception {
     fixture.start(fixture.new UpstreamHost(h -> ok("done")));
@@ -779,8 +794,8 @@
   }
 
   /**
-   * It may have written a request that nobody has read: the protocol has it sent once more, on a
-   * new connection.
+   * Guards against rejecting a client that may have written an unread request to a closed
+   * connection: by the protocol, it sends the request once more, on a new connection.
    */
   @Test
   void clientOfTheLastClosedConnectionMayReconnect() throws Exception {
@@ -804,11 +819,11 @@
       ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       assertThat(fixture.clientConnections()).isZero();
     } while (answer.equals("refused")
-        && stood > 20); // this process stood still, and the client was late by as much
+        && stood > 20); // a pause of this process delayed the client by as much
     assertThat(answer).endsWith("done");
   }
 
-  /** How long this process has stood still. */
+  /** Measures the longest pause of this process. */
   private static final class PauseDetector implements AutoCloseable {
     private final Thread thread = new Thread(this::run, "stalls");
     private volatile long longestNanos;
@@ -840,8 +855,8 @@
   }
 
   /**
-   * More of them than are accepted in one turn; a new process comes late to what waits in the
-   * kernel, or one without a core.
+   * Guards against an exit that drops connections in the backlog. They are more than are accepted
+   * in one turn of the loop, and a process that has just started or lacks a core accepts them late.
    */
   @Test
   void backlogIsServedWhenTheDrainEnds() throws Exception {
@@ -849,7 +864,8 @@
     assertThat(fixture.sendRequest(atMostOnceRequest("warm"))).endsWith("done");
     CompletableFuture<Void> ended = fixture.drain();
     AutoCloseable paused = fixture.pauseLoop();
-    long until = System.nanoTime() + 1_000_000_000L; // past the time in which it accepts
+    // past the time for which the proxy accepts connections
+    long until = System.nanoTime() + 1_000_000_000L;
     List<Socket> waiting = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       Socket socket = fixture.connectClient();
@@ -865,15 +881,15 @@
     ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  // --- a new configuration
+  // --- reloads
 
   /**
-   * Hosts end idle connections sooner from then on, and a request that is written to one may have
-   * run.
+   * Guards against a request on a connection that is older than the new idle timeout: hosts close
+   * idle connections sooner from then on, and a request written to one may have run.
    */
   @Test
   void reloadAppliesTheNewIdleTimeout() throws Exception {
-    fixture.aimMillis = 2_000; // two aims of idle time
+    fixture.aimMillis = 2_000; // an idle connection is kept for two aims
     ProxyFixture.IdleResettingHost host = fixture.new IdleResettingHost(400);
     ProxyFixture.DiscoveryServer discovery = fixture.start(host);
     assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("served");
@@ -886,7 +902,10 @@
     assertThat(host.acceptedSockets).hasSize(2);
   }
 
-  /** The connect that hangs belongs to the address before. */
+  /**
+   * Guards against a watch that stays with the previous address because its connect is still
+   * pending.
+   */
   @Test
   void reloadMovesAWatchThatIsConnecting() throws Exception {
     ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
@@ -904,9 +923,12 @@
     assertThat(hangs.requests).isEmpty();
   }
 
-  // --- upkeep, and a loop that is late
+  // --- housekeeping and a late event loop
 
-  /** It has written its request, and looks as silent as before only as long as nobody reads. */
+  /**
+   * Guards against closing a client that has written its request and looks silent only because the
+   * loop has not read it.
+   */
   @Test
   void clientIsNotClosedForAStallOfTheLoop() throws Exception {
     fixture.start(fixture.new UpstreamHost(h -> ok("done")));
@@ -914,7 +936,7 @@
     while (fixture.callOnLoop(() -> fixture.proxy.socketBudget().hasRoomForClient())) {
       Socket socket = fixture.connectClient();
       fill.add(socket);
-      write(socket, "POST /cl"); // begun, and so none that makes room yet
+      write(socket, "POST /cl"); // an incomplete request, which is not closed to make room yet
       ProxyFixture.await(() -> fixture.clientConnections() == fill.size());
     }
     fill.remove(0).close();
@@ -923,10 +945,11 @@
     Socket speaks = fixture.connectClient();
     ProxyFixture.await(() -> fixture.clientConnections() == fill.size() + 1);
     AutoCloseable paused = fixture.pauseLoop();
-    long until =
-        System.nanoTime() + 100_000_000L; // twice what a client may be silent for in a crowd
+    // twice the time for which a client may be silent when clients are many
+    long until = System.nanoTime() + 100_000_000L;
     ProxyFixture.await(() -> System.nanoTime() > until);
-    fill.add(fixture.connectClient()); // ready ahead of it, and one too many
+    // accepted before the request is read, and one connection too many
+    fill.add(fixture.connectClient());
     write(speaks, atMostOnceRequest("speaks"));
     paused.close();
     assertThat(ProxyFixture.readMessage(speaks.getInputStream())).endsWith("done");
@@ -937,7 +960,8 @@
   }
 
   /**
-   * The host may end it at any instant from then on, and what is written to it then may have run.
+   * Guards against a request on an expired idle connection: the host may close the connection at
+   * any moment, and a request written to it may have run.
    */
   @Test
   void expiredIdleConnectionIsNotReusedBeforeHousekeeping() throws Exception {
@@ -956,7 +980,7 @@
     }
   }
 
-  // --- a time that is over
+  // --- expired deadlines
 
   @Test
   void requestPastItsDeadlineIsNotSentAfterTheConnect() throws Exception {
@@ -971,7 +995,7 @@
       ProxyFixture.await(
           () ->
               host.proxyConnections()
-                  == 1); // later than its time: the kernel tries again after a second
+                  == 1); // after the deadline: the kernel retries the connect after a second
       paused.close();
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 503 ");
     }
@@ -980,8 +1004,8 @@
   }
 
   /**
-   * It stood in the kernel for longer than its client waits: on a connection that rested, and on
-   * new ones in the backlog.
+   * Guards against sending requests that have been unread for longer than their clients wait: one
+   * on an idle connection, and others on new connections in the backlog.
    */
   @Test
   void requestThatExpiredUnreadIsRejectedAtOnce() throws Exception {
@@ -1007,12 +1031,12 @@
     }
     assertThat(host.requests).hasSize(1);
     assertThat(fixture.sendRequest(atMostOnceRequest("next")))
-        .endsWith("done"); // no more is held against what comes later
+        .endsWith("done"); // later requests are not affected
   }
 
   /**
-   * Of its time a second and a half went by unread; all of it once more would end half a second too
-   * late and more.
+   * Guards against a deadline that starts at the read: 1.5 s of the 3 s have passed unread, and the
+   * full timeout from there would end more than half a second too late.
    */
   @Test
   void requestReadLateKeepsItsDeadline() throws Exception {
@@ -1032,7 +1056,10 @@
     }
   }
 
-  /** Its connection is older than its time, and nothing came on it before. */
+  /**
+   * Guards against a deadline that starts with the connection, which is older than the timeout and
+   * has carried nothing before.
+   */
   @Test
   void requestOnAnIdleConnectionHasItsFullTimeout() throws Exception {
     fixture.deadlineMillis = 400;
@@ -1047,8 +1074,8 @@
   }
 
   /**
-   * What comes slowly has its time from its last byte on: only what the loop left unread is taken
-   * off.
+   * Guards against a deadline that starts before the last byte of a slow request: only the time for
+   * which the loop left data unread is subtracted.
    */
   @Test
   void timeoutOfASlowRequestStartsAtItsLastByte() throws Exception {
--- a/src/test/java/leadferry/proxy/WarmUpTest.java
+++ b/src/test/java/leadferry/proxy/WarmUpTest.java
@@ -14,8 +14,8 @@
 
 class WarmUpTest {
   /**
-   * Aims far shorter than cold code takes, as a process on part of a core has them, refuse none of
-   * it.
+   * Guards against a warm-up whose requests are shed: latency targets may be far shorter than cold
+   * code takes on part of a core.
    */
   @ParameterizedTest
   @ValueSource(ints = {400, 1})
