--- a/src/main/java/leadferry/daemon/ConfigurationError.java
+++ b/src/main/java/leadferry/daemon/ConfigurationError.java
@@ -1,12 +1,13 @@
 package leadferry.daemon;
 
 /**
- * One thing that is wrong in the operator's file.
+ * Describes one error in an operator's file.
  *
- * @param line the line it stands in, from 1, or 0 where the file as a whole is meant
- * @param key the key's path, as in {@code pool.roster.members[2].weight}
- * @param found what stood there
- * @param expected what should stand there
+ * @param file path of the file
+ * @param line line of the key, from 1, or 0 where the error concerns the whole file
+ * @param key path of the key, as in {@code pool.roster.member[2].weight}; empty for the whole file
+ * @param found value or condition that was found
+ * @param expected what is valid in its place
  */
 public record ConfigurationError(String file, int line, String key, String found, String expected) {
   @Override
--- a/src/main/java/leadferry/daemon/ConfigurationException.java
+++ b/src/main/java/leadferry/daemon/ConfigurationException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The operator's file can't be used; tells all that is wrong with it. */
+/** Signals that an operator's file is invalid, and carries every error found in it. */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
+++ b/src/main/java/leadferry/daemon/ConfigurationSnapshot.java
@@ -21,17 +21,24 @@
 import leadferry.routing.WeightedSplit;
 
 /**
- * One operator's file in force: immutable but for what limits and budgets count, and shared by all
- * workers. A request is judged by one version and ends under it.
+ * Immutable snapshot of one version of the operator's file, shared by all workers.
+ *
+ * <p>Only the counters of its limits, budgets and connections change. A request is evaluated under
+ * one snapshot and keeps it until it ends, whatever is reloaded meanwhile.
  */
 final class ConfigurationSnapshot {
-  /** A route as requests take it. */
+  /**
+   * Route with what a request needs to take it: its weighted split, and the origins to log, by
+   * class.
+   */
   record RouteTarget(
       DaemonConfig.Route route,
       WeightedSplit<String> split,
       Map<String, FilterResult.Origin> origins) {}
 
-  /** A pool with its hosts as they are told to the modules. */
+  /**
+   * Pool with its endpoint list in the form that the load balancers take, and its shared limits.
+   */
   record PoolSnapshot(
       DaemonConfig.Pool config,
       UpstreamHosts.ListUpdate endpoints,
@@ -55,78 +62,97 @@
   final Map<String, PoolSnapshot> pools = new HashMap<>();
   final Map<String, RouteTable<RouteTarget>> routes = new HashMap<>();
 
-  /** By listener, in lower case: the headers that the file has requests judged by, or sets. */
+  /**
+   * Names of the headers that decide about a request or that routes set or remove, in lower case,
+   * by listener.
+   */
   final Map<String, Set<String>> inspectedHeaders = new HashMap<>();
 
   final Map<String, Settings.RequestClass> classes = new HashMap<>();
 
-  /** Hosts that are out of service by what the fleet has agreed. */
+  /** Names of the endpoints that the fleet's state holds out of service. */
   final Set<String> drainedEndpoints;
 
-  /** {@code before} is the version that this one follows, or null; {@code unixMs} the time. */
+  /**
+   * Builds the snapshot of a configuration.
+   *
+   * @param drainedEndpoints endpoints that the fleet's state holds out of service
+   * @param previous snapshot that this one replaces, or null for the first one
+   * @param nowUnixMillis present time
+   */
   ConfigurationSnapshot(
-      DaemonConfig config, Set<String> hostsOut, ConfigurationSnapshot before, double unixMs) {
-    this.drainedEndpoints = Set.copyOf(hostsOut);
-    this.version = before == null ? 1 : before.version + 1;
+      DaemonConfig config,
+      Set<String> drainedEndpoints,
+      ConfigurationSnapshot previous,
+      double nowUnixMillis) {
+    this.drainedEndpoints = Set.copyOf(drainedEndpoints);
+    this.version = previous == null ? 1 : previous.version + 1;
     this.config = config;
     this.limiter =
         new Limiter(
-            config.limits(), config.process().limitKeys(), before == null ? null : before.limiter);
-    DaemonConfig.Process p = config.process();
+            config.limits(),
+            config.process().limitKeys(),
+            previous == null ? null : previous.limiter);
+    DaemonConfig.Process process = config.process();
     boolean sameBudget =
-        before != null
-            && before.config.process().retryRatio() == p.retryRatio()
-            && before.config.process().retryBurst() == p.retryBurst();
+        previous != null
+            && previous.config.process().retryRatio() == process.retryRatio()
+            && previous.config.process().retryBurst() == process.retryBurst();
     this.retryBudget =
-        sameBudget ? before.retryBudget : new RetryBudget(p.retryRatio(), p.retryBurst());
-    for (Settings.RequestClass c : config.classes()) {
-      classes.put(c.name(), c);
+        sameBudget
+            ? previous.retryBudget
+            : new RetryBudget(process.retryRatio(), process.retryBurst());
+    for (Settings.RequestClass requestClass : config.classes()) {
+      classes.put(requestClass.name(), requestClass);
     }
     for (DaemonConfig.Pool pool : config.pools().values()) {
       pools.put(
           pool.name(),
           poolSnapshot(
               pool,
-              before == null ? null : before.pools.get(pool.name()),
-              before == null ? Set.of() : before.drainedEndpoints,
-              unixMs));
+              previous == null ? null : previous.pools.get(pool.name()),
+              previous == null ? Set.of() : previous.drainedEndpoints,
+              nowUnixMillis));
     }
     List<RouteTarget> targets = new ArrayList<>();
-    for (DaemonConfig.Route r : config.routes()) {
+    for (DaemonConfig.Route route : config.routes()) {
       targets.add(
           new RouteTarget(
-              r,
+              route,
               new WeightedSplit<>(
-                  r.split().stream()
+                  route.split().stream()
                       .map(s -> new WeightedSplit.Part<>(s.pool(), s.weight(), s.pool()))
                       .toList()),
               classes.keySet().stream()
                   .collect(
-                      Collectors.toMap(c -> c, c -> new FilterResult.Origin(r.name(), c, null)))));
+                      Collectors.toMap(
+                          requestClass -> requestClass,
+                          requestClass ->
+                              new FilterResult.Origin(route.name(), requestClass, null)))));
     }
     Set<String> byRoutes = headersUsedByRoutes(config);
-    for (DaemonConfig.Listener l : config.listeners().values()) {
+    for (DaemonConfig.Listener listener : config.listeners().values()) {
       Set<String> names = new HashSet<>(byRoutes);
-      names.add(l.classHeader().toLowerCase(Locale.ROOT));
-      names.add(l.tenantHeader().toLowerCase(Locale.ROOT));
-      inspectedHeaders.put(l.name(), Set.copyOf(names));
+      names.add(listener.classHeader().toLowerCase(Locale.ROOT));
+      names.add(listener.tenantHeader().toLowerCase(Locale.ROOT));
+      inspectedHeaders.put(listener.name(), Set.copyOf(names));
     }
     for (String listener : config.listeners().keySet()) {
       List<RouteRule<RouteTarget>> rules = new ArrayList<>();
-      for (RouteTarget t : targets) {
-        DaemonConfig.Route r = t.route();
-        if (r.listeners().isEmpty() || r.listeners().contains(listener)) {
-          RouteRule<Integer> m = r.match();
+      for (RouteTarget target : targets) {
+        DaemonConfig.Route route = target.route();
+        if (route.listeners().isEmpty() || route.listeners().contains(listener)) {
+          RouteRule<Integer> match = route.match();
           rules.add(
               new RouteRule<>(
-                  m.name(),
-                  m.hostPatterns(),
-                  m.kind(),
-                  m.path(),
-                  m.methods(),
-                  m.headers(),
-                  m.classes(),
-                  t));
+                  match.name(),
+                  match.hostPatterns(),
+                  match.kind(),
+                  match.path(),
+                  match.methods(),
+                  match.headers(),
+                  match.classes(),
+                  target));
         }
       }
       routes.put(listener, new RouteTable<>(rules));
@@ -135,61 +161,67 @@
 
   private static Set<String> headersUsedByRoutes(DaemonConfig config) {
     Set<String> names = new HashSet<>();
-    for (DaemonConfig.Route r : config.routes()) {
-      names.add(r.splitHeader().toLowerCase(Locale.ROOT));
-      names.addAll(r.match().headers().keySet());
-      r.setHeaders().keySet().forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
-      r.removeHeaders().forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
+    for (DaemonConfig.Route route : config.routes()) {
+      names.add(route.splitHeader().toLowerCase(Locale.ROOT));
+      names.addAll(route.match().headers().keySet());
+      route.setHeaders().keySet().forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
+      route.removeHeaders().forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
     }
     return names;
   }
 
   /**
-   * The pool's hosts with the times at which they started. Guards rule 4: a server that a new file
-   * names for the first time may be cold, so it is taken to have started now; one that stays keeps
-   * its time, and those of the first file have run for long. One that comes back into service may
-   * have been started anew meanwhile. What the fleet has agreed only takes hosts out, never in.
+   * Returns the pool's endpoints, each with the time at which its server started.
+   *
+   * <p>Guards against full load on a cold server, rule 4: a server that a reload adds may be cold,
+   * so its start time is the time of the reload. A server that stays keeps its start time. The
+   * servers of the first configuration have run for long, so their start time is 0. A server that
+   * returns to service may have been restarted meanwhile, so it counts as started now. The fleet's
+   * state only takes endpoints out of service and never adds one.
    */
   private PoolSnapshot poolSnapshot(
-      DaemonConfig.Pool pool, PoolSnapshot before, Set<String> outBefore, double unixMs) {
-    Map<String, UpstreamHosts.Member> known = new HashMap<>();
-    if (before != null) {
-      before.endpoints.members().forEach(m -> known.put(m.name(), m));
+      DaemonConfig.Pool pool,
+      PoolSnapshot previous,
+      Set<String> previouslyDrained,
+      double nowUnixMillis) {
+    Map<String, UpstreamHosts.Member> previousByName = new HashMap<>();
+    if (previous != null) {
+      previous.endpoints.members().forEach(member -> previousByName.put(member.name(), member));
     }
     List<UpstreamHosts.Member> members = new ArrayList<>();
-    for (UpstreamHosts.Member m : pool.members()) {
-      UpstreamHosts.Member old = known.get(m.name());
-      boolean out = drainedEndpoints.contains(m.name());
-      boolean back = before != null && !out && outBefore.contains(m.name());
-      double started =
-          old != null && old.address().equals(m.address()) && !back
-              ? old.startedUnixMs()
-              : version == 1 ? 0 : unixMs;
+    for (UpstreamHosts.Member member : pool.members()) {
+      UpstreamHosts.Member previousMember = previousByName.get(member.name());
+      boolean drained = drainedEndpoints.contains(member.name());
+      boolean returned = previous != null && !drained && previouslyDrained.contains(member.name());
+      double startedUnixMillis =
+          previousMember != null && previousMember.address().equals(member.address()) && !returned
+              ? previousMember.startedUnixMs()
+              : version == 1 ? 0 : nowUnixMillis;
       members.add(
           new UpstreamHosts.Member(
-              m.name(),
-              m.address(),
-              m.zone(),
-              m.kind(),
-              m.cell(),
-              out ? EndpointUpdate.Condition.TERMINATING : m.condition(),
-              m.weight(),
-              started));
+              member.name(),
+              member.address(),
+              member.zone(),
+              member.kind(),
+              member.cell(),
+              drained ? EndpointUpdate.Condition.TERMINATING : member.condition(),
+              member.weight(),
+              startedUnixMillis));
     }
     boolean sameBudget =
-        before != null
-            && before.config.retryRatio() == pool.retryRatio()
-            && before.config.retryBurst() == pool.retryBurst();
-    // Counts what the workers hold, whatever becomes of the modules: the bound is the hosts'.
+        previous != null
+            && previous.config.retryRatio() == pool.retryRatio()
+            && previous.config.retryBurst() == pool.retryBurst();
+    // Kept across reloads: it limits connections per host, over all workers and all load balancers.
     ConnectionLimits connections =
-        before == null ? new ConnectionLimits(pool.maxConnections()) : before.connections;
+        previous == null ? new ConnectionLimits(pool.maxConnections()) : previous.connections;
     connections.setLimit(pool.maxConnections());
     connections.retainListed(
         members.stream().map(UpstreamHosts.Member::address).collect(Collectors.toSet()));
     return new PoolSnapshot(
         pool,
         new UpstreamHosts.ListUpdate(version, true, members),
-        sameBudget ? before.retryBudget : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
+        sameBudget ? previous.retryBudget : new RetryBudget(pool.retryRatio(), pool.retryBurst()),
         connections);
   }
 }
--- a/src/main/java/leadferry/daemon/Daemon.java
+++ b/src/main/java/leadferry/daemon/Daemon.java
@@ -32,24 +32,27 @@
 import leadferry.engine.UpstreamConnectionPool;
 
 /**
- * The daemon from its start to its drain. Workers share nothing but limits and budgets; one loop
- * accepts and hands each connection to the next worker in turn, so that each has an equal number.
+ * Runs the daemon from its start to its drain.
+ *
+ * <p>Workers share only limits and budgets. One event loop accepts all connections and assigns them
+ * to the workers in turn, so each worker has an equal number.
  *
  * <pre>
- *   file -> OperatorFile -> DaemonConfig -> Version --+--> Worker 1: fronts, pools, module instances
- *                                                     +--> Worker 2 ...
+ *   file -> OperatorFile -> DaemonConfig -> ConfigurationSnapshot --+--> Worker 1: servers, pools
+ *                                                                   +--> Worker 2 ...
  * </pre>
  *
- * <p>A reload judges the file, binds what is new and only then puts the version in force on every
- * worker; a fault anywhere before leaves all as it was.
+ * <p>A reload checks the file and binds new listeners before any worker applies the snapshot; an
+ * error in either step leaves the present configuration unchanged.
  */
 public final class Daemon implements AutoCloseable {
   private static final int BACKLOG = 1_024;
   private static final long DRAIN_POLL_MILLIS = 10;
 
   /**
-   * How long (ms) a socket that goes is still accepted from. Guards against clients that connected
-   * and sent before they could know: closing at once would reset them in the backlog.
+   * Time for which a listener that is to close still accepts connections. Guards against reset
+   * connections: a client may have connected and sent a request before it could know of the close,
+   * and closing at once would reset all connections in the backlog.
    */
   static final long ACCEPT_GRACE_MILLIS = 500;
 
@@ -68,21 +71,28 @@
   private boolean clientShedding;
   private boolean draining;
 
-  /** A listener's socket; {@code asked} is the address in the file. */
+  /**
+   * Socket of a listener.
+   *
+   * @param configuredAddress address in the operator's file
+   */
   private record BoundListener(InetSocketAddress configuredAddress, Channel channel) {}
 
   /**
-   * Starts a daemon by this file; {@code logs} gives it the log of the form that the file asks for.
+   * Starts a daemon with the configuration in a file.
    *
-   * @throws FaultyFileException if the file is faulty, or a listener's address can't be had
+   * @param file the operator's file
+   * @param logs returns the log for a format; called once, with the format in the file
+   * @throws ConfigurationException if the file is invalid or a listener's address can't be bound
    */
   public Daemon(Path file, Function<LogFormat, Log> logs) throws ConfigurationException {
     this(file, false, logs);
   }
 
   /**
-   * As {@link #Daemon(Path, Function)}; {@code newReplica}: the replica that its file names never
-   * had a log.
+   * Starts a daemon, as {@link #Daemon(Path, Function)} does.
+   *
+   * @param newReplica whether the replica that the file names has never had a log
    */
   public Daemon(Path file, boolean newReplica, Function<LogFormat, Log> logs)
       throws ConfigurationException {
@@ -103,10 +113,11 @@
             config.process().workers(),
             new DefaultThreadFactory("worker", true),
             transport.ioHandlerFactory());
-    for (int i = 0; i < config.process().workers(); i++) {
+    for (int index = 0; index < config.process().workers(); index++) {
       EventLoop loop = (EventLoop) workerGroup.next();
       workers.put(
-          loop, new Worker(loop, transport, i, config.process(), seed + 1_000_003L * i, log));
+          loop,
+          new Worker(loop, transport, index, config.process(), seed + 1_000_003L * index, log));
     }
     this.replica =
         config.fleet() == null || config.fleet().replica() == null
@@ -114,8 +125,8 @@
             : startReplica(config, newReplica);
     this.fleetAgent = config.fleet() == null ? null : new FleetAgent(config.fleet(), this, log);
     if (fleetAgent != null) {
-      fleetAgent.loadInitialView(
-          config); // what the fleet has taken out is known before the first request
+      // The first request already avoids the endpoints that are out of service.
+      fleetAgent.loadInitialView(config);
     }
     try {
       apply(config);
@@ -129,98 +140,115 @@
   }
 
   /**
-   * The replica beside the workers. Where it can't go on it ends alone: requests do not need it.
+   * Starts the replica that runs in this process. A failure while it runs stops the replica alone:
+   * requests do not depend on it.
    */
-  private AutoCloseable startReplica(DaemonConfig config, boolean fresh)
+  private AutoCloseable startReplica(DaemonConfig config, boolean isNew)
       throws ConfigurationException {
-    String no;
+    String cause;
     try {
       return new leadferry.consensus.Replica(
           config.fleet().replica(),
-          fresh,
+          isNew,
           log::line,
-          t -> log.failure("the replica in this process can't go on", t));
+          t -> log.failure("replica in this process failed", t));
     } catch (NoClassDefFoundError e) {
-      no = "the log's library is missing: " + e.getMessage();
+      cause = "the log's library is missing: " + e.getMessage();
     } catch (java.io.IOException | RuntimeException e) {
-      no = e.getMessage();
+      cause = e.getMessage();
     }
     close();
     throw new ConfigurationException(
         List.of(
             new ConfigurationError(
-                file.toString(), 0, "fleet.keeper_file", no, "a replica that can start")));
+                file.toString(), 0, "fleet.keeper_file", cause, "a replica that can start")));
   }
 
   /**
-   * Puts in force what the fleet has agreed: hosts that get nothing, and whether this process sends
-   * its clients away.
+   * Applies the fleet's state.
+   *
+   * @param drained endpoints that get no requests
+   * @param shedClients whether this process closes client connections so that clients go to other
+   *     proxies
    */
-  synchronized void applyFleetView(Set<String> hosts, boolean sendAway) {
-    boolean others = !hosts.equals(drainedEndpoints);
-    drainedEndpoints = hosts;
-    if (clientShedding != sendAway) {
-      clientShedding = sendAway;
-      log.line(clientShedding ? "out of service by the fleet's permit" : "back in service");
-      workers.values().forEach(w -> w.loop().execute(() -> w.setClientShedding(sendAway)));
+  synchronized void applyFleetView(Set<String> drained, boolean shedClients) {
+    boolean endpointsChanged = !drained.equals(drainedEndpoints);
+    drainedEndpoints = drained;
+    if (clientShedding != shedClients) {
+      clientShedding = shedClients;
+      log.line(clientShedding ? "out of service by an eviction grant" : "back in service");
+      workers
+          .values()
+          .forEach(worker -> worker.loop().execute(() -> worker.setClientShedding(shedClients)));
     }
-    if (others && snapshot != null && !draining) {
+    if (endpointsChanged && snapshot != null && !draining) {
       try {
         apply(snapshot.config);
       } catch (ConfigurationException e) {
-        log.failure("what the fleet agreed", e); // nothing is bound anew by the same file
+        // Unexpected: the listeners are unchanged, so no bind can fail.
+        log.failure("applying the fleet's view failed", e);
       }
     }
   }
 
-  /** What workers tell of hosts, all of them together; waits for their loops. */
-  Set<String> collectHosts(Function<Worker, Set<String>> of) {
-    Set<String> out = new HashSet<>();
-    for (Worker w : workers.values()) {
-      out.addAll(w.loop().submit(() -> of.apply(w)).syncUninterruptibly().getNow());
+  /**
+   * Returns the union of one set of host names of each worker. Blocks until each worker's loop has
+   * run.
+   */
+  Set<String> collectHosts(Function<Worker, Set<String>> hostsOfWorker) {
+    Set<String> hosts = new HashSet<>();
+    for (Worker worker : workers.values()) {
+      hosts.addAll(
+          worker.loop().submit(() -> hostsOfWorker.apply(worker)).syncUninterruptibly().getNow());
     }
-    return out;
+    return hosts;
   }
 
   /**
-   * What became of requests since this process began, for the fleet; waits for the workers' loops.
+   * Returns the outcomes of requests since the start of the process, for the fleet. Blocks until
+   * each worker's loop has run.
    */
   com.fasterxml.jackson.databind.node.ObjectNode outcomeReport() {
-    com.fasterxml.jackson.databind.node.ObjectNode out = leadferry.consensus.Json.object();
-    for (Worker w : workers.values()) {
-      w.loop().submit(() -> w.addOutcomesTo(out)).syncUninterruptibly();
+    com.fasterxml.jackson.databind.node.ObjectNode report = leadferry.consensus.Json.object();
+    for (Worker worker : workers.values()) {
+      worker.loop().submit(() -> worker.addOutcomesTo(report)).syncUninterruptibly();
     }
-    return out;
+    return report;
   }
 
   /**
-   * The sockets that were asked for; where Linux does not give them, those of the JDK and a line.
+   * Returns the configured transport, or the JDK's NIO transport where the native one is
+   * unavailable.
    */
-  private static Transport transport(DaemonConfig.TransportType asked, Log log) {
-    if (asked == DaemonConfig.TransportType.NIO) {
+  private static Transport transport(DaemonConfig.TransportType configured, Log log) {
+    if (configured == DaemonConfig.TransportType.NIO) {
       return new NioTransport();
     }
     NativeTransport wanted =
-        asked == DaemonConfig.TransportType.IO_URING
+        configured == DaemonConfig.TransportType.IO_URING
             ? NativeTransport.IO_URING
             : NativeTransport.EPOLL;
-    Throwable missing = wanted.unavailabilityCause();
-    if (missing == null) {
+    Throwable unavailabilityCause = wanted.unavailabilityCause();
+    if (unavailabilityCause == null) {
       return wanted;
     }
-    log.line("transport " + wanted + " can't be had (" + missing + "): NIO in its place");
+    log.line("transport " + wanted + " unavailable (" + unavailabilityCause + "): using NIO");
     return new NioTransport();
   }
 
-  /** Judges a file and does nothing else; throws what is wrong with it. */
+  /**
+   * Checks a file without starting anything.
+   *
+   * @throws ConfigurationException with every error in the file
+   */
   public static void check(Path file) throws ConfigurationException {
     OperatorFile.read(file);
   }
 
   /**
-   * Puts the file in force as it is now, the whole of it or nothing.
+   * Reloads the file; either all of it takes effect or nothing does.
    *
-   * @return whether it is in force; if not, the log tells every fault
+   * @return whether the new configuration took effect; if not, each error has been logged
    */
   public synchronized boolean reload() {
     if (draining) {
@@ -228,16 +256,16 @@
     }
     try {
       DaemonConfig next = OperatorFile.read(file);
-      DaemonConfig.Process was = snapshot.config.process();
-      DaemonConfig.Process is = next.process();
-      if (is.workers() != was.workers()
-          || is.descriptors() != was.descriptors()
-          || is.bodyMemoryMb() != was.bodyMemoryMb()
-          || is.transport() != was.transport()
-          || is.logFormat() != was.logFormat()
+      DaemonConfig.Process current = snapshot.config.process();
+      DaemonConfig.Process updated = next.process();
+      if (updated.workers() != current.workers()
+          || updated.descriptors() != current.descriptors()
+          || updated.bodyMemoryMb() != current.bodyMemoryMb()
+          || updated.transport() != current.transport()
+          || updated.logFormat() != current.logFormat()
           || !java.util.Objects.equals(next.fleet(), snapshot.config.fleet())) {
         log.line(
-            "workers, descriptors, body_memory_mb, transport, log and [fleet] change with a restart only");
+            "workers, descriptors, body_memory_mb, transport, log and [fleet] take effect only after a restart");
       }
       apply(next);
       if (fleetAgent != null) {
@@ -246,50 +274,52 @@
       log.event("version " + snapshot.version + " in force", "version", snapshot.version);
       return true;
     } catch (ConfigurationException e) {
-      for (ConfigurationError f : e.errors()) {
+      for (ConfigurationError error : e.errors()) {
         log.event(
-            "not taken: " + f,
+            "reload rejected: " + error,
             "file",
-            f.file(),
+            error.file(),
             "line",
-            f.line(),
+            error.line(),
             "key",
-            f.key(),
+            error.key(),
             "found",
-            f.found(),
+            error.found(),
             "expected",
-            f.expected());
+            error.expected());
       }
       return false;
     }
   }
 
   private void apply(DaemonConfig config) throws ConfigurationException {
-    Map<String, BoundListener> fresh = bindNewListeners(config);
+    Map<String, BoundListener> newListeners = bindNewListeners(config);
     ConfigurationSnapshot next =
         new ConfigurationSnapshot(config, drainedEndpoints, snapshot, System.currentTimeMillis());
     List<Future<?>> applied = new ArrayList<>();
-    for (Worker w : workers.values()) {
-      applied.add(w.loop().submit(() -> w.apply(next)));
+    for (Worker worker : workers.values()) {
+      applied.add(worker.loop().submit(() -> worker.apply(next)));
     }
-    for (Future<?> f : applied) {
-      f.syncUninterruptibly();
+    for (Future<?> future : applied) {
+      future.syncUninterruptibly();
     }
     snapshot = next;
-    // Only now does the first connection of a new listener find a front on every worker.
+    // Every worker has a server for each new listener by now, so accepting can begin.
     boundListeners
         .entrySet()
         .removeIf(
-            e -> {
-              DaemonConfig.Listener l = config.listeners().get(e.getKey());
-              boolean gone = l == null || !l.address().equals(e.getValue().configuredAddress());
-              if (gone) {
-                closeAfterGrace(e.getValue().channel());
+            entry -> {
+              DaemonConfig.Listener listener = config.listeners().get(entry.getKey());
+              boolean removed =
+                  listener == null
+                      || !listener.address().equals(entry.getValue().configuredAddress());
+              if (removed) {
+                closeAfterGrace(entry.getValue().channel());
               }
-              return gone;
+              return removed;
             });
-    boundListeners.putAll(fresh);
-    fresh.values().forEach(b -> b.channel().config().setAutoRead(true));
+    boundListeners.putAll(newListeners);
+    newListeners.values().forEach(newListener -> newListener.channel().config().setAutoRead(true));
   }
 
   private static void closeAfterGrace(Channel listener) {
@@ -298,37 +328,38 @@
         .schedule(() -> listener.close(), ACCEPT_GRACE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Binds every address that is not bound yet, or none. */
+  /** Binds the listeners that have no socket at their address yet. Binds none where one fails. */
   private Map<String, BoundListener> bindNewListeners(DaemonConfig config)
       throws ConfigurationException {
-    Map<String, BoundListener> fresh = new HashMap<>();
-    List<ConfigurationError> faults = new ArrayList<>();
-    for (DaemonConfig.Listener l : config.listeners().values()) {
-      BoundListener b = boundListeners.get(l.name());
-      if (b != null && b.configuredAddress().equals(l.address())) {
+    Map<String, BoundListener> newListeners = new HashMap<>();
+    List<ConfigurationError> errors = new ArrayList<>();
+    for (DaemonConfig.Listener listener : config.listeners().values()) {
+      BoundListener existing = boundListeners.get(listener.name());
+      if (existing != null && existing.configuredAddress().equals(listener.address())) {
         continue;
       }
-      ChannelFuture f = bind(l).awaitUninterruptibly();
-      if (f.isSuccess()) {
-        fresh.put(l.name(), new BoundListener(l.address(), f.channel()));
+      ChannelFuture bindFuture = bind(listener).awaitUninterruptibly();
+      if (bindFuture.isSuccess()) {
+        newListeners.put(
+            listener.name(), new BoundListener(listener.address(), bindFuture.channel()));
       } else {
-        faults.add(
+        errors.add(
             new ConfigurationError(
                 file.toString(),
                 0,
-                "listener." + l.name() + ".address",
-                f.cause().getMessage(),
+                "listener." + listener.name() + ".address",
+                bindFuture.cause().getMessage(),
                 "an address that can be listened on"));
       }
     }
-    if (!faults.isEmpty()) {
-      fresh.values().forEach(b -> b.channel().close());
-      throw new ConfigurationException(faults);
+    if (!errors.isEmpty()) {
+      newListeners.values().forEach(newListener -> newListener.channel().close());
+      throw new ConfigurationException(errors);
     }
-    return fresh;
+    return newListeners;
   }
 
-  private ChannelFuture bind(DaemonConfig.Listener l) {
+  private ChannelFuture bind(DaemonConfig.Listener config) {
     return new ServerBootstrap()
         .group(acceptor, workerGroup)
         .channel(transport.listenerType())
@@ -341,7 +372,8 @@
               protected void initChannel(ServerChannel listener) {
                 listener
                     .pipeline()
-                    .addLast(new AcceptBackoffHandler(log.withField("listener", l.name())::line));
+                    .addLast(
+                        new AcceptBackoffHandler(log.withField("listener", config.name())::line));
               }
             })
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -351,30 +383,35 @@
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel ch) {
-                workers.get(ch.eventLoop()).onAccepted(l.name(), ch);
+              protected void initChannel(SocketChannel client) {
+                workers.get(client.eventLoop()).onAccepted(config.name(), client);
               }
             })
-        .bind(l.address());
+        .bind(config.address());
   }
 
-  /** Where the listener of that name is bound, or null. */
+  /** Returns the address to which a listener is bound, or null if there is no such listener. */
   public synchronized InetSocketAddress address(String listener) {
-    BoundListener b = boundListeners.get(listener);
-    return b == null ? null : (InetSocketAddress) b.channel().localAddress();
+    BoundListener boundListener = boundListeners.get(listener);
+    return boundListener == null
+        ? null
+        : (InetSocketAddress) boundListener.channel().localAddress();
   }
 
-  /** The workers' loops. */
+  /** Returns the event loops of the workers. */
   Set<EventLoop> eventLoops() {
     return workers.keySet();
   }
 
-  /** The number of the version in force, from 1. */
+  /** Returns the version of the present configuration, from 1. */
   public synchronized long version() {
     return snapshot.version;
   }
 
-  /** Begins the end: new connections for half a second more, all that was taken is answered. */
+  /**
+   * Starts the drain. Listeners accept for another {@link #ACCEPT_GRACE_MILLIS}, and every request
+   * that was accepted gets its response.
+   */
   public synchronized void drain() {
     if (draining) {
       return;
@@ -386,46 +423,51 @@
     }
     boundListeners.values().forEach(b -> closeAfterGrace(b.channel()));
     workers.values().forEach(w -> w.loop().execute(w::drain));
-    long until = System.nanoTime() + snapshot.config.process().drainMillis() * 1_000_000L;
+    long deadlineNanos = System.nanoTime() + snapshot.config.process().drainMillis() * 1_000_000L;
     acceptor
         .next()
         .schedule(
-            () -> pollDrain(until), ACCEPT_GRACE_MILLIS + DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
+            () -> pollDrain(deadlineNanos),
+            ACCEPT_GRACE_MILLIS + DRAIN_POLL_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
-  private void pollDrain(long until) {
-    CompletableFuture<?>[] asked = new CompletableFuture<?>[workers.size()];
+  private void pollDrain(long deadlineNanos) {
+    CompletableFuture<?>[] checks = new CompletableFuture<?>[workers.size()];
     boolean[] busy = new boolean[workers.size()];
-    int i = 0;
-    for (Worker w : workers.values()) {
-      int at = i++;
-      asked[at] = CompletableFuture.runAsync(() -> busy[at] = w.hasPendingRequests(), w.loop());
+    int next = 0;
+    for (Worker worker : workers.values()) {
+      int index = next++;
+      checks[index] =
+          CompletableFuture.runAsync(
+              () -> busy[index] = worker.hasPendingRequests(), worker.loop());
     }
-    CompletableFuture.allOf(asked)
+    CompletableFuture.allOf(checks)
         .whenComplete(
-            (x, failure) -> {
-              boolean any = false;
-              for (boolean b : busy) {
-                any |= b;
+            (ignored, failure) -> {
+              boolean anyBusy = false;
+              for (boolean workerBusy : busy) {
+                anyBusy |= workerBusy;
               }
-              boolean late = System.nanoTime() >= until;
-              if (any && !late) {
+              boolean timedOut = System.nanoTime() >= deadlineNanos;
+              if (anyBusy && !timedOut) {
                 acceptor
                     .next()
-                    .schedule(() -> pollDrain(until), DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
+                    .schedule(
+                        () -> pollDrain(deadlineNanos), DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
               } else {
-                log.line(any ? "drain cut short by its time" : "drained");
+                log.line(anyBusy ? "drain cut short: drain_ms has passed" : "drained");
                 if (fleetAgent == null) {
                   terminated.countDown();
                 } else {
-                  // Its replica goes last: the member's own word may need it.
-                  fleetAgent.onDrained(!any, this::finish);
+                  // The replica closes last: the agent's request to leave may need it.
+                  fleetAgent.onDrained(!anyBusy, this::finish);
                 }
               }
             });
   }
 
-  /** Waits until the drain is over. */
+  /** Blocks until the drain has ended. */
   public void awaitTermination() throws InterruptedException {
     terminated.await();
   }
@@ -435,13 +477,13 @@
       try {
         replica.close();
       } catch (Exception e) {
-        log.failure("the end of the replica", e);
+        log.failure("closing the replica failed", e);
       }
     }
     terminated.countDown();
   }
 
-  /** Ends all at once. */
+  /** Stops at once, without a drain. */
   @Override
   public void close() {
     if (fleetAgent != null) {
--- a/src/main/java/leadferry/daemon/DaemonConfig.java
+++ b/src/main/java/leadferry/daemon/DaemonConfig.java
@@ -11,7 +11,7 @@
 import leadferry.routing.NormalizedPath;
 import leadferry.routing.RouteRule;
 
-/** What the operator's file says, checked whole. Times are milliseconds. */
+/** Validated content of an operator's file. Times are in milliseconds. */
 record DaemonConfig(
     Process process,
     Map<String, Listener> listeners,
@@ -21,10 +21,13 @@
     List<Limit> limits,
     Fleet fleet) {
 
-  /** The class of requests for which no class was declared. */
+  /** Class of the requests that declare no class or an unknown one. */
   static final String DEFAULT_CLASS = "default";
 
-  /** The daemon as a whole. */
+  /**
+   * Settings of the whole process: threads, memory, sockets and the process's place among its
+   * instances.
+   */
   record Process(
       int workers,
       int drainMillis,
@@ -38,24 +41,27 @@
       TransportType transport,
       LogFormat logFormat) {}
 
-  /** What a start does where no replica can be reached: goes by what it last knew, or waits. */
+  /**
+   * Behaviour of a start while no replica is reachable: start from the last known state, or wait.
+   */
   enum UnreachablePolicy {
     LAST,
     WAIT
   }
 
   /**
-   * This process as a member of a fleet; null where there is none.
+   * Membership of this process in a fleet; null where there is none.
    *
-   * @param fleet the fleet's name
-   * @param name this process's name, its own in the fleet
-   * @param zone its zone, or "-"
-   * @param leaseMillis after so long without a word the fleet takes it for lost
-   * @param startWaitMillis how long a start asks replicas before it takes them for unreachable
-   * @param stateFile the file in which it keeps what it goes by, or null
-   * @param version what runs here, as releases call it, or "-"
-   * @param replicas where they are, by name
-   * @param replica the replica that runs in this process as well, or null
+   * @param fleet name of the fleet
+   * @param name name of this process, unique in the fleet
+   * @param zone zone of this process, or "-"
+   * @param leaseMillis time without a renewal after which the fleet considers this process lost
+   * @param startWaitMillis time for which a start tries to reach replicas before it considers them
+   *     unreachable
+   * @param stateFile file that holds the last view in force, or null
+   * @param version version that runs here, under the name that releases use, or "-"
+   * @param replicas addresses of the replicas, by name
+   * @param replica the replica that also runs in this process, or null
    */
   record Fleet(
       String fleet,
@@ -69,7 +75,7 @@
       Map<String, InetSocketAddress> replicas,
       ReplicaConfig replica) {}
 
-  /** The kind of sockets: the best that is there, or a certain one. */
+  /** Transport: the best that is available, or a specific one. */
   enum TransportType {
     AUTO,
     NIO,
@@ -77,7 +83,7 @@
     IO_URING
   }
 
-  /** Where clients connect. */
+  /** Listener: the address at which clients connect and the limits for their connections. */
   record Listener(
       String name,
       InetSocketAddress address,
@@ -92,7 +98,7 @@
       int maxPipelinedRequests,
       Forwarding forwarding) {}
 
-  /** A pool of servers; {@code settings} is what its module is told. */
+  /** Pool of servers; {@code settings} are the settings of its load balancer. */
   record Pool(
       String name,
       List<UpstreamHosts.Member> members,
@@ -108,7 +114,9 @@
       double retryRatio,
       double retryBurst) {
 
-    /** Whether the other one can take over what this one's module has learnt. */
+    /**
+     * Returns whether the dispatcher of the other pool can serve this one and keep its statistics.
+     */
     boolean canReuseDispatcherOf(Pool other) {
       return settings.equals(other.settings)
           && maxResponseBytes == other.maxResponseBytes
@@ -118,17 +126,17 @@
     }
   }
 
-  /** A part of a route's traffic. */
+  /** Share of a route's traffic, by weight. */
   record PoolShare(String pool, double weight) {}
 
-  /** What is read from a request to keep its key on one side of a split. */
+  /** Source of the key that decides to which pool of a split a request goes. */
   enum SplitBy {
     KEY,
     TENANT,
     ADDRESS
   }
 
-  /** What a route does with what it takes; {@code match} tells what that is. */
+  /** Route: the rule that selects requests, and where and how they are forwarded. */
   record Route(
       String name,
       List<String> listeners,
--- a/src/main/java/leadferry/daemon/DaemonLog.java
+++ b/src/main/java/leadferry/daemon/DaemonLog.java
@@ -17,25 +17,27 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The daemon's log: records with fields through SLF4J and Logback.
+ * Writes the daemon's log: records with fields, through SLF4J and Logback.
  *
  * <pre>
- *   worker --- budget of this second --- queue, never waited for --- a thread --- the stream
+ *   worker --- budget of this second --- bounded queue --- writer thread --- the stream
  *                 |                        | full
- *                 +--> counted <-----------+
+ *                 +--> dropped, counted <--+
  * </pre>
  *
- * <p>Requests have a budget of their own, so that a storm of refusals hides no change of state.
- * What libraries tell goes by the budget of changes of state. Guards workers against whoever reads
- * the stream and stops: they drop and count, the thread waits.
+ * <p>Records about requests have a separate budget, so a burst of rejected requests hides no change
+ * of state. Records of libraries use the budget of state changes.
+ *
+ * <p>Guards against blocked workers where the reader of the stream stops reading: workers drop and
+ * count records, and only the writer thread waits.
  */
 public final class DaemonLog implements Log, AutoCloseable {
   static final String LOGGER = "leadferry";
 
-  /** Records a second, of requests and of all else, each. */
+  /** Records per second, for request records and for all others separately. */
   static final int RECORDS_PER_SECOND = 50;
 
-  /** Records that wait to be written; some seconds of both budgets. */
+  /** Capacity of the queue in records: some seconds of both budgets. */
   private static final int QUEUE_CAPACITY = 512;
 
   private final LoggerContext context;
@@ -44,18 +46,25 @@
   private final RecordBudget requests;
   private final RecordBudget events;
 
-  /** A log of this context, which is emptied first, with so many records of each kind a second. */
-  DaemonLog(LoggerContext context, LogFormat form, OutputStream out, int perSecond) {
+  /**
+   * Creates a log.
+   *
+   * @param context Logback context, which is reset first
+   * @param out stream to which records are written
+   * @param perSecond records per second for each of the two budgets
+   */
+  DaemonLog(LoggerContext context, LogFormat format, OutputStream out, int perSecond) {
     this.context = context;
     this.requests = new RecordBudget(perSecond);
     this.events = new RecordBudget(perSecond);
     context.reset();
     if (context.getMDCAdapter() == null) {
-      context.setMDCAdapter(new LogbackMDCAdapter()); // SLF4J gives one to its own context only
+      // SLF4J sets an adapter only in its default context.
+      context.setMDCAdapter(new LogbackMDCAdapter());
     }
     OutputStreamAppender<ILoggingEvent> writer = new OutputStreamAppender<>();
     writer.setContext(context);
-    writer.setEncoder(new RecordEncoder(context, form));
+    writer.setEncoder(new RecordEncoder(context, format));
     writer.setOutputStream(out);
     writer.start();
     queue.setContext(context);
@@ -72,9 +81,9 @@
     logger.setLevel(Level.INFO);
   }
 
-  /** The log of this process, libraries' warnings included. */
-  public static DaemonLog onStandardError(LogFormat form) {
-    OutputStream open =
+  /** Returns a log that writes to standard error, with the warnings of libraries. */
+  public static DaemonLog onStandardError(LogFormat format) {
+    OutputStream unclosable =
         new FilterOutputStream(System.err) {
           @Override
           public void write(byte[] b, int from, int n) throws IOException {
@@ -83,14 +92,17 @@
 
           @Override
           public void close() throws IOException {
-            out.flush(); // others write there, too
+            out.flush(); // other code writes to standard error too, so it stays open
           }
         };
     return new DaemonLog(
-        (LoggerContext) LoggerFactory.getILoggerFactory(), form, open, RECORDS_PER_SECOND);
+        (LoggerContext) LoggerFactory.getILoggerFactory(), format, unclosable, RECORDS_PER_SECOND);
   }
 
-  /** Libraries log by themselves, so their records meet the budget here. */
+  /**
+   * Applies the budget of state changes to the records of libraries, which reach the queue without
+   * {@link #event}.
+   */
   private final class LibraryRecordFilter extends Filter<ILoggingEvent> {
     @Override
     public FilterReply decide(ILoggingEvent e) {
@@ -111,49 +123,49 @@
     return true;
   }
 
-  /** Tells what was left out, with the next record that is not. */
+  /** Logs how many records were dropped, ahead of the next record that is written. */
   private void logDropped(RecordBudget budget, String kind) {
-    long n = budget.takeDropped();
-    if (n > 0) {
-      write(logger.atWarn(), "left out", "of", kind, "count", n);
+    long count = budget.takeDropped();
+    if (count > 0) {
+      write(logger.atWarn(), "records dropped", "of", kind, "count", count);
     }
   }
 
-  private static void write(LoggingEventBuilder to, String what, Object... fields) {
-    LoggingEventBuilder b = to;
+  private static void write(LoggingEventBuilder builder, String message, Object... fields) {
+    LoggingEventBuilder entry = builder;
     for (int i = 0; i + 1 < fields.length; i += 2) {
       if (fields[i + 1] != null) {
-        b = b.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
+        entry = entry.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
       }
     }
-    b.log(what);
+    entry.log(message);
   }
 
   @Override
-  public void event(String what, Object... fields) {
+  public void event(String message, Object... fields) {
     if (tryAcquire(events)) {
       logDropped(events, "events");
-      write(logger.atInfo(), what, fields);
+      write(logger.atInfo(), message, fields);
     }
   }
 
   @Override
-  public void detail(String what, Object... fields) {
+  public void detail(String message, Object... fields) {
     if (tryAcquire(requests)) {
       logDropped(requests, "requests");
-      write(logger.atInfo(), what, fields);
+      write(logger.atInfo(), message, fields);
     }
   }
 
   @Override
-  public void failure(String what, Throwable t) {
+  public void failure(String message, Throwable t) {
     if (tryAcquire(events)) {
       logDropped(events, "events");
-      logger.atError().setCause(t).log(what);
+      logger.atError().setCause(t).log(message);
     }
   }
 
-  /** Writes what waits, for a second at most, and ends. */
+  /** Writes the queued records, for one second at most, and closes the log. */
   @Override
   public void close() {
     logDropped(requests, "requests");
--- a/src/main/java/leadferry/daemon/DaemonRequestFilter.java
+++ b/src/main/java/leadferry/daemon/DaemonRequestFilter.java
@@ -28,11 +28,16 @@
 import leadferry.routing.WeightedSplit;
 
 /**
- * From a request's head to the pool that takes it: path, host, class, route, limits, split. One
- * listener's on one worker under one version. May refuse before any attempt; never sends.
+ * Decides from a request's head which pool serves it: path, host, class, route, limits, split.
+ *
+ * <p>An instance belongs to one listener on one worker under one configuration snapshot. It may
+ * reject a request before any attempt; it sends nothing itself.
  */
 final class DaemonRequestFilter implements RequestFilter {
-  /** A host name, or an address in brackets, with a port or none. */
+  /**
+   * Maximum length of a {@code Host} value: a name, or an address in brackets, with an optional
+   * port.
+   */
   private static final int MAX_HOST_LENGTH = 255;
 
   private static final String HTTP_SCHEME = "http://";
@@ -55,7 +60,7 @@
     this.routes = version.routes.get(listener.name());
   }
 
-  /** The request at hand as routes see it; used anew for each, on one loop. */
+  /** Present request as the route table reads it; reused for each request on one event loop. */
   private static final class RequestView implements RequestAttributes {
     private HttpRequest head;
     private String host;
@@ -120,8 +125,9 @@
     view.head = head;
     view.host = host;
     view.path = path.matchPath();
-    String claimed = head.headers().get(listener.classHeader());
-    view.className = claimed != null && snapshot.classes.containsKey(claimed) ? claimed : null;
+    String declaredClass = head.headers().get(listener.classHeader());
+    view.className =
+        declaredClass != null && snapshot.classes.containsKey(declaredClass) ? declaredClass : null;
     RouteRule<ConfigurationSnapshot.RouteTarget> rule = routes.find(view);
     if (rule == null) {
       return FilterResult.respond(404, 0, NO_ROUTE);
@@ -130,27 +136,30 @@
   }
 
   /**
-   * Makes an absolute-form target one of origin form (RFC 9112, 3.2.2): its authority takes the
-   * place of {@code Host}, before anything judges by either. False where it is none that can be
-   * served here.
+   * Rewrites an absolute-form target to origin form (RFC 9112, 3.2.2). The target's authority
+   * replaces the {@code Host} header before any rule reads either.
+   *
+   * @return false if the target can't be served here
    */
   private static boolean convertToOriginForm(HttpRequest head) {
     String uri = head.uri();
     if (!uri.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
       return true;
     }
-    int end = HTTP_SCHEME.length();
-    while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
-      end++;
+    int authorityEnd = HTTP_SCHEME.length();
+    while (authorityEnd < uri.length()
+        && uri.charAt(authorityEnd) != '/'
+        && uri.charAt(authorityEnd) != '?') {
+      authorityEnd++;
     }
-    String authority = uri.substring(HTTP_SCHEME.length(), end);
-    boolean old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
+    String authority = uri.substring(HTTP_SCHEME.length(), authorityEnd);
+    boolean isHttp10 = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
     if (authority.isEmpty()
-        || (!old && Framing.singleValue(head.headers(), HttpHeaderNames.HOST) == null)) {
-      return false; // HTTP/1.1 has a Host all the same
+        || (!isHttp10 && Framing.singleValue(head.headers(), HttpHeaderNames.HOST) == null)) {
+      return false; // HTTP/1.1 requires a Host header with an absolute-form target too
     }
     head.headers().set(HttpHeaderNames.HOST, authority);
-    String rest = uri.substring(end);
+    String rest = uri.substring(authorityEnd);
     head.setUri(rest.startsWith("/") ? rest : "/" + rest);
     return true;
   }
@@ -161,105 +170,115 @@
       NormalizedPath path,
       String query,
       RouteRule<ConfigurationSnapshot.RouteTarget> rule) {
-    HttpHeaders h = head.headers();
+    HttpHeaders headers = head.headers();
     DaemonConfig.Route route = rule.target().route();
-    String name =
+    String className =
         !route.className().isEmpty()
             ? route.className()
             : view.className != null ? view.className : DaemonConfig.DEFAULT_CLASS;
-    Settings.RequestClass type = snapshot.classes.get(name);
-    FilterResult.Origin origin = rule.target().origins().get(name);
-    String key = Framing.singleValue(h, "Idempotency-Key");
-    if (type.semantics() == Settings.Semantics.DEDUPLICATED && (key == null || key.isBlank())) {
-      return FilterResult.respond(400, 0, origin); // nothing tells its repeats apart
+    Settings.RequestClass requestClass = snapshot.classes.get(className);
+    FilterResult.Origin origin = rule.target().origins().get(className);
+    String idempotencyKey = Framing.singleValue(headers, "Idempotency-Key");
+    if (requestClass.semantics() == Settings.Semantics.DEDUPLICATED
+        && (idempotencyKey == null || idempotencyKey.isBlank())) {
+      return FilterResult.respond(400, 0, origin); // without a key, a retry can't be recognised
     }
-    double timeout = type.deadlineMillis();
-    if (h.contains("X-Timeout-Ms")) {
-      timeout = Math.min(timeout, Framing.parseWholeNumber(Framing.singleValue(h, "X-Timeout-Ms")));
+    double timeoutMillis = requestClass.deadlineMillis();
+    if (headers.contains("X-Timeout-Ms")) {
+      timeoutMillis =
+          Math.min(
+              timeoutMillis,
+              Framing.parseWholeNumber(Framing.singleValue(headers, "X-Timeout-Ms")));
     }
-    if (!(timeout >= 1)) {
+    if (!(timeoutMillis >= 1)) {
       return FilterResult.respond(400, 0, origin);
     }
-    if (hasRepeatedHeader(h, listener.classHeader())
-        || hasRepeatedHeader(h, listener.tenantHeader())
-        || hasRepeatedHeader(h, route.splitHeader())) {
-      return FilterResult.respond(400, 0, origin); // a host may go by the other one
+    if (hasRepeatedHeader(headers, listener.classHeader())
+        || hasRepeatedHeader(headers, listener.tenantHeader())
+        || hasRepeatedHeader(headers, route.splitHeader())) {
+      return FilterResult.respond(400, 0, origin); // the upstream host might use the other value
     }
-    String tenant = h.get(listener.tenantHeader(), "");
-    InetAddress caller =
-        client == null ? null : listener.forwarding().clientAddress(h, client.getAddress());
-    String address = caller == null ? "" : caller.getHostAddress();
-    LimitDecision grant =
+    String tenant = headers.get(listener.tenantHeader(), "");
+    InetAddress clientAddress =
+        client == null ? null : listener.forwarding().clientAddress(headers, client.getAddress());
+    String address = clientAddress == null ? "" : clientAddress.getHostAddress();
+    LimitDecision decision =
         snapshot.limiter.acquire(
-            new ClientIdentity(listener.name(), route.name(), tenant, name, address),
+            new ClientIdentity(listener.name(), route.name(), tenant, className, address),
             System.nanoTime());
-    if (grant.refusedBy() != null) {
+    if (decision.refusedBy() != null) {
       return FilterResult.respond(
           429,
-          grant.retryAfterMillis(),
-          new FilterResult.Origin(route.name(), name, grant.refusedBy()));
+          decision.retryAfterMillis(),
+          new FilterResult.Origin(route.name(), className, decision.refusedBy()));
     }
-    String pool = rule.target().split().pick(splitKey(route, h, tenant, address));
-    boolean safe = type.semantics() == Settings.Semantics.IDEMPOTENT;
+    String pool = rule.target().split().pick(splitKey(route, headers, tenant, address));
+    boolean idempotent = requestClass.semantics() == Settings.Semantics.IDEMPOTENT;
     RequestArrival arrival =
-        new RequestArrival(0, name, tenant.isEmpty() ? null : tenant, timeout, Double.NaN, false);
-    Dispatcher target = countAndGetDispatcher(pool);
-    if (target == null) {
-      grant.release();
+        new RequestArrival(
+            0, className, tenant.isEmpty() ? null : tenant, timeoutMillis, Double.NaN, false);
+    Dispatcher dispatcher = countAndGetDispatcher(pool);
+    if (dispatcher == null) {
+      decision.release();
       return FilterResult.respond(503, 0, origin);
     }
-    if (caller != null) {
-      listener.forwarding().writeHeaders(h, client.getAddress(), caller);
+    if (clientAddress != null) {
+      listener.forwarding().writeHeaders(headers, client.getAddress(), clientAddress);
     }
     rewrite(head, route, rule, path, query);
     return FilterResult.forward(
-        target,
+        dispatcher,
         arrival,
-        fallbackPools(route.fallback(), 0, pool, arrival, safe),
+        fallbackPools(route.fallback(), 0, pool, arrival, idempotent),
         route.stream() ? Streaming.ALWAYS : Streaming.NEVER,
         origin,
-        grant::release);
+        decision::release);
   }
 
-  private static boolean hasRepeatedHeader(HttpHeaders h, String name) {
-    return h.contains(name) && h.getAll(name).size() > 1;
+  private static boolean hasRepeatedHeader(HttpHeaders headers, String name) {
+    return headers.contains(name) && headers.getAll(name).size() > 1;
   }
 
-  /** The worker's pool, which counts what comes to it. */
+  /**
+   * Counts the request in the retry budgets and returns the dispatcher of its pool, or null if the
+   * worker has no such pool.
+   */
   private Dispatcher countAndGetDispatcher(String pool) {
-    ConfigurationSnapshot.PoolSnapshot p = snapshot.pools.get(pool);
-    p.retryBudget().onRequest();
+    ConfigurationSnapshot.PoolSnapshot poolSnapshot = snapshot.pools.get(pool);
+    poolSnapshot.retryBudget().onRequest();
     snapshot.retryBudget.onRequest();
     return worker.dispatcher(pool);
   }
 
   private FallbackPools fallbackPools(
-      List<String> names, int from, String first, RequestArrival arrival, boolean safe) {
+      List<String> names, int from, String first, RequestArrival arrival, boolean idempotent) {
     if (from >= names.size()) {
       return null;
     }
     return mayHaveRun -> {
-      if (mayHaveRun && !safe) {
+      if (mayHaveRun && !idempotent) {
         return null;
       }
-      for (int i = from; i < names.size(); i++) {
-        Dispatcher d = names.get(i).equals(first) ? null : worker.dispatcher(names.get(i));
-        if (d != null) {
+      for (int index = from; index < names.size(); index++) {
+        Dispatcher dispatcher =
+            names.get(index).equals(first) ? null : worker.dispatcher(names.get(index));
+        if (dispatcher != null) {
           return new FallbackPools.NextPool(
-              d, arrival, fallbackPools(names, i + 1, first, arrival, safe));
+              dispatcher, arrival, fallbackPools(names, index + 1, first, arrival, idempotent));
         }
       }
       return null;
     };
   }
 
-  private long splitKey(DaemonConfig.Route route, HttpHeaders h, String tenant, String address) {
+  private long splitKey(
+      DaemonConfig.Route route, HttpHeaders headers, String tenant, String address) {
     if (route.split().size() == 1) {
       return 0;
     }
     String key =
         switch (route.splitBy()) {
-          case KEY -> h.get(route.splitHeader());
+          case KEY -> headers.get(route.splitHeader());
           case TENANT -> tenant.isEmpty() ? null : tenant;
           case ADDRESS -> address;
         };
@@ -275,69 +294,74 @@
     String forward = path.forwardPath();
     if (!route.rewritePrefix().isEmpty()) {
       String rest = path.matchPath().substring(rule.path().length());
-      String to = NormalizedPath.toOctetChars(route.rewritePrefix());
-      to =
-          to.endsWith("/") && (rest.startsWith("/") || (rest.isEmpty() && to.length() > 1))
-              ? to.substring(0, to.length() - 1)
-              : to;
-      forward = NormalizedPath.percentEncode(to + rest);
+      String replacement = NormalizedPath.toOctetChars(route.rewritePrefix());
+      replacement =
+          replacement.endsWith("/")
+                  && (rest.startsWith("/") || (rest.isEmpty() && replacement.length() > 1))
+              ? replacement.substring(0, replacement.length() - 1)
+              : replacement;
+      forward = NormalizedPath.percentEncode(replacement + rest);
     }
     head.setUri(forward + query);
-    HttpHeaders h = head.headers();
+    HttpHeaders headers = head.headers();
     for (String name : route.removeHeaders()) {
-      h.remove(name);
+      headers.remove(name);
     }
-    for (Map.Entry<String, String> e : route.setHeaders().entrySet()) {
-      h.set(e.getKey(), e.getValue());
+    for (Map.Entry<String, String> header : route.setHeaders().entrySet()) {
+      headers.set(header.getKey(), header.getValue());
     }
   }
 
-  /** The host asked for in lower case without port or last dot, or null where it can't be one. */
+  /**
+   * Returns the requested host in lower case without port and trailing dot, or null if it is
+   * invalid.
+   */
   private static String requestedHost(HttpRequest head) {
-    String h = Framing.singleValue(head.headers(), HttpHeaderNames.HOST);
+    String host = Framing.singleValue(head.headers(), HttpHeaderNames.HOST);
     if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)
         && !head.headers().contains(HttpHeaderNames.HOST)) {
-      head.headers().set(HttpHeaderNames.HOST, ""); // what goes on is HTTP/1.1, which has one
+      // The request is forwarded as HTTP/1.1, which requires a Host header.
+      head.headers().set(HttpHeaderNames.HOST, "");
       return "";
     }
-    if (h == null || h.length() > MAX_HOST_LENGTH) {
+    if (host == null || host.length() > MAX_HOST_LENGTH) {
       return null;
     }
-    int end = h.length();
-    boolean upper = false;
-    boolean bracket = h.startsWith("[");
+    int end = host.length();
+    boolean hasUpperCase = false;
+    boolean isBracketed = host.startsWith("[");
     for (int i = 0; i < end; i++) {
-      char c = h.charAt(i);
-      if (c == ':' && (!bracket || h.charAt(i - 1) == ']')) {
-        for (int j = i + 1; j < h.length(); j++) {
-          if (h.charAt(j) < '0' || h.charAt(j) > '9') {
+      char character = host.charAt(i);
+      if (character == ':' && (!isBracketed || host.charAt(i - 1) == ']')) {
+        for (int j = i + 1; j < host.length(); j++) {
+          if (host.charAt(j) < '0' || host.charAt(j) > '9') {
             return null;
           }
         }
         end = i;
-      } else if (c >= 'A' && c <= 'Z') {
-        upper = true;
-      } else if (!((c >= 'a' && c <= 'z')
-          || (c >= '0' && c <= '9')
-          || c == '.'
-          || c == '-'
-          || c == '_'
-          || (bracket && (c == '[' || c == ']' || c == ':')))) {
+      } else if (character >= 'A' && character <= 'Z') {
+        hasUpperCase = true;
+      } else if (!((character >= 'a' && character <= 'z')
+          || (character >= '0' && character <= '9')
+          || character == '.'
+          || character == '-'
+          || character == '_'
+          || (isBracketed && (character == '[' || character == ']' || character == ':')))) {
         return null;
       }
     }
-    end -= end > 0 && h.charAt(end - 1) == '.' ? 1 : 0;
-    if (end == 0 || (bracket && h.charAt(end - 1) != ']')) {
+    end -= end > 0 && host.charAt(end - 1) == '.' ? 1 : 0;
+    if (end == 0 || (isBracketed && host.charAt(end - 1) != ']')) {
       return null;
     }
-    String name = end == h.length() ? h : h.substring(0, end);
-    return upper ? name.toLowerCase(Locale.ROOT) : name;
+    String name = end == host.length() ? host : host.substring(0, end);
+    return hasUpperCase ? name.toLowerCase(Locale.ROOT) : name;
   }
 
-  private static boolean hasOnlyQueryCharacters(String s, int from) {
-    for (int i = from; i < s.length(); i++) {
-      char c = s.charAt(i);
-      if (c <= ' ' || c == 0x7f || c == '#') {
+  private static boolean hasOnlyQueryCharacters(String uri, int from) {
+    for (int i = from; i < uri.length(); i++) {
+      char character = uri.charAt(i);
+      if (character <= ' ' || character == 0x7f || character == '#') {
         return false;
       }
     }
--- a/src/main/java/leadferry/daemon/EndpointCatalogCache.java
+++ b/src/main/java/leadferry/daemon/EndpointCatalogCache.java
@@ -9,12 +9,14 @@
 import leadferry.disruption.TargetType;
 import leadferry.engine.UpstreamHosts;
 
-/** The hosts of a configuration as the log knows them, made once for each configuration. */
+/** Builds the endpoint catalog of a configuration, once for each configuration. */
 final class EndpointCatalogCache {
   private DaemonConfig config;
   private LogEntry.EndpointCatalog catalog;
 
-  /** The hosts of all pools by name; a host of several pools counts in the first. */
+  /**
+   * Returns the endpoints of all pools by name; an endpoint of several pools belongs to the first.
+   */
   LogEntry.EndpointCatalog catalogOf(DaemonConfig current) {
     if (current != config) {
       catalog = build(current);
--- a/src/main/java/leadferry/daemon/FleetAgent.java
+++ b/src/main/java/leadferry/daemon/FleetAgent.java
@@ -13,9 +13,11 @@
 import leadferry.engine.Log;
 
 /**
- * This daemon as a member of its fleet: one thread that keeps a session, goes by the view that
- * replicas push, and reports what the daemon does. No request waits for it: without replicas the
- * daemon goes on by what it knows.
+ * Represents this daemon as a member of its fleet.
+ *
+ * <p>One thread keeps a session, applies the view that replicas push, and reports the daemon's
+ * activity. No request waits for this thread: while no replica is reachable, the daemon continues
+ * with the last view that it has.
  */
 final class FleetAgent implements AutoCloseable {
   private static final int RENEWALS_PER_LEASE = 4;
@@ -23,7 +25,7 @@
   private static final long LEAVE_TIMEOUT_MILLIS = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** The daemon's life as the fleet is told of it; it only goes forward. */
+  /** Phase of the daemon's life that the fleet sees; phases only advance. */
   private enum Phase {
     STARTING,
     SERVING,
@@ -31,9 +33,10 @@
   }
 
   /**
-   * The daemon's drain is over.
+   * End of the daemon's drain.
    *
    * @param nothingInFlight whether the session may end at once
+   * @param listener runs once the replicas know, or after {@link #LEAVE_TIMEOUT_MILLIS}
    */
   private record Departure(boolean nothingInFlight, Runnable listener) {}
 
@@ -68,36 +71,36 @@
   }
 
   /**
-   * Learns what is in force before the first request: from the replicas, or as {@code
-   * on_unreachable} says.
+   * Obtains the view in force before the first request: from the replicas, or as {@code
+   * on_unreachable} specifies.
    */
-  void loadInitialView(DaemonConfig first) {
-    currentConfig = first;
+  void loadInitialView(DaemonConfig initialConfig) {
+    currentConfig = initialConfig;
     long startDeadline = System.nanoTime() + config.startWaitMillis() * NANOS_PER_MILLI;
     boolean mayUseStateFile = config.onUnreachable() == DaemonConfig.UnreachablePolicy.LAST;
     boolean waitLogged = false;
     while (true) {
-      boolean answered = join(System.nanoTime() + config.leaseMillis() * NANOS_PER_MILLI);
+      boolean responded = join(System.nanoTime() + config.leaseMillis() * NANOS_PER_MILLI);
       if (session.isOpen()) {
         break;
       }
-      boolean overdue = !answered && System.nanoTime() - startDeadline >= 0;
+      boolean overdue = !responded && System.nanoTime() - startDeadline >= 0;
       if (overdue && mayUseStateFile) {
         applyStateFile();
         break;
       }
       if (overdue && !waitLogged) {
         waitLogged = true;
-        log.line("no replica can be reached: waiting, as on_unreachable says");
+        log.line("no replica reachable: waiting (on_unreachable = wait)");
       }
       Sleep.millis(POLL_MILLIS);
     }
     thread.start();
   }
 
-  /** Goes by what was in force when this process, or the one before it, last heard. */
+  /** Applies the view in the state file, which this process or its predecessor received last. */
   private void applyStateFile() {
-    log.line("no replica can be reached: starting by what was last in force");
+    log.line("no replica reachable: starting with the last known state");
     Optional<JsonNode> stored = stateFile.read();
     if (stored.isPresent()) {
       view.applyView(stored.get(), true, System.nanoTime());
@@ -106,17 +109,23 @@
     }
   }
 
-  /** The listeners are there. */
+  /** Called when all listeners accept connections. */
   void onServing() {
     advance(Phase.SERVING);
   }
 
-  /** A reload has changed what is balanced over. */
+  /**
+   * Called when a reload has changed the configuration, so that the next report carries the new
+   * endpoints.
+   */
   void onReload(DaemonConfig next) {
     currentConfig = next;
   }
 
-  /** The process was told to end: the fleet can't refuse that, and hears of it. */
+  /**
+   * Called when the process starts its drain. The fleet can't refuse that; it learns of it from the
+   * next report.
+   */
   void onDraining() {
     advance(Phase.DRAINING);
   }
@@ -128,8 +137,10 @@
   }
 
   /**
-   * The drain is over; {@code listener} runs once the replicas know, or can't be told within a
-   * second.
+   * Called when the drain has ended.
+   *
+   * @param nothingInFlight whether the session may end at once
+   * @param listener runs once the replicas know, or after {@link #LEAVE_TIMEOUT_MILLIS}
    */
   void onDrained(boolean nothingInFlight, Runnable listener) {
     departure = new Departure(nothingInFlight, listener);
@@ -157,13 +168,17 @@
         client.receiveViews(
             Math.min(nextRenewal, System.nanoTime() + POLL_MILLIS * NANOS_PER_MILLI));
       } catch (RuntimeException e) {
-        log.failure("the fleet agent", e);
+        log.failure("fleet agent failed", e);
         Sleep.millis(POLL_MILLIS);
       }
     }
   }
 
-  /** Joins or renews where that is due, and gives when the next renewal is (ns). */
+  /**
+   * Joins or renews the session if that is due.
+   *
+   * @return time of the next renewal (ns)
+   */
   private long keepSession(long nextRenewal, long renewalIntervalNanos) {
     long now = System.nanoTime();
     if (!session.isOpen()) {
@@ -177,8 +192,12 @@
     return now + renewalIntervalNanos;
   }
 
-  /** Asks for a session; false if nobody answered. */
-  private boolean join(long deadline) {
+  /**
+   * Requests a session.
+   *
+   * @return false if no replica responded
+   */
+  private boolean join(long deadlineNanos) {
     LogEntry.EndpointCatalog catalog = catalogs.catalogOf(currentConfig);
     LogEntry.Join join =
         new LogEntry.Join(
@@ -188,61 +207,65 @@
             config.zone(),
             config.version(),
             catalog);
-    long askedAt = System.nanoTime();
-    Optional<SessionClient.Result> answer = submit(() -> client.join(join, deadline));
-    if (answer.isEmpty()) {
+    long sentNanos = System.nanoTime();
+    Optional<SessionClient.Result> result = submit(() -> client.join(join, deadlineNanos));
+    if (result.isEmpty()) {
       return false;
     }
-    if (answer.get() instanceof SessionClient.Joined joined) {
-      onJoined(joined, catalog, askedAt, deadline);
-    } else if (answer.get() instanceof SessionClient.Refused refused) {
-      log.event("not admitted to the fleet: " + refused.reasons(), "name", config.name());
+    if (result.get() instanceof SessionClient.Joined joined) {
+      onJoined(joined, catalog, sentNanos, deadlineNanos);
+    } else if (result.get() instanceof SessionClient.Refused refused) {
+      log.event("join refused by the fleet: " + refused.reasons(), "name", config.name());
       sleepRenewalInterval();
     }
     return true;
   }
 
   private void onJoined(
-      SessionClient.Joined joined, LogEntry.EndpointCatalog catalog, long askedAt, long deadline) {
+      SessionClient.Joined joined,
+      LogEntry.EndpointCatalog catalog,
+      long sentNanos,
+      long deadlineNanos) {
     session.onJoined(joined.session(), catalog);
     view.onSessionStarted();
-    // The answer may be that of an earlier attempt: the lease counts from a renewal only, which
-    // asks the leader anew.
-    renew(askedAt, deadline);
+    // The response may repeat that of an earlier join. The lease therefore counts only from a
+    // renewal, which reaches the present leader.
+    renew(sentNanos, deadlineNanos);
     if (session.isOpen()) {
       onView(joined.view());
-      log.event(
-          "member of fleet " + config.fleet(), "name", config.name(), "session", session.id());
+      log.event("joined fleet " + config.fleet(), "name", config.name(), "session", session.id());
     }
   }
 
-  private void renew(long askedAt, long deadline) {
+  private void renew(long sentNanos, long deadlineNanos) {
     Optional<ObjectNode> loadReport =
         reportsWanted ? Optional.of(daemon.outcomeReport()) : Optional.empty();
     Optional<SessionClient.Renewal> renewal =
-        replicas.attempt(() -> client.renew(config.name(), session.id(), loadReport, deadline));
+        replicas.attempt(
+            () -> client.renew(config.name(), session.id(), loadReport, deadlineNanos));
     if (renewal.isEmpty()) {
       return;
     }
     reportsWanted = renewal.get().reportRequested();
     if (renewal.get().live()) {
-      session.onRenewed(askedAt);
+      session.onRenewed(sentNanos);
     } else {
       session.onLost();
-      log.line("the session is over: joining again");
+      log.line("session ended: joining again");
     }
   }
 
-  /** Reports what has changed of what the daemon does. */
-  private void report(long deadline) {
+  /** Reports the daemon's activity if it has changed since the last report. */
+  private void report(long deadlineNanos) {
     MemberSession.Activity activity = activity();
     LogEntry.EndpointCatalog catalog = catalogs.catalogOf(currentConfig);
     Optional<LogEntry.MemberReport> report = session.nextReport(activity, catalog);
     if (report.isEmpty()) {
       return;
     }
-    Optional<SessionClient.Result> answer = submit(() -> client.report(report.get(), deadline));
-    if (answer.isPresent() && answer.get() instanceof SessionClient.Applied) {
+    Optional<SessionClient.Result> result =
+        submit(() -> client.report(report.get(), deadlineNanos));
+    if (result.isPresent() && result.get() instanceof SessionClient.Applied) {
       session.onReported(activity, catalog);
     }
   }
@@ -258,12 +281,15 @@
     return new MemberSession.Activity(view.version(), serving, busy, suspected);
   }
 
-  /** The answer, unless no replica gave one or it was rejected before it reached the log. */
+  /**
+   * Returns the result of a submission; empty if no replica responded or the submission was
+   * rejected before it reached the replicated log.
+   */
   private Optional<SessionClient.Result> submit(
       ReplicaReachability.Call<SessionClient.Result> submission) {
     Optional<SessionClient.Result> result = replicas.attempt(submission);
     if (result.isPresent() && result.get() instanceof SessionClient.Rejected rejected) {
-      log.line("replicas: " + rejected.reason());
+      log.line("call rejected by the replicas: " + rejected.reason());
       sleepRenewalInterval();
       return Optional.empty();
     }
@@ -274,9 +300,9 @@
     Sleep.millis(config.leaseMillis() / RENEWALS_PER_LEASE);
   }
 
-  private void onView(JsonNode pushed) {
+  private void onView(JsonNode pushedView) {
     long now = System.nanoTime();
-    if (view.applyView(pushed, session.leaseHolds(now), now)) {
+    if (view.applyView(pushedView, session.leaseHolds(now), now)) {
       applyView();
     }
   }
@@ -286,13 +312,13 @@
     stateFile.write(view);
   }
 
-  private void leave(Departure last) {
-    long deadline = System.nanoTime() + LEAVE_TIMEOUT_MILLIS * NANOS_PER_MILLI;
-    if (session.isOpen() && last.nothingInFlight()) {
-      submit(() -> client.leave(new LogEntry.Leave(config.name(), session.id()), deadline));
+  private void leave(Departure departure) {
+    long deadlineNanos = System.nanoTime() + LEAVE_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+    if (session.isOpen() && departure.nothingInFlight()) {
+      submit(() -> client.leave(new LogEntry.Leave(config.name(), session.id()), deadlineNanos));
     }
     client.close();
-    last.listener().run();
+    departure.listener().run();
   }
 
   @Override
--- a/src/main/java/leadferry/daemon/FleetStateFile.java
+++ b/src/main/java/leadferry/daemon/FleetStateFile.java
@@ -12,8 +12,11 @@
 import leadferry.engine.Log;
 
 /**
- * The operator's {@code state_file}: the view that was last in force, for a start without replicas.
- * Without a file nothing is read or written. Failures are logged: requests do not depend on it.
+ * Reads and writes the operator's {@code state_file}: the last view in force, for a start without
+ * reachable replicas.
+ *
+ * <p>Without a configured file, nothing is read or written. Failures are only logged: requests do
+ * not depend on the file.
  */
 final class FleetStateFile {
   private final String fleet;
@@ -21,14 +24,18 @@
   private final Log log;
   private String lastWritten = "";
 
-  /** {@code file} may be null. */
+  /**
+   * Creates the access to a file.
+   *
+   * @param file path of the state file, or null for none
+   */
   FleetStateFile(String fleet, Path file, Log log) {
     this.fleet = fleet;
     this.file = file;
     this.log = log;
   }
 
-  /** The view that was written last, by this process or the one before it. */
+  /** Returns the view that this process or its predecessor wrote last. */
   Optional<JsonNode> read() {
     if (file == null || !Files.exists(file)) {
       return Optional.empty();
@@ -38,14 +45,14 @@
       if (state != null && state.path("fleet").asText().equals(fleet)) {
         return Optional.of(state.path("view"));
       }
-      log.line(file + ": not of fleet " + fleet + ": nothing is taken from it");
+      log.line(file + ": not a state file of fleet " + fleet + ": ignored");
     } catch (IOException e) {
       log.failure(file.toString(), e);
     }
     return Optional.empty();
   }
 
-  /** Replaces the file at once, where the view has changed. */
+  /** Replaces the file atomically if the view has changed since the last write. */
   void write(ProxyMemberView view) {
     if (file == null) {
       return;
--- a/src/main/java/leadferry/daemon/LogFormat.java
+++ b/src/main/java/leadferry/daemon/LogFormat.java
@@ -1,9 +1,9 @@
 package leadferry.daemon;
 
-/** How the daemon's log is written. */
+/** Format of the daemon's log. */
 public enum LogFormat {
-  /** A line for people: time, level, what, and fields as {@code name=value}. */
+  /** One line of text: time, level, message, and fields as {@code name=value}. */
   TEXT,
-  /** A line for programs: one JSON object. */
+  /** One line with a JSON object. */
   JSON
 }
--- a/src/main/java/leadferry/daemon/MemberSession.java
+++ b/src/main/java/leadferry/daemon/MemberSession.java
@@ -6,23 +6,24 @@
 import leadferry.consensus.LogEntry;
 
 /**
- * The session of this process and what was reported in it.
+ * Tracks the session of this process and what has been reported in it.
  *
  * <pre>
  *   NONE -- joined --> OPEN -- renewed --> OPEN -- lost --> NONE
  * </pre>
  *
- * <p>Invariants: the lease counts from renewals alone; report numbers never go back, as a join may
- * be given the session of before, whose log ignores lower ones. Confined to the agent's thread.
+ * <p>Invariants: the lease counts from renewals alone. Report numbers never decrease: a join may
+ * return the earlier session, in which the replicated log ignores reports with lower numbers.
+ * Confined to the agent's thread.
  */
 final class MemberSession {
-  /** Whether there is a session. */
+  /** Whether a session is open. */
   enum State {
     NONE,
     OPEN
   }
 
-  /** What the member reports of itself, but for the hosts that it balances over. */
+  /** Activity that the member reports, apart from its endpoint catalog. */
   record Activity(
       long seenVersion,
       boolean serving,
@@ -46,17 +47,19 @@
     return state == State.OPEN;
   }
 
-  /** The session's number; to be asked for while it is open. */
+  /** Returns the session's number, which is valid only while the session is open. */
   long id() {
     return id;
   }
 
-  /** Whether the lease holds at that time (ns). */
+  /** Returns whether the lease is valid at a time (ns). */
   boolean leaseHolds(long nowNanos) {
     return lease.isHeld(nowNanos);
   }
 
-  /** The log has opened the session, and knows the hosts that came with the join. */
+  /**
+   * Called when the replicated log has opened the session and holds the catalog sent with the join.
+   */
   void onJoined(long session, LogEntry.EndpointCatalog catalog) {
     state = State.OPEN;
     id = session;
@@ -64,18 +67,22 @@
     reportedCatalog = catalog.digest();
   }
 
-  /** The leader has renewed the session, as was asked at that time (ns). */
-  void onRenewed(long askedAtNanos) {
-    lease.onConfirmed(askedAtNanos);
+  /**
+   * Called when the leader has renewed the session.
+   *
+   * @param sentNanos time at which the renewal was sent (ns)
+   */
+  void onRenewed(long sentNanos) {
+    lease.onConfirmed(sentNanos);
   }
 
-  /** The leader says that the session is over. */
+  /** Called when the leader reports that the session has ended. */
   void onLost() {
     state = State.NONE;
     lease.onSessionLost();
   }
 
-  /** The report that is due, with the next number; empty where nothing has changed. */
+  /** Returns the next report, or empty if nothing has changed since the last one. */
   Optional<LogEntry.MemberReport> nextReport(Activity activity, LogEntry.EndpointCatalog catalog) {
     boolean catalogChanged = !catalog.digest().equals(reportedCatalog);
     if (reportedActivity.equals(Optional.of(activity)) && !catalogChanged) {
@@ -94,7 +101,7 @@
             catalogChanged ? Optional.of(catalog) : Optional.empty()));
   }
 
-  /** The log has applied a report of this. */
+  /** Called when the replicated log has applied a report of this activity. */
   void onReported(Activity activity, LogEntry.EndpointCatalog catalog) {
     reportedActivity = Optional.of(activity);
     reportedCatalog = catalog.digest();
--- a/src/main/java/leadferry/daemon/OperatorFile.java
+++ b/src/main/java/leadferry/daemon/OperatorFile.java
@@ -24,14 +24,14 @@
 import leadferry.routing.NormalizedPath;
 
 /**
- * Reads and judges the operator's file (TOML 1.0). One reading finds all that is wrong; what is
- * returned is sound as a whole. {@code docs/OPERATING.md} is the page for those who write it.
+ * Reads and validates the operator's file (TOML 1.0, described in {@code docs/OPERATING.md}). One
+ * pass reports every error, and the configuration returned is consistent as a whole.
  */
 final class OperatorFile {
-  /** What an operator writes, or leaves out, for nothing. */
+  /** Value that stands for an absent setting. */
   private static final String NONE = "-";
 
-  /** A longer file is none of ours (bytes). */
+  /** Maximum size of a file; a larger one can't be an operator's file. */
   private static final long MAX_BYTES = 64L << 20;
 
   private final TomlSection root;
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Reads the file.
+   * Reads a file.
    *
-   * @throws FaultyFileException with every fault that was found
+   * @throws ConfigurationException with every error found
    */
   static DaemonConfig read(Path file) throws ConfigurationException {
     String name = file.toString();
@@ -67,14 +67,14 @@
     }
   }
 
-  /** Reads the file's text; {@code name} stands in faults. */
+  /** Reads the text of a file; {@code name} is the file name in errors. */
   static DaemonConfig parse(String name, String text) throws ConfigurationException {
     TomlTree tree;
     try {
       tree = TomlTree.parse(name, text);
     } catch (RuntimeException | StackOverflowError e) {
-      // Guards against a parser that answers odd texts, thousands of brackets say, with errors of
-      // its own.
+      // Guards against a parser that throws its own errors on unusual texts, for example thousands
+      // of brackets.
       throw new ConfigurationException(
           List.of(new ConfigurationError(name, 0, "", e.toString(), "TOML 1.0")));
     }
@@ -100,26 +100,26 @@
   }
 
   private DaemonConfig.Process process() {
-    TomlSection d = root.table("daemon");
-    TomlSection r = d.table("retries");
-    int instances = d.integer("instances", 1, 1, 1_000_000);
-    DaemonConfig.Process p =
+    TomlSection daemon = root.table("daemon");
+    TomlSection retries = daemon.table("retries");
+    int instances = daemon.integer("instances", 1, 1, 1_000_000);
+    DaemonConfig.Process process =
         new DaemonConfig.Process(
-            d.integer("workers", 1, 1, 256),
-            d.integer("drain_ms", 5_000, 0, 600_000),
-            d.integer("descriptors", 8_192, 64, 4_000_000),
-            d.integer("body_memory_mb", 64, 8, 1 << 20),
-            d.integer("limit_keys", 65_536, 64, 1 << 22),
-            d.integer("instance", 0, 0, instances - 1),
+            daemon.integer("workers", 1, 1, 256),
+            daemon.integer("drain_ms", 5_000, 0, 600_000),
+            daemon.integer("descriptors", 8_192, 64, 4_000_000),
+            daemon.integer("body_memory_mb", 64, 8, 1 << 20),
+            daemon.integer("limit_keys", 65_536, 64, 1 << 22),
+            daemon.integer("instance", 0, 0, instances - 1),
             instances,
-            r.number("ratio", 0.2, 0, 10),
-            r.number("burst", 100, 0, 1e6),
-            d.enumValue(
+            retries.number("ratio", 0.2, 0, 10),
+            retries.number("burst", 100, 0, 1e6),
+            daemon.enumValue(
                 "transport", DaemonConfig.TransportType.AUTO, DaemonConfig.TransportType.class),
-            d.enumValue("log", LogFormat.TEXT, LogFormat.class));
-    r.rejectUnknownKeys();
-    d.rejectUnknownKeys();
-    return p;
+            daemon.enumValue("log", LogFormat.TEXT, LogFormat.class));
+    retries.rejectUnknownKeys();
+    daemon.rejectUnknownKeys();
+    return process;
   }
 
   private DaemonConfig.Fleet fleet() {
@@ -167,7 +167,7 @@
     return result;
   }
 
-  /** Where the replicas are, by name; the operator's word for them is keepers. */
+  /** Returns the addresses of the replicas by name; the operator's term for replicas is keepers. */
   private static Map<String, InetSocketAddress> replicaAddresses(TomlSection fleet) {
     Map<String, InetSocketAddress> replicas = new LinkedHashMap<>();
     TomlSection section = fleet.table("keepers");
@@ -181,8 +181,8 @@
   }
 
   /**
-   * The replica that this daemon runs as well, by a file of its own; null where none is named, or
-   * where it is faulty.
+   * Returns the configuration of the replica that this daemon also runs, read from its own file;
+   * null if no file is named or the file is invalid.
    */
   private static ReplicaConfig ownReplica(TomlSection section, String fleet) {
     String file =
@@ -207,64 +207,68 @@
   }
 
   private Map<String, DaemonConfig.Listener> listeners() {
-    Map<String, DaemonConfig.Listener> out = new LinkedHashMap<>();
-    Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (Map.Entry<String, TomlSection> e : root.tablesByName("listener").entrySet()) {
-      TomlSection s = e.getValue();
-      DeclaredNames.declare(s, e.getKey(), names.listeners);
-      InetSocketAddress at = DeclaredNames.readAddress(s, "address", true);
-      String other = at == null || at.getPort() == 0 ? null : taken.putIfAbsent(at, e.getKey());
-      if (other != null) {
-        s.addError("address", "the address of listener '" + other + "'", "an address of its own");
+    Map<String, DaemonConfig.Listener> listeners = new LinkedHashMap<>();
+    Map<InetSocketAddress, String> listenerByAddress = new HashMap<>();
+    for (Map.Entry<String, TomlSection> entry : root.tablesByName("listener").entrySet()) {
+      TomlSection section = entry.getValue();
+      DeclaredNames.declare(section, entry.getKey(), names.listeners);
+      InetSocketAddress address = DeclaredNames.readAddress(section, "address", true);
+      String duplicate =
+          address == null || address.getPort() == 0
+              ? null
+              : listenerByAddress.putIfAbsent(address, entry.getKey());
+      if (duplicate != null) {
+        section.addError(
+            "address", "the address of listener '" + duplicate + "'", "an address of its own");
       }
-      String health = s.string("health_path", "/_health", "a path, or 'none'");
+      String health = section.string("health_path", "/_health", "a path, or 'none'");
       if (!health.startsWith("/") && !health.equals("none")) {
-        s.addError("health_path", "'" + health + "'", "a path that begins with /, or 'none'");
+        section.addError("health_path", "'" + health + "'", "a path that begins with /, or 'none'");
       }
-      out.put(
-          e.getKey(),
+      listeners.put(
+          entry.getKey(),
           new DaemonConfig.Listener(
-              e.getKey(),
-              at,
-              s.enumValue("paths", NormalizedPath.Mode.STRICT, NormalizedPath.Mode.class),
-              headerName(s, "class_header", "X-Priority-Class"),
-              headerName(s, "tenant_header", "X-Tenant-Id"),
+              entry.getKey(),
+              address,
+              section.enumValue("paths", NormalizedPath.Mode.STRICT, NormalizedPath.Mode.class),
+              headerName(section, "class_header", "X-Priority-Class"),
+              headerName(section, "tenant_header", "X-Tenant-Id"),
               health,
-              s.integer("max_body_bytes", 64 * 1024, 0, 256 << 20),
-              s.integer("slow_ms", 10_000, 100, 600_000),
-              s.integer("idle_ms", 60_000, 100, 86_400_000),
-              s.integer("max_open", 100_000, 1, 10_000_000),
-              s.integer("pipeline", 16, 1, 10_000),
+              section.integer("max_body_bytes", 64 * 1024, 0, 256 << 20),
+              section.integer("slow_ms", 10_000, 100, 600_000),
+              section.integer("idle_ms", 60_000, 100, 86_400_000),
+              section.integer("max_open", 100_000, 1, 10_000_000),
+              section.integer("pipeline", 16, 1, 10_000),
               new Forwarding(
-                  s.enumValue("forwarded", Forwarding.Mode.APPEND, Forwarding.Mode.class),
-                  trustedNetworks(s))));
-      s.rejectUnknownKeys();
+                  section.enumValue("forwarded", Forwarding.Mode.APPEND, Forwarding.Mode.class),
+                  trustedNetworks(section))));
+      section.rejectUnknownKeys();
     }
-    if (out.isEmpty()) {
+    if (listeners.isEmpty()) {
       root.addError("listener", "none", "at least one [listener.NAME]");
     }
-    return out;
+    return listeners;
   }
 
-  private static Networks trustedNetworks(TomlSection s) {
-    List<String> texts = s.strings("trusted");
+  private static Networks trustedNetworks(TomlSection section) {
+    List<String> texts = section.strings("trusted");
     for (int i = 0; i < texts.size(); i++) {
       if (Networks.isInvalid(texts.get(i))) {
-        s.addError(
+        section.addError(
             "trusted[" + i + "]",
             "'" + texts.get(i) + "'",
             "a network as 10.0.0.0/8 or fd00::/8, or an address");
       }
     }
-    return new Networks(texts.stream().filter(t -> !Networks.isInvalid(t)).toList());
+    return new Networks(texts.stream().filter(text -> !Networks.isInvalid(text)).toList());
   }
 
-  private static String headerName(TomlSection s, String key, String otherwise) {
-    String t = s.string(key, otherwise, "the name of a header");
-    if (!t.matches(DeclaredNames.TOKEN)) {
-      s.addError(key, "'" + t + "'", "the name of a header");
+  private static String headerName(TomlSection section, String key, String defaultName) {
+    String name = section.string(key, defaultName, "the name of a header");
+    if (!name.matches(DeclaredNames.TOKEN)) {
+      section.addError(key, "'" + name + "'", "the name of a header");
     }
-    return t;
+    return name;
   }
 
   private enum RepeatPolicy {
@@ -280,47 +284,50 @@
   }
 
   private List<Settings.RequestClass> classes() {
-    List<Settings.RequestClass> out = new ArrayList<>();
-    for (Map.Entry<String, TomlSection> e : root.tablesByName("class").entrySet()) {
-      TomlSection s = e.getValue();
-      DeclaredNames.declare(s, e.getKey(), names.classes);
-      double deadline = s.number("deadline_ms", 5_000, 1, 3_600_000);
-      double aim = s.number("aim_ms", Math.min(1_000, deadline), 1, 3_600_000);
-      if (aim > deadline) {
-        s.addError("aim_ms", Double.toString(aim), "no more than deadline_ms, " + deadline);
+    List<Settings.RequestClass> classes = new ArrayList<>();
+    for (Map.Entry<String, TomlSection> entry : root.tablesByName("class").entrySet()) {
+      TomlSection section = entry.getValue();
+      DeclaredNames.declare(section, entry.getKey(), names.classes);
+      double deadlineMillis = section.number("deadline_ms", 5_000, 1, 3_600_000);
+      double aimMillis = section.number("aim_ms", Math.min(1_000, deadlineMillis), 1, 3_600_000);
+      if (aimMillis > deadlineMillis) {
+        section.addError(
+            "aim_ms", Double.toString(aimMillis), "no more than deadline_ms, " + deadlineMillis);
       }
-      RepeatPolicy repeat = s.enumValue("repeat", RepeatPolicy.UNSAFE, RepeatPolicy.class);
-      KeyScopeName within = s.enumValue("scope", KeyScopeName.POD, KeyScopeName.class);
-      double window = s.number("window_ms", 0, 0, 86_400_000);
-      if (repeat == RepeatPolicy.KEYED && !s.has("window_ms")) {
-        s.addError("window_ms", "missing", "how long servers remember a key, for a keyed class");
+      RepeatPolicy repeat = section.enumValue("repeat", RepeatPolicy.UNSAFE, RepeatPolicy.class);
+      KeyScopeName scope = section.enumValue("scope", KeyScopeName.POD, KeyScopeName.class);
+      double windowMillis = section.number("window_ms", 0, 0, 86_400_000);
+      if (repeat == RepeatPolicy.KEYED && !section.has("window_ms")) {
+        section.addError(
+            "window_ms", "missing", "how long servers remember a key, for a keyed class");
       }
-      if (repeat != RepeatPolicy.KEYED && (s.has("scope") || s.has("window_ms"))) {
-        s.addError(s.has("scope") ? "scope" : "window_ms", "set", "only where repeat = 'keyed'");
+      if (repeat != RepeatPolicy.KEYED && (section.has("scope") || section.has("window_ms"))) {
+        section.addError(
+            section.has("scope") ? "scope" : "window_ms", "set", "only where repeat = 'keyed'");
       }
-      out.add(
+      classes.add(
           new Settings.RequestClass(
-              e.getKey(),
-              aim,
-              deadline,
+              entry.getKey(),
+              aimMillis,
+              deadlineMillis,
               switch (repeat) {
                 case SAFE -> Settings.Semantics.IDEMPOTENT;
                 case KEYED -> Settings.Semantics.DEDUPLICATED;
                 case UNSAFE -> Settings.Semantics.AT_MOST_ONCE;
               },
-              switch (within) {
+              switch (scope) {
                 case POD -> Settings.KeyScope.CELL;
                 case ZONE -> Settings.KeyScope.ZONE;
                 case ALL -> Settings.KeyScope.ALL;
               },
-              window,
-              s.number("worth", 1, 0.001, 1e6),
+              windowMillis,
+              section.number("worth", 1, 0.001, 1e6),
               0));
-      s.rejectUnknownKeys();
+      section.rejectUnknownKeys();
     }
     if (!names.classes.contains(DaemonConfig.DEFAULT_CLASS)) {
       names.classes.add(DaemonConfig.DEFAULT_CLASS);
-      out.add(
+      classes.add(
           new Settings.RequestClass(
               DaemonConfig.DEFAULT_CLASS,
               1_000,
@@ -331,41 +338,41 @@
               1,
               0));
     }
-    return out;
+    return classes;
   }
 
   private List<Limit> limits() {
-    List<Limit> out = new ArrayList<>();
+    List<Limit> limits = new ArrayList<>();
     Set<String> limitNames = new LinkedHashSet<>();
-    for (TomlSection s : root.tables("limit")) {
-      String name = s.string("name", null, "the limit's name");
-      String within = s.string("within", "", "the name of a limit that stands before");
-      if (!within.isEmpty()) {
-        s.requireKnown("within", within, limitNames, "limit that stands before this one");
+    for (TomlSection section : root.tables("limit")) {
+      String name = section.string("name", null, "the limit's name");
+      String parent = section.string("within", "", "the name of a limit that stands before");
+      if (!parent.isEmpty()) {
+        section.requireKnown("within", parent, limitNames, "limit that stands before this one");
       }
       if (!name.isEmpty()) {
-        DeclaredNames.declare(s, name, limitNames);
+        DeclaredNames.declare(section, name, limitNames);
       }
-      Limit l =
+      Limit limit =
           new Limit(
               name,
-              s.enumValue("by", Limit.Scope.ALL, Limit.Scope.class),
-              within.isEmpty() ? null : within,
-              s.knownNames("listeners", names.listeners, "listener"),
-              s.knownNames("routes", names.routes, "route"),
-              s.knownNames("classes", names.classes, "class"),
-              s.number("per_second", 0, 0.001, 1e9),
-              s.number("burst", 1, 1, 1e9),
-              s.integer("concurrency", 0, 1, 10_000_000));
-      if (!s.has("per_second") && !s.has("concurrency")) {
-        s.addError("", "no bound", "per_second, concurrency or both");
+              section.enumValue("by", Limit.Scope.ALL, Limit.Scope.class),
+              parent.isEmpty() ? null : parent,
+              section.knownNames("listeners", names.listeners, "listener"),
+              section.knownNames("routes", names.routes, "route"),
+              section.knownNames("classes", names.classes, "class"),
+              section.number("per_second", 0, 0.001, 1e9),
+              section.number("burst", 1, 1, 1e9),
+              section.integer("concurrency", 0, 1, 10_000_000));
+      if (!section.has("per_second") && !section.has("concurrency")) {
+        section.addError("", "no bound", "per_second, concurrency or both");
       }
-      if (s.has("burst") && !s.has("per_second")) {
-        s.addError("burst", "set", "only beside per_second");
+      if (section.has("burst") && !section.has("per_second")) {
+        section.addError("burst", "set", "only beside per_second");
       }
-      s.rejectUnknownKeys();
-      out.add(l);
+      section.rejectUnknownKeys();
+      limits.add(limit);
     }
-    return out;
+    return limits;
   }
 }
--- a/src/main/java/leadferry/daemon/PoolReader.java
+++ b/src/main/java/leadferry/daemon/PoolReader.java
@@ -13,7 +13,7 @@
 import leadferry.loadbalancer.Settings;
 import leadferry.routing.WeightedSplit;
 
-/** Reads and judges {@code [pool.NAME]} and its members. */
+/** Reads and validates {@code [pool.NAME]} and the members of each pool. */
 final class PoolReader {
   private final TomlSection root;
   private final DeclaredNames names;
@@ -28,22 +28,27 @@
     DRAINING
   }
 
-  /** The pools by name, in the order of the file. */
+  /** Returns the pools by name, in the order of the file. */
   Map<String, DaemonConfig.Pool> read(
       List<Settings.RequestClass> classes, DaemonConfig.Process process) {
-    Map<String, DaemonConfig.Pool> out = new LinkedHashMap<>();
-    for (Map.Entry<String, TomlSection> e : root.tablesByName("pool").entrySet()) {
-      TomlSection s = e.getValue();
-      DeclaredNames.declare(s, e.getKey(), names.pools);
-      TomlSection cold = s.table("cold");
-      TomlSection retries = s.table("retries");
-      String zone = s.string("zone", "-", "the zone to prefer");
+    Map<String, DaemonConfig.Pool> pools = new LinkedHashMap<>();
+    for (Map.Entry<String, TomlSection> entry : root.tablesByName("pool").entrySet()) {
+      TomlSection section = entry.getValue();
+      DeclaredNames.declare(section, entry.getKey(), names.pools);
+      TomlSection cold = section.table("cold");
+      TomlSection retries = section.table("retries");
+      String zone = section.string("zone", "-", "the zone to prefer");
       Settings settings =
           new Settings(
               classes,
               List.of(),
               new Settings.Limits(
-                  true, true, s.flag("parallel", false), s.integer("max_attempts", 3, 1, 20), 0, 1),
+                  true,
+                  true,
+                  section.flag("parallel", false),
+                  section.integer("max_attempts", 3, 1, 20),
+                  0,
+                  1),
               new Settings.WarmUpRules(
                   cold.number("for_ms", 0, 0, 3_600_000),
                   cold.number("start_capacity", 0.3, 0.01, 1),
@@ -57,63 +62,64 @@
               1,
               false);
       cold.rejectUnknownKeys();
-      out.put(
-          e.getKey(),
+      pools.put(
+          entry.getKey(),
           new DaemonConfig.Pool(
-              e.getKey(),
-              members(s),
+              entry.getKey(),
+              members(section),
               settings,
-              s.integer("max_answer_bytes", 1 << 20, 0, 256 << 20),
-              s.flag("pass_errors", true),
-              s.number("idle_ms", 15_000, 100, 3_600_000),
-              s.number("connect_timeout_ms", 250, 1, 60_000),
-              s.integer("max_connections", 1_024, 1, 1_000_000),
-              s.integer("max_pending", 1_024, 0, 1_000_000),
-              s.integer("max_requests_per_connection", Integer.MAX_VALUE, 1, Integer.MAX_VALUE),
-              s.number("rest_ms", 0, 0, 1_000),
+              section.integer("max_answer_bytes", 1 << 20, 0, 256 << 20),
+              section.flag("pass_errors", true),
+              section.number("idle_ms", 15_000, 100, 3_600_000),
+              section.number("connect_timeout_ms", 250, 1, 60_000),
+              section.integer("max_connections", 1_024, 1, 1_000_000),
+              section.integer("max_pending", 1_024, 0, 1_000_000),
+              section.integer(
+                  "max_requests_per_connection", Integer.MAX_VALUE, 1, Integer.MAX_VALUE),
+              section.number("rest_ms", 0, 0, 1_000),
               retries.number("ratio", 0.2, 0, 10),
               retries.number("burst", 20, 0, 1e6)));
       retries.rejectUnknownKeys();
-      s.rejectUnknownKeys();
+      section.rejectUnknownKeys();
     }
-    if (out.isEmpty()) {
+    if (pools.isEmpty()) {
       root.addError("pool", "none", "at least one [pool.NAME]");
     }
-    return out;
+    return pools;
   }
 
   private static List<UpstreamHosts.Member> members(TomlSection pool) {
-    List<UpstreamHosts.Member> out = new ArrayList<>();
+    List<UpstreamHosts.Member> members = new ArrayList<>();
     Set<String> ids = new HashSet<>();
-    Map<InetSocketAddress, String> taken = new HashMap<>();
-    for (TomlSection s : pool.tables("member")) {
-      String id = s.string("id", null, "the server's id");
+    Map<InetSocketAddress, String> idByAddress = new HashMap<>();
+    for (TomlSection section : pool.tables("member")) {
+      String id = section.string("id", null, "the server's id");
       if (!id.isEmpty() && !ids.add(id)) {
-        s.addError("id", "'" + id + "' a second time", "an id of its own");
+        section.addError("id", "'" + id + "' a second time", "an id of its own");
       }
-      InetSocketAddress at = DeclaredNames.readAddress(s, "address", false);
-      String other = at == null ? null : taken.putIfAbsent(at, id);
-      if (other != null) {
-        s.addError("address", "the address of '" + other + "'", "an address of its own");
+      InetSocketAddress address = DeclaredNames.readAddress(section, "address", false);
+      String duplicate = address == null ? null : idByAddress.putIfAbsent(address, id);
+      if (duplicate != null) {
+        section.addError("address", "the address of '" + duplicate + "'", "an address of its own");
       }
-      double weight = s.number("weight", 1, 0, 1e6);
-      MemberState state = s.enumValue("state", MemberState.UP, MemberState.class);
-      String pod = s.string("pod", "-", "the pod's name");
-      out.add(
+      double weight = section.number("weight", 1, 0, 1e6);
+      MemberState state = section.enumValue("state", MemberState.UP, MemberState.class);
+      String pod = section.string("pod", "-", "the pod's name");
+      members.add(
           new UpstreamHosts.Member(
               id,
-              at,
-              s.string("zone", "-", "the zone's name"),
-              s.string("kind", "-", "the kind of machine"),
-              // A server of no pod shares the memory of its keys with no other.
+              address,
+              section.string("zone", "-", "the zone's name"),
+              section.string("kind", "-", "the kind of machine"),
+              // A server without a pod shares its record of idempotency keys with no other server.
               WeightedSplit.hash(pod.equals("-") ? "server " + id : "pod " + pod),
               state == MemberState.UP && weight > 0
                   ? EndpointUpdate.Condition.READY
                   : EndpointUpdate.Condition.TERMINATING,
               weight,
               0));
-      s.rejectUnknownKeys();
+      section.rejectUnknownKeys();
     }
-    return out;
+    return members;
   }
 }
--- a/src/main/java/leadferry/daemon/QuietLogging.java
+++ b/src/main/java/leadferry/daemon/QuietLogging.java
@@ -8,22 +8,23 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * What Logback begins with, found as a service: warnings of libraries on standard error. Guards
- * commands against its own default, every debug line on standard output, and the start against a
- * search for XML.
+ * Initial configuration of Logback, found as a service: warnings of libraries on standard error.
+ *
+ * <p>Guards against Logback's defaults: every debug line on the standard output of commands, and a
+ * search for XML files at the start.
  */
 public final class QuietLogging extends ContextAwareBase implements Configurator {
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    // Not an appender of a stream: the end of that one closes standard error for everybody.
-    ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-    out.setContext(context);
-    out.setEncoder(new RecordEncoder(context, LogFormat.TEXT));
-    out.setTarget("System.err");
-    out.start();
+    // OutputStreamAppender would close standard error for the whole process when it stops.
+    ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+    appender.setContext(context);
+    appender.setEncoder(new RecordEncoder(context, LogFormat.TEXT));
+    appender.setTarget("System.err");
+    appender.start();
     var root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.WARN);
-    root.addAppender(out);
+    root.addAppender(appender);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 }
--- a/src/main/java/leadferry/daemon/RecordBudget.java
+++ b/src/main/java/leadferry/daemon/RecordBudget.java
@@ -3,8 +3,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * So many records a second; what is past that is counted. One word holds the second and what was
- * used of it, so that workers neither wait for each other nor lose a count.
+ * Limits records per second and counts those that are dropped.
+ *
+ * <p>One atomic word holds the second and the number used in it, so threads do not block each other
+ * and lose no count.
  */
 final class RecordBudget {
   private static final int USED_BITS = 20;
@@ -14,32 +16,40 @@
   private final AtomicLong state = new AtomicLong();
   private final AtomicLong dropped = new AtomicLong();
 
-  /** {@code perSecond} from 1 to 2^20 - 2. */
+  /**
+   * Creates a budget.
+   *
+   * @param perSecond records per second, from 1 to 2^20 - 2
+   */
   RecordBudget(int perSecond) {
     this.perSecond = perSecond;
   }
 
-  /** Whether one more may be written in this second; one that may not is counted. */
+  /**
+   * Takes one record of a second's budget.
+   *
+   * @return false if the budget is used up; the record is then counted as dropped
+   */
   boolean tryAcquire(long second) {
     while (true) {
-      long s = state.get();
-      long used = s >>> USED_BITS == second ? s & USED_MASK : 0;
+      long current = state.get();
+      long used = current >>> USED_BITS == second ? current & USED_MASK : 0;
       if (used >= perSecond) {
         countDropped();
         return false;
       }
-      if (state.compareAndSet(s, second << USED_BITS | used + 1)) {
+      if (state.compareAndSet(current, second << USED_BITS | used + 1)) {
         return true;
       }
     }
   }
 
-  /** One that was admitted could not be written all the same. */
+  /** Counts a record as dropped that the budget had granted but that could not be written. */
   void countDropped() {
     dropped.incrementAndGet();
   }
 
-  /** How many were left out since this was last asked. */
+  /** Returns the number of records dropped since the last call. */
   long takeDropped() {
     return dropped.get() == 0 ? 0 : dropped.getAndSet(0);
   }
--- a/src/main/java/leadferry/daemon/RecordEncoder.java
+++ b/src/main/java/leadferry/daemon/RecordEncoder.java
@@ -16,11 +16,13 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Writes a record as one line. Guards readers against a value that a caller chose: in text, control
+ * Encodes a record as one line.
+ *
+ * <p>Guards against values chosen by a client that would forge or flood the log: in text, control
  * characters become spaces, and no text is longer than {@link #MAX_TEXT_CHARS}.
  */
 final class RecordEncoder extends EncoderBase<ILoggingEvent> {
-  /** Characters of one text, and of a stack. */
+  /** Maximum length of one text, in characters. */
   private static final int MAX_TEXT_CHARS = 300;
 
   private static final int MAX_STACK_CHARS = 8_192;
@@ -29,7 +31,7 @@
   private final JsonFactory json = new JsonFactory();
   private final LogFormat format;
 
-  /** One that is ready to write. */
+  /** Creates an encoder and starts it. */
   RecordEncoder(LoggerContext context, LogFormat form) {
     this.format = form;
     setContext(context);
@@ -47,97 +49,98 @@
   }
 
   @Override
-  public byte[] encode(ILoggingEvent e) {
-    return (format == LogFormat.JSON ? json(e) : text(e)).getBytes(StandardCharsets.UTF_8);
+  public byte[] encode(ILoggingEvent event) {
+    return (format == LogFormat.JSON ? json(event) : text(event)).getBytes(StandardCharsets.UTF_8);
   }
 
-  private static String time(ILoggingEvent e) {
-    return Instant.ofEpochMilli(e.getTimeStamp()).toString();
+  private static String time(ILoggingEvent event) {
+    return Instant.ofEpochMilli(event.getTimeStamp()).toString();
   }
 
-  private static String level(ILoggingEvent e) {
-    return e.getLevel().toString().toLowerCase(Locale.ROOT);
+  private static String level(ILoggingEvent event) {
+    return event.getLevel().toString().toLowerCase(Locale.ROOT);
   }
 
-  private static List<KeyValuePair> fields(ILoggingEvent e) {
-    return e.getKeyValuePairs() == null ? List.of() : e.getKeyValuePairs();
+  private static List<KeyValuePair> fields(ILoggingEvent event) {
+    return event.getKeyValuePairs() == null ? List.of() : event.getKeyValuePairs();
   }
 
-  private static boolean isFromLibrary(ILoggingEvent e) {
-    return !e.getLoggerName().equals(DaemonLog.LOGGER);
+  private static boolean isFromLibrary(ILoggingEvent event) {
+    return !event.getLoggerName().equals(DaemonLog.LOGGER);
   }
 
-  private static String truncate(String s, int most) {
-    return s.length() <= most ? s : s.substring(0, most) + "...";
+  private static String truncate(String text, int maxChars) {
+    return text.length() <= maxChars ? text : text.substring(0, maxChars) + "...";
   }
 
-  private static String stack(ILoggingEvent e) {
-    return truncate(ThrowableProxyUtil.asString(e.getThrowableProxy()), MAX_STACK_CHARS);
+  private static String stack(ILoggingEvent event) {
+    return truncate(ThrowableProxyUtil.asString(event.getThrowableProxy()), MAX_STACK_CHARS);
   }
 
-  private String text(ILoggingEvent e) {
-    StringBuilder s = new StringBuilder(time(e)).append(' ').append(level(e)).append(' ');
-    if (isFromLibrary(e)) {
-      s.append(e.getLoggerName()).append(": ");
+  private String text(ILoggingEvent event) {
+    StringBuilder line =
+        new StringBuilder(time(event)).append(' ').append(level(event)).append(' ');
+    if (isFromLibrary(event)) {
+      line.append(event.getLoggerName()).append(": ");
     }
-    s.append(replaceControlCharacters(e.getFormattedMessage()));
-    for (KeyValuePair f : fields(e)) {
-      String v = replaceControlCharacters(String.valueOf(f.value));
-      s.append(' ').append(f.key).append('=');
-      s.append(
-          v.isEmpty() || v.indexOf(' ') >= 0 || v.indexOf('"') >= 0
-              ? '"' + v.replace("\"", "'") + '"'
-              : v);
+    line.append(replaceControlCharacters(event.getFormattedMessage()));
+    for (KeyValuePair field : fields(event)) {
+      String value = replaceControlCharacters(String.valueOf(field.value));
+      line.append(' ').append(field.key).append('=');
+      line.append(
+          value.isEmpty() || value.indexOf(' ') >= 0 || value.indexOf('"') >= 0
+              ? '"' + value.replace("\"", "'") + '"'
+              : value);
     }
-    s.append('\n');
-    if (e.getThrowableProxy() != null) {
-      s.append(stack(e)).append('\n');
+    line.append('\n');
+    if (event.getThrowableProxy() != null) {
+      line.append(stack(event)).append('\n');
     }
-    return s.toString();
+    return line.toString();
   }
 
-  private static String replaceControlCharacters(String s) {
-    String c = truncate(s, MAX_TEXT_CHARS);
-    StringBuilder out = null;
-    for (int i = 0; i < c.length(); i++) {
-      if (Character.isISOControl(c.charAt(i))
-          || c.charAt(i) == '\u2028'
-          || c.charAt(i) == '\u2029') {
-        out = out == null ? new StringBuilder(c) : out;
-        out.setCharAt(i, ' ');
+  private static String replaceControlCharacters(String text) {
+    String truncated = truncate(text, MAX_TEXT_CHARS);
+    StringBuilder cleaned = null;
+    for (int i = 0; i < truncated.length(); i++) {
+      if (Character.isISOControl(truncated.charAt(i))
+          || truncated.charAt(i) == '\u2028'
+          || truncated.charAt(i) == '\u2029') {
+        cleaned = cleaned == null ? new StringBuilder(truncated) : cleaned;
+        cleaned.setCharAt(i, ' ');
       }
     }
-    return out == null ? c : out.toString();
+    return cleaned == null ? truncated : cleaned.toString();
   }
 
-  private String json(ILoggingEvent e) {
+  private String json(ILoggingEvent event) {
     StringWriter out = new StringWriter(256);
-    try (JsonGenerator g = json.createGenerator(out)) {
-      g.writeStartObject();
-      g.writeStringField("time", time(e));
-      g.writeStringField("level", level(e));
-      g.writeStringField("event", truncate(e.getFormattedMessage(), MAX_TEXT_CHARS));
-      if (isFromLibrary(e)) {
-        g.writeStringField("library", e.getLoggerName());
+    try (JsonGenerator generator = json.createGenerator(out)) {
+      generator.writeStartObject();
+      generator.writeStringField("time", time(event));
+      generator.writeStringField("level", level(event));
+      generator.writeStringField("event", truncate(event.getFormattedMessage(), MAX_TEXT_CHARS));
+      if (isFromLibrary(event)) {
+        generator.writeStringField("library", event.getLoggerName());
       }
-      for (KeyValuePair f : fields(e)) {
-        g.writeFieldName(f.key);
-        if (f.value instanceof Long || f.value instanceof Integer) {
-          g.writeNumber(((Number) f.value).longValue());
-        } else if (f.value instanceof Double d && Double.isFinite(d)) {
-          g.writeNumber(d);
-        } else if (f.value instanceof Boolean b) {
-          g.writeBoolean(b);
+      for (KeyValuePair field : fields(event)) {
+        generator.writeFieldName(field.key);
+        if (field.value instanceof Long || field.value instanceof Integer) {
+          generator.writeNumber(((Number) field.value).longValue());
+        } else if (field.value instanceof Double number && Double.isFinite(number)) {
+          generator.writeNumber(number);
+        } else if (field.value instanceof Boolean flag) {
+          generator.writeBoolean(flag);
         } else {
-          g.writeString(truncate(String.valueOf(f.value), MAX_TEXT_CHARS));
+          generator.writeString(truncate(String.valueOf(field.value), MAX_TEXT_CHARS));
         }
       }
-      if (e.getThrowableProxy() != null) {
-        g.writeStringField("stack", stack(e));
+      if (event.getThrowableProxy() != null) {
+        generator.writeStringField("stack", stack(event));
       }
-      g.writeEndObject();
-    } catch (IOException x) {
-      throw new UncheckedIOException(x); // a StringWriter has none
+      generator.writeEndObject();
+    } catch (IOException impossible) {
+      throw new UncheckedIOException(impossible); // a StringWriter never throws
     }
     return out.append('\n').toString();
   }
--- a/src/main/java/leadferry/daemon/ReleaseFile.java
+++ b/src/main/java/leadferry/daemon/ReleaseFile.java
@@ -12,8 +12,9 @@
 import leadferry.release.ReleasePlanCodec;
 
 /**
- * Reads a plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and names its targets from what
- * the fleet is now. The result is the plan's JSON form, which {@link ReleasePlanCodec} reads.
+ * Reads the plan of a release (TOML 1.0, {@code docs/RELEASES.md}) and selects its targets from the
+ * present state of the fleet. The result is the plan's JSON form, which {@link ReleasePlanCodec}
+ * reads.
  */
 public final class ReleaseFile {
   private static final int DEFAULT_LIMIT_MILLIS = 300_000;
@@ -31,7 +32,7 @@
   private static final int MIN_COMMAND_MILLIS = 100;
   private static final int MAX_COMMAND_MILLIS = 3_600_000;
 
-  /** Who changes targets; the file has the words in lower case. */
+  /** What changes a target; the file has the words in lower case. */
   private enum Executor {
     COMMAND("command"),
     AGENT("agent");
@@ -48,8 +49,8 @@
   /**
    * Reads a plan into its JSON form.
    *
-   * @param status the fleet as the replicas tell of it: proxies and hosts with their labels
-   * @throws ConfigurationException with every fault that was found
+   * @param status status of the fleet from the replicas: proxies and hosts with their labels
+   * @throws ConfigurationException with every error found
    */
   public static ObjectNode read(Path file, JsonNode status) throws ConfigurationException {
     TomlSection.Source source =
@@ -93,7 +94,9 @@
         "from", release.string("from", null, "what they were, and are again after a rollback"));
   }
 
-  /** What the file leaves out gets its default where the plan is read. */
+  /**
+   * Copies limits and policies. The code that reads the plan supplies the defaults of absent keys.
+   */
   private static void readLimitsAndPolicies(TomlSection release, ObjectNode plan) {
     for (String key : List.of("action_ms", "longest_ms")) {
       if (release.has(key)) {
@@ -142,8 +145,8 @@
   }
 
   private static void addPlanErrors(ObjectNode plan, TomlSection release) {
-    List<String> faults = new ArrayList<>();
-    ReleasePlanCodec.read(plan, faults);
-    faults.forEach(fault -> release.addError("", fault, "a plan as docs/RELEASES.md tells"));
+    List<String> errors = new ArrayList<>();
+    ReleasePlanCodec.read(plan, errors);
+    errors.forEach(error -> release.addError("", error, "a plan as docs/RELEASES.md tells"));
   }
 }
--- a/src/main/java/leadferry/daemon/ReleaseFileSteps.java
+++ b/src/main/java/leadferry/daemon/ReleaseFileSteps.java
@@ -13,20 +13,27 @@
 import leadferry.disruption.TargetType;
 
 /**
- * Reads the steps of a release's file and names their targets. Each step takes, of what no step
- * before has, the targets that it names, or those that carry its labels, or a share of these.
+ * Reads the steps of a release file and selects their targets.
+ *
+ * <p>A step takes only targets that no earlier step has taken: the targets that it names, or those
+ * that carry its labels, or a share of the latter.
  */
 final class ReleaseFileSteps {
   private static final int MAX_AT_ONCE = 100_000;
 
-  /** The label of a target that has none of that kind. */
+  /** Label value of a target without a label of that kind. */
   private static final String NO_LABEL = "-";
 
   private final String targetType;
   private final Map<String, JsonNode> fleet = new LinkedHashMap<>();
   private final Set<String> taken = new HashSet<>();
 
-  /** For targets of a type, from the status of the fleet. */
+  /**
+   * Creates a reader.
+   *
+   * @param targetType type of the release's targets, as stored
+   * @param status status of the fleet, which lists the targets
+   */
   ReleaseFileSteps(String targetType, JsonNode status) {
     this.targetType = targetType;
     boolean proxies = TargetType.fromStoredName(targetType) == TargetType.PROXY;
--- a/src/main/java/leadferry/daemon/ReplicaFile.java
+++ b/src/main/java/leadferry/daemon/ReplicaFile.java
@@ -18,15 +18,16 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * Reads and judges a replica's file, and a file of budgets (TOML 1.0, {@code docs/FLEET.md}). Here
- * alone the operator's words ({@code keeper}, {@code settle_ms}, {@code warm_ms}, {@code fence_ms},
- * {@code max_out}, {@code min_in}) meet those of the code.
+ * Reads and validates a replica's file and a file of budgets (TOML 1.0, {@code docs/FLEET.md}).
+ *
+ * <p>Only this class maps the operator's terms ({@code keeper}, {@code settle_ms}, {@code warm_ms},
+ * {@code fence_ms}, {@code max_out}, {@code min_in}) to those of the code.
  */
 public final class ReplicaFile {
   private static final int MAX_PERIOD_MILLIS = 3_600_000;
   private static final int MAX_BUDGET = 1_000_000;
 
-  /** A share that binds nobody. */
+  /** Share above 1, which limits nothing. */
   private static final double NO_SHARE = 2;
 
   private static final int NO_LIMIT = -1;
@@ -36,7 +37,7 @@
   /**
    * Reads a replica's file.
    *
-   * @throws ConfigurationException with every fault that was found
+   * @throws ConfigurationException with every error found
    */
   public static ReplicaConfig read(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
@@ -99,9 +100,9 @@
   }
 
   /**
-   * Reads {@code [[budget]]} tables into the form that the log takes.
+   * Reads {@code [[budget]]} tables into the JSON form of the replicated log.
    *
-   * @throws ConfigurationException with every fault that was found
+   * @throws ConfigurationException with every error found
    */
   public static ArrayNode readBudgets(Path file) throws ConfigurationException {
     TomlSection.Source source = source(file);
@@ -126,9 +127,9 @@
     ObjectNode where = budget.putObject("where");
     section.stringMap("where").forEach(where::put);
     section.rejectUnknownKeys();
-    List<String> faults = new ArrayList<>();
-    Budget.read(budget, faults);
-    faults.forEach(fault -> section.addError("", fault, "a budget as docs/FLEET.md tells"));
+    List<String> errors = new ArrayList<>();
+    Budget.read(budget, errors);
+    errors.forEach(error -> section.addError("", error, "a budget as docs/FLEET.md tells"));
   }
 
   private static void throwIfErrors(TomlSection.Source source) throws ConfigurationException {
--- a/src/main/java/leadferry/daemon/ReplicaReachability.java
+++ b/src/main/java/leadferry/daemon/ReplicaReachability.java
@@ -4,9 +4,11 @@
 import leadferry.consensus.ReplicaClient.UnreachableException;
 import leadferry.engine.Log;
 
-/** Makes calls to replicas, and logs when they can be reached no longer or again. One thread's. */
+/**
+ * Calls replicas and logs when they become unreachable or reachable again. Confined to one thread.
+ */
 final class ReplicaReachability {
-  /** A call to the replica that leads. */
+  /** Call to the leading replica. */
   interface Call<T> {
     T call() throws UnreachableException;
   }
@@ -18,26 +20,26 @@
     this.log = log;
   }
 
-  /** The call's answer; empty where no replica gave one. */
+  /** Returns the response to a call, or empty if no replica responded. */
   <T> Optional<T> attempt(Call<T> call) {
     try {
-      T answer = call.call();
+      T response = call.call();
       updateReachable(true);
-      return Optional.of(answer);
+      return Optional.of(response);
     } catch (UnreachableException e) {
       updateReachable(false);
       return Optional.empty();
     }
   }
 
-  private void updateReachable(boolean now) {
-    if (now == reachable) {
+  private void updateReachable(boolean isReachable) {
+    if (isReachable == reachable) {
       return;
     }
-    reachable = now;
+    reachable = isReachable;
     log.line(
-        now
-            ? "replicas can be reached again"
-            : "no replica can be reached: going on by what is known");
+        isReachable
+            ? "replicas reachable again"
+            : "no replica reachable: continuing with the last known view");
   }
 }
--- a/src/main/java/leadferry/daemon/RouteReader.java
+++ b/src/main/java/leadferry/daemon/RouteReader.java
@@ -16,8 +16,8 @@
 import leadferry.routing.ShadowedRouteFinder;
 
 /**
- * Reads and judges {@code [[route]]}: each by itself, against what the file names, and against the
- * others.
+ * Reads and validates {@code [[route]]}: each route by itself, its references to other sections,
+ * and its position among the other routes.
  */
 final class RouteReader {
   private final TomlSection root;
@@ -28,25 +28,28 @@
     this.names = names;
   }
 
-  /** The routes in the order of the file, none of them out of reach of all requests. */
+  /**
+   * Returns the routes in the order of the file. Adds an error for each route that no request can
+   * reach.
+   */
   List<DaemonConfig.Route> read() {
-    List<DaemonConfig.Route> out = new ArrayList<>();
+    List<DaemonConfig.Route> routes = new ArrayList<>();
     List<TomlSection> sections = root.tables("route");
-    for (TomlSection s : sections) {
-      out.add(route(s, out.size()));
-      s.rejectUnknownKeys();
+    for (TomlSection section : sections) {
+      routes.add(route(section, routes.size()));
+      section.rejectUnknownKeys();
     }
     for (String listener : names.listeners) {
       List<RouteRule<Integer>> rules = new ArrayList<>();
-      for (DaemonConfig.Route r : out) {
-        if (r.listeners().isEmpty() || r.listeners().contains(listener)) {
-          rules.add(r.match());
+      for (DaemonConfig.Route route : routes) {
+        if (route.listeners().isEmpty() || route.listeners().contains(listener)) {
+          rules.add(route.match());
         }
       }
       for (ShadowedRouteFinder.ShadowedRoute shadowed : ShadowedRouteFinder.findShadowed(rules)) {
-        RouteRule<Integer> r = rules.get(shadowed.routeIndex());
+        RouteRule<Integer> route = rules.get(shadowed.routeIndex());
         sections
-            .get(r.target())
+            .get(route.target())
             .addError(
                 "",
                 "can't be reached at listener '"
@@ -57,141 +60,148 @@
                 "a route that some request can take");
       }
     }
-    return out;
+    return routes;
   }
 
-  private DaemonConfig.Route route(TomlSection s, int index) {
-    String name = s.string("name", null, "the route's name");
+  private DaemonConfig.Route route(TomlSection section, int index) {
+    String name = section.string("name", null, "the route's name");
     if (!name.isEmpty()) {
-      DeclaredNames.declare(s, name, names.routes);
+      DeclaredNames.declare(section, name, names.routes);
     }
-    Set<String> at = s.knownNames("listeners", names.listeners, "listener");
-    String pool = s.string("pool", "", "the name of a pool");
-    List<DaemonConfig.PoolShare> split = split(s, pool);
-    List<String> fallback = new ArrayList<>(s.knownNames("fallback", names.pools, "pool"));
-    String className = s.string("class", "", "the name of a class");
+    Set<String> listeners = section.knownNames("listeners", names.listeners, "listener");
+    String pool = section.string("pool", "", "the name of a pool");
+    List<DaemonConfig.PoolShare> split = split(section, pool);
+    List<String> fallback = new ArrayList<>(section.knownNames("fallback", names.pools, "pool"));
+    String className = section.string("class", "", "the name of a class");
     if (!className.isEmpty()) {
-      s.requireKnown("class", className, names.classes, "class");
+      section.requireKnown("class", className, names.classes, "class");
     }
-    String by = s.string("split_by", "key", "key, tenant, address or header:NAME");
+    String splitByText = section.string("split_by", "key", "key, tenant, address or header:NAME");
     DaemonConfig.SplitBy splitBy = DaemonConfig.SplitBy.KEY;
     String splitHeader = "X-Route-Key";
-    if (by.startsWith("header:") && by.substring(7).matches(DeclaredNames.TOKEN)) {
-      splitHeader = by.substring(7);
-    } else if (by.equals("tenant") || by.equals("address")) {
-      splitBy = DaemonConfig.SplitBy.valueOf(by.toUpperCase(Locale.ROOT));
-    } else if (!by.equals("key")) {
-      s.addError("split_by", "'" + by + "'", "key, tenant, address or header:NAME");
-    }
-    RouteRule<Integer> match = match(s, name, index);
-    String rewrite = s.string("rewrite_prefix", "", "a path that begins with /");
-    if (!rewrite.isEmpty()) {
-      NormalizedPath form =
+    if (splitByText.startsWith("header:")
+        && splitByText.substring(7).matches(DeclaredNames.TOKEN)) {
+      splitHeader = splitByText.substring(7);
+    } else if (splitByText.equals("tenant") || splitByText.equals("address")) {
+      splitBy = DaemonConfig.SplitBy.valueOf(splitByText.toUpperCase(Locale.ROOT));
+    } else if (!splitByText.equals("key")) {
+      section.addError("split_by", "'" + splitByText + "'", "key, tenant, address or header:NAME");
+    }
+    RouteRule<Integer> match = match(section, name, index);
+    String rewritePrefix = section.string("rewrite_prefix", "", "a path that begins with /");
+    if (!rewritePrefix.isEmpty()) {
+      NormalizedPath normalizedPrefix =
           NormalizedPath.normalize(
-              NormalizedPath.percentEncode(NormalizedPath.toOctetChars(rewrite)),
+              NormalizedPath.percentEncode(NormalizedPath.toOctetChars(rewritePrefix)),
               NormalizedPath.Mode.STRICT);
-      if (form == null) {
-        s.addError("rewrite_prefix", "'" + rewrite + "'", "a plain path that begins with /");
+      if (normalizedPrefix == null) {
+        section.addError(
+            "rewrite_prefix", "'" + rewritePrefix + "'", "a plain path that begins with /");
       } else if (match.kind() != RouteRule.Kind.PREFIX) {
-        s.addError("rewrite_prefix", "set", "only where the route has a prefix");
+        section.addError("rewrite_prefix", "set", "only where the route has a prefix");
       }
     }
-    Map<String, String> set = s.stringMap("set_headers");
-    set.forEach(
-        (k, v) -> {
-          checkHeaderName(s, "set_headers." + k, k);
-          if (!v.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
-            s.addError("set_headers." + k, "'" + v + "'", "printable ASCII");
+    Map<String, String> setHeaders = section.stringMap("set_headers");
+    setHeaders.forEach(
+        (header, value) -> {
+          checkHeaderName(section, "set_headers." + header, header);
+          if (!value.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
+            section.addError("set_headers." + header, "'" + value + "'", "printable ASCII");
           }
         });
-    List<String> remove = s.strings("remove_headers");
-    for (int i = 0; i < remove.size(); i++) {
-      checkHeaderName(s, "remove_headers[" + i + "]", remove.get(i));
+    List<String> removeHeaders = section.strings("remove_headers");
+    for (int i = 0; i < removeHeaders.size(); i++) {
+      checkHeaderName(section, "remove_headers[" + i + "]", removeHeaders.get(i));
     }
     return new DaemonConfig.Route(
         name,
-        List.copyOf(at),
+        List.copyOf(listeners),
         match,
         className,
         split,
         splitBy,
         splitHeader,
         fallback,
-        s.flag("stream", false),
-        rewrite,
-        Map.copyOf(set),
-        List.copyOf(remove));
+        section.flag("stream", false),
+        rewritePrefix,
+        Map.copyOf(setHeaders),
+        List.copyOf(removeHeaders));
   }
 
-  private static void checkHeaderName(TomlSection s, String key, String name) {
+  private static void checkHeaderName(TomlSection section, String key, String name) {
     if (!name.matches(DeclaredNames.TOKEN)
         || Headers.PROTECTED.contains(name.toLowerCase(Locale.ROOT))) {
-      s.addError(key, "'" + name + "'", "a header that does not frame the message");
+      section.addError(key, "'" + name + "'", "a header that does not frame the message");
     }
   }
 
-  private List<DaemonConfig.PoolShare> split(TomlSection s, String pool) {
-    List<DaemonConfig.PoolShare> out = new ArrayList<>();
-    List<TomlSection> parts = s.tables("split");
+  private List<DaemonConfig.PoolShare> split(TomlSection section, String pool) {
+    List<DaemonConfig.PoolShare> shares = new ArrayList<>();
+    List<TomlSection> parts = section.tables("split");
     if (pool.isEmpty() == parts.isEmpty()) {
-      s.addError("pool", pool.isEmpty() ? "missing" : "set beside split", "either pool or split");
+      section.addError(
+          "pool", pool.isEmpty() ? "missing" : "set beside split", "either pool or split");
     }
     if (!pool.isEmpty()) {
-      s.requireKnown("pool", pool, names.pools, "pool");
-      out.add(new DaemonConfig.PoolShare(pool, 1));
+      section.requireKnown("pool", pool, names.pools, "pool");
+      shares.add(new DaemonConfig.PoolShare(pool, 1));
     }
     double sum = 0;
     Set<String> named = new HashSet<>();
-    for (TomlSection p : parts) {
-      String name = p.string("pool", null, "the name of a pool");
+    for (TomlSection part : parts) {
+      String name = part.string("pool", null, "the name of a pool");
       if (!name.isEmpty()) {
-        p.requireKnown("pool", name, names.pools, "pool");
+        part.requireKnown("pool", name, names.pools, "pool");
         if (!named.add(name)) {
-          p.addError("pool", "'" + name + "' a second time", "each pool once");
+          part.addError("pool", "'" + name + "' a second time", "each pool once");
         }
       }
-      double weight = p.number("weight", 1, 0, 1e6);
+      double weight = part.number("weight", 1, 0, 1e6);
       sum += weight;
-      out.add(new DaemonConfig.PoolShare(name, weight));
-      p.rejectUnknownKeys();
+      shares.add(new DaemonConfig.PoolShare(name, weight));
+      part.rejectUnknownKeys();
     }
     if (!parts.isEmpty() && sum <= 0) {
-      s.addError("split", "all weights zero", "a weight above 0");
+      section.addError("split", "all weights zero", "a weight above 0");
     }
-    return out;
+    return shares;
   }
 
-  private RouteRule<Integer> match(TomlSection s, String name, int index) {
-    List<String> hosts = s.strings("hosts");
+  private RouteRule<Integer> match(TomlSection section, String name, int index) {
+    List<String> hosts = section.strings("hosts");
     for (int i = 0; i < hosts.size(); i++) {
-      String h = hosts.get(i).toLowerCase(Locale.ROOT);
-      String plain =
-          h.startsWith("*.")
-              ? h.substring(2)
-              : h.endsWith(".*") ? h.substring(0, h.length() - 2) : h;
-      if (!h.equals("*") && !plain.matches("[a-z0-9_-]+(\\.[a-z0-9_-]+)*|\\[[0-9a-f:.]+\\]")) {
-        s.addError("hosts[" + i + "]", "'" + hosts.get(i) + "'", "a name, *.name, name.* or *");
+      String host = hosts.get(i).toLowerCase(Locale.ROOT);
+      String withoutWildcard =
+          host.startsWith("*.")
+              ? host.substring(2)
+              : host.endsWith(".*") ? host.substring(0, host.length() - 2) : host;
+      if (!host.equals("*")
+          && !withoutWildcard.matches("[a-z0-9_-]+(\\.[a-z0-9_-]+)*|\\[[0-9a-f:.]+\\]")) {
+        section.addError(
+            "hosts[" + i + "]", "'" + hosts.get(i) + "'", "a name, *.name, name.* or *");
       }
-      hosts.set(i, h);
+      hosts.set(i, host);
     }
     RouteRule.Kind kind = RouteRule.Kind.PREFIX;
     String path = "/";
-    int given = 0;
-    for (RouteRule.Kind k : RouteRule.Kind.values()) {
-      String key = k == RouteRule.Kind.EXACT ? "path" : k.name().toLowerCase(Locale.ROOT);
+    int pathCount = 0;
+    for (RouteRule.Kind candidate : RouteRule.Kind.values()) {
+      String key =
+          candidate == RouteRule.Kind.EXACT ? "path" : candidate.name().toLowerCase(Locale.ROOT);
       String text =
-          s.string(key, "", k == RouteRule.Kind.REGEX ? "a regular expression" : "a path");
+          section.string(
+              key, "", candidate == RouteRule.Kind.REGEX ? "a regular expression" : "a path");
       if (text.isEmpty()) {
         continue;
       }
-      given++;
-      kind = k;
-      path = k == RouteRule.Kind.REGEX ? text : NormalizedPath.toOctetChars(text);
-      if (k == RouteRule.Kind.REGEX) {
+      pathCount++;
+      kind = candidate;
+      path = candidate == RouteRule.Kind.REGEX ? text : NormalizedPath.toOctetChars(text);
+      if (candidate == RouteRule.Kind.REGEX) {
         try {
           Pattern.compile(text);
         } catch (PatternSyntaxException e) {
-          s.addError(key, e.getMessage(), "a regular expression in RE2 syntax");
+          section.addError(key, e.getMessage(), "a regular expression in RE2 syntax");
           path = "/";
           kind = RouteRule.Kind.PREFIX;
         }
@@ -199,31 +209,32 @@
           || NormalizedPath.normalize(
                   NormalizedPath.percentEncode(path), NormalizedPath.Mode.STRICT)
               == null) {
-        s.addError(
+        section.addError(
             key, "'" + text + "'", "a decoded path that begins with /, without . or .. or //");
       }
     }
-    if (given != 1) {
-      s.addError(
+    if (pathCount != 1) {
+      section.addError(
           "",
-          given == 0 ? "no path" : "more than one of path, prefix, regex",
+          pathCount == 0 ? "no path" : "more than one of path, prefix, regex",
           "one of path, prefix, regex");
     }
-    List<String> methods = s.strings("methods");
+    List<String> methods = section.strings("methods");
     for (int i = 0; i < methods.size(); i++) {
       if (!methods.get(i).matches("[A-Z][A-Z-]*") || methods.get(i).equals("CONNECT")) {
-        s.addError(
+        section.addError(
             "methods[" + i + "]", "'" + methods.get(i) + "'", "a method in capitals, not CONNECT");
       }
     }
     Map<String, String> headers = new LinkedHashMap<>();
-    s.stringMap("headers")
+    section
+        .stringMap("headers")
         .forEach(
-            (k, v) -> {
-              if (!k.matches(DeclaredNames.TOKEN)) {
-                s.addError("headers." + k, "'" + k + "'", "the name of a header");
+            (header, value) -> {
+              if (!header.matches(DeclaredNames.TOKEN)) {
+                section.addError("headers." + header, "'" + header + "'", "the name of a header");
               }
-              headers.put(k.toLowerCase(Locale.ROOT), v);
+              headers.put(header.toLowerCase(Locale.ROOT), value);
             });
     return new RouteRule<>(
         name,
@@ -232,7 +243,7 @@
         path,
         new LinkedHashSet<>(methods),
         headers,
-        s.knownNames("classes", names.classes, "class"),
+        section.knownNames("classes", names.classes, "class"),
         index);
   }
 }
--- a/src/main/java/leadferry/daemon/TomlSection.java
+++ b/src/main/java/leadferry/daemon/TomlSection.java
@@ -15,12 +15,13 @@
 import java.util.stream.Collectors;
 
 /**
- * A table of the operator's file while it is read. Each getter notes a fault where the value is not
- * what it should be and goes on with the default, so that one reading finds all faults; {@link
- * #rejectUnknownKeys} notes keys that nobody asked for.
+ * Table of an operator's file while it is read.
+ *
+ * <p>A getter adds an error for an invalid value and returns the default, so one pass finds all
+ * errors. {@link #rejectUnknownKeys} adds an error for each key that no getter has read.
  */
 final class TomlSection {
-  /** What all sections of one file share. */
+  /** State shared by all sections of one file. */
   static final class Source {
     final String file;
     final TomlTree tree;
@@ -68,212 +69,225 @@
   }
 
   TomlSection table(String key) {
-    JsonNode n = child(key);
-    return new TomlSection(source, path(key), n);
+    JsonNode value = child(key);
+    return new TomlSection(source, path(key), value);
   }
 
-  /** Tables by name, as in {@code [pool.roster]}, in the order of the file. */
+  /** Returns tables by name, as in {@code [pool.roster]}, in the order of the file. */
   Map<String, TomlSection> tablesByName(String key) {
-    JsonNode n = child(key);
-    Map<String, TomlSection> out = new LinkedHashMap<>();
-    if (!n.isMissingNode() && !n.isObject()) {
-      source.addError(path(key), describe(n), "tables by name, as in [" + key + ".NAME]");
-      return out;
+    JsonNode value = child(key);
+    Map<String, TomlSection> tables = new LinkedHashMap<>();
+    if (!value.isMissingNode() && !value.isObject()) {
+      source.addError(path(key), describe(value), "tables by name, as in [" + key + ".NAME]");
+      return tables;
     }
-    for (Iterator<Map.Entry<String, JsonNode>> i = n.fields(); i.hasNext(); ) {
-      Map.Entry<String, JsonNode> e = i.next();
-      out.put(e.getKey(), new TomlSection(source, path(key) + "." + e.getKey(), e.getValue()));
+    for (Iterator<Map.Entry<String, JsonNode>> iterator = value.fields(); iterator.hasNext(); ) {
+      Map.Entry<String, JsonNode> entry = iterator.next();
+      tables.put(
+          entry.getKey(),
+          new TomlSection(source, path(key) + "." + entry.getKey(), entry.getValue()));
     }
-    return out;
+    return tables;
   }
 
-  /** Tables in a row, as in {@code [[route]]}. */
+  /** Returns an array of tables, as in {@code [[route]]}. */
   List<TomlSection> tables(String key) {
-    JsonNode n = child(key);
-    List<TomlSection> out = new ArrayList<>();
-    if (!n.isMissingNode() && !n.isArray()) {
-      source.addError(path(key), describe(n), "an array of tables, as in [[" + key + "]]");
-      return out;
+    JsonNode value = child(key);
+    List<TomlSection> tables = new ArrayList<>();
+    if (!value.isMissingNode() && !value.isArray()) {
+      source.addError(path(key), describe(value), "an array of tables, as in [[" + key + "]]");
+      return tables;
     }
-    for (int i = 0; i < n.size(); i++) {
-      out.add(new TomlSection(source, path(key) + "[" + i + "]", n.get(i)));
+    for (int i = 0; i < value.size(); i++) {
+      tables.add(new TomlSection(source, path(key) + "[" + i + "]", value.get(i)));
     }
-    return out;
+    return tables;
   }
 
-  double number(String key, double otherwise, double least, double most) {
-    JsonNode n = child(key);
-    if (n.isMissingNode()) {
-      return otherwise;
+  double number(String key, double defaultValue, double minimum, double maximum) {
+    JsonNode value = child(key);
+    if (value.isMissingNode()) {
+      return defaultValue;
     }
-    double v = n.isNumber() ? n.asDouble() : Double.NaN;
-    if (!(v >= least && v <= most)) {
+    double number = value.isNumber() ? value.asDouble() : Double.NaN;
+    if (!(number >= minimum && number <= maximum)) {
       source.addError(
-          path(key), describe(n), "a number from " + describe(least) + " to " + describe(most));
-      return otherwise;
+          path(key),
+          describe(value),
+          "a number from " + describe(minimum) + " to " + describe(maximum));
+      return defaultValue;
     }
-    return v;
+    return number;
   }
 
-  int integer(String key, int otherwise, int least, int most) {
-    JsonNode n = child(key);
-    if (n.isMissingNode()) {
-      return otherwise;
+  int integer(String key, int defaultValue, int minimum, int maximum) {
+    JsonNode value = child(key);
+    if (value.isMissingNode()) {
+      return defaultValue;
     }
-    if (!n.isIntegralNumber() || !n.canConvertToInt() || n.asInt() < least || n.asInt() > most) {
-      source.addError(path(key), describe(n), "a whole number from " + least + " to " + most);
-      return otherwise;
+    if (!value.isIntegralNumber()
+        || !value.canConvertToInt()
+        || value.asInt() < minimum
+        || value.asInt() > maximum) {
+      source.addError(
+          path(key), describe(value), "a whole number from " + minimum + " to " + maximum);
+      return defaultValue;
     }
-    return n.asInt();
+    return value.asInt();
   }
 
-  boolean flag(String key, boolean otherwise) {
-    JsonNode n = child(key);
-    if (n.isMissingNode()) {
-      return otherwise;
+  boolean flag(String key, boolean defaultValue) {
+    JsonNode value = child(key);
+    if (value.isMissingNode()) {
+      return defaultValue;
     }
-    if (!n.isBoolean()) {
-      source.addError(path(key), describe(n), "true or false");
-      return otherwise;
+    if (!value.isBoolean()) {
+      source.addError(path(key), describe(value), "true or false");
+      return defaultValue;
     }
-    return n.asBoolean();
+    return value.asBoolean();
   }
 
-  /** A text that is not empty; {@code otherwise} null makes it one that must be there. */
-  String string(String key, String otherwise, String expected) {
-    JsonNode n = child(key);
-    if (n.isMissingNode() && otherwise != null) {
-      return otherwise;
+  /** Returns a string that is not blank. The key is required if {@code defaultValue} is null. */
+  String string(String key, String defaultValue, String expected) {
+    JsonNode value = child(key);
+    if (value.isMissingNode() && defaultValue != null) {
+      return defaultValue;
     }
-    if (!n.isTextual() || n.asText().isBlank()) {
-      source.addError(path(key), n.isMissingNode() ? "missing" : describe(n), expected);
-      return otherwise == null ? "" : otherwise;
+    if (!value.isTextual() || value.asText().isBlank()) {
+      source.addError(path(key), value.isMissingNode() ? "missing" : describe(value), expected);
+      return defaultValue == null ? "" : defaultValue;
     }
-    return n.asText();
+    return value.asText();
   }
 
-  /** One of several words. */
-  <E extends Enum<E>> E enumValue(String key, E otherwise, Class<E> type) {
-    JsonNode n = child(key);
-    if (n.isMissingNode()) {
-      return otherwise;
+  /** Returns the enum constant whose lower-case name stands at the key. */
+  <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type) {
+    JsonNode value = child(key);
+    if (value.isMissingNode()) {
+      return defaultValue;
     }
-    for (E e : type.getEnumConstants()) {
-      if (n.asText().equals(enumValue(e))) {
-        return e;
+    for (E constant : type.getEnumConstants()) {
+      if (value.asText().equals(settingName(constant))) {
+        return constant;
       }
     }
     source.addError(
         path(key),
-        describe(n),
+        describe(value),
         Arrays.stream(type.getEnumConstants())
-            .map(TomlSection::enumValue)
+            .map(TomlSection::settingName)
             .collect(Collectors.joining(", ")));
-    return otherwise;
+    return defaultValue;
   }
 
-  private static String enumValue(Enum<?> e) {
-    return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+  private static String settingName(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Texts in an array. */
+  /** Returns an array of strings, each of them not blank. */
   List<String> strings(String key) {
-    JsonNode n = child(key);
-    List<String> out = new ArrayList<>();
-    if (n.isMissingNode()) {
-      return out;
+    JsonNode value = child(key);
+    List<String> strings = new ArrayList<>();
+    if (value.isMissingNode()) {
+      return strings;
     }
-    if (!n.isArray()) {
-      source.addError(path(key), describe(n), "an array of texts");
-      return out;
+    if (!value.isArray()) {
+      source.addError(path(key), describe(value), "an array of texts");
+      return strings;
     }
-    for (int i = 0; i < n.size(); i++) {
-      if (!n.get(i).isTextual() || n.get(i).asText().isBlank()) {
-        source.addError(path(key) + "[" + i + "]", describe(n.get(i)), "a text");
+    for (int i = 0; i < value.size(); i++) {
+      if (!value.get(i).isTextual() || value.get(i).asText().isBlank()) {
+        source.addError(path(key) + "[" + i + "]", describe(value.get(i)), "a text");
       } else {
-        out.add(n.get(i).asText());
+        strings.add(value.get(i).asText());
       }
     }
-    return out;
+    return strings;
   }
 
-  /** Names in an array, each of those that are known. */
-  Set<String> knownNames(String key, Collection<String> known, String what) {
-    Set<String> out = new LinkedHashSet<>();
+  /** Returns an array of names and adds an error for each name that is not among the known ones. */
+  Set<String> knownNames(String key, Collection<String> known, String kind) {
+    Set<String> names = new LinkedHashSet<>();
     List<String> texts = strings(key);
     for (int i = 0; i < texts.size(); i++) {
-      requireKnown(key + "[" + i + "]", texts.get(i), known, what);
-      out.add(texts.get(i));
+      requireKnown(key + "[" + i + "]", texts.get(i), known, kind);
+      names.add(texts.get(i));
     }
-    return out;
+    return names;
   }
 
-  /** Notes a fault unless the name is known. */
-  void requireKnown(String key, String name, Collection<String> known, String what) {
+  /** Adds an error unless the name is among the known ones. */
+  void requireKnown(String key, String name, Collection<String> known, String kind) {
     if (!known.contains(name)) {
-      String near = nearestName(name, known);
+      String suggestion = nearestName(name, known);
       addError(
           key,
           "'" + name + "'",
-          "the name of a " + what + (near == null ? "" : ", perhaps '" + near + "'"));
+          "the name of a " + kind + (suggestion == null ? "" : ", perhaps '" + suggestion + "'"));
     }
   }
 
-  /** The keys of this table, all of which are asked for. */
+  /** Returns the keys of this table and marks all of them as read. */
   Set<String> keys() {
-    Set<String> out = new LinkedHashSet<>();
-    node.fieldNames().forEachRemaining(out::add);
-    requestedKeys.addAll(out);
-    return out;
+    Set<String> keys = new LinkedHashSet<>();
+    node.fieldNames().forEachRemaining(keys::add);
+    requestedKeys.addAll(keys);
+    return keys;
   }
 
-  /** A table of texts. */
+  /** Returns a table of strings. */
   Map<String, String> stringMap(String key) {
-    JsonNode n = child(key);
-    Map<String, String> out = new LinkedHashMap<>();
-    if (!n.isMissingNode() && !n.isObject()) {
-      source.addError(path(key), describe(n), "a table of texts");
-      return out;
+    JsonNode value = child(key);
+    Map<String, String> entries = new LinkedHashMap<>();
+    if (!value.isMissingNode() && !value.isObject()) {
+      source.addError(path(key), describe(value), "a table of texts");
+      return entries;
     }
-    for (Iterator<Map.Entry<String, JsonNode>> i = n.fields(); i.hasNext(); ) {
-      Map.Entry<String, JsonNode> e = i.next();
-      if (e.getValue().isTextual()) {
-        out.put(e.getKey(), e.getValue().asText());
+    for (Iterator<Map.Entry<String, JsonNode>> iterator = value.fields(); iterator.hasNext(); ) {
+      Map.Entry<String, JsonNode> entry = iterator.next();
+      if (entry.getValue().isTextual()) {
+        entries.put(entry.getKey(), entry.getValue().asText());
       } else {
-        source.addError(path(key) + "." + e.getKey(), describe(e.getValue()), "a text");
+        source.addError(path(key) + "." + entry.getKey(), describe(entry.getValue()), "a text");
       }
     }
-    return out;
+    return entries;
   }
 
-  /** Notes every key that was not asked for, with the nearest one that would have been. */
+  /**
+   * Adds an error for each key that no getter has read, with the most similar of the keys that
+   * were.
+   */
   void rejectUnknownKeys() {
-    for (Iterator<String> i = node.fieldNames(); i.hasNext(); ) {
-      String key = i.next();
+    for (Iterator<String> iterator = node.fieldNames(); iterator.hasNext(); ) {
+      String key = iterator.next();
       if (!requestedKeys.contains(key)) {
-        String near = nearestName(key, requestedKeys);
+        String suggestion = nearestName(key, requestedKeys);
         addError(
             key,
             "unknown key",
-            near == null ? "one of " + String.join(", ", requestedKeys) : "perhaps '" + near + "'");
+            suggestion == null
+                ? "one of " + String.join(", ", requestedKeys)
+                : "perhaps '" + suggestion + "'");
       }
     }
   }
 
   static String nearestName(String name, Collection<String> known) {
     String best = null;
-    int least = Math.max(2, name.length() / 2) + 1;
-    for (String k : known) {
-      int d = distance(name, k);
-      if (d < least) {
-        least = d;
-        best = k;
+    int bestDistance = Math.max(2, name.length() / 2) + 1;
+    for (String candidate : known) {
+      int distance = distance(name, candidate);
+      if (distance < bestDistance) {
+        bestDistance = distance;
+        best = candidate;
       }
     }
     return best;
   }
 
-  /** Insertions, deletions and exchanges between two words (Levenshtein). */
+  /** Returns the Levenshtein distance of two words: insertions, deletions and substitutions. */
   private static int distance(String a, String b) {
     int[] row = new int[b.length() + 1];
     for (int j = 0; j <= b.length(); j++) {
@@ -292,15 +306,17 @@
     return row[b.length()];
   }
 
-  static String describe(JsonNode n) {
-    if (n instanceof MissingNode) {
+  static String describe(JsonNode value) {
+    if (value instanceof MissingNode) {
       return "missing";
     }
-    String s = n.isTextual() ? "'" + n.asText() + "'" : n.toString();
-    return s.length() > 80 ? s.substring(0, 77) + "..." : s;
+    String text = value.isTextual() ? "'" + value.asText() + "'" : value.toString();
+    return text.length() > 80 ? text.substring(0, 77) + "..." : text;
   }
 
-  private static String describe(double d) {
-    return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
+  private static String describe(double number) {
+    return number == Math.rint(number) && Math.abs(number) < 1e15
+        ? Long.toString((long) number)
+        : Double.toString(number);
   }
 }
--- a/src/main/java/leadferry/daemon/TomlTree.java
+++ b/src/main/java/leadferry/daemon/TomlTree.java
@@ -15,7 +15,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** A TOML text as a tree, with the line in which each key and each element of an array stands. */
+/** Tree of a TOML text, with the line of each key and of each array element. */
 final class TomlTree {
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
@@ -27,58 +27,59 @@
   }
 
   /**
-   * Reads a text; {@code name} stands in faults.
+   * Parses a text; {@code name} is the file name in errors.
    *
-   * @throws FaultyFileException with every place at which it is no TOML
+   * @throws ConfigurationException with every syntax error
    */
   static TomlTree parse(String name, String text) throws ConfigurationException {
     TomlParseResult parsed = Toml.parse(text);
     if (parsed.hasErrors()) {
-      List<ConfigurationError> faults = new ArrayList<>();
+      List<ConfigurationError> errors = new ArrayList<>();
       for (TomlParseError e : parsed.errors()) {
-        faults.add(
+        errors.add(
             new ConfigurationError(name, e.position().line(), "", e.getMessage(), "TOML 1.0"));
       }
-      throw new ConfigurationException(faults);
+      throw new ConfigurationException(errors);
     }
     return new TomlTree(parsed);
   }
 
   /**
-   * The line of a key's path, as in {@code route[2].pool}, or of the nearest one above it, or 0.
+   * Returns the line of a key's path, as in {@code route[2].pool}, or that of its closest ancestor
+   * with a line, or 0.
    */
   int lineOf(String path) {
-    String p = path;
-    while (!p.isEmpty()) {
-      Integer l = lines.get(p);
-      if (l != null) {
-        return l;
+    String prefix = path;
+    while (!prefix.isEmpty()) {
+      Integer line = lines.get(prefix);
+      if (line != null) {
+        return line;
       }
-      int cut = Math.max(p.lastIndexOf('.'), p.lastIndexOf('['));
-      p = cut < 0 ? "" : p.substring(0, cut);
+      int cut = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
+      prefix = cut < 0 ? "" : prefix.substring(0, cut);
     }
     return 0;
   }
 
-  private ObjectNode table(TomlTable t, String path) {
-    ObjectNode out = NODES.objectNode();
-    for (String key : t.keySet()) {
-      List<String> here = List.of(key); // a path of one: keys may hold dots
-      String below = path.isEmpty() ? key : path + "." + key;
-      recordLine(below, t.inputPositionOf(here));
-      out.set(key, value(t.get(here), below));
+  private ObjectNode table(TomlTable source, String path) {
+    ObjectNode object = NODES.objectNode();
+    for (String key : source.keySet()) {
+      List<String> keyPath = List.of(key); // a path of one element, because keys may contain dots
+      String childPath = path.isEmpty() ? key : path + "." + key;
+      recordLine(childPath, source.inputPositionOf(keyPath));
+      object.set(key, value(source.get(keyPath), childPath));
     }
-    return out;
+    return object;
   }
 
-  private ArrayNode array(TomlArray a, String path) {
-    ArrayNode out = NODES.arrayNode(a.size());
-    for (int i = 0; i < a.size(); i++) {
-      String below = path + "[" + i + "]";
-      recordLine(below, a.inputPositionOf(i));
-      out.add(value(a.get(i), below));
+  private ArrayNode array(TomlArray source, String path) {
+    ArrayNode array = NODES.arrayNode(source.size());
+    for (int i = 0; i < source.size(); i++) {
+      String childPath = path + "[" + i + "]";
+      recordLine(childPath, source.inputPositionOf(i));
+      array.add(value(source.get(i), childPath));
     }
-    return out;
+    return array;
   }
 
   private void recordLine(String path, TomlPosition position) {
@@ -87,20 +88,20 @@
     }
   }
 
-  private JsonNode value(Object v, String path) {
-    if (v instanceof TomlTable t) {
-      return table(t, path);
-    } else if (v instanceof TomlArray a) {
-      return array(a, path);
-    } else if (v instanceof String s) {
-      return NODES.textNode(s);
-    } else if (v instanceof Long l) {
-      return NODES.numberNode(l);
-    } else if (v instanceof Double n) {
-      return NODES.numberNode(n);
-    } else if (v instanceof Boolean b) {
-      return NODES.booleanNode(b);
+  private JsonNode value(Object source, String path) {
+    if (source instanceof TomlTable table) {
+      return table(table, path);
+    } else if (source instanceof TomlArray array) {
+      return array(array, path);
+    } else if (source instanceof String text) {
+      return NODES.textNode(text);
+    } else if (source instanceof Long integer) {
+      return NODES.numberNode(integer);
+    } else if (source instanceof Double number) {
+      return NODES.numberNode(number);
+    } else if (source instanceof Boolean flag) {
+      return NODES.booleanNode(flag);
     }
-    return NODES.pojoNode(v); // a date or time: nothing here takes one
+    return NODES.pojoNode(source); // a date or time, which no key accepts
   }
 }
--- a/src/main/java/leadferry/daemon/Worker.java
+++ b/src/main/java/leadferry/daemon/Worker.java
@@ -22,13 +22,14 @@
 import leadferry.loadbalancer.EndpointListEvent;
 
 /**
- * One event loop and all that is its own: the module instance and the connections of each pool, the
- * clients of each listener, its part of the budgets. Everything here runs on that loop.
+ * Event loop with its state: the load balancer and the connections of each pool, the client
+ * connections of each listener, and an equal part of the process's budgets. All methods run on that
+ * loop.
  */
 final class Worker {
   private static final long SWEEP_MILLIS = 200;
 
-  /** A pool on this worker. */
+  /** Pool on this worker. */
   private static final class WorkerPool {
     final Dispatcher dispatcher;
     final UpstreamConnectionPool upstreams;
@@ -45,8 +46,9 @@
   }
 
   /**
-   * A listener that has gone from the file, and until when (ns) its backlog may still tell of
-   * clients.
+   * Server of a listener that was removed from the file.
+   *
+   * @param deadlineNanos time until which connections may still arrive from the listener's backlog
    */
   private record ClosingServer(String listener, HttpServer server, long deadlineNanos) {}
 
@@ -65,7 +67,7 @@
   private boolean draining;
   private boolean clientShedding;
 
-  /** A worker of so many; its part of the budgets is an equal one. */
+  /** Creates a worker, with its equal part of the process's socket and body budgets. */
   Worker(
       EventLoop loop,
       Transport transport,
@@ -87,132 +89,135 @@
     return loop;
   }
 
-  /** Puts a version in force; pools and listeners that it keeps go on as they are. */
-  void apply(ConfigurationSnapshot v) {
-    for (Iterator<Map.Entry<String, WorkerPool>> i = pools.entrySet().iterator(); i.hasNext(); ) {
-      Map.Entry<String, WorkerPool> e = i.next();
-      ConfigurationSnapshot.PoolSnapshot next = v.pools.get(e.getKey());
-      if (next == null || !next.config().canReuseDispatcherOf(e.getValue().snapshot.config())) {
-        i.remove();
-        retiredPools.add(e.getValue()); // what it has taken ends there
+  /** Applies a snapshot. Pools and listeners that it keeps continue unchanged. */
+  void apply(ConfigurationSnapshot snapshot) {
+    for (Iterator<Map.Entry<String, WorkerPool>> iterator = pools.entrySet().iterator();
+        iterator.hasNext(); ) {
+      Map.Entry<String, WorkerPool> entry = iterator.next();
+      ConfigurationSnapshot.PoolSnapshot next = snapshot.pools.get(entry.getKey());
+      if (next == null || !next.config().canReuseDispatcherOf(entry.getValue().snapshot.config())) {
+        iterator.remove();
+        retiredPools.add(entry.getValue()); // requests that it accepted finish there
       }
     }
-    for (ConfigurationSnapshot.PoolSnapshot p : v.pools.values()) {
-      WorkerPool kept = pools.get(p.config().name());
-      if (kept == null) {
-        pools.put(p.config().name(), startPool(p));
+    for (ConfigurationSnapshot.PoolSnapshot poolSnapshot : snapshot.pools.values()) {
+      WorkerPool existing = pools.get(poolSnapshot.config().name());
+      if (existing == null) {
+        pools.put(poolSnapshot.config().name(), startPool(poolSnapshot));
       } else {
-        if (!p.endpoints().members().equals(kept.snapshot.endpoints().members())) {
-          kept.dispatcher.onEndpointList(EndpointListEvent.FULL, p.endpoints());
+        if (!poolSnapshot.endpoints().members().equals(existing.snapshot.endpoints().members())) {
+          existing.dispatcher.onEndpointList(EndpointListEvent.FULL, poolSnapshot.endpoints());
         }
-        kept.snapshot = p;
-        kept.upstreams.updateBounds(p.bounds());
-        kept.dispatcher
-            .sweep(); // what a lower bound leaves no room for, and carries nothing, goes now
+        existing.snapshot = poolSnapshot;
+        existing.upstreams.updateBounds(poolSnapshot.bounds());
+        existing.dispatcher.sweep(); // closes idle connections above a lowered limit at once
       }
-      WorkerPool pool = pools.get(p.config().name());
-      pool.dispatcher.setRetryGate(() -> retryAllowed(v, p));
+      WorkerPool pool = pools.get(poolSnapshot.config().name());
+      pool.dispatcher.setRetryGate(() -> retryAllowed(snapshot, poolSnapshot));
     }
-    for (Iterator<Map.Entry<String, HttpServer>> i = servers.entrySet().iterator(); i.hasNext(); ) {
-      Map.Entry<String, HttpServer> e = i.next();
-      DaemonConfig.Listener l = v.config.listeners().get(e.getKey());
-      if (l == null || !serverSettings(l).equals(e.getValue().settings())) {
-        i.remove();
-        e.getValue().drain();
+    for (Iterator<Map.Entry<String, HttpServer>> iterator = servers.entrySet().iterator();
+        iterator.hasNext(); ) {
+      Map.Entry<String, HttpServer> entry = iterator.next();
+      DaemonConfig.Listener listener = snapshot.config.listeners().get(entry.getKey());
+      if (listener == null || !serverSettings(listener).equals(entry.getValue().settings())) {
+        iterator.remove();
+        entry.getValue().drain();
         closingServers.add(
             new ClosingServer(
-                e.getKey(),
-                e.getValue(),
+                entry.getKey(),
+                entry.getValue(),
                 System.nanoTime() + 2 * Daemon.ACCEPT_GRACE_MILLIS * 1_000_000L));
       }
     }
-    for (DaemonConfig.Listener l : v.config.listeners().values()) {
-      DaemonRequestFilter gate = new DaemonRequestFilter(this, v, l);
-      HttpServer front = servers.get(l.name());
-      if (front == null) {
-        HttpServer fresh =
+    for (DaemonConfig.Listener listener : snapshot.config.listeners().values()) {
+      DaemonRequestFilter filter = new DaemonRequestFilter(this, snapshot, listener);
+      HttpServer server = servers.get(listener.name());
+      if (server == null) {
+        HttpServer newServer =
             new HttpServer(
-                serverSettings(l),
-                gate,
+                serverSettings(listener),
+                filter,
                 transport,
                 socketBudget,
                 bodyBudget,
-                log.withField("listener", l.name()));
-        fresh.setClientShedding(clientShedding);
-        servers.put(l.name(), fresh);
+                log.withField("listener", listener.name()));
+        newServer.setClientShedding(clientShedding);
+        servers.put(listener.name(), newServer);
       } else {
-        front.setFilter(gate);
+        server.setFilter(filter);
       }
     }
   }
 
   private static boolean retryAllowed(
-      ConfigurationSnapshot v, ConfigurationSnapshot.PoolSnapshot p) {
-    if (!p.retryBudget().take()) {
+      ConfigurationSnapshot snapshot, ConfigurationSnapshot.PoolSnapshot poolSnapshot) {
+    if (!poolSnapshot.retryBudget().take()) {
       return false;
     }
-    if (!v.retryBudget.take()) {
-      p.retryBudget().refund();
+    if (!snapshot.retryBudget.take()) {
+      poolSnapshot.retryBudget().refund();
       return false;
     }
     return true;
   }
 
-  private static HttpServerSettings serverSettings(DaemonConfig.Listener l) {
+  private static HttpServerSettings serverSettings(DaemonConfig.Listener listener) {
     return new HttpServerSettings(
-        l.maxBodyBytes(),
+        listener.maxBodyBytes(),
         Long.MAX_VALUE,
-        l.receiveTimeoutMillis(),
+        listener.receiveTimeoutMillis(),
         0,
-        Math.min(2_000, l.idleMillis()),
-        l.idleMillis(),
-        l.maxOpenRequests(),
-        l.maxPipelinedRequests(),
+        Math.min(2_000, listener.idleMillis()),
+        listener.idleMillis(),
+        listener.maxOpenRequests(),
+        listener.maxPipelinedRequests(),
         false,
         true);
   }
 
-  private WorkerPool startPool(ConfigurationSnapshot.PoolSnapshot p) {
-    DaemonConfig.Pool c = p.config();
-    Log named = log.withField("pool", c.name());
+  private WorkerPool startPool(ConfigurationSnapshot.PoolSnapshot poolSnapshot) {
+    DaemonConfig.Pool config = poolSnapshot.config();
+    Log poolLog = log.withField("pool", config.name());
     UpstreamConnectionPool upstreams =
         new UpstreamConnectionPool(
             loop,
             transport,
-            new HttpProtocol(c.maxResponseBytes(), Long.MAX_VALUE, false, true, c.passErrors()),
-            p.bounds(),
+            new HttpProtocol(
+                config.maxResponseBytes(), Long.MAX_VALUE, false, true, config.passErrors()),
+            poolSnapshot.bounds(),
             socketBudget,
-            named);
-    Dispatcher d =
+            poolLog);
+    Dispatcher dispatcher =
         new Dispatcher(
-            c.name(),
+            config.name(),
             loop,
-            c.settings().withProxyIndex(c.settings().proxyIndex() + index),
+            config.settings().withProxyIndex(config.settings().proxyIndex() + index),
             nextSeed++,
             upstreams,
             bodyBudget,
-            named);
-    d.setOutcomeCounter(outcomeCounts);
-    d.start(p.endpoints(), () -> {});
-    return new WorkerPool(d, upstreams, p);
+            poolLog);
+    dispatcher.setOutcomeCounter(outcomeCounts);
+    dispatcher.start(poolSnapshot.endpoints(), () -> {});
+    return new WorkerPool(dispatcher, upstreams, poolSnapshot);
   }
 
-  /** The pool of that name, or null. */
+  /** Returns the dispatcher of a pool, or null if there is no such pool. */
   Dispatcher dispatcher(String name) {
-    WorkerPool p = pools.get(name);
-    return p == null ? null : p.dispatcher;
+    WorkerPool pool = pools.get(name);
+    return pool == null ? null : pool.dispatcher;
   }
 
-  /** A connection that the listener has accepted. */
-  void onAccepted(String listener, SocketChannel ch) {
-    HttpServer f = servers.get(listener);
-    for (int i = closingServers.size() - 1; f == null && i >= 0; i--) {
-      f = closingServers.get(i).listener().equals(listener) ? closingServers.get(i).server() : null;
+  /** Assigns an accepted connection to the listener's server. */
+  void onAccepted(String listener, SocketChannel client) {
+    HttpServer server = servers.get(listener);
+    for (int i = closingServers.size() - 1; server == null && i >= 0; i--) {
+      server =
+          closingServers.get(i).listener().equals(listener) ? closingServers.get(i).server() : null;
     }
-    if (f == null) {
-      ch.close();
+    if (server == null) {
+      client.close();
     } else {
-      f.onAccepted(ch);
+      server.onAccepted(client);
     }
   }
 
@@ -220,39 +225,42 @@
     return draining;
   }
 
-  /** Whether requests would be served. */
+  /** Returns whether new requests should be sent to this worker. */
   boolean isServing() {
     return !draining && !clientShedding;
   }
 
-  /** Sends clients away, or no longer; who comes all the same is served. */
-  void setClientShedding(boolean now) {
-    clientShedding = now;
+  /**
+   * Enables or disables the shedding of client connections. Requests that arrive nevertheless are
+   * served.
+   */
+  void setClientShedding(boolean enabled) {
+    clientShedding = enabled;
     if (!draining) {
-      servers.values().forEach(f -> f.setClientShedding(now));
+      servers.values().forEach(f -> f.setClientShedding(enabled));
     }
   }
 
-  /** Hosts on which requests are in flight. */
+  /** Returns the hosts on which requests are in flight. */
   Set<String> busyHosts() {
-    Set<String> out = new HashSet<>();
-    pools.values().forEach(p -> out.addAll(p.dispatcher.busyHosts()));
-    retiredPools.forEach(p -> out.addAll(p.dispatcher.busyHosts()));
-    return out;
+    Set<String> hosts = new HashSet<>();
+    pools.values().forEach(p -> hosts.addAll(p.dispatcher.busyHosts()));
+    retiredPools.forEach(p -> hosts.addAll(p.dispatcher.busyHosts()));
+    return hosts;
   }
 
   /**
-   * What has become of attempts and requests here since this process began, by class; on the
-   * worker's loop only.
+   * Counts the outcomes of attempts and requests of this worker by class, since the start of the
+   * process. Confined to the worker's loop.
    */
   private static final class OutcomeCounts implements leadferry.engine.OutcomeCounter {
     final Map<String, Map<String, long[]>> attemptsByHost = new HashMap<>();
     final Map<String, long[]> requests = new HashMap<>();
 
-    private static void add(Map<String, long[]> to, String className, boolean bad) {
-      long[] n = to.computeIfAbsent(className, k -> new long[2]);
-      n[0]++;
-      n[1] += bad ? 1 : 0;
+    private static void add(Map<String, long[]> countsByClass, String className, boolean bad) {
+      long[] totalAndBad = countsByClass.computeIfAbsent(className, k -> new long[2]);
+      totalAndBad[0]++;
+      totalAndBad[1] += bad ? 1 : 0;
     }
 
     @Override
@@ -267,41 +275,49 @@
   }
 
   /**
-   * Adds what was counted here to a member's report; hosts that are in no list any more are
-   * forgotten.
+   * Adds this worker's counts to a member's report and discards the counts of hosts that are in no
+   * pool any more.
    */
-  void addOutcomesTo(com.fasterxml.jackson.databind.node.ObjectNode to) {
-    Set<String> known = new HashSet<>();
-    pools.values().forEach(p -> p.snapshot.endpoints().members().forEach(m -> known.add(m.name())));
-    outcomeCounts.attemptsByHost.keySet().retainAll(known);
+  void addOutcomesTo(com.fasterxml.jackson.databind.node.ObjectNode report) {
+    Set<String> listedHosts = new HashSet<>();
+    pools
+        .values()
+        .forEach(p -> p.snapshot.endpoints().members().forEach(m -> listedHosts.add(m.name())));
+    outcomeCounts.attemptsByHost.keySet().retainAll(listedHosts);
     outcomeCounts.attemptsByHost.forEach(
-        (host, by) -> add(by, to.withObject("/hosts").withObjectProperty(host)));
-    add(outcomeCounts.requests, to.withObject("/own"));
+        (host, by) -> add(by, report.withObject("/hosts").withObjectProperty(host)));
+    add(outcomeCounts.requests, report.withObject("/own"));
   }
 
   private static void add(
-      Map<String, long[]> counts, com.fasterxml.jackson.databind.node.ObjectNode to) {
+      Map<String, long[]> counts, com.fasterxml.jackson.databind.node.ObjectNode report) {
     counts.forEach(
-        (className, n) -> {
-          com.fasterxml.jackson.databind.JsonNode had = to.path(className);
-          to.putArray(className).add(had.path(0).asLong() + n[0]).add(had.path(1).asLong() + n[1]);
+        (className, totalAndBad) -> {
+          com.fasterxml.jackson.databind.JsonNode previous = report.path(className);
+          report
+              .putArray(className)
+              .add(previous.path(0).asLong() + totalAndBad[0])
+              .add(previous.path(1).asLong() + totalAndBad[1]);
         });
   }
 
-  /** Hosts that a pool's module has ejected. */
+  /** Returns the hosts that a pool's load balancer has ejected. */
   Set<String> ejectedHosts() {
-    Set<String> out = new HashSet<>();
-    pools.values().forEach(p -> out.addAll(p.dispatcher.ejectedHosts()));
-    return out;
+    Set<String> hosts = new HashSet<>();
+    pools.values().forEach(p -> hosts.addAll(p.dispatcher.ejectedHosts()));
+    return hosts;
   }
 
-  /** Answers what was taken and asks clients to leave. */
+  /**
+   * Starts the drain: accepted requests get their responses, and clients are asked to close their
+   * connections.
+   */
   void drain() {
     draining = true;
     servers.values().forEach(HttpServer::drain);
   }
 
-  /** Whether anything that was taken has no answer yet. */
+  /** Returns whether an accepted request still has no response. */
   boolean hasPendingRequests() {
     return servers.values().stream().anyMatch(HttpServer::hasPendingRequests)
         || closingServers.stream().anyMatch(c -> c.server().hasPendingRequests());
@@ -309,28 +325,29 @@
 
   private void sweep() {
     try {
-      for (WorkerPool p : pools.values()) {
-        p.dispatcher.sweep();
+      for (WorkerPool pool : pools.values()) {
+        pool.dispatcher.sweep();
       }
-      for (Iterator<WorkerPool> i = retiredPools.iterator(); i.hasNext(); ) {
-        WorkerPool p = i.next();
-        p.dispatcher.sweep();
-        if (p.dispatcher.openRequests() == 0) {
-          p.dispatcher.closeIdle();
-          i.remove();
+      for (Iterator<WorkerPool> iterator = retiredPools.iterator(); iterator.hasNext(); ) {
+        WorkerPool pool = iterator.next();
+        pool.dispatcher.sweep();
+        if (pool.dispatcher.openRequests() == 0) {
+          pool.dispatcher.closeIdle();
+          iterator.remove();
         }
       }
-      for (HttpServer f : servers.values()) {
-        f.enforceTimeouts();
+      for (HttpServer server : servers.values()) {
+        server.enforceTimeouts();
       }
       long now = System.nanoTime();
-      for (ClosingServer c : closingServers) {
-        c.server().enforceTimeouts();
+      for (ClosingServer closing : closingServers) {
+        closing.server().enforceTimeouts();
       }
-      closingServers.removeIf(c -> c.server().hasNoClients() && now > c.deadlineNanos());
+      closingServers.removeIf(
+          closing -> closing.server().hasNoClients() && now > closing.deadlineNanos());
     } catch (RuntimeException e) {
-      // Guards against a periodic task that ends for ever with its first exception.
-      log.failure("upkeep failed", e);
+      // Guards against the executor, which ends a periodic task for good after its first exception.
+      log.failure("periodic sweep failed", e);
     }
   }
 }
--- a/src/main/java/leadferry/daemon/package-info.java
+++ b/src/main/java/leadferry/daemon/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The program as teams run it by themselves: the operator's file, listeners, workers, reload. Begin
- * with {@link leadferry.daemon.Daemon}; {@code OperatorFile} judges the file, {@code
- * ConfigurationSnapshot} is one file in force, {@code Worker} is one event loop with all that is
- * its own, {@code DaemonRequestFilter} takes a request from its head to its pool. Nothing here
- * picks a server: that is the decision module's.
+ * Standalone daemon: the operator's file, listeners, workers, reload and drain.
+ *
+ * <p>{@link leadferry.daemon.Daemon} is the entry point. {@code OperatorFile} reads and validates
+ * the file, {@code ConfigurationSnapshot} is one version of it, {@code Worker} is one event loop
+ * with its state, and {@code DaemonRequestFilter} selects the pool for a request. The load balancer
+ * in its own package selects the server.
  */
 package leadferry.daemon;
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -231,7 +231,7 @@
       awaitLine(err, "ready");
       Files.writeString(file, text.replace("pool = \"a\"", "pool = \"b\""));
       signal(daemon, "HUP");
-      awaitLine(err, "not taken");
+      awaitLine(err, "reload rejected");
       Files.writeString(file, text.replace("\"r\"", "\"s\""));
       signal(daemon, "HUP");
       awaitLine(err, "version 2 in force");
--- a/src/test/java/leadferry/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -68,7 +68,7 @@
     long told = records().stream().filter(r -> r.path("event").asText().equals("request")).count();
     long leftOut =
         records().stream()
-            .filter(r -> r.path("event").asText().equals("left out"))
+            .filter(r -> r.path("event").asText().equals("records dropped"))
             .mapToLong(r -> r.path("count").asLong())
             .sum();
     assertThat(told).isGreaterThanOrEqualTo(50);
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -104,7 +104,7 @@
     assertThat(fixture.daemon.version()).isEqualTo(1 + taken);
     assertThat(never.lastArrival()).isZero();
     assertThat(fixture.executionLog.repeated()).isEmpty();
-    assertThat(fixture.log()).contains("not taken: ");
+    assertThat(fixture.log()).contains("reload rejected: ");
   }
 
   @Test
