--- a/src/main/java/leadferry/daemon/ConfigurationException.java
+++ b/src/main/java/leadferry/daemon/ConfigurationException.java
@@ -9,9 +9,9 @@
 
   private final transient List<ConfigurationError> errors;
 
-  ConfigurationException(List<ConfigurationError> faults) {
-    super(faults.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
-    this.errors = List.copyOf(faults);
+  ConfigurationException(List<ConfigurationError> errors) {
+    super(errors.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
+    this.errors = List.copyOf(errors);
   }
 
   public List<ConfigurationError> errors() {
--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -28,10 +28,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections to hosts under the operator's bounds. */
+/**
+ * Checks connections to upstream hosts against the operator's limits. Guards against more
+ * connections than configured, and against requests that are sent after their deadline or after
+ * their client has left.
+ */
 class ConnectionsTest {
   private static final String CLAIMS = route("claims", "/", "class = \"claim\"\npool = \"a\"");
-  private static final String PATIENT = "[class.claim]\naim_ms = 20000\ndeadline_ms = 20000\n";
+  private static final String LONG_DEADLINE =
+      "[class.claim]\naim_ms = 20000\ndeadline_ms = 20000\n";
 
   @TempDir Path folder;
   private DaemonFixture fixture;
@@ -46,106 +51,119 @@
     fixture.close();
   }
 
-  /** Clients that each send so many requests one after the other; all must be served. */
-  private void crowd(int clients, int each, String prefix) throws Exception {
+  /**
+   * Sends requests from concurrent clients, each of them one after another, and checks that all
+   * succeed.
+   */
+  private void sendFromManyClients(int clients, int requestsPerClient, String prefix)
+      throws Exception {
     AtomicInteger served = new AtomicInteger();
-    Set<String> wrong = ConcurrentHashMap.newKeySet();
+    Set<String> failures = ConcurrentHashMap.newKeySet();
     List<Thread> threads = new ArrayList<>();
-    for (int c = 0; c < clients; c++) {
-      int n = c;
-      Thread t =
+    for (int client = 0; client < clients; client++) {
+      int clientIndex = client;
+      Thread thread =
           new Thread(
               () -> {
-                try (Socket s = fixture.client()) {
-                  for (int i = 0; i < each; i++) {
-                    String id = prefix + n + "-" + i;
-                    ProxyFixture.write(s, request("POST", "/claim", id));
-                    String answer = ProxyFixture.read(s.getInputStream());
-                    if (answer != null
-                        && answer.startsWith("HTTP/1.1 200")
-                        && answer.contains("\r\n\r\n" + id)) {
+                try (Socket socket = fixture.client()) {
+                  for (int i = 0; i < requestsPerClient; i++) {
+                    String id = prefix + clientIndex + "-" + i;
+                    ProxyFixture.write(socket, request("POST", "/claim", id));
+                    String response = ProxyFixture.read(socket.getInputStream());
+                    if (response != null
+                        && response.startsWith("HTTP/1.1 200")
+                        && response.contains("\r\n\r\n" + id)) {
                       served.incrementAndGet();
                     } else {
-                      wrong.add(id + ": " + answer);
+                      failures.add(id + ": " + response);
                     }
                   }
                 } catch (Exception e) {
-                  wrong.add(n + ": " + e);
+                  failures.add(clientIndex + ": " + e);
                 }
               });
-      t.start();
-      threads.add(t);
+      thread.start();
+      threads.add(thread);
     }
-    for (Thread t : threads) {
-      t.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
-    assertThat(wrong).isEmpty();
-    assertThat(served).hasValue(clients * each);
+    assertThat(failures).isEmpty();
+    assertThat(served).hasValue(clients * requestsPerClient);
     assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"1, 1", "4, 1", "4, 3"})
-  void aCrowdBeforeASlowHostNeverHoldsMoreThanItsBound(int workers, int most) throws Exception {
+  void clientsOfASlowUpstreamNeverExceedItsConnectionLimit(int workers, int maxConnections)
+      throws Exception {
     FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(2, 1));
     fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
-        PATIENT,
-        pool("a", "max_connections = " + most, slow),
+        LONG_DEADLINE,
+        pool("a", "max_connections = " + maxConnections, slow),
         CLAIMS);
-    crowd(64, 4, "c");
-    assertThat(slow.mostConnections()).isLessThanOrEqualTo(most);
+    sendFromManyClients(64, 4, "c");
+    assertThat(slow.mostConnections()).isLessThanOrEqualTo(maxConnections);
   }
 
   @Test
-  void aBoundThatIsLoweredUnderLoadHoldsAsSoonAsAnswersHaveGone() throws Exception {
+  void aLimitLoweredUnderLoadHoldsOnceOpenResponsesEnd() throws Exception {
     FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(5, 8));
     fixture.start(
-        "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 8", slow), CLAIMS);
-    Thread load = new Thread(() -> quietly(() -> crowd(32, 40, "d")));
+        "[daemon]\nworkers = 2",
+        LISTENER,
+        LONG_DEADLINE,
+        pool("a", "max_connections = 8", slow),
+        CLAIMS);
+    Thread load = new Thread(() -> recordFailureOf(() -> sendFromManyClients(32, 40, "d")));
     load.start();
     ProxyFixture.await(() -> slow.connections() == 8);
     fixture.write(
-        "[daemon]\nworkers = 2", LISTENER, PATIENT, pool("a", "max_connections = 2", slow), CLAIMS);
+        "[daemon]\nworkers = 2",
+        LISTENER,
+        LONG_DEADLINE,
+        pool("a", "max_connections = 2", slow),
+        CLAIMS);
     assertThat(fixture.daemon.reload()).isTrue();
     ProxyFixture.await(() -> slow.connections() <= 2);
     for (int i = 0; load.isAlive(); i++) {
-      assertThat(slow.connections()).isLessThanOrEqualTo(3); // one of them may be closing
+      assertThat(slow.connections()).isLessThanOrEqualTo(3); // one connection may be closing
       Thread.sleep(5);
     }
-    assertThat(failure.get()).isFalse();
+    assertThat(loadFailed.get()).isFalse();
     assertThat(slow.mostConnections()).isLessThanOrEqualTo(8);
     assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
-  private final AtomicBoolean failure = new AtomicBoolean();
+  private final AtomicBoolean loadFailed = new AtomicBoolean();
 
-  private interface Doing {
-    void now() throws Exception;
+  private interface Action {
+    void run() throws Exception;
   }
 
-  private void quietly(Doing what) {
+  private void recordFailureOf(Action action) {
     try {
-      what.now();
+      action.run();
     } catch (Exception | AssertionError e) {
-      failure.set(true);
+      loadFailed.set(true);
     }
   }
 
   @Test
-  void whereNothingMayWaitARequestGoesToAnotherHostOrIsRefusedUnsent() throws Exception {
+  void withoutAQueueARequestGoesToAnotherUpstreamOrIsRejectedUnsent() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     FakeUpstream b = fixture.startUpstream("b");
     a.misbehave(Fault.SILENT, 1);
     b.misbehave(Fault.SILENT, 1);
     fixture.start(
         LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
-    List<Socket> out = new ArrayList<>();
+    List<Socket> openClients = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      Socket s = fixture.client();
-      ProxyFixture.write(s, request("POST", "/claim", "in" + i));
-      out.add(s);
+      Socket socket = fixture.client();
+      ProxyFixture.write(socket, request("POST", "/claim", "in" + i));
+      openClients.add(socket);
       int n = i + 1;
       ProxyFixture.await(() -> fixture.executionLog.executions() == n);
     }
@@ -153,51 +171,51 @@
         .isNotEqualTo(fixture.executionLog.of("in1").get(0).host());
     assertThat(fixture.status(request("POST", "/claim", "past"))).isEqualTo(503);
     assertThat(fixture.executionLog.of("past")).isEmpty();
-    for (Socket s : out) {
-      s.close();
+    for (Socket socket : openClients) {
+      socket.close();
     }
   }
 
   @Test
-  void whatWaitsForAConnectionWhenItsTimeIsUpIsRefusedAndNeverRan() throws Exception {
+  void aRequestThatTimesOutWaitingForAConnectionIsRejectedUnsent() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
     fixture.start(
         LISTENER,
-        PATIENT,
+        LONG_DEADLINE,
         "[class.short]\naim_ms = 300\ndeadline_ms = 300",
         pool("a", "max_connections = 1", a),
         CLAIMS,
         route("short", "/short", "class = \"short\"\npool = \"a\""));
-    try (Socket s = fixture.client()) {
-      ProxyFixture.write(s, request("POST", "/claim", "out"));
+    try (Socket socket = fixture.client()) {
+      ProxyFixture.write(socket, request("POST", "/claim", "out"));
       ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
       assertThat(fixture.status(request("POST", "/short", "waits"))).isEqualTo(503);
     }
     assertThat(fixture.executionLog.of("waits")).isEmpty();
     a.misbehave(Fault.NONE, 0);
-    ProxyFixture.await(() -> quietly200("after"));
+    ProxyFixture.await(() -> isServed("after"));
   }
 
   /**
-   * What a client has sent ahead stops the reading of it, so that its end is not read: the socket
-   * is asked.
+   * Pipelined bytes suspend reading from the client, so its end of stream is not read. The daemon
+   * queries the socket instead.
    */
   @Test
-  void whatWaitsForAClientThatSentMoreAheadAndLeftIsNotSent() throws Exception {
+  void aWaitingRequestIsNotSentAfterItsPipeliningClientLeft() throws Exception {
     Assumptions.assumeTrue(
         NativeTransport.EPOLL.unavailabilityCause() == null,
-        "the JDK's sockets can't be asked without losing a byte");
+        "the JDK's sockets can't be queried for an end of stream without losing a byte");
     FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
     fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"epoll\"",
         LISTENER,
-        PATIENT,
+        LONG_DEADLINE,
         pool("a", "max_connections = 1", a),
         CLAIMS);
-    try (Socket s = fixture.client()) {
-      ProxyFixture.write(s, request("POST", "/claim", "out"));
+    try (Socket socket = fixture.client()) {
+      ProxyFixture.write(socket, request("POST", "/claim", "out"));
       ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
       for (boolean reset : new boolean[] {false, true}) {
         try (Socket leaver = fixture.client()) {
@@ -205,19 +223,21 @@
               leaver,
               request("POST", "/claim", "waits" + reset)
                   + request("POST", "/claim", "ahead" + reset));
-          Thread.sleep(100); // both have been read: a reset would take from the kernel what has not
+          // Waits until both requests have been read: a reset would discard bytes in the kernel's
+          // buffer.
+          Thread.sleep(100);
           leaver.setSoLinger(reset, 0);
         }
       }
       a.misbehave(Fault.NONE, 0);
     }
-    ProxyFixture.await(() -> quietly200("after"));
+    ProxyFixture.await(() -> isServed("after"));
     assertThat(fixture.executionLog.of("waitsfalse")).isEmpty();
     assertThat(fixture.executionLog.of("waitstrue")).isEmpty();
     assertThat(fixture.executionLog.of("aheadfalse")).isEmpty();
   }
 
-  private boolean quietly200(String id) {
+  private boolean isServed(String id) {
     try {
       return fixture.status(request("POST", "/claim", id + System.nanoTime())) == 200;
     } catch (Exception e) {
@@ -226,19 +246,19 @@
   }
 
   @Test
-  void aHostThatLeavesGivesItsWaitingRequestsToAnother() throws Exception {
+  void waitingRequestsOfARemovedUpstreamGoToAnother() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    fixture.start(LISTENER, PATIENT, pool("a", "max_connections = 1", a), CLAIMS);
-    try (Socket s = fixture.client();
+    fixture.start(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", a), CLAIMS);
+    try (Socket socket = fixture.client();
         Socket waits = fixture.client()) {
-      ProxyFixture.write(s, request("POST", "/claim", "out"));
+      ProxyFixture.write(socket, request("POST", "/claim", "out"));
       ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
       ProxyFixture.write(waits, request("POST", "/claim", "waits"));
       FakeUpstream b = fixture.startUpstream("b");
-      fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", a, b), CLAIMS);
+      fixture.write(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", a, b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      fixture.write(LISTENER, PATIENT, pool("a", "max_connections = 1", b), CLAIMS);
+      fixture.write(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(ProxyFixture.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
       assertThat(fixture.executionLog.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
@@ -247,8 +267,8 @@
 
   @Test
   void aConnectionIsClosedAfterItsNumberOfRequests() throws Exception {
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host = world.new Host(h -> ProxyFixture.ok("x"));
+    try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
+      ProxyFixture.Host host = proxyFixture.new Host(h -> ProxyFixture.ok("x"));
       fixture.start(
           LISTENER,
           CLASSES,
@@ -264,33 +284,33 @@
   }
 
   @Test
-  void onlyAHostThatWasSeenToSendSurplusRests() throws Exception {
-    AtomicBoolean spoils = new AtomicBoolean();
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+  void onlyConnectionsToAnUpstreamThatSentSurplusBytesRest() throws Exception {
+    AtomicBoolean sendsSurplus = new AtomicBoolean();
+    try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host =
-          world.new Host(h -> ProxyFixture.ok("x") + (spoils.get() ? "noise" : ""));
+          proxyFixture.new Host(h -> ProxyFixture.ok("x") + (sendsSurplus.get() ? "noise" : ""));
       fixture.start(
           LISTENER,
           CLASSES,
           "[pool.a]\n[[pool.a.member]]\nid=\"h\"\naddress=\"" + host.address() + "\"",
           CLAIMS);
-      try (Socket s = fixture.client()) {
-        ask(s, "calm", 50);
+      try (Socket socket = fixture.client()) {
+        sendRequests(socket, "calm", 50);
         assertThat(host.reusedAtOnce()).isPositive();
-        spoils.set(true);
-        ask(s, "spoilt", 1);
-        spoils.set(false);
+        sendsSurplus.set(true);
+        sendRequests(socket, "spoilt", 1);
+        sendsSurplus.set(false);
         int before = host.reusedAtOnce();
-        ask(s, "after", 50);
+        sendRequests(socket, "after", 50);
         assertThat(host.reusedAtOnce()).isEqualTo(before);
       }
     }
   }
 
-  private static void ask(Socket s, String prefix, int times) throws Exception {
+  private static void sendRequests(Socket socket, String prefix, int times) throws Exception {
     for (int i = 0; i < times; i++) {
-      ProxyFixture.write(s, request("POST", "/claim", prefix + i));
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      ProxyFixture.write(socket, request("POST", "/claim", prefix + i));
+      assertThat(ProxyFixture.read(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .endsWith("\r\n\r\nx");
     }
@@ -298,22 +318,25 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"auto", "nio", "epoll", "io-uring"})
-  void everyTransportServesOrGivesWayToTheJdk(String transport) throws Exception {
+  void everyTransportServesOrFallsBackToNio(String transport) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(
         "[daemon]\nworkers = 2\ntransport = \"" + transport + "\"",
         LISTENER,
-        PATIENT,
+        LONG_DEADLINE,
         pool("a", "max_connections = 4", a),
         CLAIMS);
-    crowd(8, 20, transport);
+    sendFromManyClients(8, 20, transport);
     assertThat(a.mostConnections()).isLessThanOrEqualTo(4);
   }
 
-  /** Its time counts from its last byte, not from when its connection was let in. */
+  /**
+   * A request's deadline counts from its last byte, not from the time at which its connection was
+   * accepted.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"nio", "epoll", "io-uring"})
-  void aRequestOnAConnectionThatIsOlderThanItsTimeHasAllOfIt(String transport) throws Exception {
+  void aRequestHasItsFullDeadlineOnAnOlderConnection(String transport) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"" + transport + "\"",
@@ -321,11 +344,11 @@
         "[class.claim]\naim_ms = 900\ndeadline_ms = 900\n",
         pool("a", "", a),
         CLAIMS);
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       for (int i = 0; i < 2; i++) {
         Thread.sleep(1_000);
-        ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
+        assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
       }
     }
   }
--- a/src/test/java/leadferry/daemon/DaemonFixture.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -16,7 +16,10 @@
 import leadferry.testbed.FakeUpstream;
 import leadferry.testbed.LoadGenerator;
 
-/** A daemon between stand-ins and clients on loopback, with a file that tests write. */
+/**
+ * Daemon between fake upstream hosts and test clients on loopback, configured by a file that the
+ * test writes.
+ */
 final class DaemonFixture implements AutoCloseable {
   final ExecutionLog executionLog = new ExecutionLog(1_000_000);
   final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
@@ -34,42 +37,51 @@
   }
 
   FakeUpstream startUpstream(FakeUpstream.Options options) {
-    FakeUpstream h = new FakeUpstream(options, executionLog);
-    upstreams.add(h);
-    return h;
+    FakeUpstream upstream = new FakeUpstream(options, executionLog);
+    upstreams.add(upstream);
+    return upstream;
   }
 
-  /** A host that answers to the byte what it is told to. */
-  RawUpstream startRawUpstream(RawUpstream.ConnectionHandler serving) throws IOException {
-    RawUpstream h = new RawUpstream(serving);
-    rawUpstreams.add(h);
-    return h;
+  /** Starts an upstream host that behaves exactly as the handler specifies. */
+  RawUpstream startRawUpstream(RawUpstream.ConnectionHandler handler) throws IOException {
+    RawUpstream upstream = new RawUpstream(handler);
+    rawUpstreams.add(upstream);
+    return upstream;
   }
 
-  /** Requests that came to such hosts. */
+  /** Returns the number of requests that all raw upstream hosts have received. */
   int rawRequestCount() {
     return rawUpstreams.stream().mapToInt(h -> h.heads.size()).sum();
   }
 
-  /** A pool with these members; {@code more} are further lines of its table. */
-  static String pool(String name, String more, FakeUpstream... members) {
-    StringBuilder s = new StringBuilder("[pool." + name + "]\n" + more + "\n");
-    for (FakeUpstream h : members) {
-      s.append("[[pool.")
+  /**
+   * Returns the configuration of a pool with these members; {@code more} are further lines of its
+   * table.
+   */
+  static String pool(String name, String furtherLines, FakeUpstream... members) {
+    StringBuilder toml = new StringBuilder("[pool." + name + "]\n" + furtherLines + "\n");
+    for (FakeUpstream upstream : members) {
+      toml.append("[[pool.")
           .append(name)
           .append(".member]]\nid = \"")
-          .append(h.name())
+          .append(upstream.name())
           .append("\"\naddress = \"")
-          .append(h.place())
+          .append(upstream.place())
           .append("\"\npod = \"")
-          .append(h.pod())
+          .append(upstream.pod())
           .append("\"\n");
     }
-    return s.toString();
+    return toml.toString();
   }
 
-  static String route(String name, String prefix, String more) {
-    return "[[route]]\nname = \"" + name + "\"\nprefix = \"" + prefix + "\"\n" + more + "\n";
+  static String route(String name, String prefix, String furtherLines) {
+    return "[[route]]\nname = \""
+        + name
+        + "\"\nprefix = \""
+        + prefix
+        + "\"\n"
+        + furtherLines
+        + "\n";
   }
 
   static final String LISTENER = "[listener.main]\naddress = \"127.0.0.1:0\"\n";
@@ -110,13 +122,13 @@
   }
 
   static Socket client(InetSocketAddress to) throws IOException {
-    Socket s = new Socket();
-    s.connect(to, ProxyFixture.PATIENCE_MS);
-    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-    return s;
+    Socket socket = new Socket();
+    socket.connect(to, ProxyFixture.PATIENCE_MS);
+    socket.setSoTimeout(ProxyFixture.PATIENCE_MS);
+    return socket;
   }
 
-  /** A request without a body, with these further header lines. */
+  /** Returns a request without a body, with further header lines. */
   static String request(String method, String path, String id, String... lines) {
     return method
         + " "
@@ -129,21 +141,27 @@
         + "\r\n";
   }
 
-  /** The whole answer on a connection of its own, or null where that ended without one. */
+  /**
+   * Sends a request on a new connection and returns the whole response, or null if the connection
+   * ends without one.
+   */
   String exchange(String request) throws IOException {
-    try (Socket s = client()) {
-      ProxyFixture.write(s, request);
-      return ProxyFixture.read(s.getInputStream());
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, request);
+      return ProxyFixture.read(socket.getInputStream());
     }
   }
 
-  /** The status of the answer, or 0 for none. */
+  /**
+   * Sends a request on a new connection and returns the status of the response, or 0 if there is
+   * none.
+   */
   int status(String request) throws IOException {
     return statusOf(exchange(request));
   }
 
-  static int statusOf(String answer) {
-    return answer == null ? 0 : Integer.parseInt(answer.split(" ")[1]);
+  static int statusOf(String response) {
+    return response == null ? 0 : Integer.parseInt(response.split(" ")[1]);
   }
 
   LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.Kind> kinds) {
--- a/src/test/java/leadferry/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -17,38 +17,42 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Records by field: what they tell, that they are bounded, and that nobody waits for them. */
+/**
+ * Checks the content, the rate limits and the non-blocking writes of the daemon's log. Guards
+ * against forged lines, a log that grows with the number of requests, and workers blocked by a
+ * stalled reader.
+ */
 class DaemonLogTest {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
   private List<JsonNode> records() throws Exception {
-    List<JsonNode> all = new ArrayList<>();
+    List<JsonNode> records = new ArrayList<>();
     for (String line : out.toString(StandardCharsets.UTF_8).split("\n")) {
-      all.add(new ObjectMapper().readTree(line));
+      records.add(new ObjectMapper().readTree(line));
     }
-    return all;
+    return records;
   }
 
   @Test
-  void aRecordOfJsonHasItsFieldsByNameWhateverTheyHold() throws Exception {
-    String odd = "a\"b\n\u0001\u2028" + "x".repeat(1_000);
+  void aJsonRecordHasItsFieldsByNameWithAnyValue() throws Exception {
+    String oddValue = "a\"b\n\u0001\u2028" + "x".repeat(1_000);
     try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, out, 50)) {
       log.withField("listener", "main")
-          .detail("request", "outcome", "refused", "ms", 12L, "route", odd, "server", null);
+          .detail("request", "outcome", "refused", "ms", 12L, "route", oddValue, "server", null);
       log.failure("it broke", new IllegalStateException("why"));
     }
-    JsonNode r = records().get(0);
-    assertThat(r.path("event").asText()).isEqualTo("request");
-    assertThat(r.path("listener").asText()).isEqualTo("main");
-    assertThat(r.path("ms").isIntegralNumber()).isTrue();
-    assertThat(r.path("route").asText()).startsWith("a\"b\n").hasSizeLessThan(400);
-    assertThat(r.has("server")).isFalse();
-    assertThat(java.time.Instant.parse(r.path("time").asText())).isNotNull();
+    JsonNode record = records().get(0);
+    assertThat(record.path("event").asText()).isEqualTo("request");
+    assertThat(record.path("listener").asText()).isEqualTo("main");
+    assertThat(record.path("ms").isIntegralNumber()).isTrue();
+    assertThat(record.path("route").asText()).startsWith("a\"b\n").hasSizeLessThan(400);
+    assertThat(record.has("server")).isFalse();
+    assertThat(java.time.Instant.parse(record.path("time").asText())).isNotNull();
     assertThat(records().get(1).path("stack").asText()).contains("IllegalStateException: why");
   }
 
   @Test
-  void aRecordOfTextIsOneLineWhateverItsFieldsHold() throws Exception {
+  void aTextRecordIsOneLineWithAnyValue() throws Exception {
     try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.TEXT, out, 50)) {
       log.event("ready", "server", "a\r\n2026 forged \"line\"\u0085");
     }
@@ -58,42 +62,46 @@
   }
 
   @Test
-  void aStormOfRequestsIsCountedAndHidesNoChangeOfState() throws Exception {
+  void aBurstOfRequestRecordsIsCountedAndHidesNoStateChange() throws Exception {
     try (DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, out, 50)) {
       for (int i = 0; i < 20_000; i++) {
         log.detail("request", "n", i);
       }
       log.event("host a ejected");
     }
-    long told = records().stream().filter(r -> r.path("event").asText().equals("request")).count();
-    long leftOut =
+    long logged =
         records().stream()
-            .filter(r -> r.path("event").asText().equals("records dropped"))
-            .mapToLong(r -> r.path("count").asLong())
+            .filter(record -> record.path("event").asText().equals("request"))
+            .count();
+    long dropped =
+        records().stream()
+            .filter(record -> record.path("event").asText().equals("records dropped"))
+            .mapToLong(record -> record.path("count").asLong())
             .sum();
-    assertThat(told).isGreaterThanOrEqualTo(50);
-    assertThat(told + leftOut).isEqualTo(20_000);
-    assertThat(records()).anyMatch(r -> r.path("event").asText().equals("host a ejected"));
+    assertThat(logged).isGreaterThanOrEqualTo(50);
+    assertThat(logged + dropped).isEqualTo(20_000);
+    assertThat(records())
+        .anyMatch(record -> record.path("event").asText().equals("host a ejected"));
   }
 
   @Test
-  void aBudgetOfASecondIsKeptByAllThreadsTogether() throws Exception {
+  void theBudgetOfASecondIsSharedByAllThreads() throws Exception {
     RecordBudget budget = new RecordBudget(1_000);
     int[] admitted = new int[4];
     Thread[] threads = new Thread[4];
-    for (int t = 0; t < 4; t++) {
-      int at = t;
-      threads[t] =
+    for (int i = 0; i < 4; i++) {
+      int index = i;
+      threads[i] =
           new Thread(
               () -> {
-                for (int i = 0; i < 10_000; i++) {
-                  admitted[at] += budget.tryAcquire(7) ? 1 : 0;
+                for (int call = 0; call < 10_000; call++) {
+                  admitted[index] += budget.tryAcquire(7) ? 1 : 0;
                 }
               });
-      threads[t].start();
+      threads[i].start();
     }
-    for (Thread t : threads) {
-      t.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     assertThat(admitted[0] + admitted[1] + admitted[2] + admitted[3]).isEqualTo(1_000);
     assertThat(budget.takeDropped()).isEqualTo(39_000);
@@ -101,9 +109,9 @@
   }
 
   @Test
-  void whoReadsNoMoreHoldsNobodyUp() throws Exception {
+  void aStalledReaderBlocksNoWorker() throws Exception {
     CountDownLatch readsAgain = new CountDownLatch(1);
-    OutputStream stuck =
+    OutputStream stalledStream =
         new OutputStream() {
           @Override
           public void write(int b) {
@@ -120,7 +128,7 @@
             out.write(b, from, n);
           }
         };
-    DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, stuck, 1_000_000);
+    DaemonLog log = new DaemonLog(new LoggerContext(), LogFormat.JSON, stalledStream, 1_000_000);
     Thread loop =
         new Thread(
             () -> {
@@ -130,17 +138,20 @@
             });
     loop.start();
     loop.join(30_000);
-    boolean free = !loop.isAlive();
+    boolean finished = !loop.isAlive();
     readsAgain.countDown();
     loop.join();
     log.close();
-    assertThat(free).as("the loop was not held up").isTrue();
-    long told = records().stream().filter(r -> r.path("event").asText().equals("request")).count();
-    assertThat(told).isBetween(1L, 5_000L);
+    assertThat(finished).as("the worker thread finished while the reader was stalled").isTrue();
+    long logged =
+        records().stream()
+            .filter(record -> record.path("event").asText().equals("request"))
+            .count();
+    assertThat(logged).isBetween(1L, 5_000L);
   }
 
   @Test
-  void whatIsNotServedIsToldWithItsRouteClassPoolServerAndAttempt(@TempDir Path folder)
+  void aFailedRequestIsLoggedWithRouteClassPoolServerAndAttempt(@TempDir Path folder)
       throws Exception {
     try (DaemonFixture fixture = new DaemonFixture(folder)) {
       FakeUpstream a = fixture.startUpstream("a");
@@ -159,10 +170,10 @@
       assertThat(fixture.status(request("GET", "/three", "3"))).isEqualTo(404);
       assertThat(fixture.status(request("GET", "/two", "4"))).isIn(502, 503, 504);
       assertThat(fixture.status(request("GET", "/_health", "5"))).isEqualTo(200);
-      List<String> told =
+      List<String> logged =
           fixture.log().lines().filter(l -> l.startsWith("leadferry: request")).toList();
-      assertThat(told).hasSize(3);
-      assertThat(told.get(0))
+      assertThat(logged).hasSize(3);
+      assertThat(logged.get(0))
           .contains(
               " listener=main ",
               "outcome=limited",
@@ -170,10 +181,11 @@
               "route=one",
               "class=list",
               "limit=tight");
-      assertThat(told.get(1))
+      assertThat(logged.get(1))
           .contains("outcome=turned-away", "status=404")
           .doesNotContain("route=");
-      assertThat(told.get(2)).contains("route=two", "pool=q", "server=broken", "attempt=1", "ms=");
+      assertThat(logged.get(2))
+          .contains("route=two", "pool=q", "server=broken", "attempt=1", "ms=");
       assertThat(fixture.log().lines())
           .anyMatch(
               l -> l.startsWith("leadferry: attempt pool=q outcome=reset server=broken attempt=1"));
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -33,7 +33,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The daemon between clients and hosts that misbehave, and under files that change. */
+/**
+ * Runs a daemon between clients and upstream hosts that fail, and reloads its file meanwhile.
+ * Guards against lost or repeated requests, leaks, and requests that reach a pool they should not.
+ */
 class DaemonTest {
   private static final String CLAIMS = route("claims", "/", "class = \"claim\"\npool = \"a\"");
   private static final LoadGenerator.Kind CLAIM =
@@ -55,11 +58,11 @@
   // --- reload
 
   @Test
-  void aReloadEvery50MsHalfOfThemBadLosesNothingAndPutsNoBadFileInForce() throws Exception {
+  void reloadsEvery50MsLoseNoRequestAndNeverApplyAnInvalidFile() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     FakeUpstream b = fixture.startUpstream("b");
     FakeUpstream never = fixture.startUpstream("never");
-    String[] good = {
+    String[] validFiles = {
       String.join("\n", LISTENER, CLASSES, pool("a", "", a), CLAIMS),
       String.join(
           "\n",
@@ -77,22 +80,25 @@
           route("claims", "/", "class = \"claim\"\npool = \"b\"\nfallback = [\"a\"]")),
     };
     String badPool = pool("a", "", never);
-    String[] bad = {
+    String[] invalidFiles = {
       String.join(
           "\n", LISTENER, CLASSES, badPool, CLAIMS, "[[limit]]\nname = \"l\"\nby = \"moon\""),
       String.join("\n", LISTENER, CLASSES, badPool, CLAIMS, CLAIMS.replace("claims", "again")),
       String.join("\n", LISTENER, CLASSES, badPool, CLAIMS).substring(0, 150),
       String.join("\n", LISTENER.replace(":0", ":1"), CLASSES, badPool, CLAIMS, "x = 1"),
     };
-    fixture.start(good[0]);
-    int taken = 0;
+    fixture.start(validFiles[0]);
+    int applied = 0;
     try (LoadGenerator load = fixture.loadGenerator(300, 20, List.of(CLAIM)).start()) {
       for (int i = 0; i < 400; i++) {
-        boolean isBad = i % 2 == 1;
-        fixture.write(isBad ? bad[i / 2 % bad.length] : good[i / 2 % good.length]);
-        boolean inForce = fixture.daemon.reload();
-        assertThat(inForce).isNotEqualTo(isBad);
-        taken += inForce ? 1 : 0;
+        boolean isInvalid = i % 2 == 1;
+        fixture.write(
+            isInvalid
+                ? invalidFiles[i / 2 % invalidFiles.length]
+                : validFiles[i / 2 % validFiles.length]);
+        boolean reloaded = fixture.daemon.reload();
+        assertThat(reloaded).isNotEqualTo(isInvalid);
+        applied += reloaded ? 1 : 0;
         Thread.sleep(50);
       }
       load.await();
@@ -101,18 +107,18 @@
       assertThat(load.count(Outcome.FAILED)).isZero();
       assertThat(load.count(Outcome.SERVED)).isGreaterThan(load.sent() * 95 / 100);
     }
-    assertThat(fixture.daemon.version()).isEqualTo(1 + taken);
+    assertThat(fixture.daemon.version()).isEqualTo(1 + applied);
     assertThat(never.lastArrival()).isZero();
     assertThat(fixture.executionLog.repeated()).isEmpty();
     assertThat(fixture.log()).contains("reload rejected: ");
   }
 
   @Test
-  void aRequestEndsUnderTheVersionThatTookIt() throws Exception {
+  void aRequestEndsUnderTheSnapshotThatAcceptedIt() throws Exception {
     FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(400, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
-    try (Socket s = fixture.client()) {
-      ProxyFixture.write(s, request("POST", "/claim", "out"));
+    try (Socket socket = fixture.client()) {
+      ProxyFixture.write(socket, request("POST", "/claim", "out"));
       ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
       FakeUpstream other = fixture.startUpstream("other");
       fixture.write(
@@ -122,21 +128,24 @@
           route("else", "/else", "class = \"claim\"\npool = \"b\""));
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(fixture.status(request("POST", "/claim", "late"))).isEqualTo(404);
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").contains("out");
+      assertThat(ProxyFixture.read(socket.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .contains("out");
     }
-    ProxyFixture.await(() -> slow.connections() == 0); // the pool that went has let go
+    // The removed pool has closed its connections.
+    ProxyFixture.await(() -> slow.connections() == 0);
     assertThat(fixture.executionLog.of("out")).hasSize(1);
     assertThat(fixture.executionLog.of("late")).isEmpty();
   }
 
   @Test
-  void whatStaysOverAReloadKeepsItsConnections() throws Exception {
+  void unchangedPoolsAndListenersKeepTheirConnectionsOverAReload() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       for (int i = 0; i < 5; i++) {
-        ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+        ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
+        assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
         fixture.write(
             LISTENER,
             CLASSES,
@@ -144,14 +153,14 @@
             CLAIMS,
             route("more" + i, "/more" + i, "class = \"claim\"\npool = \"a\""));
         assertThat(fixture.daemon.reload()).isTrue();
-        Thread.sleep(20); // longer than a connection rests after an answer
+        Thread.sleep(20); // longer than a connection rests after a response
       }
       assertThat(a.mostConnections()).isEqualTo(1);
     }
   }
 
   @Test
-  void aListenerWhosePortIsTakenIsAFaultAndChangesNothing() throws Exception {
+  void aListenerWhosePortIsInUseFailsTheReloadAndChangesNothing() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     try (ServerSocket other = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       String taken = "[listener.second]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\"\n";
@@ -173,25 +182,25 @@
   }
 
   @Test
-  void aListenerThatGoesAnswersWhatItHasTakenAndAskedClientsLeave() throws Exception {
+  void aRemovedListenerRespondsToAcceptedRequestsAndClosesItsConnections() throws Exception {
     FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(300, 2));
     String second = "[listener.second]\naddress = \"127.0.0.1:0\"\n";
     fixture.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
-    try (Socket s = DaemonFixture.client(fixture.daemon.address("second"))) {
-      ProxyFixture.write(s, request("POST", "/claim", "out"));
+    try (Socket socket = DaemonFixture.client(fixture.daemon.address("second"))) {
+      ProxyFixture.write(socket, request("POST", "/claim", "out"));
       ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
       fixture.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.read(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .containsIgnoringCase("connection: close");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
     assertThat(fixture.daemon.address("second")).isNull();
   }
 
   @Test
-  void anEmptiedPoolRefusesAndAFilledOneServesAgain() throws Exception {
+  void anEmptiedPoolRejectsRequestsAndARefilledOneServesAgain() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     fixture.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
@@ -204,14 +213,14 @@
   }
 
   @Test
-  void aDrainDuringReloadsAnswersAllThatWasTaken() throws Exception {
+  void aDrainDuringReloadsRespondsToAllAcceptedRequests() throws Exception {
     FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(150, 50));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Socket s = fixture.client();
-      ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-      clients.add(s);
+      Socket socket = fixture.client();
+      ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
+      clients.add(socket);
     }
     ProxyFixture.await(() -> fixture.executionLog.executions() == 20);
     Thread reloads =
@@ -224,28 +233,28 @@
     reloads.start();
     fixture.daemon.drain();
     reloads.join();
-    for (Socket s : clients) {
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
-      s.close();
+    for (Socket socket : clients) {
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      socket.close();
     }
     fixture.daemon.awaitTermination();
-    assertThat(fixture.daemon.reload()).isFalse(); // nothing comes back to life
+    assertThat(fixture.daemon.reload()).isFalse(); // a reload does not restart a drained daemon
     assertThat(fixture.executionLog.repeated()).isEmpty();
   }
 
   // --- limits
 
   @Test
-  void aLimitThatIsLoweredCountsWhatIsInFlight() throws Exception {
+  void aLoweredLimitCountsRequestsInFlight() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
     silent.misbehave(Fault.SILENT, 1);
     String limit = "[[limit]]\nname = \"l\"\nconcurrency = ";
     fixture.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      Socket s = fixture.client();
-      ProxyFixture.write(s, request("POST", "/claim", "r" + i));
-      clients.add(s);
+      Socket socket = fixture.client();
+      ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
+      clients.add(socket);
     }
     ProxyFixture.await(() -> fixture.executionLog.executions() == 5);
     fixture.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
@@ -258,14 +267,14 @@
     }
     silent.misbehave(Fault.NONE, 0);
     ProxyFixture.await(
-        () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
-    for (Socket s : clients) {
-      s.close();
+        () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
+    for (Socket socket : clients) {
+      socket.close();
     }
   }
 
   @Test
-  void aHotTenantLeavesRoomForQuietOnes() throws Exception {
+  void aBusyTenantLeavesRoomForOthers() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
     silent.misbehave(Fault.SILENT, 1);
     fixture.start(
@@ -277,30 +286,30 @@
         "[[limit]]\nname = \"tenant\"\nby = \"tenant\"\nwithin = \"all\"\nconcurrency = 1000");
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Socket s = fixture.client();
-      clients.add(s);
-      ProxyFixture.write(s, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
+      Socket socket = fixture.client();
+      clients.add(socket);
+      ProxyFixture.write(socket, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
     }
     ProxyFixture.await(() -> fixture.executionLog.executions() >= 16);
-    List<String> quiet = new ArrayList<>();
+    List<String> otherIds = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      Socket s = fixture.client();
-      clients.add(s);
+      Socket socket = fixture.client();
+      clients.add(socket);
       String id = "quiet" + i;
-      ProxyFixture.write(s, request("POST", "/claim", id, "X-Tenant-Id: quiet" + i));
-      quiet.add(id);
+      ProxyFixture.write(socket, request("POST", "/claim", id, "X-Tenant-Id: quiet" + i));
+      otherIds.add(id);
     }
     ProxyFixture.await(
-        () -> quiet.stream().allMatch(id -> fixture.executionLog.of(id).size() == 1));
+        () -> otherIds.stream().allMatch(id -> fixture.executionLog.of(id).size() == 1));
     assertThat(fixture.executionLog.executions()).isLessThanOrEqualTo(20);
-    for (Socket s : clients) {
-      s.close();
+    for (Socket socket : clients) {
+      socket.close();
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 4})
-  void clientsThatGoMidRequestLeaveNothingBehindOnAnyWorker(int workers) throws Exception {
+  void clientsThatDisconnectMidRequestLeakNothingOnAnyWorker(int workers) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
     fixture.start(
@@ -313,61 +322,66 @@
     for (int round = 0; round < 4; round++) {
       List<Socket> clients = new ArrayList<>();
       for (int i = 0; i < 16; i++) {
-        Socket s = fixture.client();
-        clients.add(s);
+        Socket socket = fixture.client();
+        clients.add(socket);
         String whole = request("POST", "/claim", "g" + round + "-" + i);
-        // Half of them go while their request still comes, after the limit has counted it.
+        // Half of the clients disconnect while their request is incomplete, after the limit has
+        // counted it.
         ProxyFixture.write(
-            s, i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
+            socket,
+            i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
       }
       int expected = 8 * (round + 1);
       ProxyFixture.await(() -> fixture.executionLog.executions() == expected);
-      for (Socket s : clients) {
-        s.close();
+      for (Socket socket : clients) {
+        socket.close();
       }
-      ProxyFixture.await(() -> a.connections() == 0); // their attempts were given up
+      ProxyFixture.await(() -> a.connections() == 0); // their attempts were cancelled
     }
     a.misbehave(Fault.NONE, 0);
     for (int i = 0; i < 16; i++) {
       int n = i;
       ProxyFixture.await(
-          () -> quietly(() -> fixture.status(request("POST", "/claim", "after" + n))) == 200);
+          () ->
+              statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "after" + n)))
+                  == 200);
     }
   }
 
   @Test
-  void aCrowdPastTheBoundIsClosedAndLeavesThoseInsideAlone() throws Exception {
+  void connectionsBeyondTheLimitAreClosedAndOthersAreUnaffected() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     a.misbehave(Fault.SILENT, 1);
-    // 64 descriptors are 12 for clients: 40 are kept back, the rest is halved. One is for the
-    // newcomer.
+    // Of 64 descriptors, 40 are reserved and half of the rest, 12, is for clients. One of these is
+    // for the connection that is rejected.
     fixture.start("[daemon]\ndescriptors = 64", LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    List<Socket> inside = new ArrayList<>();
+    List<Socket> openClients = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
-      Socket s = fixture.client();
-      ProxyFixture.write(s, request("POST", "/claim", "in" + i));
-      inside.add(s);
+      Socket socket = fixture.client();
+      ProxyFixture.write(socket, request("POST", "/claim", "in" + i));
+      openClients.add(socket);
     }
     ProxyFixture.await(() -> fixture.executionLog.executions() == 11);
-    ProxyFixture.await(() -> quietly(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
+    ProxyFixture.await(
+        () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
     assertThat(fixture.executionLog.of("past")).isEmpty();
-    for (Socket s : inside) {
-      assertThat(ProxyFixture.read(s.getInputStream()))
-          .startsWith("HTTP/1.1 50"); // their one answer
-      s.close();
+    for (Socket socket : openClients) {
+      assertThat(ProxyFixture.read(socket.getInputStream()))
+          .startsWith("HTTP/1.1 50"); // their only response
+      socket.close();
     }
     a.misbehave(Fault.NONE, 0);
     ProxyFixture.await(
-        () -> quietly(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
+        () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
   }
 
-  private interface Asked {
+  private interface StatusCall {
     int status() throws Exception;
   }
 
-  private static int quietly(Asked asked) {
+  private static int statusOrMinusOne(StatusCall call) {
     try {
-      return asked.status();
+      return call.status();
     } catch (Exception e) {
       return -1;
     }
@@ -400,7 +414,7 @@
     "*",
     "/public/%0d%0aX:1"
   })
-  void aPathOfTwoReadingsReachesNoHost(String path) throws Exception {
+  void anAmbiguousPathReachesNoUpstream(String path) throws Exception {
     FakeUpstream open = fixture.startUpstream("open");
     FakeUpstream admin = fixture.startUpstream("admin");
     fixture.start(
@@ -417,7 +431,7 @@
   }
 
   @Test
-  void anEncodedLetterCannotPassItsRoute() throws Exception {
+  void anEncodedLetterDoesNotBypassItsRoute() throws Exception {
     FakeUpstream open = fixture.startUpstream("open");
     FakeUpstream admin = fixture.startUpstream("admin");
     fixture.start(
@@ -432,14 +446,14 @@
   }
 
   @Test
-  void whereTheListenerResolvesPathsTheHostIsSentWhatWasMatched() throws Exception {
+  void aListenerThatResolvesPathsForwardsTheMatchedPath() throws Exception {
     List<String> seen = new java.util.concurrent.CopyOnWriteArrayList<>();
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+    try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host =
-          world
+          proxyFixture
           .new Host(
-              h -> {
-                seen.add(h.split(" ")[1]);
+              upstream -> {
+                seen.add(upstream.split(" ")[1]);
                 return ProxyFixture.ok("x");
               });
       fixture.start(
@@ -456,12 +470,12 @@
   @Test
   void aRouteRewritesItsPrefixAndHeaders() throws Exception {
     List<String> heads = new java.util.concurrent.CopyOnWriteArrayList<>();
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+    try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host =
-          world
+          proxyFixture
           .new Host(
-              h -> {
-                heads.add(h);
+              upstream -> {
+                heads.add(upstream);
                 return ProxyFixture.ok("x");
               });
       fixture.start(
@@ -485,7 +499,7 @@
   }
 
   @Test
-  void aSplitKeepsAKeyOnOneSide() throws Exception {
+  void aSplitSendsEachKeyToOnePool() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     FakeUpstream b = fixture.startUpstream("b");
     fixture.start(
@@ -510,12 +524,12 @@
 
   @ParameterizedTest
   @CsvSource({
-    "claim, TURN_AWAY, 200, 1", // known not to have run: the next pool serves it
-    "claim, RESET_AFTER, 502, 0", // it has run: no other pool may see it
-    "claim, FAIL_FAST, 500, 0", // it may have run: the server's own error is the answer
+    "claim, TURN_AWAY, 200, 1", // known not to have run, so the next pool serves it
+    "claim, RESET_AFTER, 502, 0", // it has run, so no other pool may receive it
+    "claim, FAIL_FAST, 500, 0", // it may have run, so the server's error is the response
     "list, RESET_AFTER, 200, 1", // safe to repeat
   })
-  void aFallbackTakesOnlyWhatIsKnownNotToHaveRunOrIsSafe(
+  void aFallbackPoolServesOnlyUnprocessedOrIdempotentRequests(
       String type, Fault fault, int status, int runsAtNext) throws Exception {
     FakeUpstream first = fixture.startUpstream("first");
     FakeUpstream next = fixture.startUpstream("next");
@@ -545,32 +559,37 @@
     fixture.status(request("POST", "/x", "r", "Idempotency-Key: k"));
     assertThat(fixture.executionLog.of("r")).isNotEmpty().allMatch(e -> e.host().equals("first"));
     assertThat(fixture.status(request("POST", "/x", "s")))
-        .isEqualTo(400); // no key tells its repeats
+        .isEqualTo(400); // without a key, retries can't be recognised
     assertThat(fixture.executionLog.of("s")).isEmpty();
   }
 
   @Test
-  void aRetryBudgetOnlySaysNo() throws Exception {
-    FakeUpstream[] hosts = {
+  void aRetryBudgetOnlyPreventsRetries() throws Exception {
+    FakeUpstream[] upstreams = {
       fixture.startUpstream("a"), fixture.startUpstream("b"), fixture.startUpstream("c")
     };
-    for (FakeUpstream h : hosts) {
-      h.misbehave(Fault.TURN_AWAY, 1);
+    for (FakeUpstream upstream : upstreams) {
+      upstream.misbehave(Fault.TURN_AWAY, 1);
     }
     String route = route("r", "/", "class = \"list\"\npool = \"a\"");
-    fixture.start(LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", hosts), route);
+    fixture.start(
+        LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", upstreams), route);
     assertThat(fixture.status(request("GET", "/x", "r"))).isEqualTo(503);
-    long asked = java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > 0).count();
-    assertThat(asked).isEqualTo(1);
+    long contacted =
+        java.util.Arrays.stream(upstreams).filter(upstream -> upstream.lastArrival() > 0).count();
+    assertThat(contacted).isEqualTo(1);
     fixture.daemon.close();
     long before = System.nanoTime();
-    fixture.start(LISTENER, CLASSES, pool("a", "", hosts), route);
+    fixture.start(LISTENER, CLASSES, pool("a", "", upstreams), route);
     assertThat(fixture.status(request("GET", "/x", "s"))).isEqualTo(503);
-    assertThat(java.util.Arrays.stream(hosts).filter(h -> h.lastArrival() > before).count())
+    assertThat(
+            java.util.Arrays.stream(upstreams)
+                .filter(upstream -> upstream.lastArrival() > before)
+                .count())
         .isGreaterThan(1);
   }
 
-  // --- input that is bad or odd
+  // --- invalid or unusual input
 
   @ParameterizedTest
   @ValueSource(
@@ -587,7 +606,7 @@
         "GET / HTTP/1.1\r\nHost: a\r\nX-Timeout-Ms: 0\r\n\r\n",
         "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
       })
-  void whatCannotBeARequestGetsAnErrorAndReachesNoHost(String bytes) throws Exception {
+  void anInvalidRequestGetsAnErrorAndReachesNoUpstream(String bytes) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.status(bytes)).isBetween(400, 505);
@@ -596,7 +615,7 @@
   }
 
   @Test
-  void aBodyOverTheBoundIsTurnedAwayHoweverItIsFramed() throws Exception {
+  void aBodyAboveTheLimitIsRejectedWithAnyFraming() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER + "max_body_bytes = 100", CLASSES, pool("a", "", a), CLAIMS);
     String sized = request("POST", "/c", "r").replace("Content-Length: 0", "Content-Length: 101");
@@ -611,11 +630,11 @@
   }
 
   @Test
-  void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate() throws Exception {
+  void aRequestIsNotSentWhoseClientLeftWhileTheLoopWasBlocked() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.status(request("POST", "/c", "warm"))).isEqualTo(200);
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     fixture
         .daemon
@@ -624,29 +643,30 @@
         .next()
         .submit(
             () -> {
-              held.countDown();
+              blocked.countDown();
               return release.await(30, java.util.concurrent.TimeUnit.SECONDS);
             });
-    held.await();
-    try (Socket stays = fixture.client()) {
-      try (Socket gone = fixture.client()) {
-        ProxyFixture.write(gone, request("POST", "/c", "gone"));
+    blocked.await();
+    try (Socket connected = fixture.client()) {
+      try (Socket disconnected = fixture.client()) {
+        ProxyFixture.write(disconnected, request("POST", "/c", "gone"));
       }
-      ProxyFixture.write(stays, request("POST", "/c", "stays"));
+      ProxyFixture.write(connected, request("POST", "/c", "stays"));
       release.countDown();
-      assertThat(ProxyFixture.read(stays.getInputStream())).contains("stays");
+      assertThat(ProxyFixture.read(connected.getInputStream())).contains("stays");
     }
     assertThat(a.served()).isEqualTo(2);
   }
 
   @Test
-  void theLogOfBadInputIsBounded() throws Exception {
+  void theLogRateOfInvalidRequestsIsBounded() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     for (int i = 0; i < 300; i++) {
       assertThat(fixture.status("GET /../x HTTP/1.1\r\nHost: a\r\n\r\n")).isEqualTo(400);
     }
-    long seconds = 3; // ample: the loop above takes less, and the log counts whole seconds
+    // Generous: the loop above takes less time, and the log counts whole seconds.
+    long seconds = 3;
     assertThat(fixture.log().lines().filter(l -> l.contains("outcome=turned-away")).count())
         .isLessThanOrEqualTo(50 * (seconds + 1));
   }
@@ -655,35 +675,35 @@
   void aHeadRequestGetsTheLengthWithoutTheBody() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       for (int i = 0; i < 2; i++) {
-        ProxyFixture.write(s, request("HEAD", "/x", "h" + i));
-        String head = head(s);
+        ProxyFixture.write(socket, request("HEAD", "/x", "h" + i));
+        String head = head(socket);
         assertThat(head).startsWith("HTTP/1.1 200").containsIgnoringCase("content-length: 64");
       }
-      ProxyFixture.write(s, request("GET", "/x", "g"));
-      assertThat(ProxyFixture.read(s.getInputStream())).contains("\r\n\r\ng ");
+      ProxyFixture.write(socket, request("GET", "/x", "g"));
+      assertThat(ProxyFixture.read(socket.getInputStream())).contains("\r\n\r\ng ");
     }
   }
 
-  private static String head(Socket s) throws Exception {
-    StringBuilder b = new StringBuilder();
-    while (b.indexOf("\r\n\r\n") < 0) {
-      b.append((char) s.getInputStream().read());
+  private static String head(Socket socket) throws Exception {
+    StringBuilder head = new StringBuilder();
+    while (head.indexOf("\r\n\r\n") < 0) {
+      head.append((char) socket.getInputStream().read());
     }
-    return b.toString();
+    return head.toString();
   }
 
   @Test
-  void answersBelow500ArePassedOnAsTheyAre() throws Exception {
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
+  void responsesBelow500ArePassedOnUnchanged() throws Exception {
+    try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
       ProxyFixture.Host host =
-          world
+          proxyFixture
           .new Host(
-              h ->
-                  h.contains("/none")
+              upstream ->
+                  upstream.contains("/none")
                       ? "HTTP/1.1 204 No Content\r\n\r\n"
-                      : h.contains("/moved")
+                      : upstream.contains("/moved")
                           ? "HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n"
                           : "HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\ntaken");
       fixture.start(
--- a/src/test/java/leadferry/daemon/FuzzedDaemon.java
+++ b/src/test/java/leadferry/daemon/FuzzedDaemon.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A daemon before one host that keeps, byte for byte, each request that it is sent. */
+/** Daemon with one upstream host that records each request it receives, byte for byte. */
 public final class FuzzedDaemon {
   private final List<byte[]> received = new CopyOnWriteArrayList<>();
   private final RawUpstream host;
@@ -24,39 +24,39 @@
   }
 
   /**
-   * One request a connection: what comes up to the host's own end of it is kept, and nothing
-   * behind.
+   * Serves one request per connection and records its bytes up to its end as the upstream host
+   * reads it. Reads nothing after the response.
    */
   private void serve(java.io.InputStream in, java.io.OutputStream out) throws Exception {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    ByteArrayOutputStream request = new ByteArrayOutputStream();
     String head = RawUpstream.readUntil(in, "\r\n\r\n");
     if (head == null) {
       return;
     }
-    all.write(head.getBytes(StandardCharsets.ISO_8859_1));
+    request.write(head.getBytes(StandardCharsets.ISO_8859_1));
     String lower = head.toLowerCase(java.util.Locale.ROOT);
     int length = lower.indexOf("\r\ncontent-length: ");
     if (lower.contains("\r\ntransfer-encoding:")) {
       String line;
       do {
         line = RawUpstream.readUntil(in, "\r\n");
-        all.write(line.getBytes(StandardCharsets.ISO_8859_1));
-        all.write(in.readNBytes(Integer.parseInt(line.trim(), 16)));
+        request.write(line.getBytes(StandardCharsets.ISO_8859_1));
+        request.write(in.readNBytes(Integer.parseInt(line.trim(), 16)));
         if (!line.equals("0\r\n")) {
-          all.write(in.readNBytes(2));
+          request.write(in.readNBytes(2));
         }
       } while (!line.equals("0\r\n"));
       do {
         line = RawUpstream.readUntil(in, "\r\n");
-        all.write(line.getBytes(StandardCharsets.ISO_8859_1));
+        request.write(line.getBytes(StandardCharsets.ISO_8859_1));
       } while (!line.equals("\r\n"));
     } else if (length >= 0) {
-      all.write(
+      request.write(
           in.readNBytes(
               Integer.parseInt(head.substring(length + 18, head.indexOf('\r', length + 2)))));
     }
     if (!head.startsWith("GET /fence ")) {
-      received.add(all.toByteArray());
+      received.add(request.toByteArray());
     }
     RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     in.read();
@@ -66,16 +66,16 @@
     return fixture.client();
   }
 
-  /** Waits until nothing that was sent before can reach the host any more. */
+  /** Waits until no byte of an earlier request can still reach the upstream host. */
   public void awaitIdle() throws Exception {
     if (fixture.status(DaemonFixture.request("GET", "/fence", "f")) != 200) {
-      throw new AssertionError("the daemon serves no more");
+      throw new AssertionError("the daemon does not serve any more (expected: status 200)");
     }
     leadferry.proxy.ProxyFixture.await(
         () -> host.closedConnections.get() == host.acceptedConnections.get());
   }
 
-  /** All requests since the last {@link #clearReceived}, in the order in which they came. */
+  /** Returns the requests received since {@link #clearReceived}, in order of arrival. */
   public List<byte[]> received() {
     return received;
   }
--- a/src/test/java/leadferry/daemon/HeadersTest.java
+++ b/src/test/java/leadferry/daemon/HeadersTest.java
@@ -20,9 +20,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What was judged is what is sent, whatever a caller writes. */
+/**
+ * Checks that the upstream host receives each inspected header with the value that was inspected.
+ * Guards against request smuggling and against rules bypassed by repeated, removed or malformed
+ * headers.
+ */
 class HeadersTest {
-  /** Every header that the program goes by here, with a value that a caller may give it. */
+  /** Each header that the daemon inspects in this configuration, with a client's value. */
   private static final Map<String, String> INSPECTED =
       Map.of(
           "Host", "api.test",
@@ -39,14 +43,14 @@
   @TempDir Path folder;
   private final List<String> heads = new CopyOnWriteArrayList<>();
   private DaemonFixture fixture;
-  private ProxyFixture world;
+  private ProxyFixture proxyFixture;
 
   @BeforeEach
   void open() throws Exception {
     fixture = new DaemonFixture(folder);
-    world = new ProxyFixture(folder, 128);
+    proxyFixture = new ProxyFixture(folder, 128);
     ProxyFixture.Host host =
-        world
+        proxyFixture
         .new Host(
             h -> {
               heads.add(h);
@@ -64,22 +68,24 @@
   @AfterEach
   void close() throws Exception {
     fixture.close();
-    world.close();
+    proxyFixture.close();
   }
 
-  private static String judged(String more) {
-    StringBuilder s = new StringBuilder("POST /x HTTP/1.1\r\n");
-    INSPECTED.forEach((k, v) -> s.append(k).append(": ").append(v).append("\r\n"));
-    return s + more + "\r\n";
+  private static String requestWithInspectedHeaders(String furtherLines) {
+    StringBuilder request = new StringBuilder("POST /x HTTP/1.1\r\n");
+    INSPECTED.forEach((k, v) -> request.append(k).append(": ").append(v).append("\r\n"));
+    return request + furtherLines + "\r\n";
   }
 
   @Test
-  void everyHeaderThatIsJudgedReachesTheHostAsItWasJudged() throws Exception {
+  void everyInspectedHeaderReachesTheUpstreamUnchanged() throws Exception {
     try (Socket client = fixture.client()) {
-      ProxyFixture.write(client, judged("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
+      ProxyFixture.write(
+          client,
+          requestWithInspectedHeaders("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
       assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 100");
-      // A client that leaves behind the interim response is gone: its request need not be
-      // forwarded.
+      // The test reads both responses: a client that leaves after the interim response has
+      // disconnected, and its request need not be forwarded.
       assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(heads).hasSize(1);
@@ -88,7 +94,8 @@
         (k, v) -> {
           String line = "\r\n" + k.toLowerCase(Locale.ROOT) + ": ";
           switch (k) {
-            case "Expect" -> assertThat(head).doesNotContain(line); // answered here
+            case "Expect" ->
+                assertThat(head).doesNotContain(line); // the daemon responds to it itself
             case "X-Timeout-Ms" -> assertThat(head).containsPattern(line + "[1-9][0-9]{0,2}\r");
             default -> assertThat(head).containsOnlyOnce(line + v + "\r");
           }
@@ -123,14 +130,15 @@
         "\"Host\"",
         "a1,a2,a3,a4,a5,a6,a7,a8,a9,a10,a11,a12,a13,a14,a15,a16,a17,a18,a19,a20,Idempotency-Key"
       })
-  void noConnectionOptionTakesAwayWhatWasJudged(String options) throws Exception {
-    assertThat(fixture.status(judged("Connection: " + options + "\r\n"))).isEqualTo(400);
+  void connectionOptionsCannotRemoveInspectedHeaders(String options) throws Exception {
+    assertThat(fixture.status(requestWithInspectedHeaders("Connection: " + options + "\r\n")))
+        .isEqualTo(400);
     assertThat(heads).isEmpty();
     assertThat(fixture.log()).contains("outcome=turned-away status=400");
   }
 
   @Test
-  void eachOfFortyOptionsIsTakenOffByItself() throws Exception {
+  void eachOfFortyConnectionOptionsIsRemoved() throws Exception {
     StringBuilder options = new StringBuilder("Connection: close");
     StringBuilder lines = new StringBuilder();
     for (int i = 0; i < 40; i++) {
@@ -152,8 +160,10 @@
         "X-Timeout-Ms: 5",
         "Idempotency-Key: l"
       })
-  void whatIsJudgedOnceMayNotStandTwice(String line) throws Exception {
-    assertThat(fixture.status(judged(line + "\r\n").replace("Expect: 100-continue\r\n", "")))
+  void anInspectedHeaderMustNotBeRepeated(String line) throws Exception {
+    assertThat(
+            fixture.status(
+                requestWithInspectedHeaders(line + "\r\n").replace("Expect: 100-continue\r\n", "")))
         .isEqualTo(400);
     assertThat(heads).isEmpty();
   }
@@ -184,28 +194,28 @@
         "\r\n\r\nGET / HTTP/1.1",
         "\nGET / HTTP/1.1"
       })
-  void aHeadThatIsNotOfTheGrammarReachesNoHost(String head) throws Exception {
+  void aHeadOutsideTheGrammarReachesNoUpstream(String head) throws Exception {
     assertThat(fixture.status(head + "\r\nHost: a\r\n\r\n")).isEqualTo(400);
     assertThat(heads).isEmpty();
   }
 
   @Test
-  void oneEmptyLineMayStandAheadAndAnySplitOfBytesReadsTheSame() throws Exception {
+  void aLeadingEmptyLineAndSingleByteWritesAreAccepted() throws Exception {
     byte[] bytes =
         ("\r\n" + request("GET", "/x", "r")).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-    try (java.net.Socket s = fixture.client()) {
-      s.setTcpNoDelay(true);
+    try (java.net.Socket socket = fixture.client()) {
+      socket.setTcpNoDelay(true);
       for (byte b : bytes) {
-        s.getOutputStream().write(b);
+        socket.getOutputStream().write(b);
       }
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
-      ProxyFixture.write(s, request("GET", "/x", "again"));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      ProxyFixture.write(socket, request("GET", "/x", "again"));
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
     }
   }
 
   @Test
-  void anExpectationThatNobodyKnowsIsNotTaken() throws Exception {
+  void anUnknownExpectationIsRejected() throws Exception {
     assertThat(fixture.status(request("GET", "/x", "r", "Expect: the-moon"))).isEqualTo(417);
     assertThat(
             fixture.status(
--- a/src/test/java/leadferry/daemon/OperatorFileTest.java
+++ b/src/test/java/leadferry/daemon/OperatorFileTest.java
@@ -13,10 +13,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Checks that an operator's file is read with its defaults, and that one reading reports every
+ * error with its line and key. Guards against errors that hide others, and against a parser that
+ * fails on corrupt files.
+ */
 class OperatorFileTest {
   private static final Path SHIPPED = Path.of("deploy", "leadferry.toml");
 
-  private static final String SMALL =
+  private static final String MINIMAL =
       """
       [listener.main]
       address = "127.0.0.1:8080"
@@ -30,48 +35,48 @@
       pool = "a"
       """;
 
-  private static List<ConfigurationError> faults(String text) {
+  private static List<ConfigurationError> errorsOf(String text) {
     ConfigurationException e =
         catchThrowableOfType(ConfigurationException.class, () -> OperatorFile.parse("f", text));
     return e == null ? List.of() : e.errors();
   }
 
   @Test
-  void aFleetTakesAllThatItNeedsOrTellsEveryFault() throws Exception {
-    String sound =
+  void theFleetSectionIsReadOrReportsEveryError() throws Exception {
+    String valid =
         "[fleet]\nfleet = \"f\"\nname = \"p1\"\nlease_ms = 1000\n[fleet.keepers]\nk1 = \"127.0.0.1:9\"\n";
-    DaemonConfig.Fleet f = OperatorFile.parse("f", SMALL + sound).fleet();
-    assertThat(f.replicas()).containsOnlyKeys("k1");
-    assertThat(f.onUnreachable()).isEqualTo(DaemonConfig.UnreachablePolicy.WAIT);
-    assertThat(OperatorFile.parse("f", SMALL).fleet()).isNull();
+    DaemonConfig.Fleet fleet = OperatorFile.parse("f", MINIMAL + valid).fleet();
+    assertThat(fleet.replicas()).containsOnlyKeys("k1");
+    assertThat(fleet.onUnreachable()).isEqualTo(DaemonConfig.UnreachablePolicy.WAIT);
+    assertThat(OperatorFile.parse("f", MINIMAL).fleet()).isNull();
     assertThat(
-            faults(SMALL + "[fleet]\nname = \"a b\"\nlease_ms = 5\non_unreachable = \"last\"\n")
+            errorsOf(MINIMAL + "[fleet]\nname = \"a b\"\nlease_ms = 5\non_unreachable = \"last\"\n")
                 .stream()
                 .map(ConfigurationError::key))
         .contains("fleet", "fleet.lease_ms", "fleet.keepers", "fleet.state_file", "fleet.fleet");
   }
 
   @Test
-  void theShippedFileIsSound() throws Exception {
-    DaemonConfig c = OperatorFile.read(SHIPPED);
-    assertThat(c.listeners()).isNotEmpty();
-    assertThat(c.routes()).isNotEmpty();
+  void theShippedFileIsValid() throws Exception {
+    DaemonConfig config = OperatorFile.read(SHIPPED);
+    assertThat(config.listeners()).isNotEmpty();
+    assertThat(config.routes()).isNotEmpty();
   }
 
   @Test
-  void whatIsNotSaidHasItsDefault() throws Exception {
-    DaemonConfig c = OperatorFile.parse("f", SMALL);
-    assertThat(c.process().workers()).isEqualTo(1);
-    assertThat(c.listeners().get("main").maxBodyBytes()).isEqualTo(65_536);
-    Settings.RequestClass undeclared = c.classes().get(0);
+  void absentKeysHaveTheirDefaults() throws Exception {
+    DaemonConfig config = OperatorFile.parse("f", MINIMAL);
+    assertThat(config.process().workers()).isEqualTo(1);
+    assertThat(config.listeners().get("main").maxBodyBytes()).isEqualTo(65_536);
+    Settings.RequestClass undeclared = config.classes().get(0);
     assertThat(undeclared.name()).isEqualTo("default");
     assertThat(undeclared.semantics()).isEqualTo(Settings.Semantics.AT_MOST_ONCE);
   }
 
   @Test
-  void allFaultsAreToldInOneRunEachWithLineKeyAndWhatWasExpected() {
+  void allErrorsAreReportedAtOnceWithLineKeyAndExpectation() {
     List<ConfigurationError> found =
-        faults(
+        errorsOf(
             """
             [daemon]
             workers = 0
@@ -144,21 +149,21 @@
         "[pool.a] | [pool.\"a b\"]\\n[pool.a] | pool.a b",
         "[pool.a] | x = 1\\n[pool.a] | listener.main.x",
       })
-  void aFaultNamesItsKey(String what, String instead, String key) {
-    String text = SMALL.replace(what.trim(), instead.trim().replace("\\n", "\n"));
-    assertThat(faults(text)).extracting(ConfigurationError::key).contains(key.trim());
-    assertThat(faults(text)).allMatch(f -> f.line() > 0);
+  void anErrorNamesItsKey(String original, String replacement, String key) {
+    String text = MINIMAL.replace(original.trim(), replacement.trim().replace("\\n", "\n"));
+    assertThat(errorsOf(text)).extracting(ConfigurationError::key).contains(key.trim());
+    assertThat(errorsOf(text)).allMatch(f -> f.line() > 0);
   }
 
   @Test
-  void whatIsNoTomlNamesItsLine() {
-    assertThat(faults("[a]\nb = \n").get(0).line()).isEqualTo(2);
-    assertThat(faults("")).extracting(ConfigurationError::key).contains("listener", "pool");
+  void aSyntaxErrorNamesItsLine() {
+    assertThat(errorsOf("[a]\nb = \n").get(0).line()).isEqualTo(2);
+    assertThat(errorsOf("")).extracting(ConfigurationError::key).contains("listener", "pool");
   }
 
   @Test
-  void linesAreFoundInEveryShapeThatTomlHas() throws ConfigurationException {
-    TomlTree l =
+  void linesAreFoundInEveryTomlSyntax() throws ConfigurationException {
+    TomlTree tree =
         TomlTree.parse(
             "f",
             """
@@ -181,54 +186,57 @@
             [a.list.inner]
             m = 1
             """);
-    assertThat(l.lineOf("top")).isEqualTo(2);
-    assertThat(l.lineOf("a.b")).isEqualTo(3);
-    assertThat(l.lineOf("a.b.c d")).isEqualTo(4);
-    assertThat(l.lineOf("a.b.e")).isEqualTo(7);
-    assertThat(l.lineOf("a.b.e[0].g")).isEqualTo(8);
-    assertThat(l.lineOf("a.b.e[1].f")).isEqualTo(9);
-    assertThat(l.lineOf("a.b.h.i")).isEqualTo(11);
-    assertThat(l.lineOf("a.list[0].k")).isEqualTo(13);
-    assertThat(l.lineOf("a.list[1].k")).isEqualTo(16);
-    assertThat(l.lineOf("a.list[1].inner.m")).isEqualTo(18);
-    assertThat(l.lineOf("a.list[1].nothing")).isEqualTo(15);
-    assertThat(l.lineOf("nothing")).isZero();
+    assertThat(tree.lineOf("top")).isEqualTo(2);
+    assertThat(tree.lineOf("a.b")).isEqualTo(3);
+    assertThat(tree.lineOf("a.b.c d")).isEqualTo(4);
+    assertThat(tree.lineOf("a.b.e")).isEqualTo(7);
+    assertThat(tree.lineOf("a.b.e[0].g")).isEqualTo(8);
+    assertThat(tree.lineOf("a.b.e[1].f")).isEqualTo(9);
+    assertThat(tree.lineOf("a.b.h.i")).isEqualTo(11);
+    assertThat(tree.lineOf("a.list[0].k")).isEqualTo(13);
+    assertThat(tree.lineOf("a.list[1].k")).isEqualTo(16);
+    assertThat(tree.lineOf("a.list[1].inner.m")).isEqualTo(18);
+    assertThat(tree.lineOf("a.list[1].nothing")).isEqualTo(15);
+    assertThat(tree.lineOf("nothing")).isZero();
   }
 
-  /** Whatever is done to a file, reading it ends with a configuration or with faults. */
+  /**
+   * Guards against a parser error or endless reading on corrupt files: reading ends with a
+   * configuration or a {@link ConfigurationException}.
+   */
   @Test
-  void aSpoiltFileIsFaultyAndNeverAnError() throws Exception {
-    String good = Files.readString(SHIPPED);
+  void aCorruptedFileIsReportedAsInvalid() throws Exception {
+    String valid = Files.readString(SHIPPED);
     SplittableRandom random = new SplittableRandom(11);
     String noise = "[]{}=\"'#.,\n\\0a-";
-    List<String> spoilt = new ArrayList<>();
+    List<String> corrupted = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
-      StringBuilder s = new StringBuilder(good);
+      StringBuilder text = new StringBuilder(valid);
       for (int j = 1 + random.nextInt(4); j > 0; j--) {
-        int at = random.nextInt(s.length());
-        char c = noise.charAt(random.nextInt(noise.length()));
+        int at = random.nextInt(text.length());
+        char character = noise.charAt(random.nextInt(noise.length()));
         switch (random.nextInt(3)) {
-          case 0 -> s.setCharAt(at, c);
-          case 1 -> s.insert(at, c);
-          default -> s.delete(at, Math.min(s.length(), at + 1 + random.nextInt(20)));
+          case 0 -> text.setCharAt(at, character);
+          case 1 -> text.insert(at, character);
+          default -> text.delete(at, Math.min(text.length(), at + 1 + random.nextInt(20)));
         }
       }
-      spoilt.add(s.toString());
+      corrupted.add(text.toString());
     }
-    spoilt.add("x = " + "[".repeat(200_000));
-    spoilt.add("x = " + "{a=".repeat(50_000));
-    for (int cut = 0; cut < good.length(); cut += 7) {
-      spoilt.add(good.substring(0, cut));
+    corrupted.add("x = " + "[".repeat(200_000));
+    corrupted.add("x = " + "{a=".repeat(50_000));
+    for (int cut = 0; cut < valid.length(); cut += 7) {
+      corrupted.add(valid.substring(0, cut));
     }
-    int faulty = 0;
-    for (String s : spoilt) {
+    int invalidCount = 0;
+    for (String text : corrupted) {
       try {
-        OperatorFile.parse("f", s);
+        OperatorFile.parse("f", text);
       } catch (ConfigurationException e) {
-        faulty++;
+        invalidCount++;
         assertThat(e.errors()).isNotEmpty();
       }
     }
-    assertThat(faulty).isGreaterThan(spoilt.size() / 2);
+    assertThat(invalidCount).isGreaterThan(corrupted.size() / 2);
   }
 }
--- a/src/test/java/leadferry/daemon/RawUpstream.java
+++ b/src/test/java/leadferry/daemon/RawUpstream.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A host that a test writes to the byte: one thread a connection, small socket buffers. */
+/** Upstream host whose bytes the test controls: one thread per connection, small socket buffers. */
 final class RawUpstream implements AutoCloseable {
-  /** What is done with a connection; returns when it is to be closed. */
+  /** Handles one connection, which is closed when the method returns. */
   interface ConnectionHandler {
-    void serve(RawUpstream host, InputStream in, OutputStream out, Socket s) throws Exception;
+    void serve(RawUpstream host, InputStream in, OutputStream out, Socket socket) throws Exception;
   }
 
   /**
-   * A small buffer shows back-pressure: what is not read here stands in the daemon or at its
-   * client.
+   * Size of the socket buffers. It is small, so that bytes which this host does not read stay in
+   * the daemon or at its client, and back-pressure shows.
    */
   static final int SOCKET_BUFFER_BYTES = 512 * 1024;
 
@@ -33,21 +33,24 @@
   final AtomicInteger acceptedConnections = new AtomicInteger();
   final AtomicInteger closedConnections = new AtomicInteger();
 
-  RawUpstream(ConnectionHandler serving) throws IOException {
+  RawUpstream(ConnectionHandler handler) throws IOException {
     listener.setReceiveBufferSize(SOCKET_BUFFER_BYTES);
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     startThread(
         () -> {
           while (true) {
-            Socket s = listener.accept();
-            s.setSendBufferSize(SOCKET_BUFFER_BYTES);
-            open.add(s);
+            Socket socket = listener.accept();
+            socket.setSendBufferSize(SOCKET_BUFFER_BYTES);
+            open.add(socket);
             acceptedConnections.incrementAndGet();
             startThread(
                 () -> {
-                  try (s) {
-                    serving.serve(
-                        this, new BufferedInputStream(s.getInputStream()), s.getOutputStream(), s);
+                  try (socket) {
+                    handler.serve(
+                        this,
+                        new BufferedInputStream(socket.getInputStream()),
+                        socket.getOutputStream(),
+                        socket);
                   } finally {
                     closedConnections.incrementAndGet();
                   }
@@ -60,27 +63,30 @@
     void run() throws Exception;
   }
 
-  static Thread startThread(Task what) {
-    Thread t =
+  static Thread startThread(Task task) {
+    Thread thread =
         new Thread(
             () -> {
               try {
-                what.run();
+                task.run();
               } catch (Exception e) {
-                // the other side, or the test, has ended it
+                // the peer or the test has closed the connection
               }
             });
-    t.setDaemon(true);
-    t.start();
-    return t;
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
   }
 
-  /** A pool of these hosts; {@code more} are further lines of its table. */
-  static String pool(String name, String more, RawUpstream... hosts) {
-    StringBuilder s = new StringBuilder("[pool." + name + "]\n" + more + "\n");
-    for (RawUpstream h : hosts) {
-      int port = h.listener.getLocalPort();
-      s.append("[[pool.")
+  /**
+   * Returns the configuration of a pool with these hosts; {@code more} are further lines of its
+   * table.
+   */
+  static String pool(String name, String furtherLines, RawUpstream... hosts) {
+    StringBuilder toml = new StringBuilder("[pool." + name + "]\n" + furtherLines + "\n");
+    for (RawUpstream upstream : hosts) {
+      int port = upstream.listener.getLocalPort();
+      toml.append("[[pool.")
           .append(name)
           .append(".member]]\nid = \"h")
           .append(port)
@@ -88,10 +94,10 @@
           .append(port)
           .append("\"\npod = \"p\"\n");
     }
-    return s.toString();
+    return toml.toString();
   }
 
-  /** The next head, or null at the end. */
+  /** Reads and records the next request head; returns null at the end of the stream. */
   String readHead(InputStream in) throws IOException {
     String head = readUntil(in, "\r\n\r\n");
     if (head != null) {
@@ -100,24 +106,26 @@
     return head;
   }
 
-  /** What comes up to and with this text, or null if the stream ends before. */
+  /** Reads up to and including a text; returns null if the stream ends before it. */
   static String readUntil(InputStream in, String end) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] last = end.getBytes(StandardCharsets.ISO_8859_1);
-    int fits = 0;
-    int b;
-    while (fits < last.length) {
-      if ((b = in.read()) < 0) {
+    int matched = 0;
+    int next;
+    while (matched < last.length) {
+      if ((next = in.read()) < 0) {
         return null;
       }
-      out.write(b);
-      fits = b == last[fits] ? fits + 1 : b == last[0] ? 1 : 0;
+      out.write(next);
+      matched = next == last[matched] ? matched + 1 : next == last[0] ? 1 : 0;
     }
     return out.toString(StandardCharsets.ISO_8859_1);
   }
 
   /**
-   * Reads a chunked body; adds its length to {@code count[0]} as it comes. Returns the trailers.
+   * Reads a chunked body and adds its length to {@code count[0]} as it arrives.
+   *
+   * @return the trailers
    */
   static String readChunkedBody(InputStream in, long[] count) throws IOException {
     while (true) {
@@ -125,16 +133,16 @@
       if (line == null) {
         throw new IOException("cut");
       }
-      int n = Integer.parseInt(line.trim(), 16);
-      if (n == 0) {
+      int chunkLength = Integer.parseInt(line.trim(), 16);
+      if (chunkLength == 0) {
         StringBuilder trailers = new StringBuilder();
-        String t;
-        while ((t = readUntil(in, "\r\n")) != null && !t.equals("\r\n")) {
-          trailers.append(t);
+        String trailer;
+        while ((trailer = readUntil(in, "\r\n")) != null && !trailer.equals("\r\n")) {
+          trailers.append(trailer);
         }
         return trailers.toString();
       }
-      for (long left = n; left > 0; ) {
+      for (long left = chunkLength; left > 0; ) {
         long skipped = in.skip(left);
         if (skipped <= 0 && in.read() < 0) {
           throw new IOException("cut");
@@ -155,8 +163,8 @@
   public void close() {
     try {
       listener.close();
-      for (Socket s : open) {
-        s.close();
+      for (Socket socket : open) {
+        socket.close();
       }
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
--- a/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
+++ b/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the daemon forwards with its headers for upstreams, and what clients get, to the byte. */
+/**
+ * Compares the bytes that upstream hosts and clients receive with recorded ones of an earlier
+ * build, for each mode of the forwarding headers. Guards against any change of a head.
+ */
 class RecordedDaemonHeadsTest {
   private static final String TRUSTED = "trusted = [\"127.0.0.0/8\"]\n";
   private static final Map<String, String> LISTENERS =
@@ -137,18 +140,21 @@
     fixture.close();
   }
 
-  /** Keeps what it gets, and answers always the same; nothing where the answer is empty. */
-  private RawUpstream upstream(String answer) throws Exception {
-    return fixture.startRawUpstream((host, in, out, socket) -> serve(in, out, answer));
+  /**
+   * Starts an upstream host that records requests and sends a fixed response, or none if the
+   * response is empty.
+   */
+  private RawUpstream upstream(String response) throws Exception {
+    return fixture.startRawUpstream((host, in, out, socket) -> serve(in, out, response));
   }
 
-  private void serve(InputStream input, OutputStream out, String answer) throws Exception {
+  private void serve(InputStream input, OutputStream out, String response) throws Exception {
     String message;
     while (!(message = RawMessage.read(input)).isEmpty()) {
       forwarded.add(message);
       String chunked =
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nX-End: 1\r\n\r\n";
-      RawUpstream.write(out, message.startsWith("POST /stream") ? chunked : answer);
+      RawUpstream.write(out, message.startsWith("POST /stream") ? chunked : response);
     }
   }
 
--- a/src/test/java/leadferry/daemon/RecordedOperatorFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedOperatorFileTest.java
@@ -14,10 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Operators' files with every key, and with every kind of error, as an earlier build read them. */
+/**
+ * Reads files with every key, and files with every kind of error, and compares the result with the
+ * recorded one of an earlier build. Guards against a renamed key, changed default or changed error
+ * text.
+ */
 class RecordedOperatorFileTest {
-  /** Words of messages that were renamed, as docs/ON-CALL.md lists them. */
-  private static final Map<String, String> TERMS_OF_TODAY =
+  /** Terms of recorded messages and the terms that replaced them, as listed in docs/ON-CALL.md. */
+  private static final Map<String, String> CURRENT_TERMS =
       Map.of(
           "keepers by name, as in", "replicas by name, as in",
           "this keeper's name", "this replica's name",
@@ -54,7 +58,7 @@
   }
 
   @Test
-  void everyWordOfAKeyIsTakenAsRecorded() throws Exception {
+  void everyEnumValueIsReadAsRecorded() throws Exception {
     String[][] words = {
       {"transport = \"io-uring\"", "auto", "nio", "epoll", "io-uring"},
       {"log = \"json\"", "text", "json"},
@@ -78,7 +82,7 @@
   }
 
   @Test
-  void everyErrorIsToldAsRecorded() throws Exception {
+  void everyErrorIsReportedAsRecorded() throws Exception {
     StringBuilder errors = new StringBuilder();
     errors.append(errorsOf(() -> OperatorFile.read(RecordedText.path(FOLDER + "faulty.toml"))));
     errors.append(errorsOf(() -> OperatorFile.parse("file", "")));
@@ -94,15 +98,15 @@
           errorsOf(() -> ReleaseFile.read(RecordedText.path(FOLDER + name + ".toml"), fleet())));
     }
     assertThat(errors.toString())
-        .isEqualTo(withTermsOfToday(RecordedText.read(FOLDER + "errors.txt")));
+        .isEqualTo(withCurrentTerms(RecordedText.read(FOLDER + "errors.txt")));
   }
 
   /**
-   * The recorded texts in the words that took the place of theirs; keys and values are as recorded.
+   * Returns the recorded text with the current terms in messages; keys and values stay as recorded.
    */
-  private static String withTermsOfToday(String recorded) {
+  private static String withCurrentTerms(String recorded) {
     String text = recorded;
-    for (Map.Entry<String, String> term : TERMS_OF_TODAY.entrySet()) {
+    for (Map.Entry<String, String> term : CURRENT_TERMS.entrySet()) {
       assertThat(text).contains(term.getKey());
       text = text.replace(term.getKey(), term.getValue());
     }
--- a/src/test/java/leadferry/daemon/RecordedStateFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedStateFileTest.java
@@ -21,7 +21,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file from which a daemon starts where no replica can be reached, as an earlier build's. */
+/**
+ * Compares the state file, from which a daemon starts while no replica is reachable, with the
+ * recorded one of an earlier build. Guards against a daemon that can't read the file of its
+ * predecessor.
+ */
 class RecordedStateFileTest {
   private static final int REQUESTS = 20;
 
@@ -54,12 +58,12 @@
           new Operator("roster", List.of(new InetSocketAddress("127.0.0.1", replicaPort)));
       operator.change(budgets(), "b1", 0, ProxyFixture.PATIENCE_MS);
       drain(operator, "host", "h1");
-      ProxyFixture.await(() -> written().contains("\"hosts_out\":[\"h1\"]"));
-      RecordedText.assertSame("state-file/host-drained.json", written());
+      ProxyFixture.await(() -> stateFileContent().contains("\"hosts_out\":[\"h1\"]"));
+      RecordedText.assertSame("state-file/host-drained.json", stateFileContent());
       joinSecondProxy(operator);
       drain(operator, "proxy", "p1");
-      ProxyFixture.await(() -> written().contains("\"permit\""));
-      RecordedText.assertSame("state-file/proxy-drained.json", written());
+      ProxyFixture.await(() -> stateFileContent().contains("\"permit\""));
+      RecordedText.assertSame("state-file/proxy-drained.json", stateFileContent());
     }
   }
 
@@ -68,8 +72,8 @@
     Files.writeString(state, RecordedText.read("state-file/host-drained.json"));
     startDaemon();
     for (int i = 0; i < REQUESTS; i++) {
-      String answer = daemonFixture.exchange(DaemonFixture.request("GET", "/x", "r" + i));
-      assertThat(answer).endsWith("host h2");
+      String response = daemonFixture.exchange(DaemonFixture.request("GET", "/x", "r" + i));
+      assertThat(response).endsWith("host h2");
     }
     assertThat(health()).startsWith("HTTP/1.1 200");
   }
@@ -85,7 +89,7 @@
     return daemonFixture.exchange(DaemonFixture.request("GET", "/_health", "health"));
   }
 
-  private String written() {
+  private String stateFileContent() {
     try {
       return Files.exists(state) ? Files.readString(state) : "";
     } catch (IOException e) {
@@ -142,7 +146,7 @@
     return entry;
   }
 
-  /** The last proxy that serves is never drained. */
+  /** Joins a second proxy, because the last proxy that serves is never drained. */
   private static void joinSecondProxy(Operator operator) {
     ObjectNode join =
         Operator.entry("join")
@@ -154,25 +158,25 @@
             .put("digest", "none");
     join.putArray("hosts");
     JsonNode session = operator.change(join, "join", 0, ProxyFixture.PATIENCE_MS).path("session");
-    ObjectNode tell =
+    ObjectNode report =
         Operator.entry("tell")
             .put("name", "p2")
             .put("session", session.asLong())
             .put("number", 1)
             .put("seen", Integer.MAX_VALUE)
             .put("serving", true);
-    operator.change(tell, "tell", 0, ProxyFixture.PATIENCE_MS);
+    operator.change(report, "tell", 0, ProxyFixture.PATIENCE_MS);
   }
 
-  /** Asks until it is granted: the fleet first has to know the daemon. */
+  /** Requests a drain until it is granted: the fleet does not know the daemon at first. */
   private static void drain(Operator operator, String type, String name)
       throws InterruptedException {
     ProxyFixture.await(
         () -> {
           ObjectNode entry = Operator.entry("drain").put("kind", type).put("name", name);
           String call = "drain-" + System.nanoTime();
-          JsonNode answer = operator.change(entry, call, 0, ProxyFixture.PATIENCE_MS);
-          return answer != null && answer.path("status").asText().equals("granted");
+          JsonNode response = operator.change(entry, call, 0, ProxyFixture.PATIENCE_MS);
+          return response != null && response.path("status").asText().equals("granted");
         });
   }
 }
--- a/src/test/java/leadferry/daemon/ReleaseFileTest.java
+++ b/src/test/java/leadferry/daemon/ReleaseFileTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Plans of releases: targets named from the fleet as it is, and every fault at once. */
+/**
+ * Checks that release plans select their targets from the state of the fleet, and that one reading
+ * reports every error of a plan.
+ */
 class ReleaseFileTest {
   private static final String HEAD =
       "[release]\nname = \"r\"\nof = \"host\"\nversion = \"v2\"\nfrom = \"v1\"\n";
@@ -41,7 +44,7 @@
   }
 
   @Test
-  void stepsTakeWhatNoStepBeforeHasByNameLabelAndShare() throws Exception {
+  void stepsSelectRemainingTargetsByNameLabelAndShare() throws Exception {
     JsonNode plan =
         read(
             HEAD
@@ -57,7 +60,7 @@
   }
 
   @Test
-  void everyFaultIsToldWithItsLineAndKey() {
+  void everyErrorIsReportedWithItsLineAndKey() {
     ConfigurationException exception =
         catchThrowableOfType(
             ConfigurationException.class,
@@ -80,7 +83,7 @@
   }
 
   @Test
-  void whatThePlanItselfMustNotSayIsAFaultOfTheFile() {
+  void anInvalidPlanIsAnErrorOfTheFile() {
     ConfigurationException exception =
         catchThrowableOfType(
             ConfigurationException.class,
--- a/src/test/java/leadferry/daemon/StreamingTest.java
+++ b/src/test/java/leadferry/daemon/StreamingTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that go on while they come, and what breaks them off. */
+/**
+ * Checks bodies that are forwarded while they arrive, and how they end early. Guards against
+ * unbounded buffering, retries of partly sent uploads, and truncated responses that look complete.
+ */
 class StreamingTest {
   private static final String CLASSES =
       """
@@ -39,8 +42,8 @@
   private static final String LISTS =
       route("lists", "/", "class = \"list\"\npool = \"a\"\nstream = true");
 
-  /** Far more than all socket buffers on the way hold. */
-  private static final long LONG = 48L << 20;
+  /** Length of a body far larger than all socket buffers between client and upstream host. */
+  private static final long LONG_BODY_BYTES = 48L << 20;
 
   @TempDir Path folder;
   private DaemonFixture fixture;
@@ -56,30 +59,30 @@
   }
 
   private Socket client() throws Exception {
-    Socket s = new Socket();
-    s.setReceiveBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
-    s.setSendBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
-    s.connect(
+    Socket socket = new Socket();
+    socket.setReceiveBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
+    socket.setSendBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
+    socket.connect(
         new InetSocketAddress("127.0.0.1", fixture.address().getPort()), ProxyFixture.PATIENCE_MS);
-    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-    return s;
+    socket.setSoTimeout(ProxyFixture.PATIENCE_MS);
+    return socket;
   }
 
   private static String upload(String id, String framing) {
     return request("POST", "/up", id).replace("Content-Length: 0", framing);
   }
 
-  private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-  /** Waits until a count has stood still for a while; returns it. */
-  private static long still(AtomicLong count) throws InterruptedException {
+  /** Waits until a count has not changed for a third of a second, and returns it. */
+  private static long awaitUnchanged(AtomicLong count) throws InterruptedException {
     long[] last = {-1};
-    int[] same = {0};
+    int[] unchangedChecks = {0};
     ProxyFixture.await(
         () -> {
-          same[0] = count.get() == last[0] ? same[0] + 1 : 0;
+          unchangedChecks[0] = count.get() == last[0] ? unchangedChecks[0] + 1 : 0;
           last[0] = count.get();
-          return same[0] >= 300; // a third of a second
+          return unchangedChecks[0] >= 300; // about a third of a second
         });
     return last[0];
   }
@@ -88,35 +91,37 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void anUploadGoesOnWhileItComesAndItsClientWaitsForTheHost(boolean chunked) throws Exception {
-    AtomicLong got = new AtomicLong();
-    CountDownLatch reads = new CountDownLatch(1);
-    RawUpstream h =
+  void anUploadIsStreamedAndItsClientHeldBackByTheUpstream(boolean chunked) throws Exception {
+    AtomicLong received = new AtomicLong();
+    CountDownLatch mayRead = new CountDownLatch(1);
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               while (host.readHead(in) != null) {
-                reads.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                mayRead.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
                 if (chunked) {
                   long[] n = new long[1];
                   RawUpstream.readChunkedBody(in, n);
-                  got.addAndGet(n[0]);
+                  received.addAndGet(n[0]);
                 } else {
-                  for (long left = LONG; left > 0; left -= in.skip(left)) {}
-                  got.addAndGet(LONG);
+                  for (long left = LONG_BODY_BYTES; left > 0; left -= in.skip(left)) {}
+                  received.addAndGet(LONG_BODY_BYTES);
                 }
-                RawUpstream.write(out, OK);
+                RawUpstream.write(out, OK_RESPONSE);
               }
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
     AtomicLong sent = new AtomicLong();
-    try (Socket s = client()) {
+    try (Socket socket = client()) {
       ProxyFixture.write(
-          s, upload("r", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LONG));
+          socket,
+          upload(
+              "r", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LONG_BODY_BYTES));
       RawUpstream.startThread(
           () -> {
-            OutputStream out = s.getOutputStream();
+            OutputStream out = socket.getOutputStream();
             byte[] block = new byte[32 * 1024];
-            for (long n = 0; n < LONG; n += block.length) {
+            for (long n = 0; n < LONG_BODY_BYTES; n += block.length) {
               if (chunked) {
                 RawUpstream.write(out, "8000\r\n");
               }
@@ -130,22 +135,24 @@
               RawUpstream.write(out, "0\r\n\r\n");
             }
           });
-      ProxyFixture.await(
-          () -> h.heads.size() == 1); // the host has the head while the body still comes
-      assertThat(still(sent)).isLessThan(LONG / 4);
-      reads.countDown();
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
-      assertThat(got).hasValue(LONG);
+      // The upstream host has the head while the body still arrives.
+      ProxyFixture.await(() -> upstream.heads.size() == 1);
+      assertThat(awaitUnchanged(sent)).isLessThan(LONG_BODY_BYTES / 4);
+      mayRead.countDown();
+      assertThat(ProxyFixture.read(socket.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .endsWith("ok");
+      assertThat(received).hasValue(LONG_BODY_BYTES);
     }
   }
 
   @Test
-  void aBodyThatTakesLongerThanTheAimIsNotItsHostsSilence() throws Exception {
+  void aSlowUploadDoesNotCountAsALateResponse() throws Exception {
     RawUpstream.ConnectionHandler serving =
-        (host, in, out, s) -> {
+        (host, in, out, socket) -> {
           host.readHead(in);
           in.readNBytes(200_000);
-          RawUpstream.write(out, OK);
+          RawUpstream.write(out, OK_RESPONSE);
         };
     fixture.start(
         LISTENER,
@@ -156,79 +163,80 @@
             fixture.startRawUpstream(serving),
             fixture.startRawUpstream(serving)),
         LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Content-Length: 200000"));
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Content-Length: 200000"));
       for (int i = 0; i < 10; i++) {
-        Thread.sleep(80); // what the test is about: time in which the host has nothing to answer
-        ProxyFixture.write(s, "x".repeat(20_000));
+        // The test is about this time, in which the upstream host can't respond yet.
+        Thread.sleep(80);
+        ProxyFixture.write(socket, "x".repeat(20_000));
       }
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
-  void anUploadThatIsCutHalfWayIsCutAtItsHostAndNotSentAgain() throws Exception {
-    RawUpstream h =
+  void anAbortedUploadIsAbortedAtTheUpstreamAndNotRetried() throws Exception {
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.readChunkedBody(in, new long[1]);
-              RawUpstream.write(out, OK);
+              RawUpstream.write(out, OK_RESPONSE);
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Transfer-Encoding: chunked") + "5\r\nhello\r\n");
-      ProxyFixture.await(() -> h.heads.size() == 1);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), LISTS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Transfer-Encoding: chunked") + "5\r\nhello\r\n");
+      ProxyFixture.await(() -> upstream.heads.size() == 1);
     }
-    ProxyFixture.await(
-        () -> h.closedConnections.get() == 1); // it saw the end of the stream inside the body
-    assertThat(h.heads).hasSize(1);
-    try (Socket s = client()) {
+    // The upstream host has read the end of the stream inside the body.
+    ProxyFixture.await(() -> upstream.closedConnections.get() == 1);
+    assertThat(upstream.heads).hasSize(1);
+    try (Socket socket = client()) {
       ProxyFixture.write(
-          s, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+          socket, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
-    ProxyFixture.await(() -> h.closedConnections.get() == h.heads.size());
+    ProxyFixture.await(() -> upstream.closedConnections.get() == upstream.heads.size());
   }
 
   @Test
   void anEarlyErrorIsPassedOnAndEndsTheConnection() throws Exception {
-    RawUpstream h =
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.write(out, "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nfull");
               in.read(new byte[1024]);
               Thread.sleep(300);
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Content-Length: 1000000") + "begins");
-      assertThat(ProxyFixture.read(s.getInputStream()))
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Content-Length: 1000000") + "begins");
+      assertThat(ProxyFixture.read(socket.getInputStream()))
           .startsWith("HTTP/1.1 500")
           .containsIgnoringCase("connection: close")
           .endsWith("full");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
-    assertThat(h.heads).hasSize(1);
+    assertThat(upstream.heads).hasSize(1);
   }
 
   @ParameterizedTest
   @CsvSource({"1000, 200, 1", "60000, 200, 1", "400000, 503, 0"})
-  void whatWasTurnedAwayGoesToAnotherHostOnlyWhileAllOfItIsHeld(int length, int status, int other)
+  void aRejectedUploadIsRetriedOnlyWhileFullyBuffered(int length, int status, int retries)
       throws Exception {
-    java.util.concurrent.atomic.AtomicInteger first =
+    java.util.concurrent.atomic.AtomicInteger requests =
         new java.util.concurrent.atomic.AtomicInteger();
     RawUpstream.ConnectionHandler serving =
-        (host, in, out, s) -> {
+        (host, in, out, socket) -> {
           while (host.readHead(in) != null) {
             for (long left = length; left > 0; left -= in.skip(left)) {}
             RawUpstream.write(
                 out,
-                first.getAndIncrement() == 0
+                requests.getAndIncrement() == 0
                     ? "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-                    : OK);
+                    : OK_RESPONSE);
           }
         };
     fixture.start(
@@ -237,21 +245,21 @@
         RawUpstream.pool(
             "a", "", fixture.startRawUpstream(serving), fixture.startRawUpstream(serving)),
         CLAIMS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Content-Length: " + length) + "x".repeat(length));
-      assertThat(RawUpstream.readUntil(s.getInputStream(), "\r\n\r\n"))
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Content-Length: " + length) + "x".repeat(length));
+      assertThat(RawUpstream.readUntil(socket.getInputStream(), "\r\n\r\n"))
           .startsWith("HTTP/1.1 " + status);
     }
-    assertThat(fixture.rawRequestCount()).isEqualTo(1 + other);
+    assertThat(fixture.rawRequestCount()).isEqualTo(1 + retries);
   }
 
   @Test
-  void anUploadThatMayHaveRunIsNotSentAgain() throws Exception {
+  void anUploadThatMayHaveRunIsNotRetried() throws Exception {
     RawUpstream.ConnectionHandler serving =
-        (host, in, out, s) -> {
+        (host, in, out, socket) -> {
           host.readHead(in);
           in.read();
-          s.setSoLinger(true, 0);
+          socket.setSoLinger(true, 0);
         };
     fixture.start(
         LISTENER,
@@ -259,35 +267,35 @@
         RawUpstream.pool(
             "a", "", fixture.startRawUpstream(serving), fixture.startRawUpstream(serving)),
         CLAIMS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Content-Length: 100") + "x".repeat(50));
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 502");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
-  void aBodyThatStopsComingIsGivenUp() throws Exception {
-    RawUpstream h =
+  void aStalledUploadTimesOut() throws Exception {
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.readChunkedBody(in, new long[1]);
             });
-    fixture.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 502");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+    fixture.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, upload("r", "Content-Length: 100") + "x".repeat(50));
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
-    ProxyFixture.await(() -> h.closedConnections.get() == 1);
+    ProxyFixture.await(() -> upstream.closedConnections.get() == 1);
   }
 
-  // --- answers
+  // --- responses
 
-  private RawUpstream longAnswers(AtomicLong sent, long upTo) throws Exception {
+  private RawUpstream startLongResponses(AtomicLong sent, long upTo) throws Exception {
     return fixture.startRawUpstream(
-        (host, in, out, s) -> {
+        (host, in, out, socket) -> {
           while (host.readHead(in) != null) {
             RawUpstream.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             byte[] block = new byte[32 * 1024];
@@ -297,8 +305,8 @@
               RawUpstream.write(out, "\r\n");
               sent.addAndGet(block.length);
             }
-            if (upTo < LONG) {
-              return; // dies in the middle of it
+            if (upTo < LONG_BODY_BYTES) {
+              return; // fails in the middle of the body
             }
             RawUpstream.write(out, "0\r\nX-Sum: 7\r\n\r\n");
           }
@@ -306,24 +314,25 @@
   }
 
   /**
-   * Rule 6 of every front: the time in which a server waits for our client is no time of the
-   * server's.
+   * Guards rule 6: the time in which an upstream host waits for the client does not count as the
+   * host's response time.
    */
   @Test
-  void thirtyClientsThatReadNothingCostOthersNothing() throws Exception {
+  void thirtyClientsThatStopReadingDoNotAffectOthers() throws Exception {
     byte[] block = new byte[32 * 1024];
-    RawUpstream h =
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               String head;
               while ((head = host.readHead(in)) != null) {
                 if (head.contains("/long")) {
-                  RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
-                  for (long n = 0; n < LONG; n += block.length) {
+                  RawUpstream.write(
+                      out, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
+                  for (long n = 0; n < LONG_BODY_BYTES; n += block.length) {
                     out.write(block);
                   }
                 } else {
-                  RawUpstream.write(out, OK);
+                  RawUpstream.write(out, OK_RESPONSE);
                 }
               }
             });
@@ -338,111 +347,123 @@
         deadline_ms = 1500
         repeat = "safe"
         """,
-        RawUpstream.pool("a", "", h),
+        RawUpstream.pool("a", "", upstream),
         route("long", "/long", "class = \"long\"\npool = \"a\"\nstream = true"),
         route("short", "/", "class = \"short\"\npool = \"a\""));
-    java.util.List<Socket> deaf = new java.util.ArrayList<>();
+    java.util.List<Socket> stalledClients = new java.util.ArrayList<>();
     try {
       for (int i = 0; i < 30; i++) {
-        Socket s = client();
-        deaf.add(s);
-        ProxyFixture.write(s, request("GET", "/long", "deaf-" + i));
+        Socket socket = client();
+        stalledClients.add(socket);
+        ProxyFixture.write(socket, request("GET", "/long", "deaf-" + i));
       }
-      ProxyFixture.await(() -> h.heads.size() == 30);
+      ProxyFixture.await(() -> upstream.heads.size() == 30);
       java.util.Map<Integer, Integer> statuses = new java.util.TreeMap<>();
-      int after = 0;
-      for (int i = 0; after < 100; i++) { // until all of the long ones have been cut, and on
+      int requestsAfterCut = 0;
+      // Runs until all long responses have been cut, and 100 requests more.
+      for (int i = 0; requestsAfterCut < 100; i++) {
         statuses.merge(fixture.status(request("GET", "/x", "short-" + i)), 1, Integer::sum);
-        after += h.closedConnections.get() >= 30 ? 1 : 0;
+        requestsAfterCut += upstream.closedConnections.get() >= 30 ? 1 : 0;
         Thread.sleep(5);
       }
       assertThat(statuses).containsOnlyKeys(200);
     } finally {
-      for (Socket s : deaf) {
-        s.close();
+      for (Socket socket : stalledClients) {
+        socket.close();
       }
     }
   }
 
   @Test
-  void aClientThatStopsReadingHoldsItsHostAndTakesNoMemory() throws Exception {
+  void aClientThatStopsReadingHoldsBackItsUpstream() throws Exception {
     AtomicLong sent = new AtomicLong();
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", longAnswers(sent, LONG)), LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, request("GET", "/x", "r"));
-      InputStream in = s.getInputStream();
+    fixture.start(
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool("a", "", startLongResponses(sent, LONG_BODY_BYTES)),
+        LISTS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, request("GET", "/x", "r"));
+      InputStream in = socket.getInputStream();
       assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
-      assertThat(still(sent)).isLessThan(LONG / 4);
-      long[] got = new long[1];
-      assertThat(RawUpstream.readChunkedBody(in, got)).isEqualTo("X-Sum: 7\r\n");
-      assertThat(got[0]).isEqualTo(LONG);
-      ProxyFixture.write(s, request("GET", "/x", "again"));
+      assertThat(awaitUnchanged(sent)).isLessThan(LONG_BODY_BYTES / 4);
+      long[] received = new long[1];
+      assertThat(RawUpstream.readChunkedBody(in, received)).isEqualTo("X-Sum: 7\r\n");
+      assertThat(received[0]).isEqualTo(LONG_BODY_BYTES);
+      ProxyFixture.write(socket, request("GET", "/x", "again"));
       assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
     }
-    ProxyFixture.await(
-        () ->
-            fixture.rawUpstreams.get(0).closedConnections.get()
-                == 1); // a client that leaves in the middle takes its attempt with it
+    // A client that disconnects mid-response cancels its attempt.
+    ProxyFixture.await(() -> fixture.rawUpstreams.get(0).closedConnections.get() == 1);
   }
 
   @Test
-  void anAnswerThatBreaksOffIsCutSoThatItsClientCanTell() throws Exception {
+  void aTruncatedResponseIsVisibleToItsClient() throws Exception {
     AtomicLong sent = new AtomicLong();
     fixture.start(
         LISTENER,
         CLASSES,
-        RawUpstream.pool("a", "", longAnswers(sent, 1 << 20), longAnswers(sent, 1 << 20)),
+        RawUpstream.pool(
+            "a", "", startLongResponses(sent, 1 << 20), startLongResponses(sent, 1 << 20)),
         LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, request("GET", "/x", "r"));
-      InputStream in = s.getInputStream();
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, request("GET", "/x", "r"));
+      InputStream in = socket.getInputStream();
       assertThat(RawUpstream.readUntil(in, "\r\n\r\n")).startsWith("HTTP/1.1 200");
-      long[] got = new long[1];
-      org.assertj.core.api.Assertions.assertThatThrownBy(() -> RawUpstream.readChunkedBody(in, got))
+      long[] received = new long[1];
+      org.assertj.core.api.Assertions.assertThatThrownBy(
+              () -> RawUpstream.readChunkedBody(in, received))
           .isInstanceOf(java.io.IOException.class);
     }
-    assertThat(fixture.rawRequestCount()).isEqualTo(1); // it has begun: no other may answer
+    // The response has begun, so no other host may respond.
+    assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
 
   @Test
-  void aStreamWhoseTimeIsUpIsCut() throws Exception {
-    RawUpstream h =
+  void aStreamIsCutAtItsDeadline() throws Exception {
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nbegins");
               in.read();
             });
-    fixture.start(LISTENER, CLASSES.replace("20000", "400"), RawUpstream.pool("a", "", h), LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, request("GET", "/x", "r"));
-      assertThat(RawUpstream.readUntil(s.getInputStream(), "begins")).startsWith("HTTP/1.1 200");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+    fixture.start(
+        LISTENER, CLASSES.replace("20000", "400"), RawUpstream.pool("a", "", upstream), LISTS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, request("GET", "/x", "r"));
+      assertThat(RawUpstream.readUntil(socket.getInputStream(), "begins"))
+          .startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
-    ProxyFixture.await(() -> h.closedConnections.get() == 1);
+    ProxyFixture.await(() -> upstream.closedConnections.get() == 1);
   }
 
   @Test
   void aDrainWaitsForAnOpenStream() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
-    RawUpstream h =
+    CountDownLatch mayFinish = new CountDownLatch(1);
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
-              go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+              mayFinish.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
               RawUpstream.write(out, "2\r\ncd\r\n0\r\n\r\n");
             });
     fixture.start(
-        "[daemon]\ndrain_ms = 20000", LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
-    try (Socket s = client()) {
-      ProxyFixture.write(s, request("GET", "/x", "r"));
-      InputStream in = s.getInputStream();
+        "[daemon]\ndrain_ms = 20000",
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool("a", "", upstream),
+        LISTS);
+    try (Socket socket = client()) {
+      ProxyFixture.write(socket, request("GET", "/x", "r"));
+      InputStream in = socket.getInputStream();
       assertThat(RawUpstream.readUntil(in, "ab\r\n")).contains("2\r\nab");
       fixture.daemon.drain();
       Thread.sleep(50);
-      go.countDown();
+      mayFinish.countDown();
       assertThat(RawUpstream.readUntil(in, "0\r\n\r\n")).isEqualTo("2\r\ncd\r\n0\r\n\r\n");
       fixture.daemon.awaitTermination();
       assertThat(fixture.log()).contains("drained").doesNotContain("cut short");
@@ -450,16 +471,16 @@
   }
 
   @Test
-  void toHttp10AnAnswerWithoutALengthIsGivenOne() throws Exception {
-    RawUpstream h =
+  void aChunkedResponseGetsALengthForHttp10() throws Exception {
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.write(
                   out,
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n");
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), LISTS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), LISTS);
     assertThat(fixture.exchange("GET /x HTTP/1.0\r\n\r\n"))
         .startsWith("HTTP/1.1 200")
         .containsIgnoringCase("content-length: 4")
--- a/src/test/java/leadferry/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What goes through goes through as it is. */
+/**
+ * Checks that requests and responses pass the daemon unchanged. Guards against altered errors,
+ * reordered pipelined responses, lost trailers and forged client addresses.
+ */
 class TransparencyTest {
   private static final String CLAIMS = route("claims", "/", "class = \"claim\"\npool = \"a\"");
   private static final String LISTS = route("lists", "/", "class = \"list\"\npool = \"a\"");
@@ -39,25 +42,26 @@
     fixture.close();
   }
 
-  /** A host that gives every request, without a body, this answer. */
-  private RawUpstream host(String answer) throws Exception {
+  /** Starts an upstream host that sends this response to every request without a body. */
+  private RawUpstream startUpstream(String response) throws Exception {
     return fixture.startRawUpstream(
-        (host, in, out, s) -> {
+        (host, in, out, socket) -> {
           while (host.readHead(in) != null) {
-            RawUpstream.write(out, answer);
+            RawUpstream.write(out, response);
           }
         });
   }
 
-  // --- errors of hosts
+  // --- errors of upstream hosts
 
   private static final String ERROR =
       "HTTP/1.1 500 Internal Server Error\r\nContent-Type: application/json\r\nX-Trace: t7\r\nContent-Length: 16\r\n\r\n{\"error\":\"full\"}";
 
   @Test
-  void anErrorThatEndsAnUnsafeRequestIsPassedOnWhole() throws Exception {
-    RawUpstream h = host(ERROR);
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h, host(ERROR)), CLAIMS);
+  void anErrorForANonIdempotentRequestIsPassedOnUnchanged() throws Exception {
+    RawUpstream upstream = startUpstream(ERROR);
+    fixture.start(
+        LISTENER, CLASSES, RawUpstream.pool("a", "", upstream, startUpstream(ERROR)), CLAIMS);
     assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 500 ")
         .contains("X-Trace: t7")
@@ -66,11 +70,11 @@
   }
 
   @Test
-  void theLastErrorOfASafeRequestIsPassedOnWhenItsAttemptsAreUsedUp() throws Exception {
+  void theLastErrorOfAnIdempotentRequestIsPassedOn() throws Exception {
     fixture.start(
         LISTENER,
         CLASSES,
-        RawUpstream.pool("a", "max_attempts = 2", host(ERROR), host(ERROR)),
+        RawUpstream.pool("a", "max_attempts = 2", startUpstream(ERROR), startUpstream(ERROR)),
         LISTS);
     assertThat(fixture.exchange(request("GET", "/x", "r")))
         .startsWith("HTTP/1.1 500 ")
@@ -79,11 +83,12 @@
   }
 
   @Test
-  void aServersOwn503ToWhatMayHaveRunDoesNotInviteAnotherTry() throws Exception {
+  void anUpstreams503AfterPossibleProcessingBecomes502() throws Exception {
     fixture.start(
         LISTENER,
         CLASSES,
-        RawUpstream.pool("a", "", host(ERROR.replace("500 Internal Server Error", "503 Busy"))),
+        RawUpstream.pool(
+            "a", "", startUpstream(ERROR.replace("500 Internal Server Error", "503 Busy"))),
         CLAIMS);
     assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
@@ -91,23 +96,26 @@
   }
 
   @Test
-  void whereAnOperatorDoesNotWantThemErrorsStayInside() throws Exception {
+  void upstreamErrorsAreHiddenWherePassErrorsIsOff() throws Exception {
     fixture.start(
-        LISTENER, CLASSES, RawUpstream.pool("a", "pass_errors = false", host(ERROR)), CLAIMS);
+        LISTENER,
+        CLASSES,
+        RawUpstream.pool("a", "pass_errors = false", startUpstream(ERROR)),
+        CLAIMS);
     assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("error");
   }
 
   @Test
-  void anErrorWhoseBodyBreaksOffIsNotPassedOn() throws Exception {
-    RawUpstream h =
+  void anErrorWithATruncatedBodyIsNotPassedOn() throws Exception {
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               host.readHead(in);
               RawUpstream.write(out, ERROR.substring(0, ERROR.length() - 3));
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
     assertThat(fixture.exchange(request("POST", "/claim", "r")))
         .startsWith("HTTP/1.1 502 ")
         .doesNotContain("X-Trace");
@@ -117,7 +125,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 16})
-  void whatIsSentAheadIsAnsweredInOrderHoweverMuchItIs(int pipeline) throws Exception {
+  void pipelinedRequestsGetTheirResponsesInOrder(int pipeline) throws Exception {
     FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(1, 4));
     fixture.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
     StringBuilder all = new StringBuilder();
@@ -127,10 +135,10 @@
               request("POST", "/claim", "p" + i).replace("Length: 0", "Length: " + body.length()))
           .append(body);
     }
-    try (Socket s = fixture.client()) {
-      RawUpstream.startThread(() -> ProxyFixture.write(s, all.toString()));
+    try (Socket socket = fixture.client()) {
+      RawUpstream.startThread(() -> ProxyFixture.write(socket, all.toString()));
       for (int i = 0; i < 400; i++) {
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        assertThat(ProxyFixture.read(socket.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .contains("\r\n\r\np" + i + " ");
       }
@@ -139,35 +147,35 @@
   }
 
   @Test
-  void aBadThirdRequestEndsThePipelineBehindTheAnswersOfTheFirstTwo() throws Exception {
+  void anInvalidThirdRequestEndsThePipelineAfterTwoResponses() throws Exception {
     FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(20, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       ProxyFixture.write(
-          s,
+          socket,
           request("POST", "/claim", "p0")
               + request("POST", "/claim", "p1")
               + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n"
               + request("POST", "/claim", "p3"));
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.read(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np0 ");
-      assertThat(ProxyFixture.read(s.getInputStream()))
+      assertThat(ProxyFixture.read(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np1 ");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
     assertThat(fixture.executionLog.of("p3")).isEmpty();
   }
 
   @Test
-  void aClientThatLeavesItsPipelineLeavesNothingBehind() throws Exception {
+  void aClientThatDisconnectsMidPipelineLeaksNothing() throws Exception {
     FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(50, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       ProxyFixture.write(
-          s,
+          socket,
           request("POST", "/claim", "q0")
               + request("POST", "/claim", "q1")
               + request("POST", "/claim", "q2"));
@@ -179,12 +187,12 @@
   }
 
   @Test
-  void aPipelineOfOneIsNone() throws Exception {
+  void aPipelineOfOneRejectsPipelinedRequests() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
-    try (Socket s = fixture.client()) {
-      ProxyFixture.write(s, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+    try (Socket socket = fixture.client()) {
+      ProxyFixture.write(socket, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(fixture.executionLog.executions()).isZero();
   }
@@ -193,25 +201,27 @@
 
   @Test
   void clientsOfHttp10AreServedWithAndWithoutKeepAlive() throws Exception {
-    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
-    try (Socket s = fixture.client()) {
+    RawUpstream upstream = startUpstream("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
+    try (Socket socket = fixture.client()) {
       for (int i = 0; i < 3; i++) {
-        ProxyFixture.write(s, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        ProxyFixture.write(socket, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
+        assertThat(ProxyFixture.read(socket.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("connection: keep-alive")
             .endsWith("ok");
       }
-      ProxyFixture.write(s, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200").endsWith("ok");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+      ProxyFixture.write(socket, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
+      assertThat(ProxyFixture.read(socket.getInputStream()))
+          .startsWith("HTTP/1.1 200")
+          .endsWith("ok");
+      assertThat(ProxyFixture.ends(socket)).isTrue();
     }
-    assertThat(h.heads.get(0))
+    assertThat(upstream.heads.get(0))
         .startsWith("GET /x HTTP/1.1\r\n")
         .containsIgnoringCase("\r\nhost: \r\n")
         .doesNotContainIgnoringCase("keep-alive");
-    assertThat(h.heads.get(3)).containsIgnoringCase("\r\nhost: api.test\r\n");
+    assertThat(upstream.heads.get(3)).containsIgnoringCase("\r\nhost: api.test\r\n");
     assertThat(fixture.status("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
         .isEqualTo(400);
   }
@@ -228,32 +238,32 @@
     "https://b.test/x, api.test, , , 400",
     "http://c.test/x, b.test, , , 404",
   })
-  void theHostOfAnAbsoluteTargetWins(
-      String target, String host, String path, String told, int status) throws Exception {
-    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  void theHostOfAnAbsoluteTargetReplacesTheHostHeader(
+      String target, String host, String path, String forwardedHost, int status) throws Exception {
+    RawUpstream upstream = startUpstream("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     fixture.start(
         LISTENER,
         CLASSES,
-        RawUpstream.pool("a", "", h),
+        RawUpstream.pool("a", "", upstream),
         "[[route]]\nname = \"b\"\nhosts = [\"b.test\"]\nprefix = \"/\"\npool = \"a\"");
     assertThat(fixture.status("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"))
         .isEqualTo(status);
-    assertThat(h.heads).hasSize(status == 200 ? 1 : 0);
+    assertThat(upstream.heads).hasSize(status == 200 ? 1 : 0);
     if (status == 200) {
-      assertThat(h.heads.get(0))
+      assertThat(upstream.heads.get(0))
           .startsWith("GET " + path + " HTTP/1.1")
-          .containsIgnoringCase("\r\nhost: " + told + "\r\n");
+          .containsIgnoringCase("\r\nhost: " + forwardedHost + "\r\n");
     }
   }
 
   // --- trailers
 
   @Test
-  void trailersGoBothWays() throws Exception {
+  void trailersAreForwardedInBothDirections() throws Exception {
     List<String> trailers = new java.util.concurrent.CopyOnWriteArrayList<>();
-    RawUpstream h =
+    RawUpstream upstream =
         fixture.startRawUpstream(
-            (host, in, out, s) -> {
+            (host, in, out, socket) -> {
               while (host.readHead(in) != null) {
                 trailers.add(RawUpstream.readChunkedBody(in, new long[1]));
                 RawUpstream.write(
@@ -261,48 +271,48 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 7\r\nContent-Length: 9\r\n\r\n");
               }
             });
-    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+    fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
     String head =
         request("POST", "/x", "r", "TE: trailers", "Connection: TE")
             .replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    try (Socket s = fixture.client()) {
+    try (Socket socket = fixture.client()) {
       for (int i = 0; i < 2; i++) {
-        ProxyFixture.write(s, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
-        InputStream in = s.getInputStream();
+        ProxyFixture.write(socket, head + "3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n");
+        InputStream in = socket.getInputStream();
         assertThat(RawUpstream.readUntil(in, "\r\n\r\n"))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("transfer-encoding: chunked");
         assertThat(RawUpstream.readUntil(in, "\r\n\r\n"))
             .isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
-      ProxyFixture.write(s, head + "0\r\nIdempotency-Key: other\r\n\r\n");
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 400");
+      ProxyFixture.write(socket, head + "0\r\nIdempotency-Key: other\r\n\r\n");
+      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
-    assertThat(h.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
-    try (Socket s = fixture.client()) {
-      ProxyFixture.write(
-          s, "GET /x HTTP/1.0\r\n\r\n"); // answered by a host that waits for a body: not at all
-      ProxyFixture.await(() -> h.heads.size() == 3);
+    assertThat(upstream.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
+    try (Socket socket = fixture.client()) {
+      // The upstream host waits for a body, so it never responds.
+      ProxyFixture.write(socket, "GET /x HTTP/1.0\r\n\r\n");
+      ProxyFixture.await(() -> upstream.heads.size() == 3);
     }
   }
 
-  // --- who called
+  // --- client addresses
 
-  private static final String MADE_UP =
+  private static final String FORGED_HEADERS =
       "X-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\nX-Real-IP: 6.6.6.6";
 
   @Test
-  void aCallerThatIsNotTrustedCannotMakeUpAnAddress() throws Exception {
-    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  void anUntrustedClientCannotForgeItsAddress() throws Exception {
+    RawUpstream upstream = startUpstream("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     fixture.start(
         LISTENER,
         CLASSES,
-        RawUpstream.pool("a", "", h),
+        RawUpstream.pool("a", "", upstream),
         CLAIMS,
         "[[limit]]\nname = \"each\"\nby = \"address\"\nper_second = 0.001\nburst = 2");
-    assertThat(fixture.status(request("GET", "/x", "r", MADE_UP))).isEqualTo(200);
-    assertThat(h.heads.get(0))
+    assertThat(fixture.status(request("GET", "/x", "r", FORGED_HEADERS))).isEqualTo(200);
+    assertThat(upstream.heads.get(0))
         .doesNotContain("6.6.6.6")
         .containsIgnoringCase("x-forwarded-for: 127.0.0.1\r\n")
         .containsIgnoringCase("forwarded: for=127.0.0.1;host=\"api.test\";proto=http\r\n")
@@ -326,22 +336,26 @@
         "X-Forwarded-For: 9.9.9.9:80 | 9.9.9.9",
         "X-Nothing: 1 | 127.0.0.1",
       })
-  void ofAChainTheLastThatIsNotTrustedIsTheCaller(String line, String caller) throws Exception {
-    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  void theLastUntrustedAddressOfAChainIsTheClient(String line, String client) throws Exception {
+    RawUpstream upstream = startUpstream("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     fixture.start(
         LISTENER + "trusted = [\"127.0.0.0/8\", \"10.0.0.0/8\"]\nforwarded = \"replace\"",
         CLASSES,
-        RawUpstream.pool("a", "", h),
+        RawUpstream.pool("a", "", upstream),
         CLAIMS);
     assertThat(fixture.status(request("GET", "/x", "r", line))).isEqualTo(200);
-    assertThat(h.heads.get(0)).containsIgnoringCase("\r\nx-forwarded-for: " + caller + "\r\n");
+    assertThat(upstream.heads.get(0))
+        .containsIgnoringCase("\r\nx-forwarded-for: " + client + "\r\n");
   }
 
   @Test
-  void aTrustedHopIsAddedTo() throws Exception {
-    RawUpstream h = host("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  void forwardingHeadersOfATrustedHopAreExtended() throws Exception {
+    RawUpstream upstream = startUpstream("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     fixture.start(
-        LISTENER + "trusted = [\"127.0.0.1\"]", CLASSES, RawUpstream.pool("a", "", h), CLAIMS);
+        LISTENER + "trusted = [\"127.0.0.1\"]",
+        CLASSES,
+        RawUpstream.pool("a", "", upstream),
+        CLAIMS);
     assertThat(
             fixture.status(
                 request(
@@ -352,7 +366,7 @@
                     "X-Forwarded-Proto: https",
                     "Via: 1.0 edge")))
         .isEqualTo(200);
-    assertThat(h.heads.get(0))
+    assertThat(upstream.heads.get(0))
         .containsIgnoringCase("x-forwarded-for: 9.9.9.9, 127.0.0.1\r\n")
         .containsIgnoringCase("x-forwarded-proto: https\r\n")
         .containsIgnoringCase("via: 1.0 edge, 1.1 leadferry\r\n");
--- a/src/test/java/leadferry/daemon/ValueDump.java
+++ b/src/test/java/leadferry/daemon/ValueDump.java
@@ -16,9 +16,10 @@
 import java.util.TreeMap;
 
 /**
- * The values of a configuration, one a line, in the order in which its records declare them. No
- * name of a class, component or constant stands in it, so that these can be renamed: constants are
- * told by their place, figures without their type.
+ * Writes the values of a configuration, one per line, in the declaration order of its records.
+ *
+ * <p>The text holds no name of a class, component or constant, so that these can be renamed:
+ * constants appear by ordinal, numbers without their type.
  */
 final class ValueDump {
   private final List<String> lines = new ArrayList<>();
