--- a/src/main/java/leadferry/cli/DemoCommand.java
+++ b/src/main/java/leadferry/cli/DemoCommand.java
@@ -50,16 +50,17 @@
 
   private final ExecutionLog ledger = new ExecutionLog(2_000_000);
   private final List<FakeUpstream> hosts = new ArrayList<>();
-  private final ConcurrentLinkedQueue<LoadGenerator.Done> done = new ConcurrentLinkedQueue<>();
-  private final List<LoadGenerator.Kind> kinds =
+  private final ConcurrentLinkedQueue<LoadGenerator.CompletedRequest> done =
+      new ConcurrentLinkedQueue<>();
+  private final List<LoadGenerator.RequestKind> kinds =
       List.of(
           kind("visit-claim", 5, "POST", "", 800),
           kind("visit-log", 3, "POST", "Idempotency-Key: ", 1_200),
           kind("visit-list", 2, "GET", "", 600));
 
-  private static LoadGenerator.Kind kind(
+  private static LoadGenerator.RequestKind kind(
       String name, double part, String method, String key, long deadline) {
-    return new LoadGenerator.Kind(
+    return new LoadGenerator.RequestKind(
         name,
         part,
         method,
@@ -88,19 +89,19 @@
                       daemon.address("main"), rate, 0, seconds, 512, 1, kinds, "demo-"),
                   done::add)) {
         load.start();
-        Progress progress = new Progress();
-        Thread shown = progress.show(() -> load.over() + " requests over");
+        ProgressLine progress = new ProgressLine();
+        Thread shown = progress.start(() -> load.completed() + " requests over");
         pause(0.33);
-        hosts.get(2).misbehave(FakeUpstream.Fault.SILENT, 1);
+        hosts.get(2).setFault(FakeUpstream.Fault.SILENT, 1);
         pause(0.17);
-        hosts.get(2).misbehave(FakeUpstream.Fault.NONE, 0);
+        hosts.get(2).setFault(FakeUpstream.Fault.NONE, 0);
         pause(0.2);
         hosts.add(host("h4", 2_000, 4));
         Files.writeString(file, config(List.of("h1"), 4));
         boolean reloaded = daemon.reload();
         long drainedAt = System.nanoTime();
         load.await();
-        progress.end(shown);
+        progress.stop(shown);
         return tell(load, reloaded, drainedAt);
       }
     } catch (ConfigurationException e) {
@@ -154,14 +155,14 @@
       s.append("[[pool.roster.member]]\nid = \"")
           .append(h.name())
           .append("\"\naddress = \"")
-          .append(h.place())
+          .append(h.hostAndPort())
           .append("\"\npod = \"")
           .append(h.pod())
           .append("\"\nstate = \"")
           .append(draining.contains(h.name()) ? "draining" : "up")
           .append("\"\n");
     }
-    for (LoadGenerator.Kind k : kinds) {
+    for (LoadGenerator.RequestKind k : kinds) {
       s.append("[[route]]\nname = \"")
           .append(k.name())
           .append("\"\nprefix = \"")
@@ -179,18 +180,18 @@
     long outside = 0;
     long refusedAfterWork = 0;
     long late = 0;
-    for (LoadGenerator.Done d : done) {
-      int runs = ledger.of(d.id()).size();
+    for (LoadGenerator.CompletedRequest d : done) {
+      int runs = ledger.executionsOf(d.id()).size();
       boolean unsafe = d.kind().name().equals("visit-claim");
       boolean keyed = d.kind().name().equals("visit-log");
       twice += unsafe && runs > 1 ? 1 : 0;
-      outside += keyed && !ledger.repeatsKept(d.id(), WINDOW_MS) ? 1 : 0;
+      outside += keyed && !ledger.repeatsStayedInPod(d.id(), WINDOW_MS) ? 1 : 0;
       refusedAfterWork += unsafe && d.outcome() == Outcome.REFUSED && runs > 0 ? 1 : 0;
-      late += d.nanos() > d.kind().deadlineMs() * 1_000_000L + 50_000_000L ? 1 : 0;
+      late += d.latencyNanos() > d.kind().deadlineMillis() * 1_000_000L + 50_000_000L ? 1 : 0;
     }
     long lost = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
-    long afterGrace = hosts.get(0).lastArrival() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
-    long fallen = hosts.stream().filter(FakeUpstream::fallen).count();
+    long afterGrace = hosts.get(0).lastArrivalNanos() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
+    long fallen = hosts.stream().filter(FakeUpstream::hasCollapsed).count();
     Map<String, Object> rules = new LinkedHashMap<>();
     rules.put("requests without their one answer", lost);
     rules.put("unsafe requests that ran twice", twice);
@@ -199,7 +200,7 @@
     rules.put("hosts asked after their drain and grace", afterGrace);
     rules.put("cold hosts pushed over", fallen);
     rules.put("reloads not taken", reloaded ? 0L : 1L);
-    rules.put("runs that the ledger could not note", ledger.unrecorded());
+    rules.put("runs that the ledger could not note", ledger.unrecordedCount());
     boolean held = rules.values().stream().allMatch(v -> ((Long) v) == 0);
     Map<String, Object> classes = new LinkedHashMap<>();
     for (int i = 0; i < kinds.size(); i++) {
@@ -217,7 +218,7 @@
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("served", h.served());
       row.put("connections", h.connections());
-      row.put("most", h.mostConnections());
+      row.put("most", h.maxConcurrentConnections());
       perHost.put(h.name(), row);
     }
     if (json) {
--- a/src/main/java/leadferry/cli/FakeUpstreamCommand.java
+++ b/src/main/java/leadferry/cli/FakeUpstreamCommand.java
@@ -75,9 +75,9 @@
     if (serviceMs <= 0 && fault == FakeUpstream.Fault.NONE && !reports) {
       // Nothing to imitate: as quick as sockets are, so that it is not what a measurement measures.
       try (MinimalFakeUpstream host = new MinimalFakeUpstream(name, port, bodyBytes)) {
-        System.out.println(name + " at " + host.place());
+        System.out.println(name + " at " + host.hostAndPort());
         Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
-        System.out.println(name + ": " + host.answered() + " answered");
+        System.out.println(name + ": " + host.responsesSent() + " answered");
       }
       return 0;
     }
@@ -97,15 +97,15 @@
             bodyBytes,
             1);
     try (FakeUpstream host = new FakeUpstream(o, ledger)) {
-      host.misbehave(fault, share);
-      System.out.println(host.name() + " at " + host.place());
+      host.setFault(fault, share);
+      System.out.println(host.name() + " at " + host.hostAndPort());
       Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
       System.out.println(
           host.name()
               + ": "
-              + ledger.executions()
+              + ledger.executionCount()
               + " ran, "
-              + ledger.repeated().size()
+              + ledger.repeatedIds().size()
               + " more than once");
     }
     return 0;
--- a/src/main/java/leadferry/cli/FaultTestCommand.java
+++ b/src/main/java/leadferry/cli/FaultTestCommand.java
@@ -150,7 +150,7 @@
       return null;
     }
     try {
-      return FaultScript.read(Files.readAllLines(script), processNames());
+      return FaultScript.parse(Files.readAllLines(script), processNames());
     } catch (IOException | IllegalArgumentException e) {
       throw faultyArgument("--script " + script + ": " + e.getMessage());
     }
--- a/src/main/java/leadferry/cli/FleetChangeCommand.java
+++ b/src/main/java/leadferry/cli/FleetChangeCommand.java
@@ -24,7 +24,7 @@
   String callId = UUID.randomUUID().toString();
 
   /** An entry with that operation, to be filled in. */
-  ObjectNode entry(String operation) {
+  ObjectNode newEntry(String operation) {
     return Json.object()
         .put("op", operation)
         .put("call", callId)
@@ -34,13 +34,13 @@
   }
 
   /** The request that puts an entry into the log. */
-  static ObjectNode submission(ObjectNode entry) {
+  static ObjectNode submitRequest(ObjectNode entry) {
     return Json.object().put("op", "submit").set("entry", entry);
   }
 
   /** Submits an entry and prints its outcome; the exit status. */
   int submit(ObjectNode entry) {
-    return fleet.ask(submission(entry), FleetChangeCommand::print);
+    return fleet.sendAndPrint(submitRequest(entry), FleetChangeCommand::print);
   }
 
   /** Prints an outcome for people. */
--- a/src/main/java/leadferry/cli/FleetCommand.java
+++ b/src/main/java/leadferry/cli/FleetCommand.java
@@ -54,7 +54,7 @@
 
     @Override
     public Integer call() {
-      return submit(entry("undo").put("permit", grant));
+      return submit(newEntry("undo").put("permit", grant));
     }
   }
 
@@ -66,7 +66,7 @@
   static final class Halt extends FleetChangeCommand {
     @Override
     public Integer call() {
-      return submit(entry("halt"));
+      return submit(newEntry("halt"));
     }
   }
 
@@ -75,7 +75,7 @@
   static final class Resume extends FleetChangeCommand {
     @Override
     public Integer call() {
-      return submit(entry("resume"));
+      return submit(newEntry("resume"));
     }
   }
 
@@ -90,7 +90,7 @@
 
     @Override
     public Integer call() {
-      return submit(entry("fence").put("name", name));
+      return submit(newEntry("fence").put("name", name));
     }
   }
 
@@ -105,7 +105,7 @@
 
     @Override
     public Integer call() {
-      return submit(entry("forget").put("name", name));
+      return submit(newEntry("forget").put("name", name));
     }
   }
 
@@ -126,12 +126,12 @@
 
     @Override
     public Integer call() {
-      ObjectNode entry = entry("budgets").put("against", expectedVersion);
+      ObjectNode entry = newEntry("budgets").put("against", expectedVersion);
       try {
         entry.set("budgets", ReplicaFile.readBudgets(file));
       } catch (ConfigurationException e) {
         System.err.println(e.getMessage());
-        return FleetExitStatus.FAULTY;
+        return FleetExitStatus.INVALID_INPUT;
       }
       return submit(entry);
     }
--- a/src/main/java/leadferry/cli/FleetDrainCommands.java
+++ b/src/main/java/leadferry/cli/FleetDrainCommands.java
@@ -18,13 +18,13 @@
   private FleetDrainCommands() {}
 
   /** Asks for a grant and waits until it is carried out everywhere. */
-  abstract static class Waiting extends FleetChangeCommand {
+  abstract static class WaitingChangeCommand extends FleetChangeCommand {
     int submitAndAwait(ObjectNode entry) {
-      ObjectNode request = submission(entry);
-      try (ReplicaClient client = fleet.client()) {
+      ObjectNode request = submitRequest(entry);
+      try (ReplicaClient client = fleet.openClient()) {
         ObjectNode granted = client.call(request, fleet.deadlineNanos());
         if (!granted.path("status").asText().equals("granted")) {
-          return fleet.print(granted, FleetChangeCommand::print);
+          return fleet.printResponse(granted, FleetChangeCommand::print);
         }
         return await(client, granted);
       } catch (UnreachableException e) {
@@ -41,13 +41,14 @@
           break; // it stays granted, and somebody may be awaited
         }
         if (progress.path("carried_out").asBoolean()) {
-          return fleet.print(granted.put("carried_out", true), Waiting::printCarriedOut);
+          return fleet.printResponse(
+              granted.put("carried_out", true), WaitingChangeCommand::printCarriedOut);
         }
         client.receivePushes(System.nanoTime() + LOOK_NANOS);
       }
       granted.put("carried_out", false).set("awaited", progress.path("awaited"));
-      fleet.print(granted, Waiting::printAwaited);
-      return FleetExitStatus.AWAITED;
+      fleet.printResponse(granted, WaitingChangeCommand::printAwaited);
+      return FleetExitStatus.PENDING;
     }
 
     private static ObjectNode progressRequest(ObjectNode granted) {
@@ -80,14 +81,14 @@
         "Before a proxy is stopped for good: takes it out where budgets allow it, and waits until it is. End its process after exit status 0;",
         "it is forgotten as soon as it has told that it ends."
       })
-  static final class Leave extends Waiting {
+  static final class Leave extends WaitingChangeCommand {
     @Parameters(paramLabel = "PROXY", description = "Which.")
     private String name;
 
     @Override
     public Integer call() {
       return submitAndAwait(
-          entry("drain").put("kind", "proxy").put("name", name).put("leave", true));
+          newEntry("drain").put("kind", "proxy").put("name", name).put("leave", true));
     }
   }
 
@@ -96,7 +97,7 @@
       name = "drain",
       mixinStandardHelpOptions = true,
       description = "Takes a proxy or a host out of service, where budgets allow it.")
-  static final class Drain extends Waiting {
+  static final class Drain extends WaitingChangeCommand {
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
 
     @Parameters(index = "0", paramLabel = "proxy|host", description = "What it is.")
@@ -119,7 +120,7 @@
     @Override
     public Integer call() {
       ObjectNode entry =
-          entry("drain").put("kind", kind).put("name", name).put("for_ms", durationMillis());
+          newEntry("drain").put("kind", kind).put("name", name).put("for_ms", durationMillis());
       return wait ? submitAndAwait(entry) : submit(entry);
     }
 
--- a/src/main/java/leadferry/cli/FleetExitStatus.java
+++ b/src/main/java/leadferry/cli/FleetExitStatus.java
@@ -6,7 +6,7 @@
   static final int DONE = 0;
 
   /** Faulty arguments or file. */
-  static final int FAULTY = 2;
+  static final int INVALID_INPUT = 2;
 
   /** The agreed state says no: a budget, an unknown name, or a conflict. */
   static final int REFUSED = 3;
@@ -21,17 +21,17 @@
   static final int UNDECIDED = 6;
 
   /** It was granted, and is not carried out everywhere yet. */
-  static final int AWAITED = 7;
+  static final int PENDING = 7;
 
   private FleetExitStatus() {}
 
   /** The exit status of an outcome by its word in the replicas' protocol. */
-  static int of(String outcome) {
+  static int forOutcome(String outcome) {
     return switch (outcome) {
       case "done", "granted" -> DONE;
       case "refused", "unknown", "conflict" -> REFUSED;
       case "halted" -> HALTED;
-      default -> FAULTY;
+      default -> INVALID_INPUT;
     };
   }
 }
--- a/src/main/java/leadferry/cli/FleetOptions.java
+++ b/src/main/java/leadferry/cli/FleetOptions.java
@@ -44,7 +44,7 @@
   private long deadlineNanos;
 
   /** A client of these replicas; the time for an answer counts from here on. */
-  ReplicaClient client() {
+  ReplicaClient openClient() {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     replicas.forEach((name, text) -> addresses.put(name, address(name, text)));
     if (!(timeoutSeconds > 0 && timeoutSeconds <= LONGEST_TIMEOUT_SECONDS)) {
@@ -78,18 +78,19 @@
   }
 
   /** Asks and prints; {@code printer} prints the answer for people. The exit status. */
-  int ask(ObjectNode request, Consumer<ObjectNode> printer) {
-    try (ReplicaClient client = client()) {
-      return print(client.call(request, deadlineNanos), printer);
+  int sendAndPrint(ObjectNode request, Consumer<ObjectNode> printer) {
+    try (ReplicaClient client = openClient()) {
+      return printResponse(client.call(request, deadlineNanos), printer);
     } catch (UnreachableException e) {
       return printUnreachable(e, request);
     }
   }
 
   /** Asks again and again and prints what has changed; ends only with this process. */
-  int watch(ObjectNode request, Consumer<ObjectNode> printer) throws InterruptedException {
+  int pollAndPrintChanges(ObjectNode request, Consumer<ObjectNode> printer)
+      throws InterruptedException {
     String last = "";
-    try (ReplicaClient client = client()) {
+    try (ReplicaClient client = openClient()) {
       while (true) {
         ObjectNode answer = askOnce(client, request);
         String text = Json.text(answer);
@@ -126,7 +127,7 @@
   }
 
   /** Prints an answer; the exit status. */
-  int print(ObjectNode answer, Consumer<ObjectNode> printer) {
+  int printResponse(ObjectNode answer, Consumer<ObjectNode> printer) {
     answer.remove("id");
     if (json) {
       System.out.println(Json.text(answer));
@@ -134,7 +135,7 @@
       printer.accept(answer);
     }
     String withoutStatus = answer.has("error") ? "malformed" : "done";
-    return FleetExitStatus.of(answer.path("status").asText(withoutStatus));
+    return FleetExitStatus.forOutcome(answer.path("status").asText(withoutStatus));
   }
 
   /** Prints that no answer came, and whether the request may have been carried out. */
@@ -159,14 +160,14 @@
   }
 
   /** The same options for each replica alone, with that much time at most. */
-  List<FleetOptions> eachReplica(double mostSeconds) {
+  List<FleetOptions> splitByReplica(double maxTimeoutSeconds) {
     return replicas.entrySet().stream()
         .map(
             replica -> {
               FleetOptions single = new FleetOptions();
               single.fleet = fleet;
               single.replicas = Map.of(replica.getKey(), replica.getValue());
-              single.timeoutSeconds = Math.min(mostSeconds, timeoutSeconds);
+              single.timeoutSeconds = Math.min(maxTimeoutSeconds, timeoutSeconds);
               single.json = json;
               single.spec = spec;
               return single;
--- a/src/main/java/leadferry/cli/FleetStatusCommands.java
+++ b/src/main/java/leadferry/cli/FleetStatusCommands.java
@@ -35,7 +35,9 @@
     @Override
     public Integer call() throws InterruptedException {
       ObjectNode request = Json.object().put("op", "status");
-      return watch ? fleet.watch(request, Status::print) : fleet.ask(request, Status::print);
+      return watch
+          ? fleet.pollAndPrintChanges(request, Status::print)
+          : fleet.sendAndPrint(request, Status::print);
     }
 
     private static void print(ObjectNode status) {
@@ -101,7 +103,7 @@
 
     @Override
     public Integer call() {
-      return fleet.ask(
+      return fleet.sendAndPrint(
           Json.object().put("op", "explain").put("kind", kind).put("name", name), Explain::print);
     }
 
@@ -150,7 +152,7 @@
     @Override
     public Integer call() {
       ObjectNode request = Json.object().put("op", "status").put("history", true);
-      return fleet.ask(
+      return fleet.sendAndPrint(
           request,
           status -> status.path("history").forEach(line -> System.out.println(Json.text(line))));
     }
@@ -167,9 +169,9 @@
     @Override
     public Integer call() {
       int worst = FleetExitStatus.DONE;
-      for (FleetOptions replica : fleet.eachReplica(HEALTH_TIMEOUT_SECONDS)) {
+      for (FleetOptions replica : fleet.splitByReplica(HEALTH_TIMEOUT_SECONDS)) {
         int status =
-            replica.ask(
+            replica.sendAndPrint(
                 Json.object().put("op", "health"), health -> System.out.println(Json.text(health)));
         worst = Math.max(worst, status);
       }
--- a/src/main/java/leadferry/cli/LoadCommand.java
+++ b/src/main/java/leadferry/cli/LoadCommand.java
@@ -95,8 +95,9 @@
     }
     StringBuilder lines = new StringBuilder();
     headers.forEach(h -> lines.append(h).append("\r\n"));
-    LoadGenerator.Kind kind =
-        new LoadGenerator.Kind("all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
+    LoadGenerator.RequestKind kind =
+        new LoadGenerator.RequestKind(
+            "all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
     LoadGenerator.Plan plan =
         new LoadGenerator.Plan(
             to,
@@ -109,11 +110,12 @@
             "load-" + Long.toHexString(System.nanoTime()) + "-");
     try (LoadGenerator load = new LoadGenerator(plan, null)) {
       load.start();
-      Progress progress = new Progress();
+      ProgressLine progress = new ProgressLine();
       Thread shown =
-          progress.show(() -> load.over() + " of " + (long) (rate * (warmUp + seconds)) + " over");
+          progress.start(
+              () -> load.completed() + " of " + (long) (rate * (warmUp + seconds)) + " over");
       load.await();
-      progress.end(shown);
+      progress.stop(shown);
       Map<String, Object> result = result(load);
       if (json) {
         System.out.println(new ObjectMapper().writeValueAsString(result));
--- a/src/main/java/leadferry/cli/OverloadTestCommand.java
+++ b/src/main/java/leadferry/cli/OverloadTestCommand.java
@@ -137,7 +137,7 @@
         System.err.println("the proxy does not listen: " + Files.readString(folder.resolve("log")));
         return 1;
       }
-      return play(proxy, startSeconds, launcher.path());
+      return play(proxy, startSeconds, launcher.requestPath());
     } finally {
       Files.deleteIfExists(folder.resolve("config"));
       Files.deleteIfExists(folder.resolve("log"));
@@ -147,7 +147,7 @@
 
   private static FakeUpstream upstream(String name) {
     return new FakeUpstream(
-        FakeUpstream.Options.quick(name).takes(SERVICE_MILLIS, CORES),
+        FakeUpstream.Options.instant(name).withServiceTime(SERVICE_MILLIS, CORES),
         new ExecutionLog(MOST_EXECUTIONS));
   }
 
@@ -182,16 +182,16 @@
       Thread sampling = new Thread(() -> sample(proxy, samples), "samples");
       sampling.setDaemon(true);
       sampling.start();
-      Progress progress = new Progress();
+      ProgressLine progress = new ProgressLine();
       Thread shown =
-          progress.show(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
+          progress.start(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
       test.run();
       sampling.interrupt();
       sampling.join();
-      progress.end(shown);
+      progress.stop(shown);
       OverloadTimeline timeline = test.timeline();
       print(result(timeline, startSeconds, restartSeconds[0]), timeline, samples);
-      return Double.isNaN(timeline.recoveredAfter()) ? 1 : 0;
+      return Double.isNaN(timeline.recoveredAfterSeconds()) ? 1 : 0;
     }
   }
 
@@ -226,7 +226,7 @@
       proxy.pause();
     } else if (kind == Kind.RESTART) {
       long sinceNanos = System.nanoTime();
-      proxy.end(END_MILLIS);
+      proxy.terminate(END_MILLIS);
       proxy.start();
       try {
         restartSeconds[0] = proxy.awaitListening(sinceNanos);
@@ -266,8 +266,8 @@
     result.put("calm_served", round(timeline.calmShare()));
     result.put("trigger_served", round(timeline.triggerShare()));
     result.put("after_served", round(timeline.afterShare()));
-    result.put("recovered_after_s", round(timeline.recoveredAfter()));
-    result.put("longest_gap_s", round(timeline.longestGap()));
+    result.put("recovered_after_s", round(timeline.recoveredAfterSeconds()));
+    result.put("longest_gap_s", round(timeline.longestGapSeconds()));
     return result;
   }
 
@@ -280,7 +280,7 @@
     }
     System.out.println(
         "   s   sent  served  rejected  unanswered   cpu  waiting  open  half-closed");
-    int seconds = timeline.buckets().length / OverloadTimeline.PER_SECOND;
+    int seconds = timeline.buckets().length / OverloadTimeline.BUCKETS_PER_SECOND;
     for (int second = 0; second < seconds; second++) {
       printSecond(second, timeline.buckets(), samples);
     }
@@ -289,9 +289,9 @@
 
   private static void printSecond(
       int second, OverloadTimeline.Bucket[] buckets, List<ThrottledProxy.Sample> samples) {
-    int from = second * OverloadTimeline.PER_SECOND;
+    int from = second * OverloadTimeline.BUCKETS_PER_SECOND;
     List<OverloadTimeline.Bucket> tenths =
-        List.of(buckets).subList(from, from + OverloadTimeline.PER_SECOND);
+        List.of(buckets).subList(from, from + OverloadTimeline.BUCKETS_PER_SECOND);
     ThrottledProxy.Sample now = sampleAt(second, samples);
     double cpuSeconds = now.cpuSeconds() - sampleAt(second - 1, samples).cpuSeconds();
     System.out.printf(
@@ -303,7 +303,7 @@
         tenths.stream().mapToInt(OverloadTimeline.Bucket::rejected).sum(),
         tenths.stream().mapToInt(OverloadTimeline.Bucket::unanswered).sum(),
         Math.max(0, cpuSeconds),
-        now.waiting(),
+        now.acceptQueueLength(),
         now.established(),
         now.closeWait());
   }
--- a/src/main/java/leadferry/cli/Progress.java
+++ b/src/main/java/leadferry/cli/ProgressLine.java
@@ -3,13 +3,13 @@
 import java.util.function.Supplier;
 
 /** A line on the terminal that tells how far long work is; nothing where output is piped. */
-final class Progress {
+final class ProgressLine {
   private static final long EVERY_MS = 500;
 
   private final boolean terminal = System.console() != null;
 
-  /** Shows the line until {@link #end}. */
-  Thread show(Supplier<String> line) {
+  /** Shows the line until {@link #stop}. */
+  Thread start(Supplier<String> line) {
     Thread t =
         new Thread(
             () -> {
@@ -30,7 +30,7 @@
     return t;
   }
 
-  void end(Thread shown) throws InterruptedException {
+  void stop(Thread shown) throws InterruptedException {
     if (terminal) {
       shown.interrupt();
       shown.join();
--- a/src/main/java/leadferry/cli/ReleaseAgentCommands.java
+++ b/src/main/java/leadferry/cli/ReleaseAgentCommands.java
@@ -39,14 +39,14 @@
     @Override
     public Integer call() {
       ObjectNode response;
-      try (ReplicaClient client = fleet.client()) {
+      try (ReplicaClient client = fleet.openClient()) {
         ObjectNode request = Json.object().put("op", "release").put("release", name);
         response = client.call(request, fleet.deadlineNanos());
       } catch (UnreachableException e) {
-        return ReleasePlanReader.unreachable(e);
+        return ReleasePlanReader.printUnreachable(e);
       }
       if (!ReleaseViewCodec.isRelease(response)) {
-        return fleet.print(response, FleetChangeCommand::print);
+        return fleet.printResponse(response, FleetChangeCommand::print);
       }
       ReleaseView release = ReleaseViewCodec.read(response);
       Optional<ObjectNode> task =
@@ -54,7 +54,7 @@
               .filter(view -> view.name().equals(targetName) && isWaitingForAgent(view))
               .findFirst()
               .map(view -> task(release, view));
-      return task.map(json -> fleet.print(json, Next::print))
+      return task.map(json -> fleet.printResponse(json, Next::print))
           .orElse(ReleaseCliCommand.EXIT_NOTHING_TO_DO);
     }
 
@@ -112,7 +112,7 @@
       ObjectNode entry =
           ReleaseCommandCodec.encode(
               new ReleaseCommand.RecordReport(name, targetName, action, attempt, found));
-      return fleet.ask(
+      return fleet.sendAndPrint(
           Json.object().put("op", "submit").set("entry", entry), FleetChangeCommand::print);
     }
   }
--- a/src/main/java/leadferry/cli/ReleaseCliCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseCliCommand.java
@@ -48,7 +48,7 @@
   static final int EXIT_DONE = 0;
 
   /** Exit status: faulty arguments or file. */
-  static final int EXIT_FAULTY = 2;
+  static final int EXIT_INVALID_INPUT = 2;
 
   /** Exit status of {@code next}: the agent has nothing to do. */
   static final int EXIT_NOTHING_TO_DO = 8;
@@ -77,7 +77,7 @@
 
     private int start(ObjectNode plan) {
       ObjectNode encoded = ReleaseCommandCodec.encodeStart(plan);
-      return submit(entry(encoded.path("op").asText()).setAll(encoded));
+      return submit(newEntry(encoded.path("op").asText()).setAll(encoded));
     }
   }
 
@@ -109,7 +109,7 @@
     @Override
     public Integer call() {
       validate();
-      try (ReplicaClient client = fleet.client();
+      try (ReplicaClient client = fleet.openClient();
           ReleaseDriver driver =
               new ReleaseDriver(
                   client,
@@ -144,14 +144,14 @@
   }
 
   /** What an operator asks of one release. */
-  abstract static class OfOneRelease extends FleetChangeCommand {
+  abstract static class ReleaseChangeCommand extends FleetChangeCommand {
     @Parameters(paramLabel = "RELEASE", description = "Which.")
     String name;
 
     /** Submits a command with who asks, when, and the call's id. */
     int submit(ReleaseCommand command) {
       ObjectNode encoded = ReleaseCommandCodec.encode(command);
-      ObjectNode entry = entry(encoded.path("op").asText());
+      ObjectNode entry = newEntry(encoded.path("op").asText());
       entry.setAll(encoded);
       return submit(entry);
     }
@@ -162,7 +162,7 @@
       name = "pause",
       mixinStandardHelpOptions = true,
       description = "No new target goes out until resume; what is under way ends by itself.")
-  static final class Pause extends OfOneRelease {
+  static final class Pause extends ReleaseChangeCommand {
     @Override
     public Integer call() {
       return submit(new ReleaseCommand.PauseRelease(name, why));
@@ -174,7 +174,7 @@
       name = "resume",
       mixinStandardHelpOptions = true,
       description = "Goes on after a pause or a halt, in the direction that it had.")
-  static final class Resume extends OfOneRelease {
+  static final class Resume extends ReleaseChangeCommand {
     @Override
     public Integer call() {
       return submit(new ReleaseCommand.ResumeRelease(name, why));
@@ -186,7 +186,7 @@
       name = "halt",
       mixinStandardHelpOptions = true,
       description = "From the entry on that says so, no new target goes out.")
-  static final class Halt extends OfOneRelease {
+  static final class Halt extends ReleaseChangeCommand {
     @Override
     public Integer call() {
       return submit(new ReleaseCommand.HaltRelease(name, why));
@@ -199,7 +199,7 @@
       aliases = "back",
       mixinStandardHelpOptions = true,
       description = "Rolls back: the newest first, under the same budgets.")
-  static final class RollBack extends OfOneRelease {
+  static final class RollBack extends ReleaseChangeCommand {
     @Option(
         names = "--to-step",
         defaultValue = "0",
@@ -217,7 +217,7 @@
       name = "override",
       mixinStandardHelpOptions = true,
       description = "Your decision against a check, with who and why in the audit.")
-  static final class OverrideCheck extends OfOneRelease {
+  static final class OverrideCheck extends ReleaseChangeCommand {
     @Option(
         names = "--what",
         required = true,
@@ -236,7 +236,7 @@
       name = "end",
       mixinStandardHelpOptions = true,
       description = "Gives a release up as it stands; others may have its targets then.")
-  static final class End extends OfOneRelease {
+  static final class End extends ReleaseChangeCommand {
     @Override
     public Integer call() {
       return submit(new ReleaseCommand.EndRelease(name, why));
@@ -256,7 +256,8 @@
 
     @Override
     public Integer call() {
-      return fleet.ask(Json.object().put("op", "status").put("history", true), this::print);
+      return fleet.sendAndPrint(
+          Json.object().put("op", "status").put("history", true), this::print);
     }
 
     private void print(ObjectNode response) {
--- a/src/main/java/leadferry/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -135,7 +135,7 @@
     String line =
         view.state().storedName()
             + ", "
-            + ReleaseStatusPrinter.name(view.progress().direction())
+            + ReleaseStatusPrinter.directionName(view.progress().direction())
             + reason
             + driverText(view);
     if (!line.equals(lastStatusLine)) {
@@ -259,7 +259,7 @@
     commandThreads.execute(
         () -> {
           Result result = runner.run(invocation);
-          CommandResult ended = new CommandResult(result.succeeded(), result.text());
+          CommandResult ended = new CommandResult(result.isSuccess(), result.summary());
           completions.add(() -> controller.onChangeEnded(change, ended));
         });
   }
@@ -278,7 +278,7 @@
         () -> {
           Result result = runner.run(invocation);
           String version =
-              result.succeeded() ? result.output().lines().findFirst().orElse("").strip() : "";
+              result.isSuccess() ? result.output().lines().findFirst().orElse("").strip() : "";
           completions.add(() -> controller.onVersionChecked(check, Optional.of(version)));
         });
   }
--- a/src/main/java/leadferry/cli/ReleasePlanCommand.java
+++ b/src/main/java/leadferry/cli/ReleasePlanCommand.java
@@ -41,15 +41,15 @@
         neverAllowed.forEach(response.putArray("why")::add);
       }
     } catch (UnreachableException e) {
-      return ReleasePlanReader.unreachable(e);
+      return ReleasePlanReader.printUnreachable(e);
     }
-    return fleet.print(response, ReleasePlanCommand::print);
+    return fleet.printResponse(response, ReleasePlanCommand::print);
   }
 
   /** The bounds that would never let a target go, each in a line. */
   private List<String> neverAllowed(ObjectNode plan) throws UnreachableException {
     List<String> lines = new ArrayList<>();
-    try (ReplicaClient client = fleet.client()) {
+    try (ReplicaClient client = fleet.openClient()) {
       for (JsonNode step : plan.path("steps")) {
         for (JsonNode name : step.path("targets")) {
           ObjectNode request =
--- a/src/main/java/leadferry/cli/ReleasePlanReader.java
+++ b/src/main/java/leadferry/cli/ReleasePlanReader.java
@@ -22,19 +22,19 @@
   private ReleasePlanReader() {}
 
   static Result read(FleetOptions fleet, Path file) {
-    try (ReplicaClient client = fleet.client()) {
+    try (ReplicaClient client = fleet.openClient()) {
       ObjectNode status = client.call(Json.object().put("op", "status"), fleet.deadlineNanos());
       return new Result(Optional.of(ReleaseFile.read(file, status)), ReleaseCliCommand.EXIT_DONE);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
-      return new Result(Optional.empty(), ReleaseCliCommand.EXIT_FAULTY);
+      return new Result(Optional.empty(), ReleaseCliCommand.EXIT_INVALID_INPUT);
     } catch (UnreachableException e) {
-      return new Result(Optional.empty(), unreachable(e));
+      return new Result(Optional.empty(), printUnreachable(e));
     }
   }
 
   /** Tells that no replica can be reached; gives the exit status for it. */
-  static int unreachable(UnreachableException cause) {
+  static int printUnreachable(UnreachableException cause) {
     System.err.println("no replica can be reached: " + cause.getMessage());
     return FleetExitStatus.UNREACHABLE;
   }
--- a/src/main/java/leadferry/cli/ReleaseStatusCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusCommand.java
@@ -32,7 +32,7 @@
   public Integer call() throws InterruptedException {
     ObjectNode request = Json.object().put("op", "release").put("release", name);
     return watch
-        ? fleet.watch(request, ReleaseStatusPrinter::print)
-        : fleet.ask(request, ReleaseStatusPrinter::print);
+        ? fleet.pollAndPrintChanges(request, ReleaseStatusPrinter::print)
+        : fleet.sendAndPrint(request, ReleaseStatusPrinter::print);
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
@@ -18,7 +18,7 @@
   private ReleaseStatusPrinter() {}
 
   /** The direction in the words of the command line. */
-  static String name(ReleaseDirection direction) {
+  static String directionName(ReleaseDirection direction) {
     return direction == ReleaseDirection.FORWARD ? "forward" : "rollback";
   }
 
@@ -46,7 +46,7 @@
             + ", "
             + json.path("state").asText()
             + " "
-            + name(direction)
+            + directionName(direction)
             + ", step "
             + json.path("goal").asInt()
             + " of "
@@ -64,7 +64,7 @@
             + " is "
             + release.state().storedName()
             + ", "
-            + name(release.progress().direction())
+            + directionName(release.progress().direction())
             + inParentheses(release.stateReason())
             + driver);
     Map<String, ZoneProgress> zones = new LinkedHashMap<>();
--- a/src/main/java/leadferry/cli/TargetCommandRunner.java
+++ b/src/main/java/leadferry/cli/TargetCommandRunner.java
@@ -35,10 +35,10 @@
     CHANGE("command"),
     CHECK("check");
 
-    private final String word;
+    private final String label;
 
     Purpose(String word) {
-      this.word = word;
+      this.label = word;
     }
   }
 
@@ -61,7 +61,7 @@
       long fence,
       String version,
       long timeoutMillis) {
-    private List<String> words() {
+    private List<String> commandLine() {
       return template.stream()
           .map(word -> word.replace("{target}", target).replace("{version}", version))
           .toList();
@@ -71,13 +71,13 @@
   /**
    * What became of a run.
    *
-   * @param status the program's exit status, or -1
+   * @param exitStatus the program's exit status, or -1
    * @param output what it wrote, up to a bound
-   * @param text what happened, for people
+   * @param summary what happened, for people
    */
-  record Result(int status, String output, String text) {
-    boolean succeeded() {
-      return status == 0;
+  record Result(int exitStatus, String output, String summary) {
+    boolean isSuccess() {
+      return exitStatus == 0;
     }
   }
 
@@ -94,7 +94,7 @@
 
   /** Runs a program to its end, or to the end of its time. */
   Result run(Invocation invocation) {
-    String word = invocation.purpose().word;
+    String word = invocation.purpose().label;
     // Guards against a process that stood still between the replicas' response and here.
     if (!leaseHolds.getAsBoolean()) {
       return new Result(NO_STATUS, "", "the driver's lease was over");
@@ -109,8 +109,8 @@
             + invocation.fence());
     try {
       Result result = await(start(invocation), invocation);
-      if (!result.succeeded()) {
-        log.accept(invocation.target() + ": " + result.text());
+      if (!result.isSuccess()) {
+        log.accept(invocation.target() + ": " + result.summary());
       }
       return result;
     } catch (IOException e) {
@@ -124,7 +124,7 @@
   }
 
   private Process start(Invocation invocation) throws IOException {
-    ProcessBuilder builder = new ProcessBuilder(invocation.words()).redirectErrorStream(true);
+    ProcessBuilder builder = new ProcessBuilder(invocation.commandLine()).redirectErrorStream(true);
     String path = System.getenv("PATH");
     Map<String, String> environment = builder.environment();
     environment.clear();
@@ -159,7 +159,7 @@
     String end =
         ended ? " ended with " + status : " was killed after " + invocation.timeoutMillis() + " ms";
     String said = output.isBlank() ? "" : ": " + abbreviate(output.strip());
-    return new Result(status, output, invocation.purpose().word + end + said);
+    return new Result(status, output, invocation.purpose().label + end + said);
   }
 
   private static String abbreviate(String text) {
--- a/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
+++ b/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
@@ -19,16 +19,16 @@
  * @param kind the platform's process or the daemon
  * @param jvmFile options of its JVM as in {@code deploy/proxy.jvm}, or null
  * @param jvmOptions further options of its JVM
- * @param share the part of a core that it gets
- * @param descriptors sockets that it may hold
+ * @param coreShare the part of a core that it gets
+ * @param maxSockets sockets that it may hold
  * @param timeoutMillis deadline of its one class of requests
  */
 record ThrottledProxyLauncher(
     Kind kind,
     Path jvmFile,
     List<String> jvmOptions,
-    double share,
-    int descriptors,
+    double coreShare,
+    int maxSockets,
     long timeoutMillis) {
 
   /** The two ways to be a proxy. */
@@ -40,7 +40,7 @@
   private static final long LONGEST_OBJECTIVE_MILLIS = 400;
 
   /** A path that the proxy forwards. */
-  String path() {
+  String requestPath() {
     return kind == Kind.PLATFORM ? "/read/x" : "/";
   }
 
@@ -67,7 +67,7 @@
       command.addAll(List.of("daemon", "--config", config.toString()));
     }
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-    return new ThrottledProxy(command, environment, address, share, folder.resolve("log"));
+    return new ThrottledProxy(command, environment, address, coreShare, folder.resolve("log"));
   }
 
   private static int freePort() throws IOException {
@@ -88,14 +88,14 @@
          "settings":{"classes":[
            {"name":"read","aim":%d,"deadline":%d,"semantics":"idempotent"}]}}
         """
-        .formatted(port, descriptors, servers, LONGEST_OBJECTIVE_MILLIS, timeoutMillis);
+        .formatted(port, maxSockets, servers, LONGEST_OBJECTIVE_MILLIS, timeoutMillis);
   }
 
   private static String platformServer(FakeUpstream upstream) {
     return """
         {"id":"%s","addr":"%s","zone":"","kind":"","cell":1,"state":"up",
          "weight":1.0,"started_ms":0}"""
-        .formatted(upstream.name(), upstream.place());
+        .formatted(upstream.name(), upstream.hostAndPort());
   }
 
   private String operatorFile(int port, List<FakeUpstream> upstreams) {
@@ -118,7 +118,7 @@
         pool = "a"
         """
         .formatted(
-            descriptors,
+            maxSockets,
             port,
             Math.min(LONGEST_OBJECTIVE_MILLIS, timeoutMillis),
             timeoutMillis,
@@ -131,6 +131,6 @@
         id = "%s"
         address = "%s"
         """
-        .formatted(upstream.name(), upstream.place());
+        .formatted(upstream.name(), upstream.hostAndPort());
   }
 }
--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -126,7 +126,7 @@
    * Where the other client proxies of the tier are, or null where they may not talk or the
    * addresses are not told.
    */
-  PeerAddresses peers() {
+  PeerAddresses peerAddresses() {
     JsonNode peers = root.path("peers");
     InetSocketAddress listen = Addresses.parse(root.path("peer_listen").asText(""));
     InetSocketAddress all = Addresses.parse(root.path("peers_all").asText(""));
@@ -161,17 +161,17 @@
    *
    * @throws ConfigException if anything of it is faulty, with every fault in its message
    */
-  Config next(Path file) throws ConfigException {
-    Config next = load(Map.of(FILE_VARIABLE, file.toString()));
-    List<String> faults = ConfigCheck.faults(root, next.root);
+  Config loadReplacement(Path file) throws ConfigException {
+    Config replacement = load(Map.of(FILE_VARIABLE, file.toString()));
+    List<String> faults = ConfigCheck.faults(root, replacement.root);
     if (!faults.isEmpty()) {
       throw new ConfigException(file + ": " + String.join("; ", faults));
     }
-    return next;
+    return replacement;
   }
 
   /** This one with what of another may change while it runs. */
-  Config with(Config next) {
+  Config withReloadableSettings(Config next) {
     return new Config(
         name,
         listen,
--- a/src/main/java/leadferry/proxy/ConfigReload.java
+++ b/src/main/java/leadferry/proxy/ConfigReloader.java
@@ -14,7 +14,7 @@
  * is faulty or still being written: it is read again for a while, and nothing of it is taken if it
  * never becomes sound. Confined to the event loop, but for {@link #reload} and {@link #watch}.
  */
-final class ConfigReload {
+final class ConfigReloader {
   /** A file that can't be read may be half written: it is read so often, so far apart. */
   private static final int MAX_ATTEMPTS = 10;
 
@@ -26,11 +26,11 @@
   private final Consumer<Config> onReload;
   private Config config;
   private Future<?> scheduledRetry;
-  private Future<?> scheduledSettle;
+  private Future<?> scheduledTransitionEnd;
   private volatile WatchedFile watchedFile;
 
   /** {@code onReload} gets the configuration that is in force after each reload. */
-  ConfigReload(
+  ConfigReloader(
       EventLoop loop,
       Config config,
       PlatformRequestFilter requestFilter,
@@ -56,7 +56,7 @@
   /** Reloads if a file is watched and has changed since the last call. */
   void reloadIfChanged() {
     WatchedFile watched = watchedFile;
-    if (watched != null && watched.changed()) {
+    if (watched != null && watched.hasChanged()) {
       reload(watched.file());
     }
   }
@@ -75,7 +75,7 @@
   private void attempt(Path file, int attemptsLeft) {
     scheduledRetry = null;
     try {
-      apply(config.next(file));
+      apply(config.loadReplacement(file));
     } catch (ConfigException | RuntimeException e) {
       if (attemptsLeft > 1) {
         scheduledRetry =
@@ -91,19 +91,21 @@
     if (!next.settings().equals(config.settings())) {
       apply(next.settings());
     }
-    config = config.with(next);
+    config = config.withReloadableSettings(next);
     onReload.accept(config);
   }
 
   /** Other settings from now on; for a while, clients may not know it. */
   private void apply(Settings next) {
-    requestFilter.settings(next);
+    requestFilter.applySettings(next);
     log.line("other settings in force");
-    if (scheduledSettle != null) {
-      scheduledSettle.cancel(false);
+    if (scheduledTransitionEnd != null) {
+      scheduledTransitionEnd.cancel(false);
     }
-    scheduledSettle =
+    scheduledTransitionEnd =
         loop.schedule(
-            requestFilter::settled, SettingsReload.OLD_FORM_MILLIS, TimeUnit.MILLISECONDS);
+            requestFilter::endSettingsTransition,
+            RequestClassResolver.TRANSITION_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/leadferry/proxy/DiscoveryConnection.java
+++ b/src/main/java/leadferry/proxy/DiscoveryConnection.java
@@ -21,22 +21,22 @@
 
 /**
  * One HTTP connection to discovery: writes requests, and reads the endpoint lists of the responses.
- * What they mean is decided by {@link Discovery}, and only while this is its present connection.
- * Confined to the event loop.
+ * What they mean is decided by {@link DiscoveryWatch}, and only while this is its present
+ * connection. Confined to the event loop.
  */
 final class DiscoveryConnection extends ChannelInboundHandlerAdapter {
   private static final String LIST_PATH = "/catalog/members";
   private static final String CHANGES_QUERY = "?follow=1&since=";
 
-  private final Discovery discovery;
+  private final DiscoveryWatch watch;
   private final InetSocketAddress address;
   private final Channel channel;
   private final EndpointListFramer framer = new EndpointListFramer();
   private long lastReadNanos = System.nanoTime();
   private boolean followsChanges;
 
-  DiscoveryConnection(Discovery discovery, InetSocketAddress address, Channel channel) {
-    this.discovery = discovery;
+  DiscoveryConnection(DiscoveryWatch watch, InetSocketAddress address, Channel channel) {
+    this.watch = watch;
     this.address = address;
     this.channel = channel;
   }
@@ -83,7 +83,7 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
-      if (discovery.isCurrent(this)) {
+      if (watch.isCurrent(this)) {
         readPart((HttpObject) message);
       }
     } finally {
@@ -93,7 +93,7 @@
 
   private void readPart(HttpObject part) {
     lastReadNanos = System.nanoTime();
-    discovery.onResponsePart();
+    watch.onResponsePart();
     if (part.decoderResult().isFailure()) {
       fail("malformed answer");
     } else if (part instanceof HttpResponse head
@@ -101,17 +101,17 @@
       fail("answered " + head.status().code());
     } else if (part instanceof HttpContent content) {
       readContent(content.content());
-      if (part instanceof LastHttpContent && discovery.isCurrent(this)) {
+      if (part instanceof LastHttpContent && watch.isCurrent(this)) {
         endResponse();
       }
     }
   }
 
   private void readContent(ByteBuf bytes) {
-    while (bytes.isReadable() && discovery.isCurrent(this)) {
+    while (bytes.isReadable() && watch.isCurrent(this)) {
       switch (framer.read(bytes)) {
         case INCOMPLETE -> {}
-        case EMPTY_LINE -> discovery.onUnchanged();
+        case EMPTY_LINE -> watch.onUnchanged();
         case LIST -> readList();
         case TRUNCATED_LIST -> fail("can't be understood: a list that is cut");
         case TOO_LONG -> fail("a list without an end");
@@ -121,7 +121,7 @@
 
   private void readList() {
     try {
-      discovery.onList(framer.takeList());
+      watch.onList(framer.takeList());
     } catch (MalformedEndpointListException e) {
       // The last good list stays in force; the changes of this one are requested again.
       fail("can't be understood: " + e.getMessage());
@@ -132,13 +132,13 @@
     if (!followsChanges && !framer.isEmpty()) {
       readList(); // the last line of a whole list may be without its end
     }
-    if (discovery.isCurrent(this)) {
-      discovery.onResponseEnd(followsChanges);
+    if (watch.isCurrent(this)) {
+      watch.onResponseEnd(followsChanges);
     }
   }
 
   private void fail(String reason) {
-    discovery.onFailure(this, reason);
+    watch.onFailure(this, reason);
   }
 
   @Override
@@ -148,6 +148,6 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    discovery.onException(this, cause);
+    watch.onException(this, cause);
   }
 }
--- a/src/main/java/leadferry/proxy/Discovery.java
+++ b/src/main/java/leadferry/proxy/DiscoveryWatch.java
@@ -28,7 +28,7 @@
  * <p>Where the settings say that the load balancer polls, it decides when the next connection is
  * opened; else {@link ReconnectBackoff} does. Confined to the event loop.
  */
-final class Discovery {
+final class DiscoveryWatch {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   /**
@@ -70,12 +70,12 @@
   /** Whether the next connection has the shorter timeout for its first response. */
   private boolean expectsPromptResponse = true;
 
-  Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
+  DiscoveryWatch(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
     this(loop, config, dispatcher, log, RetryingSocketChannel.class);
   }
 
   /** Connects with channels of the class {@code channelType}. */
-  Discovery(
+  DiscoveryWatch(
       EventLoopGroup loop,
       Config config,
       Dispatcher dispatcher,
@@ -132,7 +132,7 @@
   }
 
   /** Fails a connection that has gone silent. */
-  void sweep() {
+  void checkTimeouts() {
     if (connection == null) {
       return;
     }
@@ -154,7 +154,7 @@
     ChannelFuture connecting = bootstrap.connect(address);
     if (!connecting.channel().isRegistered()) {
       // Guards against a watch that never ends: a channel that was never opened is never closed.
-      lose("out of sockets");
+      onConnectionLost("out of sockets");
       return;
     }
     DiscoveryConnection opened = new DiscoveryConnection(this, address, connecting.channel());
@@ -190,10 +190,10 @@
     }
     opened.open();
     transition(WatchState.AWAITING_RESPONSE);
-    request();
+    requestUpdates();
   }
 
-  private void request() {
+  private void requestUpdates() {
     if (version == NO_VERSION) {
       connection.requestList();
     } else {
@@ -242,7 +242,7 @@
     if (followedChanges || version == NO_VERSION) {
       onFailure(connection, "ended");
     } else {
-      request();
+      requestUpdates();
     }
   }
 
@@ -250,7 +250,7 @@
   void onFailure(DiscoveryConnection failed, String reason) {
     failed.close();
     if (isCurrent(failed)) {
-      lose(reason);
+      onConnectionLost(reason);
     }
   }
 
@@ -286,7 +286,7 @@
   }
 
   /** There is no connection any more; the next one is scheduled, or left to the load balancer. */
-  private void lose(String reason) {
+  private void onConnectionLost(String reason) {
     connection = null;
     if (!reason.equals(lastFailure)) {
       log.line("watch: " + reason);
@@ -304,7 +304,7 @@
   }
 
   private void transition(WatchState next) {
-    assert state.canBecome(next) : state + " to " + next;
+    assert state.canTransitionTo(next) : state + " to " + next;
     state = next;
   }
 }
--- a/src/main/java/leadferry/proxy/GracefulShutdown.java
+++ b/src/main/java/leadferry/proxy/GracefulShutdown.java
@@ -24,13 +24,13 @@
   private static final long ACCEPT_MILLIS = 800;
 
   /** SIGKILL comes 0.7 s after the longest deadline, of which no more than this counts. */
-  private static final double MAX_DEADLINE_MILLIS = 3_000;
+  private static final double MAX_COUNTED_DEADLINE_MILLIS = 3_000;
 
   /** Past the longest deadline, requests are given up: their answers are out before SIGKILL. */
-  private static final long GIVE_UP_MILLIS = 500;
+  private static final long TERMINATE_AFTER_DEADLINE_MILLIS = 500;
 
   /** Past the longest deadline, what is not written has nobody who reads it. */
-  private static final long CUT_SHORT_MILLIS = 600;
+  private static final long EXIT_AFTER_DEADLINE_MILLIS = 600;
 
   private static final long POLL_MILLIS = 10;
   private static final double NANOS_PER_MILLI = 1e6;
@@ -38,30 +38,31 @@
   private final EventLoop loop;
   private final HttpServer httpServer;
   private final Log log;
-  private final Runnable onEnd;
-  private final long giveUpAtNanos;
-  private final long cutShortAtNanos;
+  private final Runnable onFinished;
+  private final long terminateAtNanos;
+  private final long exitAtNanos;
   private long acceptUntilNanos;
-  private boolean takenOver;
+  private boolean anotherProcessListens;
 
   /** Its time counts from now on; {@code onEnd} runs once the drain is over. */
   GracefulShutdown(
-      EventLoop loop, HttpServer httpServer, Settings settings, Log log, Runnable onEnd) {
+      EventLoop loop, HttpServer httpServer, Settings settings, Log log, Runnable onFinished) {
     this.loop = loop;
     this.httpServer = httpServer;
     this.log = log;
-    this.onEnd = onEnd;
+    this.onFinished = onFinished;
     double longestMillis = longestDeadlineMillis(settings);
     long now = System.nanoTime();
-    giveUpAtNanos = now + (long) ((longestMillis + GIVE_UP_MILLIS) * NANOS_PER_MILLI);
-    cutShortAtNanos = now + (long) ((longestMillis + CUT_SHORT_MILLIS) * NANOS_PER_MILLI);
+    terminateAtNanos =
+        now + (long) ((longestMillis + TERMINATE_AFTER_DEADLINE_MILLIS) * NANOS_PER_MILLI);
+    exitAtNanos = now + (long) ((longestMillis + EXIT_AFTER_DEADLINE_MILLIS) * NANOS_PER_MILLI);
     acceptUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS);
   }
 
   /** Waits for the last client; where another process listens, this one no longer has to. */
-  void awaitClients(boolean anotherListens) {
-    takenOver = anotherListens;
-    if (takenOver) {
+  void startPolling(boolean anotherListens) {
+    anotherProcessListens = anotherListens;
+    if (anotherProcessListens) {
       acceptUntilNanos = System.nanoTime();
     }
     poll();
@@ -72,36 +73,36 @@
     for (Settings.RequestClass requestClass : settings.classes()) {
       longest = Math.max(longest, requestClass.deadlineMillis());
     }
-    return Math.min(longest, MAX_DEADLINE_MILLIS);
+    return Math.min(longest, MAX_COUNTED_DEADLINE_MILLIS);
   }
 
   /** Guards against an end that never comes, as one step of it failed. */
   private void poll() {
     try {
-      step(System.nanoTime());
+      checkProgress(System.nanoTime());
     } catch (RuntimeException e) {
       log.failure("a step of the drain failed", e);
-      if (System.nanoTime() < cutShortAtNanos) {
+      if (System.nanoTime() < exitAtNanos) {
         schedulePoll();
       } else {
-        onEnd.run();
+        onFinished.run();
       }
     }
   }
 
-  private void step(long now) {
-    if (now >= giveUpAtNanos) {
+  private void checkProgress(long now) {
+    if (now >= terminateAtNanos) {
       // A class may have a longer deadline than SIGKILL leaves, or be one that a reload dropped.
       httpServer.terminateConnections();
     }
-    if (!takenOver && now >= acceptUntilNanos) {
+    if (!anotherProcessListens && now >= acceptUntilNanos) {
       stopListeningOnceIdle(now);
     }
     boolean drained = now >= acceptUntilNanos && httpServer.hasNoClients() && !isListening();
-    if (drained || now >= cutShortAtNanos) {
+    if (drained || now >= exitAtNanos) {
       log.line(drained ? "drained" : "drain cut short by its time");
       httpServer.listener().close();
-      onEnd.run();
+      onFinished.run();
     } else {
       schedulePoll();
     }
@@ -110,10 +111,10 @@
   private void stopListeningOnceIdle(long now) {
     if (httpServer.closeIdleConnections()) {
       // Guards a request that crossed such a close: its client sends it again, on a new connection.
-      acceptUntilNanos = Math.min(giveUpAtNanos, now + SocketSlack.NANOS);
+      acceptUntilNanos = Math.min(terminateAtNanos, now + SocketSlack.NANOS);
     }
     boolean idle = httpServer.hasNoClients() && now >= acceptUntilNanos;
-    if (isListening() && (idle || now >= giveUpAtNanos)) {
+    if (isListening() && (idle || now >= terminateAtNanos)) {
       httpServer.stopListening(); // clients in its backlog are waited for, too
     }
   }
--- a/src/main/java/leadferry/proxy/HotRestart.java
+++ b/src/main/java/leadferry/proxy/HotRestart.java
@@ -37,41 +37,42 @@
   /**
    * How a process stands.
    *
-   * @param clients connections of its clients, and {@code upstreams} to its hosts
-   * @param bodies bytes of bodies that it holds
+   * @param clientConnections connections of its clients, and {@code upstreams} to its hosts
+   * @param bodyBytes bytes of bodies that it holds
    */
-  record Standing(boolean listens, int clients, int upstreams, long bodies) {
-    static final Standing NONE = new Standing(false, 0, 0, 0);
-
-    private Standing plus(Standing other) {
-      return new Standing(
-          listens || other.listens,
-          clients + other.clients,
-          upstreams + other.upstreams,
-          bodies + other.bodies);
+  record ProcessState(
+      boolean isListening, int clientConnections, int upstreamConnections, long bodyBytes) {
+    static final ProcessState NONE = new ProcessState(false, 0, 0, 0);
+
+    private ProcessState plus(ProcessState other) {
+      return new ProcessState(
+          isListening || other.isListening,
+          clientConnections + other.clientConnections,
+          upstreamConnections + other.upstreamConnections,
+          bodyBytes + other.bodyBytes);
     }
 
     private ByteBuffer encode() {
       return ByteBuffer.allocate(RECORD_BYTES)
-          .put((byte) (listens ? 1 : 0))
-          .putInt(clients)
-          .putInt(upstreams)
-          .putLong(bodies)
+          .put((byte) (isListening ? 1 : 0))
+          .putInt(clientConnections)
+          .putInt(upstreamConnections)
+          .putLong(bodyBytes)
           .flip();
     }
 
-    private static Standing decode(ByteBuffer bytes) {
-      return new Standing(bytes.get() != 0, bytes.getInt(), bytes.getInt(), bytes.getLong());
+    private static ProcessState decode(ByteBuffer bytes) {
+      return new ProcessState(bytes.get() != 0, bytes.getInt(), bytes.getInt(), bytes.getLong());
     }
   }
 
   private final Path folder;
-  private final Path own;
+  private final Path ownFile;
   private final FileChannel channel;
 
-  private HotRestart(Path folder, Path own, FileChannel channel) {
+  private HotRestart(Path folder, Path ownFile, FileChannel channel) {
     this.folder = folder;
-    this.own = own;
+    this.ownFile = ownFile;
     this.channel = channel;
   }
 
@@ -79,30 +80,30 @@
   static HotRestart join(String folder) {
     for (int i = 0; i < JOIN_ATTEMPTS && folder != null && !folder.isEmpty(); i++) {
       try {
-        Path own = Files.createTempFile(Path.of(folder), PREFIX, SUFFIX);
-        FileChannel channel = FileChannel.open(own, StandardOpenOption.WRITE);
+        Path ownFile = Files.createTempFile(Path.of(folder), PREFIX, SUFFIX);
+        FileChannel channel = FileChannel.open(ownFile, StandardOpenOption.WRITE);
         channel.lock();
-        if (Files.exists(own)) {
-          return new HotRestart(Path.of(folder), own, channel);
+        if (Files.exists(ownFile)) {
+          return new HotRestart(Path.of(folder), ownFile, channel);
         }
         channel.close(); // another process removed it as a dead one's, before it was locked
       } catch (IOException | RuntimeException e) {
         break;
       }
     }
-    return alone();
+    return disabled();
   }
 
   /** Those of a process that knows of no other. */
-  static HotRestart alone() {
+  static HotRestart disabled() {
     return new HotRestart(null, null, null);
   }
 
   /** Tells the others how this process stands; harmless where it can't be told. */
-  void tell(Standing standing) {
+  void publish(ProcessState state) {
     try {
       if (channel != null) {
-        channel.write(standing.encode(), 0);
+        channel.write(state.encode(), 0);
       }
     } catch (IOException e) {
       // They go by what was told before.
@@ -110,16 +111,16 @@
   }
 
   /** What the other processes that live hold together, or null where there are none. */
-  Standing others() {
+  ProcessState readOtherProcesses() {
     if (folder == null) {
       return null;
     }
-    Standing sum = null;
+    ProcessState sum = null;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
       for (Path file : files) {
-        Standing standing = file.equals(own) ? null : read(file);
-        if (standing != null) {
-          sum = sum == null ? standing : standing.plus(sum);
+        ProcessState state = file.equals(ownFile) ? null : read(file);
+        if (state != null) {
+          sum = sum == null ? state : state.plus(sum);
         }
       }
     } catch (IOException | DirectoryIteratorException e) {
@@ -129,7 +130,7 @@
   }
 
   /** How the process of this file stands; null if it is dead, and its file goes. */
-  private static Standing read(Path file) throws IOException {
+  private static ProcessState read(Path file) throws IOException {
     try (FileChannel channel =
         FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
       try (FileLock lock = channel.tryLock()) {
@@ -141,8 +142,8 @@
         // Its process lives: it is this one.
       }
       ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES);
-      boolean told = channel.read(bytes, 0) == RECORD_BYTES;
-      return told ? Standing.decode(bytes.flip()) : Standing.NONE;
+      boolean complete = channel.read(bytes, 0) == RECORD_BYTES;
+      return complete ? ProcessState.decode(bytes.flip()) : ProcessState.NONE;
     } catch (NoSuchFileException e) {
       return null;
     }
@@ -152,7 +153,7 @@
   public void close() {
     try {
       if (channel != null) {
-        Files.deleteIfExists(own);
+        Files.deleteIfExists(ownFile);
         channel.close();
       }
     } catch (IOException e) {
--- a/src/main/java/leadferry/proxy/Management.java
+++ b/src/main/java/leadferry/proxy/ManagementServer.java
@@ -37,7 +37,7 @@
  * has a thread of its own. Guards operators against a client proxy that does not answer them when
  * it is busiest; what it reads and sets of the rest must be safe for use by another thread.
  */
-final class Management implements AutoCloseable {
+final class ManagementServer implements AutoCloseable {
   /** Past it, the oldest is closed. Guards descriptors against callers that send nothing. */
   static final int MAX_CONNECTIONS = 12;
 
@@ -72,7 +72,7 @@
    * {@code ready} tells whether this process can serve; the others carry out what they are named
    * for.
    */
-  Management(BooleanSupplier ready, Runnable drain, Runnable activate, Log log) {
+  ManagementServer(BooleanSupplier ready, Runnable drain, Runnable activate, Log log) {
     this.log = log;
     this.operations =
         Map.of(
@@ -118,7 +118,7 @@
         .schedule(() -> channel.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private HttpResponseStatus carryOut(HttpRequest request) {
+  private HttpResponseStatus execute(HttpRequest request) {
     Operation operation = operations.get(request.uri());
     if (operation == null) {
       return HttpResponseStatus.NOT_FOUND;
@@ -148,7 +148,7 @@
         request = head;
       }
       if (part instanceof LastHttpContent && request != null) {
-        respond(context, carryOut(request));
+        respond(context, execute(request));
       }
     }
 
--- a/src/main/java/leadferry/proxy/PeerAddresses.java
+++ b/src/main/java/leadferry/proxy/PeerAddresses.java
@@ -7,8 +7,10 @@
  * Where client proxies hear each other.
  *
  * @param listen the own address
- * @param all reaches every client proxy of the tier
- * @param numbers the numbers of the others, by the address from which they send
+ * @param broadcast reaches every client proxy of the tier
+ * @param indexByAddress the numbers of the others, by the address from which they send
  */
 record PeerAddresses(
-    InetSocketAddress listen, InetSocketAddress all, Map<InetSocketAddress, Integer> numbers) {}
+    InetSocketAddress listen,
+    InetSocketAddress broadcast,
+    Map<InetSocketAddress, Integer> indexByAddress) {}
--- a/src/main/java/leadferry/proxy/Peers.java
+++ b/src/main/java/leadferry/proxy/PeerMessenger.java
@@ -20,7 +20,7 @@
  * a hint, so one that can't be sent is dropped, and one from an address that is no peer's is passed
  * over. On one loop, its proxy's.
  */
-final class Peers extends SimpleChannelInboundHandler<DatagramPacket> {
+final class PeerMessenger extends SimpleChannelInboundHandler<DatagramPacket> {
   /** The platform's bound on a datagram. */
   private static final int MAX_MESSAGE_BYTES = 256;
 
@@ -30,10 +30,10 @@
   private final ObjIntConsumer<byte[]> onMessage;
   private final Log log;
   private Channel channel;
-  private boolean failed;
+  private boolean bindFailureLogged;
 
   /** {@code onMessage} gets each message with its sender's number. */
-  Peers(PeerAddresses addresses, ObjIntConsumer<byte[]> onMessage, Log log) {
+  PeerMessenger(PeerAddresses addresses, ObjIntConsumer<byte[]> onMessage, Log log) {
     this.addresses = addresses;
     this.onMessage = onMessage;
     this.log = log;
@@ -60,30 +60,31 @@
   }
 
   private void onBindFailure(EventLoop loop, Throwable cause) {
-    if (!failed) {
+    if (!bindFailureLogged) {
       log.line("peers can't be heard at " + addresses.listen() + ": " + cause.getMessage());
     }
-    failed = true;
-    startLater(loop);
+    bindFailureLogged = true;
+    scheduleStart(loop);
   }
 
-  private void startLater(EventLoop loop) {
+  private void scheduleStart(EventLoop loop) {
     if (!loop.isShuttingDown()) {
       loop.schedule(() -> start(loop), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** Sends a message to every other client proxy. */
-  void tell(byte[] message) {
+  void broadcast(byte[] message) {
     if (channel != null) {
-      channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), addresses.all()));
+      channel.writeAndFlush(
+          new DatagramPacket(Unpooled.wrappedBuffer(message), addresses.broadcast()));
     }
   }
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
     channel = context.channel();
-    failed = false;
+    bindFailureLogged = false;
   }
 
   /**
@@ -93,7 +94,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     channel = null;
-    startLater(context.channel().eventLoop());
+    scheduleStart(context.channel().eventLoop());
   }
 
   @Override
@@ -103,7 +104,7 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-    Integer sender = addresses.numbers().get(packet.sender());
+    Integer sender = addresses.indexByAddress().get(packet.sender());
     ByteBuf bytes = packet.content();
     if (sender != null && bytes.readableBytes() <= MAX_MESSAGE_BYTES) {
       onMessage.accept(ByteBufUtil.getBytes(bytes), sender);
--- a/src/main/java/leadferry/proxy/PlatformRequestFilter.java
+++ b/src/main/java/leadferry/proxy/PlatformRequestFilter.java
@@ -31,31 +31,34 @@
   private static final String COST_MICROS = "X-Cost";
   private static final String RETRIED = "X-Retried";
 
-  private final Dispatcher pool;
-  private final SettingsReload classes;
-  private final OperatorState operators;
+  private final Dispatcher dispatcher;
+  private final RequestClassResolver classResolver;
+  private final OperatorState operatorState;
   private boolean draining;
 
-  PlatformRequestFilter(Dispatcher pool, Settings settings, OperatorState operators) {
-    this.pool = pool;
-    this.operators = operators;
-    this.classes = new SettingsReload(settings);
+  PlatformRequestFilter(Dispatcher dispatcher, Settings settings, OperatorState operatorState) {
+    this.dispatcher = dispatcher;
+    this.operatorState = operatorState;
+    this.classResolver = new RequestClassResolver(settings);
   }
 
-  /** Other settings hold for what comes from now on; {@link #settled} ends their grace. */
-  void settings(Settings next) {
-    pool.updateSettings(classes.change(next));
+  /**
+   * Other settings hold for what comes from now on; {@link #endSettingsTransition} ends their
+   * grace.
+   */
+  void applySettings(Settings next) {
+    dispatcher.updateSettings(classResolver.replaceSettings(next));
   }
 
   /** Requests of the form before the last change of settings are no longer taken. */
-  void settled() {
-    Settings settled = classes.settled();
+  void endSettingsTransition() {
+    Settings settled = classResolver.endTransition();
     if (settled != null) {
-      pool.updateSettings(settled);
+      dispatcher.updateSettings(settled);
     }
   }
 
-  void drain() {
+  void startDraining() {
     draining = true;
   }
 
@@ -66,7 +69,7 @@
 
   @Override
   public boolean isReady() {
-    return !draining && !operators.isDraining() && pool.hasSendableHost();
+    return !draining && !operatorState.isDraining() && dispatcher.hasSendableHost();
   }
 
   @Override
@@ -83,12 +86,13 @@
     }
     String key = Framing.singleValue(headers, IDEMPOTENCY_KEY);
     boolean keyed = key != null && !key.isBlank();
-    Settings.RequestClass requestClass = classes.of(name, request.method(), keyed);
+    Settings.RequestClass requestClass = classResolver.resolve(name, request.method(), keyed);
     if (requestClass == null) {
       return FilterResult.reject(404);
     }
-    if (!SettingsReload.fits(requestClass, request.method(), keyed)) {
-      boolean onlyKeyMissing = SettingsReload.fits(requestClass, request.method(), true);
+    if (!RequestClassResolver.matchesForm(requestClass, request.method(), keyed)) {
+      boolean onlyKeyMissing =
+          RequestClassResolver.matchesForm(requestClass, request.method(), true);
       return FilterResult.reject(onlyKeyMissing ? 400 : 405);
     }
     double timeoutMillis = timeoutMillis(headers, requestClass);
@@ -96,7 +100,7 @@
       return FilterResult.reject(400);
     }
     RequestArrival arrival = arrival(headers, requestClass, timeoutMillis);
-    return FilterResult.forward(pool, arrival, null, Streaming.LARGE, null, null);
+    return FilterResult.forward(dispatcher, arrival, null, Streaming.LARGE, null, null);
   }
 
   private static boolean hasValidId(HttpHeaders headers) {
--- a/src/main/java/leadferry/proxy/Proxy.java
+++ b/src/main/java/leadferry/proxy/Proxy.java
@@ -41,83 +41,85 @@
    * And any other, as a part of the drain's grace: an agent on the same machine answers at once, or
    * is silent.
    */
-  private static final double LIST_TIMEOUT_PART_OF_GRACE = 0.5;
+  private static final double LIST_TIMEOUT_GRACE_FRACTION = 0.5;
 
   private static final long LIST_POLL_MILLIS = 10;
 
   private final Config initialConfig;
-  private final OperatorState operators;
+  private final OperatorState operatorState;
   private final Log log;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
-  private final SocketBudget sockets;
-  private final SharedLimits limits;
+  private final SocketBudget socketBudget;
+  private final SharedLimits sharedLimits;
   private final UpstreamConnectionPool upstreams;
   private final Dispatcher dispatcher;
   private final PlatformRequestFilter requestFilter;
   private final HttpServer httpServer;
-  private final Discovery discovery;
-  private final Peers peers;
-  private final ConfigReload configReload;
+  private final DiscoveryWatch discoveryWatch;
+  private final PeerMessenger peerMessenger;
+  private final ConfigReloader configReloader;
   private final ProxyLifecycle lifecycle = new ProxyLifecycle();
-  private boolean sendingAway;
+  private boolean sheddingClients;
 
-  Proxy(Config config, OperatorState operators, HotRestart hotRestart, Log log) {
+  Proxy(Config config, OperatorState operatorState, HotRestart hotRestart, Log log) {
     this.initialConfig = config;
-    this.operators = operators;
+    this.operatorState = operatorState;
     this.log = log;
     this.group =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("loop", true), TRANSPORT.ioHandlerFactory());
     this.loop = (EventLoop) group.next();
-    this.sockets =
+    this.socketBudget =
         new SocketBudget(
-            config.sockets() - (config.management() == null ? 0 : Management.MAX_CONNECTIONS));
-    BodyBudget budget = new BodyBudget(0);
-    this.limits = new SharedLimits(hotRestart, config.memoryMegabytes(), sockets, budget, log);
+            config.sockets()
+                - (config.management() == null ? 0 : ManagementServer.MAX_CONNECTIONS));
+    BodyBudget bodyBudget = new BodyBudget(0);
+    this.sharedLimits =
+        new SharedLimits(hotRestart, config.memoryMegabytes(), socketBudget, bodyBudget, log);
     this.upstreams =
         new UpstreamConnectionPool(
-            loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), sockets, log);
+            loop, TRANSPORT, HttpProtocol.PLATFORM, config.bounds(), socketBudget, log);
     this.dispatcher =
-        new Dispatcher(null, loop, config.settings(), config.seed(), upstreams, budget, log);
-    this.requestFilter = new PlatformRequestFilter(dispatcher, config.settings(), operators);
+        new Dispatcher(null, loop, config.settings(), config.seed(), upstreams, bodyBudget, log);
+    this.requestFilter = new PlatformRequestFilter(dispatcher, config.settings(), operatorState);
     this.httpServer =
         new HttpServer(
             HttpServerSettings.forPlatform(config.maxOpen()),
             requestFilter,
             TRANSPORT,
-            sockets,
-            budget,
+            socketBudget,
+            bodyBudget,
             log);
-    this.discovery = new Discovery(group, config, dispatcher, log);
-    this.configReload = new ConfigReload(loop, config, requestFilter, log, this::onReload);
-    this.peers = joinPeers();
+    this.discoveryWatch = new DiscoveryWatch(group, config, dispatcher, log);
+    this.configReloader = new ConfigReloader(loop, config, requestFilter, log, this::onReload);
+    this.peerMessenger = createPeerMessenger();
   }
 
-  private Peers joinPeers() {
-    PeerAddresses addresses = initialConfig.peers();
+  private PeerMessenger createPeerMessenger() {
+    PeerAddresses addresses = initialConfig.peerAddresses();
     if (addresses == null) {
       return null;
     }
-    Peers joined = new Peers(addresses, dispatcher::onPeerMessage, log);
-    dispatcher.shareSuspicions(initialConfig.seed(), joined::tell);
-    return joined;
+    PeerMessenger messenger = new PeerMessenger(addresses, dispatcher::onPeerMessage, log);
+    dispatcher.shareSuspicions(initialConfig.seed(), messenger::broadcast);
+    return messenger;
   }
 
   /** Starts the watch, and listens once discovery has told its list or was waited for. */
   void start() throws ConfigException {
     try {
-      loop.submit(() -> discovery.start(initialConfig.knownList())).sync();
-      if (peers != null) {
-        peers.start(loop);
+      loop.submit(() -> discoveryWatch.start(initialConfig.knownList())).sync();
+      if (peerMessenger != null) {
+        peerMessenger.start(loop);
       }
-      awaitList();
+      awaitEndpointList();
       listen();
       lifecycle.advance(ProxyLifecycle.State.SERVING);
-      loop.submit(() -> limits.exchange(loop, this::isListening)).sync();
-      operators.onChange(() -> loop.execute(this::followOperators));
-      loop.submit(this::followOperators).sync(); // calls that came before
-      loop.submit(this::keepHouse).sync();
+      loop.submit(() -> sharedLimits.exchangeStates(loop, this::isListening)).sync();
+      operatorState.onChange(() -> loop.execute(this::applyOperatorState));
+      loop.submit(this::applyOperatorState).sync(); // calls that came before
+      loop.submit(this::runHousekeeping).sync();
     } catch (Exception e) {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
       if (isSocketFailure(e)) {
@@ -129,7 +131,7 @@
       lifecycle.finishStart();
     }
     loop.scheduleAtFixedRate(
-        this::keepHouse, HOUSEKEEPING_MILLIS, HOUSEKEEPING_MILLIS, TimeUnit.MILLISECONDS);
+        this::runHousekeeping, HOUSEKEEPING_MILLIS, HOUSEKEEPING_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -137,12 +139,12 @@
    * configuration: what discovery has counts as notified from its first moment, so an endpoint that
    * drains already has no grace left. Where discovery is down it makes the start longer by as much.
    */
-  private void awaitList() throws Exception {
-    double graceMillis = LIST_TIMEOUT_PART_OF_GRACE * initialConfig.drainGraceMillis();
+  private void awaitEndpointList() throws Exception {
+    double graceMillis = LIST_TIMEOUT_GRACE_FRACTION * initialConfig.drainGraceMillis();
     double timeoutMillis =
-        limits.isShared() ? LIST_TIMEOUT_MILLIS : Math.min(LIST_TIMEOUT_MILLIS, graceMillis);
+        sharedLimits.isShared() ? LIST_TIMEOUT_MILLIS : Math.min(LIST_TIMEOUT_MILLIS, graceMillis);
     long untilNanos = System.nanoTime() + (long) (timeoutMillis * NANOS_PER_MILLI);
-    while (!loop.submit(discovery::isConfirmed).get() && System.nanoTime() < untilNanos) {
+    while (!loop.submit(discoveryWatch::isConfirmed).get() && System.nanoTime() < untilNanos) {
       Thread.sleep(LIST_POLL_MILLIS);
     }
   }
@@ -176,23 +178,23 @@
     return lifecycle.awaitStart();
   }
 
-  private void followOperators() {
-    if (operators.isDraining() != sendingAway && !lifecycle.isShuttingDown()) {
-      sendingAway = !sendingAway;
-      log.line(sendingAway ? "clients are sent away" : "clients are taken back");
-      httpServer.setClientShedding(sendingAway);
+  private void applyOperatorState() {
+    if (operatorState.isDraining() != sheddingClients && !lifecycle.isShuttingDown()) {
+      sheddingClients = !sheddingClients;
+      log.line(sheddingClients ? "clients are sent away" : "clients are taken back");
+      httpServer.setClientShedding(sheddingClients);
     }
   }
 
-  private void keepHouse() {
+  private void runHousekeeping() {
     try {
       if (!lifecycle.isShuttingDown() && dispatcher.hasSendableHost()) {
-        operators.setReady(true);
+        operatorState.setReady(true);
       }
       dispatcher.sweep();
       httpServer.enforceTimeouts();
-      discovery.sweep();
-      configReload.reloadIfChanged();
+      discoveryWatch.checkTimeouts();
+      configReloader.reloadIfChanged();
     } catch (RuntimeException e) {
       // Guards against a periodic task that ends for ever with its first exception.
       log.failure("housekeeping failed", e);
@@ -201,18 +203,18 @@
 
   /** Reloads the configuration whenever its file changes from now on. */
   void watch(String file) {
-    configReload.watch(Path.of(file));
+    configReloader.watch(Path.of(file));
   }
 
   /** Reloads the configuration now. */
   void reload(String file) {
-    configReload.reload(Path.of(file));
+    configReloader.reload(Path.of(file));
   }
 
   private void onReload(Config config) {
     upstreams.updateBounds(config.bounds());
     log.line("configuration read again, discovery at " + config.discovery());
-    discovery.moveTo(config.discovery());
+    discoveryWatch.moveTo(config.discovery());
   }
 
   /** Begins the {@link GracefulShutdown}. */
@@ -221,21 +223,21 @@
         () -> {
           GracefulShutdown shutdown =
               new GracefulShutdown(
-                  loop, httpServer, configReload.config().settings(), log, this::onDrained);
+                  loop, httpServer, configReloader.config().settings(), log, this::onDrained);
           lifecycle.advance(ProxyLifecycle.State.DRAINING);
-          operators.setReady(false);
-          boolean takenOver = limits.anotherListens();
-          if (takenOver) {
+          operatorState.setReady(false);
+          boolean anotherProcessListens = sharedLimits.isAnotherProcessListening();
+          if (anotherProcessListens) {
             // The other process has the clients; who is still here leaves with its next answer.
             log.line("draining, another process listens");
             httpServer.stopListening();
             httpServer.setClientShedding(true);
           } else {
             log.line("draining");
-            requestFilter.drain();
+            requestFilter.startDraining();
             httpServer.drain();
           }
-          shutdown.awaitClients(takenOver);
+          shutdown.startPolling(anotherProcessListens);
         });
   }
 
@@ -263,18 +265,18 @@
   }
 
   /** Requests that are not over, or whose attempts are not; on its loop. */
-  int open() {
+  int openRequests() {
     return dispatcher.openRequests();
   }
 
   /** Whether the endpoint of that name may get requests; on its loop. */
-  boolean sends(String endpoint) {
+  boolean canSendTo(String endpoint) {
     return dispatcher.isSendable(endpoint);
   }
 
   /** What it holds of descriptors; on its loop. */
-  SocketBudget sockets() {
-    return sockets;
+  SocketBudget socketBudget() {
+    return socketBudget;
   }
 
   /** The loop on which all of it runs. */
--- a/src/main/java/leadferry/proxy/ProxyProcess.java
+++ b/src/main/java/leadferry/proxy/ProxyProcess.java
@@ -13,10 +13,10 @@
   /** Logs each request and attempt that failed and each connection closed, where it is 1. */
   private static final String LOG_DETAILS_VARIABLE = "BALANCER_LOG_DETAILS";
 
-  private static final String FOLDER_VARIABLE = "TMPDIR";
+  private static final String LOCK_FOLDER_VARIABLE = "TMPDIR";
 
   /** How long the end waits for the last lines of the log to be written. */
-  private static final long LAST_LINES_MILLIS = 50;
+  private static final long LOG_FLUSH_TIMEOUT_MILLIS = 50;
 
   private ProxyProcess() {}
 
@@ -30,14 +30,14 @@
     BackgroundWriter writer = new BackgroundWriter(System.err);
     Log log = new LineLog(writer::write, "1".equals(environment.get(LOG_DETAILS_VARIABLE)));
     Config config = Config.load(environment);
-    HotRestart hotRestart = HotRestart.join(environment.get(FOLDER_VARIABLE));
-    OperatorState operators = new OperatorState();
+    HotRestart hotRestart = HotRestart.join(environment.get(LOCK_FOLDER_VARIABLE));
+    OperatorState operatorState = new OperatorState();
     if (config.management() != null) {
       // Before the warm-up: operators are answered while the process still starts.
-      listenForOperators(config, operators, log);
+      listenForOperators(config, operatorState, log);
     }
-    WarmUp.run(config, hotRestart.others() != null, log);
-    Proxy proxy = new Proxy(config, operators, hotRestart, log);
+    WarmUp.run(config, hotRestart.readOtherProcesses() != null, log);
+    Proxy proxy = new Proxy(config, operatorState, hotRestart, log);
     reloadOnHangup(proxy, environment.get(Config.FILE_VARIABLE), log);
     // Guards what is taken in the first moment: a SIGTERM without a hook ends the process at once.
     Runtime.getRuntime().addShutdownHook(new Thread(() -> terminate(proxy, writer), "drain"));
@@ -56,10 +56,11 @@
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
   }
 
-  private static void listenForOperators(Config config, OperatorState operators, Log log)
+  private static void listenForOperators(Config config, OperatorState operatorState, Log log)
       throws ConfigException {
-    Management management =
-        new Management(operators::isReady, operators::drain, operators::activate, log);
+    ManagementServer management =
+        new ManagementServer(
+            operatorState::isReady, operatorState::drain, operatorState::activate, log);
     try {
       management.listen(config.management());
     } catch (Exception e) {
@@ -80,7 +81,7 @@
     if (proxy.awaitStart()) {
       proxy.drain();
       proxy.awaitEnd();
-      writer.flush(LAST_LINES_MILLIS);
+      writer.flush(LOG_FLUSH_TIMEOUT_MILLIS);
       Runtime.getRuntime().halt(0);
     }
   }
--- a/src/main/java/leadferry/proxy/ReconnectBackoff.java
+++ b/src/main/java/leadferry/proxy/ReconnectBackoff.java
@@ -11,7 +11,7 @@
   private static final long LIMIT_MILLIS = 500;
 
   /** The limit as a part of the drain's grace; jitter adds up to half as much again. */
-  private static final double LIMIT_PART_OF_GRACE = 0.25;
+  private static final double LIMIT_GRACE_FRACTION = 0.25;
 
   private final long firstMillis;
   private final long limitMillis;
@@ -19,7 +19,7 @@
 
   ReconnectBackoff(double drainGraceMillis) {
     limitMillis =
-        Math.max(1, (long) Math.min(LIMIT_MILLIS, LIMIT_PART_OF_GRACE * drainGraceMillis));
+        Math.max(1, (long) Math.min(LIMIT_MILLIS, LIMIT_GRACE_FRACTION * drainGraceMillis));
     firstMillis = Math.min(FIRST_MILLIS, limitMillis);
     currentMillis = firstMillis;
   }
--- a/src/main/java/leadferry/proxy/SettingsReload.java
+++ b/src/main/java/leadferry/proxy/RequestClassResolver.java
@@ -21,38 +21,38 @@
  * form falls under the new rules; one in the old form under the old ones, by a name of its own in
  * the module, so that nothing of the old rules reaches a request of the new form.
  */
-final class SettingsReload {
+final class RequestClassResolver {
   /** How long requests of the old form are taken. */
-  static final long OLD_FORM_MILLIS = 2_500;
+  static final long TRANSITION_MILLIS = 2_500;
 
   /** No class of the platform's can be named so: it can't stand in a path. */
-  private static final String FORMER_SUFFIX = " (before)";
+  private static final String PREVIOUS_SUFFIX = " (before)";
 
   private Settings settings;
   private Map<String, Settings.RequestClass> classes;
-  private Map<String, Settings.RequestClass> formerClasses = Map.of();
+  private Map<String, Settings.RequestClass> previousClasses = Map.of();
 
-  SettingsReload(Settings first) {
+  RequestClassResolver(Settings first) {
     settings = first;
     classes = byName(first);
   }
 
   /** Takes other settings; returns those for the module, which know the former classes too. */
-  Settings change(Settings next) {
+  Settings replaceSettings(Settings next) {
     Map<String, Settings.RequestClass> replaced = classes;
-    Map<String, Settings.RequestClass> former = new HashMap<>();
+    Map<String, Settings.RequestClass> previous = new HashMap<>();
     settings = next;
     classes = byName(next);
     List<Settings.RequestClass> all = new ArrayList<>(next.classes());
     for (Settings.RequestClass old : replaced.values()) {
       Settings.RequestClass current = classes.get(old.name());
       if (current == null || current.semantics() != old.semantics()) {
-        Settings.RequestClass renamed = old.withName(old.name() + FORMER_SUFFIX);
-        former.put(old.name(), renamed);
+        Settings.RequestClass renamed = old.withName(old.name() + PREVIOUS_SUFFIX);
+        previous.put(old.name(), renamed);
         all.add(renamed);
       }
     }
-    formerClasses = former;
+    previousClasses = previous;
     return next.withClasses(all);
   }
 
@@ -60,32 +60,32 @@
    * Forgets what was; returns the settings for the module from now on, or null if they are the
    * same.
    */
-  Settings settled() {
-    if (formerClasses.isEmpty()) {
+  Settings endTransition() {
+    if (previousClasses.isEmpty()) {
       return null;
     }
-    formerClasses = Map.of();
+    previousClasses = Map.of();
     return settings;
   }
 
   /**
    * The class that a request of this name, method and key falls under; null where there is none.
    */
-  Settings.RequestClass of(String name, HttpMethod method, boolean keyed) {
+  Settings.RequestClass resolve(String name, HttpMethod method, boolean keyed) {
     Settings.RequestClass current = classes.get(name);
-    Settings.RequestClass former = formerClasses.get(name);
-    if (former == null) {
+    Settings.RequestClass previous = previousClasses.get(name);
+    if (previous == null) {
       return current;
     }
     if (current == null) {
-      return former;
+      return previous;
     }
-    boolean oldForm = fits(former, method, keyed) && !fits(current, method, keyed);
-    return oldForm ? former : current;
+    boolean oldForm = matchesForm(previous, method, keyed) && !matchesForm(current, method, keyed);
+    return oldForm ? previous : current;
   }
 
   /** Whether a request of a class comes by this method, with its key where it needs one. */
-  static boolean fits(Settings.RequestClass requestClass, HttpMethod method, boolean keyed) {
+  static boolean matchesForm(Settings.RequestClass requestClass, HttpMethod method, boolean keyed) {
     Settings.Semantics semantics = requestClass.semantics();
     HttpMethod expected =
         semantics == Settings.Semantics.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
--- a/src/main/java/leadferry/proxy/SharedLimits.java
+++ b/src/main/java/leadferry/proxy/SharedLimits.java
@@ -15,9 +15,9 @@
   /** What the JVM takes of the memory limit besides bodies. */
   private static final long JVM_MEGABYTES = 88;
 
-  private static final long MIN_BODIES_MEGABYTES = 8;
-  private static final long MAX_BODIES_MEGABYTES = 80;
-  private static final int BYTES_PER_MEGABYTE_BITS = 20;
+  private static final long MIN_BODY_MEGABYTES = 8;
+  private static final long MAX_BODY_MEGABYTES = 80;
+  private static final int MEGABYTE_SHIFT = 20;
 
   /** How often two processes tell each other what they hold. */
   private static final long SHARED_INTERVAL_MILLIS = 20;
@@ -27,23 +27,23 @@
 
   private final HotRestart hotRestart;
   private final int memoryMegabytes;
-  private final SocketBudget sockets;
-  private final BodyBudget budget;
+  private final SocketBudget socketBudget;
+  private final BodyBudget bodyBudget;
   private final Log log;
   private boolean shared;
 
   SharedLimits(
       HotRestart hotRestart,
       int memoryMegabytes,
-      SocketBudget sockets,
-      BodyBudget budget,
+      SocketBudget socketBudget,
+      BodyBudget bodyBudget,
       Log log) {
     this.hotRestart = hotRestart;
     this.memoryMegabytes = memoryMegabytes;
-    this.sockets = sockets;
-    this.budget = budget;
+    this.socketBudget = socketBudget;
+    this.bodyBudget = bodyBudget;
     this.log = log;
-    update(hotRestart.others());
+    update(hotRestart.readOtherProcesses());
   }
 
   /** Whether another process lived at the last look. */
@@ -52,10 +52,10 @@
   }
 
   /** Whether another process has the clients' address; no, where that can't be found out. */
-  boolean anotherListens() {
+  boolean isAnotherProcessListening() {
     try {
-      HotRestart.Standing others = hotRestart.others();
-      return others != null && others.listens();
+      HotRestart.ProcessState others = hotRestart.readOtherProcesses();
+      return others != null && others.isListening();
     } catch (RuntimeException e) {
       log.failure("other processes could not be looked for", e);
       return false;
@@ -63,36 +63,35 @@
   }
 
   /** Tells the other processes of this one and asks about them, from now on; on the loop. */
-  void exchange(EventLoop loop, BooleanSupplier listening) {
+  void exchangeStates(EventLoop loop, BooleanSupplier isListening) {
     try {
-      hotRestart.tell(
-          new HotRestart.Standing(
-              listening.getAsBoolean(),
-              sockets.clientCount(),
-              sockets.upstreamCount(),
-              budget.usedBytes()));
-      update(hotRestart.others());
+      hotRestart.publish(
+          new HotRestart.ProcessState(
+              isListening.getAsBoolean(),
+              socketBudget.clientCount(),
+              socketBudget.upstreamCount(),
+              bodyBudget.usedBytes()));
+      update(hotRestart.readOtherProcesses());
     } catch (RuntimeException e) {
       log.failure("processes could not be compared", e); // until the next time
     }
     long intervalMillis = shared ? SHARED_INTERVAL_MILLIS : ALONE_INTERVAL_MILLIS;
-    loop.schedule(() -> exchange(loop, listening), intervalMillis, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> exchangeStates(loop, isListening), intervalMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void update(HotRestart.Standing others) {
+  private void update(HotRestart.ProcessState others) {
     shared = others != null;
     int processes = shared ? 2 : 1;
     long megabytes = memoryMegabytes - processes * JVM_MEGABYTES;
-    long bodiesMegabytes =
-        Math.max(MIN_BODIES_MEGABYTES, Math.min(MAX_BODIES_MEGABYTES, megabytes));
-    long bodyBytes = bodiesMegabytes << BYTES_PER_MEGABYTE_BITS;
+    long bodyMegabytes = Math.max(MIN_BODY_MEGABYTES, Math.min(MAX_BODY_MEGABYTES, megabytes));
+    long bodyBytes = bodyMegabytes << MEGABYTE_SHIFT;
     if (others == null) {
-      sockets.useAllDescriptors();
-      budget.setLimit(bodyBytes);
+      socketBudget.useAllDescriptors();
+      bodyBudget.setLimit(bodyBytes);
     } else {
-      long minBytes = (MIN_BODIES_MEGABYTES << BYTES_PER_MEGABYTE_BITS) / 2;
-      sockets.shareDescriptors(others.clients(), others.upstreams());
-      budget.setLimit(Math.max(minBytes, bodyBytes - others.bodies()));
+      long minBytes = (MIN_BODY_MEGABYTES << MEGABYTE_SHIFT) / 2;
+      socketBudget.shareDescriptors(others.clientConnections(), others.upstreamConnections());
+      bodyBudget.setLimit(Math.max(minBytes, bodyBytes - others.bodyBytes()));
     }
   }
 }
--- a/src/main/java/leadferry/proxy/WarmUp.java
+++ b/src/main/java/leadferry/proxy/WarmUp.java
@@ -60,21 +60,21 @@
   static int run(Config config, boolean paced, Log log) {
     try (WarmUpServer server = new WarmUpServer(BODY)) {
       server.start();
-      return new WarmUp(config, paced).forwardTo(server);
+      return new WarmUp(config, paced).forwardRequestsTo(server);
     } catch (IOException | ConfigException | RuntimeException e) {
       log.line("warm-up left out: " + e);
       return 0;
     }
   }
 
-  private int forwardTo(WarmUpServer server) throws IOException, ConfigException {
+  private int forwardRequestsTo(WarmUpServer server) throws IOException, ConfigException {
     PrintStream discarded =
         new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
     Proxy proxy =
         new Proxy(
-            ownConfig(server),
+            warmUpConfig(server),
             new OperatorState(),
-            HotRestart.alone(),
+            HotRestart.disabled(),
             new LineLog(discarded, false));
     try {
       proxy.start();
@@ -84,7 +84,7 @@
     }
   }
 
-  private Config ownConfig(WarmUpServer server) throws IOException {
+  private Config warmUpConfig(WarmUpServer server) throws IOException {
     ObjectMapper json = new ObjectMapper();
     JsonNode root = json.createObjectNode().set("known", json.readTree(server.endpointList()));
     return new Config(
--- a/src/main/java/leadferry/proxy/WarmUpMessageReader.java
+++ b/src/main/java/leadferry/proxy/WarmUpMessageReader.java
@@ -12,7 +12,7 @@
  */
 final class WarmUpMessageReader {
   /** What kind of request has been read. */
-  enum Request {
+  enum RequestKind {
     /** The connection has ended. */
     END,
     TO_DISCOVERY,
@@ -44,16 +44,16 @@
   }
 
   /** Reads a request; a GET has no body. */
-  Request readRequest() throws IOException {
+  RequestKind readRequest() throws IOException {
     int headBytes = readHead();
     if (headBytes < 0) {
-      return Request.END;
+      return RequestKind.END;
     }
     boolean hasBody = buffer[0] != 'G';
     int length = DISCOVERY_REQUEST.length;
     boolean toDiscovery = Arrays.equals(buffer, 0, length, DISCOVERY_REQUEST, 0, length);
     skipBody(headBytes + (hasBody ? BODY_BYTES : 0));
-    return toDiscovery ? Request.TO_DISCOVERY : Request.TO_UPSTREAM;
+    return toDiscovery ? RequestKind.TO_DISCOVERY : RequestKind.TO_UPSTREAM;
   }
 
   /** Reads at least up to the empty line; returns the bytes of the head, or -1 at an end. */
--- a/src/main/java/leadferry/proxy/WarmUpServer.java
+++ b/src/main/java/leadferry/proxy/WarmUpServer.java
@@ -57,9 +57,9 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       WarmUpMessageReader requests = new WarmUpMessageReader(socket.getInputStream());
-      WarmUpMessageReader.Request request;
-      while ((request = requests.readRequest()) != WarmUpMessageReader.Request.END) {
-        boolean toDiscovery = request == WarmUpMessageReader.Request.TO_DISCOVERY;
+      WarmUpMessageReader.RequestKind request;
+      while ((request = requests.readRequest()) != WarmUpMessageReader.RequestKind.END) {
+        boolean toDiscovery = request == WarmUpMessageReader.RequestKind.TO_DISCOVERY;
         socket.getOutputStream().write(toDiscovery ? listResponse() : response);
       }
     } catch (IOException e) {
--- a/src/main/java/leadferry/proxy/WatchState.java
+++ b/src/main/java/leadferry/proxy/WatchState.java
@@ -25,7 +25,7 @@
   BACKING_OFF;
 
   /** Whether the watch may go from this state to {@code next}. */
-  boolean canBecome(WatchState next) {
+  boolean canTransitionTo(WatchState next) {
     boolean progress =
         switch (this) {
           case IDLE -> next == CONNECTING;
--- a/src/main/java/leadferry/proxy/WatchedFile.java
+++ b/src/main/java/leadferry/proxy/WatchedFile.java
@@ -25,7 +25,7 @@
   }
 
   /** Whether it has changed, appeared or gone since the last call. */
-  boolean changed() {
+  boolean hasChanged() {
     String attributes = readAttributes();
     boolean changed = !attributes.equals(lastAttributes);
     lastAttributes = attributes;
--- a/src/main/java/leadferry/testbed/ExecutionLog.java
+++ b/src/main/java/leadferry/testbed/ExecutionLog.java
@@ -8,28 +8,28 @@
 
 /**
  * Every execution at every stand-in by request id. Holds at most a stated number of ids; what comes
- * past that is only counted, and {@link #unrecorded} tells that the ledger can't vouch for it. Safe
- * for use by many threads.
+ * past that is only counted, and {@link #unrecordedCount} tells that the ledger can't vouch for it.
+ * Safe for use by many threads.
  */
 public final class ExecutionLog {
   /** One run of a request: where, in which pod, when (ns of {@link System#nanoTime}). */
-  public record Execution(String host, String pod, long at) {}
+  public record Execution(String upstream, String pod, long atNanos) {}
 
-  private final int most;
+  private final int maxIds;
   private final Map<String, List<Execution>> byId = new ConcurrentHashMap<>();
-  private final AtomicLong executions = new AtomicLong();
-  private final AtomicLong unrecorded = new AtomicLong();
+  private final AtomicLong executionCount = new AtomicLong();
+  private final AtomicLong unrecordedCount = new AtomicLong();
 
   /** A ledger of at most so many ids. */
-  public ExecutionLog(int most) {
-    this.most = most;
+  public ExecutionLog(int maxIds) {
+    this.maxIds = maxIds;
   }
 
   /** A request begins to run. */
-  public void ran(String id, String host, String pod) {
-    executions.incrementAndGet();
-    if (id == null || (byId.size() >= most && !byId.containsKey(id))) {
-      unrecorded.incrementAndGet();
+  public void record(String id, String host, String pod) {
+    executionCount.incrementAndGet();
+    if (id == null || (byId.size() >= maxIds && !byId.containsKey(id))) {
+      unrecordedCount.incrementAndGet();
       return;
     }
     List<Execution> list = byId.computeIfAbsent(id, k -> new ArrayList<>(1));
@@ -39,7 +39,7 @@
   }
 
   /** The runs of a request, in order. */
-  public List<Execution> of(String id) {
+  public List<Execution> executionsOf(String id) {
     List<Execution> list = byId.get(id);
     if (list == null) {
       return List.of();
@@ -49,21 +49,21 @@
     }
   }
 
-  public long executions() {
-    return executions.get();
+  public long executionCount() {
+    return executionCount.get();
   }
 
   /** Runs of requests without an id, or past the bound. */
-  public long unrecorded() {
-    return unrecorded.get();
+  public long unrecordedCount() {
+    return unrecordedCount.get();
   }
 
   /** Ids that ran more than once. */
-  public List<String> repeated() {
+  public List<String> repeatedIds() {
     List<String> out = new ArrayList<>();
     byId.forEach(
         (id, list) -> {
-          if (of(id).size() > 1) {
+          if (executionsOf(id).size() > 1) {
             out.add(id);
           }
         });
@@ -71,18 +71,18 @@
   }
 
   /** Shows every recorded id with its runs. */
-  public void visit(java.util.function.BiConsumer<String, List<Execution>> each) {
-    byId.keySet().forEach(id -> each.accept(id, of(id)));
+  public void forEach(java.util.function.BiConsumer<String, List<Execution>> each) {
+    byId.keySet().forEach(id -> each.accept(id, executionsOf(id)));
   }
 
   /**
    * Whether every repeat of a keyed request ran in the pod of the one before, within the window.
    */
-  public boolean repeatsKept(String id, long windowMs) {
-    List<Execution> runs = of(id);
+  public boolean repeatsStayedInPod(String id, long windowMs) {
+    List<Execution> runs = executionsOf(id);
     for (int i = 1; i < runs.size(); i++) {
       if (!runs.get(i).pod().equals(runs.get(0).pod())
-          || runs.get(i).at() - runs.get(0).at() > windowMs * 1_000_000L) {
+          || runs.get(i).atNanos() - runs.get(0).atNanos() > windowMs * 1_000_000L) {
         return false;
       }
     }
--- a/src/main/java/leadferry/testbed/FakeUpstream.java
+++ b/src/main/java/leadferry/testbed/FakeUpstream.java
@@ -65,13 +65,14 @@
    * @param name its id
    * @param pod its pod
    * @param port where it listens on loopback, 0 for any
-   * @param serviceMs mean of the exponential time that a request takes a core; 0 answers at once
+   * @param serviceMillis mean of the exponential time that a request takes a core; 0 answers at
+   *     once
    * @param cores requests that run at once
-   * @param queue requests that wait at most
-   * @param warmUpMs how long after its start it gets to its full speed
+   * @param queueCapacity requests that wait at most
+   * @param warmUpMillis how long after its start it gets to its full speed
    * @param startCapacity the part of its speed that it starts with
    * @param maxConnections connections; more are closed at once
-   * @param reports whether answers tell {@code X-Server-Load}
+   * @param reportsLoad whether answers tell {@code X-Server-Load}
    * @param bodyBytes length of an answer's body at least
    * @param seed of its random numbers
    */
@@ -79,65 +80,65 @@
       String name,
       String pod,
       int port,
-      double serviceMs,
+      double serviceMillis,
       int cores,
-      int queue,
-      double warmUpMs,
+      int queueCapacity,
+      double warmUpMillis,
       double startCapacity,
       int maxConnections,
-      boolean reports,
+      boolean reportsLoad,
       int bodyBytes,
       long seed) {
     /** A host that answers at once. */
-    public static Options quick(String name) {
+    public static Options instant(String name) {
       return new Options(name, "p1", 0, 0, 1, 1_000, 0, 1, 100_000, false, 64, 1);
     }
 
-    public Options takes(double ms, int onCores) {
+    public Options withServiceTime(double ms, int onCores) {
       return new Options(
           name,
           pod,
           port,
           ms,
           onCores,
-          queue,
-          warmUpMs,
+          queueCapacity,
+          warmUpMillis,
           startCapacity,
           maxConnections,
-          reports,
+          reportsLoad,
           bodyBytes,
           seed);
     }
 
     /** So long until it has its full speed, from that part of it on. */
-    public Options warmsUp(double ms, double from) {
+    public Options withWarmUp(double ms, double from) {
       return new Options(
           name,
           pod,
           port,
-          serviceMs,
+          serviceMillis,
           cores,
-          queue,
+          queueCapacity,
           ms,
           from,
           maxConnections,
-          reports,
+          reportsLoad,
           bodyBytes,
           seed);
     }
 
-    public Options in(String podName) {
+    public Options withPod(String podName) {
       return new Options(
           name,
           podName,
           port,
-          serviceMs,
+          serviceMillis,
           cores,
-          queue,
-          warmUpMs,
+          queueCapacity,
+          warmUpMillis,
           startCapacity,
           maxConnections,
-          reports,
+          reportsLoad,
           bodyBytes,
           seed);
     }
@@ -174,10 +175,10 @@
   private volatile Fault fault = Fault.NONE;
   private volatile double faultShare;
   private volatile int connections;
-  private volatile int mostConnections;
+  private volatile int maxConcurrentConnections;
   private volatile long served;
-  private volatile boolean fallen;
-  private volatile long lastArrival;
+  private volatile boolean collapsed;
+  private volatile long lastArrivalNanos;
   private int running;
 
   /** Starts a host on loopback. */
@@ -222,12 +223,12 @@
   }
 
   /** {@code 127.0.0.1:port}. */
-  public String place() {
+  public String hostAndPort() {
     return "127.0.0.1:" + address().getPort();
   }
 
   /** From now on a share (0 to 1) of requests meets this fault. */
-  public void misbehave(Fault what, double share) {
+  public void setFault(Fault what, double share) {
     faultShare = share;
     fault = what;
   }
@@ -241,27 +242,27 @@
   }
 
   /** The most that were open at once for 50 ms, as far as that has passed. */
-  public int mostConnections() {
-    return mostConnections;
+  public int maxConcurrentConnections() {
+    return maxConcurrentConnections;
   }
 
   /** Whether it was pushed over while it was cold; it stays down. */
-  public boolean fallen() {
-    return fallen;
+  public boolean hasCollapsed() {
+    return collapsed;
   }
 
   /** When (ns of {@link System#nanoTime}) the last request came, or 0. */
-  public long lastArrival() {
-    return lastArrival;
+  public long lastArrivalNanos() {
+    return lastArrivalNanos;
   }
 
   /** Requests that run or wait here. */
-  public int inHand() {
+  public int requestsInProgress() {
     return loop.submit(() -> running + waiting.size()).syncUninterruptibly().getNow();
   }
 
   /** Ends all connections and is as cold as after a start; returns once that is so. */
-  public void startAnew() {
+  public void restart() {
     loop.submit(
             () -> {
               List.copyOf(open).forEach(SocketChannel::close);
@@ -273,7 +274,7 @@
   }
 
   private void accepted(SocketChannel ch) {
-    if (fallen || connections >= options.maxConnections()) {
+    if (collapsed || connections >= options.maxConnections()) {
       ch.close();
       return;
     }
@@ -285,7 +286,7 @@
               open.remove(ch);
               connections = open.size();
             });
-    if (connections > mostConnections) {
+    if (connections > maxConcurrentConnections) {
       // A client that closes one connection and opens another holds one, and a busy loop may meet
       // the two
       // in either order: those count that are still there a moment later.
@@ -314,12 +315,12 @@
     for (SocketChannel ch : then) {
       still += ch.isOpen() ? 1 : 0;
     }
-    mostConnections = Math.max(mostConnections, still);
+    maxConcurrentConnections = Math.max(maxConcurrentConnections, still);
   }
 
   private void arrived(ChannelHandlerContext ctx, FullHttpRequest r) {
     long now = System.nanoTime();
-    lastArrival = now;
+    lastArrivalNanos = now;
     if (fell(now)) {
       ctx.close();
       return;
@@ -339,12 +340,12 @@
       case FAIL_FAST -> answer(w, 500, false);
       case TURN_AWAY -> answer(w, 503, true);
       default -> {
-        if (options.serviceMs() <= 0) {
+        if (options.serviceMillis() <= 0) {
           begin(w);
           end(w, f);
         } else if (running < options.cores()) {
           run(w, f);
-        } else if (waiting.size() < options.queue()) {
+        } else if (waiting.size() < options.queueCapacity()) {
           waiting.add(w);
         } else {
           answer(w, 503, true);
@@ -355,35 +356,35 @@
 
   /** Guards nothing: it is what rule 4 is about, a cold host that is pushed over. */
   private boolean fell(long now) {
-    if (fallen || options.warmUpMs() <= 0 || warmth(now) >= 1) {
-      return fallen;
+    if (collapsed || options.warmUpMillis() <= 0 || warmth(now) >= 1) {
+      return collapsed;
     }
     arrivals.add(now);
     while (now - arrivals.peek() > FALL_NANOS) {
       arrivals.poll();
     }
     double able =
-        warmth(now) * options.cores() / Math.max(0.01, options.serviceMs()) * FALL_NANOS / 1e6;
-    fallen = arrivals.size() > Math.max(FALL_LEAST, FALL_MULTIPLE * able);
-    return fallen;
+        warmth(now) * options.cores() / Math.max(0.01, options.serviceMillis()) * FALL_NANOS / 1e6;
+    collapsed = arrivals.size() > Math.max(FALL_LEAST, FALL_MULTIPLE * able);
+    return collapsed;
   }
 
   private double warmth(long now) {
     double age = (now - startedAt) / 1e6;
-    return options.warmUpMs() <= 0 || age >= options.warmUpMs()
+    return options.warmUpMillis() <= 0 || age >= options.warmUpMillis()
         ? 1
-        : options.startCapacity() + (1 - options.startCapacity()) * age / options.warmUpMs();
+        : options.startCapacity() + (1 - options.startCapacity()) * age / options.warmUpMillis();
   }
 
   private void begin(Work w) {
-    ledger.ran(w.id(), options.name(), options.pod());
+    ledger.record(w.id(), options.name(), options.pod());
   }
 
   private void run(Work w, Fault f) {
     running++;
     begin(w);
     double ms =
-        -Math.log(1 - random.nextDouble()) * options.serviceMs() / warmth(System.nanoTime());
+        -Math.log(1 - random.nextDouble()) * options.serviceMillis() / warmth(System.nanoTime());
     loop.schedule(
         () -> {
           running--;
@@ -467,7 +468,7 @@
     if (notProcessed) {
       r.headers().set("X-Not-Processed", "1");
     }
-    if (options.reports()) {
+    if (options.reportsLoad()) {
       r.headers().set("X-Server-Load", "inflight=" + (running + waiting.size()));
     }
     w.ctx().writeAndFlush(r);
--- a/src/main/java/leadferry/testbed/FaultScript.java
+++ b/src/main/java/leadferry/testbed/FaultScript.java
@@ -20,7 +20,7 @@
  */
 public final class FaultScript {
   /** One line; {@code at} in seconds from the begin of load. */
-  public record Step(double at, String verb, List<String> arguments) {}
+  public record Step(double atSeconds, String verb, List<String> arguments) {}
 
   private static final Map<String, Integer> VERBS =
       Map.ofEntries(
@@ -46,7 +46,7 @@
    *
    * @throws IllegalArgumentException with every fault that was found, a line each
    */
-  public static List<Step> read(List<String> lines, Set<String> names) {
+  public static List<Step> parse(List<String> lines, Set<String> names) {
     List<Step> steps = new ArrayList<>();
     List<String> faults = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
@@ -58,7 +58,7 @@
     if (!faults.isEmpty()) {
       throw new IllegalArgumentException(String.join("\n", faults));
     }
-    steps.sort(Comparator.comparingDouble(Step::at));
+    steps.sort(Comparator.comparingDouble(Step::atSeconds));
     return steps;
   }
 
--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Replicas and daemons as processes, fake upstreams and load, with faults between them from a seed
- * or a script, while operators drain and give back and releases go on. {@link HistoryChecker} and
+ * or a script, while operators drain and give back and releases go on. {@link InvariantChecker} and
  * {@link History} say from outside whether the promises were kept.
  *
  * <pre>
@@ -25,7 +25,7 @@
  */
 public final class FaultTest implements AutoCloseable {
   /** The lease of members and drivers (ms). */
-  public static final int LEASE_MS = 2_000;
+  public static final int LEASE_MILLIS = 2_000;
 
   /** A version whose processes end at once. */
   public static final String BROKEN_VERSION = "broken";
@@ -49,7 +49,7 @@
   private final FaultTestTopology topology;
   private final BackgroundTasks tasks = new BackgroundTasks();
   private final History history;
-  private HistoryChecker checker;
+  private InvariantChecker checker;
   private FaultTestLoad load;
   private RecoveryTracker recovery;
   private InjectedFaults faults;
@@ -74,7 +74,7 @@
     topology.start();
     operator = new Operator(topology.fleet(), replicaAddresses());
     checker =
-        new HistoryChecker(
+        new InvariantChecker(
             topology.proxyAddresses(), plan.proxiesAllowed(), plan.upstreamsAllowed());
     load = new FaultTestLoad(plan, topology, checker);
     recovery = new RecoveryTracker(checker);
@@ -84,11 +84,11 @@
     supervisor = new ProcessSupervisor(versions);
     releases =
         new ReleaseWorkload(
-            plan, topology, operator, checker, versions, supervisor.program(folder));
-    await("all proxies serve", () -> topology.proxyNames().stream().allMatch(this::serves));
+            plan, topology, operator, checker, versions, supervisor.writeScript(folder));
+    await("all proxies serve", () -> topology.proxyNames().stream().allMatch(this::isServing));
     submitBudgets();
     await("all proxies are members and available", () -> unavailable() == 0);
-    topology.proxyNames().forEach(checker::up);
+    topology.proxyNames().forEach(checker::onRecovered);
   }
 
   private void submitBudgets() throws IOException {
@@ -104,7 +104,7 @@
         .put("name", "hosts")
         .put("of", DrainTarget.HOST)
         .put("max_out", plan.upstreamsAllowed());
-    JsonNode outcome = operator.change(entry, "budgets", 0, START_MILLIS);
+    JsonNode outcome = operator.submit(entry, "budgets", 0, START_MILLIS);
     if (outcome == null || !outcome.path("status").asText().equals("done")) {
       throw new IOException("budgets: " + outcome);
     }
@@ -126,7 +126,7 @@
   }
 
   private JsonNode status() {
-    return operator.ask(MAPPER.createObjectNode().put("op", "status"), 0, 2_000);
+    return operator.query(MAPPER.createObjectNode().put("op", "status"), 0, 2_000);
   }
 
   private static void await(String what, BooleanSupplier condition)
@@ -176,13 +176,13 @@
   }
 
   /** The name of the replica that leads, as the replicas tell; waits for one. */
-  public String leader() throws IOException, InterruptedException {
+  public String awaitLeader() throws IOException, InterruptedException {
     String[] found = new String[1];
     await(
         "a replica leads",
         () -> {
           topology.replicaNames().stream()
-              .filter(name -> replica(name).runs() && leads(name))
+              .filter(name -> replica(name).isRunning() && leads(name))
               .forEach(name -> found[0] = name);
           return found[0] != null;
         });
@@ -191,7 +191,7 @@
 
   private boolean leads(String replica) {
     ObjectNode question = MAPPER.createObjectNode().put("op", "health");
-    JsonNode health = operatorAt(replica).ask(question, 0, 500);
+    JsonNode health = operatorAt(replica).query(question, 0, 500);
     return health != null && health.path("role").asText().equals("leader");
   }
 
@@ -208,23 +208,23 @@
   // --- what is seen from outside
 
   /** Whether the last probe of that proxy said that it serves. */
-  public boolean serves(String proxy) {
-    return checker.seen(proxy) == HistoryChecker.Seen.SERVES;
+  public boolean isServing(String proxy) {
+    return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.SERVING;
   }
 
   /** Whether the last probe of that proxy said that it does not serve. */
-  public boolean saysNo(String proxy) {
-    return checker.seen(proxy) == HistoryChecker.Seen.SAYS_NO;
+  public boolean reportsNotServing(String proxy) {
+    return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.NOT_SERVING;
   }
 
   /** The most proxies that were seen out at once and that the test had not taken down itself. */
-  public int proxiesMost() {
-    return checker.proxiesMost();
+  public int maxProxiesOut() {
+    return checker.maxProxiesOut();
   }
 
   /** What was seen broken so far. */
-  public List<String> broken() {
-    return checker.broken();
+  public List<String> violations() {
+    return checker.violations();
   }
 
   /** The runs of requests at upstreams. */
@@ -270,7 +270,7 @@
   /** A plan of a release whose steps are of these targets each, one at a time. */
   public ObjectNode releasePlan(
       String name, String of, String from, String version, List<List<String>> steps) {
-    return releases.document(name, of, from, version, steps);
+    return releases.planDocument(name, of, from, version, steps);
   }
 
   /** Starts a process that drives a release, under that name; its links go through relays. */
@@ -279,7 +279,7 @@
   }
 
   /** How a release stands, as the replicas tell; null where none answers. */
-  public JsonNode release(String name) {
+  public JsonNode releaseStatus(String name) {
     return releases.release(name);
   }
 
@@ -309,7 +309,7 @@
 
   private List<Thread> startWorkloads() {
     List<Thread> workloads = new ArrayList<>();
-    for (int i = 0; i < (plan.scripted() ? 0 : OPERATORS); i++) {
+    for (int i = 0; i < (plan.isScripted() ? 0 : OPERATORS); i++) {
       int number = i;
       workloads.add(Threads.startDaemon("operator-" + i, () -> operators.run(number)));
     }
@@ -321,7 +321,7 @@
 
   /** Injects faults until then (ns); false where a sabotage that was asked for found no moment. */
   private boolean disturb(ScriptedFaults script, long endNanos) throws InterruptedException {
-    if (plan.scripted()) {
+    if (plan.isScripted()) {
       script.perform(plan.script());
       Threads.sleepMillis((endNanos - System.nanoTime()) / 1_000_000);
     }
@@ -355,41 +355,42 @@
     healLinks();
     script.undoRemaining(random);
     long healedNanos = System.nanoTime();
-    operators.settleUndecided(random);
+    operators.resolveUndecided(random);
     if (plan.sabotage() != Sabotage.NONE) {
       return;
     }
     try {
       await("whole again", () -> unavailable() == 0);
-      recovery.recovered(healedNanos);
+      recovery.recordRecovery(healedNanos);
     } catch (IOException e) {
-      checker.breaks(e.getMessage() + ": " + status());
+      checker.addViolation(e.getMessage() + ": " + status());
     }
   }
 
   private ObjectNode verdict() {
-    if (!history.linearizable()) {
-      checker.breaks("the operators' calls have no order that explains their outcomes");
+    if (!history.isLinearizable()) {
+      checker.addViolation("the operators' calls have no order that explains their outcomes");
     }
-    HistoryChecker.UpstreamViolations violations =
+    InvariantChecker.UpstreamViolations violations =
         checker.checkUpstreams(executions, load.unsafePrefixes());
     if (plan.releases()) {
       topology.upstreams().stream()
-          .filter(FakeUpstream::fallen)
+          .filter(FakeUpstream::hasCollapsed)
           .forEach(
-              upstream -> checker.breaks(upstream.name() + " was pushed over while it was cold"));
+              upstream ->
+                  checker.addViolation(upstream.name() + " was pushed over while it was cold"));
     }
     FaultTestReport report = new FaultTestReport(plan);
-    report.faults(faults);
-    report.drains(history);
-    report.unavailable(checker, plan);
-    report.requests(load, checker, violations);
-    report.recovery(recovery);
-    report.broken(checker);
+    report.addFaults(faults);
+    report.addDrains(history);
+    report.addUnavailable(checker, plan);
+    report.addRequests(load, checker, violations);
+    report.addRecovery(recovery);
+    report.addViolations(checker);
     if (plan.releases()) {
-      report.releases(releases, supervisor);
+      report.addReleases(releases, supervisor);
     }
-    return report.json();
+    return report.toJson();
   }
 
   @Override
--- a/src/main/java/leadferry/testbed/FaultTestFiles.java
+++ b/src/main/java/leadferry/testbed/FaultTestFiles.java
@@ -93,7 +93,7 @@
         version = "%s"
         [fleet.keepers]
         """
-            .formatted(fleet, name, FaultTest.LEASE_MS, stateFile, VERSION_PLACEHOLDER));
+            .formatted(fleet, name, FaultTest.LEASE_MILLIS, stateFile, VERSION_PLACEHOLDER));
     replicas.forEach((replica, at) -> file.append("%s = \"%s\"\n".formatted(replica, text(at))));
     file.append(
         """
--- a/src/main/java/leadferry/testbed/FaultTestLoad.java
+++ b/src/main/java/leadferry/testbed/FaultTestLoad.java
@@ -12,11 +12,11 @@
   private static final int CONNECTIONS = 16;
 
   private final FaultTestPlan plan;
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final List<LoadGenerator> generators = new ArrayList<>();
   private final Set<String> unsafePrefixes = new TreeSet<>();
 
-  FaultTestLoad(FaultTestPlan plan, FaultTestTopology topology, HistoryChecker checker) {
+  FaultTestLoad(FaultTestPlan plan, FaultTestTopology topology, InvariantChecker checker) {
     this.plan = plan;
     this.checker = checker;
     topology.proxyAddresses().forEach(this::add);
@@ -31,8 +31,8 @@
 
   private LoadGenerator generator(
       String proxy, InetSocketAddress address, String method, String path, String idPrefix) {
-    LoadGenerator.Kind kind =
-        new LoadGenerator.Kind("all", 1, method, path, "", 0, DEADLINE_MILLIS);
+    LoadGenerator.RequestKind kind =
+        new LoadGenerator.RequestKind("all", 1, method, path, "", 0, DEADLINE_MILLIS);
     LoadGenerator.Plan load =
         new LoadGenerator.Plan(
             address,
@@ -47,7 +47,7 @@
         load,
         done -> {
           long now = System.nanoTime();
-          checker.request(proxy, done.outcome(), now - done.nanos(), now);
+          checker.onRequestCompleted(proxy, done.outcome(), now - done.latencyNanos(), now);
         });
   }
 
--- a/src/main/java/leadferry/testbed/FaultTestPlan.java
+++ b/src/main/java/leadferry/testbed/FaultTestPlan.java
@@ -52,7 +52,7 @@
   }
 
   /** Whether a script says which fault comes when. */
-  boolean scripted() {
+  boolean isScripted() {
     return script != null;
   }
 }
--- a/src/main/java/leadferry/testbed/FaultTestReport.java
+++ b/src/main/java/leadferry/testbed/FaultTestReport.java
@@ -22,18 +22,18 @@
         .put("hosts", plan.upstreams());
   }
 
-  ObjectNode json() {
+  ObjectNode toJson() {
     return report;
   }
 
-  void faults(InjectedFaults faults) {
+  void addFaults(InjectedFaults faults) {
     ObjectNode counts = report.putObject("faults");
     for (InjectedFaults.Kind kind : InjectedFaults.Kind.values()) {
-      counts.put(kind.key(), faults.counted(kind));
+      counts.put(kind.key(), faults.countOf(kind));
     }
   }
 
-  void drains(History history) {
+  void addDrains(History history) {
     report
         .putObject("drains")
         .put("asked", count(history, call -> isDrain(call)))
@@ -65,27 +65,27 @@
     return history.calls().stream().filter(predicate).count();
   }
 
-  void unavailable(HistoryChecker checker, FaultTestPlan plan) {
+  void addUnavailable(InvariantChecker checker, FaultTestPlan plan) {
     report
         .putObject("out")
-        .put("proxies_most", checker.proxiesMost())
+        .put("proxies_most", checker.maxProxiesOut())
         .put("proxies_allowed", plan.proxiesAllowed())
-        .put("hosts_most", checker.hostsMost())
+        .put("hosts_most", checker.maxUpstreamsOut())
         .put("hosts_allowed", plan.upstreamsAllowed());
   }
 
-  void requests(
-      FaultTestLoad load, HistoryChecker checker, HistoryChecker.UpstreamViolations found) {
+  void addRequests(
+      FaultTestLoad load, InvariantChecker checker, InvariantChecker.UpstreamViolations found) {
     report
         .putObject("requests")
         .put("sent", load.sent())
         .put("served", load.served())
-        .put("lost", checker.lost())
+        .put("lost", checker.lostRequests())
         .put("twice", found.executedTwice())
         .put("to_drained", found.sentToDrained());
   }
 
-  void recovery(RecoveryTracker recovery) {
+  void addRecovery(RecoveryTracker recovery) {
     List<Long> sorted = recovery.sortedMillis();
     report
         .putObject("recovery_ms")
@@ -93,14 +93,14 @@
         .put("most", sorted.isEmpty() ? 0 : sorted.get(sorted.size() - 1));
   }
 
-  void broken(HistoryChecker checker) {
-    checker.broken().forEach(report.putArray("broken")::add);
+  void addViolations(InvariantChecker checker) {
+    checker.violations().forEach(report.putArray("broken")::add);
   }
 
-  void releases(ReleaseWorkload workload, ProcessSupervisor supervisor) {
+  void addReleases(ReleaseWorkload workload, ProcessSupervisor supervisor) {
     ObjectNode releases = report.putObject("releases");
     for (ReleaseWorkload.Event event : ReleaseWorkload.Event.values()) {
-      releases.put(event.key(), workload.counted(event));
+      releases.put(event.key(), workload.countOf(event));
     }
     int done = 0;
     int again = 0;
@@ -108,17 +108,17 @@
     int rejected = 0;
     Set<Long> actions = new HashSet<>();
     Set<String> commands = new HashSet<>();
-    for (ProcessSupervisor.Deed deed : supervisor.deeds()) {
+    for (ProcessSupervisor.Invocation deed : supervisor.invocations()) {
       if (!deed.verb().equals("command")) {
         continue;
       }
-      if (deed.refused()) {
+      if (deed.rejected()) {
         rejected++;
         continue;
       }
       done++;
-      again += actions.add(deed.action()) ? 0 : 1;
-      String command = deed.action() + "/" + deed.fence() + "/" + deed.version();
+      again += actions.add(deed.actionId()) ? 0 : 1;
+      String command = deed.actionId() + "/" + deed.fence() + "/" + deed.version();
       sameFenceTwice += commands.add(command) ? 0 : 1;
     }
     report
--- a/src/main/java/leadferry/testbed/FaultTestTopology.java
+++ b/src/main/java/leadferry/testbed/FaultTestTopology.java
@@ -52,9 +52,9 @@
     for (int i = 1; i <= plan.upstreams(); i++) {
       upstreams.add(
           new FakeUpstream(
-              FakeUpstream.Options.quick("h" + i)
-                  .takes(FaultTestFiles.SERVICE_MILLIS, 2)
-                  .warmsUp(FaultTestFiles.WARM_UP_MILLIS, FaultTestFiles.START_CAPACITY),
+              FakeUpstream.Options.instant("h" + i)
+                  .withServiceTime(FaultTestFiles.SERVICE_MILLIS, 2)
+                  .withWarmUp(FaultTestFiles.WARM_UP_MILLIS, FaultTestFiles.START_CAPACITY),
               executions));
     }
     prepareProxies();
@@ -76,7 +76,8 @@
       // One address for all: the library tells a leader's addresses to its followers. Who connects
       // is found by the port.
       relayedAddresses.put(
-          name, relay(logAddresses.get(name), port -> link(owner(port), name)).address());
+          name,
+          relay(logAddresses.get(name), port -> link(replicaOfLocalPort(port), name)).address());
     }
     for (String name : replicaAddresses.keySet()) {
       String text =
@@ -91,9 +92,9 @@
           name,
           new ManagedProcess(
               name,
-              ManagedProcess.program(
+              ManagedProcess.commandLine(
                   REPLICA_HEAP_MB, "replica", "--config", file.toString(), "--new"),
-              ManagedProcess.program(REPLICA_HEAP_MB, "replica", "--config", file.toString()),
+              ManagedProcess.commandLine(REPLICA_HEAP_MB, "replica", "--config", file.toString()),
               folder.resolve(name + ".log")));
     }
   }
@@ -105,7 +106,7 @@
       proxyFiles.put(name, proxyFile(name));
       writeProxyFile(name, FaultTest.FIRST_VERSION);
       List<String> command =
-          ManagedProcess.program(
+          ManagedProcess.commandLine(
               PROXY_HEAP_MB, "daemon", "--config", proxyFilePath(name).toString());
       proxies.put(name, new ManagedProcess(name, command, command, folder.resolve(name + ".log")));
     }
@@ -153,13 +154,14 @@
   ManagedProcess startDriver(String name, String release) throws IOException {
     List<String> arguments = new ArrayList<>(List.of("fleet", "release", "drive", release));
     arguments.addAll(List.of("--as", name));
-    arguments.addAll(List.of("--lease-ms", Integer.toString(FaultTest.LEASE_MS)));
+    arguments.addAll(List.of("--lease-ms", Integer.toString(FaultTest.LEASE_MILLIS)));
     arguments.addAll(List.of("--fleet", fleet));
     for (Map.Entry<String, InetSocketAddress> replica : relayReplicasFor(name).entrySet()) {
       arguments.add("--keeper");
       arguments.add(replica.getKey() + "=" + FaultTestFiles.text(replica.getValue()));
     }
-    List<String> command = ManagedProcess.program(PROXY_HEAP_MB, arguments.toArray(String[]::new));
+    List<String> command =
+        ManagedProcess.commandLine(PROXY_HEAP_MB, arguments.toArray(String[]::new));
     ManagedProcess driver =
         new ManagedProcess(name, command, command, folder.resolve(name + ".log"));
     drivers.put(name, driver);
@@ -180,10 +182,10 @@
   }
 
   /** The replica whose socket has that local port. */
-  private String owner(int port) {
+  private String replicaOfLocalPort(int port) {
     Map<Long, String> namesByProcessId = new HashMap<>();
     replicas.values().forEach(replica -> namesByProcessId.put(replica.pid(), replica.name()));
-    return FaultyLink.owner(port, namesByProcessId);
+    return FaultyLink.processOfLocalPort(port, namesByProcessId);
   }
 
   /** The link from a source to a destination. */
@@ -227,7 +229,7 @@
   }
 
   /** A replica or proxy, or null. */
-  ManagedProcess process(String name) {
+  ManagedProcess processOrNull(String name) {
     return replicas.getOrDefault(name, proxies.get(name));
   }
 
--- a/src/main/java/leadferry/testbed/FaultyLink.java
+++ b/src/main/java/leadferry/testbed/FaultyLink.java
@@ -42,15 +42,15 @@
       backCut = back;
     }
 
-    public void refuse(boolean now) {
+    public void setRefusing(boolean now) {
       refuses = now;
     }
 
-    public void delay(int ms) {
+    public void setDelayMillis(int ms) {
       delayMs = ms;
     }
 
-    public void cutMiddle() {
+    public void truncateNextChunk() {
       cutsMiddle = true;
     }
 
@@ -174,7 +174,7 @@
    * The name of the process that holds the socket of a local port, of those given by process id; or
    * "".
    */
-  public static String owner(int port, Map<Long, String> processes) {
+  public static String processOfLocalPort(int port, Map<Long, String> processes) {
     String inode = inode(port);
     if (inode.isEmpty()) {
       return "";
--- a/src/main/java/leadferry/testbed/HeadBytes.java
+++ b/src/main/java/leadferry/testbed/HeadBuffer.java
@@ -8,35 +8,35 @@
  * quick stand-in and the load ask of a head. A full decoder would make the rig the limit of what it
  * measures; both speak to nobody but this project's own programs.
  */
-final class HeadBytes {
+final class HeadBuffer {
   /** A head that is longer ends its connection. */
   private static final int MOST = 64 * 1024;
 
   byte[] bytes = new byte[1_024];
-  int from;
-  int to;
+  int start;
+  int end;
 
   /** Adds what was read; false past the bound. */
-  boolean add(ByteBuf read) {
+  boolean append(ByteBuf read) {
     int n = read.readableBytes();
-    if (to + n > bytes.length) {
-      if (to - from + n > MOST) {
+    if (end + n > bytes.length) {
+      if (end - start + n > MOST) {
         return false;
       }
-      byte[] next = to - from + n > bytes.length ? new byte[2 * (to - from + n)] : bytes;
-      System.arraycopy(bytes, from, next, 0, to - from);
+      byte[] next = end - start + n > bytes.length ? new byte[2 * (end - start + n)] : bytes;
+      System.arraycopy(bytes, start, next, 0, end - start);
       bytes = next;
-      to -= from;
-      from = 0;
+      end -= start;
+      start = 0;
     }
-    read.readBytes(bytes, to, n);
-    to += n;
+    read.readBytes(bytes, end, n);
+    end += n;
     return true;
   }
 
-  /** The place behind the empty line of the head that begins at {@link #from}, or -1. */
+  /** The place behind the empty line of the head that begins at {@link #start}, or -1. */
   int headEnd() {
-    for (int i = from + 3; i < to; i++) {
+    for (int i = start + 3; i < end; i++) {
       if (bytes[i] == '\n'
           && bytes[i - 1] == '\r'
           && bytes[i - 2] == '\n'
@@ -48,7 +48,7 @@
   }
 
   /** Where the line behind the one at this place begins. */
-  int nextLine(int at) {
+  int nextLineStart(int at) {
     int i = at;
     while (bytes[i] != '\n') {
       i++;
@@ -59,7 +59,7 @@
   /**
    * Where the value of the line at this place begins if its name is this one, in lower case; or -1.
    */
-  int value(int line, byte[] name) {
+  int headerValueStart(int line, byte[] name) {
     for (int i = 0; i < name.length; i++) {
       if ((bytes[line + i] | 0x20) != name[i]) {
         return -1;
@@ -85,16 +85,16 @@
   }
 
   /** The number that stands at this place. */
-  long number(int at, int radix) {
+  long parseNumber(int at, int radix) {
     long n = 0;
     int digit;
-    for (int i = at; i < to && (digit = Character.digit(bytes[i], radix)) >= 0; i++) {
+    for (int i = at; i < end && (digit = Character.digit(bytes[i], radix)) >= 0; i++) {
       n = n * radix + digit;
     }
     return n;
   }
 
-  boolean is(int at, int end, byte[] text) {
+  boolean matches(int at, int end, byte[] text) {
     return Arrays.equals(bytes, at, end, text, 0, text.length);
   }
 }
--- a/src/main/java/leadferry/testbed/History.java
+++ b/src/main/java/leadferry/testbed/History.java
@@ -34,7 +34,13 @@
   }
 
   /** One call; times are ns of one clock, {@code name} who is to go out or come back. */
-  public record Call(Op op, String kind, String name, long start, long end, Outcome outcome) {}
+  public record Call(
+      Op op,
+      String targetKind,
+      String targetName,
+      long startNanos,
+      long endNanos,
+      Outcome outcome) {}
 
   private record State(Set<String> out, boolean halted) {}
 
@@ -48,7 +54,7 @@
     this.hosts = hosts;
   }
 
-  public synchronized void add(Call c) {
+  public synchronized void record(Call c) {
     calls.add(c);
   }
 
@@ -57,9 +63,9 @@
   }
 
   /** Whether there is such an order. */
-  public boolean linearizable() {
+  public boolean isLinearizable() {
     List<Call> all = new ArrayList<>(calls());
-    all.sort(java.util.Comparator.comparingLong(Call::start));
+    all.sort(java.util.Comparator.comparingLong(Call::startNanos));
     return search(all, new HashSet<>());
   }
 
@@ -79,7 +85,7 @@
         Call c = all.get(i);
         if (c.outcome() != Outcome.UNDECIDED) {
           sure = true;
-          firstEnd = Math.min(firstEnd, c.end());
+          firstEnd = Math.min(firstEnd, c.endNanos());
         }
       }
       if (!sure) {
@@ -87,7 +93,7 @@
       }
       for (int i = n.done().nextClearBit(0); i < all.size(); i = n.done().nextClearBit(i + 1)) {
         Call c = all.get(i);
-        if (c.start() > firstEnd) {
+        if (c.startNanos() > firstEnd) {
           break;
         }
         java.util.BitSet done = (java.util.BitSet) n.done().clone();
@@ -106,7 +112,7 @@
    * took effect if it could.
    */
   private State apply(State s, Call c) {
-    String who = c.kind() + " " + c.name();
+    String who = c.targetKind() + " " + c.targetName();
     boolean unsure = c.outcome() == Outcome.UNDECIDED;
     switch (c.op()) {
       case HALT:
@@ -126,11 +132,11 @@
         if (c.outcome() == Outcome.HALTED) {
           return s.halted() ? s : null;
         }
-        long held = s.out().stream().filter(o -> o.startsWith(c.kind() + " ")).count();
+        long held = s.out().stream().filter(o -> o.startsWith(c.targetKind() + " ")).count();
         boolean could =
             !s.halted()
                 && !s.out().contains(who)
-                && held < (c.kind().equals("proxy") ? proxies : hosts);
+                && held < (c.targetKind().equals("proxy") ? proxies : hosts);
         if (!could) {
           return unsure ? s : null;
         }
--- a/src/main/java/leadferry/testbed/InjectedFaults.java
+++ b/src/main/java/leadferry/testbed/InjectedFaults.java
@@ -31,12 +31,12 @@
     }
   }
 
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final RecoveryTracker recovery;
   private final BackgroundTasks tasks;
   private final Map<Kind, Integer> counts = new EnumMap<>(Kind.class);
 
-  InjectedFaults(HistoryChecker checker, RecoveryTracker recovery, BackgroundTasks tasks) {
+  InjectedFaults(InvariantChecker checker, RecoveryTracker recovery, BackgroundTasks tasks) {
     this.checker = checker;
     this.recovery = recovery;
     this.tasks = tasks;
@@ -48,18 +48,18 @@
   }
 
   /** How many faults of that kind there were. */
-  synchronized int counted(Kind kind) {
+  synchronized int countOf(Kind kind) {
     return counts.getOrDefault(kind, 0);
   }
 
   /** Stops a process for so long. */
   void stall(ManagedProcess process, long millis, Runnable afterwards) {
-    if (!process.runs()) {
+    if (!process.isRunning()) {
       afterwards.run();
       return;
     }
     count(Kind.STALL);
-    process.stop();
+    process.suspend();
     tasks.runLater(
         millis,
         () -> {
@@ -80,19 +80,19 @@
     try {
       process.start();
     } catch (IOException e) {
-      checker.breaks(process.name() + " could not be started: " + e.getMessage());
+      checker.addViolation(process.name() + " could not be started: " + e.getMessage());
     }
   }
 
   /** Stops a proxy for so long, and waits until it answers again. */
   void stallProxy(ManagedProcess proxy, long millis) {
-    checker.down(proxy.name());
+    checker.onTakenDown(proxy.name());
     stall(proxy, millis, () -> recovery.awaitRecovery(proxy.name(), System.nanoTime()));
   }
 
   /** Kills a proxy, starts it again after so long, and waits until it answers. */
   void killProxy(ManagedProcess proxy, long downMillis) {
-    checker.down(proxy.name());
+    checker.onTakenDown(proxy.name());
     kill(proxy);
     tasks.runLater(
         downMillis,
--- a/src/main/java/leadferry/testbed/LoadConnection.java
+++ b/src/main/java/leadferry/testbed/LoadConnection.java
@@ -7,7 +7,7 @@
 
 /**
  * A client's connection of the load: one request at a time, whose response is read without a full
- * decoder (see {@link HeadBytes}). Confined to the loop of its lane.
+ * decoder (see {@link HeadBuffer}). Confined to the loop of its lane.
  */
 final class LoadConnection extends ChannelInboundHandlerAdapter {
   /** What of a response is read next. */
@@ -31,7 +31,7 @@
   private final LoadLane lane;
   private final Channel channel;
   private final RequestTemplate[] templates;
-  private final HeadBytes buffer = new HeadBytes();
+  private final HeadBuffer buffer = new HeadBuffer();
   private ReadState state = ReadState.HEAD;
   private long bodyBytesLeft;
   private LoadRequest request;
@@ -68,7 +68,7 @@
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    lane.connected(this);
+    lane.onConnected(this);
   }
 
   @Override
@@ -80,7 +80,7 @@
           int skipped = (int) Math.min(bodyBytesLeft, read.readableBytes());
           read.skipBytes(skipped);
           bodyBytesLeft -= skipped;
-        } else if (!buffer.add(read)) {
+        } else if (!buffer.append(read)) {
           channel.close();
           return;
         }
@@ -100,7 +100,7 @@
   /** Goes on in what has come; false where more has to come first. */
   private boolean advance() {
     if (request == null) {
-      if (buffer.to > buffer.from || bodyBytesLeft > 0) {
+      if (buffer.end > buffer.start || bodyBytesLeft > 0) {
         channel.close(); // more than was asked for
       }
       return false;
@@ -117,15 +117,17 @@
     if (end < 0) {
       return false;
     }
-    status = (int) buffer.number(buffer.from + STATUS_OFFSET, 10);
+    status = (int) buffer.parseNumber(buffer.start + STATUS_OFFSET, 10);
     idMatches = true;
     keepAlive = true;
     bodyBytesLeft = 0;
     state = ReadState.SIZED_BODY;
-    for (int line = buffer.nextLine(buffer.from); line < end - 2; line = buffer.nextLine(line)) {
+    for (int line = buffer.nextLineStart(buffer.start);
+        line < end - 2;
+        line = buffer.nextLineStart(line)) {
       readHeader(line);
     }
-    buffer.from = end;
+    buffer.start = end;
     if (status < 200) {
       state = ReadState.HEAD; // another head follows
     } else if (templates[request.kind()].isHead() || status == 204 || status == 304) {
@@ -136,29 +138,29 @@
   }
 
   private void readHeader(int line) {
-    int valueAt = buffer.value(line, REQUEST_ID);
+    int valueAt = buffer.headerValueStart(line, REQUEST_ID);
     if (valueAt > 0) {
-      idMatches = buffer.is(valueAt, buffer.lineEnd(valueAt), id);
+      idMatches = buffer.matches(valueAt, buffer.lineEnd(valueAt), id);
       return;
     }
-    valueAt = buffer.value(line, CONTENT_LENGTH);
+    valueAt = buffer.headerValueStart(line, CONTENT_LENGTH);
     if (valueAt > 0) {
-      bodyBytesLeft = buffer.number(valueAt, 10);
+      bodyBytesLeft = buffer.parseNumber(valueAt, 10);
       return;
     }
-    if (buffer.value(line, TRANSFER_ENCODING) > 0) {
+    if (buffer.headerValueStart(line, TRANSFER_ENCODING) > 0) {
       state = ReadState.CHUNK_SIZE;
       return;
     }
-    valueAt = buffer.value(line, CONNECTION);
+    valueAt = buffer.headerValueStart(line, CONNECTION);
     if (valueAt > 0) {
-      keepAlive = !buffer.is(valueAt, buffer.lineEnd(valueAt), CLOSE);
+      keepAlive = !buffer.matches(valueAt, buffer.lineEnd(valueAt), CLOSE);
     }
   }
 
   private boolean skipBody() {
-    int skipped = (int) Math.min(bodyBytesLeft, buffer.to - buffer.from);
-    buffer.from += skipped;
+    int skipped = (int) Math.min(bodyBytesLeft, buffer.end - buffer.start);
+    buffer.start += skipped;
     bodyBytesLeft -= skipped;
     if (bodyBytesLeft > 0) {
       return false;
@@ -177,16 +179,16 @@
     if (end < 0) {
       return false;
     }
-    boolean empty = end - buffer.from == 2;
+    boolean empty = end - buffer.start == 2;
     if (state == ReadState.TRAILERS) {
-      buffer.from = end;
+      buffer.start = end;
       if (empty) {
         finish();
       }
       return true;
     }
-    bodyBytesLeft = empty ? 0 : buffer.number(buffer.from, 16);
-    buffer.from = end;
+    bodyBytesLeft = empty ? 0 : buffer.parseNumber(buffer.start, 16);
+    buffer.start = end;
     if (!empty) {
       state = bodyBytesLeft == 0 ? ReadState.TRAILERS : ReadState.CHUNK_DATA;
     }
@@ -194,7 +196,7 @@
   }
 
   private int lineEnd() {
-    for (int i = buffer.from; i < buffer.to; i++) {
+    for (int i = buffer.start; i < buffer.end; i++) {
       if (buffer.bytes[i] == '\n') {
         return i + 1;
       }
@@ -206,7 +208,7 @@
     LoadRequest finished = request;
     request = null;
     state = ReadState.HEAD;
-    lane.finished(this, finished, outcome(), keepAlive);
+    lane.onFinished(this, finished, outcome(), keepAlive);
   }
 
   private LoadGenerator.Outcome outcome() {
@@ -222,7 +224,7 @@
   public void channelInactive(ChannelHandlerContext context) {
     LoadRequest unanswered = request;
     request = null;
-    lane.disconnected(this, unanswered);
+    lane.onDisconnected(this, unanswered);
   }
 
   @Override
--- a/src/main/java/leadferry/testbed/LoadGenerator.java
+++ b/src/main/java/leadferry/testbed/LoadGenerator.java
@@ -22,18 +22,18 @@
   /**
    * A kind of request and its part of the load.
    *
-   * @param part its weight among the kinds
+   * @param weight its weight among the kinds
    * @param headers further header lines, each ended by CR LF
-   * @param deadlineMs how long a response is waited for, before a second of patience
+   * @param deadlineMillis how long a response is waited for, before a second of patience
    */
-  public record Kind(
+  public record RequestKind(
       String name,
-      double part,
+      double weight,
       String method,
       String path,
       String headers,
       int bodyBytes,
-      long deadlineMs) {}
+      long deadlineMillis) {}
 
   /** What became of a request. */
   public enum Outcome {
@@ -47,30 +47,30 @@
   }
 
   /** One request that is over; {@code nanos} is from when it was due. */
-  public record Done(String id, Kind kind, Outcome outcome, long nanos) {}
+  public record CompletedRequest(String id, RequestKind kind, Outcome outcome, long latencyNanos) {}
 
   /**
    * How the load is made; what is due in the first {@code warmUpSeconds} is sent and not counted.
    */
   public record Plan(
       InetSocketAddress target,
-      double perSecond,
+      double requestsPerSecond,
       double warmUpSeconds,
       double seconds,
       int connections,
       int threads,
-      List<Kind> kinds,
+      List<RequestKind> kinds,
       String idPrefix) {}
 
   private static final long START_DELAY_NANOS = 10_000_000L;
 
   private final Plan plan;
-  private final Consumer<Done> sink;
+  private final Consumer<CompletedRequest> sink;
   private final MultiThreadIoEventLoopGroup group;
   private final List<LoadLane> lanes = new ArrayList<>();
   private final CountDownLatch lanesDone;
   private final AtomicLong sent = new AtomicLong();
-  private final AtomicLong over = new AtomicLong();
+  private final AtomicLong completed = new AtomicLong();
   private final AtomicLong servedInTime = new AtomicLong();
   private final LoadCounts counts;
 
@@ -79,7 +79,7 @@
    *
    * @param sink hears of every request that is over, on one of the load's threads; may be null
    */
-  public LoadGenerator(Plan plan, Consumer<Done> sink) {
+  public LoadGenerator(Plan plan, Consumer<CompletedRequest> sink) {
     this.plan = plan;
     this.sink = sink;
     this.counts = new LoadCounts(plan.kinds().size());
@@ -112,8 +112,8 @@
   }
 
   /** Requests that are over so far. */
-  public long over() {
-    return over.get();
+  public long completed() {
+    return completed.get();
   }
 
   /** Requests that were due after the warm-up. */
@@ -149,27 +149,28 @@
   /** Adds up what the lanes tell, and passes it on to the sink. */
   private final class Observer implements LoadLane.Observer {
     @Override
-    public void sent() {
+    public void onSent() {
       sent.incrementAndGet();
     }
 
     @Override
-    public void over(boolean inTime) {
-      over.incrementAndGet();
+    public void onCompleted(boolean inTime) {
+      completed.incrementAndGet();
       if (inTime) {
         servedInTime.incrementAndGet();
       }
     }
 
     @Override
-    public void counted(LoadRequest request, Outcome outcome, long nanos) {
+    public void onCounted(LoadRequest request, Outcome outcome, long nanos) {
       if (sink != null) {
-        sink.accept(new Done(request.id(), plan.kinds().get(request.kind()), outcome, nanos));
+        sink.accept(
+            new CompletedRequest(request.id(), plan.kinds().get(request.kind()), outcome, nanos));
       }
     }
 
     @Override
-    public void done() {
+    public void onLaneDone() {
       lanesDone.countDown();
     }
   }
--- a/src/main/java/leadferry/testbed/LoadLane.java
+++ b/src/main/java/leadferry/testbed/LoadLane.java
@@ -17,16 +17,16 @@
   /** What lanes tell of requests as they go; called on the lane's loop. */
   interface Observer {
     /** A request was due that is counted. */
-    void sent();
+    void onSent();
 
     /** A request is over; {@code servedInTime} tells that it was served while the load went on. */
-    void over(boolean servedInTime);
+    void onCompleted(boolean servedInTime);
 
     /** A request that is counted is over, so long after it was due (ns). */
-    void counted(LoadRequest request, LoadGenerator.Outcome outcome, long nanos);
+    void onCounted(LoadRequest request, LoadGenerator.Outcome outcome, long nanos);
 
     /** All is over. */
-    void done();
+    void onLaneDone();
   }
 
   private static final long TICK_NANOS = 500_000L;
@@ -72,9 +72,9 @@
     this.observer = observer;
     this.counts = new LoadCounts(plan.kinds().size());
     this.mostConnections = Math.max(1, plan.connections() / plan.threads());
-    this.intervalNanos = 1e9 * plan.threads() / plan.perSecond();
+    this.intervalNanos = 1e9 * plan.threads() / plan.requestsPerSecond();
     this.debts = new double[plan.kinds().size()];
-    this.partsTotal = plan.kinds().stream().mapToDouble(LoadGenerator.Kind::part).sum();
+    this.partsTotal = plan.kinds().stream().mapToDouble(LoadGenerator.RequestKind::weight).sum();
     this.bootstrap =
         new Bootstrap()
             .group(loop)
@@ -116,13 +116,13 @@
       made++;
       open++;
       if (due >= countFromNanos) {
-        observer.sent();
+        observer.onSent();
       }
     }
     send();
     expire(now);
     if (now >= endNanos && open == 0) {
-      observer.done();
+      observer.onLaneDone();
     } else {
       loop.schedule(this::tick, TICK_NANOS, TimeUnit.NANOSECONDS);
     }
@@ -137,11 +137,11 @@
   private LoadRequest nextRequest(long dueNanos) {
     int kind = 0;
     for (int i = 0; i < debts.length; i++) {
-      debts[i] += plan.kinds().get(i).part();
+      debts[i] += plan.kinds().get(i).weight();
       kind = debts[i] > debts[kind] ? i : kind;
     }
     debts[kind] -= partsTotal;
-    long waitNanos = plan.kinds().get(kind).deadlineMs() * 1_000_000L + PATIENCE_NANOS;
+    long waitNanos = plan.kinds().get(kind).deadlineMillis() * 1_000_000L + PATIENCE_NANOS;
     String id = plan.idPrefix() + number + "-" + made;
     return new LoadRequest(id, kind, dueNanos, dueNanos + waitNanos);
   }
@@ -193,23 +193,23 @@
     open--;
     long now = System.nanoTime();
     boolean served = outcome == LoadGenerator.Outcome.SERVED;
-    observer.over(served && now >= countFromNanos && now < endNanos);
+    observer.onCompleted(served && now >= countFromNanos && now < endNanos);
     if (request.dueNanos() < countFromNanos) {
       return;
     }
     long nanos = now - request.dueNanos();
     counts.record(request.kind(), outcome, nanos);
-    observer.counted(request, outcome, nanos);
+    observer.onCounted(request, outcome, nanos);
   }
 
   // --- what its connections tell
 
-  void connected(LoadConnection connection) {
+  void onConnected(LoadConnection connection) {
     idle.addLast(connection);
     send();
   }
 
-  void finished(
+  void onFinished(
       LoadConnection connection,
       LoadRequest request,
       LoadGenerator.Outcome outcome,
@@ -225,7 +225,7 @@
   }
 
   /** A connection has gone; {@code unanswered} is its open request, or null. */
-  void disconnected(LoadConnection connection, LoadRequest unanswered) {
+  void onDisconnected(LoadConnection connection, LoadRequest unanswered) {
     connections--;
     idle.remove(connection);
     busy.remove(connection);
--- a/src/main/java/leadferry/testbed/ManagedProcess.java
+++ b/src/main/java/leadferry/testbed/ManagedProcess.java
@@ -16,7 +16,7 @@
   private final List<String> laterCommand;
   private final Path log;
   private Process process;
-  private boolean stopped;
+  private boolean suspended;
 
   /**
    * A process that is not started yet.
@@ -36,7 +36,7 @@
   /**
    * The command that starts this build of the program with these arguments, on so many MB of heap.
    */
-  public static List<String> program(int heapMb, String... arguments) {
+  public static List<String> commandLine(int heapMb, String... arguments) {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -66,9 +66,9 @@
    * Starts it so that it can write no file past that size (KiB): writes fail then, as on a full
    * disk.
    */
-  public synchronized void startOnDiskOf(int kib) throws IOException {
+  public synchronized void startWithFileSizeLimit(int limitKib) throws IOException {
     List<String> command =
-        new ArrayList<>(List.of("bash", "-c", "ulimit -f " + kib + "; exec \"$@\"", "bash"));
+        new ArrayList<>(List.of("bash", "-c", "ulimit -f " + limitKib + "; exec \"$@\"", "bash"));
     command.addAll(command());
     run(command);
   }
@@ -83,12 +83,12 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
-    stopped = false;
+    suspended = false;
   }
 
   /** Whether it is alive and not stopped. */
-  public synchronized boolean runs() {
-    return process != null && process.isAlive() && !stopped;
+  public synchronized boolean isRunning() {
+    return process != null && process.isAlive() && !suspended;
   }
 
   /** Its process id, or -1 before its first start. */
@@ -97,15 +97,15 @@
   }
 
   /** Stops it (SIGSTOP) until {@link #resume}. */
-  public synchronized void stop() {
+  public synchronized void suspend() {
     signal("STOP");
-    stopped = true;
+    suspended = true;
   }
 
   /** Lets it go on (SIGCONT). */
   public synchronized void resume() {
     signal("CONT");
-    stopped = false;
+    suspended = false;
   }
 
   /** Kills it (SIGKILL) and waits for its end. */
@@ -119,7 +119,7 @@
   }
 
   /** SIGTERM, and so many milliseconds for its end; the exit status, or -1. */
-  public synchronized int end(long timeoutMillis) {
+  public synchronized int terminate(long timeoutMillis) {
     process.destroy();
     try {
       return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
--- a/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
+++ b/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
@@ -31,7 +31,7 @@
   private final Channel listener;
   private final byte[] head;
   private final byte[] body;
-  private volatile long answered;
+  private volatile long responsesSent;
 
   /** Starts a host on loopback, at any port for 0, that answers {@code bodyBytes} bytes. */
   public MinimalFakeUpstream(String name, int port, int bodyBytes) {
@@ -78,16 +78,16 @@
   }
 
   /** {@code 127.0.0.1:port}. */
-  public String place() {
+  public String hostAndPort() {
     return "127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  public long answered() {
-    return answered;
+  public long responsesSent() {
+    return responsesSent;
   }
 
   private final class Connection extends ChannelInboundHandlerAdapter {
-    private final HeadBytes in = new HeadBytes();
+    private final HeadBuffer in = new HeadBuffer();
     private long skip;
 
     @Override
@@ -96,7 +96,7 @@
       ByteBuf out = null;
       boolean sound;
       try {
-        sound = in.add(read);
+        sound = in.append(read);
       } finally {
         read.release();
       }
@@ -115,8 +115,8 @@
 
     /** Passes over what is left of a body; whether that was all of it. */
     private boolean skip() {
-      long n = Math.min(skip, in.to - in.from);
-      in.from += (int) n;
+      long n = Math.min(skip, in.end - in.start);
+      in.start += (int) n;
       skip -= n;
       return skip == 0;
     }
@@ -125,20 +125,20 @@
     private boolean answer(ByteBuf out, int end) {
       int idFrom = 0;
       int idTo = 0;
-      for (int line = in.nextLine(in.from); line < end - 2; line = in.nextLine(line)) {
+      for (int line = in.nextLineStart(in.start); line < end - 2; line = in.nextLineStart(line)) {
         int at;
-        if ((at = in.value(line, ID)) > 0) {
+        if ((at = in.headerValueStart(line, ID)) > 0) {
           idFrom = at;
           idTo = in.lineEnd(at);
-        } else if ((at = in.value(line, LENGTH)) > 0) {
-          skip = in.number(at, 10);
-        } else if (in.value(line, CHUNKED) > 0) {
+        } else if ((at = in.headerValueStart(line, LENGTH)) > 0) {
+          skip = in.parseNumber(at, 10);
+        } else if (in.headerValueStart(line, CHUNKED) > 0) {
           return false;
         }
       }
       out.writeBytes(head).writeBytes(in.bytes, idFrom, idTo - idFrom).writeBytes(body);
-      in.from = end;
-      answered++;
+      in.start = end;
+      responsesSent++;
       return true;
     }
 
--- a/src/main/java/leadferry/testbed/Operator.java
+++ b/src/main/java/leadferry/testbed/Operator.java
@@ -36,18 +36,18 @@
   }
 
   /** Asks with a call's id; null where no answer came in time, and so nobody knows. */
-  public JsonNode change(ObjectNode entry, String callId, int first, long timeoutMillis) {
+  public JsonNode submit(ObjectNode entry, String callId, int first, long timeoutMillis) {
     entry.put("call", callId).put("who", "rig").put("why", "rig");
-    return ask(
+    return query(
         MAPPER.createObjectNode().put("op", "submit").set("entry", entry), first, timeoutMillis);
   }
 
   /** Asks for anything; null where no answer came in time. */
-  public JsonNode ask(ObjectNode request, int first, long timeoutMillis) {
+  public JsonNode query(ObjectNode request, int first, long timeoutMillis) {
     long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
     request.put("id", 1).put("fleet", fleet);
     for (int i = first; System.nanoTime() < deadlineNanos; i++) {
-      JsonNode answer = once(replicas.get(i % replicas.size()), request);
+      JsonNode answer = queryOnce(replicas.get(i % replicas.size()), request);
       if (answer != null && !answer.has("redirect") && !answer.has("undecided")) {
         return answer;
       }
@@ -60,7 +60,7 @@
   }
 
   /** Asks one replica once; null where no answer came in a second. */
-  static JsonNode once(InetSocketAddress replica, ObjectNode request) {
+  static JsonNode queryOnce(InetSocketAddress replica, ObjectNode request) {
     try (Socket socket = new Socket()) {
       socket.connect(replica, ATTEMPT_MILLIS);
       socket.setSoTimeout(ATTEMPT_MILLIS);
--- a/src/main/java/leadferry/testbed/OperatorWorkload.java
+++ b/src/main/java/leadferry/testbed/OperatorWorkload.java
@@ -31,11 +31,11 @@
    * The longest (ms) until the agreed state knows of a dead proxy: its lease, an election and a new
    * leader's wait.
    */
-  private static final long LOSS_KNOWN_MILLIS = 3L * FaultTest.LEASE_MS + 3_000;
+  private static final long LOSS_KNOWN_MILLIS = 3L * FaultTest.LEASE_MILLIS + 3_000;
 
   private final FaultTestPlan plan;
   private final Operator operator;
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final History history;
 
   /**
@@ -45,7 +45,8 @@
 
   private volatile boolean stopped;
 
-  OperatorWorkload(FaultTestPlan plan, Operator operator, HistoryChecker checker, History history) {
+  OperatorWorkload(
+      FaultTestPlan plan, Operator operator, InvariantChecker checker, History history) {
     this.plan = plan;
     this.operator = operator;
     this.checker = checker;
@@ -96,7 +97,7 @@
 
   /** Drains a target; a grant goes into {@code held}, a host's once it is out everywhere. */
   void drain(String callId, DrainTarget target, Random random, Map<String, DrainTarget> held) {
-    Set<String> dead = checker.deadSince(lossKnownBefore());
+    Set<String> dead = checker.proxiesDownSince(lossKnownBefore());
     JsonNode outcome = call(drainEntry(target), callId, History.Op.DRAIN, target, random);
     if (outcome == null) {
       undecided.put(callId, drainEntry(target));
@@ -108,8 +109,8 @@
     String grant = outcome.path("permit").asText();
     held.put(grant, target);
     if (target.isProxy()) {
-      dead.retainAll(checker.deadSince(lossKnownBefore()));
-      checker.granted(target.name(), dead);
+      dead.retainAll(checker.proxiesDownSince(lossKnownBefore()));
+      checker.onProxyGranted(target.name(), dead);
     } else {
       awaitCarriedOut(grant, target);
     }
@@ -131,9 +132,9 @@
     long deadlineNanos = System.nanoTime() + CARRIED_OUT_MILLIS * 1_000_000L;
     while (System.nanoTime() < deadlineNanos) {
       ObjectNode question = MAPPER.createObjectNode().put("op", "permit").put("permit", grant);
-      JsonNode state = operator.ask(question, 0, 1_000);
+      JsonNode state = operator.query(question, 0, 1_000);
       if (state != null && state.path("carried_out").asBoolean()) {
-        checker.hostOut(host.name());
+        checker.onUpstreamDrained(host.name());
         return;
       }
       Threads.sleepMillis(LOOK_MILLIS);
@@ -143,7 +144,7 @@
   /** Gives back what a grant took out. */
   void undo(String callId, String grant, DrainTarget target, Random random) {
     if (!target.isProxy()) {
-      checker.hostBack(target.name());
+      checker.onUpstreamReturning(target.name());
     }
     call(Operator.entry("undo").put("permit", grant), callId, History.Op.UNDO, target, random);
   }
@@ -151,15 +152,15 @@
   private JsonNode call(
       ObjectNode entry, String callId, History.Op operation, DrainTarget target, Random random) {
     long startNanos = System.nanoTime();
-    JsonNode answer = operator.change(entry, callId, random.nextInt(plan.replicas()), CALL_MILLIS);
+    JsonNode answer = operator.submit(entry, callId, random.nextInt(plan.replicas()), CALL_MILLIS);
     History.Outcome outcome = outcome(answer);
     if (answer == null && operation != History.Op.DRAIN) {
       undecided.put(callId, entry);
     }
     if (operation == History.Op.UNDO && outcome == History.Outcome.REFUSED) {
-      checker.breaks("a grant that was held could not be undone: " + answer);
+      checker.addViolation("a grant that was held could not be undone: " + answer);
     }
-    history.add(
+    history.record(
         new History.Call(
             operation, target.kind(), target.name(), startNanos, System.nanoTime(), outcome));
     return answer;
@@ -175,19 +176,19 @@
       case "halted" -> History.Outcome.HALTED;
       case "refused", "unknown" -> History.Outcome.REFUSED;
       default -> {
-        checker.breaks("an operator was told " + answer);
+        checker.addViolation("an operator was told " + answer);
         yield History.Outcome.REFUSED;
       }
     };
   }
 
   /** Asks again for all that nobody came to know; all links are whole by now. */
-  void settleUndecided(Random random) {
+  void resolveUndecided(Random random) {
     undecided.forEach(
         (callId, entry) -> {
-          JsonNode outcome = operator.change(entry, callId, 0, FaultTest.START_MILLIS);
+          JsonNode outcome = operator.submit(entry, callId, 0, FaultTest.START_MILLIS);
           if (outcome == null) {
-            checker.breaks("with all links whole there is no outcome of " + callId);
+            checker.addViolation("with all links whole there is no outcome of " + callId);
           } else if (entry.path("op").asText().equals("drain") && isGranted(outcome)) {
             DrainTarget target =
                 new DrainTarget(entry.path("kind").asText(), entry.path("name").asText());
--- a/src/main/java/leadferry/testbed/OverloadClient.java
+++ b/src/main/java/leadferry/testbed/OverloadClient.java
@@ -225,7 +225,7 @@
 
   /** A request begins, with its connection where there is none. */
   private void beginRequest() {
-    open = context.timeline().now();
+    open = context.timeline().currentBucket();
     if (counted) {
       open.countSent();
     }
--- a/src/main/java/leadferry/testbed/OverloadPlan.java
+++ b/src/main/java/leadferry/testbed/OverloadPlan.java
@@ -12,9 +12,9 @@
  * @param crowd what further clients do between begin and end of the trigger
  * @param crowdSize how many of them, 0 to 20,000
  * @param reconnects whether all usual clients close and connect at once as the trigger begins
- * @param calm seconds before the trigger
- * @param trigger seconds that it lasts
- * @param after seconds after it
+ * @param calmSeconds seconds before the trigger
+ * @param triggerSeconds seconds that it lasts
+ * @param afterSeconds seconds after it
  */
 public record OverloadPlan(
     List<InetSocketAddress> targets,
@@ -24,9 +24,9 @@
     Crowd crowd,
     int crowdSize,
     boolean reconnects,
-    double calm,
-    double trigger,
-    double after,
+    double calmSeconds,
+    double triggerSeconds,
+    double afterSeconds,
     String path,
     long seed) {
 
@@ -71,6 +71,6 @@
   }
 
   double seconds() {
-    return calm + trigger + after;
+    return calmSeconds + triggerSeconds + afterSeconds;
   }
 }
--- a/src/main/java/leadferry/testbed/OverloadTest.java
+++ b/src/main/java/leadferry/testbed/OverloadTest.java
@@ -60,10 +60,10 @@
     startNanos = System.nanoTime();
     timeline.start(startNanos);
     loop.submit(this::startUsualClients).syncUninterruptibly();
-    sleepUntil(plan.calm());
+    sleepUntil(plan.calmSeconds());
     loop.execute(this::beginCrowd);
     begin.run();
-    sleepUntil(plan.calm() + plan.trigger());
+    sleepUntil(plan.calmSeconds() + plan.triggerSeconds());
     end.run();
     loop.execute(this::endCrowd);
     sleepUntil(plan.seconds());
@@ -98,7 +98,7 @@
 
   private void beginCrowd() {
     crowding = true;
-    timeline.beginGaps();
+    timeline.resetLongestGap();
     if (plan.reconnects()) {
       usual.forEach(OverloadClient::reconnect);
     }
--- a/src/main/java/leadferry/testbed/OverloadTimeline.java
+++ b/src/main/java/leadferry/testbed/OverloadTimeline.java
@@ -50,7 +50,7 @@
   }
 
   /** Buckets a second. */
-  public static final int PER_SECOND = 10;
+  public static final int BUCKETS_PER_SECOND = 10;
 
   /** Service has recovered where it serves this part of the share before the trigger. */
   private static final double RECOVERED = 0.95;
@@ -63,7 +63,7 @@
 
   OverloadTimeline(OverloadPlan plan) {
     this.plan = plan;
-    this.buckets = new Bucket[(int) Math.ceil(plan.seconds() * PER_SECOND) + 1];
+    this.buckets = new Bucket[(int) Math.ceil(plan.seconds() * BUCKETS_PER_SECOND) + 1];
     for (int i = 0; i < buckets.length; i++) {
       buckets[i] = new Bucket();
     }
@@ -74,13 +74,13 @@
   }
 
   /** The bucket of a request that is sent now. */
-  Bucket now() {
-    int tenths = (int) ((System.nanoTime() - startNanos) / (1_000_000_000L / PER_SECOND));
+  Bucket currentBucket() {
+    int tenths = (int) ((System.nanoTime() - startNanos) / (1_000_000_000L / BUCKETS_PER_SECOND));
     return buckets[Math.min(tenths, buckets.length - 1)];
   }
 
   /** Times without a request served count from now on. */
-  void beginGaps() {
+  void resetLongestGap() {
     lastServedNanos = System.nanoTime();
     longestGapNanos = 0;
   }
@@ -96,11 +96,11 @@
    * Share of the requests of usual clients that were served, of those sent from one second to
    * another.
    */
-  public double share(double from, double until) {
+  public double servedShare(double from, double until) {
     int sent = 0;
     int served = 0;
-    int end = Math.min(buckets.length, (int) (until * PER_SECOND));
-    for (int i = (int) (from * PER_SECOND); i < end; i++) {
+    int end = Math.min(buckets.length, (int) (until * BUCKETS_PER_SECOND));
+    for (int i = (int) (from * BUCKETS_PER_SECOND); i < end; i++) {
       sent += buckets[i].sent;
       served += buckets[i].served;
     }
@@ -109,36 +109,37 @@
 
   /** The share before the trigger, its first second left out. */
   public double calmShare() {
-    return share(Math.min(1, plan.calm() / 2), plan.calm());
+    return servedShare(Math.min(1, plan.calmSeconds() / 2), plan.calmSeconds());
   }
 
   /** The share while the trigger lasts. */
   public double triggerShare() {
-    return share(plan.calm(), plan.calm() + plan.trigger());
+    return servedShare(plan.calmSeconds(), plan.calmSeconds() + plan.triggerSeconds());
   }
 
   /** The share after the trigger, without those who could not get a response any more. */
   public double afterShare() {
-    return share(plan.calm() + plan.trigger(), plan.seconds() - plan.timeoutMillis() / 1e3);
+    return servedShare(
+        plan.calmSeconds() + plan.triggerSeconds(), plan.seconds() - plan.timeoutMillis() / 1e3);
   }
 
   /**
    * Seconds from the trigger's end to the first second at 95% of calm's share, or NaN if none came.
    */
-  public double recoveredAfter() {
-    double from = plan.calm() + plan.trigger();
-    double last = from + plan.after() - 1 - plan.timeoutMillis() / 1e3;
-    for (int i = 0; from + i / (double) PER_SECOND <= last; i++) {
-      double second = from + i / (double) PER_SECOND;
-      if (share(second, second + 1) >= RECOVERED * calmShare()) {
-        return i / (double) PER_SECOND;
+  public double recoveredAfterSeconds() {
+    double from = plan.calmSeconds() + plan.triggerSeconds();
+    double last = from + plan.afterSeconds() - 1 - plan.timeoutMillis() / 1e3;
+    for (int i = 0; from + i / (double) BUCKETS_PER_SECOND <= last; i++) {
+      double second = from + i / (double) BUCKETS_PER_SECOND;
+      if (servedShare(second, second + 1) >= RECOVERED * calmShare()) {
+        return i / (double) BUCKETS_PER_SECOND;
       }
     }
     return Double.NaN;
   }
 
   /** The longest time (s) without a request served, from the trigger's begin on. */
-  public double longestGap() {
+  public double longestGapSeconds() {
     return longestGapNanos / 1e9;
   }
 
--- a/src/main/java/leadferry/testbed/ProcessSupervisor.java
+++ b/src/main/java/leadferry/testbed/ProcessSupervisor.java
@@ -21,7 +21,7 @@
  */
 public final class ProcessSupervisor implements AutoCloseable {
   /** Changes targets and tells what they are. */
-  public interface Site {
+  public interface Targets {
     /**
      * Replaces a target by that version; returns once the old one has gone and the new one has been
      * started.
@@ -33,28 +33,28 @@
   }
 
   /** Something that was asked for; {@code refused} by its fence. */
-  public record Deed(
+  public record Invocation(
       String verb,
       String target,
       long fence,
-      long action,
+      long actionId,
       String version,
-      boolean refused,
-      long at) {}
+      boolean rejected,
+      long atNanos) {}
 
   /** What a test does while something is asked for, before it is carried out and after it. */
   public interface Hook {
-    void at(boolean before, Deed deed) throws InterruptedException;
+    void onInvocation(boolean before, Invocation deed) throws InterruptedException;
   }
 
   private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-  private final Site site;
+  private final Targets site;
   private final Map<String, Long> fences = new ConcurrentHashMap<>();
   private final Map<String, Object> locks = new ConcurrentHashMap<>();
-  private final List<Deed> deeds = new ArrayList<>();
+  private final List<Invocation> invocations = new ArrayList<>();
   private volatile Hook hook = (before, deed) -> {};
 
-  public ProcessSupervisor(Site site) throws IOException {
+  public ProcessSupervisor(Targets site) throws IOException {
     this.site = site;
     Thread t = new Thread(this::accept, "supervisor");
     t.setDaemon(true);
@@ -62,7 +62,7 @@
   }
 
   /** Writes the program that operators' plans name: {@code carry.sh command|check}. */
-  public Path program(Path folder) throws IOException {
+  public Path writeScript(Path folder) throws IOException {
     Path file =
         Files.writeString(
             folder.resolve("carry.sh"),
@@ -77,21 +77,21 @@
     return file;
   }
 
-  public void hook(Hook h) {
+  public void setHook(Hook h) {
     hook = h;
   }
 
   /** All that was asked for, in its order. */
-  public List<Deed> deeds() {
-    synchronized (deeds) {
-      return List.copyOf(deeds);
+  public List<Invocation> invocations() {
+    synchronized (invocations) {
+      return List.copyOf(invocations);
     }
   }
 
   /** What was carried out at a target. */
-  public List<Deed> done(String target) {
-    return deeds().stream()
-        .filter(d -> d.verb().equals("command") && !d.refused() && d.target().equals(target))
+  public List<Invocation> executedCommands(String target) {
+    return invocations().stream()
+        .filter(d -> d.verb().equals("command") && !d.rejected() && d.target().equals(target))
         .toList();
   }
 
@@ -127,25 +127,25 @@
   private String carryOut(String[] words) throws InterruptedException {
     String target = words[1];
     long fence = Long.parseLong(words[2]);
-    Deed asked =
-        new Deed(
+    Invocation asked =
+        new Invocation(
             words[0], target, fence, Long.parseLong(words[3]), words[4], false, System.nanoTime());
-    hook.at(true, asked); // on its way here, so to speak
+    hook.onInvocation(true, asked); // on its way here, so to speak
     synchronized (locks.computeIfAbsent(target, k -> new Object())) {
       long highest = fences.merge(target, fence, Math::max);
-      Deed deed =
-          new Deed(
+      Invocation deed =
+          new Invocation(
               asked.verb(),
               target,
               fence,
-              asked.action(),
+              asked.actionId(),
               asked.version(),
               fence < highest,
               System.nanoTime());
-      synchronized (deeds) {
-        deeds.add(deed);
+      synchronized (invocations) {
+        invocations.add(deed);
       }
-      if (deed.refused()) {
+      if (deed.rejected()) {
         return "a higher fence was seen";
       }
       if (asked.verb().equals("check")) {
@@ -156,7 +156,7 @@
       } catch (IOException e) {
         return "failed: " + e.getMessage();
       }
-      hook.at(false, deed);
+      hook.onInvocation(false, deed);
       return "ok";
     }
   }
--- a/src/main/java/leadferry/testbed/RandomFaultSchedule.java
+++ b/src/main/java/leadferry/testbed/RandomFaultSchedule.java
@@ -9,7 +9,7 @@
 /** Which fault comes when, from a seed: one at a time begins, each ends by itself. */
 final class RandomFaultSchedule {
   private static final int SHORTEST_MILLIS = 200;
-  private static final int LENGTH_SPREAD_MILLIS = 3 * FaultTest.LEASE_MS;
+  private static final int LENGTH_SPREAD_MILLIS = 3 * FaultTest.LEASE_MILLIS;
   private static final int SHORTEST_DELAY_MILLIS = 50;
   private static final int DELAY_SPREAD_MILLIS = 200;
   private static final int KINDS = 9;
@@ -17,7 +17,7 @@
 
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final InjectedFaults faults;
   private final BackgroundTasks tasks;
   private final Random random;
@@ -25,7 +25,7 @@
   RandomFaultSchedule(
       FaultTestPlan plan,
       FaultTestTopology topology,
-      HistoryChecker checker,
+      InvariantChecker checker,
       InjectedFaults faults,
       BackgroundTasks tasks) {
     this.plan = plan;
@@ -95,7 +95,9 @@
   private void delayProxy(String proxy, long millis) {
     faults.count(Kind.DELAY);
     linksToReplicas(proxy)
-        .forEach(link -> link.delay(SHORTEST_DELAY_MILLIS + random.nextInt(DELAY_SPREAD_MILLIS)));
+        .forEach(
+            link ->
+                link.setDelayMillis(SHORTEST_DELAY_MILLIS + random.nextInt(DELAY_SPREAD_MILLIS)));
     healLater(proxy, millis);
   }
 
@@ -109,25 +111,25 @@
 
   private void cutInTheMiddle(String proxy, String replica) {
     faults.count(Kind.CUT);
-    topology.link(proxy, replica).cutMiddle();
-    topology.link(proxy, anyUpstream().name()).cutMiddle();
+    topology.link(proxy, replica).truncateNextChunk();
+    topology.link(proxy, anyUpstream().name()).truncateNextChunk();
   }
 
   private void refuseAtUpstream(String proxy, long millis) {
     faults.count(Kind.CUT);
     FaultyLink.Link link = topology.link(proxy, anyUpstream().name());
-    link.refuse(true);
+    link.setRefusing(true);
     tasks.runLater(millis, link::heal);
   }
 
   private void stallProxy(String proxy, long millis) {
-    if (checker.downNow() < plan.proxiesAllowed()) {
+    if (checker.proxiesTakenDown() < plan.proxiesAllowed()) {
       faults.stallProxy(topology.proxy(proxy), millis);
     }
   }
 
   private void killReplica(ManagedProcess replica, long downMillis) {
-    if (replica.runs()) {
+    if (replica.isRunning()) {
       faults.kill(replica);
       tasks.runLater(downMillis, () -> faults.restart(replica));
     }
@@ -135,7 +137,7 @@
 
   private void killProxy(String name, long downMillis) {
     ManagedProcess proxy = topology.proxy(name);
-    if (proxy.runs() && checker.downNow() < plan.proxiesAllowed()) {
+    if (proxy.isRunning() && checker.proxiesTakenDown() < plan.proxiesAllowed()) {
       faults.killProxy(proxy, downMillis);
     }
   }
@@ -143,7 +145,7 @@
   /** Kills a driver and starts it again, stops it, or cuts it off from all replicas. */
   private void disturbDriver(long millis) {
     List<ManagedProcess> running =
-        topology.drivers().values().stream().filter(ManagedProcess::runs).toList();
+        topology.drivers().values().stream().filter(ManagedProcess::isRunning).toList();
     if (running.isEmpty()) {
       return;
     }
--- a/src/main/java/leadferry/testbed/RecoveryTracker.java
+++ b/src/main/java/leadferry/testbed/RecoveryTracker.java
@@ -12,30 +12,30 @@
   private static final long LATE_ANSWERS_MILLIS = 300;
   private static final long LOOK_MILLIS = 10;
 
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final List<Long> recoveryMillis = Collections.synchronizedList(new ArrayList<>());
 
-  RecoveryTracker(HistoryChecker checker) {
+  RecoveryTracker(InvariantChecker checker) {
     this.checker = checker;
   }
 
   /** The proxy's process runs again since then (ns): waits until it answers, whatever it says. */
   void awaitRecovery(String proxy, long sinceNanos) {
-    checker.runs(proxy);
-    if (!awaitAnswer(proxy, sinceNanos)) {
-      checker.breaks(proxy + " did not come back within " + FaultTest.START_MILLIS + " ms");
+    checker.onProcessRunning(proxy);
+    if (!awaitResponse(proxy, sinceNanos)) {
+      checker.addViolation(proxy + " did not come back within " + FaultTest.START_MILLIS + " ms");
     }
-    recovered(sinceNanos);
-    checker.up(proxy);
+    recordRecovery(sinceNanos);
+    checker.onRecovered(proxy);
   }
 
   /** Something has recovered that was disturbed until then (ns). */
-  void recovered(long sinceNanos) {
+  void recordRecovery(long sinceNanos) {
     recoveryMillis.add((System.nanoTime() - sinceNanos) / 1_000_000);
   }
 
   /** Whether a proxy answers its probe within the time of a start from then (ns) on. */
-  boolean awaitAnswer(String proxy, long sinceNanos) {
+  boolean awaitResponse(String proxy, long sinceNanos) {
     long deadlineNanos = sinceNanos + FaultTest.START_MILLIS * 1_000_000L;
     // A probe that began before the fault ended tells nothing.
     Threads.sleepMillis(SETTLE_MILLIS);
@@ -49,7 +49,7 @@
   }
 
   private boolean isSilent(String proxy) {
-    return checker.seen(proxy) == HistoryChecker.Seen.NOTHING;
+    return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.UNREACHABLE;
   }
 
   /** All that was noted, shortest first (ms). */
--- a/src/main/java/leadferry/testbed/ReleaseWorkload.java
+++ b/src/main/java/leadferry/testbed/ReleaseWorkload.java
@@ -51,19 +51,21 @@
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
   private final Operator operator;
-  private final HistoryChecker checker;
-  private final ProcessSupervisor.Site versions;
+  private final InvariantChecker checker;
+  private final ProcessSupervisor.Targets versions;
   private final Path program;
   private final Map<Event, Integer> counts = new EnumMap<>(Event.class);
   private volatile boolean stopped;
 
-  /** {@code program} is what the releases' commands call, see {@link ProcessSupervisor#program}. */
+  /**
+   * {@code program} is what the releases' commands call, see {@link ProcessSupervisor#writeScript}.
+   */
   ReleaseWorkload(
       FaultTestPlan plan,
       FaultTestTopology topology,
       Operator operator,
-      HistoryChecker checker,
-      ProcessSupervisor.Site versions,
+      InvariantChecker checker,
+      ProcessSupervisor.Targets versions,
       Path program) {
     this.plan = plan;
     this.topology = topology;
@@ -79,7 +81,7 @@
   }
 
   /** How often that has happened. */
-  synchronized int counted(Event event) {
+  synchronized int countOf(Event event) {
     return counts.getOrDefault(event, 0);
   }
 
@@ -88,7 +90,7 @@
   }
 
   /** A plan of a release whose steps are of these targets each. */
-  ObjectNode document(
+  ObjectNode planDocument(
       String name, String kind, String from, String version, List<List<String>> steps) {
     ObjectNode document =
         MAPPER
@@ -145,7 +147,7 @@
     String name = "rel" + number;
     String first = group.get(0);
     ObjectNode document =
-        document(
+        planDocument(
             name,
             first.startsWith("h") ? DrainTarget.HOST : DrainTarget.PROXY,
             versions.version(first),
@@ -154,9 +156,9 @@
     document.put("halt_lost", 0).put("on_missing", "wait");
     ObjectNode entry = Operator.entry("release_start").set("plan", document);
     JsonNode outcome =
-        operator.change(entry, name, random.nextInt(plan.replicas()), FaultTest.START_MILLIS);
+        operator.submit(entry, name, random.nextInt(plan.replicas()), FaultTest.START_MILLIS);
     if (outcome == null || !outcome.path("status").asText().equals("done")) {
-      checker.breaks("release " + name + " could not begin: " + outcome);
+      checker.addViolation("release " + name + " could not begin: " + outcome);
       return false;
     }
     count(Event.BEGUN);
@@ -167,7 +169,7 @@
       }
       follow(name, random, rollbackTime(random));
     } catch (IOException e) {
-      checker.breaks("a driver could not be started: " + e.getMessage());
+      checker.addViolation("a driver could not be started: " + e.getMessage());
     }
     drivers.forEach(topology::endDriver);
     return true;
@@ -196,7 +198,7 @@
       }
       deadlineNanos = deadline(deadlineNanos);
       if (System.nanoTime() > deadlineNanos) {
-        checker.breaks("release " + name + " does not end: " + release);
+        checker.addViolation("release " + name + " does not end: " + release);
         return;
       }
       if (!rolledBack && System.nanoTime() > rollbackNanos) {
@@ -234,12 +236,12 @@
 
   private void call(String operation, String release, String callId) {
     ObjectNode entry = Operator.entry(operation).put("release", release);
-    operator.change(entry, callId, 0, FaultTest.START_MILLIS);
+    operator.submit(entry, callId, 0, FaultTest.START_MILLIS);
   }
 
   /** How a release stands, as the replicas tell; null where none answers. */
   JsonNode release(String name) {
     ObjectNode question = MAPPER.createObjectNode().put("op", "release").put("release", name);
-    return operator.ask(question, 0, FaultTest.START_MILLIS);
+    return operator.query(question, 0, FaultTest.START_MILLIS);
   }
 }
--- a/src/main/java/leadferry/testbed/ReleasedVersions.java
+++ b/src/main/java/leadferry/testbed/ReleasedVersions.java
@@ -5,21 +5,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** The versions at proxies and upstreams, and how the supervisor replaces them. */
-final class ReleasedVersions implements ProcessSupervisor.Site {
+final class ReleasedVersions implements ProcessSupervisor.Targets {
   private static final long END_MILLIS = 20_000;
 
   /** The part of requests that an upstream of a failing version fails. */
   private static final double FAILING_SHARE = 0.3;
 
   private final FaultTestTopology topology;
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final RecoveryTracker recovery;
   private final BackgroundTasks tasks;
   private final Map<String, String> versions = new ConcurrentHashMap<>();
 
   ReleasedVersions(
       FaultTestTopology topology,
-      HistoryChecker checker,
+      InvariantChecker checker,
       RecoveryTracker recovery,
       BackgroundTasks tasks) {
     this.topology = topology;
@@ -39,24 +39,24 @@
 
   private void replaceUpstream(String target, String version) throws IOException {
     FakeUpstream upstream = topology.upstream(target);
-    if (upstream.inHand() > 0) {
-      checker.breaks(target + " was replaced with requests in its hands");
+    if (upstream.requestsInProgress() > 0) {
+      checker.addViolation(target + " was replaced with requests in its hands");
     }
     versions.put(target, version);
     boolean failing = version.startsWith(FaultTest.FAILING_VERSION);
-    upstream.misbehave(
+    upstream.setFault(
         failing ? FakeUpstream.Fault.FAIL_FAST : FakeUpstream.Fault.NONE, FAILING_SHARE);
-    upstream.startAnew();
+    upstream.restart();
   }
 
   private void replaceProxy(String target, String version) throws IOException {
     ManagedProcess proxy = topology.proxy(target);
-    if (checker.now(target) == HistoryChecker.Seen.SERVES) {
-      checker.breaks(target + " was restarted while it served");
+    if (checker.probeNow(target) == InvariantChecker.ProbeResult.SERVING) {
+      checker.addViolation(target + " was restarted while it served");
     }
-    checker.restarts(target);
-    if (proxy.runs() && proxy.end(END_MILLIS) != 0) {
-      checker.breaks(target + " did not end when it was told to");
+    checker.onRestartStarted(target);
+    if (proxy.isRunning() && proxy.terminate(END_MILLIS) != 0) {
+      checker.addViolation(target + " did not end when it was told to");
     }
     versions.put(target, version);
     topology.writeProxyFile(target, version);
@@ -64,8 +64,8 @@
     tasks.runLater(
         0,
         () -> {
-          recovery.awaitAnswer(target, System.nanoTime());
-          checker.restarted(target);
+          recovery.awaitResponse(target, System.nanoTime());
+          checker.onRestartFinished(target);
         });
   }
 
--- a/src/main/java/leadferry/testbed/RequestTemplate.java
+++ b/src/main/java/leadferry/testbed/RequestTemplate.java
@@ -14,7 +14,7 @@
 
   private final boolean head;
 
-  RequestTemplate(LoadGenerator.Kind kind) {
+  RequestTemplate(LoadGenerator.RequestKind kind) {
     boolean hasBody = kind.bodyBytes() > 0 || !kind.method().equals("GET");
     String length = hasBody ? "Content-Length: " + kind.bodyBytes() + "\r\n" : "";
     keyed = kind.headers().contains("Idempotency-Key");
--- a/src/main/java/leadferry/testbed/Saboteur.java
+++ b/src/main/java/leadferry/testbed/Saboteur.java
@@ -6,15 +6,15 @@
 final class Saboteur {
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
-  private final HistoryChecker checker;
-  private final ProcessSupervisor.Site versions;
+  private final InvariantChecker checker;
+  private final ProcessSupervisor.Targets versions;
   private final ExecutionLog executions;
 
   Saboteur(
       FaultTestPlan plan,
       FaultTestTopology topology,
-      HistoryChecker checker,
-      ProcessSupervisor.Site versions,
+      InvariantChecker checker,
+      ProcessSupervisor.Targets versions,
       ExecutionLog executions) {
     this.plan = plan;
     this.topology = topology;
@@ -34,12 +34,12 @@
   }
 
   private boolean killProxyBeyondBudget() {
-    if (checker.proxiesOut() < plan.proxiesAllowed()) {
+    if (checker.proxiesNotServing() < plan.proxiesAllowed()) {
       return false;
     }
     String proxy =
         topology.proxyNames().stream()
-            .filter(name -> checker.seen(name) == HistoryChecker.Seen.SERVES)
+            .filter(name -> checker.lastProbeResult(name) == InvariantChecker.ProbeResult.SERVING)
             .findFirst()
             .orElseThrow();
     topology.proxy(proxy).kill();
@@ -47,11 +47,11 @@
   }
 
   private boolean executeAtDrainedUpstream() {
-    String upstream = checker.anyHostOut();
+    String upstream = checker.anyDrainedUpstream();
     if (upstream == null) {
       return false;
     }
-    executions.ran("rogue-1", upstream, "");
+    executions.record("rogue-1", upstream, "");
     return true;
   }
 
@@ -65,8 +65,8 @@
   }
 
   private boolean executeTwice() {
-    executions.ran("p1u-rogue", "h1", "");
-    executions.ran("p1u-rogue", "h2", "");
+    executions.record("p1u-rogue", "h1", "");
+    executions.record("p1u-rogue", "h2", "");
     return true;
   }
 }
--- a/src/main/java/leadferry/testbed/ScriptedFaults.java
+++ b/src/main/java/leadferry/testbed/ScriptedFaults.java
@@ -10,7 +10,7 @@
 /** Carries out a {@link FaultScript}: faults and operators' calls at stated times. */
 final class ScriptedFaults {
   private final FaultTestTopology topology;
-  private final HistoryChecker checker;
+  private final InvariantChecker checker;
   private final InjectedFaults faults;
   private final RecoveryTracker recovery;
   private final BackgroundTasks tasks;
@@ -21,7 +21,7 @@
 
   ScriptedFaults(
       FaultTestTopology topology,
-      HistoryChecker checker,
+      InvariantChecker checker,
       InjectedFaults faults,
       RecoveryTracker recovery,
       BackgroundTasks tasks,
@@ -40,7 +40,7 @@
     int number = 0;
     for (FaultScript.Step step : steps) {
       long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
-      Threads.sleepMillis((long) (step.at() * 1e3) - elapsedMillis);
+      Threads.sleepMillis((long) (step.atSeconds() * 1e3) - elapsedMillis);
       perform(step, "script-" + number, new Random(number));
       number++;
     }
@@ -71,20 +71,20 @@
   }
 
   private void takeDown(String name, boolean kill) {
-    ManagedProcess process = topology.process(name);
+    ManagedProcess process = topology.processOrNull(name);
     if (topology.proxy(name) != null) {
-      checker.down(name);
+      checker.onTakenDown(name);
     }
     if (kill) {
       faults.kill(process);
     } else {
       faults.count(Kind.STALL);
-      process.stop();
+      process.suspend();
     }
   }
 
   private void bringBack(String name, boolean restart) {
-    ManagedProcess process = topology.process(name);
+    ManagedProcess process = topology.processOrNull(name);
     if (restart) {
       faults.restart(process);
     } else {
@@ -105,15 +105,15 @@
       }
       case "delay" -> {
         faults.count(Kind.DELAY);
-        link.delay(Integer.parseInt(arguments.get(2)));
+        link.setDelayMillis(Integer.parseInt(arguments.get(2)));
       }
       case "refuse" -> {
         faults.count(Kind.CUT);
-        link.refuse(true);
+        link.setRefusing(true);
       }
       default -> {
         faults.count(Kind.CUT);
-        link.cutMiddle();
+        link.truncateNextChunk();
       }
     }
   }
--- a/src/main/java/leadferry/testbed/ThrottledProxy.java
+++ b/src/main/java/leadferry/testbed/ThrottledProxy.java
@@ -128,7 +128,7 @@
   }
 
   /** Asks it to end, waits for at most so long and then kills it; its exit status. */
-  public int end(long timeoutMillis) {
+  public int terminate(long timeoutMillis) {
     process.destroy();
     try {
       if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
@@ -171,7 +171,7 @@
    * What the kernel tells of it: seconds of CPU, connections that wait to be accepted, open and
    * half-closed.
    */
-  public record Sample(double cpuSeconds, int waiting, int established, int closeWait) {}
+  public record Sample(double cpuSeconds, int acceptQueueLength, int established, int closeWait) {}
 
   /** Looks now; a part that can't be read is 0. */
   public Sample sample() {
--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -42,7 +42,7 @@
                   for (int i = 0; !over.get() && i < 480; i++) {
                     JsonNode o =
                         rig.operator()
-                            .change(Operator.entry("resume"), "w" + n + "-" + i, n, 15_000);
+                            .submit(Operator.entry("resume"), "w" + n + "-" + i, n, 15_000);
                     if (o != null && o.path("status").asText().equals("done")) {
                       answered.add("w" + n + "-" + i);
                     }
@@ -59,13 +59,13 @@
       int faults = 0;
       long end = System.nanoTime() + seconds * 1_000_000_000L;
       while (System.nanoTime() < end) {
-        String leader = rig.leader();
+        String leader = rig.awaitLeader();
         List<String> others = new ArrayList<>(List.of("k1", "k2", "k3"));
         others.remove(leader);
         java.util.Collections.shuffle(others, random);
         // One is behind; what the leader and the other one have answered must outlive the crash of
         // both.
-        rig.replica(others.get(0)).stop();
+        rig.replica(others.get(0)).suspend();
         Thread.sleep(200 + random.nextInt(400));
         rig.replica(others.get(1)).kill();
         if (random.nextBoolean()) {
@@ -86,7 +86,7 @@
         t.join();
       }
       JsonNode s =
-          rig.operator().ask(Json.object().put("op", "status").put("history", true), 0, 30_000);
+          rig.operator().query(Json.object().put("op", "status").put("history", true), 0, 30_000);
       Set<String> known = new HashSet<>();
       s.path("history").forEach(h -> known.add(h.path("call").asText()));
       List<String> lost = answered.stream().filter(a -> !known.contains(a)).toList();
--- a/src/test/java/leadferry/bench/ReplicaBenchmark.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -50,7 +50,7 @@
         deaths(rig, 15);
         return;
       }
-      String leader = rig.leader();
+      String leader = rig.awaitLeader();
       System.out.printf(
           "a keeper's resident memory, idle: %d MB%n", residentMb(rig.replica(leader).pid()));
       rest(rig, 10);
@@ -60,7 +60,7 @@
       herd(rig, members);
       System.out.printf(
           "the leader's resident memory with %d sessions: %d MB%n",
-          members, residentMb(rig.replica(rig.leader()).pid()));
+          members, residentMb(rig.replica(rig.awaitLeader()).pid()));
       deaths(rig, 15);
     }
   }
@@ -88,7 +88,7 @@
                 "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
                 "[listener.main]\naddress = \"127.0.0.1:" + port + "\"");
     Path file = Files.writeString(folder.resolve("alone.toml"), alone);
-    List<String> command = ManagedProcess.program(64, "daemon", "--config", file.toString());
+    List<String> command = ManagedProcess.commandLine(64, "daemon", "--config", file.toString());
     try (ManagedProcess child =
         new ManagedProcess("alone", command, command, folder.resolve("alone.log"))) {
       child.start();
@@ -131,7 +131,8 @@
    */
   private record Round(double served, double p99Ms, double cpuMs) {
     static Round of(InetSocketAddress to, long pid, String prefix) throws Exception {
-      LoadGenerator.Kind kind = new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000);
+      LoadGenerator.RequestKind kind =
+          new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000);
       long before = cpuMs(pid);
       try (LoadGenerator l =
           new LoadGenerator(
@@ -158,8 +159,8 @@
   }
 
   private static long applied(FaultTest rig) throws Exception {
-    return rig.operatorAt(rig.leader())
-        .ask(Json.object().put("op", "health"), 0, 2_000)
+    return rig.operatorAt(rig.awaitLeader())
+        .query(Json.object().put("op", "health"), 0, 2_000)
         .path("applied")
         .asLong();
   }
@@ -183,7 +184,7 @@
                 for (int c = 0; c < calls / operators; c++) {
                   JsonNode o =
                       rig.operator()
-                          .change(
+                          .submit(
                               Operator.entry("drain")
                                   .put("kind", "host")
                                   .put("name", "h" + (1 + (n + c) % 12)),
@@ -194,7 +195,7 @@
                     done.incrementAndGet();
                     if (o.has("permit") && o.path("status").asText().equals("granted")) {
                       rig.operator()
-                          .change(
+                          .submit(
                               Operator.entry("undo").put("permit", o.path("permit").asText()),
                               "u" + operators + "-" + n + "-" + c,
                               n,
@@ -290,7 +291,7 @@
     List<Long> dead = new ArrayList<>();
     for (int i = 0; i < times; i++) {
       usual.add(granted(rig, "usual-" + i, i));
-      String leader = rig.leader();
+      String leader = rig.awaitLeader();
       rig.replica(leader).kill();
       dead.add(granted(rig, "death-" + i, i));
       rig.replica(leader).start();
@@ -315,7 +316,7 @@
     for (int n = 0; System.nanoTime() - start < 30_000_000_000L; n++) {
       JsonNode o =
           rig.operator()
-              .change(
+              .submit(
                   Operator.entry("drain").put("kind", "host").put("name", "h" + (1 + first % 12)),
                   id + "-" + n,
                   first,
@@ -323,7 +324,7 @@
       if (o != null && o.path("status").asText().equals("granted")) {
         long ms = (System.nanoTime() - start) / 1_000_000;
         rig.operator()
-            .change(
+            .submit(
                 Operator.entry("undo").put("permit", o.path("permit").asText()),
                 id + "-undo",
                 first,
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -161,8 +161,8 @@
   @Test
   void loadTellsWhatCameBack() throws Exception {
     try (FakeUpstream host =
-        new FakeUpstream(FakeUpstream.Options.quick("h"), new ExecutionLog(10_000))) {
-      Run r = run("load", host.place(), "--rate", "500", "--seconds", "2", "--json");
+        new FakeUpstream(FakeUpstream.Options.instant("h"), new ExecutionLog(10_000))) {
+      Run r = run("load", host.hostAndPort(), "--rate", "500", "--seconds", "2", "--json");
       assertThat(r.status()).as(r.err()).isZero();
       JsonNode json = new ObjectMapper().readTree(r.out());
       assertThat(json.path("served").asInt()).isEqualTo(1_000);
