--- a/src/test/java/leadferry/daemon/ConnectionsTest.java
+++ b/src/test/java/leadferry/daemon/ConnectionsTest.java
@@ -69,7 +69,7 @@
                   for (int i = 0; i < requestsPerClient; i++) {
                     String id = prefix + clientIndex + "-" + i;
                     ProxyFixture.write(socket, request("POST", "/claim", id));
-                    String response = ProxyFixture.read(socket.getInputStream());
+                    String response = ProxyFixture.readMessage(socket.getInputStream());
                     if (response != null
                         && response.startsWith("HTTP/1.1 200")
                         && response.contains("\r\n\r\n" + id)) {
@@ -90,14 +90,15 @@
     }
     assertThat(failures).isEmpty();
     assertThat(served).hasValue(clients * requestsPerClient);
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"1, 1", "4, 1", "4, 3"})
   void clientsOfASlowUpstreamNeverExceedItsConnectionLimit(int workers, int maxConnections)
       throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(2, 1));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(2, 1));
     fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
@@ -105,12 +106,13 @@
         pool("a", "max_connections = " + maxConnections, slow),
         CLAIMS);
     sendFromManyClients(64, 4, "c");
-    assertThat(slow.mostConnections()).isLessThanOrEqualTo(maxConnections);
+    assertThat(slow.maxConcurrentConnections()).isLessThanOrEqualTo(maxConnections);
   }
 
   @Test
   void aLimitLoweredUnderLoadHoldsOnceOpenResponsesEnd() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(5, 8));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(5, 8));
     fixture.start(
         "[daemon]\nworkers = 2",
         LISTENER,
@@ -133,8 +135,8 @@
       Thread.sleep(5);
     }
     assertThat(loadFailed.get()).isFalse();
-    assertThat(slow.mostConnections()).isLessThanOrEqualTo(8);
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(slow.maxConcurrentConnections()).isLessThanOrEqualTo(8);
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   private final AtomicBoolean loadFailed = new AtomicBoolean();
@@ -155,8 +157,8 @@
   void withoutAQueueARequestGoesToAnotherUpstreamOrIsRejectedUnsent() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
     FakeUpstream b = fixture.startUpstream("b");
-    a.misbehave(Fault.SILENT, 1);
-    b.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
+    b.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER, CLASSES, pool("a", "max_connections = 1\nmax_pending = 0", a, b), CLAIMS);
     List<Socket> openClients = new ArrayList<>();
@@ -165,12 +167,12 @@
       ProxyFixture.write(socket, request("POST", "/claim", "in" + i));
       openClients.add(socket);
       int n = i + 1;
-      ProxyFixture.await(() -> fixture.executionLog.executions() == n);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == n);
     }
-    assertThat(fixture.executionLog.of("in0").get(0).host())
-        .isNotEqualTo(fixture.executionLog.of("in1").get(0).host());
+    assertThat(fixture.executionLog.executionsOf("in0").get(0).upstream())
+        .isNotEqualTo(fixture.executionLog.executionsOf("in1").get(0).upstream());
     assertThat(fixture.status(request("POST", "/claim", "past"))).isEqualTo(503);
-    assertThat(fixture.executionLog.of("past")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("past")).isEmpty();
     for (Socket socket : openClients) {
       socket.close();
     }
@@ -179,7 +181,7 @@
   @Test
   void aRequestThatTimesOutWaitingForAConnectionIsRejectedUnsent() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER,
         LONG_DEADLINE,
@@ -189,11 +191,11 @@
         route("short", "/short", "class = \"short\"\npool = \"a\""));
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(socket, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       assertThat(fixture.status(request("POST", "/short", "waits"))).isEqualTo(503);
     }
-    assertThat(fixture.executionLog.of("waits")).isEmpty();
-    a.misbehave(Fault.NONE, 0);
+    assertThat(fixture.executionLog.executionsOf("waits")).isEmpty();
+    a.setFault(Fault.NONE, 0);
     ProxyFixture.await(() -> isServed("after"));
   }
 
@@ -207,7 +209,7 @@
         NativeTransport.EPOLL.unavailabilityCause() == null,
         "the JDK's sockets can't be queried for an end of stream without losing a byte");
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         "[daemon]\nworkers = 1\ntransport = \"epoll\"",
         LISTENER,
@@ -216,7 +218,7 @@
         CLAIMS);
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(socket, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       for (boolean reset : new boolean[] {false, true}) {
         try (Socket leaver = fixture.client()) {
           ProxyFixture.write(
@@ -229,12 +231,12 @@
           leaver.setSoLinger(reset, 0);
         }
       }
-      a.misbehave(Fault.NONE, 0);
+      a.setFault(Fault.NONE, 0);
     }
     ProxyFixture.await(() -> isServed("after"));
-    assertThat(fixture.executionLog.of("waitsfalse")).isEmpty();
-    assertThat(fixture.executionLog.of("waitstrue")).isEmpty();
-    assertThat(fixture.executionLog.of("aheadfalse")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("waitsfalse")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("waitstrue")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("aheadfalse")).isEmpty();
   }
 
   private boolean isServed(String id) {
@@ -248,27 +250,29 @@
   @Test
   void waitingRequestsOfARemovedUpstreamGoToAnother() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", a), CLAIMS);
     try (Socket socket = fixture.client();
         Socket waits = fixture.client()) {
       ProxyFixture.write(socket, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.executions() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == 1);
       ProxyFixture.write(waits, request("POST", "/claim", "waits"));
       FakeUpstream b = fixture.startUpstream("b");
       fixture.write(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", a, b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
       fixture.write(LISTENER, LONG_DEADLINE, pool("a", "max_connections = 1", b), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      assertThat(ProxyFixture.read(waits.getInputStream())).startsWith("HTTP/1.1 200");
-      assertThat(fixture.executionLog.of("waits")).allMatch(e -> e.host().equals("b")).hasSize(1);
+      assertThat(ProxyFixture.readMessage(waits.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(fixture.executionLog.executionsOf("waits"))
+          .allMatch(e -> e.upstream().equals("b"))
+          .hasSize(1);
     }
   }
 
   @Test
   void aConnectionIsClosedAfterItsNumberOfRequests() throws Exception {
     try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host = proxyFixture.new Host(h -> ProxyFixture.ok("x"));
+      ProxyFixture.UpstreamHost host = proxyFixture.new UpstreamHost(h -> ProxyFixture.ok("x"));
       fixture.start(
           LISTENER,
           CLASSES,
@@ -279,7 +283,7 @@
       for (int i = 0; i < 7; i++) {
         assertThat(fixture.status(request("POST", "/claim", "r" + i))).isEqualTo(200);
       }
-      assertThat(host.connections()).isEqualTo(3);
+      assertThat(host.acceptedConnections()).isEqualTo(3);
     }
   }
 
@@ -287,8 +291,9 @@
   void onlyConnectionsToAnUpstreamThatSentSurplusBytesRest() throws Exception {
     AtomicBoolean sendsSurplus = new AtomicBoolean();
     try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
-          proxyFixture.new Host(h -> ProxyFixture.ok("x") + (sendsSurplus.get() ? "noise" : ""));
+      ProxyFixture.UpstreamHost host =
+          proxyFixture
+          .new UpstreamHost(h -> ProxyFixture.ok("x") + (sendsSurplus.get() ? "noise" : ""));
       fixture.start(
           LISTENER,
           CLASSES,
@@ -296,13 +301,13 @@
           CLAIMS);
       try (Socket socket = fixture.client()) {
         sendRequests(socket, "calm", 50);
-        assertThat(host.reusedAtOnce()).isPositive();
+        assertThat(host.immediateReuses()).isPositive();
         sendsSurplus.set(true);
         sendRequests(socket, "spoilt", 1);
         sendsSurplus.set(false);
-        int before = host.reusedAtOnce();
+        int before = host.immediateReuses();
         sendRequests(socket, "after", 50);
-        assertThat(host.reusedAtOnce()).isEqualTo(before);
+        assertThat(host.immediateReuses()).isEqualTo(before);
       }
     }
   }
@@ -310,7 +315,7 @@
   private static void sendRequests(Socket socket, String prefix, int times) throws Exception {
     for (int i = 0; i < times; i++) {
       ProxyFixture.write(socket, request("POST", "/claim", prefix + i));
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .endsWith("\r\n\r\nx");
     }
@@ -327,7 +332,7 @@
         pool("a", "max_connections = 4", a),
         CLAIMS);
     sendFromManyClients(8, 20, transport);
-    assertThat(a.mostConnections()).isLessThanOrEqualTo(4);
+    assertThat(a.maxConcurrentConnections()).isLessThanOrEqualTo(4);
   }
 
   /**
@@ -348,7 +353,7 @@
       for (int i = 0; i < 2; i++) {
         Thread.sleep(1_000);
         ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
       }
     }
   }
--- a/src/test/java/leadferry/daemon/DaemonFixture.java
+++ b/src/test/java/leadferry/daemon/DaemonFixture.java
@@ -33,7 +33,7 @@
   }
 
   FakeUpstream startUpstream(String name) {
-    return startUpstream(FakeUpstream.Options.quick(name));
+    return startUpstream(FakeUpstream.Options.instant(name));
   }
 
   FakeUpstream startUpstream(FakeUpstream.Options options) {
@@ -66,7 +66,7 @@
           .append(".member]]\nid = \"")
           .append(upstream.name())
           .append("\"\naddress = \"")
-          .append(upstream.place())
+          .append(upstream.hostAndPort())
           .append("\"\npod = \"")
           .append(upstream.pod())
           .append("\"\n");
@@ -123,8 +123,8 @@
 
   static Socket client(InetSocketAddress to) throws IOException {
     Socket socket = new Socket();
-    socket.connect(to, ProxyFixture.PATIENCE_MS);
-    socket.setSoTimeout(ProxyFixture.PATIENCE_MS);
+    socket.connect(to, ProxyFixture.TIMEOUT_MILLIS);
+    socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
     return socket;
   }
 
@@ -148,7 +148,7 @@
   String exchange(String request) throws IOException {
     try (Socket socket = client()) {
       ProxyFixture.write(socket, request);
-      return ProxyFixture.read(socket.getInputStream());
+      return ProxyFixture.readMessage(socket.getInputStream());
     }
   }
 
@@ -164,7 +164,7 @@
     return response == null ? 0 : Integer.parseInt(response.split(" ")[1]);
   }
 
-  LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.Kind> kinds) {
+  LoadGenerator loadGenerator(double rate, double seconds, List<LoadGenerator.RequestKind> kinds) {
     return new LoadGenerator(
         new LoadGenerator.Plan(address(), rate, 0, seconds, 128, 1, kinds, "load-"), null);
   }
--- a/src/test/java/leadferry/daemon/DaemonLogTest.java
+++ b/src/test/java/leadferry/daemon/DaemonLogTest.java
@@ -164,7 +164,7 @@
           DaemonFixture.route("one", "/one", "pool = \"p\"\nclass = \"list\""),
           DaemonFixture.route("two", "/two", "pool = \"q\"\nclass = \"list\""),
           "[[limit]]\nname = \"tight\"\nroutes = [\"one\"]\nper_second = 0.001\nburst = 1\n");
-      broken.misbehave(FakeUpstream.Fault.RESET_AFTER, 1);
+      broken.setFault(FakeUpstream.Fault.RESET_AFTER, 1);
       assertThat(fixture.status(request("GET", "/one", "1"))).isEqualTo(200);
       assertThat(fixture.status(request("GET", "/one", "2"))).isEqualTo(429);
       assertThat(fixture.status(request("GET", "/three", "3"))).isEqualTo(404);
--- a/src/test/java/leadferry/daemon/DaemonTest.java
+++ b/src/test/java/leadferry/daemon/DaemonTest.java
@@ -39,8 +39,8 @@
  */
 class DaemonTest {
   private static final String CLAIMS = route("claims", "/", "class = \"claim\"\npool = \"a\"");
-  private static final LoadGenerator.Kind CLAIM =
-      new LoadGenerator.Kind("claim", 1, "POST", "/claim", "", 100, 3_000);
+  private static final LoadGenerator.RequestKind CLAIM =
+      new LoadGenerator.RequestKind("claim", 1, "POST", "/claim", "", 100, 3_000);
 
   @TempDir Path folder;
   private DaemonFixture fixture;
@@ -108,18 +108,19 @@
       assertThat(load.count(Outcome.SERVED)).isGreaterThan(load.sent() * 95 / 100);
     }
     assertThat(fixture.daemon.version()).isEqualTo(1 + applied);
-    assertThat(never.lastArrival()).isZero();
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(never.lastArrivalNanos()).isZero();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
     assertThat(fixture.log()).contains("reload rejected: ");
   }
 
   @Test
   void aRequestEndsUnderTheSnapshotThatAcceptedIt() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(400, 1));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(400, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(socket, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("out").size() == 1);
       FakeUpstream other = fixture.startUpstream("other");
       fixture.write(
           LISTENER,
@@ -128,14 +129,14 @@
           route("else", "/else", "class = \"claim\"\npool = \"b\""));
       assertThat(fixture.daemon.reload()).isTrue();
       assertThat(fixture.status(request("POST", "/claim", "late"))).isEqualTo(404);
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("out");
     }
     // The removed pool has closed its connections.
     ProxyFixture.await(() -> slow.connections() == 0);
-    assertThat(fixture.executionLog.of("out")).hasSize(1);
-    assertThat(fixture.executionLog.of("late")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("out")).hasSize(1);
+    assertThat(fixture.executionLog.executionsOf("late")).isEmpty();
   }
 
   @Test
@@ -145,7 +146,7 @@
     try (Socket socket = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
-        assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
         fixture.write(
             LISTENER,
             CLASSES,
@@ -155,7 +156,7 @@
         assertThat(fixture.daemon.reload()).isTrue();
         Thread.sleep(20); // longer than a connection rests after a response
       }
-      assertThat(a.mostConnections()).isEqualTo(1);
+      assertThat(a.maxConcurrentConnections()).isEqualTo(1);
     }
   }
 
@@ -183,18 +184,19 @@
 
   @Test
   void aRemovedListenerRespondsToAcceptedRequestsAndClosesItsConnections() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(300, 2));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(300, 2));
     String second = "[listener.second]\naddress = \"127.0.0.1:0\"\n";
     fixture.start(LISTENER, second, CLASSES, pool("a", "", slow), CLAIMS);
     try (Socket socket = DaemonFixture.client(fixture.daemon.address("second"))) {
       ProxyFixture.write(socket, request("POST", "/claim", "out"));
-      ProxyFixture.await(() -> fixture.executionLog.of("out").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("out").size() == 1);
       fixture.write(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
       assertThat(fixture.daemon.reload()).isTrue();
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .containsIgnoringCase("connection: close");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     assertThat(fixture.daemon.address("second")).isNull();
   }
@@ -206,7 +208,7 @@
     fixture.write(LISTENER, CLASSES, pool("a", ""), CLAIMS);
     assertThat(fixture.daemon.reload()).isTrue();
     assertThat(fixture.status(request("POST", "/claim", "r1"))).isEqualTo(503);
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
     fixture.write(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.daemon.reload()).isTrue();
     assertThat(fixture.status(request("POST", "/claim", "r2"))).isEqualTo(200);
@@ -214,7 +216,8 @@
 
   @Test
   void aDrainDuringReloadsRespondsToAllAcceptedRequests() throws Exception {
-    FakeUpstream slow = fixture.startUpstream(FakeUpstream.Options.quick("slow").takes(150, 50));
+    FakeUpstream slow =
+        fixture.startUpstream(FakeUpstream.Options.instant("slow").withServiceTime(150, 50));
     fixture.start(LISTENER, CLASSES, pool("a", "", slow), CLAIMS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -222,7 +225,7 @@
       ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
       clients.add(socket);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 20);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 20);
     Thread reloads =
         new Thread(
             () -> {
@@ -234,12 +237,12 @@
     fixture.daemon.drain();
     reloads.join();
     for (Socket socket : clients) {
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
       socket.close();
     }
     fixture.daemon.awaitTermination();
     assertThat(fixture.daemon.reload()).isFalse(); // a reload does not restart a drained daemon
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   // --- limits
@@ -247,7 +250,7 @@
   @Test
   void aLoweredLimitCountsRequestsInFlight() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
-    silent.misbehave(Fault.SILENT, 1);
+    silent.setFault(Fault.SILENT, 1);
     String limit = "[[limit]]\nname = \"l\"\nconcurrency = ";
     fixture.start(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 10);
     List<Socket> clients = new ArrayList<>();
@@ -256,16 +259,16 @@
       ProxyFixture.write(socket, request("POST", "/claim", "r" + i));
       clients.add(socket);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 5);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 5);
     fixture.write(LISTENER, CLASSES, pool("a", "", silent), CLAIMS, limit + 3);
     assertThat(fixture.daemon.reload()).isTrue();
     String refused = fixture.exchange(request("POST", "/claim", "over"));
     assertThat(refused).startsWith("HTTP/1.1 429").containsIgnoringCase("retry-after: 1\r\n");
-    assertThat(fixture.executionLog.of("over")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("over")).isEmpty();
     for (int i = 0; i < 3; i++) {
       clients.get(i).close();
     }
-    silent.misbehave(Fault.NONE, 0);
+    silent.setFault(Fault.NONE, 0);
     ProxyFixture.await(
         () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
     for (Socket socket : clients) {
@@ -276,7 +279,7 @@
   @Test
   void aBusyTenantLeavesRoomForOthers() throws Exception {
     FakeUpstream silent = fixture.startUpstream("silent");
-    silent.misbehave(Fault.SILENT, 1);
+    silent.setFault(Fault.SILENT, 1);
     fixture.start(
         LISTENER,
         CLASSES,
@@ -290,7 +293,7 @@
       clients.add(socket);
       ProxyFixture.write(socket, request("POST", "/claim", "hot" + i, "X-Tenant-Id: hot"));
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() >= 16);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() >= 16);
     List<String> otherIds = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       Socket socket = fixture.client();
@@ -300,8 +303,8 @@
       otherIds.add(id);
     }
     ProxyFixture.await(
-        () -> otherIds.stream().allMatch(id -> fixture.executionLog.of(id).size() == 1));
-    assertThat(fixture.executionLog.executions()).isLessThanOrEqualTo(20);
+        () -> otherIds.stream().allMatch(id -> fixture.executionLog.executionsOf(id).size() == 1));
+    assertThat(fixture.executionLog.executionCount()).isLessThanOrEqualTo(20);
     for (Socket socket : clients) {
       socket.close();
     }
@@ -311,7 +314,7 @@
   @ValueSource(ints = {1, 2, 4})
   void clientsThatDisconnectMidRequestLeakNothingOnAnyWorker(int workers) throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     fixture.start(
         "[daemon]\nworkers = " + workers,
         LISTENER,
@@ -332,13 +335,13 @@
             i % 2 == 0 ? whole : whole.replace("Content-Length: 0", "Content-Length: 5") + "ab");
       }
       int expected = 8 * (round + 1);
-      ProxyFixture.await(() -> fixture.executionLog.executions() == expected);
+      ProxyFixture.await(() -> fixture.executionLog.executionCount() == expected);
       for (Socket socket : clients) {
         socket.close();
       }
       ProxyFixture.await(() -> a.connections() == 0); // their attempts were cancelled
     }
-    a.misbehave(Fault.NONE, 0);
+    a.setFault(Fault.NONE, 0);
     for (int i = 0; i < 16; i++) {
       int n = i;
       ProxyFixture.await(
@@ -351,7 +354,7 @@
   @Test
   void connectionsBeyondTheLimitAreClosedAndOthersAreUnaffected() throws Exception {
     FakeUpstream a = fixture.startUpstream("a");
-    a.misbehave(Fault.SILENT, 1);
+    a.setFault(Fault.SILENT, 1);
     // Of 64 descriptors, 40 are reserved and half of the rest, 12, is for clients. One of these is
     // for the connection that is rejected.
     fixture.start("[daemon]\ndescriptors = 64", LISTENER, CLASSES, pool("a", "", a), CLAIMS);
@@ -361,16 +364,16 @@
       ProxyFixture.write(socket, request("POST", "/claim", "in" + i));
       openClients.add(socket);
     }
-    ProxyFixture.await(() -> fixture.executionLog.executions() == 11);
+    ProxyFixture.await(() -> fixture.executionLog.executionCount() == 11);
     ProxyFixture.await(
         () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "past"))) == 0);
-    assertThat(fixture.executionLog.of("past")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("past")).isEmpty();
     for (Socket socket : openClients) {
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 50"); // their only response
       socket.close();
     }
-    a.misbehave(Fault.NONE, 0);
+    a.setFault(Fault.NONE, 0);
     ProxyFixture.await(
         () -> statusOrMinusOne(() -> fixture.status(request("POST", "/claim", "after"))) == 200);
   }
@@ -426,7 +429,7 @@
         route("admin", "/admin", "pool = \"b\""),
         route("rest", "/", "pool = \"a\""));
     assertThat(fixture.status(request("GET", path, "r"))).isEqualTo(400);
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
     assertThat(fixture.log()).contains("outcome=turned-away status=400");
   }
 
@@ -449,9 +452,9 @@
   void aListenerThatResolvesPathsForwardsTheMatchedPath() throws Exception {
     List<String> seen = new java.util.concurrent.CopyOnWriteArrayList<>();
     try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           proxyFixture
-          .new Host(
+          .new UpstreamHost(
               upstream -> {
                 seen.add(upstream.split(" ")[1]);
                 return ProxyFixture.ok("x");
@@ -471,9 +474,9 @@
   void aRouteRewritesItsPrefixAndHeaders() throws Exception {
     List<String> heads = new java.util.concurrent.CopyOnWriteArrayList<>();
     try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           proxyFixture
-          .new Host(
+          .new UpstreamHost(
               upstream -> {
                 heads.add(upstream);
                 return ProxyFixture.ok("x");
@@ -514,7 +517,7 @@
       for (int i = 0; i < 3; i++) {
         String id = "k" + key + "-" + i;
         assertThat(fixture.status(request("GET", "/x", id, "X-Carer: carer" + key))).isEqualTo(200);
-        servers.add(fixture.executionLog.of(id).get(0).host());
+        servers.add(fixture.executionLog.executionsOf(id).get(0).upstream());
       }
       assertThat(servers).hasSize(1);
     }
@@ -533,7 +536,7 @@
       String type, Fault fault, int status, int runsAtNext) throws Exception {
     FakeUpstream first = fixture.startUpstream("first");
     FakeUpstream next = fixture.startUpstream("next");
-    first.misbehave(fault, 1);
+    first.setFault(fault, 1);
     fixture.start(
         LISTENER,
         CLASSES,
@@ -541,7 +544,9 @@
         pool("b", "", next),
         route("r", "/", "class = \"" + type + "\"\npool = \"a\"\nfallback = [\"b\"]"));
     assertThat(fixture.status(request("POST", "/x", "r"))).isEqualTo(status);
-    assertThat(fixture.executionLog.of("r").stream().filter(e -> e.host().equals("next")))
+    assertThat(
+            fixture.executionLog.executionsOf("r").stream()
+                .filter(e -> e.upstream().equals("next")))
         .hasSize(runsAtNext);
   }
 
@@ -549,7 +554,7 @@
   void aKeyedRequestThatMayHaveRunStaysInItsPool() throws Exception {
     FakeUpstream first = fixture.startUpstream("first");
     FakeUpstream next = fixture.startUpstream("next");
-    first.misbehave(Fault.RESET_AFTER, 1);
+    first.setFault(Fault.RESET_AFTER, 1);
     fixture.start(
         LISTENER,
         "[class.log]\nrepeat = \"keyed\"\nscope = \"all\"\nwindow_ms = 2000\ndeadline_ms = 3000",
@@ -557,10 +562,12 @@
         pool("b", "", next),
         route("r", "/", "class = \"log\"\npool = \"a\"\nfallback = [\"b\"]"));
     fixture.status(request("POST", "/x", "r", "Idempotency-Key: k"));
-    assertThat(fixture.executionLog.of("r")).isNotEmpty().allMatch(e -> e.host().equals("first"));
+    assertThat(fixture.executionLog.executionsOf("r"))
+        .isNotEmpty()
+        .allMatch(e -> e.upstream().equals("first"));
     assertThat(fixture.status(request("POST", "/x", "s")))
         .isEqualTo(400); // without a key, retries can't be recognised
-    assertThat(fixture.executionLog.of("s")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("s")).isEmpty();
   }
 
   @Test
@@ -569,14 +576,16 @@
       fixture.startUpstream("a"), fixture.startUpstream("b"), fixture.startUpstream("c")
     };
     for (FakeUpstream upstream : upstreams) {
-      upstream.misbehave(Fault.TURN_AWAY, 1);
+      upstream.setFault(Fault.TURN_AWAY, 1);
     }
     String route = route("r", "/", "class = \"list\"\npool = \"a\"");
     fixture.start(
         LISTENER, CLASSES, pool("a", "retries = { ratio = 0, burst = 0 }", upstreams), route);
     assertThat(fixture.status(request("GET", "/x", "r"))).isEqualTo(503);
     long contacted =
-        java.util.Arrays.stream(upstreams).filter(upstream -> upstream.lastArrival() > 0).count();
+        java.util.Arrays.stream(upstreams)
+            .filter(upstream -> upstream.lastArrivalNanos() > 0)
+            .count();
     assertThat(contacted).isEqualTo(1);
     fixture.daemon.close();
     long before = System.nanoTime();
@@ -584,7 +593,7 @@
     assertThat(fixture.status(request("GET", "/x", "s"))).isEqualTo(503);
     assertThat(
             java.util.Arrays.stream(upstreams)
-                .filter(upstream -> upstream.lastArrival() > before)
+                .filter(upstream -> upstream.lastArrivalNanos() > before)
                 .count())
         .isGreaterThan(1);
   }
@@ -610,7 +619,7 @@
     FakeUpstream a = fixture.startUpstream("a");
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     assertThat(fixture.status(bytes)).isBetween(400, 505);
-    assertThat(a.lastArrival()).isZero();
+    assertThat(a.lastArrivalNanos()).isZero();
     assertThat(fixture.status(request("POST", "/claim", "good"))).isEqualTo(200);
   }
 
@@ -624,7 +633,7 @@
         request("POST", "/c", "s").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     assertThat(fixture.status(chunked + "65\r\n" + "x".repeat(101) + "\r\n0\r\n\r\n"))
         .isEqualTo(413);
-    assertThat(a.lastArrival()).isZero();
+    assertThat(a.lastArrivalNanos()).isZero();
     assertThat(fixture.status(sized.replace("101", "100").replace(": r", ": t") + "x".repeat(100)))
         .isEqualTo(200);
   }
@@ -653,7 +662,7 @@
       }
       ProxyFixture.write(connected, request("POST", "/c", "stays"));
       release.countDown();
-      assertThat(ProxyFixture.read(connected.getInputStream())).contains("stays");
+      assertThat(ProxyFixture.readMessage(connected.getInputStream())).contains("stays");
     }
     assertThat(a.served()).isEqualTo(2);
   }
@@ -682,7 +691,7 @@
         assertThat(head).startsWith("HTTP/1.1 200").containsIgnoringCase("content-length: 64");
       }
       ProxyFixture.write(socket, request("GET", "/x", "g"));
-      assertThat(ProxyFixture.read(socket.getInputStream())).contains("\r\n\r\ng ");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains("\r\n\r\ng ");
     }
   }
 
@@ -697,9 +706,9 @@
   @Test
   void responsesBelow500ArePassedOnUnchanged() throws Exception {
     try (ProxyFixture proxyFixture = new ProxyFixture(folder, 128)) {
-      ProxyFixture.Host host =
+      ProxyFixture.UpstreamHost host =
           proxyFixture
-          .new Host(
+          .new UpstreamHost(
               upstream ->
                   upstream.contains("/none")
                       ? "HTTP/1.1 204 No Content\r\n\r\n"
--- a/src/test/java/leadferry/daemon/HeadersTest.java
+++ b/src/test/java/leadferry/daemon/HeadersTest.java
@@ -49,9 +49,9 @@
   void open() throws Exception {
     fixture = new DaemonFixture(folder);
     proxyFixture = new ProxyFixture(folder, 128);
-    ProxyFixture.Host host =
+    ProxyFixture.UpstreamHost host =
         proxyFixture
-        .new Host(
+        .new UpstreamHost(
             h -> {
               heads.add(h);
               return ProxyFixture.ok("x");
@@ -83,10 +83,10 @@
       ProxyFixture.write(
           client,
           requestWithInspectedHeaders("X-Gone: x\r\nConnection: X-Hop, close\r\nX-Hop: 1\r\n"));
-      assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 100");
+      assertThat(ProxyFixture.readMessage(client.getInputStream())).startsWith("HTTP/1.1 100");
       // The test reads both responses: a client that leaves after the interim response has
       // disconnected, and its request need not be forwarded.
-      assertThat(ProxyFixture.read(client.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(client.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(heads).hasSize(1);
     String head = heads.get(0).toLowerCase(Locale.ROOT);
@@ -208,9 +208,9 @@
       for (byte b : bytes) {
         socket.getOutputStream().write(b);
       }
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
       ProxyFixture.write(socket, request("GET", "/x", "again"));
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
     }
   }
 
--- a/src/test/java/leadferry/daemon/RecordedStateFileTest.java
+++ b/src/test/java/leadferry/daemon/RecordedStateFileTest.java
@@ -56,7 +56,7 @@
       startDaemon();
       Operator operator =
           new Operator("roster", List.of(new InetSocketAddress("127.0.0.1", replicaPort)));
-      operator.change(budgets(), "b1", 0, ProxyFixture.PATIENCE_MS);
+      operator.submit(budgets(), "b1", 0, ProxyFixture.TIMEOUT_MILLIS);
       drain(operator, "host", "h1");
       ProxyFixture.await(() -> stateFileContent().contains("\"hosts_out\":[\"h1\"]"));
       RecordedText.assertSame("state-file/host-drained.json", stateFileContent());
@@ -110,7 +110,8 @@
   }
 
   private String member(String name) throws IOException {
-    ProxyFixture.Host host = hosts.new Host(head -> ProxyFixture.ok("host " + name));
+    ProxyFixture.UpstreamHost host =
+        hosts.new UpstreamHost(head -> ProxyFixture.ok("host " + name));
     return "[[pool.a.member]]\nid = \"" + name + "\"\naddress = \"" + host.address() + "\"";
   }
 
@@ -157,7 +158,8 @@
             .put("runs", "-")
             .put("digest", "none");
     join.putArray("hosts");
-    JsonNode session = operator.change(join, "join", 0, ProxyFixture.PATIENCE_MS).path("session");
+    JsonNode session =
+        operator.submit(join, "join", 0, ProxyFixture.TIMEOUT_MILLIS).path("session");
     ObjectNode report =
         Operator.entry("tell")
             .put("name", "p2")
@@ -165,7 +167,7 @@
             .put("number", 1)
             .put("seen", Integer.MAX_VALUE)
             .put("serving", true);
-    operator.change(report, "tell", 0, ProxyFixture.PATIENCE_MS);
+    operator.submit(report, "tell", 0, ProxyFixture.TIMEOUT_MILLIS);
   }
 
   /** Requests a drain until it is granted: the fleet does not know the daemon at first. */
@@ -175,7 +177,7 @@
         () -> {
           ObjectNode entry = Operator.entry("drain").put("kind", type).put("name", name);
           String call = "drain-" + System.nanoTime();
-          JsonNode response = operator.change(entry, call, 0, ProxyFixture.PATIENCE_MS);
+          JsonNode response = operator.submit(entry, call, 0, ProxyFixture.TIMEOUT_MILLIS);
           return response != null && response.path("status").asText().equals("granted");
         });
   }
--- a/src/test/java/leadferry/daemon/StreamingTest.java
+++ b/src/test/java/leadferry/daemon/StreamingTest.java
@@ -63,8 +63,9 @@
     socket.setReceiveBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
     socket.setSendBufferSize(RawUpstream.SOCKET_BUFFER_BYTES);
     socket.connect(
-        new InetSocketAddress("127.0.0.1", fixture.address().getPort()), ProxyFixture.PATIENCE_MS);
-    socket.setSoTimeout(ProxyFixture.PATIENCE_MS);
+        new InetSocketAddress("127.0.0.1", fixture.address().getPort()),
+        ProxyFixture.TIMEOUT_MILLIS);
+    socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
     return socket;
   }
 
@@ -98,7 +99,7 @@
         fixture.startRawUpstream(
             (host, in, out, socket) -> {
               while (host.readHead(in) != null) {
-                mayRead.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                mayRead.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 if (chunked) {
                   long[] n = new long[1];
                   RawUpstream.readChunkedBody(in, n);
@@ -139,7 +140,7 @@
       ProxyFixture.await(() -> upstream.heads.size() == 1);
       assertThat(awaitUnchanged(sent)).isLessThan(LONG_BODY_BYTES / 4);
       mayRead.countDown();
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .endsWith("ok");
       assertThat(received).hasValue(LONG_BODY_BYTES);
@@ -170,7 +171,7 @@
         Thread.sleep(80);
         ProxyFixture.write(socket, "x".repeat(20_000));
       }
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 200");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 200");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
@@ -195,7 +196,7 @@
     try (Socket socket = client()) {
       ProxyFixture.write(
           socket, upload("bad", "Transfer-Encoding: chunked") + "5\r\nhello\r\nnoise\r\n");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     ProxyFixture.await(() -> upstream.closedConnections.get() == upstream.heads.size());
   }
@@ -213,11 +214,11 @@
     fixture.start(LISTENER, CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
     try (Socket socket = client()) {
       ProxyFixture.write(socket, upload("r", "Content-Length: 1000000") + "begins");
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 500")
           .containsIgnoringCase("connection: close")
           .endsWith("full");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     assertThat(upstream.heads).hasSize(1);
   }
@@ -269,7 +270,7 @@
         CLAIMS);
     try (Socket socket = client()) {
       ProxyFixture.write(socket, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 502");
     }
     assertThat(fixture.rawRequestCount()).isEqualTo(1);
   }
@@ -285,8 +286,8 @@
     fixture.start(LISTENER + "slow_ms = 200", CLASSES, RawUpstream.pool("a", "", upstream), CLAIMS);
     try (Socket socket = client()) {
       ProxyFixture.write(socket, upload("r", "Content-Length: 100") + "x".repeat(50));
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 502");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 502");
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     ProxyFixture.await(() -> upstream.closedConnections.get() == 1);
   }
@@ -434,7 +435,7 @@
       ProxyFixture.write(socket, request("GET", "/x", "r"));
       assertThat(RawUpstream.readUntil(socket.getInputStream(), "begins"))
           .startsWith("HTTP/1.1 200");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     ProxyFixture.await(() -> upstream.closedConnections.get() == 1);
   }
@@ -448,7 +449,7 @@
               host.readHead(in);
               RawUpstream.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
-              mayFinish.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+              mayFinish.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               RawUpstream.write(out, "2\r\ncd\r\n0\r\n\r\n");
             });
     fixture.start(
--- a/src/test/java/leadferry/daemon/TransparencyTest.java
+++ b/src/test/java/leadferry/daemon/TransparencyTest.java
@@ -126,7 +126,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 16})
   void pipelinedRequestsGetTheirResponsesInOrder(int pipeline) throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(1, 4));
+    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(1, 4));
     fixture.start(LISTENER + "pipeline = " + pipeline, CLASSES, pool("a", "", a), CLAIMS);
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 400; i++) {
@@ -138,17 +138,18 @@
     try (Socket socket = fixture.client()) {
       RawUpstream.startThread(() -> ProxyFixture.write(socket, all.toString()));
       for (int i = 0; i < 400; i++) {
-        assertThat(ProxyFixture.read(socket.getInputStream()))
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .contains("\r\n\r\np" + i + " ");
       }
     }
-    assertThat(fixture.executionLog.repeated()).isEmpty();
+    assertThat(fixture.executionLog.repeatedIds()).isEmpty();
   }
 
   @Test
   void anInvalidThirdRequestEndsThePipelineAfterTwoResponses() throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(20, 1));
+    FakeUpstream a =
+        fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(20, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(
@@ -157,21 +158,22 @@
               + request("POST", "/claim", "p1")
               + "GET\t/ HTTP/1.1\r\nHost: a\r\n\r\n"
               + request("POST", "/claim", "p3"));
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np0 ");
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .contains("\r\n\r\np1 ");
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
-    assertThat(fixture.executionLog.of("p3")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("p3")).isEmpty();
   }
 
   @Test
   void aClientThatDisconnectsMidPipelineLeaksNothing() throws Exception {
-    FakeUpstream a = fixture.startUpstream(FakeUpstream.Options.quick("a").takes(50, 1));
+    FakeUpstream a =
+        fixture.startUpstream(FakeUpstream.Options.instant("a").withServiceTime(50, 1));
     fixture.start(LISTENER, CLASSES, pool("a", "", a), CLAIMS);
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(
@@ -179,11 +181,11 @@
           request("POST", "/claim", "q0")
               + request("POST", "/claim", "q1")
               + request("POST", "/claim", "q2"));
-      ProxyFixture.await(() -> fixture.executionLog.of("q0").size() == 1);
+      ProxyFixture.await(() -> fixture.executionLog.executionsOf("q0").size() == 1);
     }
     ProxyFixture.await(() -> a.connections() == 0);
     assertThat(fixture.status(request("POST", "/claim", "after"))).isEqualTo(200);
-    assertThat(fixture.executionLog.of("q2")).isEmpty();
+    assertThat(fixture.executionLog.executionsOf("q2")).isEmpty();
   }
 
   @Test
@@ -192,9 +194,9 @@
     fixture.start(LISTENER + "pipeline = 1", CLASSES, pool("a", "", a), CLAIMS);
     try (Socket socket = fixture.client()) {
       ProxyFixture.write(socket, request("POST", "/claim", "p0") + request("POST", "/claim", "p1"));
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 400");
     }
-    assertThat(fixture.executionLog.executions()).isZero();
+    assertThat(fixture.executionLog.executionCount()).isZero();
   }
 
   // --- HTTP/1.0 and targets
@@ -206,16 +208,16 @@
     try (Socket socket = fixture.client()) {
       for (int i = 0; i < 3; i++) {
         ProxyFixture.write(socket, "GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-        assertThat(ProxyFixture.read(socket.getInputStream()))
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .containsIgnoringCase("connection: keep-alive")
             .endsWith("ok");
       }
       ProxyFixture.write(socket, "GET /x HTTP/1.0\r\nHost: api.test\r\n\r\n");
-      assertThat(ProxyFixture.read(socket.getInputStream()))
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
           .startsWith("HTTP/1.1 200")
           .endsWith("ok");
-      assertThat(ProxyFixture.ends(socket)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
     assertThat(upstream.heads.get(0))
         .startsWith("GET /x HTTP/1.1\r\n")
@@ -286,7 +288,7 @@
             .isEqualTo("2\r\nok\r\n0\r\nX-Sum: 7\r\n\r\n");
       }
       ProxyFixture.write(socket, head + "0\r\nIdempotency-Key: other\r\n\r\n");
-      assertThat(ProxyFixture.read(socket.getInputStream())).startsWith("HTTP/1.1 400");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith("HTTP/1.1 400");
     }
     assertThat(trailers).containsExactly("X-Check: 42\r\n", "X-Check: 42\r\n");
     assertThat(upstream.heads.get(0)).containsIgnoringCase("\r\nte: trailers\r\n");
--- a/src/test/java/leadferry/engine/EngineFixture.java
+++ b/src/test/java/leadferry/engine/EngineFixture.java
@@ -65,7 +65,7 @@
     for (int i = 0; i < size; i++) {
       ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
       hosts.add(host);
-      ProxyFixture.spawn(() -> accept(host));
+      ProxyFixture.runInBackground(() -> accept(host));
       InetSocketAddress address = (InetSocketAddress) host.getLocalSocketAddress();
       members.add(
           new UpstreamHosts.Member(
@@ -101,7 +101,7 @@
     while (true) {
       Socket socket = host.accept();
       acceptedSockets.add(socket);
-      ProxyFixture.spawn(
+      ProxyFixture.runInBackground(
           () -> {
             int request;
             while ((request = socket.getInputStream().read()) >= 0) {
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -47,50 +47,50 @@
 
 /** Discovery that breaks off, can't be read, contradicts itself, or has no room. */
 class DiscoveryTest {
-  private static final int BAD_ANSWERS = 3;
-  private static final long TENTH = 100_000_000L;
+  private static final int BAD_RESPONSES = 3;
+  private static final long TENTH_SECOND_NANOS = 100_000_000L;
 
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   /**
    * Answers the first questions with these bytes and an end, and later ones as a discovery does.
    */
-  private final class Broken extends ProxyFixture.Server {
-    final List<Long> asked = new CopyOnWriteArrayList<>();
-    private final String bad;
-    private final String good;
-
-    Broken(String bad, String good) throws IOException {
-      world.super();
-      this.bad = bad;
-      this.good = good;
+  private final class FailingDiscovery extends ProxyFixture.Server {
+    final List<Long> requestNanos = new CopyOnWriteArrayList<>();
+    private final String badResponse;
+    private final String goodList;
+
+    FailingDiscovery(String badResponse, String goodList) throws IOException {
+      fixture.super();
+      this.badResponse = badResponse;
+      this.goodList = goodList;
     }
 
     @Override
     void serve(Socket s) throws IOException {
-      if (ProxyFixture.read(s.getInputStream()) == null) {
+      if (ProxyFixture.readMessage(s.getInputStream()) == null) {
         return;
       }
-      asked.add(System.nanoTime());
-      if (asked.size() <= BAD_ANSWERS) {
-        write(s, bad);
+      requestNanos.add(System.nanoTime());
+      if (requestNanos.size() <= BAD_RESPONSES) {
+        write(s, badResponse);
         s.shutdownOutput();
         s.close();
       } else {
-        write(s, chunk(good + "\n"));
-        ProxyFixture.read(s.getInputStream()); // until the watch ends
+        write(s, chunk(goodList + "\n"));
+        ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
       }
     }
   }
@@ -141,60 +141,61 @@
   }
 
   private void start(ProxyFixture.Server discovery, String known) throws Exception {
-    Path file = world.configure(discovery.address(), known);
-    world.run(file, new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
+    Path file = fixture.writeConfig(discovery.address(), known);
+    fixture.startProxy(
+        file, new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
   }
 
   /** The list in force stays, whole, until one comes that is sound; and that one is taken. */
   @ParameterizedTest
   @MethodSource("badAnswers")
-  void aBadAnswerChangesNothingAndTheNextGoodOneIsTaken(String bad) throws Exception {
-    ProxyFixture.Host old = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
-    Broken discovery = new Broken(bad, list(51, entry("next", next.address())));
+  void badResponseChangesNothingAndTheNextGoodOneIsApplied(String bad) throws Exception {
+    ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
+    FailingDiscovery discovery = new FailingDiscovery(bad, list(51, entry("next", next.address())));
     start(discovery, list(40, entry("old", old.address())));
-    ProxyFixture.await(() -> !discovery.asked.isEmpty());
-    if (discovery.asked.size() <= BAD_ANSWERS) {
-      assertThat(world.ask(claim("a"))).matches("(?s).*(old|next)");
+    ProxyFixture.await(() -> !discovery.requestNanos.isEmpty());
+    if (discovery.requestNanos.size() <= BAD_RESPONSES) {
+      assertThat(fixture.sendRequest(atMostOnceRequest("a"))).matches("(?s).*(old|next)");
     }
     ProxyFixture.await(
         () -> {
           try {
-            return world.ask(claim("b" + System.nanoTime())).endsWith("next");
+            return fixture.sendRequest(atMostOnceRequest("b" + System.nanoTime())).endsWith("next");
           } catch (IOException e) {
             return false;
           }
         });
-    assertThat(discovery.asked).hasSize(BAD_ANSWERS + 1);
+    assertThat(discovery.requestNanos).hasSize(BAD_RESPONSES + 1);
   }
 
   /** Turns away all calls but a few in each tenth of a second, and tells the others the list. */
-  private final class Overbooked extends ProxyFixture.Server {
-    final List<Long> asked = new CopyOnWriteArrayList<>();
-    final AtomicInteger told = new AtomicInteger();
+  private final class RateLimitedDiscovery extends ProxyFixture.Server {
+    final List<Long> requestNanos = new CopyOnWriteArrayList<>();
+    final AtomicInteger accepted = new AtomicInteger();
     private final String list;
-    private final int most;
+    private final int limit;
 
-    Overbooked(int most, String list) throws IOException {
-      world.super();
-      this.most = most;
+    RateLimitedDiscovery(int limit, String list) throws IOException {
+      fixture.super();
+      this.limit = limit;
       this.list = list;
     }
 
-    private synchronized boolean takes() {
+    private synchronized boolean tryAccept() {
       long now = System.nanoTime();
-      long of = asked.stream().filter(t -> now - t < TENTH).count();
-      asked.add(now);
-      return of < most;
+      long recent = requestNanos.stream().filter(t -> now - t < TENTH_SECOND_NANOS).count();
+      requestNanos.add(now);
+      return recent < limit;
     }
 
     @Override
     void serve(Socket s) throws IOException {
-      while (ProxyFixture.read(s.getInputStream()) != null) {
-        if (takes()) {
-          told.incrementAndGet();
+      while (ProxyFixture.readMessage(s.getInputStream()) != null) {
+        if (tryAccept()) {
+          accepted.incrementAndGet();
           write(s, chunk(list + "\n"));
-          stayOpen(s);
+          sendKeepAlives(s);
         } else {
           write(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
@@ -206,10 +207,10 @@
    * Sends the empty lines of a watch on which nothing changes, until it ends: one that is silent
    * would be asked again.
    */
-  private static void stayOpen(Socket s) throws IOException {
+  private static void sendKeepAlives(Socket socket) throws IOException {
     while (true) {
-      write(s, "1\r\n\n\r\n");
-      LockSupport.parkNanos(5 * TENTH);
+      write(socket, "1\r\n\n\r\n");
+      LockSupport.parkNanos(5 * TENTH_SECOND_NANOS);
     }
   }
 
@@ -218,40 +219,40 @@
    * away again.
    */
   @Test
-  void thirtyThatStartAtOnceBeforeAnOverbookedDiscoveryAreAllToldAndDoNotStormIt()
-      throws Exception {
-    Overbooked discovery = new Overbooked(3, list(51, entry("h", "127.0.0.1:1")));
+  void thirtyWatchesOnARateLimitedDiscoveryAllConnectWithoutAStorm() throws Exception {
+    RateLimitedDiscovery discovery =
+        new RateLimitedDiscovery(3, list(51, entry("h", "127.0.0.1:1")));
     List<ProxyFixture> worlds = new ArrayList<>();
     try {
       List<Thread> starts = new ArrayList<>();
       for (int i = 0; i < 30; i++) {
-        ProxyFixture w = new ProxyFixture(Files.createDirectory(folder.resolve("p" + i)), 128);
-        w.asked = true;
-        w.seed = 10 + i;
-        worlds.add(w);
-        Path file = w.configure(discovery.address(), list(40, entry("h", "127.0.0.1:1")));
+        ProxyFixture other = new ProxyFixture(Files.createDirectory(folder.resolve("p" + i)), 128);
+        other.pollsDiscovery = true;
+        other.seed = 10 + i;
+        worlds.add(other);
+        Path file = other.writeConfig(discovery.address(), list(40, entry("h", "127.0.0.1:1")));
         Log quiet = new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false);
         starts.add(
             new Thread(
                 () -> {
                   try {
-                    w.run(file, quiet);
+                    other.startProxy(file, quiet);
                   } catch (Exception e) {
                     throw new IllegalStateException(e);
                   }
                 }));
       }
       starts.forEach(Thread::start);
-      for (Thread t : starts) {
-        t.join();
+      for (Thread thread : starts) {
+        thread.join();
       }
-      ProxyFixture.await(() -> discovery.told.get() >= 30);
-      assertThat(discovery.told).hasValue(30);
+      ProxyFixture.await(() -> discovery.accepted.get() >= 30);
+      assertThat(discovery.accepted).hasValue(30);
       // 81 and 87 with waits that double, at chance; 135 where all wait alike.
-      assertThat(discovery.asked.size()).isLessThan(120);
+      assertThat(discovery.requestNanos.size()).isLessThan(120);
     } finally {
-      for (ProxyFixture w : worlds) {
-        w.close();
+      for (ProxyFixture other : worlds) {
+        other.close();
       }
     }
   }
@@ -273,12 +274,12 @@
    * Tells this list, whole where it is asked for, and on a watch in pieces cut anywhere, with more
    * behind it.
    */
-  private ProxyFixture.Server telling(String list, List<String> paths) throws IOException {
-    return world.new Server() {
+  private ProxyFixture.Server discoveryServing(String list, List<String> paths) throws IOException {
+    return fixture.new Server() {
       @Override
       void serve(Socket s) throws IOException {
         String head;
-        while ((head = ProxyFixture.read(s.getInputStream())) != null) {
+        while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
           paths.add(head.split(" ")[1]);
           if (!head.contains("follow")) {
             write(s, ok(list));
@@ -288,7 +289,7 @@
           for (String piece : (list + "\n\n").split("(?<=[5\":])")) {
             write(s, Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
           }
-          stayOpen(s);
+          sendKeepAlives(s);
         }
       }
     };
@@ -296,29 +297,31 @@
 
   @ParameterizedTest
   @MethodSource("indents")
-  void aListThatComesIndentedOnTheWatchIsTaken(String indented) throws Exception {
-    ProxyFixture.Host old = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
+  void indentedListOnTheWatchIsApplied(String indented) throws Exception {
+    ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
     start(
-        telling(indented.replace("ADDRESS", next.address()), paths),
+        discoveryServing(indented.replace("ADDRESS", next.address()), paths),
         list(40, entry("old", old.address())));
     ProxyFixture.await(
-        () -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
+        () ->
+            fixture.callOnLoop(
+                () -> fixture.proxy.canSendTo("next") && !fixture.proxy.canSendTo("old")));
     assertThat(paths).containsExactly("/catalog/members?follow=1&since=40");
   }
 
   @ParameterizedTest
   @MethodSource("indents")
-  void aWholeListThatComesIndentedIsTaken(String indented) throws Exception {
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
+  void indentedFullListIsApplied(String indented) throws Exception {
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
     List<String> paths = new CopyOnWriteArrayList<>();
     start(
-        telling(indented.replace("ADDRESS", next.address()), paths),
+        discoveryServing(indented.replace("ADDRESS", next.address()), paths),
         "{}"); // no version to go on from
     ProxyFixture.await(() -> paths.contains("/catalog/members?follow=1&since=51"));
     assertThat(paths).containsExactly("/catalog/members", "/catalog/members?follow=1&since=51");
-    assertThat(world.<Boolean>onLoop(() -> world.proxy.sends("next"))).isTrue();
+    assertThat(fixture.<Boolean>callOnLoop(() -> fixture.proxy.canSendTo("next"))).isTrue();
   }
 
   /**
@@ -326,26 +329,26 @@
    * shows that it is none.
    */
   @Test
-  void anIndentedListThatIsCutIsAskedForAnew() throws Exception {
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
+  void truncatedIndentedListIsRequestedAgain() throws Exception {
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
     AtomicInteger watches = new AtomicInteger();
     ProxyFixture.Server discovery =
-        world.new Server() {
+        fixture.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
             String list = list(51, entry("next", next.address()));
             write(
                 s, chunk(watches.incrementAndGet() == 1 ? "{\n  \"version\": 51,\n" : list + "\n"));
-            stayOpen(s);
+            sendKeepAlives(s);
           }
         };
     start(discovery, list(40));
-    ProxyFixture.await(() -> world.onLoop(() -> world.proxy.sends("next")));
+    ProxyFixture.await(() -> fixture.callOnLoop(() -> fixture.proxy.canSendTo("next")));
     assertThat(watches).hasValue(2);
   }
 
-  private static String drains(long version, String id, String address) {
+  private static String drainingDelta(long version, String id, String address) {
     return "{\"version\":"
         + version
         + ",\"full\":false,\"servers\":["
@@ -358,17 +361,17 @@
    * too, must not cost them.
    */
   @Test
-  void aListIsHeardInTimeThoughTheReplacementOfASilentWatchIsSilentToo() throws Exception {
-    ProxyFixture.Host old = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
+  void listArrivesInTimeAfterTwoSilentWatches() throws Exception {
+    ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
     AtomicLong silentFrom = new AtomicLong();
     AtomicLong toldAt = new AtomicLong();
     AtomicInteger watches = new AtomicInteger();
     ProxyFixture.Server discovery =
-        world.new Server() {
+        fixture.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
             switch (watches.incrementAndGet()) {
               case 1 -> {
                 write(
@@ -380,18 +383,20 @@
               }
               case 2 -> {}
               default -> {
-                write(s, chunk(drains(41, "old", old.address()) + "\n"));
+                write(s, chunk(drainingDelta(41, "old", old.address()) + "\n"));
                 toldAt.compareAndSet(0, System.nanoTime());
               }
             }
-            ProxyFixture.read(s.getInputStream()); // until the watch ends
+            ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
           }
         };
     start(discovery, list(39));
     ProxyFixture.await(() -> toldAt.get() != 0);
     assertThat(toldAt.get() - silentFrom.get()).isLessThan(6_000_000_000L);
     ProxyFixture.await(
-        () -> world.onLoop(() -> world.proxy.sends("next") && !world.proxy.sends("old")));
+        () ->
+            fixture.callOnLoop(
+                () -> fixture.proxy.canSendTo("next") && !fixture.proxy.canSendTo("old")));
   }
 
   /**
@@ -399,27 +404,27 @@
    * and they begin anew.
    */
   @Test
-  void whereDiscoveryIsAskedAQuietWatchEndsTheWaitsThatGrewBeforeIt() throws Exception {
-    world.asked = true;
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
+  void unchangedResponseResetsThePollInterval() throws Exception {
+    fixture.pollsDiscovery = true;
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
     AtomicInteger calls = new AtomicInteger();
     AtomicLong silentFrom = new AtomicLong();
     AtomicLong askedAt = new AtomicLong();
     ProxyFixture.Server discovery =
-        world.new Server() {
+        fixture.new Server() {
           @Override
           void serve(Socket s) throws IOException {
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
             if (calls.incrementAndGet() <= 4) {
               write(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
               s.close();
             } else if (calls.get() == 5) {
               write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
               silentFrom.set(System.nanoTime());
-              ProxyFixture.read(s.getInputStream()); // until the watch ends
+              ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
             } else {
               askedAt.compareAndSet(0, System.nanoTime());
-              stayOpen(s);
+              sendKeepAlives(s);
             }
           }
         };
@@ -429,12 +434,12 @@
     assertThat(askedAt.get() - silentFrom.get()).isBetween(2_900_000_000L, 4_400_000_000L);
   }
 
-  private static volatile int scarce;
+  private static volatile int failuresLeft;
 
   /** A socket, once the system has one to give. */
-  public static final class Scarce extends NioSocketChannel {
-    public Scarce() {
-      if (scarce-- > 0) {
+  public static final class DescriptorLimitedChannel extends NioSocketChannel {
+    public DescriptorLimitedChannel() {
+      if (failuresLeft-- > 0) {
         throw new ChannelException("Too many open files");
       }
     }
@@ -443,18 +448,19 @@
   /** The system has no descriptor for a watch that is to be opened: later it has. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aWatchThatNoDescriptorIsLeftForIsOpenedLater(boolean asked) throws Exception {
-    world.asked = asked;
-    ProxyFixture.Discovery there = world.new Discovery(41, world.new Host(h -> ok("done")));
-    Path file = world.configure(there.address(), list(40));
+  void watchIsOpenedOnceADescriptorIsFree(boolean asked) throws Exception {
+    fixture.pollsDiscovery = asked;
+    ProxyFixture.DiscoveryServer there =
+        fixture.new DiscoveryServer(41, fixture.new UpstreamHost(h -> ok("done")));
+    Path file = fixture.writeConfig(there.address(), list(40));
     Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()));
-    Log quiet = ProxyFixture.quietLog();
+    Log quiet = ProxyFixture.discardingLog();
     NioTransport transport = new NioTransport();
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
     EventLoop loop = (EventLoop) group.next();
     try {
-      scarce = 2;
+      failuresLeft = 2;
       UpstreamConnectionPool upstreams =
           new UpstreamConnectionPool(
               loop,
@@ -463,7 +469,7 @@
               config.bounds(),
               new SocketBudget(128),
               quiet);
-      Discovery watch =
+      DiscoveryWatch watch =
           loop.submit(
                   () -> {
                     Dispatcher d =
@@ -475,13 +481,14 @@
                             upstreams,
                             new BodyBudget(1 << 20),
                             quiet);
-                    Discovery w = new Discovery(group, config, d, quiet, Scarce.class);
-                    w.start(config.knownList());
-                    return w;
+                    DiscoveryWatch other =
+                        new DiscoveryWatch(group, config, d, quiet, DescriptorLimitedChannel.class);
+                    other.start(config.knownList());
+                    return other;
                   })
               .get();
       ProxyFixture.await(() -> loop.submit(watch::isConfirmed).syncUninterruptibly().getNow());
-      assertThat(scarce).isNegative();
+      assertThat(failuresLeft).isNegative();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
@@ -490,12 +497,11 @@
   /** What the agent gets while no watch is open counts as told at once. */
   @ParameterizedTest
   @ValueSource(ints = {250, 500})
-  void aWatchThatIsResetAgainAndAgainIsNeverClosedForLongerThanTheGrace(int grace)
-      throws Exception {
-    world.grace = grace;
+  void repeatedlyResetWatchReconnectsWithinTheDrainGrace(int grace) throws Exception {
+    fixture.drainGraceMillis = grace;
     List<Long> tries = new CopyOnWriteArrayList<>();
     ProxyFixture.Server discovery =
-        world.new Server() {
+        fixture.new Server() {
           @Override
           void serve(Socket s) throws IOException {
             tries.add(System.nanoTime());
@@ -517,31 +523,31 @@
    * configuration may be old.
    */
   @Test
-  void theFirstRequestOfANewProcessGoesByWhatDiscoveryHas() throws Exception {
-    ProxyFixture.Host drained = world.new Host(h -> ok("drained"));
-    ProxyFixture.Host up = world.new Host(h -> ok("up"));
+  void firstRequestOfANewProcessUsesTheCurrentList() throws Exception {
+    ProxyFixture.UpstreamHost drained = fixture.new UpstreamHost(h -> ok("drained"));
+    ProxyFixture.UpstreamHost up = fixture.new UpstreamHost(h -> ok("up"));
     CountDownLatch answers = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
     ProxyFixture.Server discovery =
-        world.new Server() {
+        fixture.new Server() {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
             asked.countDown();
             answers.await();
             write(
                 s,
                 chunk(
-                    drains(41, "drained", drained.address())
+                    drainingDelta(41, "drained", drained.address())
                             .replace("}]", "}," + entry("up", up.address()) + "]")
                         + "\n"));
-            ProxyFixture.read(s.getInputStream()); // until the watch ends
+            ProxyFixture.readMessage(s.getInputStream()); // until the watch ends
           }
         };
-    world.grace = 4_000;
-    world.listen = ProxyFixture.freePort();
+    fixture.drainGraceMillis = 4_000;
+    fixture.listenPort = ProxyFixture.freePort();
     CompletableFuture<String> first =
-        CompletableFuture.supplyAsync(() -> firstAnswer(world.listen));
+        CompletableFuture.supplyAsync(() -> firstResponse(fixture.listenPort));
     CompletableFuture<Void> started =
         CompletableFuture.runAsync(
             () -> {
@@ -555,7 +561,8 @@
     ProxyFixture.await(
         new BooleanSupplier() {
           private final long until =
-              System.nanoTime() + 5 * TENTH; // what goes by the old list has been sent by then
+              System.nanoTime()
+                  + 5 * TENTH_SECOND_NANOS; // what goes by the old list has been sent by then
 
           @Override
           public boolean getAsBoolean() {
@@ -565,17 +572,17 @@
     answers.countDown();
     started.get();
     assertThat(first.get()).endsWith("up");
-    assertThat(drained.heads).isEmpty();
+    assertThat(drained.requests).isEmpty();
   }
 
   /** The answer to a request that is sent as soon as anybody listens there. */
-  private static String firstAnswer(int port) {
-    long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
+  private static String firstResponse(int port) {
+    long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
     while (System.nanoTime() < until) {
-      try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-        s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-        write(s, claim("first"));
-        return ProxyFixture.read(s.getInputStream());
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+        socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
+        write(socket, atMostOnceRequest("first"));
+        return ProxyFixture.readMessage(socket.getInputStream());
       } catch (IOException e) {
         LockSupport.parkNanos(1_000_000);
       }
@@ -584,11 +591,12 @@
   }
 
   @Test
-  void oneCauseIsOneLineHoweverOftenItIsMet() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    Broken discovery = new Broken(chunk("no list\n"), list(51, entry("old", host.address())));
+  void repeatedFailureIsLoggedOnce() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    FailingDiscovery discovery =
+        new FailingDiscovery(chunk("no list\n"), list(51, entry("old", host.address())));
     start(discovery, list(40, entry("old", host.address())));
-    ProxyFixture.await(() -> discovery.asked.size() > BAD_ANSWERS);
+    ProxyFixture.await(() -> discovery.requestNanos.size() > BAD_RESPONSES);
     assertThat(log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("watch:")))
         .hasSize(1);
   }
--- a/src/test/java/leadferry/proxy/LargeBodiesTest.java
+++ b/src/test/java/leadferry/proxy/LargeBodiesTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -24,22 +24,23 @@
  */
 class LargeBodiesTest {
   /** More than is held of a request, and far more than is held of an answer. */
-  private static final int LONG = 3 << 20;
+  private static final int LARGE_BYTES = 3 << 20;
 
   /** A request after which its connection ends. */
-  private static final String LAST = claim("a", "Content-Length: 0", "Connection: close");
+  private static final String CLOSING_REQUEST =
+      atMostOnceRequest("a", "Content-Length: 0", "Connection: close");
 
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   private static String pattern(int size) {
@@ -51,15 +52,15 @@
   }
 
   /** A host that writes its answer in two parts, the second once it is let. */
-  private ProxyFixture.Host halting(String first, String second, CountDownLatch go, boolean reset)
-      throws IOException {
-    return world.new Host(h -> null) {
+  private ProxyFixture.UpstreamHost twoPartHost(
+      String first, String second, CountDownLatch go, boolean reset) throws IOException {
+    return fixture.new UpstreamHost(h -> null) {
       @Override
       void serve(Socket s) throws IOException {
-        while (ProxyFixture.read(s.getInputStream()) != null) {
+        while (ProxyFixture.readMessage(s.getInputStream()) != null) {
           write(s, first);
           try {
-            go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            go.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             return;
           }
@@ -78,67 +79,71 @@
   }
 
   @Test
-  void aLongBodyPassesAndItsTimeCountsFromItsLastByte() throws Exception {
-    world.deadline = 500;
-    String body = pattern(LONG);
-    ProxyFixture.Host host =
-        world.new Host(h -> ok(h.endsWith("\r\n\r\n" + body) ? "whole" : "other"));
-    world.start(host);
-    try (Socket s = world.client()) {
-      write(s, claim("a", "Content-Length: " + LONG));
-      write(s, body.substring(0, LONG / 2));
+  void timeoutOfALargeRequestStartsAtItsLastByte() throws Exception {
+    fixture.deadlineMillis = 500;
+    String body = pattern(LARGE_BYTES);
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> ok(h.endsWith("\r\n\r\n" + body) ? "whole" : "other"));
+    fixture.start(host);
+    try (Socket s = fixture.connectClient()) {
+      write(s, atMostOnceRequest("a", "Content-Length: " + LARGE_BYTES));
+      write(s, body.substring(0, LARGE_BYTES / 2));
       Thread.sleep(700); // longer than its time with the host
-      write(s, body.substring(LONG / 2));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("whole");
-      write(s, claim("b"));
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith("HTTP/1.1 200");
+      write(s, body.substring(LARGE_BYTES / 2));
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).endsWith("whole");
+      write(s, atMostOnceRequest("b"));
+      assertThat(ProxyFixture.readMessage(s.getInputStream())).startsWith("HTTP/1.1 200");
     }
-    assertThat(host.heads.get(0))
+    assertThat(host.requests.get(0))
         .contains("X-Timeout-Ms: 500"); // a host counts from the last byte too
   }
 
   @Test
-  void aHostThatIsSilentOnALongBodyCostsNoMoreThanItsTime() throws Exception {
-    world.deadline = 300;
-    world.start(world.new Host(h -> null));
-    assertThat(world.ask(claim("a", "Content-Length: " + LONG) + pattern(LONG)))
+  void silentHostTimesOutOnALargeRequest() throws Exception {
+    fixture.deadlineMillis = 300;
+    fixture.start(fixture.new UpstreamHost(h -> null));
+    assertThat(
+            fixture.sendRequest(
+                atMostOnceRequest("a", "Content-Length: " + LARGE_BYTES) + pattern(LARGE_BYTES)))
         .startsWith("HTTP/1.1 504");
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {100, 70_000, LONG})
-  void anAnswerThatEndsWithItsConnectionPasses(int size) throws Exception {
+  @ValueSource(ints = {100, 70_000, LARGE_BYTES})
+  void responseEndedByCloseIsForwarded(int size) throws Exception {
     CountDownLatch go = new CountDownLatch(0);
     String body = pattern(size);
-    world.start(
-        halting(
+    fixture.start(
+        twoPartHost(
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body.substring(0, size / 2),
             body.substring(size / 2),
             go,
             false));
-    assertThat(unchunked(world, LAST)).isEqualTo(body);
+    assertThat(responseBody(fixture, CLOSING_REQUEST)).isEqualTo(body);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLongAnswerMayGoOnPastItsRequestsTime(boolean sized) throws Exception {
-    world.deadline = 400;
+  void largeResponseMayExceedTheRequestTimeout(boolean sized) throws Exception {
+    fixture.deadlineMillis = 400;
     CountDownLatch go = new CountDownLatch(1);
-    String body = pattern(LONG);
+    String body = pattern(LARGE_BYTES);
     String framing =
-        sized ? "Content-Length: " + LONG + "\r\n\r\n" : "Transfer-Encoding: chunked\r\n\r\n";
-    String half = body.substring(0, LONG / 2);
-    String rest = body.substring(LONG / 2);
-    world.start(
-        halting(
+        sized
+            ? "Content-Length: " + LARGE_BYTES + "\r\n\r\n"
+            : "Transfer-Encoding: chunked\r\n\r\n";
+    String half = body.substring(0, LARGE_BYTES / 2);
+    String rest = body.substring(LARGE_BYTES / 2);
+    fixture.start(
+        twoPartHost(
             "HTTP/1.1 200 OK\r\n" + framing + (sized ? half : chunk(half)),
             sized ? rest : chunk(rest) + "0\r\n\r\n",
             go,
             false));
-    try (Socket s = world.client()) {
-      write(s, LAST);
+    try (Socket s = fixture.connectClient()) {
+      write(s, CLOSING_REQUEST);
       InputStream in = s.getInputStream();
-      byte[] early = in.readNBytes(LONG / 4);
+      byte[] early = in.readNBytes(LARGE_BYTES / 4);
       Thread.sleep(600);
       go.countDown();
       String all =
@@ -149,20 +154,20 @@
   }
 
   @Test
-  void aLongAnswerIsNotCutByTheEndOfItsSecondCopy() throws Exception {
+  void largeResponseSurvivesTheEndOfAParallelAttempt() throws Exception {
     CountDownLatch both = new CountDownLatch(2);
-    String body = pattern(LONG);
+    String body = pattern(LARGE_BYTES);
     String half = body.substring(0, 10_000);
-    ProxyFixture.Host[] hosts = new ProxyFixture.Host[2];
+    ProxyFixture.UpstreamHost[] hosts = new ProxyFixture.UpstreamHost[2];
     for (int i = 0; i < 2; i++) {
       hosts[i] =
-          world.new Host(h -> null) {
+          fixture.new UpstreamHost(h -> null) {
             @Override
             void serve(Socket s) throws IOException {
-              while (ProxyFixture.read(s.getInputStream()) != null) {
+              while (ProxyFixture.readMessage(s.getInputStream()) != null) {
                 both.countDown(); // the first is silent until a second copy is out
                 try {
-                  both.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                  both.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                   write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half));
                   Thread.sleep(100);
                 } catch (InterruptedException e) {
@@ -173,23 +178,27 @@
             }
           };
     }
-    world.start(hosts);
+    fixture.start(hosts);
     String log =
         "POST /log/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: a\r\nX-Priority-Class: log\r\n"
             + "Idempotency-Key: k\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    assertThat(unchunked(world, log)).isEqualTo(body);
+    assertThat(responseBody(fixture, log)).isEqualTo(body);
     assertThat(both.getCount()).isZero();
   }
 
   @Test
-  void aLongAnswerThatBreaksOffIsSeenToBeCut() throws Exception {
+  void abortedLargeResponseIsVisiblyTruncated() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    world.start(
-        halting("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + pattern(LONG / 2), "", go, true));
-    try (Socket s = world.client()) {
-      write(s, claim("a"));
+    fixture.start(
+        twoPartHost(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + pattern(LARGE_BYTES / 2),
+            "",
+            go,
+            true));
+    try (Socket s = fixture.connectClient()) {
+      write(s, atMostOnceRequest("a"));
       InputStream in = s.getInputStream();
-      in.readNBytes(LONG / 4);
+      in.readNBytes(LARGE_BYTES / 4);
       go.countDown();
       String rest;
       try {
@@ -202,16 +211,16 @@
   }
 
   @Test
-  void aBodyThatIsAnsweredEarlyIsReadToItsEndAndItsConnectionStays() throws Exception {
-    world.start(); // no host: refused as soon as the module is asked
-    try (Socket s = world.client()) {
+  void requestBodyIsDrainedAfterAnEarlyResponse() throws Exception {
+    fixture.start(); // no host: refused as soon as the module is asked
+    try (Socket s = fixture.connectClient()) {
       for (int i = 0; i < 3; i++) {
-        write(s, claim("a" + i, "Content-Length: " + LONG));
-        String body = pattern(LONG);
-        write(s, body.substring(0, LONG / 2));
+        write(s, atMostOnceRequest("a" + i, "Content-Length: " + LARGE_BYTES));
+        String body = pattern(LARGE_BYTES);
+        write(s, body.substring(0, LARGE_BYTES / 2));
         Thread.sleep(50);
-        write(s, body.substring(LONG / 2));
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        write(s, body.substring(LARGE_BYTES / 2));
+        assertThat(ProxyFixture.readMessage(s.getInputStream()))
             .startsWith("HTTP/1.1 503")
             .doesNotContain("close");
       }
@@ -219,17 +228,18 @@
   }
 
   @Test
-  void aBodyThatIsLongerThanAnyIsTurnedAway() throws Exception {
-    world.start(world.new Host(h -> ok("served")));
-    assertThat(world.ask(claim("a", "Content-Length: 60000000"))).startsWith("HTTP/1.1 413");
+  void bodyOverTheLimitIsRejected() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("served")));
+    assertThat(fixture.sendRequest(atMostOnceRequest("a", "Content-Length: 60000000")))
+        .startsWith("HTTP/1.1 413");
   }
 
-  private static String chunk(String s) {
-    return Integer.toHexString(s.length()) + "\r\n" + s + "\r\n";
+  private static String chunk(String text) {
+    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  private static String unchunked(ProxyFixture world, String request) throws IOException {
-    try (Socket s = world.client()) {
+  private static String responseBody(ProxyFixture fixture, String request) throws IOException {
+    try (Socket s = fixture.connectClient()) {
       write(s, request);
       String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
       return all.contains("chunked") ? decode(all) : all.substring(all.indexOf("\r\n\r\n") + 4);
@@ -239,15 +249,15 @@
   /** The body of a chunked message, which must have its end. */
   private static String decode(String message) {
     StringBuilder out = new StringBuilder();
-    int at = message.indexOf("\r\n\r\n") + 4;
+    int offset = message.indexOf("\r\n\r\n") + 4;
     while (true) {
-      int line = message.indexOf("\r\n", at);
-      int n = Integer.parseInt(message.substring(at, line), 16);
-      if (n == 0) {
+      int lineEnd = message.indexOf("\r\n", offset);
+      int length = Integer.parseInt(message.substring(offset, lineEnd), 16);
+      if (length == 0) {
         return out.toString();
       }
-      out.append(message, line + 2, line + 2 + n);
-      at = line + 4 + n;
+      out.append(message, lineEnd + 2, lineEnd + 2 + length);
+      offset = lineEnd + 4 + length;
     }
   }
 }
--- a/src/test/java/leadferry/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -35,17 +35,17 @@
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
   @TempDir Path folder;
-  private ProxyFixture world;
-  private Management management;
+  private ProxyFixture fixture;
+  private ManagementServer management;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
     if (management != null) {
       management.close();
     }
@@ -53,26 +53,26 @@
 
   // --- where they call
 
-  private String call(String request) throws IOException {
-    try (Socket s = caller()) {
-      write(s, request);
-      return ProxyFixture.read(s.getInputStream());
+  private String callManagement(String request) throws IOException {
+    try (Socket socket = connectToManagement()) {
+      write(socket, request);
+      return ProxyFixture.readMessage(socket.getInputStream());
     }
   }
 
-  private Socket caller() throws IOException {
-    Socket s = new Socket();
-    s.connect(management.address(), ProxyFixture.PATIENCE_MS);
-    s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-    return s;
+  private Socket connectToManagement() throws IOException {
+    Socket socket = new Socket();
+    socket.connect(management.address(), ProxyFixture.TIMEOUT_MILLIS);
+    socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
+    return socket;
   }
 
-  private void manage(OperatorState o) throws Exception {
+  private void startManagement(OperatorState state) throws Exception {
     management =
-        new Management(
-            o::isReady,
-            o::drain,
-            o::activate,
+        new ManagementServer(
+            state::isReady,
+            state::drain,
+            state::activate,
             new LineLog(
                 new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8),
                 false));
@@ -84,15 +84,15 @@
   }
 
   @Test
-  void readinessIsSaidOnceThisProcessServes() throws Exception {
-    OperatorState o = new OperatorState();
-    manage(o);
+  void readinessIsReportedOnceTheProxyServes() throws Exception {
+    OperatorState state = new OperatorState();
+    startManagement(state);
     String ready = "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n";
-    assertThat(call(ready)).startsWith("HTTP/1.1 503");
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.operators = o;
-    world.start(host);
-    assertThat(call(ready)).startsWith("HTTP/1.1 200");
+    assertThat(callManagement(ready)).startsWith("HTTP/1.1 503");
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.operatorState = state;
+    fixture.start(host);
+    assertThat(callManagement(ready)).startsWith("HTTP/1.1 200");
   }
 
   @ParameterizedTest
@@ -102,60 +102,61 @@
     "PUT /v1/readyz HTTP/1.1, 405",
     "noise, 400"
   })
-  void whatIsNoCallIsAnError(String line, int status) throws Exception {
-    OperatorState o = new OperatorState();
-    manage(o);
-    assertThat(call(line + "\r\nHost: a\r\n\r\n")).startsWith("HTTP/1.1 " + status);
-    assertThat(o.isDraining()).isFalse();
+  void invalidManagementCallIsAnError(String line, int status) throws Exception {
+    OperatorState state = new OperatorState();
+    startManagement(state);
+    assertThat(callManagement(line + "\r\nHost: a\r\n\r\n")).startsWith("HTTP/1.1 " + status);
+    assertThat(state.isDraining()).isFalse();
   }
 
   @Test
-  void callersThatSayNothingKeepNobodyOut() throws Exception {
-    OperatorState o = new OperatorState();
-    manage(o);
+  void silentManagementConnectionsBlockNoCall() throws Exception {
+    OperatorState state = new OperatorState();
+    startManagement(state);
     List<Socket> silent = new ArrayList<>();
-    for (int i = 0; i < 5 * Management.MAX_CONNECTIONS; i++) {
-      Socket s = caller();
-      silent.add(s);
+    for (int i = 0; i < 5 * ManagementServer.MAX_CONNECTIONS; i++) {
+      Socket socket = connectToManagement();
+      silent.add(socket);
       if (i % 2 == 0) {
-        write(s, "PUT /v1/client-proxy/dr");
+        write(socket, "PUT /v1/client-proxy/dr");
       }
     }
-    assertThat(call(put("/v1/client-proxy/drain"))).startsWith("HTTP/1.1 200");
-    assertThat(o.isDraining()).isTrue();
-    assertThat(ProxyFixture.ends(silent.get(0))).isTrue(); // the oldest made room
-    for (Socket s : silent) {
-      s.close();
+    assertThat(callManagement(put("/v1/client-proxy/drain"))).startsWith("HTTP/1.1 200");
+    assertThat(state.isDraining()).isTrue();
+    assertThat(ProxyFixture.isClosedByPeer(silent.get(0))).isTrue(); // the oldest made room
+    for (Socket socket : silent) {
+      socket.close();
     }
   }
 
   // --- sending clients away
 
   @Test
-  void clientsThatAreSentAwayGetTheirAnswersAndLeave() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
-    try (Socket idle = world.client();
-        Socket used = world.client()) {
-      for (Socket s : List.of(idle, used)) {
-        write(s, HEALTH);
-        assertThat(ProxyFixture.read(s.getInputStream()))
+  void drainServesClientsAndClosesTheirConnections() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
+    try (Socket idle = fixture.connectClient();
+        Socket used = fixture.connectClient()) {
+      for (Socket socket : List.of(idle, used)) {
+        write(socket, HEALTH);
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith("HTTP/1.1 200")
             .doesNotContain("close");
       }
-      world.operators.drain();
-      assertThat(world.ask(HEALTH)).startsWith("HTTP/1.1 503");
-      write(used, claim("a"));
-      assertThat(ProxyFixture.read(used.getInputStream())).endsWith("served");
-      assertThat(world.ask(claim("b"))).endsWith("served"); // the front may still send some
-      assertThat(ProxyFixture.ends(idle)).isTrue();
-      assertThat(ProxyFixture.ends(used)).isTrue();
+      fixture.operatorState.drain();
+      assertThat(fixture.sendRequest(HEALTH)).startsWith("HTTP/1.1 503");
+      write(used, atMostOnceRequest("a"));
+      assertThat(ProxyFixture.readMessage(used.getInputStream())).endsWith("served");
+      assertThat(fixture.sendRequest(atMostOnceRequest("b")))
+          .endsWith("served"); // the front may still send some
+      assertThat(ProxyFixture.isClosedByPeer(idle)).isTrue();
+      assertThat(ProxyFixture.isClosedByPeer(used)).isTrue();
     }
-    world.operators.activate();
+    fixture.operatorState.activate();
     ProxyFixture.await(
         () -> {
           try {
-            String answer = world.ask(HEALTH);
+            String answer = fixture.sendRequest(HEALTH);
             return answer.startsWith("HTTP/1.1 200") && !answer.contains("close");
           } catch (IOException e) {
             throw new AssertionError(e);
@@ -181,7 +182,7 @@
         + "\r\n";
   }
 
-  private Path rewritten(String from, String to) throws IOException {
+  private Path rewriteConfig(String from, String to) throws IOException {
     Path file = folder.resolve("config.json");
     String text = Files.readString(file);
     assertThat(text).contains(from);
@@ -193,7 +194,7 @@
     ProxyFixture.await(
         () -> {
           try {
-            seen.set(world.ask(request).startsWith("HTTP/1.1 " + status));
+            seen.set(fixture.sendRequest(request).startsWith("HTTP/1.1 " + status));
           } catch (IOException e) {
             throw new AssertionError(e);
           }
@@ -202,54 +203,54 @@
   }
 
   @Test
-  void aClassIsAddedAndLaterDropped() throws Exception {
-    world.start(world.new Host(h -> ok("served")));
-    assertThat(world.ask(request("GET", "visit", "a"))).startsWith("HTTP/1.1 404");
+  void reloadAddsAndRemovesAClass() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("served")));
+    assertThat(fixture.sendRequest(request("GET", "visit", "a"))).startsWith("HTTP/1.1 404");
     String one = "\"classes\":[";
-    rewritten(one, one + VISIT + ",");
-    world.reload();
+    rewriteConfig(one, one + VISIT + ",");
+    fixture.reload();
     await(request("GET", "visit", "b"), "200");
-    rewritten(VISIT + ",", "");
-    world.reload();
+    rewriteConfig(VISIT + ",", "");
+    fixture.reload();
     await(request("GET", "visit", "c"), "404"); // when its clients have had their time
   }
 
   @Test
-  void aClassThatBecomesStricterBindsTheNewFormAndTakesTheOldForAWhile() throws Exception {
+  void stricterClassAppliesToNewRequestsAndAcceptsOldOnesForAWhile() throws Exception {
     List<String> run = new CopyOnWriteArrayList<>();
     Function<String, String> fails =
         h -> {
           run.add(h);
           return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
         };
-    world.start(world.new Host(fails), world.new Host(fails));
+    fixture.start(fixture.new UpstreamHost(fails), fixture.new UpstreamHost(fails));
     String keyed = request("POST", "log", "a", "Idempotency-Key: k", "Content-Length: 0");
-    world.ask(keyed);
+    fixture.sendRequest(keyed);
     assertThat(run).hasSizeGreaterThan(1); // a keyed one is tried again within its group
-    rewritten(
+    rewriteConfig(
         "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"deduplicated\"",
         "\"name\":\"log\",\"aim\":400,\"deadline\":3000,\"semantics\":\"at_most_once\"");
-    world.reload();
+    fixture.reload();
     // Without a key it is a fault of the client's, until the new rules hold.
     await(request("POST", "log", "b", "Content-Length: 0"), "502");
     int before = run.size();
-    assertThat(world.ask(keyed.replace("ID: a", "ID: c"))).startsWith("HTTP/1.1 502");
+    assertThat(fixture.sendRequest(keyed.replace("ID: a", "ID: c"))).startsWith("HTTP/1.1 502");
     assertThat(run).hasSize(before + 1); // what may have run is not repeated any more
   }
 
   @Test
-  void fewerAttemptsHoldForWhatComes() throws Exception {
+  void reloadLowersMaxAttempts() throws Exception {
     Function<String, String> full =
         h -> "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-    world.start(world.new Host(full), world.new Host(full));
-    rewritten("\"maxAttempts\":3", "\"maxAttempts\":1");
-    world.reload();
+    fixture.start(fixture.new UpstreamHost(full), fixture.new UpstreamHost(full));
+    rewriteConfig("\"maxAttempts\":3", "\"maxAttempts\":1");
+    fixture.reload();
     ProxyFixture.await(
         () -> {
           try {
-            int before = world.sends();
-            world.ask(claim("a" + before));
-            return world.sends() == before + 1;
+            int before = fixture.receivedRequests();
+            fixture.sendRequest(atMostOnceRequest("a" + before));
+            return fixture.receivedRequests() == before + 1;
           } catch (IOException e) {
             throw new AssertionError(e);
           }
@@ -269,29 +270,30 @@
         "\"name\":\"log\" -> \"name\":\"claim\"",
         "\"settings\":{ -> \"setting\":{",
       })
-  void nothingOfABrokenFileIsTaken(String change) throws Exception {
-    world.start(world.new Host(h -> ok("served")));
-    ProxyFixture.Discovery other = world.new Discovery(3, world.new Host(h -> ok("other")));
+  void invalidFileChangesNothing(String change) throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("served")));
+    ProxyFixture.DiscoveryServer other =
+        fixture.new DiscoveryServer(3, fixture.new UpstreamHost(h -> ok("other")));
     Config inForce =
         Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
-    String[] c = change.split(" -> ", 2);
-    rewritten(c[0], c[1]);
-    Path file = rewritten(inForce.discovery().toString().substring(1), other.address());
-    assertThatThrownBy(() -> inForce.next(file)).isInstanceOf(ConfigException.class);
-    world.reload();
+    String[] parts = change.split(" -> ", 2);
+    rewriteConfig(parts[0], parts[1]);
+    Path file = rewriteConfig(inForce.discovery().toString().substring(1), other.address());
+    assertThatThrownBy(() -> inForce.loadReplacement(file)).isInstanceOf(ConfigException.class);
+    fixture.reload();
     Thread.sleep(50);
-    assertThat(world.ask(claim("a"))).endsWith("served");
-    assertThat(other.asked).isEmpty();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("served");
+    assertThat(other.requestedPaths).isEmpty();
   }
 
   @Test
-  void everyFaultOfAFileIsToldInOneRun() throws Exception {
-    world.start(world.new Host(h -> ok("served")));
+  void allErrorsOfAFileAreReportedTogether() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("served")));
     Config inForce =
         Config.load(Map.of("BALANCER_CONFIG", folder.resolve("config.json").toString()));
-    rewritten("\"maxAttempts\":3", "\"maxAttempts\":0");
-    Path file = rewritten("\"balancers\":1", "\"others\":1");
-    assertThatThrownBy(() -> inForce.next(file))
+    rewriteConfig("\"maxAttempts\":3", "\"maxAttempts\":0");
+    Path file = rewriteConfig("\"balancers\":1", "\"others\":1");
+    assertThatThrownBy(() -> inForce.loadReplacement(file))
         .hasMessageContaining("settings.limits.maxAttempts: expected a number above 0")
         .hasMessageContaining("settings.balancers: missing");
   }
@@ -299,22 +301,22 @@
   // --- two processes at one address
 
   @Test
-  void aSuccessorTakesTheClientsAndAnswersThem() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.generations = HotRestart.join(folder.toString());
-    ProxyFixture.Discovery discovery = world.start(host);
-    Proxy old = world.proxy;
+  void newProcessTakesOverTheClients() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.hotRestart = HotRestart.join(folder.toString());
+    ProxyFixture.DiscoveryServer discovery = fixture.start(host);
+    Proxy old = fixture.proxy;
     int port = old.address().getPort();
-    Socket kept = world.client();
-    write(kept, claim("kept"));
-    assertThat(ProxyFixture.read(kept.getInputStream())).endsWith("served");
-    assertThat(world.generations.others()).isNull();
+    Socket kept = fixture.connectClient();
+    write(kept, atMostOnceRequest("kept"));
+    assertThat(ProxyFixture.readMessage(kept.getInputStream())).endsWith("served");
+    assertThat(fixture.hotRestart.readOtherProcesses()).isNull();
 
     HotRestart next = HotRestart.join(folder.toString());
-    assertThat(world.generations.others().listens()).isFalse();
-    world.listen = port;
-    world.generations = next;
-    world.startBeside(discovery, host);
+    assertThat(fixture.hotRestart.readOtherProcesses().isListening()).isFalse();
+    fixture.listenPort = port;
+    fixture.hotRestart = next;
+    fixture.startWithDiscovery(discovery, host);
     AtomicBoolean over = new AtomicBoolean();
     List<String> wrong = new CopyOnWriteArrayList<>();
     Thread clients =
@@ -322,7 +324,7 @@
             () -> {
               for (int i = 0; !over.get(); i++) {
                 try {
-                  String answer = world.ask(claim("n" + i));
+                  String answer = fixture.sendRequest(atMostOnceRequest("n" + i));
                   if (answer != null && !answer.endsWith("served")) {
                     wrong.add(answer);
                   }
@@ -334,28 +336,29 @@
     clients.start();
     old.drain();
     ProxyFixture.await(() -> !old.isListening());
-    assertThat(ProxyFixture.ends(kept)).isTrue();
+    assertThat(ProxyFixture.isClosedByPeer(kept)).isTrue();
     old.awaitEnd(); // nobody is left there
     over.set(true);
     clients.join();
-    assertThat(world.ask(claim("last"))).endsWith("served");
+    assertThat(fixture.sendRequest(atMostOnceRequest("last"))).endsWith("served");
     assertThat(wrong).isEmpty();
     next.close();
     old.stop();
   }
 
   @Test
-  void theFileOfAProcessThatDiedCountsForNobody() throws Exception {
+  void lockFileOfADeadProcessIsIgnored() throws Exception {
     HotRestart one = HotRestart.join(folder.toString());
     Files.createTempFile(folder, "corkproxy-", ".lock"); // nobody holds it
-    assertThat(one.others()).isNull();
-    assertThat(HotRestart.join(null).others()).isNull();
-    assertThat(HotRestart.join(folder.resolve("nowhere").toString()).others()).isNull();
+    assertThat(one.readOtherProcesses()).isNull();
+    assertThat(HotRestart.join(null).readOtherProcesses()).isNull();
+    assertThat(HotRestart.join(folder.resolve("nowhere").toString()).readOtherProcesses()).isNull();
     HotRestart two = HotRestart.join(folder.toString());
-    two.tell(new HotRestart.Standing(true, 3, 5, 1L << 33));
-    assertThat(one.others()).isEqualTo(new HotRestart.Standing(true, 3, 5, 1L << 33));
+    two.publish(new HotRestart.ProcessState(true, 3, 5, 1L << 33));
+    assertThat(one.readOtherProcesses())
+        .isEqualTo(new HotRestart.ProcessState(true, 3, 5, 1L << 33));
     two.close();
-    assertThat(one.others()).isNull();
+    assertThat(one.readOtherProcesses()).isNull();
     one.close();
   }
 }
--- a/src/test/java/leadferry/proxy/PeersTest.java
+++ b/src/test/java/leadferry/proxy/PeersTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.PATIENCE_MS;
+import static leadferry.proxy.ProxyFixture.TIMEOUT_MILLIS;
 import static leadferry.proxy.ProxyFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -34,19 +34,19 @@
   @BeforeEach
   void listen() throws Exception {
     peer = new DatagramSocket(0, LOOPBACK);
-    peer.setSoTimeout(PATIENCE_MS);
+    peer.setSoTimeout(TIMEOUT_MILLIS);
     try (DatagramSocket free = new DatagramSocket(0, LOOPBACK)) {
       proxy = new InetSocketAddress(LOOPBACK, free.getLocalPort());
     }
   }
 
-  private ProxyFixture world() {
-    ProxyFixture w = new ProxyFixture(folder, 256);
-    w.aim = 300;
-    w.deadline = 500;
+  private ProxyFixture newFixture() {
+    ProxyFixture fixture = new ProxyFixture(folder, 256);
+    fixture.aimMillis = 300;
+    fixture.deadlineMillis = 500;
     String own = "\"127.0.0.1:" + proxy.getPort() + "\"";
     String other = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
-    w.peers =
+    fixture.peerSettings =
         "\"peer_listen\":"
             + own
             + ",\"peers\":["
@@ -56,62 +56,67 @@
             + "],\"peers_all\":"
             + other
             + ",";
-    return w;
+    return fixture;
   }
 
-  private SuspicionMessage hear() throws Exception {
-    DatagramPacket p = new DatagramPacket(new byte[300], 300);
-    peer.receive(p);
-    assertThat(p.getSocketAddress()).isEqualTo(proxy);
-    return SuspicionMessage.decode(Arrays.copyOf(p.getData(), p.getLength()));
+  private SuspicionMessage receiveMessage() throws Exception {
+    DatagramPacket packet = new DatagramPacket(new byte[300], 300);
+    peer.receive(packet);
+    assertThat(packet.getSocketAddress()).isEqualTo(proxy);
+    return SuspicionMessage.decode(Arrays.copyOf(packet.getData(), packet.getLength()));
   }
 
-  private void say(DatagramSocket from, byte[] message) throws Exception {
+  private void sendMessage(DatagramSocket from, byte[] message) throws Exception {
     from.send(new DatagramPacket(message, message.length, proxy));
   }
 
   /** Asks until the silent host has lost a request, and returns what the proxy says of it. */
-  private SuspicionMessage loseOne(ProxyFixture w, ProxyFixture.Host silent) throws Exception {
+  private SuspicionMessage reportSilentHost(ProxyFixture fixture, ProxyFixture.UpstreamHost silent)
+      throws Exception {
     // Of its own requests: a proxy of another run on this machine may look for its discovery at a
     // port that is this host's now.
     for (int i = 0;
-        silent.heads.stream().noneMatch(head -> head.contains("X-Request-ID: lost"));
+        silent.requests.stream().noneMatch(head -> head.contains("X-Request-ID: lost"));
         i++) {
-      w.ask(ProxyFixture.claim("lost" + i));
+      fixture.sendRequest(ProxyFixture.atMostOnceRequest("lost" + i));
     }
-    SuspicionMessage said = hear();
-    assertThat(said.isAlive()).isFalse();
-    return said;
+    SuspicionMessage report = receiveMessage();
+    assertThat(report.isAlive()).isFalse();
+    return report;
   }
 
   /** Runs a proxy before a silent host and three that answer, with its log. */
-  private void run(ProxyFixture w, ProxyFixture.Host silent, ByteArrayOutputStream log)
+  private void startProxy(
+      ProxyFixture fixture, ProxyFixture.UpstreamHost silent, ByteArrayOutputStream log)
       throws Exception {
-    ProxyFixture.Host[] hosts = {silent, answers(w), answers(w), answers(w)};
-    ProxyFixture.Discovery d = w.new Discovery(40, hosts);
-    w.run(
-        w.configure(d.address(), d.list()),
+    ProxyFixture.UpstreamHost[] hosts = {
+      silent, servingHost(fixture), servingHost(fixture), servingHost(fixture)
+    };
+    ProxyFixture.DiscoveryServer discovery = fixture.new DiscoveryServer(40, hosts);
+    fixture.startProxy(
+        fixture.writeConfig(discovery.address(), discovery.endpointList()),
         new LineLog(new PrintStream(log, true, StandardCharsets.UTF_8), false));
   }
 
-  private static ProxyFixture.Host answers(ProxyFixture w) throws IOException {
-    return w.new Host(h -> ok("served"));
+  private static ProxyFixture.UpstreamHost servingHost(ProxyFixture fixture) throws IOException {
+    return fixture.new UpstreamHost(h -> ok("served"));
   }
 
   @Test
-  void aHostThatAnotherFoundSilentTooIsLeftOutUntilItAnswersSomebody() throws Exception {
+  void hostSilentToSeveralProxiesIsEjectedUntilItResponds() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (ProxyFixture w = world()) {
-      ProxyFixture.Host silent = w.new Host(h -> null);
-      run(w, silent, log);
-      SuspicionMessage said = loseOne(w, silent);
+    try (ProxyFixture fixture = newFixture()) {
+      ProxyFixture.UpstreamHost silent = fixture.new UpstreamHost(h -> null);
+      startProxy(fixture, silent, log);
+      SuspicionMessage report = reportSilentHost(fixture, silent);
       assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
-      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode());
+      sendMessage(
+          peer, new SuspicionMessage(report.zone(), report.endpoint(), 100, false).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
                   .contains("h" + silent.port() + " silent to several proxies"));
-      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 0, true).encode());
+      sendMessage(peer, new SuspicionMessage(report.zone(), report.endpoint(), 0, true).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
@@ -120,29 +125,29 @@
   }
 
   @Test
-  void strangersAndNoiseAreNoWitnesses() throws Exception {
+  void messagesOfStrangersAndMalformedOnesAreIgnored() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (ProxyFixture w = world()) {
-      ProxyFixture.Host silent = w.new Host(h -> null);
-      run(w, silent, log);
-      SuspicionMessage said = loseOne(w, silent);
-      byte[] silence = new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode();
+    try (ProxyFixture fixture = newFixture()) {
+      ProxyFixture.UpstreamHost silent = fixture.new UpstreamHost(h -> null);
+      startProxy(fixture, silent, log);
+      SuspicionMessage report = reportSilentHost(fixture, silent);
+      byte[] silence = new SuspicionMessage(report.zone(), report.endpoint(), 100, false).encode();
       try (DatagramSocket stranger = new DatagramSocket(0, LOOPBACK)) {
         for (int i = 0; i < 50; i++) {
-          say(stranger, silence);
-          say(peer, Arrays.copyOf(silence, 11));
-          say(peer, new byte[300]);
+          sendMessage(stranger, silence);
+          sendMessage(peer, Arrays.copyOf(silence, 11));
+          sendMessage(peer, new byte[300]);
         }
       }
       assertThat(log.toString(StandardCharsets.UTF_8)).doesNotContain("silent to several");
-      say(peer, silence); // behind all of these in the same queue
+      sendMessage(peer, silence); // behind all of these in the same queue
       ProxyFixture.await(() -> log.toString(StandardCharsets.UTF_8).contains("silent to several"));
       assertThat(log.toString(StandardCharsets.UTF_8)).containsOnlyOnce("silent to several");
     }
   }
 
   /** Whether the proxy has its port: nobody else can have it then. */
-  private boolean taken() {
+  private boolean isPortInUse() {
     try (DatagramSocket probe = new DatagramSocket(proxy)) {
       return !probe.isBound();
     } catch (IOException e) {
@@ -151,18 +156,19 @@
   }
 
   @Test
-  void aPortThatIsNotFreeYetIsListenedOnOnceItIs() throws Exception {
+  void peerPortIsBoundOnceItIsFree() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     DatagramSocket holder = new DatagramSocket(proxy);
-    try (ProxyFixture w = world()) {
-      ProxyFixture.Host silent = w.new Host(h -> null);
-      run(w, silent, log);
+    try (ProxyFixture fixture = newFixture()) {
+      ProxyFixture.UpstreamHost silent = fixture.new UpstreamHost(h -> null);
+      startProxy(fixture, silent, log);
       ProxyFixture.await(
           () -> log.toString(StandardCharsets.UTF_8).contains("peers can't be heard"));
       holder.close();
-      ProxyFixture.await(this::taken);
-      SuspicionMessage said = loseOne(w, silent);
-      say(peer, new SuspicionMessage(said.zone(), said.endpoint(), 100, false).encode());
+      ProxyFixture.await(this::isPortInUse);
+      SuspicionMessage report = reportSilentHost(fixture, silent);
+      sendMessage(
+          peer, new SuspicionMessage(report.zone(), report.endpoint(), 100, false).encode());
       ProxyFixture.await(
           () ->
               log.toString(StandardCharsets.UTF_8)
--- a/src/test/java/leadferry/proxy/ProxyFixture.java
+++ b/src/test/java/leadferry/proxy/ProxyFixture.java
@@ -29,49 +29,49 @@
 /** A client proxy between hosts, a discovery and clients, all on loopback sockets. */
 public final class ProxyFixture implements AutoCloseable {
   /** Ample: no test waits so long unless it fails. */
-  public static final int PATIENCE_MS = 20_000;
+  public static final int TIMEOUT_MILLIS = 20_000;
 
   private final List<Server> servers = new CopyOnWriteArrayList<>();
-  private final Path file;
+  private final Path configFile;
   private final int sockets;
-  int aim = 400;
-  int deadline = 3_000;
-  int window = 2_000;
-  int grace = 500;
-  int listen;
+  int aimMillis = 400;
+  int deadlineMillis = 3_000;
+  int repeatWindowMillis = 2_000;
+  int drainGraceMillis = 500;
+  int listenPort;
   int seed = 7;
 
   /** MB; what is past 88 of it is for bodies. */
-  int memory = 128;
+  int memoryMegabytes = 128;
 
   /** What the settings allow, and how long (ms) a connection to a host may take to come up. */
-  boolean cancel = true;
+  boolean allowsCancel = true;
 
-  boolean parallel = true;
-  int connectTimeout = 500;
+  boolean allowsParallelAttempts = true;
+  int connectTimeoutMillis = 500;
 
   /** How long (ms) hosts keep a connection that carries nothing. */
-  int connIdle = 60_000;
+  int connectionIdleMillis = 60_000;
 
   /** Whether discovery is a service that is asked, in place of an agent that pushes. */
-  boolean asked;
+  boolean pollsDiscovery;
 
   /** Where the proxy talks to others, as keys of the configuration; empty where it may not. */
-  String peers = "";
+  String peerSettings = "";
 
-  OperatorState operators = new OperatorState();
-  HotRestart generations = HotRestart.alone();
+  OperatorState operatorState = new OperatorState();
+  HotRestart hotRestart = HotRestart.disabled();
   Proxy proxy;
 
   public ProxyFixture(Path folder, int sockets) {
-    this.file = folder.resolve("config.json");
+    this.configFile = folder.resolve("config.json");
     this.sockets = sockets;
   }
 
   /** A server of one thread a connection; what it does with each is the sub-class's. */
   public abstract class Server {
     final ServerSocket listener;
-    final List<Socket> open = new CopyOnWriteArrayList<>();
+    final List<Socket> acceptedSockets = new CopyOnWriteArrayList<>();
 
     Server() throws IOException {
       this(200, new CountDownLatch(0));
@@ -81,16 +81,16 @@
      * Accepts nobody until told; past {@code backlog} and one more, connections don't come up
      * meanwhile.
      */
-    Server(int backlog, CountDownLatch accepts) throws IOException {
+    Server(int backlog, CountDownLatch acceptGate) throws IOException {
       listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
       servers.add(this);
-      spawn(
+      runInBackground(
           () -> {
-            accepts.await();
+            acceptGate.await();
             while (true) {
               Socket s = listener.accept();
-              open.add(s);
-              spawn(() -> serve(s));
+              acceptedSockets.add(s);
+              runInBackground(() -> serve(s));
             }
           });
     }
@@ -107,45 +107,46 @@
   }
 
   /** A host that answers each request as told; null leaves it without an answer. */
-  public class Host extends Server {
-    private final Function<String, String> answers;
-    final List<String> heads = new CopyOnWriteArrayList<>();
+  public class UpstreamHost extends Server {
+    private final Function<String, String> responder;
+    final List<String> requests = new CopyOnWriteArrayList<>();
     String kind = "k";
 
     /** Requests that came on a connection less than 5 ms after an answer on it had begun. */
-    final AtomicInteger reusedAtOnce = new AtomicInteger();
+    final AtomicInteger immediateReuses = new AtomicInteger();
 
-    public Host(Function<String, String> answers) throws IOException {
-      this.answers = answers;
+    public UpstreamHost(Function<String, String> responder) throws IOException {
+      this.responder = responder;
     }
 
-    Host(int backlog, CountDownLatch accepts, Function<String, String> answers) throws IOException {
-      super(backlog, accepts);
-      this.answers = answers;
+    UpstreamHost(int backlog, CountDownLatch acceptGate, Function<String, String> responder)
+        throws IOException {
+      super(backlog, acceptGate);
+      this.responder = responder;
     }
 
     /** Connections that have been accepted so far. */
-    public int connections() {
-      return open.size();
+    public int acceptedConnections() {
+      return acceptedSockets.size();
     }
 
-    public int reusedAtOnce() {
-      return reusedAtOnce.get();
+    public int immediateReuses() {
+      return immediateReuses.get();
     }
 
     @Override
     void serve(Socket s) throws IOException, InterruptedException {
-      String head;
-      long answeredAt = System.nanoTime() - 1_000_000_000L;
-      while ((head = read(s.getInputStream())) != null) {
-        if (System.nanoTime() - answeredAt < 5_000_000L) {
-          reusedAtOnce.incrementAndGet();
+      String request;
+      long respondedAtNanos = System.nanoTime() - 1_000_000_000L;
+      while ((request = readMessage(s.getInputStream())) != null) {
+        if (System.nanoTime() - respondedAtNanos < 5_000_000L) {
+          immediateReuses.incrementAndGet();
         }
-        heads.add(head);
-        String answer = answers.apply(head);
-        if (answer != null) {
-          answeredAt = System.nanoTime();
-          write(s, answer);
+        requests.add(request);
+        String response = responder.apply(request);
+        if (response != null) {
+          respondedAtNanos = System.nanoTime();
+          write(s, response);
         }
       }
     }
@@ -155,23 +156,24 @@
    * A host to which no connection comes up until it is told to accept; the kernel tries again each
    * second or so.
    */
-  final class LateHost extends Host {
-    private final CountDownLatch accepts;
-    private final List<Socket> crowd = new ArrayList<>();
+  final class DelayedAcceptHost extends UpstreamHost {
+    private final CountDownLatch acceptGate;
+    private final List<Socket> backlogFillers = new ArrayList<>();
 
-    LateHost(Function<String, String> answers) throws IOException {
-      this(new CountDownLatch(1), answers);
+    DelayedAcceptHost(Function<String, String> responder) throws IOException {
+      this(new CountDownLatch(1), responder);
     }
 
-    private LateHost(CountDownLatch accepts, Function<String, String> answers) throws IOException {
-      super(1, accepts, answers);
-      this.accepts = accepts;
+    private DelayedAcceptHost(CountDownLatch acceptGate, Function<String, String> responder)
+        throws IOException {
+      super(1, acceptGate, responder);
+      this.acceptGate = acceptGate;
       boolean full = false;
       while (!full) {
         Socket s = new Socket();
         try {
           s.connect(new InetSocketAddress("127.0.0.1", port()), 300);
-          crowd.add(s);
+          backlogFillers.add(s);
         } catch (java.net.SocketTimeoutException e) {
           full = true;
           s.close();
@@ -180,33 +182,33 @@
     }
 
     /** From now on connections come up. */
-    void comesUp() throws IOException {
-      accepts.countDown();
-      for (Socket s : crowd) {
+    void startAccepting() throws IOException {
+      acceptGate.countDown();
+      for (Socket s : backlogFillers) {
         s.close();
       }
     }
 
     /** Connections that have come up for others than the crowd. */
-    int late() {
-      return open.size() - crowd.size();
+    int proxyConnections() {
+      return acceptedSockets.size() - backlogFillers.size();
     }
   }
 
   /** A host that ends a connection at the first request that comes after it stood idle so long. */
-  final class DroppingHost extends Host {
-    private final long idleMs;
+  final class IdleResettingHost extends UpstreamHost {
+    private final long idleMillis;
 
-    DroppingHost(long idleMs) throws IOException {
+    IdleResettingHost(long idleMillis) throws IOException {
       super(h -> ok("served"));
-      this.idleMs = idleMs;
+      this.idleMillis = idleMillis;
     }
 
     @Override
     void serve(Socket s) throws IOException {
       long idleSince = System.nanoTime();
-      while (read(s.getInputStream()) != null) {
-        if (System.nanoTime() - idleSince > idleMs * 1_000_000L) {
+      while (readMessage(s.getInputStream()) != null) {
+        if (System.nanoTime() - idleSince > idleMillis * 1_000_000L) {
           s.setSoLinger(true, 0); // a reset
           s.close();
           return;
@@ -218,13 +220,13 @@
   }
 
   /** A discovery that knows a list and is watched. */
-  final class Discovery extends Server {
-    private final String list;
-    final List<String> asked = new CopyOnWriteArrayList<>();
+  final class DiscoveryServer extends Server {
+    private final String endpointList;
+    final List<String> requestedPaths = new CopyOnWriteArrayList<>();
 
-    Discovery(int version, Host... hosts) throws IOException {
+    DiscoveryServer(int version, UpstreamHost... hosts) throws IOException {
       List<String> entries = new ArrayList<>();
-      for (Host h : hosts) {
+      for (UpstreamHost h : hosts) {
         entries.add(
             "{\"id\":\"h"
                 + h.listener.getLocalPort()
@@ -235,7 +237,7 @@
                 + "\",\"cell\":1,\"state\":\"up\",\"weight\":1.0,"
                 + "\"started_ms\":0}");
       }
-      list =
+      endpointList =
           "{\"version\":"
               + version
               + ",\"full\":true,\"servers\":["
@@ -244,20 +246,20 @@
     }
 
     /** The list as it tells it. */
-    String list() {
-      return list;
+    String endpointList() {
+      return endpointList;
     }
 
     @Override
     void serve(Socket s) throws IOException {
       String head;
-      while ((head = read(s.getInputStream())) != null) {
+      while ((head = readMessage(s.getInputStream())) != null) {
         String path = head.split(" ")[1];
-        asked.add(path);
+        requestedPaths.add(path);
         if (path.contains("follow")) {
           write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         } else {
-          write(s, ok(list));
+          write(s, ok(endpointList));
         }
       }
     }
@@ -271,137 +273,141 @@
   /**
    * Runs it on a thread of its own, until it is over or the other side, or the test, has ended it.
    */
-  public static void spawn(Task what) {
-    Thread t =
+  public static void runInBackground(Task task) {
+    Thread thread =
         new Thread(
             () -> {
               try {
-                what.run();
+                task.run();
               } catch (IOException | InterruptedException e) {
                 // the other side, or the test, has ended it
               }
             });
-    t.setDaemon(true);
-    t.start();
+    thread.setDaemon(true);
+    thread.start();
   }
 
   /** Writes the configuration, as the platform does. */
-  Path configure(String discovery, String known) throws IOException {
+  Path writeConfig(String discovery, String known) throws IOException {
     return Files.writeString(
-        file,
+        configFile,
         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
-            + listen
+            + listenPort
             + "\",\"discovery\":\""
             + discovery
             + "\",\"seed\":\""
             + seed
             + "\",\"limits\":{\"memory_mb\":"
-            + memory
+            + memoryMegabytes
             + ",\"sockets\":"
             + sockets
             + "},"
-            + peers
+            + peerSettings
             + "\"known\":"
             + known
             + ",\"settings\":{\"classes\":["
             + "{\"name\":\"claim\",\"aim\":"
-            + aim
+            + aimMillis
             + ",\"deadline\":"
-            + deadline
+            + deadlineMillis
             + ",\"semantics\":\"at_most_once\"},"
             + "{\"name\":\"log\",\"aim\":"
-            + aim
+            + aimMillis
             + ",\"deadline\":"
-            + deadline
+            + deadlineMillis
             + ",\"semantics\":\"deduplicated\","
             + "\"keyScope\":\"cell\",\"repeatWindow\":"
-            + window
+            + repeatWindowMillis
             + "}],"
             + "\"limits\":{\"cancel\":"
-            + cancel
+            + allowsCancel
             + ",\"retryAfter\":true,\"parallelTries\":"
-            + parallel
+            + allowsParallelAttempts
             + ",\"maxAttempts\":3,"
             + "\"peers\":"
-            + !peers.isEmpty()
+            + !peerSettings.isEmpty()
             + ",\"connIdle\":"
-            + connIdle
+            + connectionIdleMillis
             + ",\"connectTimeout\":"
-            + connectTimeout
+            + connectTimeoutMillis
             + "},"
             + "\"rules\":{\"cold\":1000,\"startCapacity\":1,\"fall\":1000,\"fallMultiple\":3,\"askWithin\":6000,\"drainGrace\":"
-            + grace
+            + drainGraceMillis
             + "},"
-            + (asked ? "\"membershipMode\":\"subscribe\"," : "")
+            + (pollsDiscovery ? "\"membershipMode\":\"subscribe\"," : "")
             + ""
             + "\"report\":{\"how\":\"answers\"},\"balancers\":1}}");
   }
 
   /** Starts the client proxy with these hosts; its discovery tells the same. */
-  Discovery start(Host... hosts) throws Exception {
-    Discovery d = new Discovery(40, hosts);
-    startBeside(d, hosts);
-    return d;
+  DiscoveryServer start(UpstreamHost... hosts) throws Exception {
+    DiscoveryServer discovery = new DiscoveryServer(40, hosts);
+    startWithDiscovery(discovery, hosts);
+    return discovery;
   }
 
   /** Starts one at this discovery, also while another runs, which is the caller's to stop. */
-  void startBeside(Discovery d, Host... hosts) throws Exception {
-    run(configure(d.address(), d.list), new LineLog(quiet(), false));
+  void startWithDiscovery(DiscoveryServer discovery, UpstreamHost... hosts) throws Exception {
+    startProxy(
+        writeConfig(discovery.address(), discovery.endpointList),
+        new LineLog(discardingStream(), false));
   }
 
   /** Starts one as this file says, with this log. */
-  void run(Path configuration, Log log) throws Exception {
+  void startProxy(Path configuration, Log log) throws Exception {
     proxy =
         new Proxy(
             Config.load(Map.of("BALANCER_CONFIG", configuration.toString())),
-            operators,
-            generations,
+            operatorState,
+            hotRestart,
             log);
     proxy.start();
   }
 
   /** Requests that hosts have got so far. */
-  int sends() {
-    return servers.stream().mapToInt(s -> s instanceof Host h ? h.heads.size() : 0).sum();
+  int receivedRequests() {
+    return servers.stream()
+        .mapToInt(socket -> socket instanceof UpstreamHost h ? h.requests.size() : 0)
+        .sum();
   }
 
   void reload() {
-    proxy.reload(file.toString());
+    proxy.reload(configFile.toString());
   }
 
   /** A port that nobody listens on now. */
   public static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
   /** What a header of a message says that has it. */
-  static String header(String head, String name) {
+  static String headerValue(String head, String name) {
     return head.split(name + ": ")[1].split("\r\n")[0];
   }
 
-  static Log quietLog() {
-    return new LineLog(quiet(), false);
+  static Log discardingLog() {
+    return new LineLog(discardingStream(), false);
   }
 
-  private static PrintStream quiet() {
+  private static PrintStream discardingStream() {
     return new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8);
   }
 
   /** What the proxy's loop says. */
-  <T> T onLoop(Callable<T> what) {
-    return proxy.loop().submit(what).syncUninterruptibly().getNow();
+  <T> T callOnLoop(Callable<T> task) {
+    return proxy.loop().submit(task).syncUninterruptibly().getNow();
   }
 
   /** Requests that are open in the proxy. */
-  int open() {
-    return onLoop(() -> proxy.open());
+  int openRequests() {
+    return callOnLoop(() -> proxy.openRequests());
   }
 
   /** Connections to hosts that are open in the proxy, or being opened. */
-  int upstreams() {
-    return onLoop(() -> proxy.sockets().upstreamCount());
+  int upstreamConnections() {
+    return callOnLoop(() -> proxy.socketBudget().upstreamCount());
   }
 
   /** Has the proxy end as at SIGTERM; the future is done when its process would be gone. */
@@ -411,15 +417,15 @@
   }
 
   /** Connections of clients that are open in the proxy. */
-  int clients() {
-    return onLoop(() -> proxy.sockets().clientCount());
+  int clientConnections() {
+    return callOnLoop(() -> proxy.socketBudget().clientCount());
   }
 
   /**
    * Stops the proxy's loop until what is returned is closed: what comes meanwhile comes to it in
    * one turn.
    */
-  AutoCloseable heldLoop() throws InterruptedException {
+  AutoCloseable pauseLoop() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     proxy
@@ -428,7 +434,7 @@
             () -> {
               held.countDown();
               try {
-                release.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                release.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -439,15 +445,15 @@
 
   // --- clients
 
-  Socket client() throws IOException {
-    Socket s = new Socket();
-    s.connect(new InetSocketAddress("127.0.0.1", proxy.address().getPort()), PATIENCE_MS);
-    s.setSoTimeout(PATIENCE_MS);
-    return s;
+  Socket connectClient() throws IOException {
+    Socket socket = new Socket();
+    socket.connect(new InetSocketAddress("127.0.0.1", proxy.address().getPort()), TIMEOUT_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
+    return socket;
   }
 
   /** A request with a key. */
-  static String log(String id) {
+  static String keyedRequest(String id) {
     return "POST /log/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
         + id
         + "\r\nX-Priority-Class: log\r\nIdempotency-Key: "
@@ -456,7 +462,7 @@
   }
 
   /** A request that may not be repeated, with these further header lines. */
-  static String claim(String id, String... lines) {
+  static String atMostOnceRequest(String id, String... lines) {
     return "POST /claim/1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: "
         + id
         + "\r\nX-Priority-Class: claim\r\n"
@@ -469,50 +475,50 @@
     return "HTTP/1.1 200 OK\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  public static void write(Socket s, String text) throws IOException {
-    s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+  public static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** Sends on a connection of its own; the whole answer, or null where the connection ended. */
-  String ask(String request) throws IOException {
-    try (Socket s = client()) {
-      write(s, request);
-      return read(s.getInputStream());
+  String sendRequest(String request) throws IOException {
+    try (Socket socket = connectClient()) {
+      write(socket, request);
+      return readMessage(socket.getInputStream());
     }
   }
 
   /** One message with its body, or null at the end of the stream. */
-  public static String read(InputStream in) throws IOException {
+  public static String readMessage(InputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     String text;
     do {
-      int b;
+      int next;
       try {
-        b = in.read();
+        next = in.read();
       } catch (java.net.SocketTimeoutException e) {
         throw e;
       } catch (IOException e) {
         return null; // reset
       }
-      if (b < 0) {
+      if (next < 0) {
         return null;
       }
-      head.write(b);
+      head.write(next);
       text = head.toString(StandardCharsets.ISO_8859_1);
     } while (!text.endsWith("\r\n\r\n"));
     for (String line : text.split("\r\n")) {
       if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
-        int n = Integer.parseInt(line.substring(15).trim());
-        return text + new String(in.readNBytes(n), StandardCharsets.ISO_8859_1);
+        int length = Integer.parseInt(line.substring(15).trim());
+        return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
       }
     }
     return text;
   }
 
   /** Whether the other side ends the connection; what it sends before is passed over. */
-  public static boolean ends(Socket s) throws IOException {
+  public static boolean isClosedByPeer(Socket socket) throws IOException {
     try {
-      while (s.getInputStream().read() >= 0) {
+      while (socket.getInputStream().read() >= 0) {
         // passed over
       }
       return true;
@@ -523,11 +529,11 @@
     }
   }
 
-  public static void await(BooleanSupplier what) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (!what.getAsBoolean()) {
+  public static void await(BooleanSupplier condition) throws InterruptedException {
+    long until = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
+    while (!condition.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        throw new AssertionError("did not come about in " + PATIENCE_MS + " ms");
+        throw new AssertionError("did not come about in " + TIMEOUT_MILLIS + " ms");
       }
       Thread.sleep(1);
     }
@@ -538,9 +544,9 @@
     if (proxy != null) {
       proxy.stop();
     }
-    for (Server s : servers) {
-      s.listener.close();
-      for (Socket c : s.open) {
+    for (Server socket : servers) {
+      socket.listener.close();
+      for (Socket c : socket.acceptedSockets) {
         c.close();
       }
     }
--- a/src/test/java/leadferry/proxy/ProxyTest.java
+++ b/src/test/java/leadferry/proxy/ProxyTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -28,47 +28,48 @@
   private static final String FOUR_HUNDREDS = "HTTP/1.1 4";
 
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   // --- new configurations
 
   @Test
-  void aReloadMovesTheWatchToAnotherDiscoveryWhateverItsVersions() throws Exception {
-    ProxyFixture.Host old = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
-    world.start(old);
-    assertThat(world.ask(claim("a"))).endsWith("old");
-    ProxyFixture.Discovery other = world.new Discovery(3, next); // its versions are lower
-    world.configure(other.address(), "{}");
-    world.reload();
-    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
-    assertThat(world.ask(claim("b"))).endsWith("next");
+  void reloadMovesTheWatchToADiscoveryWithLowerVersions() throws Exception {
+    ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
+    fixture.start(old);
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("old");
+    ProxyFixture.DiscoveryServer other =
+        fixture.new DiscoveryServer(3, next); // its versions are lower
+    fixture.writeConfig(other.address(), "{}");
+    fixture.reload();
+    ProxyFixture.await(() -> other.requestedPaths.contains("/catalog/members?follow=1&since=3"));
+    assertThat(fixture.sendRequest(atMostOnceRequest("b"))).endsWith("next");
   }
 
   @Test
-  void aBadFileIsPassedOverAndAHalfWrittenOneReadAgain() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
-    world.start(host);
-    ProxyFixture.Discovery other = world.new Discovery(3, next);
-    Path file = world.configure(other.address(), "{}");
+  void reloadRetriesAHalfWrittenFile() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
+    fixture.start(host);
+    ProxyFixture.DiscoveryServer other = fixture.new DiscoveryServer(3, next);
+    Path file = fixture.writeConfig(other.address(), "{}");
     String whole = Files.readString(file);
     Files.writeString(file, whole.substring(0, whole.length() / 2));
-    world.reload();
-    assertThat(world.ask(claim("a"))).endsWith("old");
+    fixture.reload();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("old");
     Files.writeString(file, whole);
-    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
-    assertThat(world.ask(claim("b"))).endsWith("next");
+    ProxyFixture.await(() -> other.requestedPaths.contains("/catalog/members?follow=1&since=3"));
+    assertThat(fixture.sendRequest(atMostOnceRequest("b"))).endsWith("next");
   }
 
   // --- connections to hosts
@@ -78,77 +79,77 @@
    * two aims.
    */
   @Test
-  void aConnectionThatIsNotUsedIsGivenBackLongBeforeTheHostWouldEndIt() throws Exception {
+  void idleUpstreamConnectionIsClosedBeforeTheHostWouldCloseIt() throws Exception {
     AtomicInteger ended = new AtomicInteger();
-    ProxyFixture.Host host =
-        world.new Host(h -> ok("done")) {
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> ok("done")) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
             super.serve(s);
             ended.incrementAndGet();
           }
         };
-    world.start(host);
-    assertThat(world.ask(claim("a"))).endsWith("done");
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("done");
     ProxyFixture.await(() -> ended.get() == 1); // the configuration lets it stand idle for a minute
-    assertThat(world.ask(claim("b"))).endsWith("done");
-    assertThat(host.connections()).isEqualTo(2);
+    assertThat(fixture.sendRequest(atMostOnceRequest("b"))).endsWith("done");
+    assertThat(host.acceptedConnections()).isEqualTo(2);
   }
 
   // --- clients that have given up
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestWhoseClientHasGoneIsNotSentThoughTheLoopComesToItLate(boolean onAnOldConnection)
+  void requestOfADisconnectedClientIsNotSentByALateLoop(boolean onAnOldConnection)
       throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    world.start(host);
-    assertThat(world.ask(claim("warm")))
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("warm")))
         .endsWith("done"); // its connection to the host stands ready
-    Socket gone = world.client();
-    try (Socket stays = world.client()) {
+    Socket gone = fixture.connectClient();
+    try (Socket stays = fixture.connectClient()) {
       if (onAnOldConnection) {
-        write(gone, claim("first"));
-        assertThat(ProxyFixture.read(gone.getInputStream())).endsWith("done");
+        write(gone, atMostOnceRequest("first"));
+        assertThat(ProxyFixture.readMessage(gone.getInputStream())).endsWith("done");
       }
-      int before = world.sends();
+      int before = fixture.receivedRequests();
       Thread.sleep(50); // the rest of a connection to a host is over
       CountDownLatch held = new CountDownLatch(1);
       CountDownLatch release = new CountDownLatch(1);
-      world
+      fixture
           .proxy
           .loop()
           .submit(
               () -> {
                 held.countDown();
-                return release.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                return release.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               });
-      assertThat(held.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
-      write(gone, claim("gone"));
+      assertThat(held.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+      write(gone, atMostOnceRequest("gone"));
       gone.close();
-      write(stays, claim("stays"));
+      write(stays, atMostOnceRequest("stays"));
       release.countDown();
-      assertThat(ProxyFixture.read(stays.getInputStream())).endsWith("done");
-      assertThat(world.sends() - before).isEqualTo(1);
+      assertThat(ProxyFixture.readMessage(stays.getInputStream())).endsWith("done");
+      assertThat(fixture.receivedRequests() - before).isEqualTo(1);
     }
   }
 
   @Test
-  void hangupIsASignalLikeOthers() throws Exception {
+  void hangupHandlerRuns() throws Exception {
     CountDownLatch told = new CountDownLatch(1);
     assertThat(Signals.onHangup(told::countDown)).isTrue();
     new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
         .start()
         .waitFor();
-    assertThat(told.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(told.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   /** As {@code nohup} starts a process: the JVM takes the handler and never calls it. */
   @ParameterizedTest
   @ValueSource(strings = {"", "trap '' HUP; "})
-  void anIgnoredHangupIsToldApart(String before) throws Exception {
+  void ignoredHangupIsDetected(String before) throws Exception {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    Process p =
+    Process process =
         new ProcessBuilder(
                 "/bin/sh",
                 "-c",
@@ -157,22 +158,22 @@
                 System.getProperty("java.class.path"))
             .redirectErrorStream(true)
             .start();
-    assertThat(new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
+    assertThat(new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
         .contains("taken " + before.isEmpty());
   }
 
   @Test
-  void aProcessThatNoSignalReachesSeesItsConfigurationChange() throws Exception {
-    world.start(world.new Host(h -> ProxyFixture.ok("before")));
-    ProxyFixture.Host other = world.new Host(h -> ProxyFixture.ok("after"));
-    ProxyFixture.Discovery there = world.new Discovery(50, other);
-    Path file = world.configure("127.0.0.1:1", "null");
-    world.proxy.watch(file.toString());
-    world.configure(there.address(), there.list());
+  void watchedConfigurationFileIsReloadedWithoutASignal() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ProxyFixture.ok("before")));
+    ProxyFixture.UpstreamHost other = fixture.new UpstreamHost(h -> ProxyFixture.ok("after"));
+    ProxyFixture.DiscoveryServer there = fixture.new DiscoveryServer(50, other);
+    Path file = fixture.writeConfig("127.0.0.1:1", "null");
+    fixture.proxy.watch(file.toString());
+    fixture.writeConfig(there.address(), there.endpointList());
     ProxyFixture.await(
         () -> {
           try {
-            String answer = world.ask(claim("now"));
+            String answer = fixture.sendRequest(atMostOnceRequest("now"));
             return answer != null && answer.endsWith("after");
           } catch (IOException e) {
             return false;
@@ -184,31 +185,31 @@
 
   /** Reports come late and count requests of ours that are gone: they must not refuse new ones. */
   @Test
-  void theEchoOfOurOwnBurstInReportsRefusesNothing() throws Exception {
+  void loadReportsOfAFinishedBurstRejectNoRequest() throws Exception {
     int burst = 20;
     CountDownLatch go = new CountDownLatch(1);
-    ProxyFixture.Host host =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost host =
+        fixture
+        .new UpstreamHost(
             h -> {
               await(go);
               return ProxyFixture.ok("served", "X-Server-Load: inflight=" + burst / 2);
             });
-    world.start(host);
+    fixture.start(host);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < burst; i++) {
-      Socket s = world.client();
-      write(s, claim("burst" + i));
-      clients.add(s);
+      Socket socket = fixture.connectClient();
+      write(socket, atMostOnceRequest("burst" + i));
+      clients.add(socket);
     }
-    ProxyFixture.await(() -> host.heads.size() == burst);
+    ProxyFixture.await(() -> host.requests.size() == burst);
     Thread.sleep(500); // longer than the aim of 400 ms
     go.countDown();
-    for (Socket s : clients) {
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
+    for (Socket socket : clients) {
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
     }
     for (int i = 0; i < 5; i++) {
-      assertThat(world.ask(claim("after" + i))).endsWith("served");
+      assertThat(fixture.sendRequest(atMostOnceRequest("after" + i))).endsWith("served");
     }
   }
 
@@ -216,41 +217,41 @@
    * Clients give up before any time-out: a host that says nothing must be found out all the same.
    */
   @Test
-  void aSilentHostShowsWhereClientsGiveUpFirst() throws Exception {
-    ProxyFixture.Host silent = world.new Host(h -> null);
-    ProxyFixture.Host slow =
-        world
-        .new Host(
+  void silentHostIsDetectedWhenClientsGiveUpBeforeTheTimeout() throws Exception {
+    ProxyFixture.UpstreamHost silent = fixture.new UpstreamHost(h -> null);
+    ProxyFixture.UpstreamHost slow =
+        fixture
+        .new UpstreamHost(
             h -> {
               sleep(150);
               return ok("served");
             });
-    world.start(silent, slow);
+    fixture.start(silent, slow);
     int served = 0;
     for (int i = 0; i < 60; i++) {
-      try (Socket s = world.client()) {
-        write(s, claim("a" + i));
+      try (Socket socket = fixture.connectClient()) {
+        write(socket, atMostOnceRequest("a" + i));
         int sent = i + 1;
-        ProxyFixture.await(() -> silent.heads.size() + slow.heads.size() == sent);
-        if (slow.heads.size() > served) {
+        ProxyFixture.await(() -> silent.requests.size() + slow.requests.size() == sent);
+        if (slow.requests.size() > served) {
           served++;
-          assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
+          assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
         } else {
           sleep(100);
         }
       }
     }
-    assertThat(silent.heads.size()).isBetween(1, 20);
+    assertThat(silent.requests.size()).isBetween(1, 20);
   }
 
   /** Idle connections that die sooner than the settings say, without a sign, are learned of. */
   @Test
-  void connectionsThatDieIdleAreNotKeptSoLong() throws Exception {
-    ProxyFixture.Host host = world.new DroppingHost(150);
-    world.start(host);
+  void idleTimeIsShortenedWhenIdleConnectionsFail() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new IdleResettingHost(150);
+    fixture.start(host);
     int lost = 0;
     for (int i = 0; i < 12; i++) {
-      lost += world.ask(claim("a" + i)).endsWith("served") ? 0 : 1;
+      lost += fixture.sendRequest(atMostOnceRequest("a" + i)).endsWith("served") ? 0 : 1;
       sleep(200);
     }
     assertThat(lost).isBetween(1, 3);
@@ -260,56 +261,56 @@
    * Without a host nothing can be sent: the client is refused at once and told when to come back.
    */
   @Test
-  void refusalsTellWhenToComeBack() throws Exception {
-    world.start();
-    assertThat(world.ask(claim("a")))
+  void rejectionsCarryRetryAfter() throws Exception {
+    fixture.start();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a")))
         .startsWith("HTTP/1.1 503")
         .containsIgnoringCase("retry-after: 0.100\r");
   }
 
   /** One failure is held against a host for a few aims, not for seconds where aims are short. */
   @Test
-  void aFailureIsForgottenInAims() throws Exception {
-    world.aim = 40;
+  void failureExpiresAfterAFewLatencyTargets() throws Exception {
+    fixture.aimMillis = 40;
     AtomicInteger failed = new AtomicInteger();
-    ProxyFixture.Host sound =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost sound =
+        fixture
+        .new UpstreamHost(
             h -> {
               sleep(12);
               return ok("served");
             });
-    ProxyFixture.Host once =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost once =
+        fixture
+        .new UpstreamHost(
             h ->
                 failed.getAndIncrement() == 0
                     ? "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
                     : ok("served"));
-    world.start(sound, once);
+    fixture.start(sound, once);
     for (int i = 0; failed.get() == 0; i++) {
-      world.ask(claim("before" + i));
+      fixture.sendRequest(atMostOnceRequest("before" + i));
     }
     sleep(600); // 15 aims
     for (int i = 0; i < 100 && failed.get() == 1; i++) {
-      world.ask(claim("after" + i));
+      fixture.sendRequest(atMostOnceRequest("after" + i));
     }
     assertThat(failed.get()).isGreaterThan(1);
   }
 
   /** Where a slow host is full of our own requests, a fast one that was drawn too gets the next. */
   @Test
-  void aHostFullOfOurOwnRequestsGivesWay() throws Exception {
+  void hostAtCapacityYieldsToAFasterOne() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    ProxyFixture.Host[] hosts = new ProxyFixture.Host[2];
+    ProxyFixture.UpstreamHost[] hosts = new ProxyFixture.UpstreamHost[2];
     for (int k = 0; k < 2; k++) {
       int self = k;
       hosts[k] =
-          world
-          .new Host(
+          fixture
+          .new UpstreamHost(
               h -> {
                 if (h.contains("learn")) {
-                  awaitHeads(hosts[self], 8);
+                  awaitRequests(hosts[self], 8);
                   sleep(self == 0 ? 150 : 5); // some 20 ms, or 1, for each request held
                 } else {
                   await(go);
@@ -318,26 +319,26 @@
               });
       hosts[k].kind = "k" + k;
     }
-    world.start(hosts);
+    fixture.start(hosts);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 56; i++) {
-      Socket s = world.client();
-      clients.add(s);
-      write(s, claim((i < 16 ? "learn" : "then") + i));
+      Socket socket = fixture.connectClient();
+      clients.add(socket);
+      write(socket, atMostOnceRequest((i < 16 ? "learn" : "then") + i));
       if (i == 15) {
         for (Socket c : clients) {
-          assertThat(ProxyFixture.read(c.getInputStream())).endsWith("served");
+          assertThat(ProxyFixture.readMessage(c.getInputStream())).endsWith("served");
         }
       }
     }
     // Equal counts up to 8 or 9 at each, where the slow one is full; the fast one takes more.
-    ProxyFixture.await(() -> hosts[0].heads.size() + hosts[1].heads.size() >= 16 + 22);
+    ProxyFixture.await(() -> hosts[0].requests.size() + hosts[1].requests.size() >= 16 + 22);
     go.countDown();
   }
 
-  private static void awaitHeads(ProxyFixture.Host host, int n) {
+  private static void awaitRequests(ProxyFixture.UpstreamHost host, int n) {
     try {
-      ProxyFixture.await(() -> host.heads.size() >= n);
+      ProxyFixture.await(() -> host.requests.size() >= n);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -353,7 +354,7 @@
 
   private static void await(CountDownLatch latch) {
     try {
-      latch.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+      latch.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -386,12 +387,12 @@
         "Connection: Host",
         "Expect: the-moon",
       })
-  void whatCanBeReadInTwoWaysIsRejectedHere(String lines) throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
+  void ambiguousRequestIsRejectedByTheProxy(String lines) throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
     String[] split = lines.split("\\|");
-    assertThat(world.ask(claim("a", split))).startsWith(FOUR_HUNDREDS);
-    assertThat(host.heads).isEmpty();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a", split))).startsWith(FOUR_HUNDREDS);
+    assertThat(host.requests).isEmpty();
   }
 
   @ParameterizedTest
@@ -404,81 +405,82 @@
         "POST /log/1 HTTP/1.1|X-Request-ID: a",
         "\u0000\u0001\u0002",
       })
-  void whatNoHostCanUseIsRejectedHere(String lines) throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
+  void invalidRequestIsRejectedByTheProxy(String lines) throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
     String request = lines.replace("|", "\r\n") + "\r\nContent-Length: 0\r\n\r\n";
-    assertThat(world.ask(request)).startsWith(FOUR_HUNDREDS);
-    assertThat(host.heads).isEmpty();
+    assertThat(fixture.sendRequest(request)).startsWith(FOUR_HUNDREDS);
+    assertThat(host.requests).isEmpty();
   }
 
   @Test
-  void anIdThatIsOpenIsNotTakenAgain() throws Exception {
+  void requestIdInUseIsRejected() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    ProxyFixture.Host host =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost host =
+        fixture
+        .new UpstreamHost(
             h -> {
               try {
-                go.await(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                go.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
               return ok("served");
             });
-    world.start(host);
-    try (Socket first = world.client()) {
-      write(first, claim("a"));
-      ProxyFixture.await(() -> host.heads.size() == 1);
-      assertThat(world.ask(claim("a"))).startsWith("HTTP/1.1 409");
+    fixture.start(host);
+    try (Socket first = fixture.connectClient()) {
+      write(first, atMostOnceRequest("a"));
+      ProxyFixture.await(() -> host.requests.size() == 1);
+      assertThat(fixture.sendRequest(atMostOnceRequest("a"))).startsWith("HTTP/1.1 409");
       go.countDown();
-      assertThat(ProxyFixture.read(first.getInputStream())).endsWith("served");
+      assertThat(ProxyFixture.readMessage(first.getInputStream())).endsWith("served");
     }
-    assertThat(world.ask(claim("a"))).endsWith("served");
-    assertThat(host.heads).hasSize(2);
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("served");
+    assertThat(host.requests).hasSize(2);
   }
 
   @Test
-  void aFloodOnOneConnectionIsRejectedUnsent() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
+  void pipelinedFloodIsRejectedUnsent() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 300; i++) {
-      flood.append(claim("f" + i));
+      flood.append(atMostOnceRequest("f" + i));
     }
-    try (Socket s = world.client()) {
-      write(s, flood.toString());
-      assertThat(ProxyFixture.read(s.getInputStream())).startsWith(FOUR_HUNDREDS);
-      assertThat(ProxyFixture.ends(s)).isTrue();
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, flood.toString());
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).startsWith(FOUR_HUNDREDS);
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
-    assertThat(host.heads).isEmpty();
+    assertThat(host.requests).isEmpty();
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "POST /claim/1 HTTP/1.1\r\nX-Long: ", "half a body"})
-  void whoNeverEndsIsEnded(String part) throws Exception {
-    world.start();
-    String text = part.equals("half a body") ? claim("a", "Content-Length: 10") + "five!" : part;
-    try (Socket s = world.client()) {
-      write(s, text);
-      assertThat(ProxyFixture.ends(s)).isTrue();
+  void clientThatNeverCompletesARequestIsDisconnected(String part) throws Exception {
+    fixture.start();
+    String text =
+        part.equals("half a body") ? atMostOnceRequest("a", "Content-Length: 10") + "five!" : part;
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, text);
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
   }
 
   @Test
-  void aCrowdThatSaysNothingLeavesRoomForOthers() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
+  void silentConnectionsLeaveRoomForOthers() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
     List<Socket> crowd = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      crowd.add(world.client());
+      crowd.add(fixture.connectClient());
     }
-    assertThat(world.ask(claim("a"))).endsWith("served");
-    for (Socket s : crowd) {
-      assertThat(ProxyFixture.ends(s)).isTrue();
-      s.close();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("served");
+    for (Socket socket : crowd) {
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
+      socket.close();
     }
-    assertThat(world.ask(claim("b"))).endsWith("served");
+    assertThat(fixture.sendRequest(atMostOnceRequest("b"))).endsWith("served");
   }
 
   /**
@@ -486,24 +488,24 @@
    * theirs.
    */
   @Test
-  void slowHeadsSurviveACrowdThatNeverEndsItsOwn() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
+  void slowRequestHeadsSurviveManyIncompleteOnes() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
     List<Socket> slow = new ArrayList<>();
     List<Socket> endless = new ArrayList<>();
     for (int i = 0; i < 60; i++) { // the half of the clients' holds 44
-      Socket s = world.client();
-      (i < 10 ? slow : endless).add(s);
-      write(s, "POST /claim/x HTTP/1.1\r\nX-Request-ID: c" + i + "\r\n");
+      Socket socket = fixture.connectClient();
+      (i < 10 ? slow : endless).add(socket);
+      write(socket, "POST /claim/x HTTP/1.1\r\nX-Request-ID: c" + i + "\r\n");
     }
     Thread.sleep(600); // from now on each of them may have to make room
-    assertThat(world.ask(claim("usual"))).endsWith("served");
-    for (Socket s : slow) {
-      write(s, "Content-Length: 0\r\n\r\n");
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
+    assertThat(fixture.sendRequest(atMostOnceRequest("usual"))).endsWith("served");
+    for (Socket socket : slow) {
+      write(socket, "Content-Length: 0\r\n\r\n");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
     }
-    for (Socket s : endless) {
-      s.close();
+    for (Socket socket : endless) {
+      socket.close();
     }
   }
 
@@ -522,85 +524,87 @@
         "HTTP/9.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
       })
-  void aSpoiltAnswerFailsAndIsNotRepeated(String answer) throws Exception {
-    ProxyFixture.Host a = world.new Host(h -> answer);
-    ProxyFixture.Host b = world.new Host(h -> answer);
-    world.start(a, b);
-    assertThat(world.ask(claim("a"))).startsWith("HTTP/1.1 502");
-    assertThat(a.heads.size() + b.heads.size()).isEqualTo(1);
+  void malformedResponseFailsWithoutARetry(String answer) throws Exception {
+    ProxyFixture.UpstreamHost a = fixture.new UpstreamHost(h -> answer);
+    ProxyFixture.UpstreamHost b = fixture.new UpstreamHost(h -> answer);
+    fixture.start(a, b);
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).startsWith("HTTP/1.1 502");
+    assertThat(a.requests.size() + b.requests.size()).isEqualTo(1);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"})
-  void whatComesBehindAnAnswerReachesNobody(String surplus) throws Exception {
+  void surplusBytesAfterAResponseReachNoClient(String surplus) throws Exception {
     AtomicInteger n = new AtomicInteger();
-    ProxyFixture.Host host = world.new Host(h -> ok("answer" + n.incrementAndGet()) + surplus);
-    world.start(host);
-    try (Socket s = world.client()) {
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> ok("answer" + n.incrementAndGet()) + surplus);
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
       for (int i = 1; i <= 5; i++) {
-        write(s, claim("a" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("answer" + i);
+        write(socket, atMostOnceRequest("a" + i));
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("answer" + i);
       }
     }
   }
 
   /** A second copy may come in a packet of its own, a moment after the answer. */
   @Test
-  void aConnectionRestsBeforeItCarriesAnotherRequest() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("served"));
-    world.start(host);
-    try (Socket s = world.client()) {
+  void upstreamConnectionIsNotReusedAtOnce() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
       for (int i = 0; i < 200; i++) {
-        write(s, claim("a" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
+        write(socket, atMostOnceRequest("a" + i));
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
       }
     }
-    assertThat(host.heads).hasSize(200);
-    assertThat(host.reusedAtOnce.get()).isZero();
+    assertThat(host.requests).hasSize(200);
+    assertThat(host.immediateReuses.get()).isZero();
   }
 
   @Test
-  void interimAnswersAndReportsThatCannotBeReadDoNoHarm() throws Exception {
-    ProxyFixture.Host host =
-        world
-        .new Host(
+  void interimResponsesAndMalformedLoadReportsAreIgnored() throws Exception {
+    ProxyFixture.UpstreamHost host =
+        fixture
+        .new UpstreamHost(
             h ->
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                     + "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=1e300,eps=none\r\n"
                     + "Content-Length: 4\r\n\r\ngood");
-    world.start(host);
+    fixture.start(host);
     for (int i = 0; i < 5; i++) {
-      assertThat(world.ask(claim("a" + i))).endsWith("good");
+      assertThat(fixture.sendRequest(atMostOnceRequest("a" + i))).endsWith("good");
     }
   }
 
   @Test
-  void theFaultThatAHostFindsWithARequestIsItsClients() throws Exception {
-    ProxyFixture.Host a = world.new Host(h -> "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
-    world.start(a);
+  void clientErrorsOfAHostAreForwarded() throws Exception {
+    ProxyFixture.UpstreamHost a =
+        fixture.new UpstreamHost(h -> "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
+    fixture.start(a);
     for (int i = 0; i < 10; i++) {
-      assertThat(world.ask(claim("a" + i))).startsWith("HTTP/1.1 400");
+      assertThat(fixture.sendRequest(atMostOnceRequest("a" + i))).startsWith("HTTP/1.1 400");
     }
-    assertThat(a.heads).hasSize(10);
+    assertThat(a.requests).hasSize(10);
   }
 
   /** Each of them asks once and stays, as if another request were to come. */
   @Test
-  void inACrowdAnAnswerAsksItsClientToLeave() throws Exception {
-    world.start(world.new Host(h -> ok("served")));
+  void responsesCloseConnectionsWhenClientsAreMany() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("served")));
     List<Socket> staying = new ArrayList<>();
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 100; i++) { // room is for 44, and for what hosts leave of as many
-      Socket s = world.client();
-      staying.add(s);
-      write(s, claim("a" + i));
-      answers.add(ProxyFixture.read(s.getInputStream()));
+      Socket socket = fixture.connectClient();
+      staying.add(socket);
+      write(socket, atMostOnceRequest("a" + i));
+      answers.add(ProxyFixture.readMessage(socket.getInputStream()));
     }
     assertThat(answers).allSatisfy(a -> assertThat(a).endsWith("served"));
     assertThat(answers.get(0)).doesNotContain("connection: close");
     assertThat(answers).filteredOn(a -> !a.contains("connection: close")).hasSizeBetween(40, 78);
-    for (Socket s : staying) {
-      s.close();
+    for (Socket socket : staying) {
+      socket.close();
     }
   }
 }
--- a/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
@@ -40,7 +40,7 @@
 
   @ParameterizedTest
   @CsvSource({"false,true,watch", "false,false,first-list", "true,true,poll"})
-  void everyFormIsAskedForAndReadAsRecorded(boolean polled, boolean known, String name)
+  void everyFormIsRequestedAndReadAsRecorded(boolean polled, boolean known, String name)
       throws Exception {
     StringBuilder transcript = new StringBuilder();
     for (String form : polled ? POLLED_FORMS : forms("A", "B").keySet()) {
@@ -149,41 +149,49 @@
   private String exchange(boolean polled, boolean known, String form) throws Exception {
     log.reset();
     try (ProxyFixture fixture = new ProxyFixture(folder, 128)) {
-      fixture.asked = polled;
-      ProxyFixture.Host first = fixture.new Host(head -> ProxyFixture.ok("host A"));
-      ProxyFixture.Host second = fixture.new Host(head -> ProxyFixture.ok("host B"));
-      List<String> answer = forms(first.address(), second.address()).get(form);
-      ScriptedDiscovery discovery = new ScriptedDiscovery(fixture, answer);
+      fixture.pollsDiscovery = polled;
+      ProxyFixture.UpstreamHost first = fixture.new UpstreamHost(head -> ProxyFixture.ok("host A"));
+      ProxyFixture.UpstreamHost second =
+          fixture.new UpstreamHost(head -> ProxyFixture.ok("host B"));
+      List<String> response = forms(first.address(), second.address()).get(form);
+      ScriptedDiscovery discovery = new ScriptedDiscovery(fixture, response);
       String start = known ? list(40, true, entry("a", first.address(), "up")) : "{}";
       PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-      fixture.run(fixture.configure(discovery.address(), start), new LineLog(out, false));
+      fixture.startProxy(fixture.writeConfig(discovery.address(), start), new LineLog(out, false));
       ProxyFixture.await(() -> discovery.requests.size() >= REQUESTS_SHOWN);
-      return told(fixture, discovery);
+      return describeExchange(fixture, discovery);
     }
   }
 
-  private String told(ProxyFixture fixture, ScriptedDiscovery discovery) throws IOException {
-    StringBuilder told = new StringBuilder();
+  private String describeExchange(ProxyFixture fixture, ScriptedDiscovery discovery)
+      throws IOException {
+    StringBuilder description = new StringBuilder();
     for (String request : discovery.requests.subList(0, REQUESTS_SHOWN)) {
-      told.append("discovery gets: ").append(RecordedText.visible(request)).append('\n');
+      description
+          .append("discovery gets: ")
+          .append(RecordedText.escapeCarriageReturns(request))
+          .append('\n');
     }
     log.toString(StandardCharsets.UTF_8)
         .lines()
         .filter(line -> line.contains("watch:"))
-        .forEach(line -> told.append(line.substring(line.indexOf("watch:"))).append('\n'));
-    String served = fixture.ask(ProxyFixture.claim("r1"));
-    told.append("served by: ").append(served.substring(served.lastIndexOf('\n') + 1)).append('\n');
-    return RecordedText.maskPorts(told.toString());
+        .forEach(line -> description.append(line.substring(line.indexOf("watch:"))).append('\n'));
+    String served = fixture.sendRequest(ProxyFixture.atMostOnceRequest("r1"));
+    description
+        .append("served by: ")
+        .append(served.substring(served.lastIndexOf('\n') + 1))
+        .append('\n');
+    return RecordedText.maskPorts(description.toString());
   }
 
   /** Answers the first request as told, and says at later ones that nothing has changed. */
   private static final class ScriptedDiscovery extends ProxyFixture.Server {
     private final List<String> requests = new CopyOnWriteArrayList<>();
-    private final List<String> answer;
+    private final List<String> response;
 
-    ScriptedDiscovery(ProxyFixture fixture, List<String> answer) throws IOException {
+    ScriptedDiscovery(ProxyFixture fixture, List<String> response) throws IOException {
       fixture.super();
-      this.answer = answer;
+      this.response = response;
     }
 
     @Override
@@ -194,7 +202,7 @@
         if (requests.size() > 1) {
           ProxyFixture.write(socket, HEAD + chunk("\n"));
         } else {
-          for (String piece : answer) {
+          for (String piece : response) {
             ProxyFixture.write(socket, piece);
           }
         }
--- a/src/test/java/leadferry/proxy/RecordedHeadsTest.java
+++ b/src/test/java/leadferry/proxy/RecordedHeadsTest.java
@@ -14,14 +14,14 @@
 /** What the platform's process forwards, and what its client gets, byte for byte. */
 class RecordedHeadsTest {
   private static final String SERVED = ProxyFixture.ok("served");
-  private static final String CLAIM = ProxyFixture.claim("r1");
+  private static final String CLAIM = ProxyFixture.atMostOnceRequest("r1");
 
   /** Requests that are forwarded; the host serves each. */
   private static final List<String> REQUESTS =
       List.of(
           CLAIM,
-          ProxyFixture.log("r2"),
-          ProxyFixture.claim(
+          ProxyFixture.keyedRequest("r2"),
+          ProxyFixture.atMostOnceRequest(
                   "r3",
                   "Content-Length: 4",
                   "X-Route-Key: user-7",
@@ -44,13 +44,13 @@
                   "Empty:",
                   "\r\nbody")
               .replace("\r\n\r\nbody\r\n\r\n", "\r\n\r\nbody"),
-          ProxyFixture.claim("r4", "Transfer-Encoding: chunked", "Trailer: X-Sum")
+          ProxyFixture.atMostOnceRequest("r4", "Transfer-Encoding: chunked", "Trailer: X-Sum")
               + "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n",
           CLAIM.replace("/claim/1", "/claim/1?b=2&a=%20x&&c"),
           CLAIM.replace("/claim/1", "http://other.test/claim/1"),
           CLAIM.replace("HTTP/1.1", "HTTP/1.0"),
           CLAIM.replace("Host: api\r\n", "Host: api\r\nConnection: close\r\n"),
-          ProxyFixture.claim("r5", "Content-Length: 2", "Expect: 100-continue") + "ab");
+          ProxyFixture.atMostOnceRequest("r5", "Content-Length: 2", "Expect: 100-continue") + "ab");
 
   /** Requests that no host is to see. */
   private static final List<String> REJECTED =
@@ -59,7 +59,7 @@
           CLAIM.replace("/claim/1", "/other/1"),
           CLAIM.replace("/claim/1", "/log/1"),
           CLAIM.replace("POST", "GET"),
-          ProxyFixture.log("r6").replace("Idempotency-Key: r6\r\n", ""),
+          ProxyFixture.keyedRequest("r6").replace("Idempotency-Key: r6\r\n", ""),
           CLAIM.replace("Host: api\r\n", ""),
           CLAIM.replace("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 1"),
           CLAIM.replace("Content-Length: 0", "X-Timeout-Ms: soon\r\nContent-Length: 0"),
@@ -73,7 +73,7 @@
           "HEAD /_health HTTP/1.1\r\nHost: a\r\n\r\n");
 
   /** Answers of hosts to one claim. */
-  private static final List<String> ANSWERS =
+  private static final List<String> RESPONSES =
       List.of(
           "HTTP/1.1 200 Fine\r\nServer: s/1\r\nDate: Thu, 01 Jan 2026 00:00:00 GMT\r\n"
               + "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-Server-Load: inflight=7,queue=2\r\n"
@@ -96,7 +96,7 @@
   private final StringBuilder transcript = new StringBuilder();
 
   @Test
-  void whatIsForwardedAndAnsweredIsAsRecorded() throws Exception {
+  void forwardedRequestsAreAsRecorded() throws Exception {
     for (String request : REQUESTS) {
       record(request, SERVED);
     }
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void whatIsRejectedIsAnsweredAsRecorded() throws Exception {
+  void rejectionsAreAsRecorded() throws Exception {
     for (String request : REJECTED) {
       record(request, SERVED);
     }
@@ -112,47 +112,49 @@
   }
 
   @Test
-  void answersOfHostsReachTheClientAsRecorded() throws Exception {
-    for (String answer : ANSWERS) {
-      record(CLAIM, answer);
+  void responsesReachTheClientAsRecorded() throws Exception {
+    for (String response : RESPONSES) {
+      record(CLAIM, response);
     }
     RecordedText.assertSame("heads/platform-answers.txt", transcript.toString());
   }
 
   /** A proxy of its own for each exchange, so that none depends on what went before. */
-  private void record(String request, String answer) throws Exception {
+  private void record(String request, String response) throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(folder, 128)) {
-      RecordingHost host = new RecordingHost(fixture, answer);
+      RecordingHost host = new RecordingHost(fixture, response);
       fixture.start(host);
-      try (Socket client = fixture.client()) {
+      try (Socket client = fixture.connectClient()) {
         ProxyFixture.write(client, request);
-        String got = RawMessage.read(client.getInputStream());
-        if (got.startsWith("HTTP/1.1 100")) {
-          got += RawMessage.read(client.getInputStream());
+        String received = RawMessage.read(client.getInputStream());
+        if (received.startsWith("HTTP/1.1 100")) {
+          received += RawMessage.read(client.getInputStream());
         }
         append("client sends", request);
         append("host gets", host.messages.isEmpty() ? "nothing" : host.messages.get(0));
-        append("host answers", host.messages.isEmpty() ? "nothing" : answer);
-        append("client gets", got);
+        append("host answers", host.messages.isEmpty() ? "nothing" : response);
+        append("client gets", received);
       }
     }
   }
 
-  private void append(String what, String message) {
+  private void append(String title, String message) {
     String shown = message.replaceAll("(?i)(x-timeout-ms: )\\d+", "$1MS");
     String shortened = shown.replaceAll("x{100,}|y{100,}", "...");
-    transcript.append("--- ").append(what).append('\n');
-    transcript.append(RecordedText.visible(RecordedText.maskPorts(shortened))).append('\n');
+    transcript.append("--- ").append(title).append('\n');
+    transcript
+        .append(RecordedText.escapeCarriageReturns(RecordedText.maskPorts(shortened)))
+        .append('\n');
   }
 
   /** Keeps what it gets, and answers always the same; an empty answer ends the connection. */
-  private static final class RecordingHost extends ProxyFixture.Host {
+  private static final class RecordingHost extends ProxyFixture.UpstreamHost {
     private final List<String> messages = new CopyOnWriteArrayList<>();
-    private final String answer;
+    private final String response;
 
-    RecordingHost(ProxyFixture fixture, String answer) throws IOException {
-      fixture.super(head -> answer);
-      this.answer = answer;
+    RecordingHost(ProxyFixture fixture, String response) throws IOException {
+      fixture.super(head -> response);
+      this.response = response;
     }
 
     @Override
@@ -161,11 +163,11 @@
       String message;
       while (!(message = RawMessage.read(input)).isEmpty()) {
         messages.add(message);
-        if (answer.isEmpty()) {
+        if (response.isEmpty()) {
           socket.close();
           return;
         }
-        ProxyFixture.write(socket, answer);
+        ProxyFixture.write(socket, response);
       }
     }
   }
--- a/src/test/java/leadferry/proxy/RecordedManagementTest.java
+++ b/src/test/java/leadferry/proxy/RecordedManagementTest.java
@@ -21,7 +21,7 @@
   private static final String READY = "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n";
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  private static final List<String> NO_CALLS =
+  private static final List<String> INVALID_CALLS =
       List.of(
           "GET /v1/nothing HTTP/1.1\r\nHost: a\r\n\r\n",
           "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -40,38 +40,39 @@
           "");
 
   @TempDir Path folder;
-  private ProxyFixture proxyFixture;
+  private ProxyFixture fixture;
   private OperatorState state;
-  private Management management;
+  private ManagementServer management;
   private final StringBuilder transcript = new StringBuilder();
 
   @BeforeEach
   void open() throws Exception {
-    proxyFixture = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
     state = new OperatorState();
     management =
-        new Management(state::isReady, state::drain, state::activate, ProxyFixture.quietLog());
+        new ManagementServer(
+            state::isReady, state::drain, state::activate, ProxyFixture.discardingLog());
     management.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
   @AfterEach
   void close() throws Exception {
     management.close();
-    proxyFixture.close();
+    fixture.close();
   }
 
   @Test
-  void everyCallIsAnsweredAsRecorded() throws Exception {
+  void everyResponseIsAsRecorded() throws Exception {
     record("before the start", READY);
-    proxyFixture.operators = state;
-    proxyFixture.start(proxyFixture.new Host(head -> ProxyFixture.ok("served")));
+    fixture.operatorState = state;
+    fixture.start(fixture.new UpstreamHost(head -> ProxyFixture.ok("served")));
     recordAll("before the drain");
     record("the drain", DRAIN);
     recordAll("during the drain");
     record("a second drain", DRAIN);
     record("the end of the drain", ACTIVATE);
     recordAll("after the drain");
-    for (String call : NO_CALLS) {
+    for (String call : INVALID_CALLS) {
       record("no call", call);
     }
     record("after all", READY);
@@ -80,9 +81,9 @@
 
   private void recordAll(String when) throws IOException {
     record(when, READY);
-    record(when + ", to the listener of clients", HEALTH, proxyFixture.proxy.address());
-    String request = ProxyFixture.claim("1");
-    record(when + ", to the listener of clients", request, proxyFixture.proxy.address());
+    record(when + ", to the listener of clients", HEALTH, fixture.proxy.address());
+    String request = ProxyFixture.atMostOnceRequest("1");
+    record(when + ", to the listener of clients", request, fixture.proxy.address());
   }
 
   private void record(String when, String call) throws IOException {
@@ -92,24 +93,28 @@
   /** Sends, ends the sending, and reads up to the end of the connection. */
   private void record(String when, String call, InetSocketAddress address) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(address, ProxyFixture.PATIENCE_MS);
-      socket.setSoTimeout(ProxyFixture.PATIENCE_MS);
+      socket.connect(address, ProxyFixture.TIMEOUT_MILLIS);
+      socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
       ProxyFixture.write(socket, call);
-      boolean whole = address.equals(management.address()) && isWhole(call);
-      if (!whole && address.equals(management.address())) {
+      boolean complete = address.equals(management.address()) && isComplete(call);
+      if (!complete && address.equals(management.address())) {
         socket.shutdownOutput();
       }
-      String answer =
+      String response =
           address.equals(management.address())
               ? new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1)
-              : ProxyFixture.read(socket.getInputStream());
+              : ProxyFixture.readMessage(socket.getInputStream());
       String shown = call.length() > 200 ? call.substring(0, 40) + "...\n" : call;
-      transcript.append("--- ").append(when).append('\n').append(RecordedText.visible(shown));
-      transcript.append("\n=>\n").append(RecordedText.visible(answer)).append('\n');
+      transcript
+          .append("--- ")
+          .append(when)
+          .append('\n')
+          .append(RecordedText.escapeCarriageReturns(shown));
+      transcript.append("\n=>\n").append(RecordedText.escapeCarriageReturns(response)).append('\n');
     }
   }
 
-  private static boolean isWhole(String call) {
+  private static boolean isComplete(String call) {
     return call.contains("\r\n\r\n") && !call.endsWith("ab");
   }
 }
--- a/src/test/java/leadferry/proxy/RestartsTest.java
+++ b/src/test/java/leadferry/proxy/RestartsTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -34,29 +34,29 @@
   private static final int CLIENTS = 12;
 
   /** For how long (ns) after SIGTERM new connections go on coming, as the platform has it. */
-  private static final long NEW_NANOS = 400_000_000L;
+  private static final long NEW_CONNECTION_NANOS = 400_000_000L;
 
   @TempDir Path folder;
-  private ProxyFixture world;
-  private final Queue<String> arrived = new ConcurrentLinkedQueue<>();
+  private ProxyFixture fixture;
+  private final Queue<String> receivedIds = new ConcurrentLinkedQueue<>();
   private final AtomicInteger answered = new AtomicInteger();
   private final AtomicInteger served = new AtomicInteger();
-  private final AtomicInteger again = new AtomicInteger();
+  private final AtomicInteger resent = new AtomicInteger();
   private final AtomicInteger lost = new AtomicInteger();
-  private final AtomicBoolean enough = new AtomicBoolean();
-  private volatile long endsFrom;
-  private volatile boolean ends;
+  private final AtomicBoolean stopped = new AtomicBoolean();
+  private volatile long drainStartNanos;
+  private volatile boolean draining;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 256);
-    world.aim = 100;
-    world.deadline = 600;
+    fixture = new ProxyFixture(folder, 256);
+    fixture.aimMillis = 100;
+    fixture.deadlineMillis = 600;
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   /**
@@ -65,7 +65,7 @@
    */
   private final class Client extends Thread {
     private final int number;
-    private Socket kept;
+    private Socket connection;
 
     Client(int number) {
       this.number = number;
@@ -74,56 +74,56 @@
 
     @Override
     public void run() {
-      for (int i = 0; !enough.get(); i++) {
-        String request = claim("c" + number + "-" + i);
-        boolean old = kept != null;
-        String answer = ask(request, false);
-        if (answer == null && old) {
-          again.incrementAndGet();
-          answer = ask(request, true);
+      for (int i = 0; !stopped.get(); i++) {
+        String request = atMostOnceRequest("c" + number + "-" + i);
+        boolean reused = connection != null;
+        String response = sendRequest(request, false);
+        if (response == null && reused) {
+          resent.incrementAndGet();
+          response = sendRequest(request, true);
         }
-        if (answer == null) {
+        if (response == null) {
           lost.incrementAndGet();
         } else {
           answered.incrementAndGet();
-          served.addAndGet(answer.startsWith("HTTP/1.1 200") ? 1 : 0);
+          served.addAndGet(response.startsWith("HTTP/1.1 200") ? 1 : 0);
         }
         LockSupport.parkNanos(5_000_000);
       }
     }
 
     /** The answer, or null where the connection ended without one. */
-    private String ask(String request, boolean crossed) {
+    private String sendRequest(String request, boolean resent) {
       try {
-        if (kept == null) {
-          kept = connect(crossed);
+        if (connection == null) {
+          connection = connect(resent);
         }
-        write(kept, request);
-        String answer = ProxyFixture.read(kept.getInputStream());
-        if (answer == null
-            || answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
-          kept.close();
-          kept = null;
+        write(connection, request);
+        String response = ProxyFixture.readMessage(connection.getInputStream());
+        if (response == null
+            || response.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
+          connection.close();
+          connection = null;
         }
-        return answer;
+        return response;
       } catch (IOException e) {
-        kept = null;
+        connection = null;
         return null;
       }
     }
 
     /** Whoever finds nobody listening comes again: nothing of his was taken. */
-    private Socket connect(boolean crossed) throws IOException {
-      long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
-      while (!crossed && ends && System.nanoTime() - endsFrom > NEW_NANOS) {
+    private Socket connect(boolean resent) throws IOException {
+      long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
+      while (!resent && draining && System.nanoTime() - drainStartNanos > NEW_CONNECTION_NANOS) {
         LockSupport.parkNanos(2_000_000);
       }
       while (true) {
         try {
-          Socket s = new Socket(InetAddress.getLoopbackAddress(), world.listen);
-          s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-          s.setTcpNoDelay(true);
-          return s;
+          Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.listenPort);
+          socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
+          socket.setTcpNoDelay(true);
+          return socket;
         } catch (java.net.ConnectException e) {
           if (System.nanoTime() > until) {
             throw e;
@@ -134,44 +134,44 @@
     }
   }
 
-  private ProxyFixture.Host host(int hangsOneIn) throws IOException {
+  private ProxyFixture.UpstreamHost host(int unansweredInterval) throws IOException {
     AtomicInteger seen = new AtomicInteger();
-    return world
-    .new Host(
+    return fixture
+    .new UpstreamHost(
         h -> {
-          arrived.add(ProxyFixture.header(h, "X-Request-ID"));
-          return seen.incrementAndGet() % hangsOneIn == 0 ? null : ok("done");
+          receivedIds.add(ProxyFixture.headerValue(h, "X-Request-ID"));
+          return seen.incrementAndGet() % unansweredInterval == 0 ? null : ok("done");
         });
   }
 
   @Test
-  void tenThousandRequestsThroughTwentyRestartsAreNeitherLostNorRunTwice() throws Exception {
-    world.listen = ProxyFixture.freePort();
-    ProxyFixture.Host[] hosts = {
+  void restartsNeitherLoseNorRepeatRequests() throws Exception {
+    fixture.listenPort = ProxyFixture.freePort();
+    ProxyFixture.UpstreamHost[] hosts = {
       host(1), host(20), host(50), host(1_000_000), host(1_000_000)
     }; // the first one answers nobody
-    ProxyFixture.Discovery d = world.new Discovery(40, hosts);
+    ProxyFixture.DiscoveryServer discovery = fixture.new DiscoveryServer(40, hosts);
     for (int i = 0; i < CLIENTS; i++) {
       new Client(i).start();
     }
     for (int i = 0; i <= RESTARTS; i++) {
-      world.run(
-          world.configure(d.address(), d.list()),
+      fixture.startProxy(
+          fixture.writeConfig(discovery.address(), discovery.endpointList()),
           new LineLog(new PrintStream(OutputStream.nullOutputStream()), false));
-      ends = false;
+      draining = false;
       int enoughOfThis = (i + 1) * REQUESTS / (RESTARTS + 1);
       ProxyFixture.await(() -> answered.get() + lost.get() >= enoughOfThis);
       if (i == RESTARTS) {
-        enough.set(true);
+        stopped.set(true);
       }
-      endsFrom = System.nanoTime();
-      ends = true;
-      world.drain().get();
-      assertThat(world.clients()).isZero();
-      world.proxy.stop();
+      drainStartNanos = System.nanoTime();
+      draining = true;
+      fixture.drain().get();
+      assertThat(fixture.clientConnections()).isZero();
+      fixture.proxy.stop();
     }
     Map<String, Integer> times = new HashMap<>();
-    arrived.forEach(id -> times.merge(id, 1, Integer::sum));
+    receivedIds.forEach(id -> times.merge(id, 1, Integer::sum));
     long twice = times.values().stream().filter(n -> n > 1).count();
     System.out.println(
         "restarts: "
@@ -181,7 +181,7 @@
             + ", served: "
             + served
             + ", sent again by clients: "
-            + again
+            + resent
             + ", lost: "
             + lost
             + ", twice: "
--- a/src/test/java/leadferry/proxy/SignalsTest.java
+++ b/src/test/java/leadferry/proxy/SignalsTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -24,41 +24,41 @@
  */
 class SignalsTest {
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
   private Process process;
-  private final CountDownLatch answers = new CountDownLatch(1);
+  private final CountDownLatch responseGate = new CountDownLatch(1);
 
   @BeforeEach
   void open() throws IOException {
-    world = new ProxyFixture(folder, 128);
-    world.deadline = ProxyFixture.PATIENCE_MS;
-    world.listen = ProxyFixture.freePort();
+    fixture = new ProxyFixture(folder, 128);
+    fixture.deadlineMillis = ProxyFixture.TIMEOUT_MILLIS;
+    fixture.listenPort = ProxyFixture.freePort();
   }
 
   @AfterEach
   void close() throws Exception {
     process.destroyForcibly();
-    world.close();
+    fixture.close();
   }
 
   /** A host that answers once it is let. */
-  private ProxyFixture.Host host(String answer) throws IOException {
-    return world
-    .new Host(
+  private ProxyFixture.UpstreamHost host(String response) throws IOException {
+    return fixture
+    .new UpstreamHost(
         h -> {
           try {
-            answers.await();
+            responseGate.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
-          return answer;
+          return response;
         });
   }
 
-  private Path start(ProxyFixture.Host host) throws IOException {
-    ProxyFixture.Discovery d = world.new Discovery(40, host);
-    Path file = world.configure(d.address(), d.list());
-    ProcessBuilder b =
+  private Path start(ProxyFixture.UpstreamHost host) throws IOException {
+    ProxyFixture.DiscoveryServer discovery = fixture.new DiscoveryServer(40, host);
+    Path file = fixture.writeConfig(discovery.address(), discovery.endpointList());
+    ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx64m",
@@ -69,20 +69,20 @@
                 "proxy")
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("log").toFile());
-    b.environment().put("BALANCER_CONFIG", file.toString());
-    b.environment().put("TMPDIR", folder.toString());
-    process = b.start();
+    builder.environment().put("BALANCER_CONFIG", file.toString());
+    builder.environment().put("TMPDIR", folder.toString());
+    process = builder.start();
     return file;
   }
 
   /** The first connection that anybody can have, as soon as the process listens. */
-  private Socket first() throws IOException, InterruptedException {
-    long until = System.nanoTime() + ProxyFixture.PATIENCE_MS * 1_000_000L;
+  private Socket connectWhenListening() throws IOException, InterruptedException {
+    long until = System.nanoTime() + ProxyFixture.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       try {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), world.listen);
-        s.setSoTimeout(ProxyFixture.PATIENCE_MS);
-        return s;
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.listenPort);
+        socket.setSoTimeout(ProxyFixture.TIMEOUT_MILLIS);
+        return socket;
       } catch (IOException e) {
         if (System.nanoTime() > until) {
           throw e;
@@ -98,34 +98,34 @@
         .isZero();
   }
 
-  private void endsWell() throws Exception {
-    assertThat(process.waitFor(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+  private void assertCleanExit() throws Exception {
+    assertThat(process.waitFor(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(process.exitValue()).isZero();
   }
 
   /** What is taken in the first moment is answered, though the end is asked for in that moment. */
   @Test
-  void anEndThatIsAskedForAsSoonAsItListensLosesNothing() throws Exception {
-    ProxyFixture.Host host = host(ok("done"));
+  void sigtermRightAfterListeningLosesNoRequest() throws Exception {
+    ProxyFixture.UpstreamHost host = host(ok("done"));
     start(host);
-    try (Socket s = first()) {
-      write(s, claim("first"));
+    try (Socket socket = connectWhenListening()) {
+      write(socket, atMostOnceRequest("first"));
       signal("TERM");
       signal("TERM"); // and once more
-      ProxyFixture.await(() -> host.heads.size() == 1);
-      answers.countDown();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
+      ProxyFixture.await(() -> host.requests.size() == 1);
+      responseGate.countDown();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
     }
-    endsWell();
+    assertCleanExit();
   }
 
   /** Nobody has been let in, so nothing is owed. */
   @Test
-  void anEndThatIsAskedForBeforeItListensIsAnEnd() throws Exception {
+  void sigtermBeforeListeningEndsTheProcess() throws Exception {
     start(host(ok("done")));
     ProxyFixture.await(() -> process.info().startInstant().isPresent() || !process.isAlive());
     signal("TERM");
-    assertThat(process.waitFor(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(process.waitFor(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   /**
@@ -133,21 +133,21 @@
    * answer.
    */
   @Test
-  void aNewConfigurationAndTheEndInOneMomentLoseNothing() throws Exception {
-    ProxyFixture.Host host = host(ok("done"));
+  void reloadFollowedBySigtermLosesNoRequest() throws Exception {
+    ProxyFixture.UpstreamHost host = host(ok("done"));
     start(host);
-    try (Socket s = first()) {
-      write(s, claim("first"));
-      ProxyFixture.await(() -> host.heads.size() == 1);
-      ProxyFixture.Host other = world.new Host(h -> ok("other"));
-      ProxyFixture.Discovery there = world.new Discovery(3, other);
-      world.configure(there.address(), there.list());
+    try (Socket socket = connectWhenListening()) {
+      write(socket, atMostOnceRequest("first"));
+      ProxyFixture.await(() -> host.requests.size() == 1);
+      ProxyFixture.UpstreamHost other = fixture.new UpstreamHost(h -> ok("other"));
+      ProxyFixture.DiscoveryServer there = fixture.new DiscoveryServer(3, other);
+      fixture.writeConfig(there.address(), there.endpointList());
       signal("HUP");
       signal("TERM");
-      answers.countDown();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
+      responseGate.countDown();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
     }
-    endsWell();
+    assertCleanExit();
   }
 
   /**
@@ -155,16 +155,16 @@
    * and then ends.
    */
   @Test
-  void anAnswerThatItsClientReadsSlowlyIsWholeThoughTheProcessEnds() throws Exception {
-    world.deadline = 2_000; // 2.7 s from SIGTERM to SIGKILL
+  void slowlyReadResponseIsCompleteDespiteSigterm() throws Exception {
+    fixture.deadlineMillis = 2_000; // 2.7 s from SIGTERM to SIGKILL
     int size = 16 << 20;
-    ProxyFixture.Host host = host(ok("x".repeat(size)));
+    ProxyFixture.UpstreamHost host = host(ok("x".repeat(size)));
     start(host);
-    try (Socket s = first()) {
-      write(s, claim("first"));
-      ProxyFixture.await(() -> host.heads.size() == 1);
-      answers.countDown();
-      InputStream in = s.getInputStream();
+    try (Socket socket = connectWhenListening()) {
+      write(socket, atMostOnceRequest("first"));
+      ProxyFixture.await(() -> host.requests.size() == 1);
+      responseGate.countDown();
+      InputStream in = socket.getInputStream();
       int head = in.readNBytes(4).length;
       signal("TERM");
       Thread.sleep(1_500); // past the time in which it accepts; nothing is read meanwhile
@@ -172,6 +172,6 @@
       assertThat(rest.length() - rest.indexOf("\r\n\r\n") - 4).isEqualTo(size);
       assertThat(head).isEqualTo(4);
     }
-    endsWell();
+    assertCleanExit();
   }
 }
