--- a/src/test/java/leadferry/proxy/StartTest.java
+++ b/src/test/java/leadferry/proxy/StartTest.java
@@ -1,6 +1,6 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,31 +18,32 @@
 
 /** A start that finds something missing for a moment. */
 class StartTest {
-  private static final long HELD_MS = 300;
+  private static final long HOLD_MILLIS = 300;
 
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
+    fixture = new ProxyFixture(folder, 128);
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   @Test
-  void anAddressThatIsNotFreeYetIsListenedOnOnceItIs() throws Exception {
+  void listenAddressIsBoundOnceItIsFree() throws Exception {
     ServerSocket holder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    world.listen = holder.getLocalPort();
+    fixture.listenPort = holder.getLocalPort();
     CompletableFuture<Void> released =
         CompletableFuture.runAsync(
-            () -> close(holder), CompletableFuture.delayedExecutor(HELD_MS, TimeUnit.MILLISECONDS));
-    world.start(world.new Host(head -> ok("served")));
+            () -> close(holder),
+            CompletableFuture.delayedExecutor(HOLD_MILLIS, TimeUnit.MILLISECONDS));
+    fixture.start(fixture.new UpstreamHost(head -> ok("served")));
     released.join();
-    assertThat(world.ask(claim("first"))).endsWith("served");
+    assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("served");
   }
 
   private static void close(ServerSocket holder) {
--- a/src/test/java/leadferry/proxy/TerminationRaceTest.java
+++ b/src/test/java/leadferry/proxy/TerminationRaceTest.java
@@ -1,7 +1,7 @@
 package leadferry.proxy;
 
-import static leadferry.proxy.ProxyFixture.claim;
-import static leadferry.proxy.ProxyFixture.log;
+import static leadferry.proxy.ProxyFixture.atMostOnceRequest;
+import static leadferry.proxy.ProxyFixture.keyedRequest;
 import static leadferry.proxy.ProxyFixture.ok;
 import static leadferry.proxy.ProxyFixture.write;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -30,59 +30,60 @@
  */
 class TerminationRaceTest {
   @TempDir Path folder;
-  private ProxyFixture world;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() {
-    world = new ProxyFixture(folder, 128);
-    world.connectTimeout = 2 * ProxyFixture.PATIENCE_MS;
-    world.deadline = 2 * ProxyFixture.PATIENCE_MS;
+    fixture = new ProxyFixture(folder, 128);
+    fixture.connectTimeoutMillis = 2 * ProxyFixture.TIMEOUT_MILLIS;
+    fixture.deadlineMillis = 2 * ProxyFixture.TIMEOUT_MILLIS;
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   // --- while a connection to a host comes up
 
   @ParameterizedTest
   @CsvSource({"true,false", "false,false", "true,true", "false,true"})
-  void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent(boolean cancel, boolean reset)
+  void requestIsNotSentWhenItsClientLeavesDuringTheUpstreamConnect(boolean cancel, boolean reset)
       throws Exception {
-    world.cancel = cancel;
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
+    fixture.allowsCancel = cancel;
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
+    try (Socket leaver = fixture.connectClient()) {
+      write(leaver, atMostOnceRequest("leaver"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
       if (reset) {
         leaver.setSoLinger(true, 0);
       }
     }
-    ProxyFixture.await(() -> world.open() == 0); // long before its time, and its connection's
-    ProxyFixture.await(() -> world.upstreams() == 0);
-    host.comesUp();
-    assertThat(world.ask(claim("next"))).endsWith("late");
-    assertThat(host.heads).hasSize(1).first().asString().contains("next");
+    ProxyFixture.await(
+        () -> fixture.openRequests() == 0); // long before its time, and its connection's
+    ProxyFixture.await(() -> fixture.upstreamConnections() == 0);
+    host.startAccepting();
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
+    assertThat(host.requests).hasSize(1).first().asString().contains("next");
   }
 
   /** Who sends ahead of an answer is read no further as a client, but its going has to be seen. */
   @ParameterizedTest
   @ValueSource(ints = {1, 300, 30_000})
-  void aClientThatSentMoreAheadAndLeftIsSeenToHaveLeft(int requestsAhead) throws Exception {
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      write(leaver, claim("ahead").repeat(requestsAhead));
+  void disconnectIsDetectedBehindPipelinedRequests(int requestsAhead) throws Exception {
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
+    try (Socket leaver = fixture.connectClient()) {
+      write(leaver, atMostOnceRequest("leaver"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      write(leaver, atMostOnceRequest("ahead").repeat(requestsAhead));
     }
-    ProxyFixture.await(() -> world.open() == 0);
-    ProxyFixture.await(() -> world.upstreams() == 0);
-    host.comesUp();
-    assertThat(world.ask(claim("next"))).endsWith("late");
-    assertThat(host.heads).hasSize(1);
+    ProxyFixture.await(() -> fixture.openRequests() == 0);
+    ProxyFixture.await(() -> fixture.upstreamConnections() == 0);
+    host.startAccepting();
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
+    assertThat(host.requests).hasSize(1);
   }
 
   /**
@@ -97,27 +98,31 @@
     "true,false,300",
     "false,false,300"
   })
-  void aClientThatLeftBehindTheConnectIsSeenBeforeTheWrite(
+  void disconnectReadAfterTheConnectIsDetectedBeforeTheWrite(
       boolean cancel, boolean reset, int requestsAhead) throws Exception {
-    world.cancel = cancel;
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
-    AutoCloseable held;
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      held = world.heldLoop();
-      host.comesUp();
-      ProxyFixture.await(() -> host.late() == 1);
-      write(leaver, claim("ahead").repeat(requestsAhead));
+    fixture.allowsCancel = cancel;
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
+    AutoCloseable paused;
+    try (Socket leaver = fixture.connectClient()) {
+      write(leaver, atMostOnceRequest("leaver"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      paused = fixture.pauseLoop();
+      host.startAccepting();
+      ProxyFixture.await(() -> host.proxyConnections() == 1);
+      write(leaver, atMostOnceRequest("ahead").repeat(requestsAhead));
       if (reset) {
         leaver.setSoLinger(true, 0);
       }
     }
-    held.close();
-    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
-    assertThat(world.ask(claim("next"))).endsWith("late");
-    assertThat(host.heads).hasSize(1).first().asString().contains("next");
+    paused.close();
+    ProxyFixture.await(
+        () ->
+            fixture.openRequests() == 0
+                && fixture.upstreamConnections() == 0
+                && fixture.clientConnections() == 0);
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
+    assertThat(host.requests).hasSize(1).first().asString().contains("next");
   }
 
   /**
@@ -126,19 +131,19 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 300})
-  void aClientThatHasLeftBeforeItIsReadIsNotSentOn(int requestsAhead) throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    world.start(host);
-    assertThat(world.ask(claim("first"))).endsWith("done");
+  void requestOfAClientThatLeftBeforeTheReadIsNotSent(int requestsAhead) throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("done");
     Thread.sleep(20); // its connection has rested, and carries the next one at once
-    AutoCloseable held = world.heldLoop();
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver") + claim("ahead").repeat(requestsAhead));
+    AutoCloseable paused = fixture.pauseLoop();
+    try (Socket leaver = fixture.connectClient()) {
+      write(leaver, atMostOnceRequest("leaver") + atMostOnceRequest("ahead").repeat(requestsAhead));
     }
-    held.close();
-    assertThat(world.ask(claim("next"))).endsWith("done");
-    ProxyFixture.await(() -> world.open() == 0 && world.clients() == 0);
-    assertThat(host.heads).hasSize(2).last().asString().contains("next");
+    paused.close();
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("done");
+    ProxyFixture.await(() -> fixture.openRequests() == 0 && fixture.clientConnections() == 0);
+    assertThat(host.requests).hasSize(2).last().asString().contains("next");
   }
 
   /**
@@ -147,57 +152,56 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void ofAThousandLeaversNoneIsSentOn(boolean cancel) throws Exception {
-    world.close();
-    world = new ProxyFixture(folder, 512);
-    world.connectTimeout = 2 * ProxyFixture.PATIENCE_MS;
-    world.deadline = 2 * ProxyFixture.PATIENCE_MS;
-    world.cancel = cancel;
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
+  void noRequestOfManyLeavingClientsIsSent(boolean cancel) throws Exception {
+    fixture.close();
+    fixture = new ProxyFixture(folder, 512);
+    fixture.connectTimeoutMillis = 2 * ProxyFixture.TIMEOUT_MILLIS;
+    fixture.deadlineMillis = 2 * ProxyFixture.TIMEOUT_MILLIS;
+    fixture.allowsCancel = cancel;
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
     int cases = 0;
     int late = 0;
     while (cases < 500) {
       List<Socket> leavers = new ArrayList<>();
       for (int i = 0; i < 50; i++) {
-        Socket s = world.client();
-        leavers.add(s);
-        write(s, claim("leaver" + cases + "-" + i));
+        Socket socket = fixture.connectClient();
+        leavers.add(socket);
+        write(socket, atMostOnceRequest("leaver" + cases + "-" + i));
       }
-      ProxyFixture.await(() -> world.upstreams() == leavers.size());
+      ProxyFixture.await(() -> fixture.upstreamConnections() == leavers.size());
       cases += leavers.size();
       for (int i = 0; i < leavers.size(); i++) {
-        Socket s = leavers.get(i);
+        Socket socket = leavers.get(i);
         switch (i % 3) {
-          case 0 -> s.setSoLinger(true, 0);
-          case 1 -> write(s, claim("ahead"));
+          case 0 -> socket.setSoLinger(true, 0);
+          case 1 -> write(socket, atMostOnceRequest("ahead"));
           default -> {}
         }
-        s.close();
+        socket.close();
       }
       long left = System.nanoTime();
-      ProxyFixture.await(() -> world.open() == 0);
+      ProxyFixture.await(() -> fixture.openRequests() == 0);
       late += System.nanoTime() - left > 300_000_000L ? leavers.size() : 0;
     }
-    host.comesUp();
-    assertThat(world.ask(claim("next"))).endsWith("late");
-    long sent = host.heads.stream().filter(h -> h.contains("leaver")).count();
+    host.startAccepting();
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
+    long sent = host.requests.stream().filter(h -> h.contains("leaver")).count();
     System.out.println(
         "leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
     assertThat(sent).isZero();
-    assertThat(world.upstreams()).isEqualTo(1); // that of the one that has stayed
-    ProxyFixture.await(() -> world.clients() == 0);
+    assertThat(fixture.upstreamConnections()).isEqualTo(1); // that of the one that has stayed
+    ProxyFixture.await(() -> fixture.clientConnections() == 0);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aCopyThatWaitsForItsConnectionIsNotSentOnceTheOtherHasAnswered(boolean cancel)
-      throws Exception {
-    world.cancel = cancel;
+  void waitingParallelAttemptIsNotSentAfterTheOtherResponse(boolean cancel) throws Exception {
+    fixture.allowsCancel = cancel;
     CountDownLatch both = new CountDownLatch(1);
-    ProxyFixture.Host quick =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost quick =
+        fixture
+        .new UpstreamHost(
             h -> {
               try {
                 both.await();
@@ -206,18 +210,18 @@
               }
               return ok("quick");
             });
-    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
-    world.start(quick, late);
-    try (Socket s = world.client()) {
-      write(s, log("copied"));
-      ProxyFixture.await(() -> world.upstreams() == 2);
+    ProxyFixture.DelayedAcceptHost late = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(quick, late);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, keyedRequest("copied"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 2);
       both.countDown();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("quick");
-      ProxyFixture.await(() -> world.open() == 0);
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      late.comesUp();
-      ProxyFixture.await(() -> late.open.size() > 0);
-      assertThat(late.heads).isEmpty();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("quick");
+      ProxyFixture.await(() -> fixture.openRequests() == 0);
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      late.startAccepting();
+      ProxyFixture.await(() -> late.acceptedSockets.size() > 0);
+      assertThat(late.requests).isEmpty();
     }
   }
 
@@ -227,19 +231,23 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLongBodyWhoseClientLeftWhileItWaitedIsNotSentOnWhole(boolean cancel) throws Exception {
-    world.cancel = cancel;
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
+  void largeBodyOfALeavingClientIsNotSentCompletely(boolean cancel) throws Exception {
+    fixture.allowsCancel = cancel;
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
     int size = (1 << 20) + 100_000;
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver", "Content-Length: " + size) + "x".repeat(size));
-      ProxyFixture.await(() -> world.upstreams() == 1);
+    try (Socket leaver = fixture.connectClient()) {
+      write(leaver, atMostOnceRequest("leaver", "Content-Length: " + size) + "x".repeat(size));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
     }
-    host.comesUp();
-    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
-    assertThat(world.ask(claim("next"))).endsWith("late");
-    assertThat(whole(host, size)).isZero();
+    host.startAccepting();
+    ProxyFixture.await(
+        () ->
+            fixture.openRequests() == 0
+                && fixture.upstreamConnections() == 0
+                && fixture.clientConnections() == 0);
+    assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
+    assertThat(completeRequests(host, size)).isZero();
   }
 
   /**
@@ -247,30 +255,35 @@
    * is left.
    */
   @Test
-  void aLongBodyThatWaitsTellsItsHostNoMoreTimeThanItsClientHas() throws Exception {
-    world.generations = HotRestart.join(folder.toString());
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
+  void timeoutSentForAWaitingLargeBodyIsTheTimeLeft() throws Exception {
+    fixture.hotRestart = HotRestart.join(folder.toString());
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
     int most = 1 << 20; // past this it is not held
     try (HotRestart beside = HotRestart.join(folder.toString());
-        Socket s = world.client()) {
-      write(s, claim("long", "Content-Length: " + (most + 2_000)) + "x".repeat(most - 1_000));
-      ProxyFixture.await(() -> beside.others().bodies() == most - 1_000);
-      write(s, "x".repeat(3_000)); // in one read, with the last byte
-      ProxyFixture.await(() -> world.open() == 1);
+        Socket socket = fixture.connectClient()) {
+      write(
+          socket,
+          atMostOnceRequest("long", "Content-Length: " + (most + 2_000))
+              + "x".repeat(most - 1_000));
+      ProxyFixture.await(() -> beside.readOtherProcesses().bodyBytes() == most - 1_000);
+      write(socket, "x".repeat(3_000)); // in one read, with the last byte
+      ProxyFixture.await(() -> fixture.openRequests() == 1);
       long whole = System.nanoTime();
       ProxyFixture.await(() -> System.nanoTime() - whole > 200_000_000L);
       long waited = (System.nanoTime() - whole) / 1_000_000;
-      host.comesUp();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("late");
-      assertThat(Long.parseLong(ProxyFixture.header(host.heads.get(0), "X-Timeout-Ms")))
-          .isBetween(1L, world.deadline - waited);
+      host.startAccepting();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("late");
+      assertThat(Long.parseLong(ProxyFixture.headerValue(host.requests.get(0), "X-Timeout-Ms")))
+          .isBetween(1L, fixture.deadlineMillis - waited);
     }
   }
 
   /** Requests of which the host has got a body so long, to its last byte. */
-  private static long whole(ProxyFixture.Host host, int size) {
-    return host.heads.stream().filter(h -> h.length() - h.indexOf("\r\n\r\n") - 4 == size).count();
+  private static long completeRequests(ProxyFixture.UpstreamHost host, int size) {
+    return host.requests.stream()
+        .filter(h -> h.length() - h.indexOf("\r\n\r\n") - 4 == size)
+        .count();
   }
 
   /**
@@ -279,58 +292,63 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLongBodyThatBreaksOffLeavesNothingOut(boolean cancel) throws Exception {
-    world.cancel = cancel;
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    world.start(host);
-    try (Socket leaver = world.client()) {
-      write(leaver, claim("leaver", "Content-Length: " + (3 << 20)) + "x".repeat(2 << 20));
-      ProxyFixture.await(() -> host.connections() == 1);
+  void abortedLargeBodyReleasesItsConnections(boolean cancel) throws Exception {
+    fixture.allowsCancel = cancel;
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    fixture.start(host);
+    try (Socket leaver = fixture.connectClient()) {
+      write(
+          leaver,
+          atMostOnceRequest("leaver", "Content-Length: " + (3 << 20)) + "x".repeat(2 << 20));
+      ProxyFixture.await(() -> host.acceptedConnections() == 1);
     }
-    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0 && world.clients() == 0);
-    assertThat(whole(host, 3 << 20)).isZero();
+    ProxyFixture.await(
+        () ->
+            fixture.openRequests() == 0
+                && fixture.upstreamConnections() == 0
+                && fixture.clientConnections() == 0);
+    assertThat(completeRequests(host, 3 << 20)).isZero();
   }
 
   /** Either may be the first: what counts is when the other's first byte went out. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aKeyedRequestIsNotSentAgainOnAConnectionThatComesUpPastItsWindow(boolean cancel)
-      throws Exception {
-    world.cancel = cancel;
-    world.aim = 100;
-    world.window = 1_000;
-    ProxyFixture.Host hangs = world.new Host(h -> null);
-    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
-    world.start(hangs, late);
-    try (Socket s = world.client()) {
-      write(s, log("keyed"));
-      ProxyFixture.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
-      long until = System.nanoTime() + world.window * 1_000_000L;
+  void keyedRequestIsNotRepeatedAfterItsRepeatWindow(boolean cancel) throws Exception {
+    fixture.allowsCancel = cancel;
+    fixture.aimMillis = 100;
+    fixture.repeatWindowMillis = 1_000;
+    ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
+    ProxyFixture.DelayedAcceptHost late = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(hangs, late);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, keyedRequest("keyed"));
+      ProxyFixture.await(() -> hangs.requests.size() == 1 && fixture.upstreamConnections() == 2);
+      long until = System.nanoTime() + fixture.repeatWindowMillis * 1_000_000L;
       ProxyFixture.await(() -> System.nanoTime() > until);
-      late.comesUp();
-      ProxyFixture.await(() -> late.late() == 1);
-      ProxyFixture.await(() -> world.upstreams() == 1 || !late.heads.isEmpty());
-      assertThat(late.heads).isEmpty();
-      assertThat(world.open()).isEqualTo(1); // the one that hangs may answer still
+      late.startAccepting();
+      ProxyFixture.await(() -> late.proxyConnections() == 1);
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1 || !late.requests.isEmpty());
+      assertThat(late.requests).isEmpty();
+      assertThat(fixture.openRequests()).isEqualTo(1); // the one that hangs may answer still
     }
   }
 
   /** A discovery that tells its list, and what else it is given to tell. */
-  private final class Teller extends ProxyFixture.Server {
+  private final class ScriptedDiscovery extends ProxyFixture.Server {
     private final String list;
-    private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
 
-    Teller(String list) throws IOException {
-      world.super();
+    ScriptedDiscovery(String list) throws IOException {
+      fixture.super();
       this.list = list;
     }
 
     @Override
     void serve(Socket s) throws IOException, InterruptedException {
-      ProxyFixture.read(s.getInputStream());
+      ProxyFixture.readMessage(s.getInputStream());
       write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
       while (true) {
-        String line = news.poll(500, TimeUnit.MILLISECONDS);
+        String line = updates.poll(500, TimeUnit.MILLISECONDS);
         write(s, chunk(line == null ? "" : line));
       }
     }
@@ -340,9 +358,9 @@
     }
   }
 
-  private static String news(
-      boolean full, int version, String address, String state, long started) {
-    return list(full, version, entry("h", address, 1, state, started));
+  private static String singleEntryList(
+      boolean full, int version, String address, String state, long startedMillis) {
+    return list(full, version, entry("h", address, 1, state, startedMillis));
   }
 
   private static String list(boolean full, int version, String... entries) {
@@ -355,7 +373,8 @@
         + "]}";
   }
 
-  private static String entry(String id, String address, int cell, String state, long started) {
+  private static String entry(
+      String id, String address, int cell, String state, long startedMillis) {
     return "{\"id\":\""
         + id
         + "\",\"addr\":\""
@@ -365,7 +384,7 @@
         + ",\"state\":\""
         + state
         + "\",\"weight\":1.0,\"started_ms\":"
-        + started
+        + startedMillis
         + "}";
   }
 
@@ -379,96 +398,101 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"draining", "removed", "left out", "moved", "started anew"})
-  void aRequestThatWaitsForAHostIsNotSentToWhatTheHostHasBecome(String change) throws Exception {
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    ProxyFixture.Host other = world.new Host(h -> ok("other"));
-    Teller discovery = new Teller(news(true, 41, host.address(), "up", 0));
-    world.run(
-        world.configure(discovery.address(), news(true, 40, host.address(), "up", 0)),
-        ProxyFixture.quietLog());
-    try (Socket s = world.client()) {
-      write(s, claim("waits"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      discovery.news.add(
+  void waitingRequestIsNotSentToAChangedHost(String change) throws Exception {
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    ProxyFixture.UpstreamHost other = fixture.new UpstreamHost(h -> ok("other"));
+    ScriptedDiscovery discovery =
+        new ScriptedDiscovery(singleEntryList(true, 41, host.address(), "up", 0));
+    fixture.startProxy(
+        fixture.writeConfig(
+            discovery.address(), singleEntryList(true, 40, host.address(), "up", 0)),
+        ProxyFixture.discardingLog());
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("waits"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      discovery.updates.add(
           switch (change) {
             case "left out" -> list(true, 42);
-            case "moved" -> news(false, 42, other.address(), "up", 0);
+            case "moved" -> singleEntryList(false, 42, other.address(), "up", 0);
             case "started anew" ->
-                news(false, 42, host.address(), "up", System.currentTimeMillis());
-            default -> news(false, 42, host.address(), change, 0);
+                singleEntryList(false, 42, host.address(), "up", System.currentTimeMillis());
+            default -> singleEntryList(false, 42, host.address(), change, 0);
           });
       if (change.equals("started anew")) {
-        discovery.news.add(list(false, 43, entry("behind", other.address(), 1)));
+        discovery.updates.add(list(false, 43, entry("behind", other.address(), 1)));
         ProxyFixture.await(
             () ->
-                world.onLoop(
+                fixture.callOnLoop(
                     () ->
-                        world.proxy.sends("behind"))); // and so the change before it has been taken
-        host.comesUp(); // for a connection of its own: the one before was withdrawn
-        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("late");
-        assertThat(host.heads).hasSize(1);
-        ProxyFixture.await(() -> host.late() == 1);
+                        fixture.proxy.canSendTo(
+                            "behind"))); // and so the change before it has been taken
+        host.startAccepting(); // for a connection of its own: the one before was withdrawn
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("late");
+        assertThat(host.requests).hasSize(1);
+        ProxyFixture.await(() -> host.proxyConnections() == 1);
       } else {
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .contains(" 503 "); // refused: it never ran
-        assertThat(host.heads).isEmpty();
-        ProxyFixture.await(() -> world.upstreams() == 0);
-        host.comesUp();
-        assertThat(host.heads).isEmpty();
+        assertThat(host.requests).isEmpty();
+        ProxyFixture.await(() -> fixture.upstreamConnections() == 0);
+        host.startAccepting();
+        assertThat(host.requests).isEmpty();
       }
     }
   }
 
   /** Its reading waits for memory, so its end stands unread behind the rest of its body. */
   @Test
-  void aClientThatLeavesWhileItsBodyWaitsForMemoryIsNotSentOn() throws Exception {
-    world.close();
-    world = new ProxyFixture(folder, 512);
-    world.memory = 96; // 8 MB of bodies
-    world.deadline = 1_500;
+  void bodyWaitingForMemoryIsNotSentAfterItsClientLeft() throws Exception {
+    fixture.close();
+    fixture = new ProxyFixture(folder, 512);
+    fixture.memoryMegabytes = 96; // 8 MB of bodies
+    fixture.deadlineMillis = 1_500;
     int size = 65_536;
-    ProxyFixture.Host hangs = world.new Host(h -> null);
-    world.start(hangs);
+    ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
+    fixture.start(hangs);
     List<Socket> holders = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
-      Socket s = world.client();
-      holders.add(s);
-      write(s, claim("holder" + i, "Content-Length: " + size) + "x".repeat(size));
+      Socket socket = fixture.connectClient();
+      holders.add(socket);
+      write(socket, atMostOnceRequest("holder" + i, "Content-Length: " + size) + "x".repeat(size));
     }
     ProxyFixture.await(
-        () -> hangs.heads.size() == holders.size()); // 4.6 MB, until their time is over
+        () -> hangs.requests.size() == holders.size()); // 4.6 MB, until their time is over
     List<Socket> leavers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
-      Socket s = world.client();
-      leavers.add(s);
-      write(s, claim("leaver" + i, "Content-Length: " + size) + "x".repeat(size - 100));
+      Socket socket = fixture.connectClient();
+      leavers.add(socket);
+      write(
+          socket,
+          atMostOnceRequest("leaver" + i, "Content-Length: " + size) + "x".repeat(size - 100));
     }
-    ProxyFixture.await(() -> world.clients() == holders.size() + leavers.size());
-    for (Socket s : leavers) {
+    ProxyFixture.await(() -> fixture.clientConnections() == holders.size() + leavers.size());
+    for (Socket socket : leavers) {
       write(
-          s,
+          socket,
           "x".repeat(100)); // those that had room have been taken, the others stand in the kernel
     }
     int taken = 0;
     for (long since = System.nanoTime();
         System.nanoTime() - since < 300_000_000L;
         Thread.sleep(1)) {
-      since = taken == hangs.heads.size() ? since : System.nanoTime();
-      taken = hangs.heads.size(); // until no more come
+      since = taken == hangs.requests.size() ? since : System.nanoTime();
+      taken = hangs.requests.size(); // until no more come
     }
     // Those that wait leave first: whoever was taken gives back its memory as it leaves, and one
     // that waits still would be taken.
     for (int i = leavers.size() - 1; i >= 0; i--) {
       leavers.get(i).close();
     }
-    for (Socket s : holders) {
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 504 ");
-      s.close();
+    for (Socket socket : holders) {
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 504 ");
+      socket.close();
     }
-    ProxyFixture.await(() -> world.clients() == 0 && world.open() == 0);
+    ProxyFixture.await(() -> fixture.clientConnections() == 0 && fixture.openRequests() == 0);
     System.out.println("waited for memory and left: " + (holders.size() + leavers.size() - taken));
     assertThat(taken).isLessThan(holders.size() + leavers.size());
-    assertThat(hangs.heads).hasSize(taken);
+    assertThat(hangs.requests).hasSize(taken);
   }
 
   /**
@@ -476,22 +500,23 @@
    * first one has run.
    */
   @Test
-  void aCopyThatWaitsIsNotSentToAHostThatHasComeToAnotherCell() throws Exception {
-    world.aim = 100;
-    ProxyFixture.Host hangs = world.new Host(h -> null);
-    ProxyFixture.LateHost late = world.new LateHost(h -> ok("late"));
+  void waitingParallelAttemptIsNotSentToAnotherCell() throws Exception {
+    fixture.aimMillis = 100;
+    ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
+    ProxyFixture.DelayedAcceptHost late = fixture.new DelayedAcceptHost(h -> ok("late"));
     String list =
         list(true, 41, entry("hangs", hangs.address(), 1), entry("late", late.address(), 1));
-    Teller discovery = new Teller(list);
-    world.run(world.configure(discovery.address(), list), ProxyFixture.quietLog());
-    try (Socket s = world.client()) {
-      write(s, log("keyed"));
-      ProxyFixture.await(() -> hangs.heads.size() == 1 && world.upstreams() == 2);
-      discovery.news.add(list(false, 42, entry("late", late.address(), 2)));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      late.comesUp();
-      assertThat(late.heads).isEmpty();
-      assertThat(world.open()).isEqualTo(1); // the one that hangs may answer still
+    ScriptedDiscovery discovery = new ScriptedDiscovery(list);
+    fixture.startProxy(
+        fixture.writeConfig(discovery.address(), list), ProxyFixture.discardingLog());
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, keyedRequest("keyed"));
+      ProxyFixture.await(() -> hangs.requests.size() == 1 && fixture.upstreamConnections() == 2);
+      discovery.updates.add(list(false, 42, entry("late", late.address(), 2)));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      late.startAccepting();
+      assertThat(late.requests).isEmpty();
+      assertThat(fixture.openRequests()).isEqualTo(1); // the one that hangs may answer still
     }
   }
 
@@ -499,23 +524,25 @@
    * It goes on to the new one, and is not withdrawn from there because that has changed as well.
    */
   @Test
-  void aRequestThatWaitsForAHostThatGoesIsServedByOneThatComesInTheSameList() throws Exception {
-    ProxyFixture.LateHost goes = world.new LateHost(h -> ok("goes"));
-    ProxyFixture.Host comes = world.new Host(h -> ok("comes"));
-    Teller discovery = new Teller(news(true, 41, goes.address(), "up", 0));
-    world.run(
-        world.configure(discovery.address(), news(true, 40, goes.address(), "up", 0)),
-        ProxyFixture.quietLog());
-    try (Socket s = world.client()) {
-      write(s, claim("waits"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      discovery.news.add(
+  void waitingRequestMovesToAHostAddedInTheSameList() throws Exception {
+    ProxyFixture.DelayedAcceptHost goes = fixture.new DelayedAcceptHost(h -> ok("goes"));
+    ProxyFixture.UpstreamHost comes = fixture.new UpstreamHost(h -> ok("comes"));
+    ScriptedDiscovery discovery =
+        new ScriptedDiscovery(singleEntryList(true, 41, goes.address(), "up", 0));
+    fixture.startProxy(
+        fixture.writeConfig(
+            discovery.address(), singleEntryList(true, 40, goes.address(), "up", 0)),
+        ProxyFixture.discardingLog());
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("waits"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      discovery.updates.add(
           list(
               false,
               42,
               entry("h", goes.address(), 1, "removed", 0),
               entry("new", comes.address(), 1)));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("comes");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("comes");
     }
   }
 
@@ -526,19 +553,19 @@
    * behind it.
    */
   @Test
-  void anEndOfAPooledConnectionThatNobodyHasReadIsSeenBeforeTheWrite() throws Exception {
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    world.start(host);
-    assertThat(world.ask(claim("warm"))).endsWith("done");
-    try (Socket s = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
+  void unreadCloseOfAPooledConnectionIsDetectedBeforeTheWrite() throws Exception {
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("warm"))).endsWith("done");
+    try (Socket socket = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
       Thread.sleep(10); // its rest is over
-      AutoCloseable held = world.heldLoop();
-      write(s, claim("crosses"));
-      host.open.get(0).shutdownOutput();
-      held.close();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
-      assertThat(host.connections()).isEqualTo(2);
+      AutoCloseable paused = fixture.pauseLoop();
+      write(socket, atMostOnceRequest("crosses"));
+      host.acceptedSockets.get(0).shutdownOutput();
+      paused.close();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
+      assertThat(host.acceptedConnections()).isEqualTo(2);
     }
   }
 
@@ -547,14 +574,14 @@
    * for another's answer.
    */
   @Test
-  void aSecondAnswerThatCameLateOnceIsNotTakenForTheNextOnes() throws Exception {
-    ProxyFixture.Host host =
-        world.new Host(h -> null) {
+  void lateDuplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> null) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
             String head;
-            while ((head = ProxyFixture.read(s.getInputStream())) != null) {
-              String id = ProxyFixture.header(head, "X-Request-ID");
+            while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
+              String id = ProxyFixture.headerValue(head, "X-Request-ID");
               Thread.sleep(id.equals("third") ? 100 : 0); // what is late comes before it
               write(s, ok(id));
               Thread.sleep(25);
@@ -562,17 +589,18 @@
             }
           }
         };
-    world.start(host);
-    assertThat(world.ask(claim("first"))).endsWith("first");
-    ProxyFixture.await(() -> world.upstreams() == 0); // it came where nothing was carried
-    try (Socket s = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
-      write(s, claim("second"));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("second");
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("first");
+    ProxyFixture.await(
+        () -> fixture.upstreamConnections() == 0); // it came where nothing was carried
+    try (Socket socket = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
+      write(socket, atMostOnceRequest("second"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("second");
       Thread.sleep(
           10); // longer than a connection rests at first, and not yet as late as what is late
-      write(s, claim("third"));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("third");
+      write(socket, atMostOnceRequest("third"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("third");
     }
   }
 
@@ -582,20 +610,20 @@
    */
   @ParameterizedTest
   @CsvSource({"reset", "unframed", "interim"})
-  void aFaultOnAConnectionInUseMakesNoneRestLonger(String fault) throws Exception {
-    world.aim = ProxyFixture.PATIENCE_MS; // two aims of idle time
-    ProxyFixture.Host host =
-        world.new Host(h -> null) {
+  void faultOnABusyConnectionDoesNotExtendTheReuseDelay(String fault) throws Exception {
+    fixture.aimMillis = ProxyFixture.TIMEOUT_MILLIS; // two aims of idle time
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> null) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
             String head;
-            while ((head = ProxyFixture.read(s.getInputStream())) != null) {
-              String id = ProxyFixture.header(head, "X-Request-ID");
+            while ((head = ProxyFixture.readMessage(s.getInputStream())) != null) {
+              String id = ProxyFixture.headerValue(head, "X-Request-ID");
               switch (id) {
                 case "reset" -> {
                   write(s, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it");
                   ProxyFixture.await(
-                      () -> world.onLoop(() -> true)); // a turn of the loop has passed
+                      () -> fixture.callOnLoop(() -> true)); // a turn of the loop has passed
                   s.setSoLinger(true, 0);
                   s.close();
                   return;
@@ -607,35 +635,35 @@
             }
           }
         };
-    world.start(host);
-    try (Socket s = world.client()) {
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
       for (String id : List.of("first", fault)) {
-        write(s, claim(id));
-        assertThat(ProxyFixture.read(s.getInputStream()))
+        write(socket, atMostOnceRequest(id));
+        assertThat(ProxyFixture.readMessage(socket.getInputStream()))
             .startsWith(id.equals(fault) ? "HTTP/1.1 502" : "HTTP/1.1 200");
         Thread.sleep(
             20); // the next one is on the same connection, which has stood idle for as long
       }
-      assertThat(host.connections()).isEqualTo(1);
+      assertThat(host.acceptedConnections()).isEqualTo(1);
       for (int i = 0; i < 10; i++) {
-        write(s, claim("after" + i));
-        assertThat(ProxyFixture.read(s.getInputStream())).endsWith("after" + i);
+        write(socket, atMostOnceRequest("after" + i));
+        assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("after" + i);
         Thread.sleep(
             20); // longer than a connection rests, and shorter than it would after a late answer
       }
     }
-    assertThat(host.connections()).isEqualTo(2);
+    assertThat(host.acceptedConnections()).isEqualTo(2);
   }
 
   /** Whichever is taken first, there is one answer, and the next request has its own. */
   @Test
-  void anAnswerAndItsDeadlineInOneTurnMakeOneAnswer() throws Exception {
-    world.deadline = 400;
+  void responseAndDeadlineInOneLoopTurnGiveOneResponse() throws Exception {
+    fixture.deadlineMillis = 400;
     CountDownLatch answers = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(1);
-    ProxyFixture.Host host =
-        world
-        .new Host(
+    ProxyFixture.UpstreamHost host =
+        fixture
+        .new UpstreamHost(
             h -> {
               if (h.contains("both")) {
                 try {
@@ -652,19 +680,20 @@
             answered.countDown();
           }
         };
-    world.start(host);
-    try (Socket s = world.client()) {
-      write(s, claim("both"));
-      ProxyFixture.await(() -> host.heads.size() == 1);
-      AutoCloseable held = world.heldLoop();
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("both"));
+      ProxyFixture.await(() -> host.requests.size() == 1);
+      AutoCloseable paused = fixture.pauseLoop();
       answers.countDown();
       long until = System.nanoTime() + 500_000_000L;
       ProxyFixture.await(() -> System.nanoTime() > until);
-      held.close();
-      assertThat(ProxyFixture.read(s.getInputStream())).matches("(?s)HTTP/1.1 (200 .*both|504 .*)");
-      write(s, claim("next"));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("next");
-      ProxyFixture.await(() -> world.open() == 0);
+      paused.close();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream()))
+          .matches("(?s)HTTP/1.1 (200 .*both|504 .*)");
+      write(socket, atMostOnceRequest("next"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("next");
+      ProxyFixture.await(() -> fixture.openRequests() == 0);
     }
   }
 
@@ -673,47 +702,47 @@
    * client is owed an end.
    */
   @Test
-  void anAnswerOfNoLengthThatNeverEndsIsSeenToBeCutOnceItsTimeIsOver() throws Exception {
-    world.deadline = 600;
+  void endlessChunkedResponseIsTruncatedAtItsDeadline() throws Exception {
+    fixture.deadlineMillis = 600;
     String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmore\r\n";
-    ProxyFixture.Host host =
-        world.new Host(h -> head) {
+    ProxyFixture.UpstreamHost host =
+        fixture.new UpstreamHost(h -> head) {
           @Override
           void serve(Socket s) throws IOException, InterruptedException {
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
             write(s, head);
             Thread.sleep(150); // past which an answer that still comes is passed on
             write(s, "4\r\nmore\r\n");
-            ProxyFixture.read(s.getInputStream());
+            ProxyFixture.readMessage(s.getInputStream());
           }
         };
-    world.start(host);
-    try (Socket s = world.client()) {
-      write(s, claim("endless"));
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 200 ");
-      assertThat(ProxyFixture.ends(s)).isTrue();
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("endless"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 200 ");
+      assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
     }
-    ProxyFixture.await(() -> world.open() == 0 && world.upstreams() == 0);
+    ProxyFixture.await(() -> fixture.openRequests() == 0 && fixture.upstreamConnections() == 0);
   }
 
   // --- a restart with requests in flight
 
   @Test
-  void aBodyThatIsHalfThereWhenTheEndBeginsIsTakenAndAnswered() throws Exception {
-    world.start(world.new Host(h -> ok("done")));
+  void halfReceivedBodyIsServedDuringADrain() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
     CompletableFuture<Void> ended;
-    try (Socket s = world.client()) {
-      write(s, claim("slow", "Content-Length: 4") + "ab");
-      ProxyFixture.await(() -> world.clients() == 1);
-      ended = world.drain();
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("slow", "Content-Length: 4") + "ab");
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
+      ended = fixture.drain();
       long until =
           System.nanoTime()
               + 1_000_000_000L; // past the time at which nobody may stay who carries nothing
       ProxyFixture.await(() -> System.nanoTime() > until);
-      write(s, "cd");
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
+      write(socket, "cd");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
     }
-    ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -721,30 +750,30 @@
    * take.
    */
   @Test
-  void aRequestWhoseClassMayTakeLongerThanSigkillLeavesIsAnsweredBeforeTheEnd() throws Exception {
-    ProxyFixture.Host hangs = world.new Host(h -> null);
-    world.start(hangs);
-    try (Socket s = world.client()) {
-      write(s, claim("long"));
-      ProxyFixture.await(() -> hangs.heads.size() == 1);
-      CompletableFuture<Void> ended = world.drain();
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 502 ");
-      ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+  void requestWithADeadlineBeyondSigkillGetsAResponse() throws Exception {
+    ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
+    fixture.start(hangs);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("long"));
+      ProxyFixture.await(() -> hangs.requests.size() == 1);
+      CompletableFuture<Void> ended = fixture.drain();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 502 ");
+      ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** One that is open may be written to at any instant, so none is at the end. */
   @Test
-  void theEndComesWithNoConnectionOpenThatCouldBeWrittenTo() throws Exception {
-    world.start(world.new Host(h -> ok("done")));
-    try (Socket before = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
-      CompletableFuture<Void> ended = world.drain();
-      try (Socket after = world.client()) {
-        ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
-        assertThat(world.clients()).isZero();
-        assertThat(ProxyFixture.ends(before)).isTrue();
-        assertThat(ProxyFixture.ends(after)).isTrue();
+  void drainEndsWithNoOpenConnection() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
+    try (Socket before = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
+      CompletableFuture<Void> ended = fixture.drain();
+      try (Socket after = fixture.connectClient()) {
+        ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        assertThat(fixture.clientConnections()).isZero();
+        assertThat(ProxyFixture.isClosedByPeer(before)).isTrue();
+        assertThat(ProxyFixture.isClosedByPeer(after)).isTrue();
       }
     }
   }
@@ -754,59 +783,59 @@
    * new connection.
    */
   @Test
-  void aClientWhoseConnectionIsEndedLastMayComeOnceMore() throws Exception {
+  void clientOfTheLastClosedConnectionMayReconnect() throws Exception {
     String answer = null;
     long stood;
     do {
-      world.close();
-      world = new ProxyFixture(folder, 128);
-      world.start(world.new Host(h -> ok("done")));
-      CompletableFuture<Void> ended = world.drain();
-      try (Socket rests = world.client();
-          Stalls stalls = new Stalls()) {
-        assertThat(ProxyFixture.ends(rests)).isTrue();
+      fixture.close();
+      fixture = new ProxyFixture(folder, 128);
+      fixture.start(fixture.new UpstreamHost(h -> ok("done")));
+      CompletableFuture<Void> ended = fixture.drain();
+      try (Socket rests = fixture.connectClient();
+          PauseDetector stalls = new PauseDetector()) {
+        assertThat(ProxyFixture.isClosedByPeer(rests)).isTrue();
         try {
-          answer = world.ask(claim("once more"));
+          answer = fixture.sendRequest(atMostOnceRequest("once more"));
         } catch (java.net.ConnectException e) {
           answer = "refused";
         }
-        stood = stalls.longestMs();
+        stood = stalls.longestMillis();
       }
-      ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
-      assertThat(world.clients()).isZero();
+      ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      assertThat(fixture.clientConnections()).isZero();
     } while (answer.equals("refused")
         && stood > 20); // this process stood still, and the client was late by as much
     assertThat(answer).endsWith("done");
   }
 
   /** How long this process has stood still. */
-  private static final class Stalls implements AutoCloseable {
-    private final Thread ticks = new Thread(this::run, "stalls");
-    private volatile long longest;
-    private volatile boolean over;
+  private static final class PauseDetector implements AutoCloseable {
+    private final Thread thread = new Thread(this::run, "stalls");
+    private volatile long longestNanos;
+    private volatile boolean closed;
 
-    Stalls() {
-      ticks.setDaemon(true);
-      ticks.start();
+    PauseDetector() {
+      thread.setDaemon(true);
+      thread.start();
     }
 
     private void run() {
       long last = System.nanoTime();
-      while (!over) {
+      while (!closed) {
         java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
         long now = System.nanoTime();
-        longest = Math.max(longest, now - last);
+        longestNanos = Math.max(longestNanos, now - last);
         last = now;
       }
     }
 
-    long longestMs() {
-      return longest / 1_000_000;
+    long longestMillis() {
+      return longestNanos / 1_000_000;
     }
 
     @Override
     public void close() {
-      over = true;
+      closed = true;
     }
   }
 
@@ -815,25 +844,25 @@
    * kernel, or one without a core.
    */
   @Test
-  void whatStandsInTheBacklogWhenTheEndIsDueIsServed() throws Exception {
-    world.start(world.new Host(h -> ok("done")));
-    assertThat(world.ask(claim("warm"))).endsWith("done");
-    CompletableFuture<Void> ended = world.drain();
-    AutoCloseable held = world.heldLoop();
+  void backlogIsServedWhenTheDrainEnds() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
+    assertThat(fixture.sendRequest(atMostOnceRequest("warm"))).endsWith("done");
+    CompletableFuture<Void> ended = fixture.drain();
+    AutoCloseable paused = fixture.pauseLoop();
     long until = System.nanoTime() + 1_000_000_000L; // past the time in which it accepts
     List<Socket> waiting = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      Socket s = world.client();
-      waiting.add(s);
-      write(s, claim("waits" + i));
+      Socket socket = fixture.connectClient();
+      waiting.add(socket);
+      write(socket, atMostOnceRequest("waits" + i));
     }
     ProxyFixture.await(() -> System.nanoTime() > until);
-    held.close();
-    for (Socket s : waiting) {
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
-      s.close();
+    paused.close();
+    for (Socket socket : waiting) {
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
+      socket.close();
     }
-    ended.get(ProxyFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   // --- a new configuration
@@ -843,66 +872,67 @@
    * run.
    */
   @Test
-  void theIdleTimeOfANewConfigurationHolds() throws Exception {
-    world.aim = 2_000; // two aims of idle time
-    ProxyFixture.DroppingHost host = world.new DroppingHost(400);
-    ProxyFixture.Discovery d = world.start(host);
-    assertThat(world.ask(claim("first"))).endsWith("served");
-    world.connIdle = 300;
-    world.configure(d.address(), d.list());
-    world.reload();
-    ProxyFixture.await(() -> world.upstreams() == 0); // long before four seconds are over
-    assertThat(world.ask(claim("second"))).endsWith("served");
-    assertThat(host.open).hasSize(2);
+  void reloadAppliesTheNewIdleTimeout() throws Exception {
+    fixture.aimMillis = 2_000; // two aims of idle time
+    ProxyFixture.IdleResettingHost host = fixture.new IdleResettingHost(400);
+    ProxyFixture.DiscoveryServer discovery = fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("served");
+    fixture.connectionIdleMillis = 300;
+    fixture.writeConfig(discovery.address(), discovery.endpointList());
+    fixture.reload();
+    ProxyFixture.await(
+        () -> fixture.upstreamConnections() == 0); // long before four seconds are over
+    assertThat(fixture.sendRequest(atMostOnceRequest("second"))).endsWith("served");
+    assertThat(host.acceptedSockets).hasSize(2);
   }
 
   /** The connect that hangs belongs to the address before. */
   @Test
-  void aNewConfigurationWhileAWatchIsBeingOpenedMovesIt() throws Exception {
-    ProxyFixture.Host old = world.new Host(h -> ok("old"));
-    ProxyFixture.Host next = world.new Host(h -> ok("next"));
-    ProxyFixture.LateHost hangs = world.new LateHost(h -> null);
-    world.run(
-        world.configure(hangs.address(), world.new Discovery(40, old).list()),
-        ProxyFixture.quietLog());
-    ProxyFixture.Discovery other = world.new Discovery(3, next);
-    world.configure(other.address(), "{}");
-    world.reload();
-    ProxyFixture.await(() -> other.asked.contains("/catalog/members?follow=1&since=3"));
-    hangs.comesUp();
-    assertThat(world.ask(claim("a"))).endsWith("next");
-    assertThat(hangs.heads).isEmpty();
+  void reloadMovesAWatchThatIsConnecting() throws Exception {
+    ProxyFixture.UpstreamHost old = fixture.new UpstreamHost(h -> ok("old"));
+    ProxyFixture.UpstreamHost next = fixture.new UpstreamHost(h -> ok("next"));
+    ProxyFixture.DelayedAcceptHost hangs = fixture.new DelayedAcceptHost(h -> null);
+    fixture.startProxy(
+        fixture.writeConfig(hangs.address(), fixture.new DiscoveryServer(40, old).endpointList()),
+        ProxyFixture.discardingLog());
+    ProxyFixture.DiscoveryServer other = fixture.new DiscoveryServer(3, next);
+    fixture.writeConfig(other.address(), "{}");
+    fixture.reload();
+    ProxyFixture.await(() -> other.requestedPaths.contains("/catalog/members?follow=1&since=3"));
+    hangs.startAccepting();
+    assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("next");
+    assertThat(hangs.requests).isEmpty();
   }
 
   // --- upkeep, and a loop that is late
 
   /** It has written its request, and looks as silent as before only as long as nobody reads. */
   @Test
-  void aClientIsNotSentAwayForASilenceThatIsTheLoops() throws Exception {
-    world.start(world.new Host(h -> ok("done")));
+  void clientIsNotClosedForAStallOfTheLoop() throws Exception {
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
     List<Socket> fill = new ArrayList<>();
-    while (world.onLoop(() -> world.proxy.sockets().hasRoomForClient())) {
-      Socket s = world.client();
-      fill.add(s);
-      write(s, "POST /cl"); // begun, and so none that makes room yet
-      ProxyFixture.await(() -> world.clients() == fill.size());
+    while (fixture.callOnLoop(() -> fixture.proxy.socketBudget().hasRoomForClient())) {
+      Socket socket = fixture.connectClient();
+      fill.add(socket);
+      write(socket, "POST /cl"); // begun, and so none that makes room yet
+      ProxyFixture.await(() -> fixture.clientConnections() == fill.size());
     }
     fill.remove(0).close();
     fill.remove(0).close();
-    ProxyFixture.await(() -> world.clients() == fill.size());
-    Socket speaks = world.client();
-    ProxyFixture.await(() -> world.clients() == fill.size() + 1);
-    AutoCloseable held = world.heldLoop();
+    ProxyFixture.await(() -> fixture.clientConnections() == fill.size());
+    Socket speaks = fixture.connectClient();
+    ProxyFixture.await(() -> fixture.clientConnections() == fill.size() + 1);
+    AutoCloseable paused = fixture.pauseLoop();
     long until =
         System.nanoTime() + 100_000_000L; // twice what a client may be silent for in a crowd
     ProxyFixture.await(() -> System.nanoTime() > until);
-    fill.add(world.client()); // ready ahead of it, and one too many
-    write(speaks, claim("speaks"));
-    held.close();
-    assertThat(ProxyFixture.read(speaks.getInputStream())).endsWith("done");
+    fill.add(fixture.connectClient()); // ready ahead of it, and one too many
+    write(speaks, atMostOnceRequest("speaks"));
+    paused.close();
+    assertThat(ProxyFixture.readMessage(speaks.getInputStream())).endsWith("done");
     speaks.close();
-    for (Socket s : fill) {
-      s.close();
+    for (Socket socket : fill) {
+      socket.close();
     }
   }
 
@@ -910,41 +940,43 @@
    * The host may end it at any instant from then on, and what is written to it then may have run.
    */
   @Test
-  void aConnectionThatHasStoodIdleTooLongIsNotUsedThoughUpkeepHasNotEndedItYet() throws Exception {
-    world.connIdle = 1_000;
-    ProxyFixture.DroppingHost host = world.new DroppingHost(900);
-    world.start(host);
-    assertThat(world.ask(claim("first"))).endsWith("served");
-    try (Socket s = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
-      AutoCloseable held = world.heldLoop();
+  void expiredIdleConnectionIsNotReusedBeforeHousekeeping() throws Exception {
+    fixture.connectionIdleMillis = 1_000;
+    ProxyFixture.IdleResettingHost host = fixture.new IdleResettingHost(900);
+    fixture.start(host);
+    assertThat(fixture.sendRequest(atMostOnceRequest("first"))).endsWith("served");
+    try (Socket socket = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
+      AutoCloseable paused = fixture.pauseLoop();
       long until = System.nanoTime() + 1_100_000_000L;
       ProxyFixture.await(() -> System.nanoTime() > until);
-      write(s, claim("second"));
-      held.close();
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("served");
+      write(socket, atMostOnceRequest("second"));
+      paused.close();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("served");
     }
   }
 
   // --- a time that is over
 
   @Test
-  void aRequestWhoseTimeIsOverWhenItsConnectionIsUpIsNotSent() throws Exception {
-    world.deadline = 700;
-    ProxyFixture.LateHost host = world.new LateHost(h -> ok("late"));
-    world.start(host);
-    try (Socket s = world.client()) {
-      write(s, claim("over"));
-      ProxyFixture.await(() -> world.upstreams() == 1);
-      AutoCloseable held = world.heldLoop();
-      host.comesUp();
+  void requestPastItsDeadlineIsNotSentAfterTheConnect() throws Exception {
+    fixture.deadlineMillis = 700;
+    ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
+    fixture.start(host);
+    try (Socket socket = fixture.connectClient()) {
+      write(socket, atMostOnceRequest("over"));
+      ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
+      AutoCloseable paused = fixture.pauseLoop();
+      host.startAccepting();
       ProxyFixture.await(
-          () -> host.late() == 1); // later than its time: the kernel tries again after a second
-      held.close();
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 503 ");
+          () ->
+              host.proxyConnections()
+                  == 1); // later than its time: the kernel tries again after a second
+      paused.close();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 503 ");
     }
-    ProxyFixture.await(() -> world.open() == 0);
-    assertThat(host.heads).isEmpty();
+    ProxyFixture.await(() -> fixture.openRequests() == 0);
+    assertThat(host.requests).isEmpty();
   }
 
   /**
@@ -952,29 +984,29 @@
    * new ones in the backlog.
    */
   @Test
-  void aRequestWhoseTimeWentByUnreadIsAnsweredAtOnceAndNotSent() throws Exception {
-    world.deadline = 400;
-    ProxyFixture.Host host = world.new Host(h -> ok("done"));
-    world.start(host);
+  void requestThatExpiredUnreadIsRejectedAtOnce() throws Exception {
+    fixture.deadlineMillis = 400;
+    ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("done"));
+    fixture.start(host);
     List<Socket> clients = new ArrayList<>();
-    clients.add(world.client());
-    write(clients.get(0), claim("warm"));
-    assertThat(ProxyFixture.read(clients.get(0).getInputStream())).endsWith("done");
-    AutoCloseable held = world.heldLoop();
+    clients.add(fixture.connectClient());
+    write(clients.get(0), atMostOnceRequest("warm"));
+    assertThat(ProxyFixture.readMessage(clients.get(0).getInputStream())).endsWith("done");
+    AutoCloseable paused = fixture.pauseLoop();
     for (int i = 0; i < 12; i++) { // more than are accepted in one turn
-      Socket s = i == 0 ? clients.get(0) : world.client();
-      write(s, claim("unread" + i));
-      clients.add(s);
+      Socket socket = i == 0 ? clients.get(0) : fixture.connectClient();
+      write(socket, atMostOnceRequest("unread" + i));
+      clients.add(socket);
     }
     long until = System.nanoTime() + 800_000_000L;
     ProxyFixture.await(() -> System.nanoTime() > until);
-    held.close();
-    for (Socket s : clients.subList(1, clients.size())) {
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 503 ");
-      s.close();
+    paused.close();
+    for (Socket socket : clients.subList(1, clients.size())) {
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 503 ");
+      socket.close();
     }
-    assertThat(host.heads).hasSize(1);
-    assertThat(world.ask(claim("next")))
+    assertThat(host.requests).hasSize(1);
+    assertThat(fixture.sendRequest(atMostOnceRequest("next")))
         .endsWith("done"); // no more is held against what comes later
   }
 
@@ -983,34 +1015,34 @@
    * late and more.
    */
   @Test
-  void aRequestThatWasReadLateIsAnsweredInItsOwnTime() throws Exception {
-    world.deadline = 3_000;
-    ProxyFixture.Host hangs = world.new Host(h -> null);
-    world.start(hangs);
-    try (Socket s = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
-      AutoCloseable held = world.heldLoop();
-      write(s, claim("late"));
+  void requestReadLateKeepsItsDeadline() throws Exception {
+    fixture.deadlineMillis = 3_000;
+    ProxyFixture.UpstreamHost hangs = fixture.new UpstreamHost(h -> null);
+    fixture.start(hangs);
+    try (Socket socket = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
+      AutoCloseable paused = fixture.pauseLoop();
+      write(socket, atMostOnceRequest("late"));
       long at = System.nanoTime();
       ProxyFixture.await(() -> System.nanoTime() > at + 1_500_000_000L);
-      held.close();
-      assertThat(ProxyFixture.read(s.getInputStream())).contains(" 504 ");
+      paused.close();
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).contains(" 504 ");
       assertThat(System.nanoTime() - at).isBetween(1_500_000_000L, 4_000_000_000L);
-      assertThat(hangs.heads).hasSize(1);
+      assertThat(hangs.requests).hasSize(1);
     }
   }
 
   /** Its connection is older than its time, and nothing came on it before. */
   @Test
-  void aRequestOnAConnectionThatRestedFirstHasAllOfItsTime() throws Exception {
-    world.deadline = 400;
-    world.start(world.new Host(h -> ok("done")));
-    try (Socket s = world.client()) {
-      ProxyFixture.await(() -> world.clients() == 1);
+  void requestOnAnIdleConnectionHasItsFullTimeout() throws Exception {
+    fixture.deadlineMillis = 400;
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
+    try (Socket socket = fixture.connectClient()) {
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
       long until = System.nanoTime() + 600_000_000L;
       ProxyFixture.await(() -> System.nanoTime() > until);
-      write(s, claim("rested"));
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
+      write(socket, atMostOnceRequest("rested"));
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
     }
   }
 
@@ -1019,19 +1051,19 @@
    * off.
    */
   @Test
-  void aRequestThatComesSlowlyHasItsTimeFromItsLastByteOn() throws Exception {
-    world.deadline = 400;
-    world.start(world.new Host(h -> ok("done")));
-    try (Socket s = world.client()) {
-      String request = claim("slow", "Content-Length: 4");
-      write(s, request.substring(0, 20));
-      ProxyFixture.await(() -> world.clients() == 1);
+  void timeoutOfASlowRequestStartsAtItsLastByte() throws Exception {
+    fixture.deadlineMillis = 400;
+    fixture.start(fixture.new UpstreamHost(h -> ok("done")));
+    try (Socket socket = fixture.connectClient()) {
+      String request = atMostOnceRequest("slow", "Content-Length: 4");
+      write(socket, request.substring(0, 20));
+      ProxyFixture.await(() -> fixture.clientConnections() == 1);
       for (String piece : List.of(request.substring(20) + "ab", "cd")) {
         long until = System.nanoTime() + 500_000_000L;
         ProxyFixture.await(() -> System.nanoTime() > until);
-        write(s, piece);
+        write(socket, piece);
       }
-      assertThat(ProxyFixture.read(s.getInputStream())).endsWith("done");
+      assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("done");
     }
   }
 }
--- a/src/test/java/leadferry/proxy/WarmUpTest.java
+++ b/src/test/java/leadferry/proxy/WarmUpTest.java
@@ -19,11 +19,11 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {400, 1})
-  void aWarmUpForwardsItsRequestsAndLogsNothing(int aim, @TempDir Path folder) throws Exception {
-    try (ProxyFixture world = new ProxyFixture(folder, 128)) {
-      world.aim = aim;
-      world.deadline = 2 * aim;
-      String file = world.configure("127.0.0.1:9", "{}").toString();
+  void warmUpForwardsAllRequestsAndLogsNothing(int aim, @TempDir Path folder) throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(folder, 128)) {
+      fixture.aimMillis = aim;
+      fixture.deadlineMillis = 2 * aim;
+      String file = fixture.writeConfig("127.0.0.1:9", "{}").toString();
       ByteArrayOutputStream lines = new ByteArrayOutputStream();
       int served =
           WarmUp.run(
--- a/src/test/java/leadferry/testbed/FleetProcessesTest.java
+++ b/src/test/java/leadferry/testbed/FleetProcessesTest.java
@@ -33,7 +33,7 @@
   private static final long PATIENCE_MS = 20_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
-  @TempDir(factory = MemoryFolder.class)
+  @TempDir(factory = MemoryTempDirFactory.class)
   private static Path folder;
 
   private static FaultTest rig;
@@ -66,7 +66,7 @@
   }
 
   private static JsonNode status() {
-    return rig.operator().ask(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS);
+    return rig.operator().query(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS);
   }
 
   private static ObjectNode drainOf(String kind, String name) {
@@ -74,7 +74,7 @@
   }
 
   private static JsonNode drain(String kind, String name) {
-    return rig.operator().change(drainOf(kind, name), id(), 0, PATIENCE_MS);
+    return rig.operator().submit(drainOf(kind, name), id(), 0, PATIENCE_MS);
   }
 
   /**
@@ -89,7 +89,7 @@
 
   private static JsonNode undo(String permit) {
     return rig.operator()
-        .change(Operator.entry("undo").put("permit", permit), id(), 0, PATIENCE_MS);
+        .submit(Operator.entry("undo").put("permit", permit), id(), 0, PATIENCE_MS);
   }
 
   private static String word(JsonNode o) {
@@ -139,18 +139,18 @@
 
   @Test
   void oneProxyIsOutAndTheNextIsRefusedAcrossACutLink() throws Exception {
-    String leader = rig.leader();
+    String leader = rig.awaitLeader();
     String other = leader.equals("k1") ? "k2" : "k1";
     rig.link(leader, other).cut(true, false);
     rig.link(other, leader).cut(false, true);
     JsonNode first = granted("proxy", "p1");
-    await(() -> rig.saysNo("p1"));
+    await(() -> rig.reportsNotServing("p1"));
     JsonNode second = drain("proxy", "p2");
     assertThat(word(second)).isEqualTo("refused");
     assertThat(second.path("why").toString()).contains("p1");
-    assertThat(rig.serves("p2")).isTrue();
+    assertThat(rig.isServing("p2")).isTrue();
     undo(first.path("permit").asText());
-    await(() -> rig.serves("p1"));
+    await(() -> rig.isServing("p1"));
   }
 
   @Test
@@ -160,7 +160,7 @@
       int n = i;
       asked.add(
           CompletableFuture.supplyAsync(
-              () -> rig.operator().change(drainOf("proxy", "p" + (n + 2)), id(), n, PATIENCE_MS)));
+              () -> rig.operator().submit(drainOf("proxy", "p" + (n + 2)), id(), n, PATIENCE_MS)));
     }
     List<String> words = new ArrayList<>();
     for (CompletableFuture<JsonNode> f : asked) {
@@ -171,15 +171,15 @@
 
   @Test
   void aDrainWhoseLeaderIsKilledHasOneOutcomeWhenAskedAgain() throws Exception {
-    String leader = rig.leader();
+    String leader = rig.awaitLeader();
     String id = id();
     CompletableFuture<JsonNode> first =
         CompletableFuture.supplyAsync(
-            () -> rig.operatorAt(leader).change(drainOf("host", "h1"), id, 0, 1_000));
+            () -> rig.operatorAt(leader).submit(drainOf("host", "h1"), id, 0, 1_000));
     rig.replica(leader).kill();
     first.get();
-    JsonNode again = rig.operator().change(drainOf("host", "h1"), id, 0, PATIENCE_MS);
-    JsonNode other = rig.operator().change(drainOf("host", "h2"), id, 0, PATIENCE_MS);
+    JsonNode again = rig.operator().submit(drainOf("host", "h1"), id, 0, PATIENCE_MS);
+    JsonNode other = rig.operator().submit(drainOf("host", "h2"), id, 0, PATIENCE_MS);
     rig.replica(leader).start();
     assertThat(word(again)).isEqualTo("granted");
     assertThat(word(other)).as("the id was used for something else").isEqualTo("conflict");
@@ -188,16 +188,16 @@
 
   @Test
   void aLeaderThatIsCutOffWithAMinorityGrantsNothing() throws Exception {
-    String leader = rig.leader();
+    String leader = rig.awaitLeader();
     rig.isolate(leader);
-    JsonNode alone = rig.operatorAt(leader).change(drainOf("proxy", "p3"), id(), 0, 3_000);
+    JsonNode alone = rig.operatorAt(leader).submit(drainOf("proxy", "p3"), id(), 0, 3_000);
     assertThat(word(alone)).isEqualTo("nothing");
     granted("proxy", "p4");
     rig.healLinks();
-    await(() -> rig.saysNo("p4"));
+    await(() -> rig.reportsNotServing("p4"));
     // What the cut-off leader had in its log and nobody confirmed is not there afterwards, or was
     // refused.
-    assertThat(rig.serves("p3")).isTrue();
+    assertThat(rig.isServing("p3")).isTrue();
     assertThat(status().path("permits")).hasSize(1);
   }
 
@@ -207,7 +207,7 @@
    */
   @Test
   void whoWasAskedAsAFollowerOfACutOffLeaderAnswersOnceItLeads() throws Exception {
-    String cut = rig.leader();
+    String cut = rig.awaitLeader();
     List<String> others = List.of("k1", "k2", "k3").stream().filter(k -> !k.equals(cut)).toList();
     rig.isolate(cut);
     List<CompletableFuture<JsonNode>> asked = new ArrayList<>();
@@ -215,7 +215,8 @@
       for (String k : others) {
         asked.add(
             CompletableFuture.supplyAsync(
-                () -> rig.operatorAt(k).ask(MAPPER.createObjectNode().put("op", "status"), 0, 100),
+                () ->
+                    rig.operatorAt(k).query(MAPPER.createObjectNode().put("op", "status"), 0, 100),
                 CROWD));
       }
       Thread.sleep(20);
@@ -232,7 +233,7 @@
         });
     assertThat(
             rig.operatorAt(leads[0])
-                .ask(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS))
+                .query(MAPPER.createObjectNode().put("op", "status"), 0, PATIENCE_MS))
         .as("%s leads, %s is cut off", leads[0], cut)
         .isNotNull();
     granted("proxy", "p4");
@@ -241,12 +242,13 @@
   /** A lease that a follower confirmed would be one that nobody counts. */
   @Test
   void onlyTheKeeperThatLeadsConfirmsAnything() throws Exception {
-    String leader = rig.leader();
+    String leader = rig.awaitLeader();
     ObjectNode renew =
         MAPPER.createObjectNode().put("op", "renew").put("name", "p1").put("session", 1);
     for (String k : List.of("k1", "k2", "k3")) {
       for (ObjectNode q : List.of(MAPPER.createObjectNode().put("op", "status"), renew)) {
-        JsonNode o = Operator.once(rig.replicaAddress(k), q.put("id", 1).put("fleet", rig.fleet()));
+        JsonNode o =
+            Operator.queryOnce(rig.replicaAddress(k), q.put("id", 1).put("fleet", rig.fleet()));
         assertThat(o).as("%s, %s leads", k, leader).isNotNull();
         assertThat(o.path("redirect").asText()).isEqualTo(k.equals(leader) ? "" : leader);
       }
@@ -255,7 +257,7 @@
 
   @Test
   void aProxyStoppedForThreeLeasesDoesNotGoOutByAGrantThatHasEnded() throws Exception {
-    rig.proxy("p1").stop();
+    rig.proxy("p1").suspend();
     JsonNode granted = drain("proxy", "p1");
     assertThat(word(granted)).isEqualTo("granted");
     undo(granted.path("permit").asText());
@@ -267,11 +269,11 @@
     rig.proxy("p1").resume();
     long until = System.nanoTime() + 3_000_000_000L;
     while (System.nanoTime() < until) {
-      seen.add(rig.saysNo("p1"));
+      seen.add(rig.reportsNotServing("p1"));
       Thread.sleep(10);
     }
     assertThat(seen).containsExactly(false);
-    await(() -> rig.serves("p1"));
+    await(() -> rig.isServing("p1"));
   }
 
   @Test
@@ -287,31 +289,31 @@
 
   @Test
   void aProxyThatIsToldToEndCountsAsOutAndCanBeForgotten() throws Exception {
-    assertThat(rig.proxy("p4").end(PATIENCE_MS)).isZero();
+    assertThat(rig.proxy("p4").terminate(PATIENCE_MS)).isZero();
     await(() -> out("proxies", "p4").equals("left"));
     assertThat(word(drain("proxy", "p3"))).isEqualTo("refused");
     rig.proxy("p4").start();
-    await(() -> rig.serves("p4"));
+    await(() -> rig.isServing("p4"));
   }
 
   @Test
   void allKeepersRestartedForgetNothingAndRequestsGoOnMeanwhile() throws Exception {
     JsonNode granted = drain("proxy", "p1");
-    await(() -> rig.saysNo("p1"));
+    await(() -> rig.reportsNotServing("p1"));
     for (String k : List.of("k1", "k2", "k3")) {
       rig.replica(k).kill();
     }
     for (int i = 0; i < 50; i++) {
       assertThat(request("p" + (2 + i % 3), "gone-" + i)).isEqualTo(200);
     }
-    assertThat(rig.saysNo("p1")).isTrue();
+    assertThat(rig.reportsNotServing("p1")).isTrue();
     for (String k : List.of("k1", "k2", "k3")) {
       rig.replica(k).start();
     }
     assertThat(word(drain("proxy", "p2"))).isEqualTo("refused");
     assertThat(status().path("permits").path(0).path("id")).isEqualTo(granted.path("permit"));
     undo(granted.path("permit").asText());
-    await(() -> rig.serves("p1"));
+    await(() -> rig.isServing("p1"));
   }
 
   @Test
@@ -321,7 +323,7 @@
     await(
         () ->
             rig.operator()
-                .ask(
+                .query(
                     MAPPER.createObjectNode().put("op", "permit").put("permit", permit),
                     0,
                     PATIENCE_MS)
@@ -329,7 +331,7 @@
                 .asBoolean());
     rig.proxy("p3").kill();
     rig.proxy("p3").start();
-    await(() -> !rig.serves("p3"));
+    await(() -> !rig.isServing("p3"));
     int[] served = {0};
     await(() -> request("p3", "after-" + served[0]) == 200 && ++served[0] >= 100);
     for (int i = 0; i < 100; i++) {
@@ -337,10 +339,10 @@
     }
     Set<String> at = new TreeSet<>();
     rig.executions()
-        .visit(
+        .forEach(
             (id, runs) -> {
               if (id.startsWith("after-") || id.startsWith("beside-")) {
-                runs.forEach(r -> at.add(r.host()));
+                runs.forEach(r -> at.add(r.upstream()));
               }
             });
     assertThat(at).doesNotContain("h1").hasSize(3);
@@ -356,7 +358,7 @@
               () ->
                   word(
                       rig.operator()
-                          .change(drainOf("host", "h" + (1 + n % 4)), id(), n, PATIENCE_MS))));
+                          .submit(drainOf("host", "h" + (1 + n % 4)), id(), n, PATIENCE_MS))));
     }
     int granted = 0;
     for (CompletableFuture<String> f : asked) {
@@ -391,10 +393,10 @@
 
   @Test
   void aHaltStopsGrantsUntilResumed() {
-    assertThat(word(rig.operator().change(Operator.entry("halt"), id(), 1, PATIENCE_MS)))
+    assertThat(word(rig.operator().submit(Operator.entry("halt"), id(), 1, PATIENCE_MS)))
         .isEqualTo("done");
     assertThat(word(drain("host", "h3"))).isEqualTo("halted");
-    assertThat(word(rig.operator().change(Operator.entry("resume"), id(), 2, PATIENCE_MS)))
+    assertThat(word(rig.operator().submit(Operator.entry("resume"), id(), 2, PATIENCE_MS)))
         .isEqualTo("done");
     assertThat(word(drain("host", "h3"))).isEqualTo("granted");
   }
@@ -403,7 +405,8 @@
     long n = 0;
     for (JsonNode h :
         rig.operator()
-            .ask(MAPPER.createObjectNode().put("op", "status").put("history", true), 0, PATIENCE_MS)
+            .query(
+                MAPPER.createObjectNode().put("op", "status").put("history", true), 0, PATIENCE_MS)
             .path("history")) {
       n += h.path("op").asText().equals("expire") ? 1 : 0;
     }
@@ -414,29 +417,29 @@
   void keepersStoppedForThreeLeasesAndContinuedTakeNobodyForDead() throws Exception {
     long before = expired();
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.replica(k).stop();
+      rig.replica(k).suspend();
     }
-    Thread.sleep(3 * FaultTest.LEASE_MS);
+    Thread.sleep(3 * FaultTest.LEASE_MILLIS);
     for (int i = 0; i < 20; i++) {
       assertThat(request("p" + (1 + i % 4), "stopped-" + i)).isEqualTo(200);
     }
     for (String k : List.of("k1", "k2", "k3")) {
       rig.replica(k).resume();
     }
-    rig.leader();
-    Thread.sleep(FaultTest.LEASE_MS);
+    rig.awaitLeader();
+    Thread.sleep(FaultTest.LEASE_MILLIS);
     assertThat(expired()).isEqualTo(before);
     granted("proxy", "p1");
   }
 
   @Test
   void aLeaderStoppedForThreeLeasesAndContinuedGrantsNothingByItself() throws Exception {
-    String leader = rig.leader();
-    rig.replica(leader).stop();
+    String leader = rig.awaitLeader();
+    rig.replica(leader).suspend();
     granted("proxy", "p1");
-    Thread.sleep(3 * FaultTest.LEASE_MS);
+    Thread.sleep(3 * FaultTest.LEASE_MILLIS);
     rig.replica(leader).resume();
-    JsonNode o = rig.operatorAt(leader).change(drainOf("proxy", "p2"), id(), 0, 500);
+    JsonNode o = rig.operatorAt(leader).submit(drainOf("proxy", "p2"), id(), 0, 500);
     assertThat(word(o)).isIn("nothing", "refused");
     assertThat(status().path("permits")).hasSize(1);
   }
@@ -444,19 +447,19 @@
   @Test
   void aPermitRunsOutWhileItsHolderIsCutOffAndNobodyElseGoesOutMeanwhile() throws Exception {
     JsonNode granted =
-        rig.operator().change(drainOf("proxy", "p1").put("for_ms", 2_000), id(), 0, PATIENCE_MS);
+        rig.operator().submit(drainOf("proxy", "p1").put("for_ms", 2_000), id(), 0, PATIENCE_MS);
     assertThat(word(granted)).as("%s", granted).isEqualTo("granted");
-    await(() -> rig.saysNo("p1"));
+    await(() -> rig.reportsNotServing("p1"));
     for (String k : List.of("k1", "k2", "k3")) {
       rig.link("p1", k).cut(true, true);
     }
-    while (!rig.serves("p1")) {
+    while (!rig.isServing("p1")) {
       assertThat(word(drain("proxy", "p2"))).isEqualTo("refused");
     }
     assertThat(word(drain("proxy", "p2"))).as("lost now, and counted").isEqualTo("refused");
     rig.healLinks();
     await(() -> word(drain("proxy", "p2")).equals("granted"));
-    assertThat(rig.serves("p1")).isTrue();
+    assertThat(rig.isServing("p1")).isTrue();
   }
 
   @Test
@@ -469,12 +472,12 @@
                 "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
                 "[listener.main]\naddress = \"127.0.0.1:0\""));
     Path log = folder.resolve("p1-second.log");
-    List<String> command = ManagedProcess.program(64, "daemon", "--config", second.toString());
+    List<String> command = ManagedProcess.commandLine(64, "daemon", "--config", second.toString());
     try (ManagedProcess c = new ManagedProcess("p1-second", command, command, log)) {
       c.start();
       await(() -> read(log).contains("in use by a process whose lease is not over"));
       assertThat(read(log)).doesNotContain("ready");
-      assertThat(rig.serves("p1")).isTrue();
+      assertThat(rig.isServing("p1")).isTrue();
       rig.proxy("p1").kill();
       await(() -> read(log).contains("ready"));
     }
@@ -484,7 +487,7 @@
   @Test
   void aKeeperWithALogTornAtItsLastRecordComesBackAndFollows() throws Exception {
     assertThat(word(drain("host", "h2"))).isEqualTo("granted");
-    String torn = rig.leader().equals("k3") ? "k2" : "k3";
+    String torn = rig.awaitLeader().equals("k3") ? "k2" : "k3";
     rig.replica(torn).kill();
     Path log;
     try (var all = Files.walk(folder.resolve(torn))) {
@@ -503,8 +506,8 @@
     await(
         () -> {
           JsonNode h =
-              rig.operatorAt(torn).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
-          JsonNode l = rig.operator().ask(MAPPER.createObjectNode().put("op", "status"), 0, 500);
+              rig.operatorAt(torn).query(MAPPER.createObjectNode().put("op", "health"), 0, 500);
+          JsonNode l = rig.operator().query(MAPPER.createObjectNode().put("op", "status"), 0, 500);
           return h != null
               && l != null
               && h.path("applied").asLong() > 0
@@ -515,12 +518,12 @@
 
   private static JsonNode permit(String id) {
     return rig.operator()
-        .ask(MAPPER.createObjectNode().put("op", "permit").put("permit", id), 0, PATIENCE_MS);
+        .query(MAPPER.createObjectNode().put("op", "permit").put("permit", id), 0, PATIENCE_MS);
   }
 
   @Test
   void aProxyStoppedBeforeItAcknowledgesIsNamedUntilItHas() throws Exception {
-    rig.proxy("p2").stop();
+    rig.proxy("p2").suspend();
     String id = drain("host", "h3").path("permit").asText();
     await(() -> permit(id).path("awaited").size() == 1);
     assertThat(permit(id).path("awaited").path("p2").asText()).contains("has not told");
@@ -533,10 +536,10 @@
     }
     Set<String> at = new TreeSet<>();
     rig.executions()
-        .visit(
+        .forEach(
             (request, runs) -> {
               if (request.startsWith("woken-")) {
-                runs.forEach(r -> at.add(r.host()));
+                runs.forEach(r -> at.add(r.upstream()));
               }
             });
     assertThat(at).doesNotContain("h3").hasSize(3);
@@ -545,7 +548,7 @@
   @Test
   void aHostThatHalfOfTheProxiesCannotReachUsesTheBudgetUp() throws Exception {
     List<String> half = List.of("p1", "p2");
-    half.forEach(p -> rig.link(p, "h4").refuse(true));
+    half.forEach(p -> rig.link(p, "h4").setRefusing(true));
     AtomicInteger n = new AtomicInteger();
     await(
         () -> {
@@ -589,20 +592,20 @@
           });
 
   private static JsonNode health(String replica) {
-    return rig.operatorAt(replica).ask(MAPPER.createObjectNode().put("op", "health"), 0, 500);
+    return rig.operatorAt(replica).query(MAPPER.createObjectNode().put("op", "health"), 0, 500);
   }
 
   @Test
   void aKeeperOnAFullDiskHoldsNobodyUpAndFollowsOnceThereIsRoom() throws Exception {
-    String full = rig.leader().equals("k3") ? "k2" : "k3";
+    String full = rig.awaitLeader().equals("k3") ? "k2" : "k3";
     rig.replica(full).kill();
-    rig.replica(full).startOnDiskOf(300);
+    rig.replica(full).startWithFileSizeLimit(300);
     await(() -> health(full) != null && health(full).path("applied").asLong() > 0);
     String much = "x".repeat(60_000);
     for (int i = 0; i < 12; i++) {
       JsonNode o =
           rig.operator()
-              .change(drainOf("host", "none-" + i).put("pad", much), id(), i, PATIENCE_MS);
+              .submit(drainOf("host", "none-" + i).put("pad", much), id(), i, PATIENCE_MS);
       assertThat(word(o)).isEqualTo("unknown");
     }
     granted("host", "h1");
@@ -611,7 +614,7 @@
         .contains("File too large");
     rig.replica(full).kill();
     rig.replica(full).start();
-    long applied = health(rig.leader()).path("applied").asLong();
+    long applied = health(rig.awaitLeader()).path("applied").asLong();
     await(() -> health(full) != null && health(full).path("applied").asLong() >= applied);
     assertThat(status().path("permits")).hasSize(1);
   }
@@ -619,7 +622,7 @@
   @Test
   void anAcknowledgementCutInTheMiddleIsTakenForNone() throws Exception {
     for (String k : List.of("k1", "k2", "k3")) {
-      rig.link("p2", k).cutMiddle();
+      rig.link("p2", k).truncateNextChunk();
     }
     String permit = granted("host", "h1").path("permit").asText();
     await(() -> permit(permit).path("carried_out").asBoolean());
@@ -628,10 +631,10 @@
     }
     Set<String> at = new TreeSet<>();
     rig.executions()
-        .visit(
+        .forEach(
             (request, runs) -> {
               if (request.startsWith("middle-")) {
-                runs.forEach(r -> at.add(r.host()));
+                runs.forEach(r -> at.add(r.upstream()));
               }
             });
     assertThat(at).doesNotContain("h1").isNotEmpty();
@@ -641,7 +644,7 @@
   void aHostThatWasStartedAnewWhileItWasOutIsNotPushedOverWhenItIsGivenBack() throws Exception {
     String permit = granted("host", "h1").path("permit").asText();
     await(() -> permit(permit).path("carried_out").asBoolean());
-    rig.upstream("h1").startAnew();
+    rig.upstream("h1").restart();
     List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       loads.add(
@@ -653,7 +656,7 @@
                   3,
                   16,
                   1,
-                  List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)),
+                  List.of(new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000)),
                   "cold" + i + "-"),
               d -> {}));
     }
@@ -664,7 +667,7 @@
     }
     long served = rig.upstream("h1").served();
     loads.forEach(LoadGenerator::close);
-    assertThat(rig.upstream("h1").fallen()).isFalse();
+    assertThat(rig.upstream("h1").hasCollapsed()).isFalse();
     assertThat(served).isPositive();
   }
 
--- a/src/test/java/leadferry/testbed/HistoryCheckerTest.java
+++ b/src/test/java/leadferry/testbed/HistoryTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The checker finds an order where there is one, and none where there is none. */
-class HistoryCheckerTest {
+class HistoryTest {
   private final History history = new History(1, 1);
 
   private void call(Op op, String name, long start, long end, Outcome outcome) {
-    history.add(new Call(op, "proxy", name, start, end, outcome));
+    history.record(new Call(op, "proxy", name, start, end, outcome));
   }
 
   @Test
   void twoGrantsForOnePlaceHaveNoOrder() {
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.DRAIN, "b", 5, 15, Outcome.GRANTED);
-    assertThat(history.linearizable()).isFalse();
+    assertThat(history.isLinearizable()).isFalse();
   }
 
   @Test
@@ -27,7 +27,7 @@
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.UNDO, "a", 9, 20, Outcome.DONE);
     call(Op.DRAIN, "b", 5, 15, Outcome.GRANTED);
-    assertThat(history.linearizable()).isTrue();
+    assertThat(history.isLinearizable()).isTrue();
   }
 
   @Test
@@ -35,16 +35,16 @@
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.DRAIN, "b", 11, 15, Outcome.GRANTED);
     call(Op.UNDO, "a", 16, 20, Outcome.DONE);
-    assertThat(history.linearizable()).isFalse();
+    assertThat(history.isLinearizable()).isFalse();
   }
 
   @Test
   void aGrantAfterAHaltHasNoOrderUnlessResumed() {
     call(Op.HALT, "", 0, 5, Outcome.DONE);
     call(Op.DRAIN, "a", 6, 10, Outcome.GRANTED);
-    assertThat(history.linearizable()).isFalse();
+    assertThat(history.isLinearizable()).isFalse();
     call(Op.RESUME, "", 4, 8, Outcome.UNDECIDED);
-    assertThat(history.linearizable()).isTrue();
+    assertThat(history.isLinearizable()).isTrue();
   }
 
   @Test
@@ -52,6 +52,6 @@
     call(Op.DRAIN, "a", 0, 5, Outcome.UNDECIDED);
     call(Op.DRAIN, "b", 6, 10, Outcome.GRANTED);
     call(Op.DRAIN, "c", 11, 12, Outcome.HALTED);
-    assertThat(history.linearizable()).as("nothing was halted").isFalse();
+    assertThat(history.isLinearizable()).as("nothing was halted").isFalse();
   }
 }
--- a/src/test/java/leadferry/testbed/MemoryFolder.java
+++ b/src/test/java/leadferry/testbed/MemoryTempDirFactory.java
@@ -12,7 +12,7 @@
  * against a disk that others keep busy: each vote and each entry waits for it, so elections took as
  * long as it did. What a killed process has written stays.
  */
-final class MemoryFolder implements TempDirFactory {
+final class MemoryTempDirFactory implements TempDirFactory {
   private static final Path SHARED_MEMORY = Path.of("/dev/shm");
 
   /** What a rig's logs and files need at most, by far. */
--- a/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
+++ b/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
@@ -12,7 +12,7 @@
  */
 class OverloadRecoveryTest {
   private static OverloadPlan plan(FakeUpstream upstream, OverloadPlan.Crowd crowd, int size) {
-    String[] place = upstream.place().split(":");
+    String[] place = upstream.hostAndPort().split(":");
     return new OverloadPlan(
         List.of(new InetSocketAddress(place[0], Integer.parseInt(place[1]))),
         10,
@@ -31,31 +31,31 @@
   @Test
   void whatEndsWithItsTriggerHasRecoveredAndTheGapIsSeen() throws Exception {
     try (FakeUpstream upstream =
-            new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
+            new FakeUpstream(FakeUpstream.Options.instant("a"), new ExecutionLog(100_000));
         OverloadTest test =
             new OverloadTest(
                 plan(upstream, OverloadPlan.Crowd.SILENT, 20),
-                () -> upstream.misbehave(FakeUpstream.Fault.SILENT, 1),
-                () -> upstream.misbehave(FakeUpstream.Fault.NONE, 0))) {
+                () -> upstream.setFault(FakeUpstream.Fault.SILENT, 1),
+                () -> upstream.setFault(FakeUpstream.Fault.NONE, 0))) {
       test.run();
       assertThat(test.timeline().calmShare()).isGreaterThan(0.95);
       assertThat(test.timeline().triggerShare()).isLessThan(0.5);
-      assertThat(test.timeline().longestGap()).isGreaterThan(0.3);
-      assertThat(test.timeline().recoveredAfter()).isNotNaN();
+      assertThat(test.timeline().longestGapSeconds()).isGreaterThan(0.3);
+      assertThat(test.timeline().recoveredAfterSeconds()).isNotNaN();
     }
   }
 
   @Test
   void whatGoesOnAfterItsTriggerHasNotRecovered() throws Exception {
     try (FakeUpstream upstream =
-            new FakeUpstream(FakeUpstream.Options.quick("a"), new ExecutionLog(100_000));
+            new FakeUpstream(FakeUpstream.Options.instant("a"), new ExecutionLog(100_000));
         OverloadTest test =
             new OverloadTest(
                 plan(upstream, OverloadPlan.Crowd.USUAL, 5),
-                () -> upstream.misbehave(FakeUpstream.Fault.RESET_BEFORE, 1),
+                () -> upstream.setFault(FakeUpstream.Fault.RESET_BEFORE, 1),
                 () -> {})) {
       test.run();
-      assertThat(test.timeline().recoveredAfter()).isNaN();
+      assertThat(test.timeline().recoveredAfterSeconds()).isNaN();
       assertThat(test.timeline().afterShare()).isLessThan(0.1);
     }
   }
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -33,7 +33,7 @@
   private static final long PATIENCE_MS = 40_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
-  @TempDir(factory = MemoryFolder.class)
+  @TempDir(factory = MemoryTempDirFactory.class)
   private static Path folder;
 
   private static FaultTest rig;
@@ -57,10 +57,10 @@
       return; // one find is enough: what it left would only hide others
     }
     failed = true;
-    rig.supervisor().hook((before, deed) -> {});
+    rig.supervisor().setHook((before, deed) -> {});
     rig.healLinks();
     drivers.forEach(ManagedProcess::close);
-    for (JsonNode r : rig.release("").path("releases")) {
+    for (JsonNode r : rig.releaseStatus("").path("releases")) {
       if (!List.of("done", "returned", "ended").contains(r.path("state").asText())) {
         String name = r.path("name").asText();
         change("release_back", name);
@@ -70,8 +70,8 @@
     }
     drivers.forEach(ManagedProcess::close);
     rig.healAndAwaitRecovery();
-    assertThat(rig.broken()).isEmpty();
-    assertThat(rig.proxiesMost()).as("out at once").isLessThanOrEqualTo(1);
+    assertThat(rig.violations()).isEmpty();
+    assertThat(rig.maxProxiesOut()).as("out at once").isLessThanOrEqualTo(1);
     failed = false;
   }
 
@@ -111,7 +111,7 @@
 
   private static JsonNode change(String op, String release) {
     return rig.operator()
-        .change(
+        .submit(
             Operator.entry(op).put("release", release),
             "r-call-" + IDS.incrementAndGet(),
             0,
@@ -123,7 +123,7 @@
   }
 
   private static String state(String release) {
-    return rig.release(release).path("state").asText();
+    return rig.releaseStatus(release).path("state").asText();
   }
 
   /** A release of these, which all must be of one version, to the next; its name. */
@@ -143,7 +143,7 @@
   private static void begin(ObjectNode plan) {
     JsonNode o =
         rig.operator()
-            .change(
+            .submit(
                 Operator.entry("release_start").set("plan", plan),
                 "r-call-" + IDS.incrementAndGet(),
                 0,
@@ -161,11 +161,11 @@
   private static int onceEach(int from, String... targets) {
     Set<String> seen = new HashSet<>();
     int n = 0;
-    List<ProcessSupervisor.Deed> deeds = rig.supervisor().deeds();
-    for (ProcessSupervisor.Deed d : deeds.subList(from, deeds.size())) {
-      if (d.verb().equals("command") && !d.refused() && List.of(targets).contains(d.target())) {
+    List<ProcessSupervisor.Invocation> deeds = rig.supervisor().invocations();
+    for (ProcessSupervisor.Invocation d : deeds.subList(from, deeds.size())) {
+      if (d.verb().equals("command") && !d.rejected() && List.of(targets).contains(d.target())) {
         n++;
-        assertThat(seen.add(d.action() + "/" + d.version()))
+        assertThat(seen.add(d.actionId() + "/" + d.version()))
             .as("action " + d + " a second time, of " + deeds)
             .isTrue();
       }
@@ -174,7 +174,7 @@
   }
 
   private static int deeds() {
-    return rig.supervisor().deeds().size();
+    return rig.supervisor().invocations().size();
   }
 
   private static Map<String, String> versions(String... targets) {
@@ -189,10 +189,10 @@
   void eachProxyIsRestartedOnceAndNeverMoreAreOutThanAllowed() throws Exception {
     int from = deeds();
     String r = begin("proxy", "p1", "p2", "p3", "p4");
-    String version = rig.release(r).path("version").asText();
+    String version = rig.releaseStatus(r).path("version").asText();
     ManagedProcess d = drive(r);
     await("done", () -> state(r).equals("done"));
-    await("the driver ends", () -> !d.runs());
+    await("the driver ends", () -> !d.isRunning());
     assertThat(versions("p1", "p2", "p3", "p4").values()).containsOnly(version);
     assertThat(onceEach(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
   }
@@ -204,7 +204,7 @@
     AtomicInteger killed = new AtomicInteger();
     ManagedProcess[] now = {drive(r)};
     rig.supervisor()
-        .hook(
+        .setHook(
             (before, deed) -> {
               // Before the first command is carried out, and right after the second one, with no
               // answer given.
@@ -234,34 +234,36 @@
       throws Exception {
     String r = begin("host", "h3", "h4");
     ManagedProcess slow = drive(r);
-    CompletableFuture<ProcessSupervisor.Deed> held = new CompletableFuture<>();
+    CompletableFuture<ProcessSupervisor.Invocation> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
     rig.supervisor()
-        .hook(
+        .setHook(
             (before, deed) -> {
               // Its command is on its way and is held up, and the driver stands still, until
               // another one has the lead.
               if (before && deed.verb().equals("command") && held.complete(deed)) {
-                slow.stop();
+                slow.suspend();
                 go.join();
               }
             });
     long fence = held.get().fence();
     drive(r);
-    await("another drives", () -> rig.release(r).path("fence").asLong() > fence);
-    await("and goes on", () -> rig.supervisor().deeds().stream().anyMatch(d -> d.fence() > fence));
+    await("another drives", () -> rig.releaseStatus(r).path("fence").asLong() > fence);
+    await(
+        "and goes on",
+        () -> rig.supervisor().invocations().stream().anyMatch(d -> d.fence() > fence));
     go.complete(null);
     slow.resume();
     await("done", () -> state(r).equals("done"));
     assertThat(
-            rig.supervisor().deeds().stream()
+            rig.supervisor().invocations().stream()
                 .filter(
                     d ->
                         d.fence() == fence
                             && d.target().equals(held.join().target())
                             && d.verb().equals("command")))
         .isNotEmpty()
-        .allMatch(ProcessSupervisor.Deed::refused);
+        .allMatch(ProcessSupervisor.Invocation::rejected);
   }
 
   @Test
@@ -270,7 +272,7 @@
     String r = begin("proxy", "p1", "p2", "p3");
     CompletableFuture<Void> second = new CompletableFuture<>();
     rig.supervisor()
-        .hook(
+        .setHook(
             (b, deed) -> {
               if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
                 second.complete(null);
@@ -283,7 +285,7 @@
     await(
         "what was under way has ended",
         () -> {
-          for (JsonNode t : rig.release(r).path("targets")) {
+          for (JsonNode t : rig.releaseStatus(r).path("targets")) {
             if (!t.path("phase").asText().equals("in")) {
               return false;
             }
@@ -292,9 +294,9 @@
         });
     Thread.sleep(1_000);
     assertThat(
-            rig.supervisor().deeds().subList(then, deeds()).stream()
+            rig.supervisor().invocations().subList(then, deeds()).stream()
                 .filter(d -> d.verb().equals("command"))
-                .map(ProcessSupervisor.Deed::target))
+                .map(ProcessSupervisor.Invocation::target))
         .doesNotContain("p3");
     assertThat(state(r)).isEqualTo("halted");
     assertThat(word(change("release_back", r))).isEqualTo("done");
@@ -311,12 +313,12 @@
             .put("action_ms", 9_000));
     drive(r);
     await("halted", () -> state(r).equals("halted"));
-    assertThat(rig.release(r).path("state_why").asText()).contains("p1");
+    assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("p1");
     assertThat(rig.version("p2")).isEqualTo(before);
     change("release_back", r);
     await("returned", () -> state(r).equals("returned"));
     assertThat(rig.version("p1")).isEqualTo(before);
-    await("serves", () -> rig.serves("p1"));
+    await("serves", () -> rig.isServing("p1"));
   }
 
   @Test
@@ -326,7 +328,7 @@
     String r = begin("proxy", "p1", "p2", "p3", "p4");
     AtomicInteger commands = new AtomicInteger();
     rig.supervisor()
-        .hook(
+        .setHook(
             (before, deed) -> {
               if (before && deed.verb().equals("command")) {
                 CompletableFuture.runAsync(() -> disturb(commands.incrementAndGet()));
@@ -340,11 +342,11 @@
 
   private static void disturb(int n) {
     try {
-      String leader = rig.leader();
+      String leader = rig.awaitLeader();
       if (n == 2) {
         List<String> two = List.of("k1", "k2");
-        two.forEach(k -> rig.replica(k).stop());
-        Thread.sleep(2L * FaultTest.LEASE_MS);
+        two.forEach(k -> rig.replica(k).suspend());
+        Thread.sleep(2L * FaultTest.LEASE_MILLIS);
         two.forEach(k -> rig.replica(k).resume());
       } else {
         rig.replica(leader).kill();
@@ -370,7 +372,7 @@
                   15,
                   8,
                   1,
-                  List.of(new LoadGenerator.Kind("all", 1, "POST", "/claim", "", 0, 3_000)),
+                  List.of(new LoadGenerator.RequestKind("all", 1, "POST", "/claim", "", 0, 3_000)),
                   "rel" + i + "-"),
               d -> {
                 if (d.outcome() != LoadGenerator.Outcome.SERVED
@@ -391,7 +393,7 @@
     assertThat(bad).isEmpty();
     assertThat(onceEach(from, "h1", "h2", "h3")).isEqualTo(3);
     for (String h : List.of("h1", "h2", "h3")) {
-      assertThat(rig.upstream(h).fallen()).as(h).isFalse();
+      assertThat(rig.upstream(h).hasCollapsed()).as(h).isFalse();
     }
   }
 
@@ -412,7 +414,7 @@
               () ->
                   word(
                       rig.operator()
-                          .change(
+                          .submit(
                               Operator.entry("release_start").set("plan", plan),
                               "r-call-" + IDS.incrementAndGet(),
                               n,
@@ -431,7 +433,7 @@
         "p4 is lost",
         () ->
             rig.operator()
-                .ask(
+                .query(
                     MAPPER
                         .createObjectNode()
                         .put("op", "explain")
@@ -468,7 +470,7 @@
                   40,
                   8,
                   1,
-                  List.of(new LoadGenerator.Kind("all", 1, "GET", "/list", "", 0, 3_000)),
+                  List.of(new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000)),
                   "bad" + IDS.incrementAndGet() + "-"),
               d -> {}));
     }
@@ -494,8 +496,8 @@
           "found",
           () ->
               List.of("halted", "returned").contains(state(r))
-                  || rig.release(r).path("direction").asText().equals("back"));
-      assertThat(rig.release(r).path("state_why").asText())
+                  || rig.releaseStatus(r).path("direction").asText().equals("back"));
+      assertThat(rig.releaseStatus(r).path("state_why").asText())
           .containsAnyOf("bad (", "h1 is new, and lost");
       assertThat(rig.version("h2")).isEqualTo(before);
       change("release_back", r);
@@ -525,11 +527,11 @@
       begin(plan);
       drive(r);
       await("halted: " + command, () -> state(r).equals("halted"));
-      assertThat(rig.release(r).path("state_why").asText()).contains("h4 after 3 tries");
+      assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("h4 after 3 tries");
       await(
           "h4 was given back as it was",
-          () -> rig.release(r).path("targets").path(0).path("phase").asText().equals("in"));
-      assertThat(rig.release(r).path("targets").path(0).path("at").asText()).isEqualTo("old");
+          () -> rig.releaseStatus(r).path("targets").path(0).path("phase").asText().equals("in"));
+      assertThat(rig.releaseStatus(r).path("targets").path(0).path("at").asText()).isEqualTo("old");
       assertThat(word(change("release_end", r))).isEqualTo("done");
     }
   }
