--- a/src/main/java/leadferry/daemon/ConfigurationException.java
+++ b/src/main/java/leadferry/daemon/ConfigurationException.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The operator's file can't be used; tells all that is wrong with it. */
+/** Signals that an operator's file is invalid, and carries every error found in it. */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final transient List<ConfigurationError> errors;
 
-  ConfigurationException(List<ConfigurationError> faults) {
-    super(faults.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
-    this.errors = List.copyOf(faults);
+  ConfigurationException(List<ConfigurationError> errors) {
+    super(errors.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
+    this.errors = List.copyOf(errors);
   }
 
   public List<ConfigurationError> errors() {
