--- a/src/main/java/leadferry/Main.java
+++ b/src/main/java/leadferry/Main.java
@@ -6,15 +6,24 @@
 import leadferry.proxy.ConfigException;
 import leadferry.proxy.ProxyProcess;
 
-/** Entry point of the jar. */
+/** Entry point of the jar. Dispatches to the subcommand named by the first argument. */
 public final class Main {
   private Main() {}
 
   /**
-   * Runs {@code proxy}, a client proxy on sockets, or {@code adapter}, the same decisions on the
-   * simulator's wire on standard input and output. The build runs {@code warm-up} (formerly {@code
-   * rehearse}), a client proxy for a moment, so that the JVM can archive the classes it takes.
-   * Everything else is the command line of {@code cli}, whose libraries the three above never load.
+   * Runs the subcommand that the arguments name and exits with status 1 after invalid configuration
+   * or malformed input.
+   *
+   * <ul>
+   *   <li>{@code proxy} runs the client proxy on sockets, configured by environment variables.
+   *   <li>{@code adapter} makes the same load-balancing decisions for the simulator, which speaks
+   *       its protocol on standard input and output.
+   *   <li>{@code warm-up} (former name {@code rehearse}) runs a client proxy briefly during the
+   *       build. The JVM archives the classes that this run loads.
+   * </ul>
+   *
+   * <p>Any other argument list is passed to the command line in {@code leadferry.cli}. The three
+   * subcommands above never load its libraries.
    */
   public static void main(String[] args) throws IOException {
     String command = args.length == 1 ? args[0] : "";
@@ -31,7 +40,10 @@
     }
   }
 
-  /** Guards the platform's process against classes that it has no use for. */
+  /**
+   * Holds the only reference to the command line. The JVM loads this class on first use, which
+   * keeps the classes of the command line out of the platform's process.
+   */
   private static final class CommandLineStart {
     static int run(String[] args) {
       return leadferry.cli.Leadferry.run(args);
--- a/src/main/java/leadferry/cli/CheckCommand.java
+++ b/src/main/java/leadferry/cli/CheckCommand.java
@@ -15,37 +15,39 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Validates a configuration file of the daemon and prints its errors. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Judges an operator's file and tells every fault, without starting anything.",
-    footer = {"", "Exit status: 0 the file is sound, 2 it has faults."})
+    description =
+        "Validates a daemon configuration file and reports every error, without starting anything.",
+    footer = {"", "Exit status: 0 if the file is valid, 2 if it has errors."})
 final class CheckCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "The operator's file.")
+  @Parameters(paramLabel = "FILE", description = "Configuration file of the daemon.")
   private Path file;
 
-  @Option(names = "--json", description = "Faults as JSON on standard output.")
+  @Option(names = "--json", description = "Prints the errors as JSON on standard output.")
   private boolean json;
 
   @Override
   public Integer call() throws JsonProcessingException {
-    List<ConfigurationError> faults = new ArrayList<>();
+    List<ConfigurationError> errors = new ArrayList<>();
     try {
       Daemon.check(file);
     } catch (ConfigurationException e) {
-      faults.addAll(e.errors());
+      errors.addAll(e.errors());
     }
     if (json) {
-      Map<String, Object> out = new LinkedHashMap<>();
-      out.put("sound", faults.isEmpty());
-      out.put("faults", faults);
-      System.out.println(new ObjectMapper().writeValueAsString(out));
-    } else if (faults.isEmpty()) {
-      System.out.println(file + ": sound");
+      Map<String, Object> result = new LinkedHashMap<>();
+      result.put("sound", errors.isEmpty());
+      result.put("faults", errors);
+      System.out.println(new ObjectMapper().writeValueAsString(result));
+    } else if (errors.isEmpty()) {
+      System.out.println(file + ": valid");
     } else {
-      faults.forEach(System.err::println);
-      System.err.println(faults.size() + (faults.size() == 1 ? " fault" : " faults"));
+      errors.forEach(System.err::println);
+      System.err.println(errors.size() + (errors.size() == 1 ? " error" : " errors"));
     }
-    return faults.isEmpty() ? 0 : 2;
+    return errors.isEmpty() ? 0 : 2;
   }
 }
--- a/src/main/java/leadferry/cli/DaemonCommand.java
+++ b/src/main/java/leadferry/cli/DaemonCommand.java
@@ -9,28 +9,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** Runs the daemon until SIGTERM, and reloads its configuration on SIGHUP. */
 @Command(
     name = "daemon",
     mixinStandardHelpOptions = true,
-    description = "Runs the daemon by the operator's file, until SIGTERM has been carried out.",
+    description =
+        "Runs the daemon with a configuration file. SIGTERM drains the daemon and ends it.",
     footer = {
       "",
-      "SIGHUP reads the file again: the whole of it comes into force, or nothing.",
-      "Exit status: 0 drained, 2 the file is faulty or a listener can't be had."
+      "SIGHUP reloads the configuration file. A file with an error is rejected as a whole.",
+      "Exit status: 0 after a drain, 2 for an invalid configuration file or a listener that cannot be bound."
     })
 final class DaemonCommand implements Callable<Integer> {
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
-      description = "The operator's file.")
-  private Path file;
+      description = "Configuration file of the daemon.")
+  private Path configFile;
 
   @Option(
       names = {"--new-replica", "--new-keeper"},
       description =
-          "The replica that the file names never had a log: an empty folder becomes its own.")
-  private boolean freshKeeper;
+          "Initializes the log folder of a new replica that the file names; the folder must be empty.")
+  private boolean newReplica;
 
   private DaemonLog log;
 
@@ -38,13 +40,14 @@
   public Integer call() throws InterruptedException {
     Daemon daemon;
     try {
-      daemon = new Daemon(file, freshKeeper, form -> log = DaemonLog.onStandardError(form));
+      daemon = new Daemon(configFile, newReplica, form -> log = DaemonLog.onStandardError(form));
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
     if (!Signals.onHangup(() -> reload(daemon))) {
-      log.line("SIGHUP can't be handled here: a new file needs a restart");
+      log.line(
+          "SIGHUP handler not installed: the platform has no SIGHUP or the parent process ignores it; restart the daemon to change the configuration");
     }
     Runtime.getRuntime()
         .addShutdownHook(
@@ -57,8 +60,8 @@
                     Thread.currentThread().interrupt();
                   }
                   log.close();
-                  // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a
-                  // success.
+                  // The JVM exits with status 143 after SIGTERM. A completed drain is a
+                  // success and must exit with status 0.
                   Runtime.getRuntime().halt(0);
                 },
                 "drain"));
@@ -67,10 +70,12 @@
     return 0;
   }
 
-  /** On a thread of its own: the JVM's signal thread must stay free for the next signal. */
+  /**
+   * Reloads on a new thread, because the JVM's signal thread must stay free for the next signal.
+   */
   private static void reload(Daemon daemon) {
-    Thread t = new Thread(daemon::reload, "reload");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(daemon::reload, "reload");
+    thread.setDaemon(true);
+    thread.start();
   }
 }
--- a/src/main/java/leadferry/cli/DemoCommand.java
+++ b/src/main/java/leadferry/cli/DemoCommand.java
@@ -26,107 +26,117 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/**
+ * Runs the daemon and fake upstreams under load in one process, injects a fault and a drain, and
+ * checks the delivery rules afterwards.
+ */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description = {
-      "Three stand-ins and the daemon on loopback carry a minute of mixed classes. One host goes",
-      "silent a third of the way in and comes back; later one is drained by a reload and a cold",
-      "one joins. Then a table of classes, hosts and rules."
+      "Runs the daemon with three fake upstreams on loopback under a load of three request classes.",
+      "After a third of the run one upstream stops responding, and recovers at half time.",
+      "At 70 percent of the run a reload drains another upstream and adds a cold one.",
+      "Prints a table of request classes, upstreams and rules at the end."
     },
-    footer = {"", "Exit status: 0 the rules held, 1 they did not."})
+    footer = {"", "Exit status: 0 if all rules held, 1 if one was violated."})
 final class DemoCommand implements Callable<Integer> {
-  private static final long WINDOW_MS = 750;
-  private static final long GRACE_MS = 500;
+  private static final long KEYED_WINDOW_MILLIS = 750;
+  private static final long DRAIN_GRACE_MILLIS = 500;
 
-  @Option(names = "--seconds", defaultValue = "60", description = "How long, 3 to 600.")
+  @Option(
+      names = "--seconds",
+      defaultValue = "60",
+      description = "Duration of the load in seconds, 3 to 600.")
   private double seconds;
 
-  @Option(names = "--rate", defaultValue = "200", description = "Requests a second, 1 to 1000.")
+  @Option(names = "--rate", defaultValue = "200", description = "Requests per second, 1 to 1000.")
   private double rate;
 
-  @Option(names = "--json", description = "The result as JSON on standard output.")
+  @Option(names = "--json", description = "Prints the result as JSON on standard output.")
   private boolean json;
 
-  private final ExecutionLog ledger = new ExecutionLog(2_000_000);
-  private final List<FakeUpstream> hosts = new ArrayList<>();
-  private final ConcurrentLinkedQueue<LoadGenerator.CompletedRequest> done =
+  private final ExecutionLog executionLog = new ExecutionLog(2_000_000);
+  private final List<FakeUpstream> upstreams = new ArrayList<>();
+  private final ConcurrentLinkedQueue<LoadGenerator.CompletedRequest> completedRequests =
       new ConcurrentLinkedQueue<>();
-  private final List<LoadGenerator.RequestKind> kinds =
+  private final List<LoadGenerator.RequestKind> requestKinds =
       List.of(
-          kind("visit-claim", 5, "POST", "", 800),
-          kind("visit-log", 3, "POST", "Idempotency-Key: ", 1_200),
-          kind("visit-list", 2, "GET", "", 600));
+          requestKind("visit-claim", 5, "POST", "", 800),
+          requestKind("visit-log", 3, "POST", "Idempotency-Key: ", 1_200),
+          requestKind("visit-list", 2, "GET", "", 600));
 
-  private static LoadGenerator.RequestKind kind(
-      String name, double part, String method, String key, long deadline) {
+  private static LoadGenerator.RequestKind requestKind(
+      String name, double weight, String method, String keyHeader, long deadlineMillis) {
     return new LoadGenerator.RequestKind(
         name,
-        part,
+        weight,
         method,
         "/" + name,
-        "X-Tenant-Id: demo\r\n" + key,
+        "X-Tenant-Id: demo\r\n" + keyHeader,
         method.equals("GET") ? 0 : 200,
-        deadline);
+        deadlineMillis);
   }
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     seconds = Math.max(3, Math.min(600, seconds));
     rate = Math.max(1, Math.min(1_000, rate));
-    Path file = Files.createTempFile("leadferry-demo", ".toml");
-    PrintStream quiet =
+    Path configFile = Files.createTempFile("leadferry-demo", ".toml");
+    PrintStream discardedOutput =
         new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
     for (int i = 0; i < 3; i++) {
-      hosts.add(host("h" + (i + 1), 0, i));
+      upstreams.add(startUpstream("h" + (i + 1), 0, i));
     }
     try {
-      Files.writeString(file, config(List.of(), 3));
-      try (Daemon daemon = new Daemon(file, form -> new LineLog(json ? quiet : System.err, false));
+      Files.writeString(configFile, config(List.of(), 3));
+      try (Daemon daemon =
+              new Daemon(
+                  configFile, form -> new LineLog(json ? discardedOutput : System.err, false));
           LoadGenerator load =
               new LoadGenerator(
                   new LoadGenerator.Plan(
-                      daemon.address("main"), rate, 0, seconds, 512, 1, kinds, "demo-"),
-                  done::add)) {
+                      daemon.address("main"), rate, 0, seconds, 512, 1, requestKinds, "demo-"),
+                  completedRequests::add)) {
         load.start();
         ProgressLine progress = new ProgressLine();
-        Thread shown = progress.start(() -> load.completed() + " requests over");
-        pause(0.33);
-        hosts.get(2).setFault(FakeUpstream.Fault.SILENT, 1);
-        pause(0.17);
-        hosts.get(2).setFault(FakeUpstream.Fault.NONE, 0);
-        pause(0.2);
-        hosts.add(host("h4", 2_000, 4));
-        Files.writeString(file, config(List.of("h1"), 4));
+        Thread progressThread = progress.start(() -> load.completed() + " requests completed");
+        sleepForShare(0.33);
+        upstreams.get(2).setFault(FakeUpstream.Fault.SILENT, 1);
+        sleepForShare(0.17);
+        upstreams.get(2).setFault(FakeUpstream.Fault.NONE, 0);
+        sleepForShare(0.2);
+        upstreams.add(startUpstream("h4", 2_000, 4));
+        Files.writeString(configFile, config(List.of("h1"), 4));
         boolean reloaded = daemon.reload();
-        long drainedAt = System.nanoTime();
+        long drainedAtNanos = System.nanoTime();
         load.await();
-        progress.stop(shown);
-        return tell(load, reloaded, drainedAt);
+        progress.stop(progressThread);
+        return printResult(load, reloaded, drainedAtNanos);
       }
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 1;
     } finally {
-      hosts.forEach(FakeUpstream::close);
-      Files.deleteIfExists(file);
+      upstreams.forEach(FakeUpstream::close);
+      Files.deleteIfExists(configFile);
     }
   }
 
-  private FakeUpstream host(String name, double warmUpMs, long seed) {
+  private FakeUpstream startUpstream(String name, double warmUpMillis, long seed) {
     return new FakeUpstream(
         new FakeUpstream.Options(
-            name, "p1", 0, 15, 3, 60, warmUpMs, 0.3, 400, true, 200, 11 + seed),
-        ledger);
+            name, "p1", 0, 15, 3, 60, warmUpMillis, 0.3, 400, true, 200, 11 + seed),
+        executionLog);
   }
 
-  private void pause(double part) throws InterruptedException {
-    Thread.sleep((long) (part * seconds * 1e3));
+  private void sleepForShare(double shareOfRun) throws InterruptedException {
+    Thread.sleep((long) (shareOfRun * seconds * 1e3));
   }
 
   private String config(List<String> draining, int count) {
-    StringBuilder s = new StringBuilder();
-    s.append(
+    StringBuilder toml = new StringBuilder();
+    toml.append(
         """
         [listener.main]
         address = "127.0.0.1:0"
@@ -151,108 +161,118 @@
         cold = { for_ms = 2500, start_capacity = 0.3 }
         """);
     for (int i = 0; i < count; i++) {
-      FakeUpstream h = hosts.get(i);
-      s.append("[[pool.roster.member]]\nid = \"")
-          .append(h.name())
+      FakeUpstream upstream = upstreams.get(i);
+      toml.append("[[pool.roster.member]]\nid = \"")
+          .append(upstream.name())
           .append("\"\naddress = \"")
-          .append(h.hostAndPort())
+          .append(upstream.hostAndPort())
           .append("\"\npod = \"")
-          .append(h.pod())
+          .append(upstream.pod())
           .append("\"\nstate = \"")
-          .append(draining.contains(h.name()) ? "draining" : "up")
+          .append(draining.contains(upstream.name()) ? "draining" : "up")
           .append("\"\n");
     }
-    for (LoadGenerator.RequestKind k : kinds) {
-      s.append("[[route]]\nname = \"")
-          .append(k.name())
+    for (LoadGenerator.RequestKind requestKind : requestKinds) {
+      toml.append("[[route]]\nname = \"")
+          .append(requestKind.name())
           .append("\"\nprefix = \"")
-          .append(k.path())
+          .append(requestKind.path())
           .append("\"\nclass = \"")
-          .append(k.name())
+          .append(requestKind.name())
           .append("\"\npool = \"roster\"\n");
     }
-    return s.toString();
+    return toml.toString();
   }
 
-  private int tell(LoadGenerator load, boolean reloaded, long drainedAt)
+  private int printResult(LoadGenerator load, boolean reloaded, long drainedAtNanos)
       throws JsonProcessingException {
-    long twice = 0;
-    long outside = 0;
-    long refusedAfterWork = 0;
-    long late = 0;
-    for (LoadGenerator.CompletedRequest d : done) {
-      int runs = ledger.executionsOf(d.id()).size();
-      boolean unsafe = d.kind().name().equals("visit-claim");
-      boolean keyed = d.kind().name().equals("visit-log");
-      twice += unsafe && runs > 1 ? 1 : 0;
-      outside += keyed && !ledger.repeatsStayedInPod(d.id(), WINDOW_MS) ? 1 : 0;
-      refusedAfterWork += unsafe && d.outcome() == Outcome.REFUSED && runs > 0 ? 1 : 0;
-      late += d.latencyNanos() > d.kind().deadlineMillis() * 1_000_000L + 50_000_000L ? 1 : 0;
+    long unsafeRepeats = 0;
+    long repeatsOutsideScope = 0;
+    long refusedAfterRun = 0;
+    long lateResponses = 0;
+    for (LoadGenerator.CompletedRequest request : completedRequests) {
+      int executions = executionLog.executionsOf(request.id()).size();
+      boolean unsafe = request.kind().name().equals("visit-claim");
+      boolean keyed = request.kind().name().equals("visit-log");
+      unsafeRepeats += unsafe && executions > 1 ? 1 : 0;
+      repeatsOutsideScope +=
+          keyed && !executionLog.repeatsStayedInPod(request.id(), KEYED_WINDOW_MILLIS) ? 1 : 0;
+      refusedAfterRun += unsafe && request.outcome() == Outcome.REFUSED && executions > 0 ? 1 : 0;
+      lateResponses +=
+          request.latencyNanos() > request.kind().deadlineMillis() * 1_000_000L + 50_000_000L
+              ? 1
+              : 0;
     }
-    long lost = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
-    long afterGrace = hosts.get(0).lastArrivalNanos() > drainedAt + GRACE_MS * 1_000_000L ? 1 : 0;
-    long fallen = hosts.stream().filter(FakeUpstream::hasCollapsed).count();
+    long lostResponses = load.count(Outcome.UNANSWERED) + load.count(Outcome.WRONG);
+    long requestsAfterGrace =
+        upstreams.get(0).lastArrivalNanos() > drainedAtNanos + DRAIN_GRACE_MILLIS * 1_000_000L
+            ? 1
+            : 0;
+    long overloadedUpstreams = upstreams.stream().filter(FakeUpstream::hasCollapsed).count();
     Map<String, Object> rules = new LinkedHashMap<>();
-    rules.put("requests without their one answer", lost);
-    rules.put("unsafe requests that ran twice", twice);
-    rules.put("unsafe requests refused after they ran", refusedAfterWork);
-    rules.put("keyed requests repeated outside pod or window", outside);
-    rules.put("hosts asked after their drain and grace", afterGrace);
-    rules.put("cold hosts pushed over", fallen);
+    rules.put("requests without their one answer", lostResponses);
+    rules.put("unsafe requests that ran twice", unsafeRepeats);
+    rules.put("unsafe requests refused after they ran", refusedAfterRun);
+    rules.put("keyed requests repeated outside pod or window", repeatsOutsideScope);
+    rules.put("hosts asked after their drain and grace", requestsAfterGrace);
+    rules.put("cold hosts pushed over", overloadedUpstreams);
     rules.put("reloads not taken", reloaded ? 0L : 1L);
-    rules.put("runs that the ledger could not note", ledger.unrecordedCount());
-    boolean held = rules.values().stream().allMatch(v -> ((Long) v) == 0);
+    rules.put("runs that the ledger could not note", executionLog.unrecordedCount());
+    boolean rulesHeld = rules.values().stream().allMatch(v -> ((Long) v) == 0);
     Map<String, Object> classes = new LinkedHashMap<>();
-    for (int i = 0; i < kinds.size(); i++) {
+    for (int i = 0; i < requestKinds.size(); i++) {
       Map<String, Object> row = new LinkedHashMap<>();
-      for (Outcome o : Outcome.values()) {
-        row.put(o.name().toLowerCase(Locale.ROOT), load.count(i, o));
+      for (Outcome outcome : Outcome.values()) {
+        row.put(outcome.name().toLowerCase(Locale.ROOT), load.count(i, outcome));
       }
-      Histogram h = load.served(i);
-      row.put("p50_ms", Math.round(h.getValueAtPercentile(50) / 1e5) / 10.0);
-      row.put("p99_ms", Math.round(h.getValueAtPercentile(99) / 1e5) / 10.0);
-      classes.put(kinds.get(i).name(), row);
+      Histogram latencies = load.served(i);
+      row.put("p50_ms", Math.round(latencies.getValueAtPercentile(50) / 1e5) / 10.0);
+      row.put("p99_ms", Math.round(latencies.getValueAtPercentile(99) / 1e5) / 10.0);
+      classes.put(requestKinds.get(i).name(), row);
     }
-    Map<String, Object> perHost = new LinkedHashMap<>();
-    for (FakeUpstream h : hosts) {
+    Map<String, Object> perUpstream = new LinkedHashMap<>();
+    for (FakeUpstream upstream : upstreams) {
       Map<String, Object> row = new LinkedHashMap<>();
-      row.put("served", h.served());
-      row.put("connections", h.connections());
-      row.put("most", h.maxConcurrentConnections());
-      perHost.put(h.name(), row);
+      row.put("served", upstream.served());
+      row.put("connections", upstream.connections());
+      row.put("most", upstream.maxConcurrentConnections());
+      perUpstream.put(upstream.name(), row);
     }
     if (json) {
-      Map<String, Object> all = new LinkedHashMap<>();
-      all.put("held", held);
-      all.put("answers_past_the_deadline", late);
-      all.put("classes", classes);
-      all.put("hosts", perHost);
-      all.put("rules", rules);
-      System.out.println(new ObjectMapper().writeValueAsString(all));
+      Map<String, Object> result = new LinkedHashMap<>();
+      result.put("held", rulesHeld);
+      result.put("answers_past_the_deadline", lateResponses);
+      result.put("classes", classes);
+      result.put("hosts", perUpstream);
+      result.put("rules", rules);
+      System.out.println(new ObjectMapper().writeValueAsString(result));
     } else {
-      print("class", classes);
-      print("host", perHost);
-      System.out.println("\nrules, and how often each was broken");
+      printTable("class", classes);
+      printTable("host", perUpstream);
+      System.out.println("\nviolations of each rule");
       rules.forEach((k, v) -> System.out.printf(Locale.ROOT, "  %-48s %s%n", k, v));
       System.out.printf(
-          Locale.ROOT, "  %-48s %d%n", "answers seen past the deadline and 50 ms (told)", late);
-      System.out.println(held ? "the rules held" : "THE RULES DID NOT HOLD");
+          Locale.ROOT,
+          "  %-48s %d%n",
+          "responses over 50 ms past the deadline (no rule)",
+          lateResponses);
+      System.out.println(rulesHeld ? "all rules held" : "A RULE WAS VIOLATED");
     }
-    return held ? 0 : 1;
+    return rulesHeld ? 0 : 1;
   }
 
   @SuppressWarnings("unchecked")
-  private static void print(String what, Map<String, Object> rows) {
+  private static void printTable(String title, Map<String, Object> rows) {
     boolean first = true;
-    for (Map.Entry<String, Object> e : rows.entrySet()) {
-      Map<String, Object> row = (Map<String, Object>) e.getValue();
+    for (Map.Entry<String, Object> entry : rows.entrySet()) {
+      Map<String, Object> row = (Map<String, Object>) entry.getValue();
       if (first) {
-        System.out.printf(Locale.ROOT, "%n%-14s", what);
+        System.out.printf(Locale.ROOT, "%n%-14s", title);
         row.keySet().forEach(k -> System.out.printf(Locale.ROOT, "%12s", k));
         System.out.println();
         first = false;
       }
-      System.out.printf(Locale.ROOT, "%-14s", e.getKey());
+      System.out.printf(Locale.ROOT, "%-14s", entry.getKey());
       row.values().forEach(v -> System.out.printf(Locale.ROOT, "%12s", v));
       System.out.println();
     }
--- a/src/main/java/leadferry/cli/FaultTestCommand.java
+++ b/src/main/java/leadferry/cli/FaultTestCommand.java
@@ -23,75 +23,83 @@
     aliases = "faults",
     mixinStandardHelpOptions = true,
     description = {
-      "Runs replicas and daemons as processes on loopback, breaks the links between them, stops, kills and starts them,",
-      "while operators drain and give back; says as JSON, on its last line, whether the promises were kept."
+      "Runs replicas and daemons as processes on loopback while operators drain and restore targets.",
+      "During the run, network links are broken and processes are paused, killed and restarted.",
+      "Prints a JSON report on the last line, which lists the violated guarantees."
     },
     footer = {
       "",
-      "Exit status: 0 all were kept, 1 one was not ('broken' says which) or the rig failed, 2 faulty arguments."
+      "Exit status: 0 if all guarantees held, 1 if one was violated (listed in 'broken') or the test could not run, 2 for invalid arguments."
     })
 final class FaultTestCommand implements Callable<Integer> {
-  private static final int MOST_PROCESSES = 64;
+  private static final int MAX_PROCESSES = 64;
 
   @Option(
       names = {"--replicas", "--keepers"},
       defaultValue = "3",
-      description = "Replicas of the agreed state, 1 to 9.")
+      description = "Number of replicas of the control state, 1 to 9.")
   private int replicas;
 
-  @Option(names = "--proxies", defaultValue = "8", description = "Daemons, 1 to 64.")
+  @Option(names = "--proxies", defaultValue = "8", description = "Number of daemons, 1 to 64.")
   private int proxies;
 
   @Option(
       names = {"--upstreams", "--hosts"},
       defaultValue = "12",
-      description = "Fake upstream hosts, 2 to 64.")
+      description = "Number of fake upstreams, 2 to 64.")
   private int upstreams;
 
-  @Option(names = "--seconds", defaultValue = "60", description = "How long, 5 to 3600.")
+  @Option(
+      names = "--seconds",
+      defaultValue = "60",
+      description = "Duration of the test in seconds, 5 to 3600.")
   private double seconds;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Which faults when, and what operators ask.")
+      description = "Seed of the random fault schedule and operator commands.")
   private long seed;
 
-  @Option(names = "--rate", defaultValue = "40", description = "Requests a second at each daemon.")
+  @Option(
+      names = "--rate",
+      defaultValue = "40",
+      description = "Requests per second to each daemon.")
   private double rate;
 
   @Option(
       names = "--sabotage",
       defaultValue = "none",
       description =
-          "Breaks a promise on purpose, which must be found: none, proxy-out, drained-host, twice or restart.")
+          "Violates a guarantee deliberately, which the test must detect: none, proxy-out, drained-host, twice or restart.")
   private String sabotage;
 
   @Option(
       names = "--folder",
-      description = "Where files and logs go and stay; a temporary folder otherwise.")
+      description = "Folder for files and logs, which is kept; by default a new temporary folder.")
   private Path folder;
 
   @Option(
       names = "--releases",
-      description = "Releases go on meanwhile, each with two drivers, which are faulted as well.")
+      description =
+          "Runs releases during the test, each with two drivers that are also subject to faults.")
   private boolean releases;
 
   @Option(
       names = "--script",
       paramLabel = "FILE",
       description =
-          "Which fault when, in place of those from the seed and of the operators: docs/FLEET.md.")
-  private Path script;
+          "Schedule of faults and operator commands that replaces the random one; docs/FLEET.md describes the format.")
+  private Path scriptFile;
 
-  @Option(names = "--json", description = "The last line alone.")
+  @Option(names = "--json", description = "Prints only the JSON report.")
   private boolean json;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    checkSizes();
+    validateSizes();
     FaultTestPlan plan =
         new FaultTestPlan(
             replicas,
@@ -99,60 +107,60 @@
             upstreams,
             seconds,
             seed,
-            parsedSabotage(),
+            parseSabotage(),
             rate,
-            parsedScript(),
+            parseScript(),
             releases);
-    Path at =
+    Path workFolder =
         folder == null ? Files.createTempDirectory("fault-test") : Files.createDirectories(folder);
     if (!json) {
-      System.out.println("files and logs: " + at);
+      System.out.println("files and logs: " + workFolder);
     }
-    try (FaultTest test = new FaultTest(plan, at)) {
+    try (FaultTest test = new FaultTest(plan, workFolder)) {
       ObjectNode report = test.run();
       System.out.println(report);
       return report.path("broken").isEmpty() ? 0 : 1;
     } catch (IOException e) {
-      System.err.println("the test could not be carried out: " + e.getMessage());
+      System.err.println("fault test failed to run: " + e.getMessage());
       return 1;
     }
   }
 
-  private void checkSizes() {
-    boolean sound =
+  private void validateSizes() {
+    boolean valid =
         isBetween(replicas, 1, 9)
-            && isBetween(proxies, 1, MOST_PROCESSES)
-            && isBetween(upstreams, 2, MOST_PROCESSES)
+            && isBetween(proxies, 1, MAX_PROCESSES)
+            && isBetween(upstreams, 2, MAX_PROCESSES)
             && isBetween(seconds, 5, 3_600);
-    if (!sound) {
-      throw faultyArgument(
+    if (!valid) {
+      throw invalidArgument(
           "replicas, proxies, upstreams, seconds (expected: 1 to 9, 1 to 64, 2 to 64, 5 to 3600)");
     }
   }
 
-  private static boolean isBetween(double value, double least, double most) {
-    return value >= least && value <= most;
+  private static boolean isBetween(double value, double min, double max) {
+    return value >= min && value <= max;
   }
 
-  private Sabotage parsedSabotage() {
+  private Sabotage parseSabotage() {
     try {
       return Sabotage.valueOf(sabotage.toUpperCase(Locale.ROOT).replace('-', '_'));
     } catch (IllegalArgumentException e) {
-      throw faultyArgument(
+      throw invalidArgument(
           "--sabotage "
               + sabotage
               + " (expected: none, proxy-out, drained-host, twice or restart)");
     }
   }
 
-  private List<FaultScript.Step> parsedScript() {
-    if (script == null) {
+  private List<FaultScript.Step> parseScript() {
+    if (scriptFile == null) {
       return null;
     }
     try {
-      return FaultScript.parse(Files.readAllLines(script), processNames());
+      return FaultScript.parse(Files.readAllLines(scriptFile), processNames());
     } catch (IOException | IllegalArgumentException e) {
-      throw faultyArgument("--script " + script + ": " + e.getMessage());
+      throw invalidArgument("--script " + scriptFile + ": " + e.getMessage());
     }
   }
 
@@ -170,7 +178,7 @@
     }
   }
 
-  private CommandLine.ParameterException faultyArgument(String message) {
+  private CommandLine.ParameterException invalidArgument(String message) {
     return new CommandLine.ParameterException(spec.commandLine(), message);
   }
 }
--- a/src/main/java/leadferry/cli/FleetCommand.java
+++ b/src/main/java/leadferry/cli/FleetCommand.java
@@ -9,12 +9,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What operators ask of a fleet's agreed state; here stand the commands that change it at once. */
+/**
+ * Parent of the commands on a fleet's control state. Contains the commands that change the state
+ * without waiting for proxies.
+ */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
     description =
-        "Takes proxies and hosts of a fleet out of service and back, and tells who is out.",
+        "Takes proxies and hosts of a fleet out of service, restores them and shows their status.",
     subcommands = {
       FleetDrainCommands.Drain.class,
       FleetDrainCommands.Leave.class,
@@ -32,8 +35,10 @@
     },
     footer = {
       "",
-      "Exit status: 0 done or granted, 1 internal, 2 faulty arguments or file, 3 refused, 4 halted, 5 no replica can be reached,",
-      "6 undecided: it was sent, and what became of it is not known; ask again with the same --id, 7 granted, and somebody is awaited."
+      "Exit status:",
+      "0 done or granted; 1 internal error; 2 invalid arguments or file; 3 refused; 4 halted; 5 no replica is reachable;",
+      "6 undecided: the request was sent and its outcome is unknown (repeat the command with the same --id);",
+      "7 granted, but not yet carried out by every proxy."
     })
 final class FleetCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -43,13 +48,13 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
   }
 
-  /** Gives back what a grant took out. */
+  /** Restores the target of a grant. */
   @Command(
       name = "undo",
       mixinStandardHelpOptions = true,
-      description = "Gives back what a grant took out.")
+      description = "Returns the target of a grant to service.")
   static final class Undo extends FleetChangeCommand {
-    @Parameters(paramLabel = "GRANT", description = "The grant's id.")
+    @Parameters(paramLabel = "GRANT", description = "Id of the grant.")
     private String grant;
 
     @Override
@@ -58,11 +63,11 @@
     }
   }
 
-  /** Grants nothing more. */
+  /** Halts all grants. */
   @Command(
       name = "halt",
       mixinStandardHelpOptions = true,
-      description = "Nothing more is granted, anywhere, until resume.")
+      description = "Refuses every new grant in the fleet until resume.")
   static final class Halt extends FleetChangeCommand {
     @Override
     public Integer call() {
@@ -70,8 +75,11 @@
     }
   }
 
-  /** Grants again. */
-  @Command(name = "resume", mixinStandardHelpOptions = true, description = "Ends a halt.")
+  /** Ends a halt. */
+  @Command(
+      name = "resume",
+      mixinStandardHelpOptions = true,
+      description = "Ends a halt; new grants are possible again.")
   static final class Resume extends FleetChangeCommand {
     @Override
     public Integer call() {
@@ -83,9 +91,9 @@
   @Command(
       name = "fence",
       mixinStandardHelpOptions = true,
-      description = "Your word that a lost proxy's process is dead.")
+      description = "Confirms that the process of a lost proxy is dead.")
   static final class Fence extends FleetChangeCommand {
-    @Parameters(paramLabel = "PROXY", description = "Which.")
+    @Parameters(paramLabel = "PROXY", description = "Name of the proxy.")
     private String name;
 
     @Override
@@ -94,13 +102,13 @@
     }
   }
 
-  /** Forgets a proxy that has gone for good. */
+  /** Removes a permanently stopped proxy from the control state. */
   @Command(
       name = "forget",
       mixinStandardHelpOptions = true,
-      description = "Takes a proxy that has gone for good out of all counts.")
+      description = "Removes a permanently stopped proxy from the control state and all counts.")
   static final class Forget extends FleetChangeCommand {
-    @Parameters(paramLabel = "PROXY", description = "Which.")
+    @Parameters(paramLabel = "PROXY", description = "Name of the proxy.")
     private String name;
 
     @Override
@@ -113,15 +121,16 @@
   @Command(
       name = "budgets",
       mixinStandardHelpOptions = true,
-      description = "Puts the budgets of a file in force, in place of all others.")
+      description = "Replaces all budgets of the fleet by the budgets of a file.")
   static final class Budgets extends FleetChangeCommand {
-    @Parameters(paramLabel = "FILE", description = "TOML with [[budget]] tables.")
+    @Parameters(paramLabel = "FILE", description = "TOML file with [[budget]] tables.")
     private Path file;
 
     @Option(
         names = "--against",
         defaultValue = "0",
-        description = "The version that they replace: 'budgets_version' of status.")
+        description =
+            "Expected version of the budgets in force, as in 'budgets_version' of status.")
     private long expectedVersion;
 
     @Override
--- a/src/main/java/leadferry/cli/FleetDrainCommands.java
+++ b/src/main/java/leadferry/cli/FleetDrainCommands.java
@@ -11,13 +11,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands that take a proxy or host out of service, and may wait until that is so. */
+/**
+ * Commands that take a proxy or host out of service and can wait until every proxy has complied.
+ */
 final class FleetDrainCommands {
-  private static final long LOOK_NANOS = 50_000_000L;
+  private static final long POLL_INTERVAL_NANOS = 50_000_000L;
 
   private FleetDrainCommands() {}
 
-  /** Asks for a grant and waits until it is carried out everywhere. */
+  /**
+   * Base of the commands that request a grant and can wait until every proxy has carried it out.
+   */
   abstract static class WaitingChangeCommand extends FleetChangeCommand {
     int submitAndAwait(ObjectNode entry) {
       ObjectNode request = submitRequest(entry);
@@ -38,16 +42,16 @@
         try {
           progress = client.call(progressRequest(granted), fleet.deadlineNanos());
         } catch (UnreachableException e) {
-          break; // it stays granted, and somebody may be awaited
+          break; // The grant stays in force. Its completion is unknown.
         }
         if (progress.path("carried_out").asBoolean()) {
           return fleet.printResponse(
               granted.put("carried_out", true), WaitingChangeCommand::printCarriedOut);
         }
-        client.receivePushes(System.nanoTime() + LOOK_NANOS);
+        client.receivePushes(System.nanoTime() + POLL_INTERVAL_NANOS);
       }
       granted.put("carried_out", false).set("awaited", progress.path("awaited"));
-      fleet.printResponse(granted, WaitingChangeCommand::printAwaited);
+      fleet.printResponse(granted, WaitingChangeCommand::printPending);
       return FleetExitStatus.PENDING;
     }
 
@@ -59,11 +63,9 @@
       System.out.println("out of service, grant " + granted.path("permit").asText());
     }
 
-    private static void printAwaited(ObjectNode granted) {
+    private static void printPending(ObjectNode granted) {
       System.out.println(
-          "granted, grant "
-              + granted.path("permit").asText()
-              + ", and not out of service everywhere yet:");
+          "granted, grant " + granted.path("permit").asText() + ", not yet carried out by:");
       granted
           .path("awaited")
           .properties()
@@ -73,16 +75,17 @@
     }
   }
 
-  /** Takes a proxy out for good. */
+  /** Takes a proxy out of service permanently. */
   @Command(
       name = "leave",
       mixinStandardHelpOptions = true,
       description = {
-        "Before a proxy is stopped for good: takes it out where budgets allow it, and waits until it is. End its process after exit status 0;",
-        "it is forgotten as soon as it has told that it ends."
+        "Takes a proxy out of service before it is stopped permanently, if the budgets allow it, and waits for completion.",
+        "Stop the process of the proxy after exit status 0.",
+        "The fleet removes the proxy when the proxy reports that it stops."
       })
   static final class Leave extends WaitingChangeCommand {
-    @Parameters(paramLabel = "PROXY", description = "Which.")
+    @Parameters(paramLabel = "PROXY", description = "Name of the proxy.")
     private String name;
 
     @Override
@@ -92,29 +95,31 @@
     }
   }
 
-  /** Takes a proxy or host out for a time, or until undo. */
+  /** Takes a proxy or host out of service for a limited time or until undo. */
   @Command(
       name = "drain",
       mixinStandardHelpOptions = true,
-      description = "Takes a proxy or a host out of service, where budgets allow it.")
+      description = "Takes a proxy or a host out of service, if the budgets allow it.")
   static final class Drain extends WaitingChangeCommand {
-    private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
+    private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
 
-    @Parameters(index = "0", paramLabel = "proxy|host", description = "What it is.")
+    @Parameters(index = "0", paramLabel = "proxy|host", description = "Kind of the target.")
     private String kind;
 
-    @Parameters(index = "1", paramLabel = "NAME", description = "Which.")
+    @Parameters(index = "1", paramLabel = "NAME", description = "Name of the target.")
     private String name;
 
     @Option(
         names = "--for",
         paramLabel = "TIME",
-        description = "Ends by itself after 30s, 10m or 2h; without it, with undo.")
+        description =
+            "Duration of the grant, such as 30s, 10m or 2h; by default the grant lasts until undo.")
     private String duration;
 
     @Option(
         names = "--wait",
-        description = "Waits until it is out everywhere, at most --timeout-s.")
+        description =
+            "Waits until every proxy has carried out the drain, for at most --timeout-s seconds.")
     private boolean wait;
 
     @Override
@@ -128,10 +133,11 @@
       if (duration == null) {
         return 0;
       }
-      Matcher matcher = DURATION.matcher(duration);
+      Matcher matcher = DURATION_PATTERN.matcher(duration);
       if (!matcher.matches()) {
         throw new CommandLine.ParameterException(
-            fleet.commandLine(), "--for " + duration + " (expected: as 500ms, 30s, 10m or 2h)");
+            fleet.commandLine(),
+            "--for " + duration + " (expected: a duration such as 500ms, 30s, 10m or 2h)");
       }
       long unitMillis =
           switch (matcher.group(2)) {
--- a/src/main/java/leadferry/cli/FleetExitStatus.java
+++ b/src/main/java/leadferry/cli/FleetExitStatus.java
@@ -1,31 +1,31 @@
 package leadferry.cli;
 
-/** Exit statuses of the commands that ask a fleet's replicas. */
+/** Exit statuses of the commands that send requests to a fleet's replicas. */
 final class FleetExitStatus {
-  /** Done, or granted. */
+  /** The request is done or granted. */
   static final int DONE = 0;
 
-  /** Faulty arguments or file. */
+  /** The arguments or a file are invalid. */
   static final int INVALID_INPUT = 2;
 
-  /** The agreed state says no: a budget, an unknown name, or a conflict. */
+  /** The control state rejects the request because of a budget, an unknown name or a conflict. */
   static final int REFUSED = 3;
 
-  /** Nothing is granted until an operator resumes. */
+  /** Grants are halted until an operator resumes them. */
   static final int HALTED = 4;
 
-  /** No replica could be reached. */
+  /** No replica is reachable. */
   static final int UNREACHABLE = 5;
 
-  /** It was sent, and what became of it is not known. */
+  /** The request was sent and its outcome is unknown. */
   static final int UNDECIDED = 6;
 
-  /** It was granted, and is not carried out everywhere yet. */
+  /** The request is granted, but not every proxy has carried it out yet. */
   static final int PENDING = 7;
 
   private FleetExitStatus() {}
 
-  /** The exit status of an outcome by its word in the replicas' protocol. */
+  /** Returns the exit status for the name of an outcome in the replicas' protocol. */
   static int forOutcome(String outcome) {
     return switch (outcome) {
       case "done", "granted" -> DONE;
--- a/src/main/java/leadferry/cli/FleetOptions.java
+++ b/src/main/java/leadferry/cli/FleetOptions.java
@@ -14,28 +14,31 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Option;
 
-/** Which fleet is asked and how: the options that all of its commands share, and the asking. */
+/**
+ * Options that all fleet commands share: the replicas, the timeout and the output format. Sends the
+ * requests of these commands and prints the responses.
+ */
 final class FleetOptions {
-  private static final long WATCH_MILLIS = 500;
-  private static final double LONGEST_TIMEOUT_SECONDS = 86_400;
+  private static final long POLL_INTERVAL_MILLIS = 500;
+  private static final double MAX_TIMEOUT_SECONDS = 86_400;
 
-  @Option(names = "--fleet", required = true, description = "The fleet's name.")
+  @Option(names = "--fleet", required = true, description = "Name of the fleet.")
   private String fleet;
 
   @Option(
       names = {"--replica", "--keeper"},
       required = true,
       paramLabel = "NAME=IP:PORT",
-      description = "A replica of the agreed state; may be repeated.")
+      description = "Name and address of a replica of the control state; may be repeated.")
   private Map<String, String> replicas = new LinkedHashMap<>();
 
   @Option(
       names = "--timeout-s",
       defaultValue = "10",
-      description = "How long an answer is waited for.")
+      description = "Timeout of a response in seconds, at most 86400.")
   private double timeoutSeconds;
 
-  @Option(names = "--json", description = "The answer as JSON on standard output.")
+  @Option(names = "--json", description = "Prints the response as JSON on standard output.")
   private boolean json;
 
   @CommandLine.Spec(CommandLine.Spec.Target.MIXEE)
@@ -43,11 +46,11 @@
 
   private long deadlineNanos;
 
-  /** A client of these replicas; the time for an answer counts from here on. */
+  /** Opens a client of the replicas and starts the timeout of the response. */
   ReplicaClient openClient() {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    replicas.forEach((name, text) -> addresses.put(name, address(name, text)));
-    if (!(timeoutSeconds > 0 && timeoutSeconds <= LONGEST_TIMEOUT_SECONDS)) {
+    replicas.forEach((name, text) -> addresses.put(name, parseAddress(name, text)));
+    if (!(timeoutSeconds > 0 && timeoutSeconds <= MAX_TIMEOUT_SECONDS)) {
       throw new CommandLine.ParameterException(
           commandLine(), "--timeout-s " + timeoutSeconds + " (expected: above 0, at most 86400)");
     }
@@ -55,7 +58,7 @@
     return new ReplicaClient(fleet, addresses, push -> {});
   }
 
-  private InetSocketAddress address(String name, String text) {
+  private InetSocketAddress parseAddress(String name, String text) {
     InetSocketAddress address = Addresses.parse(text);
     if (address == null || address.getPort() == 0) {
       throw new CommandLine.ParameterException(
@@ -68,7 +71,7 @@
     return System.nanoTime() + (long) (timeoutSeconds * 1e9);
   }
 
-  /** When (ns) the time for an answer is over. */
+  /** Returns the {@link System#nanoTime} at which the timeout of the response expires. */
   long deadlineNanos() {
     return deadlineNanos;
   }
@@ -77,7 +80,11 @@
     return spec.commandLine();
   }
 
-  /** Asks and prints; {@code printer} prints the answer for people. The exit status. */
+  /**
+   * Sends a request, prints the response and returns the exit status.
+   *
+   * @param printer prints the response as human-readable text
+   */
   int sendAndPrint(ObjectNode request, Consumer<ObjectNode> printer) {
     try (ReplicaClient client = openClient()) {
       return printResponse(client.call(request, deadlineNanos), printer);
@@ -86,59 +93,65 @@
     }
   }
 
-  /** Asks again and again and prints what has changed; ends only with this process. */
+  /**
+   * Repeats a request twice a second and prints each response that differs from the previous one.
+   * Returns only by an exception.
+   */
   int pollAndPrintChanges(ObjectNode request, Consumer<ObjectNode> printer)
       throws InterruptedException {
-    String last = "";
+    String lastText = "";
     try (ReplicaClient client = openClient()) {
       while (true) {
-        ObjectNode answer = askOnce(client, request);
-        String text = Json.text(answer);
-        if (!text.equals(last)) {
-          last = text;
-          printChange(answer, printer);
+        ObjectNode response = poll(client, request);
+        String text = Json.text(response);
+        if (!text.equals(lastText)) {
+          lastText = text;
+          printChange(response, printer);
         }
-        Thread.sleep(WATCH_MILLIS);
+        Thread.sleep(POLL_INTERVAL_MILLIS);
       }
     }
   }
 
-  private ObjectNode askOnce(ReplicaClient client, ObjectNode request) {
+  private ObjectNode poll(ReplicaClient client, ObjectNode request) {
     try {
-      ObjectNode answer = client.call(request, nextDeadline());
-      answer.remove("id");
-      return answer;
+      ObjectNode response = client.call(request, nextDeadline());
+      response.remove("id");
+      return response;
     } catch (UnreachableException e) {
       return Json.object().put("status", "unreachable").put("why", e.getMessage());
     }
   }
 
-  private void printChange(ObjectNode answer, Consumer<ObjectNode> printer) {
+  private void printChange(ObjectNode response, Consumer<ObjectNode> printer) {
     if (json) {
-      System.out.println(Json.text(answer));
+      System.out.println(Json.text(response));
       return;
     }
     System.out.println("-- " + Instant.now());
-    if (answer.path("status").asText().equals("unreachable")) {
-      System.out.println("no replica can be reached: " + answer.path("why").asText());
+    if (response.path("status").asText().equals("unreachable")) {
+      System.out.println("no replica is reachable: " + response.path("why").asText());
     } else {
-      printer.accept(answer);
+      printer.accept(response);
     }
   }
 
-  /** Prints an answer; the exit status. */
-  int printResponse(ObjectNode answer, Consumer<ObjectNode> printer) {
-    answer.remove("id");
+  /** Prints a response and returns the exit status. */
+  int printResponse(ObjectNode response, Consumer<ObjectNode> printer) {
+    response.remove("id");
     if (json) {
-      System.out.println(Json.text(answer));
+      System.out.println(Json.text(response));
     } else {
-      printer.accept(answer);
+      printer.accept(response);
     }
-    String withoutStatus = answer.has("error") ? "malformed" : "done";
-    return FleetExitStatus.forOutcome(answer.path("status").asText(withoutStatus));
+    String defaultStatus = response.has("error") ? "malformed" : "done";
+    return FleetExitStatus.forOutcome(response.path("status").asText(defaultStatus));
   }
 
-  /** Prints that no answer came, and whether the request may have been carried out. */
+  /**
+   * Prints that no replica responded and whether the request may have been carried out. Returns the
+   * exit status.
+   */
   int printUnreachable(UnreachableException cause, ObjectNode request) {
     boolean undecided = cause.requestSent && request.path("op").asText().equals("submit");
     ObjectNode result =
@@ -152,14 +165,15 @@
     if (json) {
       System.out.println(Json.text(result));
     } else if (undecided) {
-      System.out.println("undecided (" + cause.getMessage() + "): ask again with --id " + callId);
+      System.out.println(
+          "undecided (" + cause.getMessage() + "): repeat the command with --id " + callId);
     } else {
-      System.out.println("no replica can be reached: " + cause.getMessage());
+      System.out.println("no replica is reachable: " + cause.getMessage());
     }
     return undecided ? FleetExitStatus.UNDECIDED : FleetExitStatus.UNREACHABLE;
   }
 
-  /** The same options for each replica alone, with that much time at most. */
+  /** Returns these options for each replica alone, with a timeout of at most the given seconds. */
   List<FleetOptions> splitByReplica(double maxTimeoutSeconds) {
     return replicas.entrySet().stream()
         .map(
--- a/src/main/java/leadferry/cli/FleetStatusCommands.java
+++ b/src/main/java/leadferry/cli/FleetStatusCommands.java
@@ -12,24 +12,25 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands that only look: who is out of service and why, and what would become of a drain. */
+/** Read-only commands: the status, history and health of the fleet and the outlook of a drain. */
 final class FleetStatusCommands {
   private static final double HEALTH_TIMEOUT_SECONDS = 2;
 
   private FleetStatusCommands() {}
 
-  /** Who is out of service, the grants and budgets. */
+  /** Prints the targets that are out of service, the grants and the budgets. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
-      description = "Who is out and why, grants and budgets.")
+      description =
+          "Shows the targets that are out of service with the reasons, the grants and the budgets.")
   static final class Status implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
     @Option(
         names = "--watch",
         description =
-            "Tells again whenever something has changed, until it is ended; unreachable replicas are told and asked again.")
+            "Prints the status again after every change until the command is interrupted; retries while no replica is reachable.")
     private boolean watch;
 
     @Override
@@ -86,19 +87,19 @@
     }
   }
 
-  /** What would become of a drain. */
+  /** Prints the outcome that a drain would have now. */
   @Command(
       name = "explain",
       mixinStandardHelpOptions = true,
       description =
-          "What would become of a drain asked for now, and each bound that it would meet.")
+          "Shows the outcome that a drain requested now would have, and every bound that applies to it.")
   static final class Explain implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
-    @Parameters(index = "0", paramLabel = "proxy|host", description = "What it is.")
+    @Parameters(index = "0", paramLabel = "proxy|host", description = "Kind of the target.")
     private String kind;
 
-    @Parameters(index = "1", paramLabel = "NAME", description = "Which.")
+    @Parameters(index = "1", paramLabel = "NAME", description = "Name of the target.")
     private String name;
 
     @Override
@@ -107,23 +108,23 @@
           Json.object().put("op", "explain").put("kind", kind).put("name", name), Explain::print);
     }
 
-    private static void print(ObjectNode answer) {
-      if (!answer.has("would_be")) {
-        FleetChangeCommand.print(answer);
+    private static void print(ObjectNode response) {
+      if (!response.has("would_be")) {
+        FleetChangeCommand.print(response);
         return;
       }
-      String out = answer.path("out").asText("");
-      String halted = answer.path("halted").asText();
+      String unavailabilityReason = response.path("out").asText("");
+      String halted = response.path("halted").asText();
       System.out.println(
           "a drain of "
-              + answer.path("kind").asText()
+              + response.path("kind").asText()
               + " "
-              + answer.path("name").asText()
+              + response.path("name").asText()
               + " would be "
-              + answer.path("would_be").asText()
-              + (answer.path("out").isNull() ? "" : "; it is out: " + out)
+              + response.path("would_be").asText()
+              + (response.path("out").isNull() ? "" : "; it is out: " + unavailabilityReason)
               + (halted.isEmpty() ? "" : "; halted: " + halted));
-      answer.path("bounds").forEach(Explain::printBound);
+      response.path("bounds").forEach(Explain::printBound);
     }
 
     private static void printBound(JsonNode bound) {
@@ -141,11 +142,11 @@
     }
   }
 
-  /** The audit. */
+  /** Prints the history of changes. */
   @Command(
       name = "history",
       mixinStandardHelpOptions = true,
-      description = "Who asked what, why, and what became of it; the newest last.")
+      description = "Shows all changes with requester, reason and outcome, oldest first.")
   static final class History implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
@@ -158,24 +159,24 @@
     }
   }
 
-  /** Each replica by itself. */
+  /** Prints the health of each replica. */
   @Command(
       name = "health",
       mixinStandardHelpOptions = true,
-      description = "Each replica's role, term and how far it is.")
+      description = "Shows the role, the term and the log position of each replica.")
   static final class Health implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
     @Override
     public Integer call() {
-      int worst = FleetExitStatus.DONE;
+      int highestStatus = FleetExitStatus.DONE;
       for (FleetOptions replica : fleet.splitByReplica(HEALTH_TIMEOUT_SECONDS)) {
         int status =
             replica.sendAndPrint(
                 Json.object().put("op", "health"), health -> System.out.println(Json.text(health)));
-        worst = Math.max(worst, status);
+        highestStatus = Math.max(highestStatus, status);
       }
-      return worst;
+      return highestStatus;
     }
   }
 }
--- a/src/main/java/leadferry/cli/Leadferry.java
+++ b/src/main/java/leadferry/cli/Leadferry.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The commands of the program, see their own help. */
+/** Root command of the program. Each subcommand prints its own help. */
 @Command(
     name = "leadferry",
     description = "A client-side load-balancing proxy.",
@@ -22,13 +22,13 @@
     },
     footer = {
       "",
-      "proxy, adapter and warm-up are started by the platform and take no options.",
-      "Exit status: 0 done, 1 it went wrong or the rules did not hold, 2 faulty file or arguments."
+      "The platform starts the subcommands proxy, adapter and warm-up, which take no options.",
+      "Exit status: 0 for success, 1 for a failure or a violated rule, 2 for an invalid file or invalid arguments."
     })
 public final class Leadferry implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-  /** Runs the command that the arguments name; its exit status. */
+  /** Runs the command that the arguments name and returns its exit status. */
   public static int run(String[] args) {
     return new CommandLine(new Leadferry()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
   }
--- a/src/main/java/leadferry/cli/LoadCommand.java
+++ b/src/main/java/leadferry/cli/LoadCommand.java
@@ -17,66 +17,86 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/**
+ * Sends load at a fixed rate with a {@link LoadGenerator} and prints the outcomes and latencies.
+ */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
     description = {
-      "Sends requests at a set rate, whatever becomes of those before, and tells what came back.",
-      "A request's time counts from when it was due (corrected for coordinated omission)."
+      "Sends requests at a fixed rate, independent of earlier responses, and prints the outcomes.",
+      "Latency is measured from the scheduled send time (corrected for coordinated omission)."
     },
     footer = {
       "",
-      "Exit status: 0 done, 1 some requests had no answer or a wrong one, 2 faulty arguments."
+      "Exit status: 0 for success, 1 if a request had no response or a wrong one, 2 for invalid arguments."
     })
 final class LoadCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "IP:PORT", description = "Where to send; loopback only.")
+  @Parameters(paramLabel = "IP:PORT", description = "Target address; loopback only.")
   private String target;
 
-  @Option(names = "--rate", defaultValue = "100", description = "Requests a second.")
+  @Option(
+      names = "--rate",
+      defaultValue = "100",
+      description = "Requests per second, at most 1000000.")
   private double rate;
 
-  @Option(names = "--seconds", defaultValue = "10", description = "How long, at most 3600.")
+  @Option(
+      names = "--seconds",
+      defaultValue = "10",
+      description = "Duration of the measurement in seconds, at most 3600.")
   private double seconds;
 
   @Option(
       names = "--warm-up",
       defaultValue = "0",
-      description = "Seconds of load before any is counted.")
+      description = "Duration of the load before the measurement in seconds, at most 3600.")
   private double warmUp;
 
-  @Option(names = "--connections", defaultValue = "64", description = "Connections at most.")
+  @Option(
+      names = "--connections",
+      defaultValue = "64",
+      description = "Maximum number of connections.")
   private int connections;
 
-  @Option(names = "--threads", defaultValue = "1", description = "Threads that send.")
+  @Option(
+      names = "--threads",
+      defaultValue = "1",
+      description = "Number of sending threads, at most 64.")
   private int threads;
 
-  @Option(names = "--method", defaultValue = "GET", description = "The method.")
+  @Option(names = "--method", defaultValue = "GET", description = "HTTP method of the requests.")
   private String method;
 
-  @Option(names = "--path", defaultValue = "/", description = "The path.")
+  @Option(names = "--path", defaultValue = "/", description = "Path of the requests.")
   private String path;
 
-  @Option(names = "--header", description = "A header line, NAME: VALUE; may be repeated.")
+  @Option(
+      names = "--header",
+      description = "Header line of the requests, as NAME: VALUE; may be repeated.")
   private List<String> headers = new ArrayList<>();
 
-  @Option(names = "--body-bytes", defaultValue = "0", description = "Length of the body.")
+  @Option(
+      names = "--body-bytes",
+      defaultValue = "0",
+      description = "Length of the request body in bytes.")
   private int bodyBytes;
 
   @Option(
       names = "--deadline-ms",
       defaultValue = "5000",
-      description = "How long an answer is waited for.")
+      description = "Timeout of a response in milliseconds.")
   private long deadlineMs;
 
-  @Option(names = "--json", description = "The result as JSON on standard output.")
+  @Option(names = "--json", description = "Prints the result as JSON on standard output.")
   private boolean json;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() throws InterruptedException, JsonProcessingException {
-    InetSocketAddress to = Addresses.parse(target);
-    if (to == null || !to.getAddress().isLoopbackAddress()) {
+    InetSocketAddress address = Addresses.parse(target);
+    if (address == null || !address.getAddress().isLoopbackAddress()) {
       throw new CommandLine.ParameterException(
           spec.commandLine(), "target: " + target + " (expected: IP:PORT on loopback)");
     }
@@ -91,16 +111,17 @@
         && threads <= 64)) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
-          "rate, seconds, connections, threads (expected: above 0; at most 1000000, 3600, any, 64)");
+          "--rate, --seconds, --connections, --threads (expected: above 0 and at most 1000000, 3600, any number, 64); "
+              + "--warm-up (expected: 0 to 3600)");
     }
-    StringBuilder lines = new StringBuilder();
-    headers.forEach(h -> lines.append(h).append("\r\n"));
+    StringBuilder headerLines = new StringBuilder();
+    headers.forEach(h -> headerLines.append(h).append("\r\n"));
     LoadGenerator.RequestKind kind =
         new LoadGenerator.RequestKind(
-            "all", 1, method, path, lines.toString(), bodyBytes, deadlineMs);
+            "all", 1, method, path, headerLines.toString(), bodyBytes, deadlineMs);
     LoadGenerator.Plan plan =
         new LoadGenerator.Plan(
-            to,
+            address,
             rate,
             warmUp,
             seconds,
@@ -111,12 +132,16 @@
     try (LoadGenerator load = new LoadGenerator(plan, null)) {
       load.start();
       ProgressLine progress = new ProgressLine();
-      Thread shown =
+      Thread progressThread =
           progress.start(
-              () -> load.completed() + " of " + (long) (rate * (warmUp + seconds)) + " over");
+              () ->
+                  load.completed()
+                      + " of "
+                      + (long) (rate * (warmUp + seconds))
+                      + " requests completed");
       load.await();
-      progress.stop(shown);
-      Map<String, Object> result = result(load);
+      progress.stop(progressThread);
+      Map<String, Object> result = summarize(load);
       if (json) {
         System.out.println(new ObjectMapper().writeValueAsString(result));
       } else {
@@ -129,22 +154,26 @@
     }
   }
 
-  private Map<String, Object> result(LoadGenerator load) {
-    Histogram h = load.served(0);
-    Map<String, Object> out = new LinkedHashMap<>();
-    out.put("sent", load.sent());
-    for (LoadGenerator.Outcome o : LoadGenerator.Outcome.values()) {
-      out.put(o.name().toLowerCase(Locale.ROOT), load.count(o));
+  private Map<String, Object> summarize(LoadGenerator load) {
+    Histogram latencies = load.served(0);
+    Map<String, Object> result = new LinkedHashMap<>();
+    result.put("sent", load.sent());
+    for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+      result.put(outcome.name().toLowerCase(Locale.ROOT), load.count(outcome));
     }
-    out.put("per_second", Math.round(load.servedPerSecond()));
-    out.put("p50_ms", ms(h, 50));
-    out.put("p99_ms", ms(h, 99));
-    out.put("p99_9_ms", ms(h, 99.9));
-    out.put("max_ms", h.getTotalCount() == 0 ? 0 : Math.round(h.getMaxValue() / 1e3) / 1e3);
-    return out;
+    result.put("per_second", Math.round(load.servedPerSecond()));
+    result.put("p50_ms", percentileMillis(latencies, 50));
+    result.put("p99_ms", percentileMillis(latencies, 99));
+    result.put("p99_9_ms", percentileMillis(latencies, 99.9));
+    result.put(
+        "max_ms",
+        latencies.getTotalCount() == 0 ? 0 : Math.round(latencies.getMaxValue() / 1e3) / 1e3);
+    return result;
   }
 
-  private static double ms(Histogram h, double percentile) {
-    return h.getTotalCount() == 0 ? 0 : Math.round(h.getValueAtPercentile(percentile) / 1e3) / 1e3;
+  private static double percentileMillis(Histogram latencies, double percentile) {
+    return latencies.getTotalCount() == 0
+        ? 0
+        : Math.round(latencies.getValueAtPercentile(percentile) / 1e3) / 1e3;
   }
 }
--- a/src/main/java/leadferry/cli/OverloadTestCommand.java
+++ b/src/main/java/leadferry/cli/OverloadTestCommand.java
@@ -21,22 +21,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs an {@link OverloadTest} against a proxy on part of a core. */
+/** Runs an {@link OverloadTest} against a proxy that is limited to a share of a CPU core. */
 @Command(
     name = "overload-test",
     aliases = "storm",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts a proxy on part of a core before upstreams that stay healthy, overloads it, and tells how "
-          + "long after the end of the overload as many usual clients are served as before.",
+      "Overloads a proxy that is limited to a share of a CPU core while its upstreams stay healthy. Prints how "
+          + "long after the overload the proxy needs to serve as many regular clients as before.",
       "",
-      "crowd: ten times the clients. retry: the same, asking again at once when rejected. silent, trickle, heads, "
-          + "deaf: connections that say nothing, a byte a second, a head and no body, or never read. reconnect: all "
-          + "clients connect anew at once. pause: the process stands still. restart: it ends and starts again."
+      "crowd: additional clients, by default ten times the regular ones. retry: the same clients, which retry a "
+          + "rejected request immediately.",
+      "silent: connections that send nothing. trickle: connections that send one byte per second. heads: "
+          + "connections that send a request head and no body. deaf: connections that never read.",
+      "reconnect: all clients reconnect at the same time. pause: the proxy process is suspended. restart: the "
+          + "proxy process is stopped and started again."
     },
-    footer = {"", "Exit status: 0 it recovered, 1 it did not, 2 faulty arguments."})
+    footer = {
+      "",
+      "Exit status: 0 if the proxy recovered, 1 if it did not, 2 for invalid arguments."
+    })
 final class OverloadTestCommand implements Callable<Integer> {
-  /** What overloads the proxy. */
+  /** Cause of the overload. */
   enum Kind {
     CROWD,
     RETRY,
@@ -51,93 +57,116 @@
 
   private static final double SERVICE_MILLIS = 5;
   private static final int CORES = 8;
-  private static final int MOST_EXECUTIONS = 1_000_000;
-  private static final int MOST_CLIENTS = 20_000;
-  private static final double MOST_SECONDS = 600;
-  private static final long END_MILLIS = 5_000;
-
-  @Parameters(paramLabel = "KIND", description = "${COMPLETION-CANDIDATES}, in any case.")
+  private static final int MAX_RECORDED_EXECUTIONS = 1_000_000;
+  private static final int MAX_CLIENTS = 20_000;
+  private static final double MAX_TOTAL_SECONDS = 600;
+  private static final long STOP_TIMEOUT_MILLIS = 5_000;
+
+  @Parameters(
+      paramLabel = "KIND",
+      description =
+          "Cause of the overload, one of ${COMPLETION-CANDIDATES}, in upper or lower case.")
   private Kind kind;
 
-  @Option(names = "--proxy", defaultValue = "DAEMON", description = "${COMPLETION-CANDIDATES}.")
+  @Option(
+      names = "--proxy",
+      defaultValue = "DAEMON",
+      description = "Kind of the proxy, one of ${COMPLETION-CANDIDATES}.")
   private ThrottledProxyLauncher.Kind proxyKind;
 
   @Option(
       names = "--share",
       defaultValue = "0.5",
-      description = "Part of a core that the proxy gets.")
+      description = "Share of a CPU core that the proxy may use, above 0 and at most 1.")
   private double share;
 
-  @Option(names = "--jvm", description = "An option of the proxy's JVM; may be repeated.")
+  @Option(names = "--jvm", description = "Option for the JVM of the proxy; may be repeated.")
   private List<String> jvm = new ArrayList<>();
 
   @Option(
       names = "--jvm-file",
       paramLabel = "FILE",
-      description = "Options of the proxy's JVM, as in deploy/proxy.jvm.")
+      description = "File with options for the JVM of the proxy, such as deploy/proxy.jvm.")
   private Path jvmFile;
 
-  @Option(names = "--clients", defaultValue = "60", description = "Usual clients.")
+  @Option(
+      names = "--clients",
+      defaultValue = "60",
+      description = "Number of regular clients, at most 20000.")
   private int clients;
 
   @Option(
       names = "--think-ms",
       defaultValue = "200",
-      description = "What a usual client waits between requests, in the mean.")
+      description = "Mean pause of a regular client between requests in milliseconds.")
   private double thinkMillis;
 
   @Option(
       names = "--timeout-ms",
       defaultValue = "800",
-      description = "How long a client waits for an answer.")
+      description = "Timeout of a response at the clients in milliseconds.")
   private long timeoutMillis;
 
   @Option(
       names = "--crowd",
       defaultValue = "600",
-      description = "Clients or connections that come besides.")
+      description =
+          "Number of additional clients or connections during the overload, at most 20000.")
   private int crowd;
 
   @Option(
       names = "--descriptors",
       defaultValue = "384",
-      description = "Sockets that the proxy may hold.")
+      description = "Maximum number of sockets of the proxy.")
   private int descriptors;
 
-  @Option(names = "--calm", defaultValue = "6", description = "Seconds before the overload.")
+  @Option(
+      names = "--calm",
+      defaultValue = "6",
+      description = "Duration of the phase before the overload in seconds, at least 1.")
   private double calm;
 
-  @Option(names = "--trigger", defaultValue = "5", description = "Seconds that it lasts.")
+  @Option(
+      names = "--trigger",
+      defaultValue = "5",
+      description = "Duration of the overload in seconds.")
   private double trigger;
 
-  @Option(names = "--after", defaultValue = "12", description = "Seconds after it.")
+  @Option(
+      names = "--after",
+      defaultValue = "12",
+      description = "Duration of the phase after the overload in seconds, at least 3.")
   private double after;
 
-  @Option(names = "--seed", defaultValue = "1", description = "Of the clients' random numbers.")
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "Seed of the clients' random numbers.")
   private long seed;
 
-  @Option(names = "--json", description = "The result as JSON on standard output.")
+  @Option(names = "--json", description = "Prints the result as JSON on standard output.")
   private boolean json;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    checkOptions();
+    validateOptions();
     ThrottledProxyLauncher launcher =
         new ThrottledProxyLauncher(proxyKind, jvmFile, jvm, share, descriptors, timeoutMillis);
     Path folder = Files.createTempDirectory("leadferry-overload");
-    try (FakeUpstream first = upstream("a");
-        FakeUpstream second = upstream("b");
-        ThrottledProxy proxy = launcher.create(folder, List.of(first, second))) {
+    try (FakeUpstream firstUpstream = startUpstream("a");
+        FakeUpstream secondUpstream = startUpstream("b");
+        ThrottledProxy proxy = launcher.create(folder, List.of(firstUpstream, secondUpstream))) {
       long startNanos = System.nanoTime();
       proxy.start();
       double startSeconds = proxy.awaitListening(startNanos);
       if (Double.isNaN(startSeconds)) {
-        System.err.println("the proxy does not listen: " + Files.readString(folder.resolve("log")));
+        System.err.println(
+            "proxy failed to start listening; its log: " + Files.readString(folder.resolve("log")));
         return 1;
       }
-      return play(proxy, startSeconds, launcher.requestPath());
+      return runTest(proxy, startSeconds, launcher.requestPath());
     } finally {
       Files.deleteIfExists(folder.resolve("config"));
       Files.deleteIfExists(folder.resolve("log"));
@@ -145,50 +174,54 @@
     }
   }
 
-  private static FakeUpstream upstream(String name) {
+  private static FakeUpstream startUpstream(String name) {
     return new FakeUpstream(
         FakeUpstream.Options.instant(name).withServiceTime(SERVICE_MILLIS, CORES),
-        new ExecutionLog(MOST_EXECUTIONS));
+        new ExecutionLog(MAX_RECORDED_EXECUTIONS));
   }
 
-  private void checkOptions() {
-    boolean sound =
-        isAbove(share, 0, 1)
-            && isAbove(clients, 0, MOST_CLIENTS)
-            && isAbove(crowd, -1, MOST_CLIENTS)
+  private void validateOptions() {
+    boolean valid =
+        isAboveAndAtMost(share, 0, 1)
+            && isAboveAndAtMost(clients, 0, MAX_CLIENTS)
+            && isAboveAndAtMost(crowd, -1, MAX_CLIENTS)
             && calm >= 1
             && trigger > 0
             && after >= 3
-            && calm + trigger + after <= MOST_SECONDS
+            && calm + trigger + after <= MAX_TOTAL_SECONDS
             && timeoutMillis > 0;
-    if (!sound) {
+    if (!valid) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
-          "expected: a share above 0 and at most 1, clients and crowd at most 20000, calm from 1, after from 3,"
-              + " 600 seconds at most");
+          "options out of range (expected: --share above 0 and at most 1, --clients 1 to 20000, --crowd 0 to 20000, "
+              + "--calm at least 1, --trigger above 0, --after at least 3, at most 600 seconds in total, "
+              + "--timeout-ms above 0)");
     }
   }
 
-  private static boolean isAbove(double value, double bound, double most) {
-    return value > bound && value <= most;
+  private static boolean isAboveAndAtMost(double value, double exclusiveMin, double max) {
+    return value > exclusiveMin && value <= max;
   }
 
-  private int play(ThrottledProxy proxy, double startSeconds, String path)
+  private int runTest(ThrottledProxy proxy, double startSeconds, String path)
       throws IOException, InterruptedException {
     double[] restartSeconds = {Double.NaN};
     List<ThrottledProxy.Sample> samples = new ArrayList<>();
     try (OverloadTest test =
-        new OverloadTest(plan(proxy, path), () -> begin(proxy, restartSeconds), () -> end(proxy))) {
-      Thread sampling = new Thread(() -> sample(proxy, samples), "samples");
-      sampling.setDaemon(true);
-      sampling.start();
+        new OverloadTest(
+            plan(proxy, path),
+            () -> onTriggerStart(proxy, restartSeconds),
+            () -> onTriggerEnd(proxy))) {
+      Thread samplingThread = new Thread(() -> sample(proxy, samples), "samples");
+      samplingThread.setDaemon(true);
+      samplingThread.start();
       ProgressLine progress = new ProgressLine();
-      Thread shown =
+      Thread progressThread =
           progress.start(() -> samples.size() + " of " + (int) (calm + trigger + after) + " s");
       test.run();
-      sampling.interrupt();
-      sampling.join();
-      progress.stop(shown);
+      samplingThread.interrupt();
+      samplingThread.join();
+      progress.stop(progressThread);
       OverloadTimeline timeline = test.timeline();
       print(result(timeline, startSeconds, restartSeconds[0]), timeline, samples);
       return Double.isNaN(timeline.recoveredAfterSeconds()) ? 1 : 0;
@@ -205,14 +238,14 @@
           case DEAF -> OverloadPlan.Crowd.DEAF;
           default -> OverloadPlan.Crowd.USUAL;
         };
-    boolean alone = kind == Kind.RECONNECT || kind == Kind.PAUSE || kind == Kind.RESTART;
+    boolean withoutCrowd = kind == Kind.RECONNECT || kind == Kind.PAUSE || kind == Kind.RESTART;
     return new OverloadPlan(
         List.of(proxy.address()),
         clients,
         thinkMillis,
         timeoutMillis,
         crowdKind,
-        alone ? 0 : crowd,
+        withoutCrowd ? 0 : crowd,
         kind == Kind.RECONNECT,
         calm,
         trigger,
@@ -221,12 +254,12 @@
         seed);
   }
 
-  private void begin(ThrottledProxy proxy, double[] restartSeconds) {
+  private void onTriggerStart(ThrottledProxy proxy, double[] restartSeconds) {
     if (kind == Kind.PAUSE) {
       proxy.pause();
     } else if (kind == Kind.RESTART) {
       long sinceNanos = System.nanoTime();
-      proxy.terminate(END_MILLIS);
+      proxy.terminate(STOP_TIMEOUT_MILLIS);
       proxy.start();
       try {
         restartSeconds[0] = proxy.awaitListening(sinceNanos);
@@ -236,7 +269,7 @@
     }
   }
 
-  private void end(ThrottledProxy proxy) {
+  private void onTriggerEnd(ThrottledProxy proxy) {
     if (kind == Kind.PAUSE) {
       proxy.resume();
     }
@@ -249,25 +282,23 @@
         samples.add(proxy.sample());
       }
     } catch (InterruptedException e) {
-      // the test is over
+      // The test has ended.
     }
   }
 
-  // --- the result
-
   private Map<String, Object> result(
       OverloadTimeline timeline, double startSeconds, double restartSeconds) {
     Map<String, Object> result = new LinkedHashMap<>();
     result.put("storm", kind.name().toLowerCase(Locale.ROOT));
     result.put("proxy", proxyKind.name().toLowerCase(Locale.ROOT));
     result.put("share_of_core", share);
-    result.put("start_s", round(startSeconds));
-    result.put("restart_s", round(restartSeconds));
-    result.put("calm_served", round(timeline.calmShare()));
-    result.put("trigger_served", round(timeline.triggerShare()));
-    result.put("after_served", round(timeline.afterShare()));
-    result.put("recovered_after_s", round(timeline.recoveredAfterSeconds()));
-    result.put("longest_gap_s", round(timeline.longestGapSeconds()));
+    result.put("start_s", roundToThousandths(startSeconds));
+    result.put("restart_s", roundToThousandths(restartSeconds));
+    result.put("calm_served", roundToThousandths(timeline.calmShare()));
+    result.put("trigger_served", roundToThousandths(timeline.triggerShare()));
+    result.put("after_served", roundToThousandths(timeline.afterShare()));
+    result.put("recovered_after_s", roundToThousandths(timeline.recoveredAfterSeconds()));
+    result.put("longest_gap_s", roundToThousandths(timeline.longestGapSeconds()));
     return result;
   }
 
@@ -290,22 +321,22 @@
   private static void printSecond(
       int second, OverloadTimeline.Bucket[] buckets, List<ThrottledProxy.Sample> samples) {
     int from = second * OverloadTimeline.BUCKETS_PER_SECOND;
-    List<OverloadTimeline.Bucket> tenths =
+    List<OverloadTimeline.Bucket> secondBuckets =
         List.of(buckets).subList(from, from + OverloadTimeline.BUCKETS_PER_SECOND);
-    ThrottledProxy.Sample now = sampleAt(second, samples);
-    double cpuSeconds = now.cpuSeconds() - sampleAt(second - 1, samples).cpuSeconds();
+    ThrottledProxy.Sample sample = sampleAt(second, samples);
+    double cpuSeconds = sample.cpuSeconds() - sampleAt(second - 1, samples).cpuSeconds();
     System.out.printf(
         Locale.ROOT,
         "%4d %6d  %6d    %6d      %6d  %4.2f   %6d %5d  %6d%n",
         second,
-        tenths.stream().mapToInt(OverloadTimeline.Bucket::sent).sum(),
-        tenths.stream().mapToInt(OverloadTimeline.Bucket::served).sum(),
-        tenths.stream().mapToInt(OverloadTimeline.Bucket::rejected).sum(),
-        tenths.stream().mapToInt(OverloadTimeline.Bucket::unanswered).sum(),
+        secondBuckets.stream().mapToInt(OverloadTimeline.Bucket::sent).sum(),
+        secondBuckets.stream().mapToInt(OverloadTimeline.Bucket::served).sum(),
+        secondBuckets.stream().mapToInt(OverloadTimeline.Bucket::rejected).sum(),
+        secondBuckets.stream().mapToInt(OverloadTimeline.Bucket::unanswered).sum(),
         Math.max(0, cpuSeconds),
-        now.acceptQueueLength(),
-        now.established(),
-        now.closeWait());
+        sample.acceptQueueLength(),
+        sample.established(),
+        sample.closeWait());
   }
 
   private static ThrottledProxy.Sample sampleAt(int second, List<ThrottledProxy.Sample> samples) {
@@ -314,7 +345,7 @@
         : new ThrottledProxy.Sample(0, 0, 0, 0);
   }
 
-  private static Double round(double value) {
+  private static Double roundToThousandths(double value) {
     return Double.isNaN(value) ? null : Math.round(value * 1e3) / 1e3;
   }
 }
--- a/src/main/java/leadferry/cli/ProgressLine.java
+++ b/src/main/java/leadferry/cli/ProgressLine.java
@@ -2,20 +2,25 @@
 
 import java.util.function.Supplier;
 
-/** A line on the terminal that tells how far long work is; nothing where output is piped. */
+/**
+ * Progress of a long operation, shown as one line on standard error. Nothing is shown if the
+ * process has no interactive console.
+ */
 final class ProgressLine {
-  private static final long EVERY_MS = 500;
+  private static final long INTERVAL_MILLIS = 500;
 
-  private final boolean terminal = System.console() != null;
+  private final boolean hasTerminal = System.console() != null;
 
-  /** Shows the line until {@link #stop}. */
+  /**
+   * Refreshes the line every 500 ms until {@link #stop}. Returns the thread to pass to that method.
+   */
   Thread start(Supplier<String> line) {
-    Thread t =
+    Thread thread =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  Thread.sleep(EVERY_MS);
+                  Thread.sleep(INTERVAL_MILLIS);
                   System.err.print("\r" + line.get() + "\u001b[K");
                 }
               } catch (InterruptedException e) {
@@ -23,17 +28,18 @@
               }
             },
             "progress");
-    t.setDaemon(true);
-    if (terminal) {
-      t.start();
+    thread.setDaemon(true);
+    if (hasTerminal) {
+      thread.start();
     }
-    return t;
+    return thread;
   }
 
-  void stop(Thread shown) throws InterruptedException {
-    if (terminal) {
-      shown.interrupt();
-      shown.join();
+  /** Stops the thread and clears the line. */
+  void stop(Thread thread) throws InterruptedException {
+    if (hasTerminal) {
+      thread.interrupt();
+      thread.join();
     }
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseAgentCommands.java
+++ b/src/main/java/leadferry/cli/ReleaseAgentCommands.java
@@ -18,22 +18,27 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What a target's own agent asks, where a plan has agents change the targets. */
+/**
+ * Commands for the agents on the targets, for release plans whose targets are changed by agents.
+ */
 final class ReleaseAgentCommands {
   private ReleaseAgentCommands() {}
 
-  /** Tells an agent what to do to its target. */
+  /** Prints the action that an agent has to carry out on its target. */
   @Command(
       name = "next",
       mixinStandardHelpOptions = true,
-      description = "For an agent: what is to be done to this target now.")
+      description = "Prints the action that an agent has to carry out on its target now.")
   static final class Next implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
-    @Parameters(paramLabel = "RELEASE", description = "Which.")
+    @Parameters(paramLabel = "RELEASE", description = "Name of the release.")
     private String name;
 
-    @Option(names = "--as", required = true, description = "The target whose agent asks.")
+    @Option(
+        names = "--as",
+        required = true,
+        description = "Name of the target whose agent runs this command.")
     private String targetName;
 
     @Override
@@ -84,27 +89,37 @@
     }
   }
 
-  /** Takes an agent's report. */
+  /** Submits the report of an agent about its target. */
   @Command(
       name = "report",
       mixinStandardHelpOptions = true,
-      description = "For an agent: what its target runs now, after an action that it was given.")
+      description =
+          "Reports the version that a target runs after its agent has carried out an action.")
   static final class Report implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
-    @Parameters(paramLabel = "RELEASE", description = "Which.")
+    @Parameters(paramLabel = "RELEASE", description = "Name of the release.")
     private String name;
 
-    @Option(names = "--as", required = true, description = "The target whose agent tells.")
+    @Option(
+        names = "--as",
+        required = true,
+        description = "Name of the target whose agent reports.")
     private String targetName;
 
-    @Option(names = "--action", required = true, description = "As next gave it.")
+    @Option(
+        names = "--action",
+        required = true,
+        description = "Number of the action, as printed by next.")
     private long action;
 
-    @Option(names = "--try", required = true, description = "As next gave it.")
+    @Option(
+        names = "--try",
+        required = true,
+        description = "Number of the attempt, as printed by next.")
     private int attempt;
 
-    @Option(names = "--found", required = true, description = "The version that runs there now.")
+    @Option(names = "--found", required = true, description = "Version that the target runs now.")
     private String found;
 
     @Override
--- a/src/main/java/leadferry/cli/ReleaseCliCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseCliCommand.java
@@ -17,12 +17,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands about releases: those that start, steer and drive one stand here. */
+/**
+ * Parent of the commands on releases. Contains the commands that start, drive and control a
+ * release.
+ */
 @Command(
     name = "release",
     mixinStandardHelpOptions = true,
     description =
-        "Replaces hosts or restarts proxies step by step, under the fleet's budgets, with a halt and a rollback.",
+        "Replaces hosts or restarts proxies in steps within the budgets of the fleet. A release can be halted and rolled back.",
     subcommands = {
       ReleasePlanCommand.class,
       ReleaseCliCommand.Start.class,
@@ -40,17 +43,18 @@
     },
     footer = {
       "",
-      "Exit status: as for fleet; of drive: 0 it is done or rolled back, 3 it was given up or is not known;",
-      "of next: 0 there is something to do, 8 there is nothing."
+      "Exit status: as for fleet, except for drive and next.",
+      "drive: 0 if the release is completed or rolled back, 3 if it was ended by an operator or is unknown.",
+      "next: 0 if the agent has an action to carry out, 8 if it has none."
     })
 final class ReleaseCliCommand implements Runnable {
-  /** Exit status: it was done. */
+  /** Exit status of success. */
   static final int EXIT_DONE = 0;
 
-  /** Exit status: faulty arguments or file. */
+  /** Exit status for invalid arguments or an invalid file. */
   static final int EXIT_INVALID_INPUT = 2;
 
-  /** Exit status of {@code next}: the agent has nothing to do. */
+  /** Exit status of {@code next} if the agent has no action to carry out. */
   static final int EXIT_NOTHING_TO_DO = 8;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -64,9 +68,9 @@
   @Command(
       name = "start",
       mixinStandardHelpOptions = true,
-      description = "Puts a plan into the replicated log; drivers carry it out.")
+      description = "Submits a release plan to the replicated log. Drivers carry it out.")
   static final class Start extends FleetChangeCommand {
-    @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
+    @Parameters(paramLabel = "FILE", description = "TOML file with a [release] table.")
     private Path file;
 
     @Override
@@ -86,7 +90,7 @@
       name = "drive",
       mixinStandardHelpOptions = true,
       description =
-          "Carries a release out until it is over. Any number of processes may; one at a time holds the lease, the next takes over where it was lost.")
+          "Carries out a release until it ends. Several processes may drive the same release: one holds the lease, and another takes over if the lease expires.")
   static final class Drive implements Callable<Integer> {
     private static final long MIN_LEASE_MILLIS = 200;
     private static final long MAX_LEASE_MILLIS = 600_000;
@@ -94,16 +98,20 @@
 
     @Mixin private FleetOptions fleet;
 
-    @Parameters(paramLabel = "RELEASE", description = "Which.")
+    @Parameters(paramLabel = "RELEASE", description = "Name of the release.")
     private String name;
 
-    @Option(names = "--as", required = true, description = "This driver's name, for the audit.")
+    @Option(
+        names = "--as",
+        required = true,
+        description = "Name of this driver, recorded in the history.")
     private String driverName;
 
     @Option(
         names = "--lease-ms",
         defaultValue = "3000",
-        description = "Silent for so long, it is taken for lost: 200 to 600000.")
+        description =
+            "Duration of the lease in milliseconds, 200 to 600000; a driver that does not renew it in time is considered lost.")
     private long leaseMillis;
 
     @Override
@@ -143,12 +151,12 @@
     }
   }
 
-  /** What an operator asks of one release. */
+  /** Base of the operator commands that change one release. */
   abstract static class ReleaseChangeCommand extends FleetChangeCommand {
-    @Parameters(paramLabel = "RELEASE", description = "Which.")
+    @Parameters(paramLabel = "RELEASE", description = "Name of the release.")
     String name;
 
-    /** Submits a command with who asks, when, and the call's id. */
+    /** Submits a command with its requester, time and call id. Returns the exit status. */
     int submit(ReleaseCommand command) {
       ObjectNode encoded = ReleaseCommandCodec.encode(command);
       ObjectNode entry = newEntry(encoded.path("op").asText());
@@ -161,7 +169,8 @@
   @Command(
       name = "pause",
       mixinStandardHelpOptions = true,
-      description = "No new target goes out until resume; what is under way ends by itself.")
+      description =
+          "Takes no further target out of service until resume. Changes in progress are completed.")
   static final class Pause extends ReleaseChangeCommand {
     @Override
     public Integer call() {
@@ -173,7 +182,7 @@
   @Command(
       name = "resume",
       mixinStandardHelpOptions = true,
-      description = "Goes on after a pause or a halt, in the direction that it had.")
+      description = "Continues a paused or halted release in its previous direction.")
   static final class Resume extends ReleaseChangeCommand {
     @Override
     public Integer call() {
@@ -185,7 +194,8 @@
   @Command(
       name = "halt",
       mixinStandardHelpOptions = true,
-      description = "From the entry on that says so, no new target goes out.")
+      description =
+          "Halts the release: no further target goes out of service after the halt is in the replicated log.")
   static final class Halt extends ReleaseChangeCommand {
     @Override
     public Integer call() {
@@ -198,12 +208,13 @@
       name = "rollback",
       aliases = "back",
       mixinStandardHelpOptions = true,
-      description = "Rolls back: the newest first, under the same budgets.")
+      description =
+          "Rolls the release back within the same budgets, the last changed target first.")
   static final class RollBack extends ReleaseChangeCommand {
     @Option(
         names = "--to-step",
         defaultValue = "0",
-        description = "So many steps, from the first on, stay new.")
+        description = "Number of steps, counted from the first, that keep the new version.")
     private int toStep;
 
     @Override
@@ -216,13 +227,14 @@
   @Command(
       name = "override",
       mixinStandardHelpOptions = true,
-      description = "Your decision against a check, with who and why in the audit.")
+      description =
+          "Overrides a check of the release. The history records the requester and the reason.")
   static final class OverrideCheck extends ReleaseChangeCommand {
     @Option(
         names = "--what",
         required = true,
         description =
-            "verdict: the step that has baked is good; lost: those who are lost now are no reason.")
+            "Check to override. verdict: accepts the step that has been observed. lost: the targets that are lost now do not halt the release.")
     private String check;
 
     @Override
@@ -231,11 +243,12 @@
     }
   }
 
-  /** Gives a release up. */
+  /** Ends a release in its current state. */
   @Command(
       name = "end",
       mixinStandardHelpOptions = true,
-      description = "Gives a release up as it stands; others may have its targets then.")
+      description =
+          "Ends the release in its current state. Other releases can use its targets afterwards.")
   static final class End extends ReleaseChangeCommand {
     @Override
     public Integer call() {
@@ -243,15 +256,16 @@
     }
   }
 
-  /** Prints a release's part of the audit. */
+  /** Prints the history of one release. */
   @Command(
       name = "history",
       mixinStandardHelpOptions = true,
-      description = "What was done and decided, and by whom; the newest last.")
+      description =
+          "Shows the actions and decisions of the release and who made them, oldest first.")
   static final class History implements Callable<Integer> {
     @Mixin private FleetOptions fleet;
 
-    @Parameters(paramLabel = "RELEASE", description = "Which.")
+    @Parameters(paramLabel = "RELEASE", description = "Name of the release.")
     private String name;
 
     @Override
--- a/src/main/java/leadferry/cli/ReleaseDriver.java
+++ b/src/main/java/leadferry/cli/ReleaseDriver.java
@@ -30,19 +30,19 @@
 import leadferry.release.ReleaseViewCodec;
 
 /**
- * Drives one release: asks the replicas for its status, does what {@link ReleaseController} says
- * and runs the operator's commands. Any number of processes may drive; one holds the lease at a
- * time, the others wait for it.
+ * Drives one release: polls the replicas for its status, carries out the actions of {@link
+ * ReleaseController} and runs the operator's programs. Several processes may drive the same
+ * release. One process holds the lease at a time, and the others wait for it.
  *
- * <p>{@link #run} talks to the replicas and owns the controller, in the thread that calls it;
- * commands run in threads of their own, and hand their results back through a queue.
+ * <p>{@link #run} sends the requests to the replicas and confines the controller to the calling
+ * thread. The programs run on separate threads, which return their results through a queue.
  */
 final class ReleaseDriver implements AutoCloseable {
-  /** How often the status is asked for. */
-  private static final long POLL_MILLIS = 100;
+  /** Interval of the status requests. */
+  private static final long POLL_INTERVAL_MILLIS = 100;
 
-  /** A target that the budgets refused is asked for again after so long. */
-  private static final long REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** Delay before a change that was not granted is requested again. */
+  private static final long REFUSED_INTENT_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private static final int RENEWALS_PER_LEASE = 4;
   private static final int REPORT_TIMEOUTS_PER_LEASE = 2;
@@ -67,7 +67,7 @@
   private long nextIntentNanos;
   private String lastStatusLine = "";
 
-  /** A driver that tells {@code log} what it does. */
+  /** Creates a driver that writes a line to {@code log} for each of its steps. */
   ReleaseDriver(
       ReplicaClient replicas, String name, String release, long leaseMillis, Consumer<String> log) {
     this.replicas = replicas;
@@ -80,16 +80,17 @@
   }
 
   /**
-   * Drives until the release is over or this is closed.
+   * Drives until the release has ended or {@link #close} is called.
    *
-   * @return the release as it was last seen; empty where there is none of that name
+   * @return the last known status of the release; empty if no release of that name exists or no
+   *     status was received
    */
   Optional<ReleaseView> run() {
     Optional<ReleaseView> lastSeen = Optional.empty();
     while (!closed) {
-      takeCompletions();
+      runCompletions();
       Optional<JsonNode> response =
-          ask(Json.object().put("op", "release").put("release", release), leaseNanos);
+          call(Json.object().put("op", "release").put("release", release), leaseNanos);
       if (response.isPresent() && hasStatus(response.get(), Status.UNKNOWN)) {
         return Optional.empty();
       }
@@ -102,12 +103,12 @@
         }
         driveOnce(view);
       }
-      Sleep.millis(POLL_MILLIS);
+      Sleep.millis(POLL_INTERVAL_MILLIS);
     }
     return lastSeen;
   }
 
-  private void takeCompletions() {
+  private void runCompletions() {
     for (Runnable completion = completions.poll();
         completion != null;
         completion = completions.poll()) {
@@ -121,7 +122,7 @@
     Optional<MemberReports> reports = Optional.empty();
     if (controller.isDriverOf(view) && view.progress().bakingSinceChange() > 0) {
       reports =
-          ask(Json.object().put("op", "reports"), leaseNanos / REPORT_TIMEOUTS_PER_LEASE)
+          call(Json.object().put("op", "reports"), leaseNanos / REPORT_TIMEOUTS_PER_LEASE)
               .map(MemberReports::read);
     }
     long now = System.nanoTime();
@@ -137,14 +138,14 @@
             + ", "
             + ReleaseStatusPrinter.directionName(view.progress().direction())
             + reason
-            + driverText(view);
+            + describeDriver(view);
     if (!line.equals(lastStatusLine)) {
       lastStatusLine = line;
       log.accept(release + " is " + line);
     }
   }
 
-  private String driverText(ReleaseView view) {
+  private String describeDriver(ReleaseView view) {
     if (controller.isDriverOf(view)) {
       return ", driven by this process";
     }
@@ -163,7 +164,7 @@
     long renewalNanos = leaseNanos / RENEWALS_PER_LEASE;
     ObjectNode request =
         Json.object().put("op", "renew").put("release", release).put("fence", view.fence());
-    ask(request, renewalNanos)
+    call(request, renewalNanos)
         .ifPresent(
             response -> {
               if (hasStatus(response, Status.DONE)) {
@@ -175,7 +176,7 @@
             });
   }
 
-  private Optional<JsonNode> ask(ObjectNode request, long timeoutNanos) {
+  private Optional<JsonNode> call(ObjectNode request, long timeoutNanos) {
     try {
       return Optional.of(replicas.call(request, System.nanoTime() + timeoutNanos));
     } catch (UnreachableException e) {
@@ -198,31 +199,28 @@
   }
 
   private void submit(ReleaseCommand command) {
-    boolean intent = command instanceof ReleaseCommand.IntendChange;
-    if (intent && System.nanoTime() - nextIntentNanos < 0) {
+    boolean isIntent = command instanceof ReleaseCommand.IntendChange;
+    if (isIntent && System.nanoTime() - nextIntentNanos < 0) {
       return;
     }
     ObjectNode request =
         Json.object().put("op", "submit").set("entry", ReleaseCommandCodec.encode(command));
-    Optional<JsonNode> response = ask(request, leaseNanos);
-    if (intent && response.filter(answer -> hasStatus(answer, Status.GRANTED)).isEmpty()) {
-      nextIntentNanos = System.nanoTime() + REFUSED_BACKOFF_NANOS;
+    Optional<JsonNode> response = call(request, leaseNanos);
+    if (isIntent && response.filter(json -> hasStatus(json, Status.GRANTED)).isEmpty()) {
+      nextIntentNanos = System.nanoTime() + REFUSED_INTENT_BACKOFF_NANOS;
       return;
     }
-    boolean leaseRefused =
+    boolean isLeaseRefused =
         command instanceof ReleaseCommand.AcquireLease
-            && response.filter(answer -> hasStatus(answer, Status.DONE)).isEmpty();
-    if (!leaseRefused) {
-      log.accept(describe(command) + ": " + outcome(response));
+            && response.filter(json -> hasStatus(json, Status.DONE)).isEmpty();
+    if (!isLeaseRefused) {
+      log.accept(describe(command) + ": " + describeOutcome(response));
     }
   }
 
-  private static String outcome(Optional<JsonNode> response) {
+  private static String describeOutcome(Optional<JsonNode> response) {
     return response
-        .map(
-            answer ->
-                answer.path("status").asText()
-                    + (answer.has("why") ? " " + answer.path("why") : ""))
+        .map(json -> json.path("status").asText() + (json.has("why") ? " " + json.path("why") : ""))
         .orElse("unreachable");
   }
 
--- a/src/main/java/leadferry/cli/ReleasePlanCommand.java
+++ b/src/main/java/leadferry/cli/ReleasePlanCommand.java
@@ -14,31 +14,35 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Judges a plan without starting it: its steps, and targets that no budget would ever let go. */
+/**
+ * Validates a release plan without starting it. Prints its steps and the budgets that block
+ * targets.
+ */
 @Command(
     name = "plan",
     mixinStandardHelpOptions = true,
-    description = "Judges a plan against the fleet as it is and prints its steps; changes nothing.")
+    description =
+        "Validates a release plan against the current state of the fleet and prints its steps, without changing anything.")
 final class ReleasePlanCommand implements Callable<Integer> {
   @Mixin private FleetOptions fleet;
 
-  @Parameters(paramLabel = "FILE", description = "TOML with a [release] table.")
+  @Parameters(paramLabel = "FILE", description = "TOML file with a [release] table.")
   private Path file;
 
   @Override
   public Integer call() {
     ReleasePlanReader.Result result = ReleasePlanReader.read(fleet, file);
-    return result.plan().map(this::judge).orElse(result.exitStatus());
+    return result.plan().map(this::validate).orElse(result.exitStatus());
   }
 
-  private int judge(ObjectNode plan) {
+  private int validate(ObjectNode plan) {
     ObjectNode response = Json.object().put("status", Status.DONE.storedName());
     response.set("plan", plan);
     try {
-      List<String> neverAllowed = neverAllowed(plan);
-      if (!neverAllowed.isEmpty()) {
+      List<String> blockingBounds = findBlockingBounds(plan);
+      if (!blockingBounds.isEmpty()) {
         response.put("status", Status.REFUSED.storedName());
-        neverAllowed.forEach(response.putArray("why")::add);
+        blockingBounds.forEach(response.putArray("why")::add);
       }
     } catch (UnreachableException e) {
       return ReleasePlanReader.printUnreachable(e);
@@ -46,8 +50,8 @@
     return fleet.printResponse(response, ReleasePlanCommand::print);
   }
 
-  /** The bounds that would never let a target go, each in a line. */
-  private List<String> neverAllowed(ObjectNode plan) throws UnreachableException {
+  /** Returns one line for each target and bound that allows no target at all out of service. */
+  private List<String> findBlockingBounds(ObjectNode plan) throws UnreachableException {
     List<String> lines = new ArrayList<>();
     try (ReplicaClient client = fleet.openClient()) {
       for (JsonNode step : plan.path("steps")) {
@@ -57,14 +61,14 @@
                   .put("op", "explain")
                   .put("kind", plan.path("of").asText())
                   .put("name", name.asText());
-          addNeverAllowed(name.asText(), client.call(request, fleet.deadlineNanos()), lines);
+          addBlockingBounds(name.asText(), client.call(request, fleet.deadlineNanos()), lines);
         }
       }
     }
     return lines;
   }
 
-  private static void addNeverAllowed(String name, JsonNode explanation, List<String> lines) {
+  private static void addBlockingBounds(String name, JsonNode explanation, List<String> lines) {
     for (JsonNode bound : explanation.path("bounds")) {
       int allowed = bound.path("allowed").asInt();
       if (allowed < 1) {
@@ -96,7 +100,7 @@
       index++;
     }
     if (response.has("why")) {
-      System.out.println("no budget would ever allow:");
+      System.out.println("targets that a budget never allows out of service:");
       response.path("why").forEach(line -> System.out.println("  " + line.asText()));
     }
   }
--- a/src/main/java/leadferry/cli/ReleasePlanReader.java
+++ b/src/main/java/leadferry/cli/ReleasePlanReader.java
@@ -9,13 +9,16 @@
 import leadferry.daemon.ConfigurationException;
 import leadferry.daemon.ReleaseFile;
 
-/** Reads the file of a plan against the fleet as it is, and tells faults on standard error. */
+/**
+ * Reads a release plan, validates it against the current state of the fleet and prints errors on
+ * standard error.
+ */
 final class ReleasePlanReader {
   /**
-   * A plan, or why there is none.
+   * A release plan, or the exit status that says why there is none.
    *
-   * @param plan in its JSON form; empty after a fault
-   * @param exitStatus the command's exit status after a fault
+   * @param plan the plan as JSON; empty after an error
+   * @param exitStatus exit status of the command after an error
    */
   record Result(Optional<ObjectNode> plan, int exitStatus) {}
 
@@ -33,9 +36,9 @@
     }
   }
 
-  /** Tells that no replica can be reached; gives the exit status for it. */
+  /** Prints that no replica is reachable and returns the exit status for this error. */
   static int printUnreachable(UnreachableException cause) {
-    System.err.println("no replica can be reached: " + cause.getMessage());
+    System.err.println("no replica is reachable: " + cause.getMessage());
     return FleetExitStatus.UNREACHABLE;
   }
 }
--- a/src/main/java/leadferry/cli/ReleaseStatusCommand.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Prints where releases stand. */
+/** Prints the status of one release or of all releases. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
-    description = "Where a release stands, or all of them in a line each.")
+    description = "Shows the status of a release, or a summary of all releases on one line each.")
 final class ReleaseStatusCommand implements Callable<Integer> {
   @Mixin private FleetOptions fleet;
 
@@ -20,12 +20,12 @@
       paramLabel = "RELEASE",
       arity = "0..1",
       defaultValue = "",
-      description = "Which; all of them without.")
+      description = "Name of the release; by default all releases.")
   private String name;
 
   @Option(
       names = "--watch",
-      description = "Tells again whenever something has changed, until it is ended.")
+      description = "Prints the status again after every change until the command is interrupted.")
   private boolean watch;
 
   @Override
--- a/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/leadferry/cli/ReleaseStatusPrinter.java
@@ -11,18 +11,18 @@
 import leadferry.release.ReleaseViewCodec;
 import leadferry.release.TargetVersion;
 
-/** Prints the status of releases for people. */
+/** Prints the status of releases as human-readable text. */
 final class ReleaseStatusPrinter {
   private static final int MAX_BAR_CHARACTERS = 40;
 
   private ReleaseStatusPrinter() {}
 
-  /** The direction in the words of the command line. */
+  /** Returns the name of a direction on the command line. */
   static String directionName(ReleaseDirection direction) {
     return direction == ReleaseDirection.FORWARD ? "forward" : "rollback";
   }
 
-  /** Prints one release with its targets, a list of releases, or why there is neither. */
+  /** Prints one release with its targets, a list of releases, or the reason of an error. */
   static void print(ObjectNode response) {
     if (ReleaseViewCodec.isRelease(response)) {
       print(ReleaseViewCodec.read(response));
@@ -69,7 +69,7 @@
             + driver);
     Map<String, ZoneProgress> zones = new LinkedHashMap<>();
     for (ReleaseTargetView target : release.targets()) {
-      zones.computeIfAbsent(target.availability().zone(), zone -> new ZoneProgress()).count(target);
+      zones.computeIfAbsent(target.availability().zone(), zone -> new ZoneProgress()).add(target);
     }
     zones.forEach(
         (zone, progress) ->
@@ -110,29 +110,31 @@
         .forEach((member, reason) -> System.out.println("    awaits " + member + ": " + reason));
   }
 
-  /** How many targets of a zone run the new version, and how many are under way. */
+  /** Counts the targets of a zone that run the new version and the targets in progress. */
   private static final class ZoneProgress {
     private int updated;
-    private int underWay;
+    private int inProgress;
     private int total;
 
-    void count(ReleaseTargetView target) {
+    void add(ReleaseTargetView target) {
       total++;
       if (!target.isInService()) {
-        underWay++;
+        inProgress++;
       } else if (target.version() == TargetVersion.NEW) {
         updated++;
       }
     }
 
-    /** New as #, under way as ~, previous as a dot. */
+    /**
+     * Returns a progress bar: # for the new version, ~ for targets in progress, a dot for the rest.
+     */
     String bar() {
       int width = Math.min(MAX_BAR_CHARACTERS, total);
       int updatedWidth = width * updated / total;
-      int underWayWidth = underWay == 0 ? 0 : Math.max(1, width * underWay / total);
+      int inProgressWidth = inProgress == 0 ? 0 : Math.max(1, width * inProgress / total);
       return "#".repeat(updatedWidth)
-          + "~".repeat(Math.min(underWayWidth, width - updatedWidth))
-          + ".".repeat(Math.max(0, width - updatedWidth - underWayWidth));
+          + "~".repeat(Math.min(inProgressWidth, width - updatedWidth))
+          + ".".repeat(Math.max(0, width - updatedWidth - inProgressWidth));
     }
   }
 }
--- a/src/main/java/leadferry/cli/ReplicaCommand.java
+++ b/src/main/java/leadferry/cli/ReplicaCommand.java
@@ -13,62 +13,66 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one replica of the fleet's agreed state until SIGTERM. */
+/** Runs one replica of the fleet's control state until SIGTERM. */
 @Command(
     name = "replica",
     aliases = "keeper",
     mixinStandardHelpOptions = true,
-    description = "Runs one replica of the fleet's agreed state by its file, until SIGTERM.",
+    description =
+        "Runs one replica of the control state of a fleet with a configuration file, until SIGTERM.",
     footer = {
       "",
-      "Exit status: 0 ended, 1 it could not go on (the log says why), 2 the file is faulty, or a folder or address can't be had."
+      "Exit status: 0 after SIGTERM, 1 after a failure that the log describes, 2 for an invalid file or an unusable folder or address."
     })
 final class ReplicaCommand implements Callable<Integer> {
-  private static final int ENDED = 0;
-  private static final int COULD_NOT_GO_ON = 1;
-  private static final int FAULTY_FILE_OR_PLACE = 2;
+  private static final int EXIT_STOPPED = 0;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_INVALID_CONFIG = 2;
 
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
-      description = "The replica's file.")
-  private Path file;
+      description = "Configuration file of the replica.")
+  private Path configFile;
 
   @Option(
       names = "--new",
-      description = "This replica never had a log: an empty folder becomes its own.")
-  private boolean fresh;
+      description = "Initializes the log folder of a new replica; the folder must be empty.")
+  private boolean newReplica;
 
-  @Option(names = "--log", defaultValue = "text", description = "${COMPLETION-CANDIDATES}.")
+  @Option(
+      names = "--log",
+      defaultValue = "text",
+      description = "Format of the log, one of ${COMPLETION-CANDIDATES}.")
   private LogFormat form;
 
-  private final CountDownLatch broken = new CountDownLatch(1);
+  private final CountDownLatch failed = new CountDownLatch(1);
 
   @Override
   public Integer call() throws InterruptedException {
     ReplicaConfig config;
     try {
-      config = ReplicaFile.read(file);
+      config = ReplicaFile.read(configFile);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
-      return FAULTY_FILE_OR_PLACE;
+      return EXIT_INVALID_CONFIG;
     }
     DaemonLog log = DaemonLog.onStandardError(form);
     Replica replica = start(config, log);
     if (replica == null) {
-      return FAULTY_FILE_OR_PLACE;
+      return EXIT_INVALID_CONFIG;
     }
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> end(replica, log), "end"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(replica, log), "end"));
     log.line("ready");
-    broken.await();
-    return COULD_NOT_GO_ON;
+    failed.await();
+    return EXIT_FAILED;
   }
 
-  /** The replica, or null where standard error tells why it can't start. */
+  /** Starts the replica. Returns null after a failure, which is printed on standard error. */
   private Replica start(ReplicaConfig config, DaemonLog log) {
     try {
-      return new Replica(config, fresh, log::line, failure -> giveUp(failure, log));
+      return new Replica(config, newReplica, log::line, failure -> onFailure(failure, log));
     } catch (NoClassDefFoundError e) {
       log.close();
       System.err.println(
@@ -82,18 +86,18 @@
     return null;
   }
 
-  private void giveUp(Throwable failure, DaemonLog log) {
-    log.failure("this replica can't go on", failure);
-    broken.countDown();
+  private void onFailure(Throwable failure, DaemonLog log) {
+    log.failure("replica failed", failure);
+    failed.countDown();
   }
 
-  private void end(Replica replica, DaemonLog log) {
+  private void shutDown(Replica replica, DaemonLog log) {
     try {
       replica.close();
     } catch (IOException e) {
-      log.failure("the end of the replica", e);
+      log.failure("replica shutdown failed", e);
     }
     log.close();
-    Runtime.getRuntime().halt(broken.getCount() == 0 ? COULD_NOT_GO_ON : ENDED);
+    Runtime.getRuntime().halt(failed.getCount() == 0 ? EXIT_FAILED : EXIT_STOPPED);
   }
 }
--- a/src/main/java/leadferry/cli/TargetCommandRunner.java
+++ b/src/main/java/leadferry/cli/TargetCommandRunner.java
@@ -10,27 +10,30 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the programs that a release's plan names for its targets, with their arguments and no shell.
- * They get PATH and LEADFERRY_ variables; their output is kept up to a bound and read to its end;
- * past its time a program is killed with its descendants. It has to reject a lower LEADFERRY_FENCE
- * than it has seen for its target.
+ * Runs the programs that a release plan names for its targets, with their arguments and without a
+ * shell. The environment of a program holds only PATH and the LEADFERRY_ variables. The runner
+ * reads the whole output of a program and keeps the first 4096 to 5119 characters. After its
+ * timeout a program is killed with its descendants. A program must reject a LEADFERRY_FENCE lower
+ * than the highest one it has seen for its target.
  *
- * <p>Thread-safe: each call runs one program in the thread that calls.
+ * <p>Thread-safe. Each call runs one program and blocks the calling thread.
  */
 final class TargetCommandRunner {
   private static final int MAX_OUTPUT_CHARACTERS = 4_096;
-  private static final int MAX_TEXT_CHARACTERS = 200;
+  private static final int MAX_SUMMARY_CHARACTERS = 200;
   private static final int READ_CHUNK_BYTES = 1_024;
 
-  /** A descendant may hold the output open for longer. */
-  private static final long OUTPUT_END_MILLIS = 1_000;
+  /** Limit of the wait for the end of the output, which a descendant may keep open for longer. */
+  private static final long OUTPUT_CLOSE_TIMEOUT_MILLIS = 1_000;
 
   private static final String DEFAULT_PATH = "/usr/bin:/bin";
 
-  /** The status of a program that did not run or did not end by itself. */
+  /** Exit status for a program that did not run or was killed. */
   private static final int NO_STATUS = -1;
 
-  /** What a program is run for; its word is in logs and in the reasons that the log keeps. */
+  /**
+   * Purpose of a run. Its label is in log lines and in the reasons stored in the replicated log.
+   */
   enum Purpose {
     CHANGE("command"),
     CHECK("check");
@@ -45,13 +48,14 @@
   /**
    * One run of a program.
    *
-   * @param purpose what it is for
-   * @param template the program and its arguments, with {@code {target}} and {@code {version}}
-   * @param target the target's name
-   * @param action the number of the action on it
-   * @param fence the fence that goes with it
-   * @param version what the target is to run, or "" for a check
-   * @param timeoutMillis how long it may run
+   * @param purpose purpose of the run
+   * @param template the program and its arguments, with the placeholders {@code {target}} and
+   *     {@code {version}}
+   * @param target name of the target
+   * @param action number of the action on the target
+   * @param fence fencing token of the action
+   * @param version version that the target is to run, or "" for a check
+   * @param timeoutMillis time after which the program is killed
    */
   record Invocation(
       Purpose purpose,
@@ -69,11 +73,11 @@
   }
 
   /**
-   * What became of a run.
+   * Result of a run.
    *
-   * @param exitStatus the program's exit status, or -1
-   * @param output what it wrote, up to a bound
-   * @param summary what happened, for people
+   * @param exitStatus exit status of the program; -1 if it did not run or was killed
+   * @param output beginning of the output of the program
+   * @param summary human-readable summary of the run
    */
   record Result(int exitStatus, String output, String summary) {
     boolean isSuccess() {
@@ -82,26 +86,32 @@
   }
 
   private final String release;
-  private final BooleanSupplier leaseHolds;
+  private final BooleanSupplier leaseHeld;
   private final Consumer<String> log;
 
-  /** Runs programs of a release while the driver's lease holds; {@code log} gets a line each. */
-  TargetCommandRunner(String release, BooleanSupplier leaseHolds, Consumer<String> log) {
+  /**
+   * Creates a runner for one release.
+   *
+   * @param leaseHeld whether the driver holds its lease; no program is started without it
+   * @param log receives one line for each start and each failure
+   */
+  TargetCommandRunner(String release, BooleanSupplier leaseHeld, Consumer<String> log) {
     this.release = release;
-    this.leaseHolds = leaseHolds;
+    this.leaseHeld = leaseHeld;
     this.log = log;
   }
 
-  /** Runs a program to its end, or to the end of its time. */
+  /** Runs a program until it exits or its timeout expires. */
   Result run(Invocation invocation) {
-    String word = invocation.purpose().label;
-    // Guards against a process that stood still between the replicas' response and here.
-    if (!leaseHolds.getAsBoolean()) {
-      return new Result(NO_STATUS, "", "the driver's lease was over");
+    String label = invocation.purpose().label;
+    // Guards against a driver process that was suspended after the replicas' response and has lost
+    // its lease meanwhile.
+    if (!leaseHeld.getAsBoolean()) {
+      return new Result(NO_STATUS, "", "the driver's lease has expired");
     }
     String version = invocation.version();
     log.accept(
-        word
+        label
             + " "
             + invocation.target()
             + (version.isEmpty() ? "" : " to " + version)
@@ -114,12 +124,12 @@
       }
       return result;
     } catch (IOException e) {
-      String text = word + " can't be run: " + e.getMessage();
-      log.accept(invocation.target() + ": " + text);
-      return new Result(NO_STATUS, "", text);
+      String summary = label + " could not be run: " + e.getMessage();
+      log.accept(invocation.target() + ": " + summary);
+      return new Result(NO_STATUS, "", summary);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return new Result(NO_STATUS, "", word + " was cut off");
+      return new Result(NO_STATUS, "", label + " was interrupted");
     }
   }
 
@@ -150,25 +160,30 @@
       process.destroyForcibly();
       process.waitFor();
     }
-    reader.join(OUTPUT_END_MILLIS);
+    reader.join(OUTPUT_CLOSE_TIMEOUT_MILLIS);
     String output;
     synchronized (buffer) {
       output = buffer.toString();
     }
     int status = ended ? process.exitValue() : NO_STATUS;
-    String end =
-        ended ? " ended with " + status : " was killed after " + invocation.timeoutMillis() + " ms";
-    String said = output.isBlank() ? "" : ": " + abbreviate(output.strip());
-    return new Result(status, output, invocation.purpose().label + end + said);
+    String ending =
+        ended
+            ? " exited with status " + status
+            : " was killed after " + invocation.timeoutMillis() + " ms";
+    String outputSummary = output.isBlank() ? "" : ": " + abbreviate(output.strip());
+    return new Result(status, output, invocation.purpose().label + ending + outputSummary);
   }
 
   private static String abbreviate(String text) {
-    return text.length() > MAX_TEXT_CHARACTERS
-        ? text.substring(0, MAX_TEXT_CHARACTERS) + "..."
+    return text.length() > MAX_SUMMARY_CHARACTERS
+        ? text.substring(0, MAX_SUMMARY_CHARACTERS) + "..."
         : text;
   }
 
-  /** Keeps the beginning and reads to the end, so that a program that writes more can go on. */
+  /**
+   * Keeps the beginning of the output and reads the rest. A program whose output is not read would
+   * block on a full pipe.
+   */
   private static void read(InputStream input, StringBuilder buffer) {
     byte[] chunk = new byte[READ_CHUNK_BYTES];
     try {
--- a/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
+++ b/src/main/java/leadferry/cli/ThrottledProxyLauncher.java
@@ -14,14 +14,15 @@
 import leadferry.testbed.ThrottledProxy;
 
 /**
- * Starts a proxy of either kind before fake upstreams, for an overload test.
+ * Configures a proxy with fake upstreams for an overload test.
  *
- * @param kind the platform's process or the daemon
- * @param jvmFile options of its JVM as in {@code deploy/proxy.jvm}, or null
- * @param jvmOptions further options of its JVM
- * @param coreShare the part of a core that it gets
- * @param maxSockets sockets that it may hold
- * @param timeoutMillis deadline of its one class of requests
+ * @param kind kind of the proxy
+ * @param jvmFile file with options for the JVM of the proxy, such as {@code deploy/proxy.jvm}, or
+ *     null
+ * @param jvmOptions further options for the JVM of the proxy
+ * @param coreShare share of a CPU core that the proxy may use, above 0 and at most 1
+ * @param maxSockets maximum number of sockets of the proxy
+ * @param timeoutMillis deadline of the only request class of the proxy
  */
 record ThrottledProxyLauncher(
     Kind kind,
@@ -31,24 +32,25 @@
     int maxSockets,
     long timeoutMillis) {
 
-  /** The two ways to be a proxy. */
+  /** Kind of the proxy: the platform's client proxy or the daemon. */
   enum Kind {
     PLATFORM,
     DAEMON
   }
 
-  private static final long LONGEST_OBJECTIVE_MILLIS = 400;
+  private static final long MAX_LATENCY_TARGET_MILLIS = 400;
 
-  /** A path that the proxy forwards. */
+  /** Returns a path that the proxy forwards to the upstreams. */
   String requestPath() {
     return kind == Kind.PLATFORM ? "/read/x" : "/";
   }
 
   /**
-   * A proxy that is not started yet; its files {@code config} and {@code log} are in the folder.
+   * Creates a proxy without starting it. Its files {@code config} and {@code log} are in the
+   * folder.
    */
   ThrottledProxy create(Path folder, List<FakeUpstream> upstreams) throws IOException {
-    int port = freePort();
+    int port = findFreePort();
     Path config = folder.resolve("config");
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -63,14 +65,14 @@
       command.add("proxy");
       environment = Map.of("BALANCER_CONFIG", config.toString(), "MALLOC_ARENA_MAX", "1");
     } else {
-      Files.writeString(config, operatorFile(port, upstreams));
+      Files.writeString(config, daemonConfiguration(port, upstreams));
       command.addAll(List.of("daemon", "--config", config.toString()));
     }
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     return new ThrottledProxy(command, environment, address, coreShare, folder.resolve("log"));
   }
 
-  private static int freePort() throws IOException {
+  private static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
@@ -88,7 +90,7 @@
          "settings":{"classes":[
            {"name":"read","aim":%d,"deadline":%d,"semantics":"idempotent"}]}}
         """
-        .formatted(port, maxSockets, servers, LONGEST_OBJECTIVE_MILLIS, timeoutMillis);
+        .formatted(port, maxSockets, servers, MAX_LATENCY_TARGET_MILLIS, timeoutMillis);
   }
 
   private static String platformServer(FakeUpstream upstream) {
@@ -98,9 +100,9 @@
         .formatted(upstream.name(), upstream.hostAndPort());
   }
 
-  private String operatorFile(int port, List<FakeUpstream> upstreams) {
+  private String daemonConfiguration(int port, List<FakeUpstream> upstreams) {
     String members =
-        upstreams.stream().map(ThrottledProxyLauncher::member).collect(Collectors.joining());
+        upstreams.stream().map(ThrottledProxyLauncher::daemonMember).collect(Collectors.joining());
     return """
         [daemon]
         descriptors = %d
@@ -120,12 +122,12 @@
         .formatted(
             maxSockets,
             port,
-            Math.min(LONGEST_OBJECTIVE_MILLIS, timeoutMillis),
+            Math.min(MAX_LATENCY_TARGET_MILLIS, timeoutMillis),
             timeoutMillis,
             members);
   }
 
-  private static String member(FakeUpstream upstream) {
+  private static String daemonMember(FakeUpstream upstream) {
     return """
         [[pool.a.member]]
         id = "%s"
--- a/src/main/java/leadferry/cli/package-info.java
+++ b/src/main/java/leadferry/cli/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The command line: {@code daemon}, {@code check}, {@code standin}, {@code load}, {@code demo}.
- * Begin with {@link leadferry.cli.Leadferry}. Loaded by none of {@code proxy}, {@code adapter} and
- * {@code warm-up}.
+ * Command line of the program: {@code daemon}, {@code replica}, {@code fleet}, {@code check} and
+ * the test tools {@code fake-upstream}, {@code load}, {@code demo}, {@code overload-test} and
+ * {@code fault-test}. {@link leadferry.cli.Leadferry} is the root command. The subcommands {@code
+ * proxy}, {@code adapter} and {@code warm-up} load no class of this package.
  */
 package leadferry.cli;
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -28,10 +28,10 @@
 
   private record Run(int status, String out, String err) {}
 
-  private static ProcessBuilder java(List<String> vm, String... args) {
+  private static ProcessBuilder java(List<String> jvmOptions, String... args) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(vm);
+    command.addAll(jvmOptions);
     command.addAll(List.of("-cp", CLASS_PATH, "leadferry.Main"));
     command.addAll(List.of(args));
     return new ProcessBuilder(command);
@@ -40,16 +40,16 @@
   private Run run(String... args) throws Exception {
     Path out = Files.createTempFile(folder, "out", "");
     Path err = Files.createTempFile(folder, "err", "");
-    Process p =
+    Process process =
         java(List.of(), args).redirectOutput(out.toFile()).redirectError(err.toFile()).start();
-    if (!p.waitFor(120, TimeUnit.SECONDS)) {
-      p.destroyForcibly();
+    if (!process.waitFor(120, TimeUnit.SECONDS)) {
+      process.destroyForcibly();
     }
-    return new Run(p.waitFor(), Files.readString(out), Files.readString(err));
+    return new Run(process.waitFor(), Files.readString(out), Files.readString(err));
   }
 
   @Test
-  void checkTellsSoundFromFaulty() throws Exception {
+  void checkReportsEveryErrorAndItsLine() throws Exception {
     Run sound = run("check", "deploy/leadferry.toml");
     assertThat(sound.status()).isZero();
     Path bad = Files.writeString(folder.resolve("bad.toml"), "[daemon]\nworkers = \"two\"\n");
@@ -62,22 +62,22 @@
     assertThat(json.path("faults").findValuesAsText("key")).contains("daemon.workers");
   }
 
-  private static String keeper(String name, String folder, String more) {
+  private static String replicaFile(String name, String folder, String moreKeys) {
     return "[keeper]\nfleet = \"f\"\nname = \""
         + name
         + "\"\nlog_address = \"127.0.0.1:9\"\napi_address = \"127.0.0.1:9\"\nfolder = \""
         + folder
         + "\"\n"
-        + more
+        + moreKeys
         + "[peer.k1]\nlog_address = \"127.0.0.1:9\"\n";
   }
 
   @Test
-  void aKeeperTellsEveryFaultOfItsFileAndTakesNoFolderThatIsNotItsOwn() throws Exception {
+  void replicaReportsEveryConfigErrorAndRejectsAnotherReplicasFolder() throws Exception {
     Path faulty =
         Files.writeString(
             folder.resolve("k.toml"),
-            keeper("k2", "x", "election_ms = 1\ncolour = 3\n")
+            replicaFile("k2", "x", "election_ms = 1\ncolour = 3\n")
                 + "[peer.k3]\nlog_address = \"9\"\n");
     Run faults = run("keeper", "--config", faulty.toString());
     assertThat(faults.status()).isEqualTo(2);
@@ -89,7 +89,8 @@
             "none named 'k2'",
             "2 replicas");
     Path lost = folder.resolve("lost");
-    Path sound = Files.writeString(folder.resolve("s.toml"), keeper("k1", lost.toString(), ""));
+    Path sound =
+        Files.writeString(folder.resolve("s.toml"), replicaFile("k1", lost.toString(), ""));
     Run empty = run("keeper", "--config", sound.toString());
     assertThat(empty.status()).isEqualTo(2);
     assertThat(empty.err()).contains("no replica log found", "--new");
@@ -101,7 +102,7 @@
   }
 
   @Test
-  void fleetSaysThatNoKeeperCanBeReachedAndWhatABudgetLacks() throws Exception {
+  void fleetReportsUnreachableReplicasAndInvalidBudgets() throws Exception {
     Run gone =
         run(
             "fleet",
@@ -138,7 +139,7 @@
   }
 
   @Test
-  void argumentsThatAreNoneEndWithTwoAndHelpWithNought() throws Exception {
+  void invalidArgumentsExitWithTwoAndHelpWithZero() throws Exception {
     assertThat(run().status()).isEqualTo(2);
     assertThat(run("dance").status()).isEqualTo(2);
     assertThat(run("load", "10.0.0.1:80").status()).isEqualTo(2);
@@ -148,33 +149,33 @@
   }
 
   @Test
-  void theDemoEndsByItselfAndItsRulesHold() throws Exception {
-    Run r = run("demo", "--seconds", "8", "--rate", "150", "--json");
-    assertThat(r.status()).as(r.out() + r.err()).isZero();
-    JsonNode json = new ObjectMapper().readTree(r.out());
+  void demoFinishesAndItsRulesHold() throws Exception {
+    Run result = run("demo", "--seconds", "8", "--rate", "150", "--json");
+    assertThat(result.status()).as(result.out() + result.err()).isZero();
+    JsonNode json = new ObjectMapper().readTree(result.out());
     assertThat(json.path("held").asBoolean()).isTrue();
     assertThat(json.path("classes").path("visit-claim").path("served").asInt()).isPositive();
     assertThat(json.path("hosts").path("h4").path("served").asInt()).isPositive();
-    assertThat(r.err()).isEmpty(); // no progress where output is piped
+    assertThat(result.err()).isEmpty(); // no progress where output is piped
   }
 
   @Test
-  void loadTellsWhatCameBack() throws Exception {
-    try (FakeUpstream host =
+  void loadReportsEveryServedRequest() throws Exception {
+    try (FakeUpstream upstream =
         new FakeUpstream(FakeUpstream.Options.instant("h"), new ExecutionLog(10_000))) {
-      Run r = run("load", host.hostAndPort(), "--rate", "500", "--seconds", "2", "--json");
-      assertThat(r.status()).as(r.err()).isZero();
-      JsonNode json = new ObjectMapper().readTree(r.out());
+      Run result = run("load", upstream.hostAndPort(), "--rate", "500", "--seconds", "2", "--json");
+      assertThat(result.status()).as(result.err()).isZero();
+      JsonNode json = new ObjectMapper().readTree(result.out());
       assertThat(json.path("served").asInt()).isEqualTo(1_000);
-      assertThat(host.served()).isEqualTo(1_000);
+      assertThat(upstream.served()).isEqualTo(1_000);
     }
   }
 
   /** The short form of the rig: a whole core, so that the verdict is the same each time. */
   @ParameterizedTest
   @ValueSource(strings = {"silent", "pause", "restart"})
-  void theDaemonComesBackFromAStormByItself(String kind) throws Exception {
-    Run r =
+  void daemonRecoversFromAnOverload(String kind) throws Exception {
+    Run result =
         run(
             "storm",
             kind,
@@ -197,8 +198,8 @@
             "1.5",
             "--after",
             "9");
-    JsonNode json = new ObjectMapper().readTree(r.out());
-    assertThat(r.status()).as(r.out() + r.err()).isZero();
+    JsonNode json = new ObjectMapper().readTree(result.out());
+    assertThat(result.status()).as(result.out() + result.err()).isZero();
     assertThat(json.path("calm_served").asDouble()).isGreaterThan(0.9);
     assertThat(json.path("recovered_after_s").isNumber()).isTrue();
     if (kind.equals("pause")) {
@@ -211,17 +212,17 @@
 
   /** A stand-in, the daemon before it, a signal for a reload and one for the end. */
   @Test
-  void theDaemonReloadsOnHangupAndEndsWithNoughtOnTerm() throws Exception {
-    Process standIn = java(List.of(), "standin", "--service-ms", "0").start();
+  void daemonReloadsOnHangupAndExitsWithZeroOnTerm() throws Exception {
+    Process fakeUpstream = java(List.of(), "standin", "--service-ms", "0").start();
     Path err = folder.resolve("daemon.err");
     Process daemon = null;
     try {
-      String place = line(standIn).replaceAll(".* at ", "");
+      String address = readLine(fakeUpstream).replaceAll(".* at ", "");
       Path file = folder.resolve("leadferry.toml");
       String text =
           "[listener.main]\naddress = \"127.0.0.1:0\"\n[pool.a]\n[[pool.a.member]]\nid = \"h\"\n"
               + "address = \""
-              + place
+              + address
               + "\"\n[[route]]\nname = \"r\"\nprefix = \"/\"\npool = \"a\"\n";
       Files.writeString(file, text);
       daemon =
@@ -240,35 +241,36 @@
       assertThat(daemon.exitValue()).isZero();
       assertThat(Files.readString(err)).contains("drained");
     } finally {
-      standIn.destroy();
+      fakeUpstream.destroy();
       if (daemon != null) {
         daemon.destroyForcibly();
       }
     }
   }
 
-  private static String line(Process p) throws IOException {
-    return new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))
+  private static String readLine(Process process) throws IOException {
+    return new BufferedReader(
+            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))
         .readLine();
   }
 
-  private static void signal(Process p, String name) throws Exception {
-    new ProcessBuilder("kill", "-" + name, Long.toString(p.pid())).start().waitFor();
+  private static void signal(Process process, String name) throws Exception {
+    new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
   private static void awaitLine(Path file, String text) throws Exception {
-    long until = System.nanoTime() + 30_000_000_000L;
+    long deadlineNanos = System.nanoTime() + 30_000_000_000L;
     while (!Files.readString(file).contains(text)) {
       assertThat(System.nanoTime())
           .as("no line '%s' in: %s", text, Files.readString(file))
-          .isLessThan(until);
+          .isLessThan(deadlineNanos);
       Thread.sleep(20);
     }
   }
 
   /** The platform's process pays for none of the daemon's classes. */
   @Test
-  void theProxyLoadsNoClassOfTheDaemon() throws Exception {
+  void proxyLoadsNoClassOfTheDaemon() throws Exception {
     Path classes = folder.resolve("classes.log");
     Path config =
         Files.writeString(
@@ -276,44 +278,44 @@
             "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\","
                 + "\"known\":{\"version\":1,\"full\":true,\"servers\":[]},\"settings\":{\"classes\":["
                 + "{\"name\":\"a\",\"aim\":400,\"deadline\":800,\"semantics\":\"unsafe\"}]}}");
-    ProcessBuilder b =
+    ProcessBuilder builder =
         java(List.of("-Xlog:class+load:file=" + classes), "proxy")
             .redirectError(folder.resolve("err").toFile());
-    b.environment().put("BALANCER_CONFIG", config.toString());
-    Process p = b.start();
+    builder.environment().put("BALANCER_CONFIG", config.toString());
+    Process process = builder.start();
     try {
       // It has listened once its front has been set up, after the rehearsal.
-      long until = System.nanoTime() + 60_000_000_000L;
-      while ((System.nanoTime() < until && !Files.exists(classes))
+      long deadlineNanos = System.nanoTime() + 60_000_000_000L;
+      while ((System.nanoTime() < deadlineNanos && !Files.exists(classes))
           || !Files.readString(classes).contains("leadferry.http.ClientConnection")) {
         Thread.sleep(50);
       }
-      signal(p, "TERM");
-      assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
+      signal(process, "TERM");
+      assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
     } finally {
-      p.destroyForcibly();
+      process.destroyForcibly();
     }
     List<String> loaded = Files.readAllLines(classes);
-    assertThat(loaded).anyMatch(l -> l.contains("leadferry.proxy.Proxy"));
+    assertThat(loaded).anyMatch(line -> line.contains("leadferry.proxy.Proxy"));
     assertThat(loaded)
         .noneMatch(
-            l ->
-                l.contains("leadferry.daemon.")
-                    || l.contains("leadferry.cli.")
-                    || l.contains("leadferry.routing.")
-                    || l.contains("leadferry.limits.")
-                    || l.contains("leadferry.testbed.")
-                    || l.contains("leadferry.consensus.")
-                    || l.contains("leadferry.disruption.")
-                    || l.contains("org.apache.ratis.")
-                    || l.contains("netty.channel.epoll.")
-                    || l.contains("netty.channel.uring.")
-                    || l.contains("leadferry.engine.NativeTransport")
-                    || l.contains("org.slf4j.")
-                    || l.contains("ch.qos.logback.")
-                    || l.contains("picocli.")
-                    || l.contains("re2j.")
-                    || l.contains("HdrHistogram.")
-                    || l.contains(".toml."));
+            line ->
+                line.contains("leadferry.daemon.")
+                    || line.contains("leadferry.cli.")
+                    || line.contains("leadferry.routing.")
+                    || line.contains("leadferry.limits.")
+                    || line.contains("leadferry.testbed.")
+                    || line.contains("leadferry.consensus.")
+                    || line.contains("leadferry.disruption.")
+                    || line.contains("org.apache.ratis.")
+                    || line.contains("netty.channel.epoll.")
+                    || line.contains("netty.channel.uring.")
+                    || line.contains("leadferry.engine.NativeTransport")
+                    || line.contains("org.slf4j.")
+                    || line.contains("ch.qos.logback.")
+                    || line.contains("picocli.")
+                    || line.contains("re2j.")
+                    || line.contains("HdrHistogram.")
+                    || line.contains(".toml."));
   }
 }
--- a/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
+++ b/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void oneReleaseIsPrintedWithItsZonesAndTheTargetsUnderWay() {
+  void printsOneReleaseWithItsZonesAndTheTargetsInProgress() {
     assertThat(printed(release()).lines())
         .containsExactly(
             "r is running, rollback (bad news); no driver",
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void allReleasesArePrintedInALineEach() {
+  void printsAllReleasesOnOneLineEach() {
     ObjectNode response = Json.object();
     response
         .putArray("releases")
@@ -105,14 +105,14 @@
   }
 
   @Test
-  void aNameThatIsNotKnownIsToldWithItsReason() {
+  void printsTheReasonForAnUnknownRelease() {
     ObjectNode response = Json.object().put("status", "unknown");
     response.putArray("why").add("no release 'x'");
     assertThat(printed(response).lines()).containsExactly("unknown", "  no release 'x'");
   }
 
   @Test
-  void rollbackKeepsItsFormerNameAsAnAlias() {
+  void rollbackKeepsItsFormerNameAsAlias() {
     CommandLine release = new CommandLine(new ReleaseCliCommand());
     assertThat(release.getSubcommands().get("back"))
         .isNotNull()
