--- a/src/main/java/leadferry/cli/FakeUpstreamCommand.java
+++ b/src/main/java/leadferry/cli/FakeUpstreamCommand.java
@@ -99,7 +99,7 @@
       try (MinimalFakeUpstream upstream = new MinimalFakeUpstream(name, port, bodyBytes)) {
         System.out.println(name + " at " + upstream.hostAndPort());
         Thread.sleep(seconds > 0 ? (long) (seconds * 1e3) : Long.MAX_VALUE);
-        System.out.println(name + ": " + upstream.responsesSent() + " answered");
+        System.out.println(name + ": " + upstream.responsesSent() + " responses sent");
       }
       return 0;
     }
@@ -126,9 +126,9 @@
           upstream.name()
               + ": "
               + executionLog.executionCount()
-              + " ran, "
+              + " executions, "
               + executionLog.repeatedIds().size()
-              + " more than once");
+              + " requests executed more than once");
     }
     return 0;
   }
--- a/src/main/java/leadferry/cli/FleetStatusCommands.java
+++ b/src/main/java/leadferry/cli/FleetStatusCommands.java
@@ -122,7 +122,9 @@
               + response.path("name").asText()
               + " would be "
               + response.path("would_be").asText()
-              + (response.path("out").isNull() ? "" : "; it is out: " + unavailabilityReason)
+              + (response.path("out").isNull()
+                  ? ""
+                  : "; it is already out of service: " + unavailabilityReason)
               + (halted.isEmpty() ? "" : "; halted: " + halted));
       response.path("bounds").forEach(Explain::printBound);
     }
@@ -132,7 +134,7 @@
       bound.path("others_out").forEach(name -> others.add(name.asText()));
       System.out.printf(
           Locale.ROOT,
-          "  %s: %d of %d may be out, %d others are%s%s%n",
+          "  %s: %d of %d may be out of service, %d others are%s%s%n",
           bound.path("bound").asText(),
           bound.path("allowed").asInt(),
           bound.path("of").asInt(),
--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -20,15 +20,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The commands as processes of their own. */
+/**
+ * Runs each command as a separate process and checks its exit status and output. Guards against
+ * failures that appear only in a whole process: exit statuses, signal handling, the separation of
+ * standard output from standard error, and class loading.
+ */
 class CommandsTest {
   @TempDir Path folder;
 
   private static final String CLASS_PATH = System.getProperty("java.class.path");
 
-  private record Run(int status, String out, String err) {}
+  private record CommandResult(int exitStatus, String standardOutput, String standardError) {}
 
-  private static ProcessBuilder java(List<String> jvmOptions, String... args) {
+  private static ProcessBuilder javaProcess(List<String> jvmOptions, String... args) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(jvmOptions);
@@ -37,26 +41,33 @@
     return new ProcessBuilder(command);
   }
 
-  private Run run(String... args) throws Exception {
-    Path out = Files.createTempFile(folder, "out", "");
-    Path err = Files.createTempFile(folder, "err", "");
+  private CommandResult runCommand(String... args) throws Exception {
+    Path standardOutput = Files.createTempFile(folder, "out", "");
+    Path standardError = Files.createTempFile(folder, "err", "");
     Process process =
-        java(List.of(), args).redirectOutput(out.toFile()).redirectError(err.toFile()).start();
+        javaProcess(List.of(), args)
+            .redirectOutput(standardOutput.toFile())
+            .redirectError(standardError.toFile())
+            .start();
     if (!process.waitFor(120, TimeUnit.SECONDS)) {
       process.destroyForcibly();
     }
-    return new Run(process.waitFor(), Files.readString(out), Files.readString(err));
+    return new CommandResult(
+        process.waitFor(), Files.readString(standardOutput), Files.readString(standardError));
   }
 
   @Test
   void checkReportsEveryErrorAndItsLine() throws Exception {
-    Run sound = run("check", "deploy/leadferry.toml");
-    assertThat(sound.status()).isZero();
-    Path bad = Files.writeString(folder.resolve("bad.toml"), "[daemon]\nworkers = \"two\"\n");
-    Run faulty = run("check", bad.toString());
-    assertThat(faulty.status()).isEqualTo(2);
-    assertThat(faulty.err()).contains("bad.toml:2: daemon.workers: 'two' (expected:");
-    JsonNode json = new ObjectMapper().readTree(run("check", "--json", bad.toString()).out());
+    CommandResult valid = runCommand("check", "deploy/leadferry.toml");
+    assertThat(valid.exitStatus()).isZero();
+    Path invalidFile =
+        Files.writeString(folder.resolve("bad.toml"), "[daemon]\nworkers = \"two\"\n");
+    CommandResult invalid = runCommand("check", invalidFile.toString());
+    assertThat(invalid.exitStatus()).isEqualTo(2);
+    assertThat(invalid.standardError()).contains("bad.toml:2: daemon.workers: 'two' (expected:");
+    JsonNode json =
+        new ObjectMapper()
+            .readTree(runCommand("check", "--json", invalidFile.toString()).standardOutput());
     assertThat(json.path("sound").asBoolean(true)).isFalse();
     assertThat(json.path("faults").get(0).path("line").asInt()).isZero();
     assertThat(json.path("faults").findValuesAsText("key")).contains("daemon.workers");
@@ -74,37 +85,38 @@
 
   @Test
   void replicaReportsEveryConfigErrorAndRejectsAnotherReplicasFolder() throws Exception {
-    Path faulty =
+    Path invalidFile =
         Files.writeString(
             folder.resolve("k.toml"),
             replicaFile("k2", "x", "election_ms = 1\ncolour = 3\n")
                 + "[peer.k3]\nlog_address = \"9\"\n");
-    Run faults = run("keeper", "--config", faulty.toString());
-    assertThat(faults.status()).isEqualTo(2);
-    assertThat(faults.err())
+    CommandResult invalid = runCommand("keeper", "--config", invalidFile.toString());
+    assertThat(invalid.exitStatus()).isEqualTo(2);
+    assertThat(invalid.standardError())
         .contains(
             "k.toml:7: keeper.election_ms",
             "k.toml:8: keeper.colour",
             "peer.k3.log_address",
             "none named 'k2'",
             "2 replicas");
-    Path lost = folder.resolve("lost");
-    Path sound =
-        Files.writeString(folder.resolve("s.toml"), replicaFile("k1", lost.toString(), ""));
-    Run empty = run("keeper", "--config", sound.toString());
-    assertThat(empty.status()).isEqualTo(2);
-    assertThat(empty.err()).contains("no replica log found", "--new");
-    Files.createDirectories(lost);
-    Files.writeString(lost.resolve("keeper"), "f/k7\n");
-    Run other = run("keeper", "--config", sound.toString(), "--new");
-    assertThat(other.status()).isEqualTo(2);
-    assertThat(other.err()).contains("belongs to replica f/k7 (expected: f/k1)");
+    Path replicaFolder = folder.resolve("lost");
+    Path validFile =
+        Files.writeString(
+            folder.resolve("s.toml"), replicaFile("k1", replicaFolder.toString(), ""));
+    CommandResult missingFolder = runCommand("keeper", "--config", validFile.toString());
+    assertThat(missingFolder.exitStatus()).isEqualTo(2);
+    assertThat(missingFolder.standardError()).contains("no replica log found", "--new");
+    Files.createDirectories(replicaFolder);
+    Files.writeString(replicaFolder.resolve("keeper"), "f/k7\n");
+    CommandResult foreignFolder = runCommand("keeper", "--config", validFile.toString(), "--new");
+    assertThat(foreignFolder.exitStatus()).isEqualTo(2);
+    assertThat(foreignFolder.standardError()).contains("belongs to replica f/k7 (expected: f/k1)");
   }
 
   @Test
   void fleetReportsUnreachableReplicasAndInvalidBudgets() throws Exception {
-    Run gone =
-        run(
+    CommandResult unreachable =
+        runCommand(
             "fleet",
             "halt",
             "--why",
@@ -116,15 +128,15 @@
             "--timeout-s",
             "0.5",
             "--json");
-    assertThat(gone.status()).isEqualTo(5);
-    assertThat(new ObjectMapper().readTree(gone.out()).path("status").asText())
+    assertThat(unreachable.exitStatus()).isEqualTo(5);
+    assertThat(new ObjectMapper().readTree(unreachable.standardOutput()).path("status").asText())
         .isEqualTo("unreachable");
     Path budgets =
         Files.writeString(
             folder.resolve("b.toml"),
             "[[budget]]\nname = \"a\"\nof = \"cat\"\n[[budget]]\nname = \"b\"\nof = \"host\"\n");
-    Run none =
-        run(
+    CommandResult invalidBudgets =
+        runCommand(
             "fleet",
             "budgets",
             budgets.toString(),
@@ -134,49 +146,54 @@
             "f",
             "--keeper",
             "k1=127.0.0.1:9");
-    assertThat(none.status()).isEqualTo(2);
-    assertThat(none.err()).contains("b.toml:1", "expected: proxy or host", "b.toml:4", "no bound");
+    assertThat(invalidBudgets.exitStatus()).isEqualTo(2);
+    assertThat(invalidBudgets.standardError())
+        .contains("b.toml:1", "expected: proxy or host", "b.toml:4", "no bound");
   }
 
   @Test
   void invalidArgumentsExitWithTwoAndHelpWithZero() throws Exception {
-    assertThat(run().status()).isEqualTo(2);
-    assertThat(run("dance").status()).isEqualTo(2);
-    assertThat(run("load", "10.0.0.1:80").status()).isEqualTo(2);
-    Run help = run("daemon", "--help");
-    assertThat(help.status()).isZero();
-    assertThat(help.out()).contains("--config", "Exit status");
+    assertThat(runCommand().exitStatus()).isEqualTo(2);
+    assertThat(runCommand("dance").exitStatus()).isEqualTo(2);
+    assertThat(runCommand("load", "10.0.0.1:80").exitStatus()).isEqualTo(2);
+    CommandResult help = runCommand("daemon", "--help");
+    assertThat(help.exitStatus()).isZero();
+    assertThat(help.standardOutput()).contains("--config", "Exit status");
   }
 
   @Test
   void demoFinishesAndItsRulesHold() throws Exception {
-    Run result = run("demo", "--seconds", "8", "--rate", "150", "--json");
-    assertThat(result.status()).as(result.out() + result.err()).isZero();
-    JsonNode json = new ObjectMapper().readTree(result.out());
+    CommandResult result = runCommand("demo", "--seconds", "8", "--rate", "150", "--json");
+    assertThat(result.exitStatus()).as(result.standardOutput() + result.standardError()).isZero();
+    JsonNode json = new ObjectMapper().readTree(result.standardOutput());
     assertThat(json.path("held").asBoolean()).isTrue();
     assertThat(json.path("classes").path("visit-claim").path("served").asInt()).isPositive();
     assertThat(json.path("hosts").path("h4").path("served").asInt()).isPositive();
-    assertThat(result.err()).isEmpty(); // no progress where output is piped
+    assertThat(result.standardError()).isEmpty(); // A process with piped output prints no progress.
   }
 
   @Test
   void loadReportsEveryServedRequest() throws Exception {
     try (FakeUpstream upstream =
         new FakeUpstream(FakeUpstream.Options.instant("h"), new ExecutionLog(10_000))) {
-      Run result = run("load", upstream.hostAndPort(), "--rate", "500", "--seconds", "2", "--json");
-      assertThat(result.status()).as(result.err()).isZero();
-      JsonNode json = new ObjectMapper().readTree(result.out());
+      CommandResult result =
+          runCommand("load", upstream.hostAndPort(), "--rate", "500", "--seconds", "2", "--json");
+      assertThat(result.exitStatus()).as(result.standardError()).isZero();
+      JsonNode json = new ObjectMapper().readTree(result.standardOutput());
       assertThat(json.path("served").asInt()).isEqualTo(1_000);
       assertThat(upstream.served()).isEqualTo(1_000);
     }
   }
 
-  /** The short form of the rig: a whole core, so that the verdict is the same each time. */
+  /**
+   * Guards against a daemon that stays overloaded after the cause has ended. Unlike the default
+   * settings of the command, the daemon gets a whole CPU core, which makes the result repeatable.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"silent", "pause", "restart"})
   void daemonRecoversFromAnOverload(String kind) throws Exception {
-    Run result =
-        run(
+    CommandResult result =
+        runCommand(
             "storm",
             kind,
             "--json",
@@ -198,48 +215,53 @@
             "1.5",
             "--after",
             "9");
-    JsonNode json = new ObjectMapper().readTree(result.out());
-    assertThat(result.status()).as(result.out() + result.err()).isZero();
+    JsonNode json = new ObjectMapper().readTree(result.standardOutput());
+    assertThat(result.exitStatus()).as(result.standardOutput() + result.standardError()).isZero();
     assertThat(json.path("calm_served").asDouble()).isGreaterThan(0.9);
     assertThat(json.path("recovered_after_s").isNumber()).isTrue();
     if (kind.equals("pause")) {
-      assertThat(json.path("longest_gap_s").asDouble()).isGreaterThan(1); // it did stand still
+      assertThat(json.path("longest_gap_s").asDouble())
+          .isGreaterThan(1); // The process was suspended.
     }
     if (kind.equals("restart")) {
       assertThat(json.path("restart_s").asDouble()).isPositive();
     }
   }
 
-  /** A stand-in, the daemon before it, a signal for a reload and one for the end. */
+  /**
+   * Runs a daemon with one fake upstream and sends it SIGHUP for an invalid and a valid
+   * configuration, then SIGTERM. Guards against a signal that ends the daemon without a drain and
+   * against an invalid configuration that is applied.
+   */
   @Test
   void daemonReloadsOnHangupAndExitsWithZeroOnTerm() throws Exception {
-    Process fakeUpstream = java(List.of(), "standin", "--service-ms", "0").start();
-    Path err = folder.resolve("daemon.err");
+    Process fakeUpstream = javaProcess(List.of(), "standin", "--service-ms", "0").start();
+    Path log = folder.resolve("daemon.err");
     Process daemon = null;
     try {
       String address = readLine(fakeUpstream).replaceAll(".* at ", "");
-      Path file = folder.resolve("leadferry.toml");
-      String text =
+      Path configFile = folder.resolve("leadferry.toml");
+      String config =
           "[listener.main]\naddress = \"127.0.0.1:0\"\n[pool.a]\n[[pool.a.member]]\nid = \"h\"\n"
               + "address = \""
               + address
               + "\"\n[[route]]\nname = \"r\"\nprefix = \"/\"\npool = \"a\"\n";
-      Files.writeString(file, text);
+      Files.writeString(configFile, config);
       daemon =
-          java(List.of(), "daemon", "--config", file.toString())
-              .redirectError(err.toFile())
+          javaProcess(List.of(), "daemon", "--config", configFile.toString())
+              .redirectError(log.toFile())
               .start();
-      awaitLine(err, "ready");
-      Files.writeString(file, text.replace("pool = \"a\"", "pool = \"b\""));
+      awaitLine(log, "ready");
+      Files.writeString(configFile, config.replace("pool = \"a\"", "pool = \"b\""));
       signal(daemon, "HUP");
-      awaitLine(err, "not taken");
-      Files.writeString(file, text.replace("\"r\"", "\"s\""));
+      awaitLine(log, "not taken");
+      Files.writeString(configFile, config.replace("\"r\"", "\"s\""));
       signal(daemon, "HUP");
-      awaitLine(err, "version 2 in force");
+      awaitLine(log, "version 2 in force");
       signal(daemon, "TERM");
       assertThat(daemon.waitFor(30, TimeUnit.SECONDS)).isTrue();
       assertThat(daemon.exitValue()).isZero();
-      assertThat(Files.readString(err)).contains("drained");
+      assertThat(Files.readString(log)).contains("drained");
     } finally {
       fakeUpstream.destroy();
       if (daemon != null) {
@@ -268,10 +290,14 @@
     }
   }
 
-  /** The platform's process pays for none of the daemon's classes. */
+  /**
+   * Guards against unused classes in the platform's proxy process, which has to pay for each of
+   * them. They are loaded if the proxy refers to a class of the daemon or of the command line, or
+   * to one of their libraries.
+   */
   @Test
   void proxyLoadsNoClassOfTheDaemon() throws Exception {
-    Path classes = folder.resolve("classes.log");
+    Path classLog = folder.resolve("classes.log");
     Path config =
         Files.writeString(
             folder.resolve("config.json"),
@@ -279,15 +305,15 @@
                 + "\"known\":{\"version\":1,\"full\":true,\"servers\":[]},\"settings\":{\"classes\":["
                 + "{\"name\":\"a\",\"aim\":400,\"deadline\":800,\"semantics\":\"unsafe\"}]}}");
     ProcessBuilder builder =
-        java(List.of("-Xlog:class+load:file=" + classes), "proxy")
+        javaProcess(List.of("-Xlog:class+load:file=" + classLog), "proxy")
             .redirectError(folder.resolve("err").toFile());
     builder.environment().put("BALANCER_CONFIG", config.toString());
     Process process = builder.start();
     try {
-      // It has listened once its front has been set up, after the rehearsal.
+      // The proxy listens once this class is loaded, which happens after the warm-up.
       long deadlineNanos = System.nanoTime() + 60_000_000_000L;
-      while ((System.nanoTime() < deadlineNanos && !Files.exists(classes))
-          || !Files.readString(classes).contains("leadferry.http.ClientConnection")) {
+      while ((System.nanoTime() < deadlineNanos && !Files.exists(classLog))
+          || !Files.readString(classLog).contains("leadferry.http.ClientConnection")) {
         Thread.sleep(50);
       }
       signal(process, "TERM");
@@ -295,9 +321,9 @@
     } finally {
       process.destroyForcibly();
     }
-    List<String> loaded = Files.readAllLines(classes);
-    assertThat(loaded).anyMatch(line -> line.contains("leadferry.proxy.Proxy"));
-    assertThat(loaded)
+    List<String> loadedClasses = Files.readAllLines(classLog);
+    assertThat(loadedClasses).anyMatch(line -> line.contains("leadferry.proxy.Proxy"));
+    assertThat(loadedClasses)
         .noneMatch(
             line ->
                 line.contains("leadferry.daemon.")
--- a/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
+++ b/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
@@ -11,7 +11,11 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** What staff see of a release on the command line. */
+/**
+ * Checks the text that {@link ReleaseStatusPrinter} prints for operators. Guards against a status
+ * that omits a target in progress, the driver or the reason of an error, and against a removed
+ * alias of a command.
+ */
 class ReleaseStatusPrinterTest {
   private static String printed(ObjectNode response) {
     PrintStream standardOutput = System.out;
