--- a/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
+++ b/src/test/java/leadferry/cli/ReleaseStatusPrinterTest.java
@@ -11,7 +11,11 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** What staff see of a release on the command line. */
+/**
+ * Checks the text that {@link ReleaseStatusPrinter} prints for operators. Guards against a status
+ * that omits a target in progress, the driver or the reason of an error, and against a removed
+ * alias of a command.
+ */
 class ReleaseStatusPrinterTest {
   private static String printed(ObjectNode response) {
     PrintStream standardOutput = System.out;
@@ -74,7 +78,7 @@
   }
 
   @Test
-  void oneReleaseIsPrintedWithItsZonesAndTheTargetsUnderWay() {
+  void printsOneReleaseWithItsZonesAndTheTargetsInProgress() {
     assertThat(printed(release()).lines())
         .containsExactly(
             "r is running, rollback (bad news); no driver",
@@ -86,7 +90,7 @@
   }
 
   @Test
-  void allReleasesArePrintedInALineEach() {
+  void printsAllReleasesOnOneLineEach() {
     ObjectNode response = Json.object();
     response
         .putArray("releases")
@@ -105,14 +109,14 @@
   }
 
   @Test
-  void aNameThatIsNotKnownIsToldWithItsReason() {
+  void printsTheReasonForAnUnknownRelease() {
     ObjectNode response = Json.object().put("status", "unknown");
     response.putArray("why").add("no release 'x'");
     assertThat(printed(response).lines()).containsExactly("unknown", "  no release 'x'");
   }
 
   @Test
-  void rollbackKeepsItsFormerNameAsAnAlias() {
+  void rollbackKeepsItsFormerNameAsAlias() {
     CommandLine release = new CommandLine(new ReleaseCliCommand());
     assertThat(release.getSubcommands().get("back"))
         .isNotNull()
