--- a/src/main/java/leadferry/testbed/BackgroundTasks.java
+++ b/src/main/java/leadferry/testbed/BackgroundTasks.java
@@ -4,11 +4,14 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What a test has started and has to wait for: the end of a fault, a proxy that comes back. */
+/**
+ * Tasks that a test has started and has to wait for, such as the end of a fault or the recovery of
+ * a proxy.
+ */
 final class BackgroundTasks {
   private final List<Thread> threads = Collections.synchronizedList(new ArrayList<>());
 
-  /** Runs a task on a thread of its own after so many milliseconds. */
+  /** Runs a task on its own thread after {@code delayMillis}. */
   void runLater(long delayMillis, Runnable task) {
     threads.add(
         Threads.startDaemon(
@@ -19,7 +22,7 @@
             }));
   }
 
-  /** Waits for all tasks, so many milliseconds for each at most. */
+  /** Waits for all tasks, at most {@code millisEach} for each one. */
   void await(long millisEach) throws InterruptedException {
     for (Thread thread : List.copyOf(threads)) {
       thread.join(millisEach);
--- a/src/main/java/leadferry/testbed/DrainTarget.java
+++ b/src/main/java/leadferry/testbed/DrainTarget.java
@@ -1,10 +1,10 @@
 package leadferry.testbed;
 
 /**
- * Whom an operator takes out of service.
+ * A target that an operator takes out of service.
  *
- * @param kind {@code proxy} or {@code host}, as the protocol has it
- * @param name its name in the fleet
+ * @param kind {@code proxy} or {@code host}, as in the protocol
+ * @param name name of the target in the fleet
  */
 record DrainTarget(String kind, String name) {
   static final String PROXY = "proxy";
--- a/src/main/java/leadferry/testbed/ExecutionLog.java
+++ b/src/main/java/leadferry/testbed/ExecutionLog.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Every execution at every stand-in by request id. Holds at most a stated number of ids; what comes
- * past that is only counted, and {@link #unrecordedCount} tells that the ledger can't vouch for it.
- * Safe for use by many threads.
+ * Records every execution at every fake upstream by request id. Holds at most a fixed number of
+ * ids. Executions beyond that are only counted; if {@link #unrecordedCount} is above 0, the log is
+ * incomplete. Thread-safe.
  */
 public final class ExecutionLog {
-  /** One run of a request: where, in which pod, when (ns of {@link System#nanoTime}). */
+  /** One execution of a request: upstream, pod and start time ({@link System#nanoTime}). */
   public record Execution(String upstream, String pod, long atNanos) {}
 
   private final int maxIds;
@@ -20,32 +20,32 @@
   private final AtomicLong executionCount = new AtomicLong();
   private final AtomicLong unrecordedCount = new AtomicLong();
 
-  /** A ledger of at most so many ids. */
+  /** Creates a log of at most {@code maxIds} request ids. */
   public ExecutionLog(int maxIds) {
     this.maxIds = maxIds;
   }
 
-  /** A request begins to run. */
-  public void record(String id, String host, String pod) {
+  /** Records that request {@code id} (null if it has none) begins to run. */
+  public void record(String id, String upstream, String pod) {
     executionCount.incrementAndGet();
     if (id == null || (byId.size() >= maxIds && !byId.containsKey(id))) {
       unrecordedCount.incrementAndGet();
       return;
     }
-    List<Execution> list = byId.computeIfAbsent(id, k -> new ArrayList<>(1));
-    synchronized (list) {
-      list.add(new Execution(host, pod, System.nanoTime()));
+    List<Execution> executions = byId.computeIfAbsent(id, key -> new ArrayList<>(1));
+    synchronized (executions) {
+      executions.add(new Execution(upstream, pod, System.nanoTime()));
     }
   }
 
-  /** The runs of a request, in order. */
+  /** Returns the executions of a request in the order of their start. */
   public List<Execution> executionsOf(String id) {
-    List<Execution> list = byId.get(id);
-    if (list == null) {
+    List<Execution> executions = byId.get(id);
+    if (executions == null) {
       return List.of();
     }
-    synchronized (list) {
-      return List.copyOf(list);
+    synchronized (executions) {
+      return List.copyOf(executions);
     }
   }
 
@@ -53,36 +53,38 @@
     return executionCount.get();
   }
 
-  /** Runs of requests without an id, or past the bound. */
+  /** Returns the number of executions of requests without an id or beyond the bound on ids. */
   public long unrecordedCount() {
     return unrecordedCount.get();
   }
 
-  /** Ids that ran more than once. */
+  /** Returns the ids of requests that ran more than once. */
   public List<String> repeatedIds() {
-    List<String> out = new ArrayList<>();
+    List<String> repeated = new ArrayList<>();
     byId.forEach(
-        (id, list) -> {
+        (id, executions) -> {
           if (executionsOf(id).size() > 1) {
-            out.add(id);
+            repeated.add(id);
           }
         });
-    return out;
+    return repeated;
   }
 
-  /** Shows every recorded id with its runs. */
-  public void forEach(java.util.function.BiConsumer<String, List<Execution>> each) {
-    byId.keySet().forEach(id -> each.accept(id, executionsOf(id)));
+  /** Passes every recorded id with its executions to {@code each}. */
+  public void forEach(java.util.function.BiConsumer<String, List<Execution>> action) {
+    byId.keySet().forEach(id -> action.accept(id, executionsOf(id)));
   }
 
   /**
-   * Whether every repeat of a keyed request ran in the pod of the one before, within the window.
+   * Returns whether every repeated execution of a keyed request ran in the pod of the first one and
+   * within {@code windowMs} after it.
    */
-  public boolean repeatsStayedInPod(String id, long windowMs) {
-    List<Execution> runs = executionsOf(id);
-    for (int i = 1; i < runs.size(); i++) {
-      if (!runs.get(i).pod().equals(runs.get(0).pod())
-          || runs.get(i).atNanos() - runs.get(0).atNanos() > windowMs * 1_000_000L) {
+  public boolean repeatsStayedInPod(String id, long windowMillis) {
+    List<Execution> executions = executionsOf(id);
+    for (int i = 1; i < executions.size(); i++) {
+      if (!executions.get(i).pod().equals(executions.get(0).pod())
+          || executions.get(i).atNanos() - executions.get(0).atNanos()
+              > windowMillis * 1_000_000L) {
         return false;
       }
     }
--- a/src/main/java/leadferry/testbed/FakeUpstream.java
+++ b/src/main/java/leadferry/testbed/FakeUpstream.java
@@ -33,48 +33,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP host with cores, a queue and a warm-up that can be made to misbehave. It tells the ledger
- * of every request that begins to run. Its state is one loop's; faults may be set from any thread.
+ * A fake HTTP upstream with cores, a queue and a warm-up, in which faults can be injected. Records
+ * every request that begins to run in an {@link ExecutionLog}. Its state is confined to one event
+ * loop; faults may be set from any thread.
  *
- * <p>An answer echoes {@code X-Request-ID} and names the host in {@code X-Served-By}, the body
- * begins with the id, so that a client can tell an answer made for another request from its own.
+ * <p>A response echoes {@code X-Request-ID} and names the upstream in {@code X-Served-By}. Its body
+ * begins with the request id. A client can therefore detect a response made for another request.
  */
 public final class FakeUpstream implements AutoCloseable {
-  /** What goes wrong. */
+  /** Injected faults. */
   public enum Fault {
     NONE,
-    /** Takes work, does it, says nothing. */
+    /** Processes the request and sends no response. */
     SILENT,
-    /** Resets the connection in place of doing the work. */
+    /** Resets the connection instead of processing the request. */
     RESET_BEFORE,
-    /** Does the work and resets the connection. */
+    /** Processes the request and resets the connection. */
     RESET_AFTER,
-    /** Answers 500 at once, with nothing done. */
+    /** Responds with status 500 at once, without processing the request. */
     FAIL_FAST,
-    /** Turns work away: 503 with {@code X-Not-Processed: 1}. */
+    /** Rejects the request with status 503 and {@code X-Not-Processed: 1}. */
     TURN_AWAY,
-    /** Does the work and answers noise. */
+    /** Processes the request and responds with bytes that are not HTTP. */
     SPOILT,
-    /** Does the work and answers a byte at a time. */
+    /** Processes the request and sends the response one byte at a time. */
     SLOW_BYTES
   }
 
   /**
-   * How the host is built.
+   * Configuration of a fake upstream.
    *
-   * @param name its id
-   * @param pod its pod
-   * @param port where it listens on loopback, 0 for any
-   * @param serviceMillis mean of the exponential time that a request takes a core; 0 answers at
-   *     once
-   * @param cores requests that run at once
-   * @param queueCapacity requests that wait at most
-   * @param warmUpMillis how long after its start it gets to its full speed
-   * @param startCapacity the part of its speed that it starts with
-   * @param maxConnections connections; more are closed at once
-   * @param reportsLoad whether answers tell {@code X-Server-Load}
-   * @param bodyBytes length of an answer's body at least
-   * @param seed of its random numbers
+   * @param name id of the upstream
+   * @param pod pod of the upstream
+   * @param port loopback port to listen on, or 0 for any
+   * @param serviceMillis mean of the exponential service time on one core; 0 responds at once
+   * @param cores number of requests that run at the same time
+   * @param queueCapacity maximum number of waiting requests; further requests get status 503
+   * @param warmUpMillis time from the start until the full speed is reached; 0 for no warm-up
+   * @param startCapacity fraction of the full speed at the start
+   * @param maxConnections maximum number of connections; further ones are closed at once
+   * @param reportsLoad whether responses carry {@code X-Server-Load}
+   * @param bodyBytes minimum length of a response body
+   * @param seed seed of the random numbers
    */
   public record Options(
       String name,
@@ -89,18 +89,18 @@
       boolean reportsLoad,
       int bodyBytes,
       long seed) {
-    /** A host that answers at once. */
+    /** Returns the options of an upstream that responds at once. */
     public static Options instant(String name) {
       return new Options(name, "p1", 0, 0, 1, 1_000, 0, 1, 100_000, false, 64, 1);
     }
 
-    public Options withServiceTime(double ms, int onCores) {
+    public Options withServiceTime(double meanMillis, int coreCount) {
       return new Options(
           name,
           pod,
           port,
-          ms,
-          onCores,
+          meanMillis,
+          coreCount,
           queueCapacity,
           warmUpMillis,
           startCapacity,
@@ -110,8 +110,11 @@
           seed);
     }
 
-    /** So long until it has its full speed, from that part of it on. */
-    public Options withWarmUp(double ms, double from) {
+    /**
+     * Returns these options with a warm-up of {@code ms} that starts at the fraction {@code from}
+     * of the full speed.
+     */
+    public Options withWarmUp(double millis, double initialCapacity) {
       return new Options(
           name,
           pod,
@@ -119,8 +122,8 @@
           serviceMillis,
           cores,
           queueCapacity,
-          ms,
-          from,
+          millis,
+          initialCapacity,
           maxConnections,
           reportsLoad,
           bodyBytes,
@@ -144,34 +147,43 @@
     }
   }
 
-  /** While a host warms up, more than this many times what it can do, for this long, fells it. */
-  private static final double FALL_MULTIPLE = 3;
+  /**
+   * During its warm-up an upstream collapses if more than this multiple of the requests that it can
+   * process arrive within {@link #COLLAPSE_WINDOW_NANOS}.
+   */
+  private static final double COLLAPSE_MULTIPLE = 3;
 
-  private static final long FALL_NANOS = 1_500_000_000L;
+  private static final long COLLAPSE_WINDOW_NANOS = 1_500_000_000L;
 
-  /** Fewer requests in that time never fell a host: chance makes as many. */
-  private static final int FALL_LEAST = 10;
+  /**
+   * An upstream never collapses at this many requests or fewer, because that many arrive by chance.
+   */
+  private static final int COLLAPSE_MIN_REQUESTS = 10;
 
-  /** How long (ms) connections are open at once before they count as such. */
-  private static final long STILL_MS = 50;
+  /** Time, in milliseconds, for which connections must be open together to count as concurrent. */
+  private static final long CONCURRENCY_CHECK_MILLIS = 50;
 
-  private static final int MAX_BODY = 1 << 20;
-  private static final long SLOW_BYTE_MS = 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final long SLOW_BYTE_MILLIS = 20;
 
-  private record Work(
-      ChannelHandlerContext ctx, String id, boolean head, boolean close, long until) {}
+  private record PendingRequest(
+      ChannelHandlerContext context,
+      String id,
+      boolean isHead,
+      boolean closesConnection,
+      long deadlineNanos) {}
 
   private final Options options;
-  private final ExecutionLog ledger;
+  private final ExecutionLog executions;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
   private final Channel listener;
   private final SplittableRandom random;
-  private volatile long startedAt = System.nanoTime();
-  private final Set<SocketChannel> open = new HashSet<>();
-  private final ArrayDeque<Work> waiting = new ArrayDeque<>();
-  private final ArrayDeque<Long> arrivals = new ArrayDeque<>();
-  private final byte[] filler;
+  private volatile long startedNanos = System.nanoTime();
+  private final Set<SocketChannel> openChannels = new HashSet<>();
+  private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
+  private final ArrayDeque<Long> arrivalNanos = new ArrayDeque<>();
+  private final byte[] bodyPadding;
   private volatile Fault fault = Fault.NONE;
   private volatile double faultShare;
   private volatile int connections;
@@ -179,14 +191,15 @@
   private volatile long served;
   private volatile boolean collapsed;
   private volatile long lastArrivalNanos;
-  private int running;
+  private int runningRequests;
 
-  /** Starts a host on loopback. */
-  public FakeUpstream(Options options, ExecutionLog ledger) {
+  /** Starts an upstream on loopback. */
+  public FakeUpstream(Options options, ExecutionLog executions) {
     this.options = options;
-    this.ledger = ledger;
+    this.executions = executions;
     this.random = new SplittableRandom(options.seed());
-    this.filler = " ".repeat(Math.max(0, options.bodyBytes())).getBytes(StandardCharsets.US_ASCII);
+    this.bodyPadding =
+        " ".repeat(Math.max(0, options.bodyBytes())).getBytes(StandardCharsets.US_ASCII);
     this.group =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("standin", true), NioIoHandler.newFactory());
@@ -201,8 +214,8 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel ch) {
-                    accepted(ch);
+                  protected void initChannel(SocketChannel channel) {
+                    onAccepted(channel);
                   }
                 })
             .bind(InetAddress.getLoopbackAddress(), options.port())
@@ -222,15 +235,15 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** {@code 127.0.0.1:port}. */
+  /** Returns the address as {@code 127.0.0.1:port}. */
   public String hostAndPort() {
     return "127.0.0.1:" + address().getPort();
   }
 
-  /** From now on a share (0 to 1) of requests meets this fault. */
-  public void setFault(Fault what, double share) {
+  /** Injects a fault into a share (0 to 1) of the requests from now on. */
+  public void setFault(Fault newFault, double share) {
     faultShare = share;
-    fault = what;
+    fault = newFault;
   }
 
   public long served() {
@@ -241,181 +254,207 @@
     return connections;
   }
 
-  /** The most that were open at once for 50 ms, as far as that has passed. */
+  /** Returns the largest number of connections that were open together for at least 50 ms. */
   public int maxConcurrentConnections() {
     return maxConcurrentConnections;
   }
 
-  /** Whether it was pushed over while it was cold; it stays down. */
+  /** Returns whether the upstream collapsed under load during its warm-up. It does not recover. */
   public boolean hasCollapsed() {
     return collapsed;
   }
 
-  /** When (ns of {@link System#nanoTime}) the last request came, or 0. */
+  /**
+   * Returns the arrival time of the latest request ({@link System#nanoTime}), or 0 if there was
+   * none.
+   */
   public long lastArrivalNanos() {
     return lastArrivalNanos;
   }
 
-  /** Requests that run or wait here. */
+  /** Returns the number of running and waiting requests. */
   public int requestsInProgress() {
-    return loop.submit(() -> running + waiting.size()).syncUninterruptibly().getNow();
+    return loop.submit(() -> runningRequests + waiting.size()).syncUninterruptibly().getNow();
   }
 
-  /** Ends all connections and is as cold as after a start; returns once that is so. */
+  /**
+   * Closes all connections, drops the waiting requests and restarts the warm-up. Returns once that
+   * is done.
+   */
   public void restart() {
     loop.submit(
             () -> {
-              List.copyOf(open).forEach(SocketChannel::close);
+              List.copyOf(openChannels).forEach(SocketChannel::close);
               waiting.clear();
-              arrivals.clear();
-              startedAt = System.nanoTime();
+              arrivalNanos.clear();
+              startedNanos = System.nanoTime();
             })
         .syncUninterruptibly();
   }
 
-  private void accepted(SocketChannel ch) {
+  private void onAccepted(SocketChannel channel) {
     if (collapsed || connections >= options.maxConnections()) {
-      ch.close();
+      channel.close();
       return;
     }
-    open.add(ch);
-    connections = open.size();
-    ch.closeFuture()
+    openChannels.add(channel);
+    connections = openChannels.size();
+    channel
+        .closeFuture()
         .addListener(
-            f -> {
-              open.remove(ch);
-              connections = open.size();
+            closing -> {
+              openChannels.remove(channel);
+              connections = openChannels.size();
             });
     if (connections > maxConcurrentConnections) {
-      // A client that closes one connection and opens another holds one, and a busy loop may meet
-      // the two
-      // in either order: those count that are still there a moment later.
-      List<SocketChannel> now = List.copyOf(open);
-      loop.schedule(() -> countStill(now), STILL_MS, TimeUnit.MILLISECONDS);
+      // A busy loop may see a client's new connection before the end of its old one. Therefore only
+      // connections that are still open a moment later are counted.
+      List<SocketChannel> channelsNow = List.copyOf(openChannels);
+      loop.schedule(
+          () -> countConcurrentConnections(channelsNow),
+          CONCURRENCY_CHECK_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
-    ch.pipeline()
+    channel
+        .pipeline()
         .addLast(
             new HttpServerCodec(),
-            new HttpObjectAggregator(MAX_BODY),
+            new HttpObjectAggregator(MAX_BODY_BYTES),
             new SimpleChannelInboundHandler<FullHttpRequest>() {
               @Override
-              protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-                arrived(ctx, r);
+              protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+                onRequest(context, request);
               }
 
               @Override
-              public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ctx.close();
+              public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                context.close();
               }
             });
   }
 
-  private void countStill(List<SocketChannel> then) {
-    int still = 0;
-    for (SocketChannel ch : then) {
-      still += ch.isOpen() ? 1 : 0;
+  private void countConcurrentConnections(List<SocketChannel> channelsThen) {
+    int stillOpen = 0;
+    for (SocketChannel channel : channelsThen) {
+      stillOpen += channel.isOpen() ? 1 : 0;
     }
-    maxConcurrentConnections = Math.max(maxConcurrentConnections, still);
+    maxConcurrentConnections = Math.max(maxConcurrentConnections, stillOpen);
   }
 
-  private void arrived(ChannelHandlerContext ctx, FullHttpRequest r) {
-    long now = System.nanoTime();
-    lastArrivalNanos = now;
-    if (fell(now)) {
-      ctx.close();
+  private void onRequest(ChannelHandlerContext context, FullHttpRequest request) {
+    long nowNanos = System.nanoTime();
+    lastArrivalNanos = nowNanos;
+    if (updateCollapsed(nowNanos)) {
+      context.close();
       return;
     }
-    String timeout = r.headers().get("X-Timeout-Ms");
-    long until = timeout == null ? Long.MAX_VALUE : now + Long.parseLong(timeout) * 1_000_000L;
-    Work w =
-        new Work(
-            ctx,
-            r.headers().get("X-Request-ID"),
-            r.method().equals(HttpMethod.HEAD),
-            r.headers().contains(HttpHeaderNames.CONNECTION, "close", true),
-            until);
-    Fault f = fault != Fault.NONE && random.nextDouble() < faultShare ? fault : Fault.NONE;
-    switch (f) {
-      case RESET_BEFORE -> reset(ctx);
-      case FAIL_FAST -> answer(w, 500, false);
-      case TURN_AWAY -> answer(w, 503, true);
+    String timeoutMillis = request.headers().get("X-Timeout-Ms");
+    long deadlineNanos =
+        timeoutMillis == null
+            ? Long.MAX_VALUE
+            : nowNanos + Long.parseLong(timeoutMillis) * 1_000_000L;
+    PendingRequest pending =
+        new PendingRequest(
+            context,
+            request.headers().get("X-Request-ID"),
+            request.method().equals(HttpMethod.HEAD),
+            request.headers().contains(HttpHeaderNames.CONNECTION, "close", true),
+            deadlineNanos);
+    Fault requestFault =
+        fault != Fault.NONE && random.nextDouble() < faultShare ? fault : Fault.NONE;
+    switch (requestFault) {
+      case RESET_BEFORE -> reset(context);
+      case FAIL_FAST -> respond(pending, 500, false);
+      case TURN_AWAY -> respond(pending, 503, true);
       default -> {
         if (options.serviceMillis() <= 0) {
-          begin(w);
-          end(w, f);
-        } else if (running < options.cores()) {
-          run(w, f);
+          recordExecution(pending);
+          finishService(pending, requestFault);
+        } else if (runningRequests < options.cores()) {
+          startService(pending, requestFault);
         } else if (waiting.size() < options.queueCapacity()) {
-          waiting.add(w);
+          waiting.add(pending);
         } else {
-          answer(w, 503, true);
+          respond(pending, 503, true);
         }
       }
     }
   }
 
-  /** Guards nothing: it is what rule 4 is about, a cold host that is pushed over. */
-  private boolean fell(long now) {
-    if (collapsed || options.warmUpMillis() <= 0 || warmth(now) >= 1) {
+  /**
+   * Returns whether the upstream has collapsed. Simulates the failure that rule 4 is about: a cold
+   * upstream that is overwhelmed during its warm-up.
+   */
+  private boolean updateCollapsed(long nowNanos) {
+    if (collapsed || options.warmUpMillis() <= 0 || speedFraction(nowNanos) >= 1) {
       return collapsed;
     }
-    arrivals.add(now);
-    while (now - arrivals.peek() > FALL_NANOS) {
-      arrivals.poll();
+    arrivalNanos.add(nowNanos);
+    while (nowNanos - arrivalNanos.peek() > COLLAPSE_WINDOW_NANOS) {
+      arrivalNanos.poll();
     }
-    double able =
-        warmth(now) * options.cores() / Math.max(0.01, options.serviceMillis()) * FALL_NANOS / 1e6;
-    collapsed = arrivals.size() > Math.max(FALL_LEAST, FALL_MULTIPLE * able);
+    double capacity =
+        speedFraction(nowNanos)
+            * options.cores()
+            / Math.max(0.01, options.serviceMillis())
+            * COLLAPSE_WINDOW_NANOS
+            / 1e6;
+    collapsed = arrivalNanos.size() > Math.max(COLLAPSE_MIN_REQUESTS, COLLAPSE_MULTIPLE * capacity);
     return collapsed;
   }
 
-  private double warmth(long now) {
-    double age = (now - startedAt) / 1e6;
-    return options.warmUpMillis() <= 0 || age >= options.warmUpMillis()
+  private double speedFraction(long nowNanos) {
+    double ageMillis = (nowNanos - startedNanos) / 1e6;
+    return options.warmUpMillis() <= 0 || ageMillis >= options.warmUpMillis()
         ? 1
-        : options.startCapacity() + (1 - options.startCapacity()) * age / options.warmUpMillis();
+        : options.startCapacity()
+            + (1 - options.startCapacity()) * ageMillis / options.warmUpMillis();
   }
 
-  private void begin(Work w) {
-    ledger.record(w.id(), options.name(), options.pod());
+  private void recordExecution(PendingRequest pending) {
+    executions.record(pending.id(), options.name(), options.pod());
   }
 
-  private void run(Work w, Fault f) {
-    running++;
-    begin(w);
-    double ms =
-        -Math.log(1 - random.nextDouble()) * options.serviceMillis() / warmth(System.nanoTime());
+  private void startService(PendingRequest pending, Fault requestFault) {
+    runningRequests++;
+    recordExecution(pending);
+    double serviceMillis =
+        -Math.log(1 - random.nextDouble())
+            * options.serviceMillis()
+            / speedFraction(System.nanoTime());
     loop.schedule(
         () -> {
-          running--;
-          end(w, f);
-          next();
+          runningRequests--;
+          finishService(pending, requestFault);
+          startWaiting();
         },
-        (long) (ms * 1e6),
+        (long) (serviceMillis * 1e6),
         TimeUnit.NANOSECONDS);
   }
 
-  private void next() {
-    Work w;
-    while (running < options.cores() && (w = waiting.poll()) != null) {
-      if (!w.ctx().channel().isActive()) {
-        continue; // nobody waits for it, and it has not begun
+  private void startWaiting() {
+    PendingRequest pending;
+    while (runningRequests < options.cores() && (pending = waiting.poll()) != null) {
+      if (!pending.context().channel().isActive()) {
+        continue; // the client has disconnected and the request has not started
       }
-      if (System.nanoTime() > w.until()) {
-        answer(w, 504, true);
+      if (System.nanoTime() > pending.deadlineNanos()) {
+        respond(pending, 504, true);
       } else {
-        Fault f = fault != Fault.NONE && random.nextDouble() < faultShare ? fault : Fault.NONE;
-        run(w, f);
+        Fault requestFault =
+            fault != Fault.NONE && random.nextDouble() < faultShare ? fault : Fault.NONE;
+        startService(pending, requestFault);
       }
     }
   }
 
-  private void end(Work w, Fault f) {
-    switch (f) {
-      case SILENT -> {} // the work is done, and nobody hears of it
-      case RESET_AFTER -> reset(w.ctx());
+  private void finishService(PendingRequest pending, Fault requestFault) {
+    switch (requestFault) {
+      case SILENT -> {} // the request was processed, but no response is sent
+      case RESET_AFTER -> reset(pending.context());
       case SPOILT ->
-          w.ctx()
+          pending
+              .context()
               .channel()
               .pipeline()
               .firstContext()
@@ -423,63 +462,70 @@
                   Unpooled.copiedBuffer(
                       "\u0001noise\r\nmore of it\r\n\r\n", StandardCharsets.ISO_8859_1));
       case SLOW_BYTES -> {
-        byte[] all =
-            ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Request-ID: " + w.id() + "\r\n\r\nslow")
+        byte[] responseBytes =
+            ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Request-ID: "
+                    + pending.id()
+                    + "\r\n\r\nslow")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        drip(w.ctx(), all, 0);
+        sendByteByByte(pending.context(), responseBytes, 0);
       }
       default -> {
         served++;
-        answer(w, 200, false);
+        respond(pending, 200, false);
       }
     }
   }
 
-  private void drip(ChannelHandlerContext ctx, byte[] all, int at) {
-    if (at < all.length && ctx.channel().isActive()) {
-      ctx.channel()
+  private void sendByteByByte(ChannelHandlerContext context, byte[] responseBytes, int position) {
+    if (position < responseBytes.length && context.channel().isActive()) {
+      context
+          .channel()
           .pipeline()
           .firstContext()
-          .writeAndFlush(Unpooled.wrappedBuffer(new byte[] {all[at]}));
-      loop.schedule(() -> drip(ctx, all, at + 1), SLOW_BYTE_MS, TimeUnit.MILLISECONDS);
+          .writeAndFlush(Unpooled.wrappedBuffer(new byte[] {responseBytes[position]}));
+      loop.schedule(
+          () -> sendByteByByte(context, responseBytes, position + 1),
+          SLOW_BYTE_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
-  private void answer(Work w, int status, boolean notProcessed) {
+  private void respond(PendingRequest pending, int status, boolean notProcessed) {
     ByteBuf body = Unpooled.EMPTY_BUFFER;
     int length = 0;
     if (status == 200) {
-      byte[] id = String.valueOf(w.id()).getBytes(StandardCharsets.ISO_8859_1);
-      int pad = Math.max(0, filler.length - id.length);
-      length = id.length + pad;
+      byte[] id = String.valueOf(pending.id()).getBytes(StandardCharsets.ISO_8859_1);
+      int paddingLength = Math.max(0, bodyPadding.length - id.length);
+      length = id.length + paddingLength;
       body =
-          w.head()
+          pending.isHead()
               ? body
               : Unpooled.wrappedBuffer(
-                  Unpooled.wrappedBuffer(id), Unpooled.wrappedBuffer(filler, 0, pad));
+                  Unpooled.wrappedBuffer(id),
+                  Unpooled.wrappedBuffer(bodyPadding, 0, paddingLength));
     }
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), body);
-    r.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-    r.headers().set("X-Served-By", options.name());
-    if (w.id() != null) {
-      r.headers().set("X-Request-ID", w.id());
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+    response.headers().set("X-Served-By", options.name());
+    if (pending.id() != null) {
+      response.headers().set("X-Request-ID", pending.id());
     }
     if (notProcessed) {
-      r.headers().set("X-Not-Processed", "1");
+      response.headers().set("X-Not-Processed", "1");
     }
     if (options.reportsLoad()) {
-      r.headers().set("X-Server-Load", "inflight=" + (running + waiting.size()));
+      response.headers().set("X-Server-Load", "inflight=" + (runningRequests + waiting.size()));
     }
-    w.ctx().writeAndFlush(r);
-    if (w.close()) {
-      w.ctx().close();
+    pending.context().writeAndFlush(response);
+    if (pending.closesConnection()) {
+      pending.context().close();
     }
   }
 
-  private static void reset(ChannelHandlerContext ctx) {
-    ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
-    ctx.close();
+  private static void reset(ChannelHandlerContext context) {
+    context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
+    context.close();
   }
 
   @Override
--- a/src/main/java/leadferry/testbed/FaultScript.java
+++ b/src/main/java/leadferry/testbed/FaultScript.java
@@ -7,22 +7,22 @@
 import java.util.Set;
 
 /**
- * Which fault when, in place of those from a seed: a line each, {@code SECONDS VERB ARGUMENT...}, #
- * begins a comment.
+ * Parses a script that replaces the faults from a seed. Each line holds one step, {@code SECONDS
+ * VERB ARGUMENT...}; {@code #} begins a comment.
  *
  * <pre>
- *   2.0  cut p1 k1 forth        # what p1 sends k1 is held back; also back, both
+ *   2.0  cut p1 k1 forth        # holds back what p1 sends to k1; also: back, both
  *   2.5  isolate k2             # from all other replicas
- *   3.0  kill k1                # and start, stop (SIGSTOP), cont (SIGCONT), of replicas and proxies
- *   4.0  drain proxy p2         # and undo proxy p2, halt, resume
- *   9.0  heal                   # all links are whole
+ *   3.0  kill k1                # also: start, stop (SIGSTOP), cont (SIGCONT); replicas and proxies
+ *   4.0  drain proxy p2         # also: undo proxy p2, halt, resume
+ *   9.0  heal                   # removes the faults of all links
  * </pre>
  */
 public final class FaultScript {
-  /** One line; {@code at} in seconds from the begin of load. */
+  /** One line of a script; {@code atSeconds} counts from the start of the load. */
   public record Step(double atSeconds, String verb, List<String> arguments) {}
 
-  private static final Map<String, Integer> VERBS =
+  private static final Map<String, Integer> ARGUMENT_COUNTS =
       Map.ofEntries(
           Map.entry("kill", 1),
           Map.entry("start", 1),
@@ -42,53 +42,54 @@
   private FaultScript() {}
 
   /**
-   * Reads a script; {@code names} holds the rig's processes and hosts.
+   * Parses a script and returns its steps sorted by time. {@code names} holds the names of the
+   * test's processes and upstreams.
    *
-   * @throws IllegalArgumentException with every fault that was found, a line each
+   * @throws IllegalArgumentException with one line for each error in the script
    */
   public static List<Step> parse(List<String> lines, Set<String> names) {
     List<Step> steps = new ArrayList<>();
-    List<String> faults = new ArrayList<>();
+    List<String> errors = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String text = lines.get(i).replaceFirst("#.*", "").strip();
       if (!text.isEmpty()) {
-        step(i + 1, text.split("\\s+"), names, steps, faults);
+        parseStep(i + 1, text.split("\\s+"), names, steps, errors);
       }
     }
-    if (!faults.isEmpty()) {
-      throw new IllegalArgumentException(String.join("\n", faults));
+    if (!errors.isEmpty()) {
+      throw new IllegalArgumentException(String.join("\n", errors));
     }
     steps.sort(Comparator.comparingDouble(Step::atSeconds));
     return steps;
   }
 
-  private static void step(
-      int line, String[] words, Set<String> names, List<Step> steps, List<String> faults) {
-    double at = -1;
+  private static void parseStep(
+      int line, String[] words, Set<String> names, List<Step> steps, List<String> errors) {
+    double atSeconds = -1;
     try {
-      at = Double.parseDouble(words[0]);
+      atSeconds = Double.parseDouble(words[0]);
     } catch (NumberFormatException e) {
-      // told below
+      // reported by the range check below
     }
-    if (!(at >= 0 && at <= 86_400)) {
-      faults.add("line " + line + ": " + words[0] + " (expected: seconds, 0 to 86400)");
+    if (!(atSeconds >= 0 && atSeconds <= 86_400)) {
+      errors.add("line " + line + ": " + words[0] + " (expected: seconds, 0 to 86400)");
     }
     String verb = words.length > 1 ? words[1] : "";
-    Integer wanted = VERBS.get(verb);
-    if (wanted == null) {
-      faults.add(
+    Integer argumentCount = ARGUMENT_COUNTS.get(verb);
+    if (argumentCount == null) {
+      errors.add(
           "line "
               + line
               + ": '"
               + verb
               + "' (expected: one of "
-              + VERBS.keySet().stream().sorted().toList()
+              + ARGUMENT_COUNTS.keySet().stream().sorted().toList()
               + ")");
       return;
     }
     List<String> arguments = List.of(words).subList(2, words.length);
-    if (arguments.size() != wanted) {
-      faults.add(
+    if (arguments.size() != argumentCount) {
+      errors.add(
           "line "
               + line
               + ": "
@@ -96,37 +97,37 @@
               + " with "
               + arguments.size()
               + " arguments (expected: "
-              + wanted
+              + argumentCount
               + ")");
       return;
     }
-    boolean kinds = verb.equals("drain") || verb.equals("undo");
+    boolean startsWithKind = verb.equals("drain") || verb.equals("undo");
     for (int i = 0; i < arguments.size(); i++) {
-      String a = arguments.get(i);
-      boolean last = i == 2;
-      boolean sound =
-          (kinds && i == 0)
-              ? Set.of("proxy", "host").contains(a)
-              : last
+      String argument = arguments.get(i);
+      boolean isThird = i == 2;
+      boolean isValid =
+          (startsWithKind && i == 0)
+              ? Set.of("proxy", "host").contains(argument)
+              : isThird
                   ? verb.equals("cut")
-                      ? Set.of("forth", "back", "both").contains(a)
-                      : a.matches("[0-9]{1,5}")
-                  : names.contains(a);
-      if (!sound) {
-        faults.add(
+                      ? Set.of("forth", "back", "both").contains(argument)
+                      : argument.matches("[0-9]{1,5}")
+                  : names.contains(argument);
+      if (!isValid) {
+        errors.add(
             "line "
                 + line
                 + ": '"
-                + a
+                + argument
                 + "' (expected: "
-                + (kinds && i == 0
+                + (startsWithKind && i == 0
                     ? "proxy or host"
-                    : last
+                    : isThird
                         ? verb.equals("cut") ? "forth, back or both" : "milliseconds"
                         : "a replica, proxy or host of the test")
                 + ")");
       }
     }
-    steps.add(new Step(at, verb, arguments));
+    steps.add(new Step(atSeconds, verb, arguments));
   }
 }
--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -13,39 +13,43 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Replicas and daemons as processes, fake upstreams and load, with faults between them from a seed
- * or a script, while operators drain and give back and releases go on. {@link InvariantChecker} and
- * {@link History} say from outside whether the promises were kept.
+ * Runs replicas and daemons as processes with fake upstreams and load, and injects faults between
+ * them from a seed or a script, while operators drain and return targets and releases are carried
+ * out. {@link InvariantChecker} and {@link History} decide from outside observation whether the
+ * guarantees held.
  *
  * <pre>
  *   FaultTestTopology     processes and links
  *   RandomFaultSchedule, ScriptedFaults --> InjectedFaults --> RecoveryTracker
- *   OperatorWorkload, ReleaseWorkload   --> History, HistoryChecker --> FaultTestReport
+ *   OperatorWorkload, ReleaseWorkload   --> History, InvariantChecker --> FaultTestReport
  * </pre>
  */
 public final class FaultTest implements AutoCloseable {
-  /** The lease of members and drivers (ms). */
+  /** Lease duration of members and release drivers, in milliseconds. */
   public static final int LEASE_MILLIS = 2_000;
 
-  /** A version whose processes end at once. */
+  /** A version whose processes exit immediately after their start. */
   public static final String BROKEN_VERSION = "broken";
 
-  /** Versions that begin so make upstreams fail three requests in ten. */
+  /** Prefix of the versions whose upstreams fail 30% of their requests. */
   public static final String FAILING_VERSION = "failing";
 
-  /** What runs before any release. */
+  /** Version that all targets run before the first release. */
   static final String FIRST_VERSION = "v1";
 
-  /** The longest time for a start, and for whatever has to come true after a fault (ms). */
+  /**
+   * Longest time, in milliseconds, for a process to start and for a condition awaited after a fault
+   * to become true.
+   */
   static final int START_MILLIS = 30_000;
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OPERATORS = 2;
-  private static final int MOST_EXECUTIONS = 5_000_000;
+  private static final int MAX_EXECUTION_IDS = 5_000_000;
 
   private final FaultTestPlan plan;
   private final Path folder;
-  private final ExecutionLog executions = new ExecutionLog(MOST_EXECUTIONS);
+  private final ExecutionLog executions = new ExecutionLog(MAX_EXECUTION_IDS);
   private final FaultTestTopology topology;
   private final BackgroundTasks tasks = new BackgroundTasks();
   private final History history;
@@ -59,7 +63,7 @@
   private ProcessSupervisor supervisor;
   private ReleaseWorkload releases;
 
-  /** A test whose processes keep their files and logs in that folder. */
+  /** Creates a fault test whose processes keep their files and logs in {@code folder}. */
   public FaultTest(FaultTestPlan plan, Path folder) {
     this.plan = plan;
     this.folder = folder;
@@ -69,7 +73,12 @@
 
   // --- the processes and who asks them
 
-  /** Starts all processes and waits until each proxy serves and all are members. */
+  /**
+   * Starts all processes and waits until every proxy serves and is a member.
+   *
+   * @throws IOException if a process could not be started, a condition was not met within {@link
+   *     #START_MILLIS}, or the budgets were not accepted
+   */
   public void start() throws IOException, InterruptedException {
     topology.start();
     operator = new Operator(topology.fleet(), replicaAddresses());
@@ -87,7 +96,7 @@
             plan, topology, operator, checker, versions, supervisor.writeScript(folder));
     await("all proxies serve", () -> topology.proxyNames().stream().allMatch(this::isServing));
     submitBudgets();
-    await("all proxies are members and available", () -> unavailable() == 0);
+    await("all proxies are members and available", () -> unavailableTargets() == 0);
     topology.proxyNames().forEach(checker::onRecovered);
   }
 
@@ -106,12 +115,16 @@
         .put("max_out", plan.upstreamsAllowed());
     JsonNode outcome = operator.submit(entry, "budgets", 0, START_MILLIS);
     if (outcome == null || !outcome.path("status").asText().equals("done")) {
-      throw new IOException("budgets: " + outcome);
+      throw new IOException("budgets: not accepted: " + outcome);
     }
   }
 
-  /** How many the agreed state calls unavailable; for waiting only, never for the verdict. */
-  private int unavailable() {
+  /**
+   * Returns how many targets the replicated state reports as unavailable, or {@link
+   * Integer#MAX_VALUE} while the state is incomplete. Used for waiting only: the verdict must not
+   * depend on what the tested processes report about themselves.
+   */
+  private int unavailableTargets() {
     JsonNode status = status();
     if (status == null || status.path("proxies").size() < plan.proxies()) {
       return Integer.MAX_VALUE;
@@ -134,161 +147,170 @@
     long deadlineNanos = System.nanoTime() + START_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() - deadlineNanos > 0) {
-        throw new IOException("not within " + START_MILLIS + " ms: " + what);
+        throw new IOException("condition not met within " + START_MILLIS + " ms: " + what);
       }
       Thread.sleep(20);
     }
   }
 
-  /** The name by which its replicas are asked. */
+  /** Returns the fleet name, which every request to a replica carries. */
   public String fleet() {
     return topology.fleet();
   }
 
-  /** A replica's process. */
+  /** Returns the process of a replica. */
   public ManagedProcess replica(String name) {
     return topology.replica(name);
   }
 
-  /** A daemon's process. */
+  /** Returns the process of a daemon. */
   public ManagedProcess proxy(String name) {
     return topology.proxy(name);
   }
 
-  /** A fake upstream. */
+  /** Returns a fake upstream by its name. */
   public FakeUpstream upstream(String name) {
     return topology.upstream(name);
   }
 
-  /** Where members and operators reach the replicas. */
+  /** Returns the addresses at which members and operators reach the replicas. */
   public List<InetSocketAddress> replicaAddresses() {
     return List.copyOf(topology.replicaAddresses().values());
   }
 
-  /** Where members and operators reach that replica. */
+  /** Returns the address at which members and operators reach {@code replica}. */
   InetSocketAddress replicaAddress(String replica) {
     return topology.replicaAddresses().get(replica);
   }
 
-  /** Where clients reach a proxy. */
+  /** Returns the address at which clients reach {@code proxy}. */
   public InetSocketAddress proxyAddress(String proxy) {
     return topology.proxyAddresses().get(proxy);
   }
 
-  /** The name of the replica that leads, as the replicas tell; waits for one. */
+  /** Waits until a replica reports that it is the leader, and returns the name of that replica. */
   public String awaitLeader() throws IOException, InterruptedException {
-    String[] found = new String[1];
+    String[] leader = new String[1];
     await(
         "a replica leads",
         () -> {
           topology.replicaNames().stream()
-              .filter(name -> replica(name).isRunning() && leads(name))
-              .forEach(name -> found[0] = name);
-          return found[0] != null;
+              .filter(name -> replica(name).isRunning() && isLeader(name))
+              .forEach(name -> leader[0] = name);
+          return leader[0] != null;
         });
-    return found[0];
+    return leader[0];
   }
 
-  private boolean leads(String replica) {
-    ObjectNode question = MAPPER.createObjectNode().put("op", "health");
-    JsonNode health = operatorAt(replica).query(question, 0, 500);
+  private boolean isLeader(String replica) {
+    ObjectNode request = MAPPER.createObjectNode().put("op", "health");
+    JsonNode health = operatorAt(replica).query(request, 0, 500);
     return health != null && health.path("role").asText().equals("leader");
   }
 
-  /** An operator who knows all replicas. */
+  /** Returns an operator that knows all replicas. */
   public Operator operator() {
     return operator;
   }
 
-  /** An operator who knows this replica only. */
+  /** Returns an operator that knows only {@code replica}. */
   public Operator operatorAt(String replica) {
     return new Operator(topology.fleet(), List.of(replicaAddress(replica)));
   }
 
-  // --- what is seen from outside
+  // --- observations from outside
 
-  /** Whether the last probe of that proxy said that it serves. */
+  /** Returns whether the latest probe of {@code proxy} got status 200. */
   public boolean isServing(String proxy) {
     return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.SERVING;
   }
 
-  /** Whether the last probe of that proxy said that it does not serve. */
+  /** Returns whether the latest probe of {@code proxy} got status 503. */
   public boolean reportsNotServing(String proxy) {
     return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.NOT_SERVING;
   }
 
-  /** The most proxies that were seen out at once and that the test had not taken down itself. */
+  /**
+   * Returns the largest number of proxies observed out of service at once, without those that the
+   * test took down itself.
+   */
   public int maxProxiesOut() {
     return checker.maxProxiesOut();
   }
 
-  /** What was seen broken so far. */
+  /** Returns the violations found so far. */
   public List<String> violations() {
     return checker.violations();
   }
 
-  /** The runs of requests at upstreams. */
+  /** Returns the log of the requests executed at upstreams. */
   public ExecutionLog executions() {
     return executions;
   }
 
   // --- links
 
-  /** The link from a source to a destination. */
+  /** Returns the link from {@code source} to {@code destination}. */
   public FaultyLink.Link link(String source, String destination) {
     return topology.link(source, destination);
   }
 
-  /** Cuts a replica off from all others, both ways. */
+  /** Cuts the links between {@code replica} and all other replicas in both directions. */
   public void isolate(String replica) {
     topology.isolate(replica);
   }
 
-  /** Makes all links whole. */
+  /** Removes the faults of all links. */
   public void healLinks() {
     topology.healLinks();
   }
 
-  /** Makes all links whole and waits until all are available. */
+  /** Removes the faults of all links and waits until every target is available. */
   public void healAndAwaitRecovery() throws IOException, InterruptedException {
     healLinks();
-    await("whole again", () -> unavailable() == 0);
+    await("all targets are available", () -> unavailableTargets() == 0);
   }
 
   // --- releases
 
-  /** What carries releases out. */
+  /** Returns the supervisor that executes the commands of releases. */
   public ProcessSupervisor supervisor() {
     return supervisor;
   }
 
-  /** The version at a target, by who put it there. */
+  /** Returns the version that the supervisor installed last at {@code target}. */
   public String version(String target) {
     return versions.version(target);
   }
 
-  /** A plan of a release whose steps are of these targets each, one at a time. */
+  /** Returns the plan of a release with one step for each list of targets. */
   public ObjectNode releasePlan(
-      String name, String of, String from, String version, List<List<String>> steps) {
-    return releases.planDocument(name, of, from, version, steps);
+      String name, String kind, String fromVersion, String version, List<List<String>> steps) {
+    return releases.planDocument(name, kind, fromVersion, version, steps);
   }
 
-  /** Starts a process that drives a release, under that name; its links go through relays. */
+  /**
+   * Starts a process called {@code name} that drives a release. Its connections go through faulty
+   * links.
+   */
   public ManagedProcess startDriver(String name, String release) throws IOException {
     return topology.startDriver(name, release);
   }
 
-  /** How a release stands, as the replicas tell; null where none answers. */
+  /**
+   * Returns the status of a release as the replicas report it, or null if no replica responded in
+   * time.
+   */
   public JsonNode releaseStatus(String name) {
     return releases.release(name);
   }
 
-  // --- the whole
+  // --- complete run
 
   /**
-   * Runs it all: start, load, faults and workloads, recovery, verdict.
+   * Runs the complete test: start, load, faults and workloads, recovery, verdict.
    *
-   * @return the result as docs/FLEET.md tells
+   * @return the report described in docs/FLEET.md
    * @throws IOException if the test itself could not be carried out
    */
   public ObjectNode run() throws IOException, InterruptedException {
@@ -298,11 +320,11 @@
     List<Thread> workloads = startWorkloads();
     ScriptedFaults script =
         new ScriptedFaults(topology, checker, faults, recovery, tasks, operators);
-    boolean sabotaged = disturb(script, endNanos);
+    boolean sabotaged = injectFaults(script, endNanos);
     awaitEnd(workloads);
-    recover(script);
+    awaitRecovery(script);
     if (!sabotaged) {
-      throw new IOException("no moment for the sabotage came");
+      throw new IOException("the test ended without an opportunity for the sabotage");
     }
     return verdict();
   }
@@ -319,8 +341,11 @@
     return workloads;
   }
 
-  /** Injects faults until then (ns); false where a sabotage that was asked for found no moment. */
-  private boolean disturb(ScriptedFaults script, long endNanos) throws InterruptedException {
+  /**
+   * Injects faults until {@code endNanos}. Returns false if the plan asks for a sabotage and there
+   * was no opportunity for it.
+   */
+  private boolean injectFaults(ScriptedFaults script, long endNanos) throws InterruptedException {
     if (plan.isScripted()) {
       script.perform(plan.script());
       Threads.sleepMillis((endNanos - System.nanoTime()) / 1_000_000);
@@ -349,8 +374,11 @@
     }
   }
 
-  /** Makes all whole, gives back what is held, and waits until all are available. */
-  private void recover(ScriptedFaults script) throws InterruptedException {
+  /**
+   * Removes all faults, returns all drained targets to service, and waits until every target is
+   * available.
+   */
+  private void awaitRecovery(ScriptedFaults script) throws InterruptedException {
     Random random = new Random(plan.seed());
     healLinks();
     script.undoRemaining(random);
@@ -360,7 +388,7 @@
       return;
     }
     try {
-      await("whole again", () -> unavailable() == 0);
+      await("all targets are available", () -> unavailableTargets() == 0);
       recovery.recordRecovery(healedNanos);
     } catch (IOException e) {
       checker.addViolation(e.getMessage() + ": " + status());
@@ -369,7 +397,8 @@
 
   private ObjectNode verdict() {
     if (!history.isLinearizable()) {
-      checker.addViolation("the operators' calls have no order that explains their outcomes");
+      checker.addViolation(
+          "the operators' calls are not linearizable: no order explains their outcomes");
     }
     InvariantChecker.UpstreamViolations violations =
         checker.checkUpstreams(executions, load.unsafePrefixes());
@@ -378,7 +407,8 @@
           .filter(FakeUpstream::hasCollapsed)
           .forEach(
               upstream ->
-                  checker.addViolation(upstream.name() + " was pushed over while it was cold"));
+                  checker.addViolation(
+                      upstream.name() + " collapsed under load during its warm-up"));
     }
     FaultTestReport report = new FaultTestReport(plan);
     report.addFaults(faults);
--- a/src/main/java/leadferry/testbed/FaultTestFiles.java
+++ b/src/main/java/leadferry/testbed/FaultTestFiles.java
@@ -4,18 +4,18 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** The operators' files of a fault test's processes, in the words of those files. */
+/** Creates the configuration files of a fault test's replicas and proxies. */
 final class FaultTestFiles {
-  /** A mean request takes an upstream so long on each of its two cores. */
+  /** Mean service time of a request on each of an upstream's two cores, in milliseconds. */
   static final double SERVICE_MILLIS = 10;
 
-  /** An upstream is cold for so long after its start. */
+  /** Warm-up time of an upstream after its start, in milliseconds. */
   static final int WARM_UP_MILLIS = 1_500;
 
-  /** The part of its capacity that an upstream has at its start. */
+  /** Fraction of its capacity that an upstream has at its start. */
   static final double START_CAPACITY = 0.2;
 
-  /** Stands in a proxy's file for the version that it is to run. */
+  /** Placeholder in a proxy's file for the version to run. */
   static final String VERSION_PLACEHOLDER = "{version}";
 
   private static final String ROUTES =
--- a/src/main/java/leadferry/testbed/FaultTestLoad.java
+++ b/src/main/java/leadferry/testbed/FaultTestLoad.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Load of safe and unsafe requests at each proxy of a fault test. */
+/** Generates load of safe and unsafe requests at each proxy of a fault test. */
 final class FaultTestLoad implements AutoCloseable {
   private static final long DEADLINE_MILLIS = 3_000;
   private static final int CONNECTIONS = 16;
@@ -55,14 +55,14 @@
     generators.forEach(LoadGenerator::start);
   }
 
-  /** Waits until all requests are over. */
+  /** Waits until all requests have completed. */
   void await() throws InterruptedException {
     for (LoadGenerator generator : generators) {
       generator.await();
     }
   }
 
-  /** How the ids of requests begin that may run once at most. */
+  /** Returns the prefixes of the ids of unsafe requests, which may run at most once. */
   Set<String> unsafePrefixes() {
     return unsafePrefixes;
   }
--- a/src/main/java/leadferry/testbed/FaultTestPlan.java
+++ b/src/main/java/leadferry/testbed/FaultTestPlan.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * How much of everything a fault test starts, and for how long.
+ * Sizes and duration of a fault test.
  *
- * @param replicas replicas of the agreed state
- * @param proxies daemons
- * @param upstreams fake upstream hosts
- * @param seconds how long load and faults go on
- * @param seed decides which fault comes when, and what operators ask for
- * @param sabotage the promise that the test breaks itself
+ * @param replicas number of replicas of the replicated state
+ * @param proxies number of daemons
+ * @param upstreams number of fake upstream hosts
+ * @param seconds duration of load and faults
+ * @param seed determines the kind and time of each fault and the operators' calls
+ * @param sabotage the guarantee that the test violates on purpose
  * @param requestsPerSecond load at each proxy
- * @param script faults and operators' calls by time in place of those from the seed, or null
- * @param releases whether releases go on meanwhile
+ * @param script faults and operators' calls with their times, replacing those from the seed; or
+ *     null
+ * @param releases whether releases run during the test
  */
 public record FaultTestPlan(
     int replicas,
@@ -26,10 +27,10 @@
     List<FaultScript.Step> script,
     boolean releases) {
 
-  /** Of a kind, one in so many may be out of service at once. */
+  /** The budgets allow one in this many targets of a kind to be out of service at once. */
   private static final int UNAVAILABLE_DIVISOR = 4;
 
-  /** A plan with faults from the seed, and no releases. */
+  /** Creates a plan with faults from the seed and without releases. */
   public FaultTestPlan(
       int replicas,
       int proxies,
@@ -41,17 +42,17 @@
     this(replicas, proxies, upstreams, seconds, seed, sabotage, requestsPerSecond, null, false);
   }
 
-  /** How many proxies the budget allows to be out of service at once. */
+  /** Returns how many proxies the budget allows out of service at once. */
   public int proxiesAllowed() {
     return Math.max(1, proxies / UNAVAILABLE_DIVISOR);
   }
 
-  /** How many upstreams the budget allows to be out of service at once. */
+  /** Returns how many upstreams the budget allows out of service at once. */
   public int upstreamsAllowed() {
     return Math.max(1, upstreams / UNAVAILABLE_DIVISOR);
   }
 
-  /** Whether a script says which fault comes when. */
+  /** Returns whether a script determines the faults. */
   boolean isScripted() {
     return script != null;
   }
--- a/src/main/java/leadferry/testbed/FaultTestReport.java
+++ b/src/main/java/leadferry/testbed/FaultTestReport.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The result of a fault test as JSON; docs/FLEET.md tells its keys. */
+/** Builds the JSON report of a fault test. docs/FLEET.md describes its keys. */
 final class FaultTestReport {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -108,17 +108,18 @@
     int rejected = 0;
     Set<Long> actions = new HashSet<>();
     Set<String> commands = new HashSet<>();
-    for (ProcessSupervisor.Invocation deed : supervisor.invocations()) {
-      if (!deed.verb().equals("command")) {
+    for (ProcessSupervisor.Invocation invocation : supervisor.invocations()) {
+      if (!invocation.verb().equals("command")) {
         continue;
       }
-      if (deed.rejected()) {
+      if (invocation.rejected()) {
         rejected++;
         continue;
       }
       done++;
-      again += actions.add(deed.actionId()) ? 0 : 1;
-      String command = deed.actionId() + "/" + deed.fence() + "/" + deed.version();
+      again += actions.add(invocation.actionId()) ? 0 : 1;
+      String command =
+          invocation.actionId() + "/" + invocation.fence() + "/" + invocation.version();
       sameFenceTwice += commands.add(command) ? 0 : 1;
     }
     report
--- a/src/main/java/leadferry/testbed/FaultTestTopology.java
+++ b/src/main/java/leadferry/testbed/FaultTestTopology.java
@@ -14,14 +14,17 @@
 import java.util.function.IntFunction;
 
 /**
- * The processes of a fault test and the links between them: replicas, daemons, fake upstreams,
- * drivers of releases. Every connection goes through a {@link FaultyLink}.
+ * The processes of a fault test and the links between them: replicas, daemons, fake upstreams and
+ * release drivers. Every connection between them goes through a {@link FaultyLink}.
  */
 final class FaultTestTopology implements AutoCloseable {
   private static final int REPLICA_HEAP_MB = 96;
   private static final int PROXY_HEAP_MB = 64;
 
-  /** One of its own: two rigs on one machine must not take each other's processes for theirs. */
+  /**
+   * Unique to this test, because two fault tests on one machine must not accept each other's
+   * processes as members.
+   */
   private final String fleet =
       "rig-" + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
 
@@ -46,7 +49,7 @@
     this.executions = executions;
   }
 
-  /** Writes all files and starts all processes. */
+  /** Writes all configuration files and starts all processes. */
   void start() throws IOException {
     prepareReplicas();
     for (int i = 1; i <= plan.upstreams(); i++) {
@@ -73,8 +76,9 @@
       String name = "k" + i;
       logAddresses.put(name, ports.next());
       replicaAddresses.put(name, ports.next());
-      // One address for all: the library tells a leader's addresses to its followers. Who connects
-      // is found by the port.
+      // All peers use one relay address for this replica, because the consensus library sends a
+      // leader's addresses to its followers. The relay identifies the connecting replica by its
+      // local port.
       relayedAddresses.put(
           name,
           relay(logAddresses.get(name), port -> link(replicaOfLocalPort(port), name)).address());
@@ -141,7 +145,10 @@
     return folder.resolve(name + ".toml");
   }
 
-  /** Writes a proxy's file so that its next start runs that version. */
+  /**
+   * Writes the configuration file with which the next start of proxy {@code name} runs {@code
+   * version}.
+   */
   void writeProxyFile(String name, String version) throws IOException {
     String text =
         version.equals(FaultTest.BROKEN_VERSION)
@@ -150,7 +157,9 @@
     Files.writeString(proxyFilePath(name), text);
   }
 
-  /** Starts a process that drives a release, under that name; its links go through relays. */
+  /**
+   * Starts a process called {@code name} that drives a release. Its connections go through relays.
+   */
   ManagedProcess startDriver(String name, String release) throws IOException {
     List<String> arguments = new ArrayList<>(List.of("fleet", "release", "drive", release));
     arguments.addAll(List.of("--as", name));
@@ -169,7 +178,7 @@
     return driver;
   }
 
-  /** Ends a driver for good. */
+  /** Kills a driver and removes it from {@link #drivers}. */
   void endDriver(String name) {
     drivers.remove(name).close();
   }
@@ -181,19 +190,19 @@
     return relay;
   }
 
-  /** The replica whose socket has that local port. */
+  /** Returns the name of the replica that owns the socket with local port {@code port}, or "". */
   private String replicaOfLocalPort(int port) {
     Map<Long, String> namesByProcessId = new HashMap<>();
     replicas.values().forEach(replica -> namesByProcessId.put(replica.pid(), replica.name()));
     return FaultyLink.processOfLocalPort(port, namesByProcessId);
   }
 
-  /** The link from a source to a destination. */
+  /** Returns the link from {@code source} to {@code destination}, created on first use. */
   FaultyLink.Link link(String source, String destination) {
     return links.computeIfAbsent(source + ">" + destination, key -> new FaultyLink.Link());
   }
 
-  /** Cuts a replica off from all others, both ways. */
+  /** Cuts the links between {@code replica} and all other replicas in both directions. */
   void isolate(String replica) {
     for (String other : replicas.keySet()) {
       if (!other.equals(replica)) {
@@ -203,7 +212,7 @@
     }
   }
 
-  /** Makes all links whole. */
+  /** Removes the faults of all links. */
   void healLinks() {
     links.values().forEach(FaultyLink.Link::heal);
   }
@@ -228,7 +237,7 @@
     return proxies.get(name);
   }
 
-  /** A replica or proxy, or null. */
+  /** Returns the replica or proxy with that name, or null. */
   ManagedProcess processOrNull(String name) {
     return replicas.getOrDefault(name, proxies.get(name));
   }
@@ -248,12 +257,12 @@
         .orElseThrow();
   }
 
-  /** Where members and operators reach each replica. */
+  /** Returns the address at which members and operators reach each replica. */
   Map<String, InetSocketAddress> replicaAddresses() {
     return replicaAddresses;
   }
 
-  /** Where clients reach each proxy. */
+  /** Returns the address at which clients reach each proxy. */
   Map<String, InetSocketAddress> proxyAddresses() {
     return proxyAddresses;
   }
--- a/src/main/java/leadferry/testbed/FaultyLink.java
+++ b/src/main/java/leadferry/testbed/FaultyLink.java
@@ -13,9 +13,9 @@
 import java.util.function.IntFunction;
 
 /**
- * A link between two processes that can be broken: bytes go through a listener on loopback. What is
- * held back while a way is cut comes once it is whole again, as TCP would send it anew; a link that
- * refuses ends connections at once.
+ * Relays the connections between two processes over a loopback listener and injects faults. While a
+ * direction is cut, its bytes are held back and delivered after the cut ends, as TCP does with
+ * retransmissions. A link that refuses closes connections immediately.
  *
  * <pre>
  *   source --connect--> relay --connect--> destination
@@ -23,58 +23,62 @@
  * </pre>
  */
 public final class FaultyLink implements AutoCloseable {
-  private static final int CHUNK = 16 * 1024;
-  private static final long LOOK_MS = 5;
+  private static final int CHUNK_BYTES = 16 * 1024;
+  private static final long POLL_MILLIS = 5;
 
-  /** What is wrong with the link between two processes; all of it off is a sound link. */
+  /** The faults of the link between two processes. Without any of them the link is healthy. */
   public static final class Link {
     volatile boolean forthCut;
     volatile boolean backCut;
-    volatile boolean refuses;
-    volatile int delayMs;
+    volatile boolean refusing;
+    volatile int delayMillis;
 
-    /** The next chunk goes out by half, then the connection ends. */
-    volatile boolean cutsMiddle;
+    /** The next chunk is truncated to its first half, then the connection is closed. */
+    volatile boolean truncatesNextChunk;
 
-    /** Holds back what goes from the source, from the destination, or both. */
+    /** Holds back the bytes from the source, from the destination, or both. */
     public void cut(boolean forth, boolean back) {
       forthCut = forth;
       backCut = back;
     }
 
-    public void setRefusing(boolean now) {
-      refuses = now;
+    public void setRefusing(boolean isRefusing) {
+      refusing = isRefusing;
     }
 
-    public void setDelayMillis(int ms) {
-      delayMs = ms;
+    public void setDelayMillis(int millis) {
+      delayMillis = millis;
     }
 
     public void truncateNextChunk() {
-      cutsMiddle = true;
+      truncatesNextChunk = true;
     }
 
     public void heal() {
       forthCut = false;
       backCut = false;
-      refuses = false;
-      cutsMiddle = false;
-      delayMs = 0;
+      refusing = false;
+      truncatesNextChunk = false;
+      delayMillis = 0;
     }
   }
 
   private final ServerSocket listener;
-  private final InetSocketAddress to;
-  private final IntFunction<Link> links;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final InetSocketAddress destination;
+  private final IntFunction<Link> linkOfSourcePort;
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private volatile boolean closed;
 
-  /** A relay whose link is that of the source that connects from a port. */
-  public FaultyLink(InetSocketAddress to, IntFunction<Link> links) throws IOException {
-    this.to = to;
-    this.links = links;
+  /**
+   * Creates a relay to {@code to}. {@code links} returns the link of the source that connects from
+   * a given port.
+   */
+  public FaultyLink(InetSocketAddress destination, IntFunction<Link> linkOfSourcePort)
+      throws IOException {
+    this.destination = destination;
+    this.linkOfSourcePort = linkOfSourcePort;
     this.listener = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-    thread("relay-accept", this::accept);
+    startDaemon("relay-accept", this::accept);
   }
 
   public InetSocketAddress address() {
@@ -84,134 +88,134 @@
   private void accept() {
     while (!closed) {
       try {
-        Socket s = listener.accept();
-        open.add(s);
-        thread("relay-open", () -> open(s));
+        Socket socket = listener.accept();
+        openSockets.add(socket);
+        startDaemon("relay-open", () -> connectAndRelay(socket));
       } catch (IOException e) {
-        // closed, or a connection that went at once
+        // the listener was closed, or a connection was closed immediately
       }
     }
   }
 
-  private void open(Socket from) {
-    Socket onward = new Socket();
-    open.add(onward);
+  private void connectAndRelay(Socket source) {
+    Socket toDestination = new Socket();
+    openSockets.add(toDestination);
     try {
-      Link link = links.apply(from.getPort());
-      if (link.refuses) {
+      Link link = linkOfSourcePort.apply(source.getPort());
+      if (link.refusing) {
         throw new IOException("refused");
       }
       while (link.forthCut && !closed) {
-        Thread.sleep(LOOK_MS);
+        Thread.sleep(POLL_MILLIS);
       }
-      onward.connect(to, 2_000);
-      from.setTcpNoDelay(true);
-      onward.setTcpNoDelay(true);
-      thread("relay-back", () -> pump(onward, from, link, false));
-      pump(from, onward, link, true);
+      toDestination.connect(destination, 2_000);
+      source.setTcpNoDelay(true);
+      toDestination.setTcpNoDelay(true);
+      startDaemon("relay-back", () -> copy(toDestination, source, link, false));
+      copy(source, toDestination, link, true);
     } catch (IOException | InterruptedException | RuntimeException e) {
-      end(from, onward);
+      closeBoth(source, toDestination);
     }
   }
 
-  private void pump(Socket from, Socket onto, Link link, boolean forth) {
-    byte[] chunk = new byte[CHUNK];
+  private void copy(Socket from, Socket to, Link link, boolean forth) {
+    byte[] chunk = new byte[CHUNK_BYTES];
     try {
       InputStream in = from.getInputStream();
-      OutputStream out = onto.getOutputStream();
-      int n;
-      while ((n = in.read(chunk)) >= 0) {
-        if (link.delayMs > 0) {
-          Thread.sleep(link.delayMs);
+      OutputStream out = to.getOutputStream();
+      int length;
+      while ((length = in.read(chunk)) >= 0) {
+        if (link.delayMillis > 0) {
+          Thread.sleep(link.delayMillis);
         }
-        while (!closed && !link.refuses && (forth ? link.forthCut : link.backCut)) {
-          Thread.sleep(LOOK_MS);
+        while (!closed && !link.refusing && (forth ? link.forthCut : link.backCut)) {
+          Thread.sleep(POLL_MILLIS);
         }
-        if (link.refuses) {
+        if (link.refusing) {
           break;
         }
-        if (link.cutsMiddle && n > 1) {
-          link.cutsMiddle = false;
-          out.write(chunk, 0, n / 2);
+        if (link.truncatesNextChunk && length > 1) {
+          link.truncatesNextChunk = false;
+          out.write(chunk, 0, length / 2);
           break;
         }
-        out.write(chunk, 0, n);
+        out.write(chunk, 0, length);
       }
     } catch (IOException | InterruptedException e) {
-      // the end of one side is that of the other
+      // if one side ends, the other one is closed too
     }
-    end(from, onto);
+    closeBoth(from, to);
   }
 
-  private void end(Socket a, Socket b) {
-    for (Socket s : new Socket[] {a, b}) {
-      open.remove(s);
+  private void closeBoth(Socket first, Socket second) {
+    for (Socket socket : new Socket[] {first, second}) {
+      openSockets.remove(socket);
       try {
-        s.close();
+        socket.close();
       } catch (IOException e) {
-        // it is gone all the same
+        // the socket is closed anyway
       }
     }
   }
 
-  private static void thread(String name, Runnable what) {
-    Thread t = new Thread(null, what, name, 256 * 1024);
-    t.setDaemon(true);
-    t.start();
+  private static void startDaemon(String name, Runnable task) {
+    Thread thread = new Thread(null, task, name, 256 * 1024);
+    thread.setDaemon(true);
+    thread.start();
   }
 
-  /** Ends connections and listener. */
+  /** Closes the listener and all connections. */
   @Override
   public void close() throws IOException {
     closed = true;
     listener.close();
-    for (Socket s : open) {
-      s.close();
+    for (Socket socket : openSockets) {
+      socket.close();
     }
   }
 
   /**
-   * The name of the process that holds the socket of a local port, of those given by process id; or
-   * "".
+   * Returns the name of the process that owns the socket of a local port, or "". {@code processes}
+   * maps process ids to names.
    */
   public static String processOfLocalPort(int port, Map<Long, String> processes) {
-    String inode = inode(port);
+    String inode = inodeOfLocalPort(port);
     if (inode.isEmpty()) {
       return "";
     }
     String wanted = "socket:[" + inode + "]";
-    for (Map.Entry<Long, String> p : processes.entrySet()) {
-      try (var fds =
+    for (Map.Entry<Long, String> process : processes.entrySet()) {
+      try (var descriptors =
           java.nio.file.Files.newDirectoryStream(
-              java.nio.file.Path.of("/proc/" + p.getKey() + "/fd"))) {
-        for (java.nio.file.Path fd : fds) {
+              java.nio.file.Path.of("/proc/" + process.getKey() + "/fd"))) {
+        for (java.nio.file.Path descriptor : descriptors) {
           try {
-            if (java.nio.file.Files.readSymbolicLink(fd).toString().equals(wanted)) {
-              return p.getValue();
+            if (java.nio.file.Files.readSymbolicLink(descriptor).toString().equals(wanted)) {
+              return process.getValue();
             }
           } catch (IOException e) {
-            // closed meanwhile
+            // closed in the meantime
           }
         }
       } catch (IOException e) {
-        // ended meanwhile
+        // the process ended in the meantime
       }
     }
     return "";
   }
 
-  private static String inode(int port) {
+  private static String inodeOfLocalPort(int port) {
     String wanted = String.format(java.util.Locale.ROOT, ":%04X", port);
     for (String table : new String[] {"/proc/net/tcp", "/proc/net/tcp6"}) {
       try {
         for (String line : java.nio.file.Files.readAllLines(java.nio.file.Path.of(table))) {
-          String[] f = line.trim().split("\\s+");
-          if (f.length > 9 && f[1].endsWith(wanted) && !f[9].equals("0")) {
-            return f[9];
+          String[] fields = line.trim().split("\\s+");
+          if (fields.length > 9 && fields[1].endsWith(wanted) && !fields[9].equals("0")) {
+            return fields[9];
           }
         }
       } catch (IOException e) {
-        // not there
+        // the table does not exist
       }
     }
     return "";
--- a/src/main/java/leadferry/testbed/HeadBuffer.java
+++ b/src/main/java/leadferry/testbed/HeadBuffer.java
@@ -4,60 +4,68 @@
 import java.util.Arrays;
 
 /**
- * What a connection has been sent and not yet taken, as plain bytes, and the few questions that the
- * quick stand-in and the load ask of a head. A full decoder would make the rig the limit of what it
- * measures; both speak to nobody but this project's own programs.
+ * Buffers the bytes received on a connection and finds the few header fields that {@link
+ * MinimalFakeUpstream} and {@link LoadConnection} need. A full HTTP decoder would limit the
+ * throughput that the benchmarks measure. Both communicate only with programs of this project.
  */
 final class HeadBuffer {
-  /** A head that is longer ends its connection. */
-  private static final int MOST = 64 * 1024;
+  /** Maximum length of a head in bytes; a longer one closes the connection. */
+  private static final int MAX_HEAD_BYTES = 64 * 1024;
 
   byte[] bytes = new byte[1_024];
   int start;
   int end;
 
-  /** Adds what was read; false past the bound. */
+  /**
+   * Appends the readable bytes of {@code read}. Returns false if the buffer would exceed its
+   * maximum.
+   */
   boolean append(ByteBuf read) {
-    int n = read.readableBytes();
-    if (end + n > bytes.length) {
-      if (end - start + n > MOST) {
+    int length = read.readableBytes();
+    if (end + length > bytes.length) {
+      if (end - start + length > MAX_HEAD_BYTES) {
         return false;
       }
-      byte[] next = end - start + n > bytes.length ? new byte[2 * (end - start + n)] : bytes;
-      System.arraycopy(bytes, start, next, 0, end - start);
-      bytes = next;
+      byte[] target =
+          end - start + length > bytes.length ? new byte[2 * (end - start + length)] : bytes;
+      System.arraycopy(bytes, start, target, 0, end - start);
+      bytes = target;
       end -= start;
       start = 0;
     }
-    read.readBytes(bytes, end, n);
-    end += n;
+    read.readBytes(bytes, end, length);
+    end += length;
     return true;
   }
 
-  /** The place behind the empty line of the head that begins at {@link #start}, or -1. */
+  /**
+   * Returns the index after the empty line of the head that begins at {@link #start}, or -1 if the
+   * head is incomplete.
+   */
   int headEnd() {
-    for (int i = start + 3; i < end; i++) {
-      if (bytes[i] == '\n'
-          && bytes[i - 1] == '\r'
-          && bytes[i - 2] == '\n'
-          && bytes[i - 3] == '\r') {
-        return i + 1;
+    for (int index = start + 3; index < end; index++) {
+      if (bytes[index] == '\n'
+          && bytes[index - 1] == '\r'
+          && bytes[index - 2] == '\n'
+          && bytes[index - 3] == '\r') {
+        return index + 1;
       }
     }
     return -1;
   }
 
-  /** Where the line behind the one at this place begins. */
+  /** Returns the start of the line after the one that contains index {@code at}. */
   int nextLineStart(int at) {
-    int i = at;
-    while (bytes[i] != '\n') {
-      i++;
+    int index = at;
+    while (bytes[index] != '\n') {
+      index++;
     }
-    return i + 1;
+    return index + 1;
   }
 
   /**
-   * Where the value of the line at this place begins if its name is this one, in lower case; or -1.
+   * Returns the start of the value of the header line at {@code line} if its name is {@code name}
+   * (lower case), or -1 otherwise.
    */
   int headerValueStart(int line, byte[] name) {
     for (int i = 0; i < name.length; i++) {
@@ -68,30 +76,30 @@
     if (bytes[line + name.length] != ':') {
       return -1;
     }
-    int at = line + name.length + 1;
-    while (bytes[at] == ' ') {
-      at++;
+    int valueStart = line + name.length + 1;
+    while (bytes[valueStart] == ' ') {
+      valueStart++;
     }
-    return at;
+    return valueStart;
   }
 
-  /** Where the line that this place is in ends, without its CR LF. */
+  /** Returns the end of the line that contains index {@code at}, without its CR LF. */
   int lineEnd(int at) {
-    int i = at;
-    while (bytes[i] != '\r') {
-      i++;
+    int index = at;
+    while (bytes[index] != '\r') {
+      index++;
     }
-    return i;
+    return index;
   }
 
-  /** The number that stands at this place. */
+  /** Parses the digits at index {@code at}. Returns 0 if there are none. */
   long parseNumber(int at, int radix) {
-    long n = 0;
+    long number = 0;
     int digit;
     for (int i = at; i < end && (digit = Character.digit(bytes[i], radix)) >= 0; i++) {
-      n = n * radix + digit;
+      number = number * radix + digit;
     }
-    return n;
+    return number;
   }
 
   boolean matches(int at, int end, byte[] text) {
--- a/src/main/java/leadferry/testbed/History.java
+++ b/src/main/java/leadferry/testbed/History.java
@@ -7,16 +7,16 @@
 import java.util.TreeSet;
 
 /**
- * All calls of operators with start, end and outcome, checked for linearizability (Herlihy and
- * Wing; the search is that of Wing and Gong with Lowe's memory): is there one order, true to time,
- * in which each outcome could have come about?
+ * Records all operator calls with start, end and outcome, and checks them for linearizability
+ * (Herlihy and Wing): whether there is an order of the calls, consistent with real time, in which
+ * each outcome is possible. The search is that of Wing and Gong with Lowe's memoization.
  *
- * <p>The model knows permits and the halt only. A refusal may always have been right, since crashes
- * use budgets up; a grant needs a place, no halt, and a holder that has none; "halted" needs a
- * halt.
+ * <p>The model covers only permits and the halt. A refusal is always possible, because crashes use
+ * up budgets. A grant requires a free place in the budget, no halt, and a target without a grant.
+ * The outcome "halted" requires a halt.
  */
 public final class History {
-  /** What is asked. */
+  /** Operation of a call. */
   public enum Op {
     DRAIN,
     UNDO,
@@ -24,7 +24,9 @@
     RESUME
   }
 
-  /** What came back; nobody knows what became of an UNDECIDED one, or when. */
+  /**
+   * Outcome of a call. For {@link #UNDECIDED} it is unknown whether and when the call took effect.
+   */
   public enum Outcome {
     GRANTED,
     DONE,
@@ -33,7 +35,10 @@
     UNDECIDED
   }
 
-  /** One call; times are ns of one clock, {@code name} who is to go out or come back. */
+  /**
+   * One call. Times are nanoseconds of one clock; {@code targetName} is the target to drain or to
+   * return to service.
+   */
   public record Call(
       Op op,
       String targetKind,
@@ -42,65 +47,69 @@
       long endNanos,
       Outcome outcome) {}
 
-  private record State(Set<String> out, boolean halted) {}
+  private record State(Set<String> drained, boolean halted) {}
 
-  private final int proxies;
-  private final int hosts;
+  private final int proxiesAllowed;
+  private final int upstreamsAllowed;
   private final List<Call> calls = new ArrayList<>();
 
-  /** A history in which so many of each may be out. */
-  public History(int proxies, int hosts) {
-    this.proxies = proxies;
-    this.hosts = hosts;
+  /** Creates a history for budgets of {@code proxies} proxies and {@code hosts} upstreams. */
+  public History(int proxiesAllowed, int upstreamsAllowed) {
+    this.proxiesAllowed = proxiesAllowed;
+    this.upstreamsAllowed = upstreamsAllowed;
   }
 
-  public synchronized void record(Call c) {
-    calls.add(c);
+  public synchronized void record(Call call) {
+    calls.add(call);
   }
 
   public synchronized List<Call> calls() {
     return List.copyOf(calls);
   }
 
-  /** Whether there is such an order. */
+  /** Returns whether there is an order that explains all outcomes. */
   public boolean isLinearizable() {
     List<Call> all = new ArrayList<>(calls());
     all.sort(java.util.Comparator.comparingLong(Call::startNanos));
     return search(all, new HashSet<>());
   }
 
-  private record Node(java.util.BitSet done, State state) {}
+  private record SearchNode(java.util.BitSet done, State state) {}
 
-  private boolean search(List<Call> all, Set<Node> seen) {
-    java.util.ArrayDeque<Node> open = new java.util.ArrayDeque<>();
-    open.push(new Node(new java.util.BitSet(), new State(Set.of(), false)));
-    while (!open.isEmpty()) {
-      Node n = open.pop();
-      if (!seen.add(n)) {
+  private boolean search(List<Call> all, Set<SearchNode> visited) {
+    java.util.ArrayDeque<SearchNode> pending = new java.util.ArrayDeque<>();
+    pending.push(new SearchNode(new java.util.BitSet(), new State(Set.of(), false)));
+    while (!pending.isEmpty()) {
+      SearchNode node = pending.pop();
+      if (!visited.add(node)) {
         continue;
       }
-      long firstEnd = Long.MAX_VALUE;
-      boolean sure = false;
-      for (int i = n.done().nextClearBit(0); i < all.size(); i = n.done().nextClearBit(i + 1)) {
-        Call c = all.get(i);
-        if (c.outcome() != Outcome.UNDECIDED) {
-          sure = true;
-          firstEnd = Math.min(firstEnd, c.endNanos());
+      long firstEndNanos = Long.MAX_VALUE;
+      boolean hasDecided = false;
+      for (int i = node.done().nextClearBit(0);
+          i < all.size();
+          i = node.done().nextClearBit(i + 1)) {
+        Call call = all.get(i);
+        if (call.outcome() != Outcome.UNDECIDED) {
+          hasDecided = true;
+          firstEndNanos = Math.min(firstEndNanos, call.endNanos());
         }
       }
-      if (!sure) {
+      if (!hasDecided) {
         return true;
       }
-      for (int i = n.done().nextClearBit(0); i < all.size(); i = n.done().nextClearBit(i + 1)) {
-        Call c = all.get(i);
-        if (c.startNanos() > firstEnd) {
+      for (int i = node.done().nextClearBit(0);
+          i < all.size();
+          i = node.done().nextClearBit(i + 1)) {
+        Call call = all.get(i);
+        if (call.startNanos() > firstEndNanos) {
           break;
         }
-        java.util.BitSet done = (java.util.BitSet) n.done().clone();
+        java.util.BitSet done = (java.util.BitSet) node.done().clone();
         done.set(i);
-        State after = apply(n.state(), c);
+        State after = apply(node.state(), call);
         if (after != null) {
-          open.push(new Node(done, after));
+          pending.push(new SearchNode(done, after));
         }
       }
     }
@@ -108,41 +117,45 @@
   }
 
   /**
-   * The state after the call, or null where its outcome can't have come about; an undecided one
-   * took effect if it could.
+   * Returns the state after {@code c}, or null if its outcome is impossible in state {@code s}. An
+   * undecided call takes effect if it can.
    */
-  private State apply(State s, Call c) {
-    String who = c.targetKind() + " " + c.targetName();
-    boolean unsure = c.outcome() == Outcome.UNDECIDED;
-    switch (c.op()) {
+  private State apply(State state, Call call) {
+    String target = call.targetKind() + " " + call.targetName();
+    boolean undecided = call.outcome() == Outcome.UNDECIDED;
+    switch (call.op()) {
       case HALT:
-        return new State(s.out(), true);
+        return new State(state.drained(), true);
       case RESUME:
-        return new State(s.out(), false);
+        return new State(state.drained(), false);
       case UNDO:
         {
-          Set<String> out = new TreeSet<>(s.out());
-          out.remove(who);
-          return new State(out, s.halted());
+          Set<String> drained = new TreeSet<>(state.drained());
+          drained.remove(target);
+          return new State(drained, state.halted());
         }
       default:
-        if (c.outcome() == Outcome.REFUSED) {
-          return s;
+        if (call.outcome() == Outcome.REFUSED) {
+          return state;
         }
-        if (c.outcome() == Outcome.HALTED) {
-          return s.halted() ? s : null;
+        if (call.outcome() == Outcome.HALTED) {
+          return state.halted() ? state : null;
         }
-        long held = s.out().stream().filter(o -> o.startsWith(c.targetKind() + " ")).count();
-        boolean could =
-            !s.halted()
-                && !s.out().contains(who)
-                && held < (c.targetKind().equals("proxy") ? proxies : hosts);
-        if (!could) {
-          return unsure ? s : null;
+        long drainedOfKind =
+            state.drained().stream()
+                .filter(other -> other.startsWith(call.targetKind() + " "))
+                .count();
+        boolean isPossible =
+            !state.halted()
+                && !state.drained().contains(target)
+                && drainedOfKind
+                    < (call.targetKind().equals("proxy") ? proxiesAllowed : upstreamsAllowed);
+        if (!isPossible) {
+          return undecided ? state : null;
         }
-        Set<String> out = new TreeSet<>(s.out());
-        out.add(who);
-        return new State(out, s.halted());
+        Set<String> drained = new TreeSet<>(state.drained());
+        drained.add(target);
+        return new State(drained, state.halted());
     }
   }
 }
--- a/src/main/java/leadferry/testbed/InjectedFaults.java
+++ b/src/main/java/leadferry/testbed/InjectedFaults.java
@@ -6,26 +6,29 @@
 import java.util.Map;
 
 /**
- * The faults that a fault test can inject into processes, each counted by its kind. What is wrong
- * with links is set at the {@link FaultyLink}s themselves.
+ * Injects faults into processes and counts all faults by kind. Faults of links are set at {@link
+ * FaultyLink.Link}.
  */
 final class InjectedFaults {
-  /** The kinds that the report counts. */
+  /** Kinds of faults that the report counts. */
   enum Kind {
-    /** A link is cut both ways, refuses, or ends in the middle of what it carries. */
+    /**
+     * A link is cut in both directions, refuses connections, or closes one in the middle of a
+     * chunk.
+     */
     CUT,
-    /** A link is cut one way. */
+    /** A link is cut in one direction. */
     ONE_WAY,
-    /** A link is slow. */
+    /** A link delays each chunk. */
     DELAY,
-    /** A process is stopped and goes on later. */
+    /** A process is suspended and resumes later. */
     STALL,
     /** A process is killed. */
     KILL,
-    /** A process that was killed is started again. */
+    /** A killed process is started again. */
     RESTART;
 
-    /** The key in the report. */
+    /** Returns the key in the report. */
     String key() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -42,17 +45,19 @@
     this.tasks = tasks;
   }
 
-  /** Counts a fault. */
   synchronized void count(Kind kind) {
     counts.merge(kind, 1, Integer::sum);
   }
 
-  /** How many faults of that kind there were. */
+  /** Returns the number of faults of {@code kind} so far. */
   synchronized int countOf(Kind kind) {
     return counts.getOrDefault(kind, 0);
   }
 
-  /** Stops a process for so long. */
+  /**
+   * Suspends a process for {@code millis}, then runs {@code afterwards}. If the process is not
+   * running, only runs {@code afterwards}.
+   */
   void stall(ManagedProcess process, long millis, Runnable afterwards) {
     if (!process.isRunning()) {
       afterwards.run();
@@ -68,13 +73,13 @@
         });
   }
 
-  /** Kills a process. */
+  /** Kills a process with SIGKILL. */
   void kill(ManagedProcess process) {
     count(Kind.KILL);
     process.kill();
   }
 
-  /** Starts a process again. */
+  /** Starts a killed process again. A failed start is a violation. */
   void restart(ManagedProcess process) {
     count(Kind.RESTART);
     try {
@@ -84,13 +89,15 @@
     }
   }
 
-  /** Stops a proxy for so long, and waits until it answers again. */
+  /** Suspends a proxy for {@code millis}, resumes it and waits until it responds to probes. */
   void stallProxy(ManagedProcess proxy, long millis) {
     checker.onTakenDown(proxy.name());
     stall(proxy, millis, () -> recovery.awaitRecovery(proxy.name(), System.nanoTime()));
   }
 
-  /** Kills a proxy, starts it again after so long, and waits until it answers. */
+  /**
+   * Kills a proxy, starts it again after {@code downMillis} and waits until it responds to probes.
+   */
   void killProxy(ManagedProcess proxy, long downMillis) {
     checker.onTakenDown(proxy.name());
     kill(proxy);
--- a/src/main/java/leadferry/testbed/InvariantChecker.java
+++ b/src/main/java/leadferry/testbed/InvariantChecker.java
@@ -11,42 +11,48 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Says whether the promises were kept, by what was seen from outside: own probes of each proxy,
- * what hosts ran, what clients were answered, and the rig's own clock and faults. It asks no
- * process of the program for its word.
+ * Checks the guarantees of the fleet by outside observation: its own probes of each proxy, the
+ * requests executed at upstreams, the responses that clients got, and the test's own clock and
+ * faults. It never relies on what the tested processes report about themselves.
  */
 final class InvariantChecker implements AutoCloseable {
   private static final int PROBE_INTERVAL_MILLIS = 100;
   private static final int PROBE_TIMEOUT_MILLIS = 1_500;
 
-  /** An answer of a probe that is older than this (ns) tells nothing of now. */
+  /** A probe result older than this, in nanoseconds, no longer describes the present state. */
   private static final long MAX_PROBE_AGE_NANOS = 2_000_000_000L;
 
   /**
-   * So many probes in a row that had no answer in time make a proxy out; one may be the machine's
-   * doing.
+   * Number of consecutive probe timeouts after which a proxy counts as unreachable. A single
+   * timeout may be caused by a busy machine.
    */
   private static final int TIMEOUTS_UNTIL_UNREACHABLE = 2;
 
-  /** What a probe saw. */
+  /** The result of a health probe. */
   enum ProbeResult {
     SERVING,
     NOT_SERVING,
-    /** Nothing is there. */
+    /** The connection failed, or the response was neither status 200 nor status 503. */
     UNREACHABLE,
-    /** No answer in time. */
+    /** No response arrived within the probe timeout. */
     TIMED_OUT
   }
 
   private record Observation(ProbeResult result, long atNanos) {}
 
-  /** Requests that ran at a drained upstream, and unsafe ones that ran more than once. */
+  /**
+   * Number of executions at a drained upstream and number of unsafe requests executed more than
+   * once.
+   */
   record UpstreamViolations(long sentToDrained, long executedTwice) {}
 
-  /** A time (ns) in which an upstream was said to be out of service everywhere. */
+  /**
+   * An interval, in nanoseconds, in which an upstream was reported out of service at every proxy.
+   */
   private record DrainInterval(String upstream, long startNanos, long endNanos) {
     boolean covers(ExecutionLog.Execution execution) {
       return upstream.equals(execution.upstream())
@@ -56,15 +62,16 @@
   }
 
   /**
-   * A time (ns) in which the rig itself had a proxy down; {@code to} Long.MAX_VALUE while it has.
+   * An interval, in nanoseconds, in which the test itself kept a proxy down. {@code endNanos} is
+   * {@link Long#MAX_VALUE} until the proxy responds again.
    */
   private static final class Downtime {
     final long startNanos;
 
-    /** When its process went on, or was started again. */
+    /** When the proxy's process was resumed or started again; {@link Long#MAX_VALUE} before. */
     volatile long processRunningNanos = Long.MAX_VALUE;
 
-    /** When it had been seen to answer. */
+    /** When the proxy responded to a probe again; {@link Long#MAX_VALUE} before. */
     volatile long endNanos = Long.MAX_VALUE;
 
     Downtime(long startNanos) {
@@ -93,11 +100,9 @@
     this.proxiesAllowed = proxiesAllowed;
     this.upstreamsAllowed = upstreamsAllowed;
     for (String name : proxyAddresses.keySet()) {
-      releaseDowntimes.put(name, new java.util.concurrent.CopyOnWriteArrayList<>());
-      faultDowntimes.put(
-          name,
-          new java.util.concurrent.CopyOnWriteArrayList<>(
-              List.of(new Downtime(startNanos)))); // nobody has been started yet
+      releaseDowntimes.put(name, new CopyOnWriteArrayList<>());
+      // No proxy has been started yet.
+      faultDowntimes.put(name, new CopyOnWriteArrayList<>(List.of(new Downtime(startNanos))));
       Thread thread = new Thread(() -> probeUntilClosed(name), "probe-" + name);
       thread.setDaemon(true);
       thread.start();
@@ -146,20 +151,20 @@
     }
   }
 
-  /** A probe of its own, right now. */
+  /** Probes {@code proxy} immediately and returns the result. */
   ProbeResult probeNow(String proxy) {
     return probe(proxyAddresses.get(proxy));
   }
 
   /**
-   * It is being restarted because a release says so: its port is closed for a while, and it counts
-   * as out.
+   * Records that a release begins to restart {@code proxy}, which closes its port for a while and
+   * counts as out of service.
    */
   void onRestartStarted(String proxy) {
     releaseDowntimes.get(proxy).add(new Downtime(System.nanoTime()));
   }
 
-  /** It has been seen to answer again after that. */
+  /** Records that {@code proxy} responds again after a restart by a release. */
   void onRestartFinished(String proxy) {
     List<Downtime> downtimes = releaseDowntimes.get(proxy);
     downtimes.get(downtimes.size() - 1).endNanos = System.nanoTime();
@@ -170,7 +175,10 @@
     return observation == null ? ProbeResult.UNREACHABLE : observation.result();
   }
 
-  /** Proxies that are out and that the rig has not taken down itself. */
+  /**
+   * Checks that no more proxies are out of service than allowed. Proxies that the test took down
+   * itself do not count.
+   */
   private synchronized void checkProxiesOut() {
     long now = System.nanoTime();
     Set<String> out = new TreeSet<>();
@@ -178,19 +186,19 @@
         (name, observation) -> {
           if (now - observation.atNanos() < MAX_PROBE_AGE_NANOS
               && observation.result() != ProbeResult.SERVING
-              && !onTakenDown(name, observation.atNanos())) {
+              && !wasDownAt(name, observation.atNanos())) {
             out.add(
                 name
                     + (observation.result() == ProbeResult.NOT_SERVING
-                        ? " says no"
-                        : " is silent"));
+                        ? " reports not serving"
+                        : " does not respond"));
           }
         });
     if (out.size() > Math.max(maxProxiesOut, proxiesAllowed)) {
       addViolation(
           String.format(
               Locale.ROOT,
-              "after %.1f s proxies out at once: %s, %d allowed",
+              "after %.1f s: too many proxies out of service at once: %s (allowed: %d)",
               (now - startNanos) / 1e9,
               out,
               proxiesAllowed));
@@ -205,18 +213,18 @@
             .count();
   }
 
-  /** The rig takes a proxy down, by killing, stopping or starting it. */
+  /** Records that the test takes {@code proxy} down by killing, suspending or starting it. */
   void onTakenDown(String proxy) {
     faultDowntimes.get(proxy).add(new Downtime(System.nanoTime()));
   }
 
-  /** Its process goes on, or has been started again. */
+  /** Records that the process of {@code proxy} was resumed or started again. */
   void onProcessRunning(String proxy) {
     List<Downtime> downtimes = faultDowntimes.get(proxy);
     downtimes.get(downtimes.size() - 1).processRunningNanos = System.nanoTime();
   }
 
-  /** It has been seen to answer again. */
+  /** Records that {@code proxy} responds to probes again. */
   void onRecovered(String proxy) {
     List<Downtime> downtimes = faultDowntimes.get(proxy);
     if (!downtimes.isEmpty()) {
@@ -224,14 +232,14 @@
     }
   }
 
-  private boolean onTakenDown(String proxy, long atNanos) {
+  private boolean wasDownAt(String proxy, long atNanos) {
     return faultDowntimes.get(proxy).stream()
         .anyMatch(
             downtime ->
                 atNanos >= downtime.startNanos - 500_000_000L && atNanos <= downtime.endNanos);
   }
 
-  /** Proxies that the rig took down and that have not been seen to answer since. */
+  /** Returns the number of proxies that the test took down and that have not responded since. */
   int proxiesTakenDown() {
     return (int)
         faultDowntimes.values().stream()
@@ -242,8 +250,8 @@
   }
 
   /**
-   * Proxies whose processes the rig has kept from running, without a break, since before that time
-   * (ns).
+   * Returns the proxies whose processes the test has kept from running without interruption since
+   * before {@code nanos}.
    */
   Set<String> proxiesDownSince(long nanos) {
     Set<String> out = new TreeSet<>();
@@ -262,15 +270,15 @@
   }
 
   /**
-   * A grant came back for this proxy, while others were long dead and still are: they use the
-   * budget up.
+   * Records a drain grant for {@code proxy}. {@code proxiesDown} are the proxies that were down
+   * long before the call and still are; they use up the budget.
    */
   synchronized void onProxyGranted(String proxy, Set<String> proxiesDown) {
     Set<String> out = new TreeSet<>(proxiesDown);
     out.add(proxy);
     if (out.size() > proxiesAllowed) {
       violations.add(
-          "granted while the budget was used up by the dead: "
+          "drain granted although proxies that are down use up the budget: "
               + out
               + ", "
               + proxiesAllowed
@@ -278,13 +286,13 @@
     }
   }
 
-  /** An operator was told that a host is out of service everywhere. */
+  /** Records that an operator was told that {@code upstream} is out of service at every proxy. */
   synchronized void onUpstreamDrained(String upstream) {
     drainStartNanos.put(upstream, System.nanoTime());
     maxUpstreamsOut = Math.max(maxUpstreamsOut, drainStartNanos.size());
     if (drainStartNanos.size() > upstreamsAllowed) {
       violations.add(
-          "hosts out at once: "
+          "too many hosts out of service at once: "
               + new TreeSet<>(drainStartNanos.keySet())
               + ", "
               + upstreamsAllowed
@@ -292,12 +300,12 @@
     }
   }
 
-  /** A host that is out, or null. */
+  /** Returns an upstream that is out of service, or null. */
   String anyDrainedUpstream() {
     return drainStartNanos.keySet().stream().findFirst().orElse(null);
   }
 
-  /** It is about to be given back. */
+  /** Records that {@code upstream} is about to return to service. */
   synchronized void onUpstreamReturning(String upstream) {
     Long startNanos = drainStartNanos.remove(upstream);
     if (startNanos != null) {
@@ -305,7 +313,10 @@
     }
   }
 
-  /** A client's request is over; {@code start} is when it was due. */
+  /**
+   * Records a completed client request. A request without a valid response is lost, unless the test
+   * had the proxy down between {@code dueNanos} and {@code endNanos}.
+   */
   void onRequestCompleted(
       String proxy, LoadGenerator.Outcome outcome, long dueNanos, long endNanos) {
     if (outcome != LoadGenerator.Outcome.UNANSWERED && outcome != LoadGenerator.Outcome.WRONG) {
@@ -315,14 +326,14 @@
     downtimes.addAll(releaseDowntimes.get(proxy));
     for (Downtime downtime : downtimes) {
       if (dueNanos <= downtime.endNanos && endNanos >= downtime.startNanos) {
-        return; // the rig had the process down while it held the request
+        return; // the test had the process down while it held the request
       }
     }
     lostRequests.incrementAndGet();
     addViolation(
         String.format(
             Locale.ROOT,
-            "after %.1f s a request was lost at %s: %s %.0f ms after it was due",
+            "after %.1f s: request lost at %s: %s %.0f ms after its due time",
             (endNanos - startNanos) / 1e9,
             proxy,
             outcome,
@@ -336,9 +347,9 @@
   }
 
   /**
-   * Looks at what ran at upstreams.
+   * Checks the executions at upstreams: none at a drained upstream, and no unsafe request twice.
    *
-   * @param unsafePrefixes the ids of requests that may run once begin so
+   * @param unsafePrefixes prefixes of the ids of requests that may run at most once
    */
   synchronized UpstreamViolations checkUpstreams(
       ExecutionLog executions, Set<String> unsafePrefixes) {
@@ -359,7 +370,8 @@
           }
           if (requestExecutions.size() > 1 && unsafePrefixes.stream().anyMatch(id::startsWith)) {
             executedTwice.incrementAndGet();
-            addViolation("unsafe request " + id + " ran " + requestExecutions.size() + " times");
+            addViolation(
+                "unsafe request " + id + " was executed " + requestExecutions.size() + " times");
           }
         });
     return new UpstreamViolations(sentToDrained.get(), executedTwice.get());
--- a/src/main/java/leadferry/testbed/LoadConnection.java
+++ b/src/main/java/leadferry/testbed/LoadConnection.java
@@ -6,11 +6,11 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * A client's connection of the load: one request at a time, whose response is read without a full
- * decoder (see {@link HeadBuffer}). Confined to the loop of its lane.
+ * A client connection of the load with one request at a time. Reads responses without a full
+ * decoder (see {@link HeadBuffer}). Confined to the event loop of its lane.
  */
 final class LoadConnection extends ChannelInboundHandlerAdapter {
-  /** What of a response is read next. */
+  /** The part of a response that is read next. */
   private enum ReadState {
     HEAD,
     SIZED_BODY,
@@ -25,7 +25,7 @@
   private static final byte[] CONNECTION = MinimalFakeUpstream.ascii("connection");
   private static final byte[] CLOSE = MinimalFakeUpstream.ascii("close");
 
-  /** Where the status stands in a head's first line, behind "HTTP/1.1 ". */
+  /** Offset of the status code in the status line, after "HTTP/1.1 ". */
   private static final int STATUS_OFFSET = 9;
 
   private final LoadLane lane;
@@ -54,7 +54,7 @@
     channel.close();
   }
 
-  /** Whether its request's deadline is over. */
+  /** Returns whether the deadline of the open request has passed. */
   boolean isOverdue(long nowNanos) {
     return request != null && request.deadlineNanos() < nowNanos;
   }
@@ -85,7 +85,7 @@
           return;
         }
         while (advance()) {
-          // as far as what has come allows
+          // processes as much as has been received
         }
       }
     } finally {
@@ -97,11 +97,11 @@
     return state == ReadState.SIZED_BODY || state == ReadState.CHUNK_DATA;
   }
 
-  /** Goes on in what has come; false where more has to come first. */
+  /** Processes received bytes. Returns false if more bytes are needed. */
   private boolean advance() {
     if (request == null) {
       if (buffer.end > buffer.start || bodyBytesLeft > 0) {
-        channel.close(); // more than was asked for
+        channel.close(); // bytes without an open request
       }
       return false;
     }
@@ -129,7 +129,7 @@
     }
     buffer.start = end;
     if (status < 200) {
-      state = ReadState.HEAD; // another head follows
+      state = ReadState.HEAD; // an interim response, the final head follows
     } else if (templates[request.kind()].isHead() || status == 204 || status == 304) {
       bodyBytesLeft = 0;
       state = ReadState.SIZED_BODY;
@@ -173,7 +173,7 @@
     return true;
   }
 
-  /** A line of a chunked body's own: a chunk's size, the end of its data, or a trailer. */
+  /** Reads a line of a chunked body: a chunk size, the end of a chunk, or a trailer. */
   private boolean readLine() {
     int end = lineEnd();
     if (end < 0) {
--- a/src/main/java/leadferry/testbed/LoadCounts.java
+++ b/src/main/java/leadferry/testbed/LoadCounts.java
@@ -8,15 +8,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the requests of a load, by kind. Confined to one thread until they are added up.
+ * Counts the outcomes of a load's requests by kind. Confined to one thread until the counts are
+ * added up.
  */
 final class LoadCounts {
-  private static final long LONGEST_NANOS = 60_000_000_000L;
+  private static final long MAX_RECORDED_NANOS = 60_000_000_000L;
   private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** One kind's outcomes, and the times of those that were served (ns). */
+  /** Outcomes of one kind, and the latencies of its served requests in nanoseconds. */
   private static final class KindCounts {
-    private final Histogram servedNanos = new Histogram(LONGEST_NANOS, SIGNIFICANT_DIGITS);
+    private final Histogram servedNanos = new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
     private final Map<LoadGenerator.Outcome, LongAdder> outcomes =
         new EnumMap<>(LoadGenerator.Outcome.class);
 
@@ -37,11 +38,11 @@
     KindCounts counts = kinds.get(kind);
     counts.outcomes.get(outcome).increment();
     if (outcome == LoadGenerator.Outcome.SERVED) {
-      counts.servedNanos.recordValue(Math.min(LONGEST_NANOS, Math.max(1, nanos)));
+      counts.servedNanos.recordValue(Math.min(MAX_RECORDED_NANOS, Math.max(1, nanos)));
     }
   }
 
-  /** Adds another load's counts of the same kinds. */
+  /** Adds the counts of {@code other}, which has the same kinds. */
   void add(LoadCounts other) {
     for (int kind = 0; kind < kinds.size(); kind++) {
       KindCounts counts = kinds.get(kind);
--- a/src/main/java/leadferry/testbed/LoadGenerator.java
+++ b/src/main/java/leadferry/testbed/LoadGenerator.java
@@ -14,17 +14,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop load: requests are due at a set rate whatever becomes of those before, and each one's
- * time counts from when it was due. So a server that stalls is charged for all that would have come
- * meanwhile (coordinated omission, Tene). Bounded in time, connections and memory; ends by itself.
+ * Generates open-loop load: requests are due at a fixed rate, independent of earlier responses, and
+ * latency is measured from the due time. A stalled server is therefore charged with all requests
+ * due during the stall, which avoids coordinated omission (Tene). Time, connections and memory are
+ * bounded.
  */
 public final class LoadGenerator implements AutoCloseable {
   /**
-   * A kind of request and its part of the load.
+   * A kind of request and its share of the load.
    *
-   * @param weight its weight among the kinds
-   * @param headers further header lines, each ended by CR LF
-   * @param deadlineMillis how long a response is waited for, before a second of patience
+   * @param weight its weight relative to the other kinds
+   * @param headers additional header lines, each ended by CR LF
+   * @param deadlineMillis time to wait for a response; one more second is allowed before it counts
+   *     as unanswered
    */
   public record RequestKind(
       String name,
@@ -35,22 +37,22 @@
       int bodyBytes,
       long deadlineMillis) {}
 
-  /** What became of a request. */
+  /** Outcome of a request. */
   public enum Outcome {
     SERVED,
     REFUSED,
     FAILED,
-    /** The connection ended, or nothing came by the deadline and a second. */
+    /** The connection was closed, or no response came within a second after the deadline. */
     UNANSWERED,
-    /** Served with a response that was made for another request. */
+    /** Status 2xx, but the response was made for another request. */
     WRONG
   }
 
-  /** One request that is over; {@code nanos} is from when it was due. */
+  /** A completed request; {@code latencyNanos} is measured from its due time. */
   public record CompletedRequest(String id, RequestKind kind, Outcome outcome, long latencyNanos) {}
 
   /**
-   * How the load is made; what is due in the first {@code warmUpSeconds} is sent and not counted.
+   * Parameters of a load. Requests due in the first {@code warmUpSeconds} are sent but not counted.
    */
   public record Plan(
       InetSocketAddress target,
@@ -75,9 +77,10 @@
   private final LoadCounts counts;
 
   /**
-   * A load that has not begun.
+   * Creates a load that is not started yet.
    *
-   * @param sink hears of every request that is over, on one of the load's threads; may be null
+   * @param sink receives every counted request on completion, on one of the load's threads; may be
+   *     null
    */
   public LoadGenerator(Plan plan, Consumer<CompletedRequest> sink) {
     this.plan = plan;
@@ -97,46 +100,49 @@
     }
   }
 
-  /** Begins. */
+  /** Starts the load after a delay of 10 ms. */
   public LoadGenerator start() {
     long atNanos = System.nanoTime() + START_DELAY_NANOS;
     lanes.forEach(lane -> lane.start(atNanos));
     return this;
   }
 
-  /** Waits for the end: the plan's time, and what is still open by its deadline. */
+  /** Waits until the plan's time is over and all open requests have completed. */
   public LoadGenerator await() throws InterruptedException {
     lanesDone.await();
     lanes.forEach(lane -> counts.add(lane.counts()));
     return this;
   }
 
-  /** Requests that are over so far. */
+  /** Returns the number of completed requests so far, including those of the warm-up. */
   public long completed() {
     return completed.get();
   }
 
-  /** Requests that were due after the warm-up. */
+  /** Returns the number of requests due so far, without those of the warm-up. */
   public long sent() {
     return sent.get();
   }
 
-  /** Requests a second that were served between the warm-up and the plan's end. */
+  /** Returns the served requests per second between the warm-up and the plan's end. */
   public double servedPerSecond() {
     return servedInTime.get() / plan.seconds();
   }
 
-  /** Times of the served requests of a kind (ns), from when they were due; after the end. */
+  /**
+   * Returns the latencies of the served requests of a kind, in nanoseconds from their due time.
+   * Valid after {@link #await}.
+   */
   public Histogram served(int kind) {
     return counts.servedNanos(kind);
   }
 
-  /** Requests of a kind with that outcome; after the end. */
+  /** Returns the number of requests of a kind with that outcome. Valid after {@link #await}. */
   public long count(int kind, Outcome outcome) {
     return counts.count(kind, outcome);
   }
 
-  /** Requests of all kinds with that outcome; after the end. */
+  /** Returns the number of requests of all kinds with that outcome. Valid after {@link #await}. */
   public long count(Outcome outcome) {
     return counts.count(outcome);
   }
@@ -146,7 +152,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  /** Adds up what the lanes tell, and passes it on to the sink. */
+  /** Adds up the events of all lanes and passes completed requests to the sink. */
   private final class Observer implements LoadLane.Observer {
     @Override
     public void onSent() {
--- a/src/main/java/leadferry/testbed/LoadLane.java
+++ b/src/main/java/leadferry/testbed/LoadLane.java
@@ -12,27 +12,33 @@
 import java.util.concurrent.TimeUnit;
 import leadferry.engine.Transport;
 
-/** One thread's part of a load: what is due, its connections, its counts. Confined to its loop. */
+/**
+ * One thread's share of a load, with its own due requests, connections and counts. Confined to its
+ * event loop.
+ */
 final class LoadLane {
-  /** What lanes tell of requests as they go; called on the lane's loop. */
+  /** Receives the events of a lane's requests on the lane's event loop. */
   interface Observer {
-    /** A request was due that is counted. */
+    /** Called when a counted request is due. */
     void onSent();
 
-    /** A request is over; {@code servedInTime} tells that it was served while the load went on. */
+    /**
+     * Called when a request completes. {@code servedInTime} is whether it was served between the
+     * warm-up and the end of the load.
+     */
     void onCompleted(boolean servedInTime);
 
-    /** A request that is counted is over, so long after it was due (ns). */
+    /** Called when a counted request completes, {@code nanos} after its due time. */
     void onCounted(LoadRequest request, LoadGenerator.Outcome outcome, long nanos);
 
-    /** All is over. */
+    /** Called when the load's time is over and no request is open. */
     void onLaneDone();
   }
 
   private static final long TICK_NANOS = 500_000L;
 
-  /** A response is waited for so long past the deadline. */
-  private static final long PATIENCE_NANOS = 1_000_000_000L;
+  /** Additional time to wait for a response after its deadline. */
+  private static final long EXTRA_WAIT_NANOS = 1_000_000_000L;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
@@ -45,19 +51,19 @@
   private final ArrayDeque<LoadRequest> waiting = new ArrayDeque<>();
   private final Set<LoadConnection> busy = new HashSet<>();
   private final Bootstrap bootstrap;
-  private final int mostConnections;
+  private final int maxConnections;
   private final double intervalNanos;
 
-  /** How far each kind is behind its part of the load. */
-  private final double[] debts;
+  /** How far each kind lags behind its share of the load. */
+  private final double[] lags;
 
-  private final double partsTotal;
+  private final double weightSum;
   private long startNanos;
   private long countFromNanos;
   private long endNanos;
-  private long made;
+  private long created;
   private int connections;
-  private int open;
+  private int openRequests;
 
   LoadLane(
       LoadGenerator.Plan plan,
@@ -71,10 +77,10 @@
     this.loop = loop;
     this.observer = observer;
     this.counts = new LoadCounts(plan.kinds().size());
-    this.mostConnections = Math.max(1, plan.connections() / plan.threads());
+    this.maxConnections = Math.max(1, plan.connections() / plan.threads());
     this.intervalNanos = 1e9 * plan.threads() / plan.requestsPerSecond();
-    this.debts = new double[plan.kinds().size()];
-    this.partsTotal = plan.kinds().stream().mapToDouble(LoadGenerator.RequestKind::weight).sum();
+    this.lags = new double[plan.kinds().size()];
+    this.weightSum = plan.kinds().stream().mapToDouble(LoadGenerator.RequestKind::weight).sum();
     this.bootstrap =
         new Bootstrap()
             .group(loop)
@@ -92,12 +98,12 @@
                 });
   }
 
-  /** What it has counted; to be read once it is done. */
+  /** Returns the counts. To be read after {@link Observer#onLaneDone}. */
   LoadCounts counts() {
     return counts;
   }
 
-  /** Begins at that time (ns); may be called from any thread. */
+  /** Starts the lane at {@code atNanos}. May be called from any thread. */
   void start(long atNanos) {
     loop.execute(
         () -> {
@@ -113,36 +119,38 @@
     long now = System.nanoTime();
     for (long due = nextDue(); due <= now && due < endNanos; due = nextDue()) {
       waiting.add(nextRequest(due));
-      made++;
-      open++;
+      created++;
+      openRequests++;
       if (due >= countFromNanos) {
         observer.onSent();
       }
     }
     send();
-    expire(now);
-    if (now >= endNanos && open == 0) {
+    expireOverdue(now);
+    if (now >= endNanos && openRequests == 0) {
       observer.onLaneDone();
     } else {
       loop.schedule(this::tick, TICK_NANOS, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** When (ns) the next request is due; lanes take turns. */
+  /** Returns the due time of the next request, in nanoseconds. The lanes alternate. */
   private long nextDue() {
-    return startNanos + (long) ((made + (double) number / plan.threads()) * intervalNanos);
+    return startNanos + (long) ((created + (double) number / plan.threads()) * intervalNanos);
   }
 
-  /** The kind that is most behind its part: a fixed mix, without chance. */
+  /**
+   * Creates a request of the kind that lags furthest behind its share. The mix is deterministic.
+   */
   private LoadRequest nextRequest(long dueNanos) {
     int kind = 0;
-    for (int i = 0; i < debts.length; i++) {
-      debts[i] += plan.kinds().get(i).weight();
-      kind = debts[i] > debts[kind] ? i : kind;
+    for (int i = 0; i < lags.length; i++) {
+      lags[i] += plan.kinds().get(i).weight();
+      kind = lags[i] > lags[kind] ? i : kind;
     }
-    debts[kind] -= partsTotal;
-    long waitNanos = plan.kinds().get(kind).deadlineMillis() * 1_000_000L + PATIENCE_NANOS;
-    String id = plan.idPrefix() + number + "-" + made;
+    lags[kind] -= weightSum;
+    long waitNanos = plan.kinds().get(kind).deadlineMillis() * 1_000_000L + EXTRA_WAIT_NANOS;
+    String id = plan.idPrefix() + number + "-" + created;
     return new LoadRequest(id, kind, dueNanos, dueNanos + waitNanos);
   }
 
@@ -162,7 +170,7 @@
 
   private void connect() {
     int connecting = connections - busy.size();
-    int wanted = Math.min(mostConnections - connections, waiting.size() - connecting);
+    int wanted = Math.min(maxConnections - connections, waiting.size() - connecting);
     for (int i = 0; i < wanted; i++) {
       connections++;
       bootstrap
@@ -176,7 +184,7 @@
     }
   }
 
-  private void expire(long nowNanos) {
+  private void expireOverdue(long nowNanos) {
     while (!waiting.isEmpty() && waiting.peek().deadlineNanos() < nowNanos) {
       end(waiting.poll(), LoadGenerator.Outcome.UNANSWERED);
     }
@@ -190,7 +198,7 @@
   }
 
   private void end(LoadRequest request, LoadGenerator.Outcome outcome) {
-    open--;
+    openRequests--;
     long now = System.nanoTime();
     boolean served = outcome == LoadGenerator.Outcome.SERVED;
     observer.onCompleted(served && now >= countFromNanos && now < endNanos);
@@ -202,7 +210,7 @@
     observer.onCounted(request, outcome, nanos);
   }
 
-  // --- what its connections tell
+  // --- events of its connections
 
   void onConnected(LoadConnection connection) {
     idle.addLast(connection);
@@ -224,7 +232,7 @@
     }
   }
 
-  /** A connection has gone; {@code unanswered} is its open request, or null. */
+  /** Handles a closed connection; {@code unanswered} is its open request, or null. */
   void onDisconnected(LoadConnection connection, LoadRequest unanswered) {
     connections--;
     idle.remove(connection);
--- a/src/main/java/leadferry/testbed/LoadRequest.java
+++ b/src/main/java/leadferry/testbed/LoadRequest.java
@@ -1,11 +1,11 @@
 package leadferry.testbed;
 
 /**
- * A request of the load that is due or open.
+ * A request of the load that is waiting to be sent or in flight.
  *
  * @param id its {@code X-Request-ID}
- * @param kind the number of its kind in the plan
- * @param dueNanos when it was due
- * @param deadlineNanos after this nobody waits for its response
+ * @param kind index of its kind in the plan
+ * @param dueNanos time at which it was due
+ * @param deadlineNanos time after which it counts as unanswered
  */
 record LoadRequest(String id, int kind, long dueNanos, long deadlineNanos) {}
--- a/src/main/java/leadferry/testbed/ManagedProcess.java
+++ b/src/main/java/leadferry/testbed/ManagedProcess.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of the program that a test starts, stops, continues, kills and starts again; known from
- * outside only.
+ * A process of leadferry that a test starts, suspends, resumes, kills and starts again. The test
+ * observes it only from outside.
  */
 public final class ManagedProcess implements AutoCloseable {
   private final String name;
@@ -19,11 +19,11 @@
   private boolean suspended;
 
   /**
-   * A process that is not started yet.
+   * Creates a process that is not started yet.
    *
-   * @param firstCommand starts it the first time
-   * @param laterCommand starts it after that
-   * @param log gets what it writes to standard output and error
+   * @param firstCommand command line of the first start
+   * @param laterCommand command line of all later starts
+   * @param log file to which standard output and standard error are appended
    */
   public ManagedProcess(
       String name, List<String> firstCommand, List<String> laterCommand, Path log) {
@@ -34,7 +34,8 @@
   }
 
   /**
-   * The command that starts this build of the program with these arguments, on so many MB of heap.
+   * Returns the command line that runs this build of leadferry with {@code arguments} and a heap of
+   * {@code heapMb} megabytes.
    */
   public static List<String> commandLine(int heapMb, String... arguments) {
     List<String> command =
@@ -52,32 +53,34 @@
     return command;
   }
 
-  /** The name by which a test knows it. */
+  /** Returns the name used in the test. */
   public String name() {
     return name;
   }
 
-  /** Starts it; its first command is for its first start alone. */
+  /**
+   * Starts the process, the first time with the first command line and later with the other one.
+   */
   public synchronized void start() throws IOException {
-    run(command());
+    launch(command());
   }
 
   /**
-   * Starts it so that it can write no file past that size (KiB): writes fail then, as on a full
-   * disk.
+   * Starts the process with a limit on the size of each file it writes, in KiB. Writes beyond the
+   * limit fail as they do on a full disk.
    */
   public synchronized void startWithFileSizeLimit(int limitKib) throws IOException {
     List<String> command =
         new ArrayList<>(List.of("bash", "-c", "ulimit -f " + limitKib + "; exec \"$@\"", "bash"));
     command.addAll(command());
-    run(command);
+    launch(command);
   }
 
   private List<String> command() {
     return process == null ? firstCommand : laterCommand;
   }
 
-  private void run(List<String> command) throws IOException {
+  private void launch(List<String> command) throws IOException {
     process =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -86,29 +89,29 @@
     suspended = false;
   }
 
-  /** Whether it is alive and not stopped. */
+  /** Returns whether the process is alive and not suspended. */
   public synchronized boolean isRunning() {
     return process != null && process.isAlive() && !suspended;
   }
 
-  /** Its process id, or -1 before its first start. */
+  /** Returns the process id, or -1 before the first start. */
   public synchronized long pid() {
     return process == null ? -1 : process.pid();
   }
 
-  /** Stops it (SIGSTOP) until {@link #resume}. */
+  /** Suspends the process (SIGSTOP) until {@link #resume}. */
   public synchronized void suspend() {
     signal("STOP");
     suspended = true;
   }
 
-  /** Lets it go on (SIGCONT). */
+  /** Resumes the process (SIGCONT). */
   public synchronized void resume() {
     signal("CONT");
     suspended = false;
   }
 
-  /** Kills it (SIGKILL) and waits for its end. */
+  /** Kills the process (SIGKILL) and waits up to 5 seconds for its end. */
   public synchronized void kill() {
     process.destroyForcibly();
     try {
@@ -118,7 +121,10 @@
     }
   }
 
-  /** SIGTERM, and so many milliseconds for its end; the exit status, or -1. */
+  /**
+   * Sends SIGTERM and waits up to {@code timeoutMillis} for the end of the process. Returns the
+   * exit status, or -1 if the process has not ended or the wait was interrupted.
+   */
   public synchronized int terminate(long timeoutMillis) {
     process.destroy();
     try {
--- a/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
+++ b/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
@@ -18,14 +18,14 @@
 import leadferry.engine.Transport;
 
 /**
- * A host that does no work and never misbehaves, as quick as this machine's sockets let it be: one
- * write for each read, answers copied from bytes that stand ready. It is what the daemon is
- * measured against; {@link FakeUpstream} is what it is tested against.
+ * A fake upstream without service time or faults, as fast as the machine's sockets allow: one write
+ * for each read, with responses copied from prepared bytes. Benchmarks of the daemon use it; tests
+ * use {@link FakeUpstream}.
  */
 public final class MinimalFakeUpstream implements AutoCloseable {
-  private static final byte[] ID = ascii("x-request-id");
-  private static final byte[] LENGTH = ascii("content-length");
-  private static final byte[] CHUNKED = ascii("transfer-encoding");
+  private static final byte[] REQUEST_ID = ascii("x-request-id");
+  private static final byte[] CONTENT_LENGTH = ascii("content-length");
+  private static final byte[] TRANSFER_ENCODING = ascii("transfer-encoding");
 
   private final MultiThreadIoEventLoopGroup group;
   private final Channel listener;
@@ -33,7 +33,10 @@
   private final byte[] body;
   private volatile long responsesSent;
 
-  /** Starts a host on loopback, at any port for 0, that answers {@code bodyBytes} bytes. */
+  /**
+   * Starts an upstream on loopback whose responses have a body of {@code bodyBytes}. Port 0 stands
+   * for any port.
+   */
   public MinimalFakeUpstream(String name, int port, int bodyBytes) {
     this.head =
         ascii(
@@ -57,8 +60,8 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new Connection());
+                  protected void initChannel(SocketChannel channel) {
+                    channel.pipeline().addLast(new Connection());
                   }
                 })
             .bind(InetAddress.getLoopbackAddress(), port)
@@ -66,18 +69,18 @@
             .channel();
   }
 
-  /** What Linux gives, else the JDK's sockets. */
+  /** Returns the epoll transport where it is available, and the JDK's NIO transport otherwise. */
   static Transport transport() {
     return NativeTransport.EPOLL.unavailabilityCause() == null
         ? NativeTransport.EPOLL
         : new NioTransport();
   }
 
-  static byte[] ascii(String s) {
-    return s.getBytes(StandardCharsets.US_ASCII);
+  static byte[] ascii(String text) {
+    return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** {@code 127.0.0.1:port}. */
+  /** Returns the address as {@code 127.0.0.1:port}. */
   public String hostAndPort() {
     return "127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort();
   }
@@ -87,64 +90,71 @@
   }
 
   private final class Connection extends ChannelInboundHandlerAdapter {
-    private final HeadBuffer in = new HeadBuffer();
-    private long skip;
+    private final HeadBuffer buffer = new HeadBuffer();
+    private long bodyBytesLeft;
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      ByteBuf read = (ByteBuf) msg;
-      ByteBuf out = null;
-      boolean sound;
+    public void channelRead(ChannelHandlerContext context, Object message) {
+      ByteBuf read = (ByteBuf) message;
+      ByteBuf responses = null;
+      boolean isSupported;
       try {
-        sound = in.append(read);
+        isSupported = buffer.append(read);
       } finally {
         read.release();
       }
-      int end;
-      while (sound && skip() && (end = in.headEnd()) > 0) {
-        out = out == null ? ctx.alloc().ioBuffer(512) : out;
-        sound = answer(out, end);
+      int headEnd;
+      while (isSupported && skipBody() && (headEnd = buffer.headEnd()) > 0) {
+        responses = responses == null ? context.alloc().ioBuffer(512) : responses;
+        isSupported = respond(responses, headEnd);
       }
-      if (out != null) {
-        ctx.writeAndFlush(out, ctx.voidPromise());
+      if (responses != null) {
+        context.writeAndFlush(responses, context.voidPromise());
       }
-      if (!sound) {
-        ctx.close();
+      if (!isSupported) {
+        context.close();
       }
     }
 
-    /** Passes over what is left of a body; whether that was all of it. */
-    private boolean skip() {
-      long n = Math.min(skip, in.end - in.start);
-      in.start += (int) n;
-      skip -= n;
-      return skip == 0;
+    /**
+     * Skips buffered bytes of a request body. Returns whether the complete body has been skipped.
+     */
+    private boolean skipBody() {
+      long skipped = Math.min(bodyBytesLeft, buffer.end - buffer.start);
+      buffer.start += (int) skipped;
+      bodyBytesLeft -= skipped;
+      return bodyBytesLeft == 0;
     }
 
-    /** Answers the request whose head ends there; false if it is none for this host. */
-    private boolean answer(ByteBuf out, int end) {
-      int idFrom = 0;
-      int idTo = 0;
-      for (int line = in.nextLineStart(in.start); line < end - 2; line = in.nextLineStart(line)) {
-        int at;
-        if ((at = in.headerValueStart(line, ID)) > 0) {
-          idFrom = at;
-          idTo = in.lineEnd(at);
-        } else if ((at = in.headerValueStart(line, LENGTH)) > 0) {
-          skip = in.parseNumber(at, 10);
-        } else if (in.headerValueStart(line, CHUNKED) > 0) {
+    /**
+     * Writes the response to the request whose head ends at {@code end}. Returns false if the
+     * request has a transfer encoding, which this upstream does not support.
+     */
+    private boolean respond(ByteBuf out, int headEnd) {
+      int idStart = 0;
+      int idEnd = 0;
+      for (int line = buffer.nextLineStart(buffer.start);
+          line < headEnd - 2;
+          line = buffer.nextLineStart(line)) {
+        int valueStart;
+        if ((valueStart = buffer.headerValueStart(line, REQUEST_ID)) > 0) {
+          idStart = valueStart;
+          idEnd = buffer.lineEnd(valueStart);
+        } else if ((valueStart = buffer.headerValueStart(line, CONTENT_LENGTH)) > 0) {
+          bodyBytesLeft = buffer.parseNumber(valueStart, 10);
+        } else if (buffer.headerValueStart(line, TRANSFER_ENCODING) > 0) {
           return false;
         }
       }
-      out.writeBytes(head).writeBytes(in.bytes, idFrom, idTo - idFrom).writeBytes(body);
-      in.start = end;
+      out.writeBytes(head).writeBytes(buffer.bytes, idStart, idEnd - idStart).writeBytes(body);
+      buffer.start = headEnd;
       responsesSent++;
       return true;
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
   }
 
--- a/src/main/java/leadferry/testbed/Operator.java
+++ b/src/main/java/leadferry/testbed/Operator.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * An operator, who asks replicas for drains and the like, by their protocol alone (docs/FLEET.md):
- * an object a line. Begins with the replica it is told to, and goes on to others as an operator's
- * command would.
+ * Sends operators' requests, such as drains, to replicas over their protocol alone (docs/FLEET.md),
+ * with one JSON object per line. Starts with a given replica and tries the others in turn, as the
+ * operators' command does.
  */
 public final class Operator {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -24,32 +24,37 @@
   private final String fleet;
   private final List<InetSocketAddress> replicas;
 
-  /** An operator of that fleet who knows these replicas. */
+  /** Creates an operator of {@code fleet} that knows {@code replicas}. */
   public Operator(String fleet, List<InetSocketAddress> replicas) {
     this.fleet = fleet;
     this.replicas = List.copyOf(replicas);
   }
 
-  /** An entry of the log with that operation, to be filled in. */
+  /** Returns a log entry with that operation, to be completed by the caller. */
   public static ObjectNode entry(String operation) {
     return MAPPER.createObjectNode().put("op", operation);
   }
 
-  /** Asks with a call's id; null where no answer came in time, and so nobody knows. */
-  public JsonNode submit(ObjectNode entry, String callId, int first, long timeoutMillis) {
+  /**
+   * Submits an entry under a call id. Returns null if no response arrived in time; it is then
+   * unknown whether the entry took effect.
+   */
+  public JsonNode submit(ObjectNode entry, String callId, int firstReplica, long timeoutMillis) {
     entry.put("call", callId).put("who", "rig").put("why", "rig");
     return query(
-        MAPPER.createObjectNode().put("op", "submit").set("entry", entry), first, timeoutMillis);
+        MAPPER.createObjectNode().put("op", "submit").set("entry", entry),
+        firstReplica,
+        timeoutMillis);
   }
 
-  /** Asks for anything; null where no answer came in time. */
-  public JsonNode query(ObjectNode request, int first, long timeoutMillis) {
+  /** Sends a request. Returns null if no final response arrived in time. */
+  public JsonNode query(ObjectNode request, int firstReplica, long timeoutMillis) {
     long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
     request.put("id", 1).put("fleet", fleet);
-    for (int i = first; System.nanoTime() < deadlineNanos; i++) {
-      JsonNode answer = queryOnce(replicas.get(i % replicas.size()), request);
-      if (answer != null && !answer.has("redirect") && !answer.has("undecided")) {
-        return answer;
+    for (int i = firstReplica; System.nanoTime() < deadlineNanos; i++) {
+      JsonNode response = queryOnce(replicas.get(i % replicas.size()), request);
+      if (response != null && !response.has("redirect") && !response.has("undecided")) {
+        return response;
       }
       Threads.sleepMillis(RETRY_MILLIS);
       if (Thread.currentThread().isInterrupted()) {
@@ -59,7 +64,7 @@
     return null;
   }
 
-  /** Asks one replica once; null where no answer came in a second. */
+  /** Sends a request to one replica once. Returns null if no response arrived within a second. */
   static JsonNode queryOnce(InetSocketAddress replica, ObjectNode request) {
     try (Socket socket = new Socket()) {
       socket.connect(replica, ATTEMPT_MILLIS);
@@ -76,7 +81,7 @@
         }
       }
     } catch (IOException e) {
-      // the next one is asked
+      // the caller tries the next replica
     }
     return null;
   }
--- a/src/main/java/leadferry/testbed/OperatorWorkload.java
+++ b/src/main/java/leadferry/testbed/OperatorWorkload.java
@@ -11,25 +11,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Operators who drain proxies and hosts, give them back, halt and resume, at random from a seed.
- * Every call goes into a {@link History}; what a grant promises is told to the checker.
+ * Operators that drain proxies and upstreams, return them, halt and resume, at random from a seed.
+ * Records every call in a {@link History} and reports granted drains to the checker.
  */
 final class OperatorWorkload {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long CALL_MILLIS = 12_000;
   private static final long CARRIED_OUT_MILLIS = 3_000;
-  private static final long LOOK_MILLIS = 50;
-  private static final int MOST_GRANTS_HELD = 3;
+  private static final long POLL_MILLIS = 50;
+  private static final int MAX_GRANTS_HELD = 3;
 
-  /** Of ten choices: up to here a drain, up to the next an undo, the last a halt. */
+  /**
+   * Number of values a random choice has: below {@link #DRAIN_CHOICES} it is a drain, below {@link
+   * #UNDO_CHOICES} an undo, and at the last value a halt.
+   */
   private static final int CHOICES = 10;
 
   private static final int DRAIN_CHOICES = 6;
   private static final int UNDO_CHOICES = 9;
 
   /**
-   * The longest (ms) until the agreed state knows of a dead proxy: its lease, an election and a new
-   * leader's wait.
+   * Longest time, in milliseconds, until the replicated state knows of a dead proxy: its lease, an
+   * election and the wait of a new leader.
    */
   private static final long LOSS_KNOWN_MILLIS = 3L * FaultTest.LEASE_MILLIS + 3_000;
 
@@ -39,7 +42,8 @@
   private final History history;
 
   /**
-   * Calls whose outcome nobody came to know, by their ids: asked again once all links are whole.
+   * Calls with an unknown outcome by call id. They are repeated once the faults of all links are
+   * removed.
    */
   private final Map<String, ObjectNode> undecided = new ConcurrentHashMap<>();
 
@@ -53,12 +57,12 @@
     this.history = history;
   }
 
-  /** Ends {@link #run}, which gives back what it holds. */
+  /** Ends {@link #run}, which then returns its drained targets to service. */
   void stop() {
     stopped = true;
   }
 
-  /** One operator's calls until {@link #stop}; the first one halts now and then, too. */
+  /** Makes one operator's calls until {@link #stop}. Only operator 0 halts. */
   void run(int number) {
     Random random = new Random(plan.seed() * 31 + number);
     Map<String, DrainTarget> held = new LinkedHashMap<>();
@@ -66,7 +70,7 @@
     while (!stopped) {
       String callId = "op" + number + "-" + calls++;
       int choice = random.nextInt(CHOICES);
-      if (choice < DRAIN_CHOICES && held.size() < MOST_GRANTS_HELD) {
+      if (choice < DRAIN_CHOICES && held.size() < MAX_GRANTS_HELD) {
         drain(callId, anyTarget(random), random, held);
       } else if (choice < UNDO_CHOICES && !held.isEmpty()) {
         String grant = List.copyOf(held.keySet()).get(random.nextInt(held.size()));
@@ -95,9 +99,12 @@
     call(Operator.entry("resume"), callId, History.Op.RESUME, new DrainTarget("", ""), random);
   }
 
-  /** Drains a target; a grant goes into {@code held}, a host's once it is out everywhere. */
+  /**
+   * Drains a target. Adds a grant to {@code held}, and for an upstream waits up to {@link
+   * #CARRIED_OUT_MILLIS} until it is out of service at every proxy.
+   */
   void drain(String callId, DrainTarget target, Random random, Map<String, DrainTarget> held) {
-    Set<String> dead = checker.proxiesDownSince(lossKnownBefore());
+    Set<String> proxiesDown = checker.proxiesDownSince(lossKnownBefore());
     JsonNode outcome = call(drainEntry(target), callId, History.Op.DRAIN, target, random);
     if (outcome == null) {
       undecided.put(callId, drainEntry(target));
@@ -109,8 +116,8 @@
     String grant = outcome.path("permit").asText();
     held.put(grant, target);
     if (target.isProxy()) {
-      dead.retainAll(checker.proxiesDownSince(lossKnownBefore()));
-      checker.onProxyGranted(target.name(), dead);
+      proxiesDown.retainAll(checker.proxiesDownSince(lossKnownBefore()));
+      checker.onProxyGranted(target.name(), proxiesDown);
     } else {
       awaitCarriedOut(grant, target);
     }
@@ -128,20 +135,20 @@
     return outcome.path("status").asText().equals("granted");
   }
 
-  private void awaitCarriedOut(String grant, DrainTarget host) {
+  private void awaitCarriedOut(String grant, DrainTarget upstream) {
     long deadlineNanos = System.nanoTime() + CARRIED_OUT_MILLIS * 1_000_000L;
     while (System.nanoTime() < deadlineNanos) {
-      ObjectNode question = MAPPER.createObjectNode().put("op", "permit").put("permit", grant);
-      JsonNode state = operator.query(question, 0, 1_000);
+      ObjectNode request = MAPPER.createObjectNode().put("op", "permit").put("permit", grant);
+      JsonNode state = operator.query(request, 0, 1_000);
       if (state != null && state.path("carried_out").asBoolean()) {
-        checker.onUpstreamDrained(host.name());
+        checker.onUpstreamDrained(upstream.name());
         return;
       }
-      Threads.sleepMillis(LOOK_MILLIS);
+      Threads.sleepMillis(POLL_MILLIS);
     }
   }
 
-  /** Gives back what a grant took out. */
+  /** Returns the target of a grant to service. */
   void undo(String callId, String grant, DrainTarget target, Random random) {
     if (!target.isProxy()) {
       checker.onUpstreamReturning(target.name());
@@ -152,43 +159,46 @@
   private JsonNode call(
       ObjectNode entry, String callId, History.Op operation, DrainTarget target, Random random) {
     long startNanos = System.nanoTime();
-    JsonNode answer = operator.submit(entry, callId, random.nextInt(plan.replicas()), CALL_MILLIS);
-    History.Outcome outcome = outcome(answer);
-    if (answer == null && operation != History.Op.DRAIN) {
+    JsonNode response =
+        operator.submit(entry, callId, random.nextInt(plan.replicas()), CALL_MILLIS);
+    History.Outcome outcome = outcome(response);
+    if (response == null && operation != History.Op.DRAIN) {
       undecided.put(callId, entry);
     }
     if (operation == History.Op.UNDO && outcome == History.Outcome.REFUSED) {
-      checker.addViolation("a grant that was held could not be undone: " + answer);
+      checker.addViolation("undo of a held grant was refused: " + response);
     }
     history.record(
         new History.Call(
             operation, target.kind(), target.name(), startNanos, System.nanoTime(), outcome));
-    return answer;
+    return response;
   }
 
-  private History.Outcome outcome(JsonNode answer) {
-    if (answer == null) {
+  private History.Outcome outcome(JsonNode response) {
+    if (response == null) {
       return History.Outcome.UNDECIDED;
     }
-    return switch (answer.path("status").asText()) {
+    return switch (response.path("status").asText()) {
       case "granted" -> History.Outcome.GRANTED;
       case "done" -> History.Outcome.DONE;
       case "halted" -> History.Outcome.HALTED;
       case "refused", "unknown" -> History.Outcome.REFUSED;
       default -> {
-        checker.addViolation("an operator was told " + answer);
+        checker.addViolation("unexpected response to an operator: " + response);
         yield History.Outcome.REFUSED;
       }
     };
   }
 
-  /** Asks again for all that nobody came to know; all links are whole by now. */
+  /**
+   * Repeats all calls with an unknown outcome. Requires that the faults of all links are removed.
+   */
   void resolveUndecided(Random random) {
     undecided.forEach(
         (callId, entry) -> {
           JsonNode outcome = operator.submit(entry, callId, 0, FaultTest.START_MILLIS);
           if (outcome == null) {
-            checker.addViolation("with all links whole there is no outcome of " + callId);
+            checker.addViolation("all links work, but there is no outcome of call " + callId);
           } else if (entry.path("op").asText().equals("drain") && isGranted(outcome)) {
             DrainTarget target =
                 new DrainTarget(entry.path("kind").asText(), entry.path("name").asText());
--- a/src/main/java/leadferry/testbed/OverloadClient.java
+++ b/src/main/java/leadferry/testbed/OverloadClient.java
@@ -22,9 +22,11 @@
 import java.util.concurrent.TimeUnit;
 import leadferry.testbed.OverloadPlan.Crowd;
 
-/** One client of an overload test, with one connection at most. Confined to the test's loop. */
+/**
+ * One client of an overload test with at most one connection. Confined to the test's event loop.
+ */
 final class OverloadClient {
-  /** What all clients of a test share. */
+  /** State that all clients of a test share. */
   interface Context {
     OverloadPlan plan();
 
@@ -34,29 +36,29 @@
 
     OverloadTimeline timeline();
 
-    /** An id for the next request. */
+    /** Returns the id of the next request. */
     String nextId();
 
-    /** Whether clients of that sort have nothing more to do. */
+    /** Returns whether usual ({@code counted}) or crowd clients have nothing more to do. */
     boolean isOver(boolean counted);
   }
 
   private static final long RECONNECT_MILLIS = 100;
   private static final long FLOOD_MILLIS = 50;
-  private static final int MOST_RESPONSE_BYTES = 1 << 20;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
   private static final String SLOW_HEADER = "x".repeat(1_000);
 
   private final Context context;
   private final Crowd kind;
   private final InetSocketAddress target;
 
-  /** Whether it is a usual client, whose requests count. */
+  /** Whether this is a usual client, whose requests are counted. */
   private final boolean counted;
 
   private Channel channel;
 
-  /** Where its open request counts, or null while there is none. */
-  private OverloadTimeline.Bucket open;
+  /** Bucket that counts the open request, or null if there is none. */
+  private OverloadTimeline.Bucket openRequestBucket;
 
   private Future<?> timer;
   private boolean closed;
@@ -72,9 +74,12 @@
     return closed || context.isOver(counted);
   }
 
-  // --- its connection
+  // --- connection
 
-  /** Connects, and begins a request with it where it is of those who send requests. */
+  /**
+   * Connects. A client that sends requests begins one before, so that the request's time includes
+   * the connect.
+   */
   void connect() {
     if (isOver()) {
       return;
@@ -89,10 +94,10 @@
     connecting.addListener(
         future -> {
           if (connecting.isSuccess()) {
-            mine.closeFuture().addListener(closing -> disconnected(mine));
-            speak();
+            mine.closeFuture().addListener(closing -> onDisconnected(mine));
+            beginSending();
           } else if (channel == mine) {
-            connectFailed();
+            onConnectFailed();
           }
         });
   }
@@ -113,31 +118,33 @@
                       .pipeline()
                       .addLast(
                           new HttpResponseDecoder(),
-                          new HttpObjectAggregator(MOST_RESPONSE_BYTES),
+                          new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                           new ResponseHandler());
                 }
               }
             });
   }
 
-  /** Nobody listens: a request has failed, and the next one comes after a pause. */
-  private void connectFailed() {
+  /**
+   * Handles a failed connect: the open request has failed, and the next one follows after a pause.
+   */
+  private void onConnectFailed() {
     if (!kind.sendsRequests()) {
       reconnectLater();
       return;
     }
     channel = null;
     if (abandonRequest()) {
-      context.loop().schedule(this::next, RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
+      context.loop().schedule(this::sendNext, RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void disconnected(Channel mine) {
+  private void onDisconnected(Channel mine) {
     if (channel != mine) {
       return;
     }
     channel = null;
-    if (open != null) {
+    if (openRequestBucket != null) {
       reconnect();
     } else if (!kind.sendsRequests()) {
       reconnectLater();
@@ -150,7 +157,7 @@
     }
   }
 
-  /** Closes and connects anew. */
+  /** Closes the connection and connects again. */
   void reconnect() {
     Channel mine = channel;
     channel = null;
@@ -158,8 +165,8 @@
     if (mine != null) {
       mine.close();
     }
-    // Not within this call: a connect that fails at once would recurse.
-    context.loop().schedule(this::next, 1, TimeUnit.MILLISECONDS);
+    // Scheduled rather than called, because connects that fail at once would recurse.
+    context.loop().schedule(this::sendNext, 1, TimeUnit.MILLISECONDS);
   }
 
   void close() {
@@ -172,9 +179,9 @@
     }
   }
 
-  // --- what it sends
+  // --- sending
 
-  private void speak() {
+  private void beginSending() {
     switch (kind) {
       case USUAL, RETRYING -> sendRequest();
       case SILENT -> {}
@@ -223,46 +230,46 @@
 
   // --- requests
 
-  /** A request begins, with its connection where there is none. */
+  /** Begins a request; its timeout includes connecting if there is no connection. */
   private void beginRequest() {
-    open = context.timeline().currentBucket();
+    openRequestBucket = context.timeline().currentBucket();
     if (counted) {
-      open.countSent();
+      openRequestBucket.countSent();
     }
     timer =
         context
             .loop()
-            .schedule(this::timedOut, context.plan().timeoutMillis(), TimeUnit.MILLISECONDS);
+            .schedule(this::onTimeout, context.plan().timeoutMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void sendRequest() {
-    if (open != null) {
+    if (openRequestBucket != null) {
       write(request());
     }
   }
 
-  private void responded(int status, boolean keepAlive) {
-    if (open == null) {
+  private void onResponse(int status, boolean keepAlive) {
+    if (openRequestBucket == null) {
       return;
     }
     timer.cancel(false);
     boolean served = status == 200;
     if (counted) {
       if (served) {
-        open.countServed();
+        openRequestBucket.countServed();
         context.timeline().endGap();
       } else {
-        open.countRejected();
+        openRequestBucket.countRejected();
       }
     }
-    open = null;
+    openRequestBucket = null;
     if (!keepAlive) {
       Channel mine = channel;
       channel = null;
       mine.close();
     }
     long thinkNanos = kind == Crowd.RETRYING && !served ? 0 : thinkNanos();
-    context.loop().schedule(this::next, thinkNanos, TimeUnit.NANOSECONDS);
+    context.loop().schedule(this::sendNext, thinkNanos, TimeUnit.NANOSECONDS);
   }
 
   private long thinkNanos() {
@@ -270,8 +277,8 @@
     return (long) (exponential * context.plan().thinkMillis() * 1e6);
   }
 
-  private void next() {
-    if (isOver() || open != null) {
+  private void sendNext() {
+    if (isOver() || openRequestBucket != null) {
       return;
     }
     if (channel == null || !channel.isActive()) {
@@ -282,21 +289,21 @@
     }
   }
 
-  /** The open request, if there is one, never gets a response; whether there was one. */
+  /** Counts the open request as unanswered. Returns false if there is no open request. */
   private boolean abandonRequest() {
-    if (open == null) {
+    if (openRequestBucket == null) {
       return false;
     }
     timer.cancel(false);
     if (counted) {
-      open.countUnanswered();
+      openRequestBucket.countUnanswered();
     }
-    open = null;
+    openRequestBucket = null;
     return true;
   }
 
-  private void timedOut() {
-    if (open != null) {
+  private void onTimeout() {
+    if (openRequestBucket != null) {
       reconnect();
     }
   }
@@ -305,7 +312,7 @@
   private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     @Override
     protected void channelRead0(ChannelHandlerContext handler, FullHttpResponse response) {
-      responded(response.status().code(), HttpUtil.isKeepAlive(response));
+      onResponse(response.status().code(), HttpUtil.isKeepAlive(response));
     }
 
     @Override
--- a/src/main/java/leadferry/testbed/OverloadPlan.java
+++ b/src/main/java/leadferry/testbed/OverloadPlan.java
@@ -4,17 +4,21 @@
 import java.util.List;
 
 /**
- * The plan of an overload test; times in seconds, if not named otherwise.
+ * Parameters of an overload test.
  *
- * @param clients usual clients, over all targets in turn
- * @param thinkMillis mean of the exponential time that a usual client waits after a response
- * @param timeoutMillis how long a response, or a connection, is waited for
- * @param crowd what further clients do between begin and end of the trigger
- * @param crowdSize how many of them, 0 to 20,000
- * @param reconnects whether all usual clients close and connect at once as the trigger begins
- * @param calmSeconds seconds before the trigger
- * @param triggerSeconds seconds that it lasts
- * @param afterSeconds seconds after it
+ * @param targets addresses that clients connect to, in turn
+ * @param clients number of usual clients
+ * @param thinkMillis mean of the exponential pause of a usual client after a response
+ * @param timeoutMillis longest wait for a response or a connection
+ * @param crowd behaviour of the additional clients during the trigger
+ * @param crowdSize number of additional clients, 0 to 20,000
+ * @param reconnects whether all usual clients close their connection and connect again when the
+ *     trigger begins
+ * @param calmSeconds duration before the trigger
+ * @param triggerSeconds duration of the trigger
+ * @param afterSeconds duration after the trigger
+ * @param path path of all requests
+ * @param seed seed of the random numbers
  */
 public record OverloadPlan(
     List<InetSocketAddress> targets,
@@ -30,42 +34,46 @@
     String path,
     long seed) {
 
-  /** What a client of the crowd does. */
+  /** Behaviour of a client of the crowd. */
   public enum Crowd {
-    /** What a usual one does. */
+    /** Behaves like a usual client. */
     USUAL,
-    /** The same, but asks again at once on any rejection. */
+    /** Behaves like a usual client, but repeats a rejected request without a pause. */
     RETRYING,
-    /** Connects and says nothing. */
+    /** Connects and sends nothing. */
     SILENT,
-    /** Sends a byte of a head each second. */
+    /** Sends one byte of a head per second. */
     TRICKLING,
-    /** Sends the head of a request with a body, and stops. */
+    /** Sends only the head of a request with a body. */
     HEADS,
-    /** Asks as fast as it can and never reads. */
+    /** Sends requests as fast as possible and never reads responses. */
     DEAF;
 
-    /** Whether it sends whole requests and reads their responses. */
+    /** Returns whether clients with this behaviour send whole requests and read the responses. */
     boolean sendsRequests() {
       return this == USUAL || this == RETRYING;
     }
   }
 
-  private static final int MOST_CROWD = 20_000;
+  private static final int MAX_CROWD = 20_000;
 
-  /** Checks the sizes. */
+  /**
+   * Validates the sizes.
+   *
+   * @throws IllegalArgumentException if there is no target or client, or the crowd is too large
+   */
   public OverloadPlan {
-    if (targets.isEmpty() || clients < 1 || crowdSize < 0 || crowdSize > MOST_CROWD) {
+    if (targets.isEmpty() || clients < 1 || crowdSize < 0 || crowdSize > MAX_CROWD) {
       throw new IllegalArgumentException(
-          "plan: "
+          "overload plan: targets "
               + targets
-              + ", "
+              + ", clients "
               + clients
-              + ", "
+              + ", crowd "
               + crowdSize
-              + " (expected: a target, clients, at most "
-              + MOST_CROWD
-              + " in a crowd)");
+              + " (expected: at least one target, at least one client, a crowd of 0 to "
+              + MAX_CROWD
+              + ")");
     }
     targets = List.copyOf(targets);
   }
--- a/src/main/java/leadferry/testbed/OverloadTest.java
+++ b/src/main/java/leadferry/testbed/OverloadTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A scripted overload before a proxy on loopback: calm, a trigger, its end, and how long it takes
- * until as many usual clients are served as before.
+ * Runs a scripted overload against a proxy on loopback: a calm phase, a trigger, its end, and the
+ * time until as many usual clients are served as before.
  *
  * <pre>
  *   calm            trigger          after
@@ -20,10 +20,11 @@
  *    share served    begin()  end()  ^ recovered: a second at 95% of calm's share
  * </pre>
  *
- * <p>Usual clients form a closed loop: each asks, waits for its response, thinks, asks again on the
- * same connection, and where no response comes in time it closes and connects anew at once. That is
- * what keeps a collapse up once its trigger has gone: the fewer are served, the more connect.
- * Everything runs on one loop; the number of connections and the time are bounded by the plan.
+ * <p>Usual clients form a closed loop. Each one sends a request, waits for the response, pauses and
+ * sends the next request on the same connection. If no response arrives in time, it closes the
+ * connection and connects again at once. This sustains a collapse after its trigger has ended: the
+ * fewer clients are served, the more of them reconnect. Everything runs on one event loop. The plan
+ * bounds the number of connections and the time.
  */
 public final class OverloadTest implements AutoCloseable {
   private final OverloadPlan plan;
@@ -42,10 +43,10 @@
   private boolean over;
 
   /**
-   * A test that has not begun.
+   * Creates a test that is not started yet.
    *
-   * @param begin begins the trigger, besides the crowd; on the thread of {@link #run}
-   * @param end ends it
+   * @param begin starts the trigger, in addition to the crowd; called on the thread of {@link #run}
+   * @param end ends the trigger; called on the same thread
    */
   public OverloadTest(OverloadPlan plan, Runnable begin, Runnable end) {
     this.plan = plan;
@@ -55,7 +56,7 @@
     this.context = new Context(new SplittableRandom(plan.seed()));
   }
 
-  /** Runs all of it and waits for its end. */
+  /** Runs the complete test and waits for its end. */
   public void run() throws InterruptedException {
     startNanos = System.nanoTime();
     timeline.start(startNanos);
@@ -70,7 +71,7 @@
     loop.submit(this::finish).syncUninterruptibly();
   }
 
-  /** What usual clients met; to be read after {@link #run}. */
+  /** Returns what the usual clients experienced. To be read after {@link #run}. */
   public OverloadTimeline timeline() {
     return timeline;
   }
@@ -125,7 +126,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  /** What this test's clients share. */
+  /** State that the clients of this test share. */
   private final class Context implements OverloadClient.Context {
     private final SplittableRandom random;
     private final String idPrefix = "overload-" + Long.toHexString(System.nanoTime()) + "-";
--- a/src/main/java/leadferry/testbed/OverloadTimeline.java
+++ b/src/main/java/leadferry/testbed/OverloadTimeline.java
@@ -1,33 +1,36 @@
 package leadferry.testbed;
 
 /**
- * What usual clients met, by the tenth of a second in which they asked, and what follows: how long
- * until as many are served as before. Written by one thread; to be read once the test is over.
+ * Counts what usual clients experienced by the tenth of a second in which they sent their requests,
+ * and derives the recovery time. Written by one thread; to be read after the test.
  */
 public final class OverloadTimeline {
-  /** What usual clients met in a tenth of a second, by when they asked. */
+  /** Outcomes of the usual clients' requests that were sent within one tenth of a second. */
   public static final class Bucket {
     private int sent;
     private int served;
     private int rejected;
     private int unanswered;
 
-    /** Requests that began here. */
+    /** Returns the number of requests sent in this interval. */
     public int sent() {
       return sent;
     }
 
-    /** Requests that got a response with status 200. */
+    /** Returns the number of requests that got a response with status 200. */
     public int served() {
       return served;
     }
 
-    /** Requests that got any other response. */
+    /** Returns the number of requests that got any other response. */
     public int rejected() {
       return rejected;
     }
 
-    /** Without any response: time was up, or the connection went. */
+    /**
+     * Returns the number of requests without a response, because of a timeout or a closed
+     * connection.
+     */
     public int unanswered() {
       return unanswered;
     }
@@ -49,10 +52,10 @@
     }
   }
 
-  /** Buckets a second. */
+  /** Number of buckets per second. */
   public static final int BUCKETS_PER_SECOND = 10;
 
-  /** Service has recovered where it serves this part of the share before the trigger. */
+  /** Service counts as recovered when it serves this fraction of the calm phase's share. */
   private static final double RECOVERED = 0.95;
 
   private final OverloadPlan plan;
@@ -73,19 +76,22 @@
     startNanos = nowNanos;
   }
 
-  /** The bucket of a request that is sent now. */
+  /** Returns the bucket of a request that is sent now. */
   Bucket currentBucket() {
     int tenths = (int) ((System.nanoTime() - startNanos) / (1_000_000_000L / BUCKETS_PER_SECOND));
     return buckets[Math.min(tenths, buckets.length - 1)];
   }
 
-  /** Times without a request served count from now on. */
+  /** Starts the measurement of {@link #longestGapSeconds} now. */
   void resetLongestGap() {
     lastServedNanos = System.nanoTime();
     longestGapNanos = 0;
   }
 
-  /** A request was served, or the test is over. */
+  /**
+   * Ends the current interval without a served request, because a request was served or the test is
+   * over.
+   */
   void endGap() {
     long now = System.nanoTime();
     longestGapNanos = Math.max(longestGapNanos, now - lastServedNanos);
@@ -93,44 +99,51 @@
   }
 
   /**
-   * Share of the requests of usual clients that were served, of those sent from one second to
-   * another.
+   * Returns the share of usual clients' requests that were served, among those sent between two
+   * times in seconds. Returns 0 if none were sent.
    */
-  public double servedShare(double from, double until) {
+  public double servedShare(double fromSeconds, double untilSeconds) {
     int sent = 0;
     int served = 0;
-    int end = Math.min(buckets.length, (int) (until * BUCKETS_PER_SECOND));
-    for (int i = (int) (from * BUCKETS_PER_SECOND); i < end; i++) {
+    int end = Math.min(buckets.length, (int) (untilSeconds * BUCKETS_PER_SECOND));
+    for (int i = (int) (fromSeconds * BUCKETS_PER_SECOND); i < end; i++) {
       sent += buckets[i].sent;
       served += buckets[i].served;
     }
     return sent == 0 ? 0 : (double) served / sent;
   }
 
-  /** The share before the trigger, its first second left out. */
+  /**
+   * Returns the share served before the trigger, without the first second (or half of a calm phase
+   * shorter than 2 seconds).
+   */
   public double calmShare() {
     return servedShare(Math.min(1, plan.calmSeconds() / 2), plan.calmSeconds());
   }
 
-  /** The share while the trigger lasts. */
+  /** Returns the share served during the trigger. */
   public double triggerShare() {
     return servedShare(plan.calmSeconds(), plan.calmSeconds() + plan.triggerSeconds());
   }
 
-  /** The share after the trigger, without those who could not get a response any more. */
+  /**
+   * Returns the share served after the trigger, without requests sent so late that the test ended
+   * before their timeout.
+   */
   public double afterShare() {
     return servedShare(
         plan.calmSeconds() + plan.triggerSeconds(), plan.seconds() - plan.timeoutMillis() / 1e3);
   }
 
   /**
-   * Seconds from the trigger's end to the first second at 95% of calm's share, or NaN if none came.
+   * Returns the seconds from the end of the trigger to the first second in which at least 95% of
+   * the calm phase's share was served, or NaN if there was none.
    */
   public double recoveredAfterSeconds() {
-    double from = plan.calmSeconds() + plan.triggerSeconds();
-    double last = from + plan.afterSeconds() - 1 - plan.timeoutMillis() / 1e3;
-    for (int i = 0; from + i / (double) BUCKETS_PER_SECOND <= last; i++) {
-      double second = from + i / (double) BUCKETS_PER_SECOND;
+    double triggerEndSeconds = plan.calmSeconds() + plan.triggerSeconds();
+    double lastSecond = triggerEndSeconds + plan.afterSeconds() - 1 - plan.timeoutMillis() / 1e3;
+    for (int i = 0; triggerEndSeconds + i / (double) BUCKETS_PER_SECOND <= lastSecond; i++) {
+      double second = triggerEndSeconds + i / (double) BUCKETS_PER_SECOND;
       if (servedShare(second, second + 1) >= RECOVERED * calmShare()) {
         return i / (double) BUCKETS_PER_SECOND;
       }
@@ -138,12 +151,12 @@
     return Double.NaN;
   }
 
-  /** The longest time (s) without a request served, from the trigger's begin on. */
+  /** Returns the longest time without a served request since the trigger began, in seconds. */
   public double longestGapSeconds() {
     return longestGapNanos / 1e9;
   }
 
-  /** All buckets, in their order. */
+  /** Returns a copy of all buckets in chronological order. */
   public Bucket[] buckets() {
     return buckets.clone();
   }
--- a/src/main/java/leadferry/testbed/ProcessSupervisor.java
+++ b/src/main/java/leadferry/testbed/ProcessSupervisor.java
@@ -15,24 +15,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Whoever starts and ends processes and hosts at the rig's site, as operators' commands reach it:
- * one line each way over TCP. It keeps the highest fence that it has seen for each target and turns
- * lower ones away, and notes all that it was asked to do.
+ * Starts and ends the test's processes and upstreams for release commands, which reach it over TCP
+ * with one line in each direction. Keeps the highest fence seen for each target, rejects lower
+ * ones, and records every invocation.
  */
 public final class ProcessSupervisor implements AutoCloseable {
-  /** Changes targets and tells what they are. */
+  /** Replaces targets and reports their versions. */
   public interface Targets {
     /**
-     * Replaces a target by that version; returns once the old one has gone and the new one has been
-     * started.
+     * Replaces a target by {@code version}. Returns after the old one has ended and the new one has
+     * been started.
      */
     void replace(String target, String version) throws IOException, InterruptedException;
 
-    /** The version that is there, or "". */
+    /** Returns the installed version, or "". */
     String version(String target);
   }
 
-  /** Something that was asked for; {@code refused} by its fence. */
+  /**
+   * One invocation of the script. {@code rejected} means that its fence was lower than one seen
+   * before.
+   */
   public record Invocation(
       String verb,
       String target,
@@ -42,26 +45,26 @@
       boolean rejected,
       long atNanos) {}
 
-  /** What a test does while something is asked for, before it is carried out and after it. */
+  /** Lets a test act before an invocation is executed and after it. */
   public interface Hook {
-    void onInvocation(boolean before, Invocation deed) throws InterruptedException;
+    void onInvocation(boolean before, Invocation invocation) throws InterruptedException;
   }
 
   private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-  private final Targets site;
+  private final Targets targets;
   private final Map<String, Long> fences = new ConcurrentHashMap<>();
   private final Map<String, Object> locks = new ConcurrentHashMap<>();
   private final List<Invocation> invocations = new ArrayList<>();
-  private volatile Hook hook = (before, deed) -> {};
+  private volatile Hook hook = (before, invocation) -> {};
 
-  public ProcessSupervisor(Targets site) throws IOException {
-    this.site = site;
-    Thread t = new Thread(this::accept, "supervisor");
-    t.setDaemon(true);
-    t.start();
+  public ProcessSupervisor(Targets targets) throws IOException {
+    this.targets = targets;
+    Thread thread = new Thread(this::accept, "supervisor");
+    thread.setDaemon(true);
+    thread.start();
   }
 
-  /** Writes the program that operators' plans name: {@code carry.sh command|check}. */
+  /** Writes the script that release plans name: {@code carry.sh command|check}. */
   public Path writeScript(Path folder) throws IOException {
     Path file =
         Files.writeString(
@@ -77,86 +80,92 @@
     return file;
   }
 
-  public void setHook(Hook h) {
-    hook = h;
+  public void setHook(Hook newHook) {
+    hook = newHook;
   }
 
-  /** All that was asked for, in its order. */
+  /** Returns all invocations in the order of their arrival at their targets. */
   public List<Invocation> invocations() {
     synchronized (invocations) {
       return List.copyOf(invocations);
     }
   }
 
-  /** What was carried out at a target. */
+  /** Returns the commands that were executed at {@code target}. */
   public List<Invocation> executedCommands(String target) {
     return invocations().stream()
-        .filter(d -> d.verb().equals("command") && !d.rejected() && d.target().equals(target))
+        .filter(
+            invocation ->
+                invocation.verb().equals("command")
+                    && !invocation.rejected()
+                    && invocation.target().equals(target))
         .toList();
   }
 
   private void accept() {
     while (!listener.isClosed()) {
       try {
-        Socket s = listener.accept();
-        Thread t = new Thread(() -> serve(s), "supervisor-call");
-        t.setDaemon(true);
-        t.start();
+        Socket socket = listener.accept();
+        Thread thread = new Thread(() -> serve(socket), "supervisor-call");
+        thread.setDaemon(true);
+        thread.start();
       } catch (IOException e) {
-        // closed, or a connection that went at once
+        // the listener was closed, or a connection was closed immediately
       }
     }
   }
 
-  private void serve(Socket s) {
-    try (s) {
+  private void serve(Socket socket) {
+    try (socket) {
       String line =
-          new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8))
+          new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
               .readLine();
       if (line != null) {
-        s.getOutputStream()
-            .write((carryOut(line.split(" ")) + "\n").getBytes(StandardCharsets.UTF_8));
+        socket
+            .getOutputStream()
+            .write((execute(line.split(" ")) + "\n").getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException e) {
-      // the driver has gone; what it asked for was done or not, as the next one will see
+      // The driver has disconnected. The next driver finds out whether its command was executed.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private String carryOut(String[] words) throws InterruptedException {
+  private String execute(String[] words) throws InterruptedException {
     String target = words[1];
     long fence = Long.parseLong(words[2]);
-    Invocation asked =
+    Invocation received =
         new Invocation(
             words[0], target, fence, Long.parseLong(words[3]), words[4], false, System.nanoTime());
-    hook.onInvocation(true, asked); // on its way here, so to speak
-    synchronized (locks.computeIfAbsent(target, k -> new Object())) {
+    hook.onInvocation(
+        true, received); // the hook stands for the time that the command takes to get here
+    synchronized (locks.computeIfAbsent(target, key -> new Object())) {
       long highest = fences.merge(target, fence, Math::max);
-      Invocation deed =
+      Invocation invocation =
           new Invocation(
-              asked.verb(),
+              received.verb(),
               target,
               fence,
-              asked.actionId(),
-              asked.version(),
+              received.actionId(),
+              received.version(),
               fence < highest,
               System.nanoTime());
       synchronized (invocations) {
-        invocations.add(deed);
+        invocations.add(invocation);
       }
-      if (deed.rejected()) {
+      if (invocation.rejected()) {
         return "a higher fence was seen";
       }
-      if (asked.verb().equals("check")) {
-        return site.version(target);
+      if (received.verb().equals("check")) {
+        return targets.version(target);
       }
       try {
-        site.replace(target, asked.version());
+        targets.replace(target, received.version());
       } catch (IOException e) {
         return "failed: " + e.getMessage();
       }
-      hook.onInvocation(false, deed);
+      hook.onInvocation(false, invocation);
       return "ok";
     }
   }
--- a/src/main/java/leadferry/testbed/RandomFaultSchedule.java
+++ b/src/main/java/leadferry/testbed/RandomFaultSchedule.java
@@ -6,11 +6,14 @@
 import java.util.Set;
 import leadferry.testbed.InjectedFaults.Kind;
 
-/** Which fault comes when, from a seed: one at a time begins, each ends by itself. */
+/**
+ * Chooses the kinds, targets and times of faults from a seed. Starts one fault at a time; each one
+ * ends after a random time.
+ */
 final class RandomFaultSchedule {
-  private static final int SHORTEST_MILLIS = 200;
-  private static final int LENGTH_SPREAD_MILLIS = 3 * FaultTest.LEASE_MILLIS;
-  private static final int SHORTEST_DELAY_MILLIS = 50;
+  private static final int MIN_FAULT_MILLIS = 200;
+  private static final int FAULT_SPREAD_MILLIS = 3 * FaultTest.LEASE_MILLIS;
+  private static final int MIN_DELAY_MILLIS = 50;
   private static final int DELAY_SPREAD_MILLIS = 200;
   private static final int KINDS = 9;
   private static final int KINDS_WITH_DRIVERS = 12;
@@ -36,16 +39,16 @@
     this.random = new Random(plan.seed());
   }
 
-  /** The pause before the next fault (ms). */
+  /** Returns the pause before the next fault, in milliseconds. */
   long nextPauseMillis() {
     return 300 + random.nextInt(900);
   }
 
-  /** Begins a fault. */
+  /** Starts the next fault. */
   void injectNext() {
-    long millis = SHORTEST_MILLIS + random.nextInt(LENGTH_SPREAD_MILLIS);
-    String replica = any(topology.replicaNames());
-    String proxy = any(topology.proxyNames());
+    long millis = MIN_FAULT_MILLIS + random.nextInt(FAULT_SPREAD_MILLIS);
+    String replica = randomName(topology.replicaNames());
+    String proxy = randomName(topology.proxyNames());
     switch (random.nextInt(plan.releases() ? KINDS_WITH_DRIVERS : KINDS)) {
       case 0 -> cutReplica(replica, millis);
       case 1 -> cutProxyFromReplicas(proxy, millis);
@@ -60,11 +63,11 @@
     }
   }
 
-  private String any(Set<String> names) {
+  private String randomName(Set<String> names) {
     return List.copyOf(names).get(random.nextInt(names.size()));
   }
 
-  private FakeUpstream anyUpstream() {
+  private FakeUpstream randomUpstream() {
     return topology.upstreams().get(random.nextInt(topology.upstreams().size()));
   }
 
@@ -96,8 +99,7 @@
     faults.count(Kind.DELAY);
     linksToReplicas(proxy)
         .forEach(
-            link ->
-                link.setDelayMillis(SHORTEST_DELAY_MILLIS + random.nextInt(DELAY_SPREAD_MILLIS)));
+            link -> link.setDelayMillis(MIN_DELAY_MILLIS + random.nextInt(DELAY_SPREAD_MILLIS)));
     healLater(proxy, millis);
   }
 
@@ -112,12 +114,12 @@
   private void cutInTheMiddle(String proxy, String replica) {
     faults.count(Kind.CUT);
     topology.link(proxy, replica).truncateNextChunk();
-    topology.link(proxy, anyUpstream().name()).truncateNextChunk();
+    topology.link(proxy, randomUpstream().name()).truncateNextChunk();
   }
 
   private void refuseAtUpstream(String proxy, long millis) {
     faults.count(Kind.CUT);
-    FaultyLink.Link link = topology.link(proxy, anyUpstream().name());
+    FaultyLink.Link link = topology.link(proxy, randomUpstream().name());
     link.setRefusing(true);
     tasks.runLater(millis, link::heal);
   }
@@ -142,7 +144,7 @@
     }
   }
 
-  /** Kills a driver and starts it again, stops it, or cuts it off from all replicas. */
+  /** Kills and restarts a random driver, suspends it, or cuts its links to all replicas. */
   private void disturbDriver(long millis) {
     List<ManagedProcess> running =
         topology.drivers().values().stream().filter(ManagedProcess::isRunning).toList();
--- a/src/main/java/leadferry/testbed/RecoveryTracker.java
+++ b/src/main/java/leadferry/testbed/RecoveryTracker.java
@@ -5,12 +5,13 @@
 import java.util.List;
 
 /**
- * Waits until a proxy that the test had down answers its probe again, and notes how long it took.
+ * Waits until a proxy that the test took down responds to probes again, and records the recovery
+ * times.
  */
 final class RecoveryTracker {
   private static final long SETTLE_MILLIS = 200;
-  private static final long LATE_ANSWERS_MILLIS = 300;
-  private static final long LOOK_MILLIS = 10;
+  private static final long LATE_RESPONSES_MILLIS = 300;
+  private static final long POLL_MILLIS = 10;
 
   private final InvariantChecker checker;
   private final List<Long> recoveryMillis = Collections.synchronizedList(new ArrayList<>());
@@ -19,40 +20,47 @@
     this.checker = checker;
   }
 
-  /** The proxy's process runs again since then (ns): waits until it answers, whatever it says. */
+  /**
+   * Waits until {@code proxy}, whose process runs again since {@code sinceNanos}, responds to
+   * probes with any status. A proxy that does not respond in time is a violation.
+   */
   void awaitRecovery(String proxy, long sinceNanos) {
     checker.onProcessRunning(proxy);
     if (!awaitResponse(proxy, sinceNanos)) {
-      checker.addViolation(proxy + " did not come back within " + FaultTest.START_MILLIS + " ms");
+      checker.addViolation(
+          proxy + " did not respond again within " + FaultTest.START_MILLIS + " ms");
     }
     recordRecovery(sinceNanos);
     checker.onRecovered(proxy);
   }
 
-  /** Something has recovered that was disturbed until then (ns). */
+  /** Records the time from {@code sinceNanos}, when a fault ended, until now as a recovery time. */
   void recordRecovery(long sinceNanos) {
     recoveryMillis.add((System.nanoTime() - sinceNanos) / 1_000_000);
   }
 
-  /** Whether a proxy answers its probe within the time of a start from then (ns) on. */
+  /**
+   * Waits until {@code proxy} responds to probes. Returns false if it does not within {@link
+   * FaultTest#START_MILLIS} after {@code sinceNanos}.
+   */
   boolean awaitResponse(String proxy, long sinceNanos) {
     long deadlineNanos = sinceNanos + FaultTest.START_MILLIS * 1_000_000L;
-    // A probe that began before the fault ended tells nothing.
+    // The result of a probe sent before the fault ended is stale.
     Threads.sleepMillis(SETTLE_MILLIS);
     while (isSilent(proxy) && System.nanoTime() - deadlineNanos < 0) {
-      Threads.sleepMillis(LOOK_MILLIS);
+      Threads.sleepMillis(POLL_MILLIS);
     }
-    boolean answers = !isSilent(proxy);
-    // The answers of requests that it held meanwhile.
-    Threads.sleepMillis(LATE_ANSWERS_MILLIS);
-    return answers;
+    boolean responds = !isSilent(proxy);
+    // Leaves time for the responses to requests that the proxy held meanwhile.
+    Threads.sleepMillis(LATE_RESPONSES_MILLIS);
+    return responds;
   }
 
   private boolean isSilent(String proxy) {
     return checker.lastProbeResult(proxy) == InvariantChecker.ProbeResult.UNREACHABLE;
   }
 
-  /** All that was noted, shortest first (ms). */
+  /** Returns all recovery times in milliseconds, shortest first. */
   List<Long> sortedMillis() {
     List<Long> sorted = new ArrayList<>(recoveryMillis);
     Collections.sort(sorted);
--- a/src/main/java/leadferry/testbed/ReleaseWorkload.java
+++ b/src/main/java/leadferry/testbed/ReleaseWorkload.java
@@ -13,11 +13,11 @@
 import java.util.Random;
 
 /**
- * One release after another, each with two drivers, of three upstreams or two proxies; some are
- * halted and rolled back by operators.
+ * Runs one release after another, each with two drivers, of three upstreams or two proxies.
+ * Operators halt and roll back some of them.
  */
 final class ReleaseWorkload {
-  /** What the report counts of releases, by its key there. */
+  /** Release events that the report counts, with their keys in the report. */
   enum Event {
     BEGUN("begun"),
     DONE("done"),
@@ -41,12 +41,12 @@
   private static final int BAKE_MILLIS = 100;
   private static final int COMMAND_MILLIS = 30_000;
   private static final int UPSTREAMS_PER_RELEASE = 3;
-  private static final long LOOK_MILLIS = 200;
+  private static final long POLL_MILLIS = 200;
   private static final long HALT_TO_ROLLBACK_MILLIS = 500;
-  private static final long HALTED_MILLIS = 300;
+  private static final long HALTED_PAUSE_MILLIS = 300;
 
-  /** A release that has not ended so long after the end of the test never will. */
-  private static final long END_MILLIS = 6L * FaultTest.START_MILLIS;
+  /** A release that has not ended within this time after the end of the test counts as stuck. */
+  private static final long STUCK_MILLIS = 6L * FaultTest.START_MILLIS;
 
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
@@ -58,7 +58,8 @@
   private volatile boolean stopped;
 
   /**
-   * {@code program} is what the releases' commands call, see {@link ProcessSupervisor#writeScript}.
+   * Creates the workload. {@code program} is the script that the releases' commands call, see
+   * {@link ProcessSupervisor#writeScript}.
    */
   ReleaseWorkload(
       FaultTestPlan plan,
@@ -75,12 +76,12 @@
     this.program = program;
   }
 
-  /** Begins no more releases; the one under way is followed to its end. */
+  /** Begins no further release. The current one is followed to its end. */
   void stop() {
     stopped = true;
   }
 
-  /** How often that has happened. */
+  /** Returns how often {@code event} has happened. */
   synchronized int countOf(Event event) {
     return counts.getOrDefault(event, 0);
   }
@@ -89,15 +90,15 @@
     counts.merge(event, 1, Integer::sum);
   }
 
-  /** A plan of a release whose steps are of these targets each. */
+  /** Returns the plan of a release with one step for each list of targets. */
   ObjectNode planDocument(
-      String name, String kind, String from, String version, List<List<String>> steps) {
+      String name, String kind, String fromVersion, String version, List<List<String>> steps) {
     ObjectNode document =
         MAPPER
             .createObjectNode()
             .put("name", name)
             .put("of", kind)
-            .put("from", from)
+            .put("from", fromVersion)
             .put("version", version)
             .put("action_ms", ACTION_MILLIS);
     ArrayNode stepList = document.putArray("steps");
@@ -117,7 +118,7 @@
     return document;
   }
 
-  /** Releases until {@link #stop}. */
+  /** Runs releases until {@link #stop}. */
   void run() {
     Random random = new Random(plan.seed() * 17);
     List<List<String>> groups = groups();
@@ -129,7 +130,9 @@
     }
   }
 
-  /** Targets that are released together, each in one group. */
+  /**
+   * Returns the groups of targets that are released together. Each target is in at most one group.
+   */
   private List<List<String>> groups() {
     List<List<String>> groups = new ArrayList<>();
     for (int i = 1; i + 2 <= plan.upstreams(); i += UPSTREAMS_PER_RELEASE) {
@@ -142,7 +145,7 @@
     return groups;
   }
 
-  /** One release from its start to its end; false where it could not begin. */
+  /** Runs one release from start to end. Returns false if it could not begin. */
   private boolean release(int number, List<String> group, Random random) {
     String name = "rel" + number;
     String first = group.get(0);
@@ -158,7 +161,7 @@
     JsonNode outcome =
         operator.submit(entry, name, random.nextInt(plan.replicas()), FaultTest.START_MILLIS);
     if (outcome == null || !outcome.path("status").asText().equals("done")) {
-      checker.addViolation("release " + name + " could not begin: " + outcome);
+      checker.addViolation("release " + name + " could not be started: " + outcome);
       return false;
     }
     count(Event.BEGUN);
@@ -175,7 +178,10 @@
     return true;
   }
 
-  /** When an operator rolls the release back (ns), or never. */
+  /**
+   * Returns when an operator rolls the release back, in nanoseconds, or {@link Long#MAX_VALUE} for
+   * never.
+   */
   private static long rollbackTime(Random random) {
     return random.nextInt(3) == 0
         ? System.nanoTime() + 1_000_000_000L * (3 + random.nextInt(5))
@@ -183,13 +189,13 @@
   }
 
   /**
-   * Follows a release until it is over: what is halted goes on or is rolled back, and at a stated
-   * time an operator rolls it back.
+   * Follows a release until it ends. Resumes or rolls back a halted release, and rolls back at
+   * {@code rollbackNanos}.
    */
   private void follow(String name, Random random, long rollbackNanos) {
     boolean rolledBack = false;
     long deadlineNanos = Long.MAX_VALUE;
-    for (int calls = 0; ; calls++) {
+    for (int polls = 0; ; polls++) {
       JsonNode release = release(name);
       String state = release == null ? "" : release.path("state").asText();
       if (isOver(state)) {
@@ -198,16 +204,16 @@
       }
       deadlineNanos = deadline(deadlineNanos);
       if (System.nanoTime() > deadlineNanos) {
-        checker.addViolation("release " + name + " does not end: " + release);
+        checker.addViolation("release " + name + " did not end in time: " + release);
         return;
       }
       if (!rolledBack && System.nanoTime() > rollbackNanos) {
         rolledBack = true;
         rollBack(name);
       } else if (state.equals(Event.HALTED.key())) {
-        proceed(name, random.nextInt(4) == 0 ? "release_back" : "release_resume", calls);
+        proceed(name, random.nextInt(4) == 0 ? "release_back" : "release_resume", polls);
       }
-      Threads.sleepMillis(LOOK_MILLIS);
+      Threads.sleepMillis(POLL_MILLIS);
     }
   }
 
@@ -215,10 +221,13 @@
     return state.equals(Event.DONE.key()) || state.equals(Event.RETURNED.key());
   }
 
-  /** Until when (ns) a release may go on: the time counts from the end of the test. */
+  /**
+   * Returns the time until which a release may continue, in nanoseconds. It counts from the end of
+   * the test.
+   */
   private long deadline(long deadlineNanos) {
     boolean counts = stopped && deadlineNanos == Long.MAX_VALUE;
-    return counts ? System.nanoTime() + END_MILLIS * 1_000_000L : deadlineNanos;
+    return counts ? System.nanoTime() + STUCK_MILLIS * 1_000_000L : deadlineNanos;
   }
 
   private void rollBack(String name) {
@@ -228,10 +237,10 @@
     call("release_back", name, name + "-back");
   }
 
-  private void proceed(String name, String operation, int calls) {
+  private void proceed(String name, String operation, int callNumber) {
     count(Event.HALTED);
-    Threads.sleepMillis(HALTED_MILLIS);
-    call(operation, name, name + "-go" + calls);
+    Threads.sleepMillis(HALTED_PAUSE_MILLIS);
+    call(operation, name, name + "-go" + callNumber);
   }
 
   private void call(String operation, String release, String callId) {
@@ -239,7 +248,10 @@
     operator.submit(entry, callId, 0, FaultTest.START_MILLIS);
   }
 
-  /** How a release stands, as the replicas tell; null where none answers. */
+  /**
+   * Returns the status of a release as the replicas report it, or null if no replica responded in
+   * time.
+   */
   JsonNode release(String name) {
     ObjectNode question = MAPPER.createObjectNode().put("op", "release").put("release", name);
     return operator.query(question, 0, FaultTest.START_MILLIS);
--- a/src/main/java/leadferry/testbed/ReleasedVersions.java
+++ b/src/main/java/leadferry/testbed/ReleasedVersions.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The versions at proxies and upstreams, and how the supervisor replaces them. */
+/** Tracks the versions of proxies and upstreams, and replaces them for the supervisor. */
 final class ReleasedVersions implements ProcessSupervisor.Targets {
   private static final long END_MILLIS = 20_000;
 
-  /** The part of requests that an upstream of a failing version fails. */
+  /** Fraction of requests that an upstream of a failing version fails. */
   private static final double FAILING_SHARE = 0.3;
 
   private final FaultTestTopology topology;
@@ -40,7 +40,7 @@
   private void replaceUpstream(String target, String version) throws IOException {
     FakeUpstream upstream = topology.upstream(target);
     if (upstream.requestsInProgress() > 0) {
-      checker.addViolation(target + " was replaced with requests in its hands");
+      checker.addViolation(target + " was replaced while requests were in progress");
     }
     versions.put(target, version);
     boolean failing = version.startsWith(FaultTest.FAILING_VERSION);
@@ -52,11 +52,11 @@
   private void replaceProxy(String target, String version) throws IOException {
     ManagedProcess proxy = topology.proxy(target);
     if (checker.probeNow(target) == InvariantChecker.ProbeResult.SERVING) {
-      checker.addViolation(target + " was restarted while it served");
+      checker.addViolation(target + " was restarted while it was serving");
     }
     checker.onRestartStarted(target);
     if (proxy.isRunning() && proxy.terminate(END_MILLIS) != 0) {
-      checker.addViolation(target + " did not end when it was told to");
+      checker.addViolation(target + " did not exit after SIGTERM");
     }
     versions.put(target, version);
     topology.writeProxyFile(target, version);
--- a/src/main/java/leadferry/testbed/RequestTemplate.java
+++ b/src/main/java/leadferry/testbed/RequestTemplate.java
@@ -3,13 +3,13 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 
-/** The bytes of a kind's requests around the id of each. */
+/** The encoded request of a kind, into which each request's id is inserted. */
 final class RequestTemplate {
   private final byte[] beforeId;
   private final byte[] afterId;
   private final byte[] end;
 
-  /** Whether the id stands a second time, as the idempotency key. */
+  /** Whether the id is also sent as the idempotency key. */
   private final boolean keyed;
 
   private final boolean head;
@@ -28,12 +28,14 @@
             (keyed ? "\r\n" : "") + length + "\r\n" + " ".repeat(kind.bodyBytes()));
   }
 
-  /** Whether responses have no body, whatever their head says. */
+  /**
+   * Returns whether the method is HEAD, whose responses have no body whatever their headers say.
+   */
   boolean isHead() {
     return head;
   }
 
-  /** The bytes of a request with that id. */
+  /** Returns the encoded request with that id. */
   ByteBuf encode(Channel channel, byte[] id) {
     ByteBuf bytes =
         channel.alloc().ioBuffer(beforeId.length + afterId.length + end.length + 2 * id.length);
--- a/src/main/java/leadferry/testbed/Sabotage.java
+++ b/src/main/java/leadferry/testbed/Sabotage.java
@@ -1,15 +1,15 @@
 package leadferry.testbed;
 
-/** A promise that the fault test breaks itself, to show that its checker sees it. */
+/** A guarantee that the fault test violates on purpose, to show that its checker detects it. */
 public enum Sabotage {
-  /** Nothing is broken on purpose. */
+  /** No violation. */
   NONE,
-  /** Kills a proxy while as many as may are out of service. */
+  /** Kills a proxy while as many as the budget allows are out of service. */
   PROXY_OUT,
-  /** Runs a request at an upstream that was said to be drained. */
+  /** Runs a request at an upstream that is reported as drained. */
   DRAINED_HOST,
   /** Runs an unsafe request twice. */
   TWICE,
-  /** Restarts a proxy that serves, as a driver would that does not know that its lease is over. */
+  /** Restarts a serving proxy, as a driver does that does not know that its lease has expired. */
   RESTART
 }
--- a/src/main/java/leadferry/testbed/Saboteur.java
+++ b/src/main/java/leadferry/testbed/Saboteur.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Breaks the promise that a fault test's plan names, behind the back of the agreed state. */
+/**
+ * Violates the guarantee that a fault test's plan names, without the knowledge of the replicated
+ * state.
+ */
 final class Saboteur {
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
@@ -23,7 +26,7 @@
     this.executions = executions;
   }
 
-  /** Breaks the promise; false where it can't be broken yet. */
+  /** Violates the guarantee. Returns false if that is not possible yet. */
   boolean tryOnce() {
     return switch (plan.sabotage()) {
       case PROXY_OUT -> killProxyBeyondBudget();
--- a/src/main/java/leadferry/testbed/ScriptedFaults.java
+++ b/src/main/java/leadferry/testbed/ScriptedFaults.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import leadferry.testbed.InjectedFaults.Kind;
 
-/** Carries out a {@link FaultScript}: faults and operators' calls at stated times. */
+/**
+ * Carries out a {@link FaultScript}: injects faults and makes operators' calls at the stated times.
+ */
 final class ScriptedFaults {
   private final FaultTestTopology topology;
   private final InvariantChecker checker;
@@ -16,7 +18,7 @@
   private final BackgroundTasks tasks;
   private final OperatorWorkload operators;
 
-  /** Grants that a script's drains got, by whom they took out. */
+  /** Grants of the script's drains by the target that each one took out of service. */
   private final Map<DrainTarget, String> grants = new ConcurrentHashMap<>();
 
   ScriptedFaults(
@@ -34,7 +36,7 @@
     this.operators = operators;
   }
 
-  /** Carries out all steps, each at its time from now on. */
+  /** Carries out all steps, each at its time counted from the call of this method. */
   void perform(List<FaultScript.Step> steps) {
     long startNanos = System.nanoTime();
     int number = 0;
@@ -46,7 +48,7 @@
     }
   }
 
-  /** Gives back what the script has drained and not given back itself. */
+  /** Returns to service the targets that the script drained and did not return itself. */
   void undoRemaining(Random random) {
     grants.forEach((target, grant) -> operators.undo("end-" + grant, grant, target, random));
   }
--- a/src/main/java/leadferry/testbed/Threads.java
+++ b/src/main/java/leadferry/testbed/Threads.java
@@ -1,10 +1,10 @@
 package leadferry.testbed;
 
-/** Threads and waits of the test bed. */
+/** Helpers for threads and sleeps. */
 final class Threads {
   private Threads() {}
 
-  /** Starts a thread that does not keep the process alive. */
+  /** Starts a daemon thread, which does not keep the JVM alive. */
   static Thread startDaemon(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
@@ -12,7 +12,7 @@
     return thread;
   }
 
-  /** Waits; an interrupt ends the wait and stays set. */
+  /** Sleeps for {@code millis}. An interrupt ends the sleep and leaves the interrupt flag set. */
   static void sleepMillis(long millis) {
     try {
       Thread.sleep(Math.max(0, millis));
