--- a/src/main/java/leadferry/testbed/ThrottledProxy.java
+++ b/src/main/java/leadferry/testbed/ThrottledProxy.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as a process of its own, throttled to a part of a core: it is stopped and continued by
- * signals every few milliseconds, which needs no rights and no tools of isolation. Unlike a quota
- * it also holds back what the kernel would give in bursts; figures are compared with each other,
- * not with a platform's.
+ * A proxy process throttled to a fraction of a core. Signals suspend and resume it every few
+ * milliseconds, which requires neither privileges nor isolation tools. Unlike a CPU quota, this
+ * also prevents bursts, so results are comparable only with each other and not with those of a
+ * platform.
  */
 public final class ThrottledProxy implements AutoCloseable {
-  /** A whole turn of the throttle (ms). */
-  private static final double TURN_MILLIS = 10;
+  /** Period of the throttle in milliseconds. */
+  private static final double PERIOD_MILLIS = 10;
 
   private static final int START_MILLIS = 30_000;
 
@@ -32,8 +32,10 @@
   private Process throttle;
 
   /**
-   * A proxy that this command starts and that listens at {@code address}; {@code share} of a core
-   * above 0, 1 for all that it can get; what it tells goes to {@code log}.
+   * Creates a proxy that {@code command} starts and that listens at {@code address}.
+   *
+   * @param share fraction of a core, above 0; 1 for no throttling
+   * @param log file to which standard output and standard error are appended
    */
   public ThrottledProxy(
       List<String> command,
@@ -51,12 +53,12 @@
     this.log = log;
   }
 
-  /** Where it listens. */
+  /** Returns the address that the proxy listens on. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Starts it and does not wait. */
+  /** Starts the process without waiting for it to listen. */
   public void start() {
     try {
       ProcessBuilder builder =
@@ -65,17 +67,18 @@
               .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
       builder.environment().putAll(environment);
       process = builder.start();
-      throttle();
+      startThrottle();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void throttle() throws IOException {
+  private void startThrottle() throws IOException {
     if (share < 1) {
-      String running = seconds(TURN_MILLIS * share);
-      String stopped = seconds(TURN_MILLIS * (1 - share));
-      // Only builtins: a process for each signal would cost more than what is measured.
+      String running = seconds(PERIOD_MILLIS * share);
+      String stopped = seconds(PERIOD_MILLIS * (1 - share));
+      // Only shell builtins: starting a process for each signal would cost more CPU time than is
+      // measured.
       throttle =
           new ProcessBuilder(
                   "bash",
@@ -95,8 +98,8 @@
   }
 
   /**
-   * Waits until it accepts a connection; the seconds since {@code sinceNanos}, or NaN if it never
-   * did.
+   * Waits until the proxy accepts a connection. Returns the seconds since {@code sinceNanos}, or
+   * NaN if it does not within 30 seconds.
    */
   public double awaitListening(long sinceNanos) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + START_MILLIS * 1_000_000L;
@@ -111,23 +114,26 @@
     return Double.NaN;
   }
 
-  /** Stops it as a whole until {@link #resume}. */
+  /** Suspends the proxy until {@link #resume}. */
   public void pause() {
     endThrottle();
     signal("STOP");
   }
 
-  /** Lets it go on. */
+  /** Resumes the proxy with its throttling. */
   public void resume() {
     signal("CONT");
     try {
-      throttle();
+      startThrottle();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Asks it to end, waits for at most so long and then kills it; its exit status. */
+  /**
+   * Sends SIGTERM, waits up to {@code timeoutMillis} and then kills the process. Returns the exit
+   * status, or -1 if interrupted.
+   */
   public int terminate(long timeoutMillis) {
     process.destroy();
     try {
@@ -168,12 +174,12 @@
   }
 
   /**
-   * What the kernel tells of it: seconds of CPU, connections that wait to be accepted, open and
-   * half-closed.
+   * The kernel's figures for the process and its port: CPU seconds, connections waiting to be
+   * accepted, established connections, and connections closed by the peer only.
    */
   public record Sample(double cpuSeconds, int acceptQueueLength, int established, int closeWait) {}
 
-  /** Looks now; a part that can't be read is 0. */
+  /** Takes a sample. A figure that cannot be read is 0. */
   public Sample sample() {
     int waiting = 0;
     int established = 0;
@@ -209,7 +215,7 @@
     }
   }
 
-  /** Kills it. */
+  /** Kills the process. */
   @Override
   public void close() {
     endThrottle();
--- a/src/main/java/leadferry/testbed/package-info.java
+++ b/src/main/java/leadferry/testbed/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Servers, senders and faults for tests, the demo and the load tool; nothing in production uses
- * them. Begin with {@link leadferry.testbed.FakeUpstream}, a host that can be made to misbehave,
- * and {@link leadferry.testbed.ExecutionLog}, which knows what ran where and judges the rules by
- * it.
+ * Fake upstreams, load generators and fault injection for tests, the demo and the load tool.
+ * Production code does not use them. Start with {@link leadferry.testbed.FakeUpstream}, an upstream
+ * in which faults can be injected, and {@link leadferry.testbed.ExecutionLog}, which records where
+ * each request ran.
  */
 package leadferry.testbed;
--- a/src/test/java/leadferry/testbed/HistoryTest.java
+++ b/src/test/java/leadferry/testbed/HistoryTest.java
@@ -7,7 +7,7 @@
 import leadferry.testbed.History.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** The checker finds an order where there is one, and none where there is none. */
+/** {@link History} accepts calls that have a valid order and rejects those that have none. */
 class HistoryTest {
   private final History history = new History(1, 1);
 
@@ -16,14 +16,14 @@
   }
 
   @Test
-  void twoGrantsForOnePlaceHaveNoOrder() {
+  void twoGrantsBeyondBudgetHaveNoOrder() {
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.DRAIN, "b", 5, 15, Outcome.GRANTED);
     assertThat(history.isLinearizable()).isFalse();
   }
 
   @Test
-  void anUndoBetweenThemExplainsThem() {
+  void concurrentUndoExplainsTwoGrants() {
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.UNDO, "a", 9, 20, Outcome.DONE);
     call(Op.DRAIN, "b", 5, 15, Outcome.GRANTED);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void anUndoThatBeganAfterwardsDoesNot() {
+  void laterUndoDoesNotExplainTwoGrants() {
     call(Op.DRAIN, "a", 0, 10, Outcome.GRANTED);
     call(Op.DRAIN, "b", 11, 15, Outcome.GRANTED);
     call(Op.UNDO, "a", 16, 20, Outcome.DONE);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aGrantAfterAHaltHasNoOrderUnlessResumed() {
+  void grantAfterHaltHasNoOrderUnlessResumed() {
     call(Op.HALT, "", 0, 5, Outcome.DONE);
     call(Op.DRAIN, "a", 6, 10, Outcome.GRANTED);
     assertThat(history.isLinearizable()).isFalse();
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void anUndecidedGrantMayExplainTheNextOnesRefusalOnly() {
+  void haltedOutcomeWithoutHaltHasNoOrder() {
     call(Op.DRAIN, "a", 0, 5, Outcome.UNDECIDED);
     call(Op.DRAIN, "b", 6, 10, Outcome.GRANTED);
     call(Op.DRAIN, "c", 11, 12, Outcome.HALTED);
--- a/src/test/java/leadferry/testbed/MemoryTempDirFactory.java
+++ b/src/test/java/leadferry/testbed/MemoryTempDirFactory.java
@@ -8,14 +8,15 @@
 import org.junit.jupiter.api.io.TempDirFactory;
 
 /**
- * A folder in memory, where the system has such a file system. Guards tests of several replicas
- * against a disk that others keep busy: each vote and each entry waits for it, so elections took as
- * long as it did. What a killed process has written stays.
+ * Creates temporary directories in memory where the system has such a file system. Guards tests
+ * with several replicas against a disk that other processes keep busy: every vote and log entry
+ * waits for the disk, which made elections take as long as the disk did. Files of a killed process
+ * remain.
  */
 final class MemoryTempDirFactory implements TempDirFactory {
   private static final Path SHARED_MEMORY = Path.of("/dev/shm");
 
-  /** What a rig's logs and files need at most, by far. */
+  /** Generous upper bound on the size of a test's logs and files. */
   private static final long ROOM_BYTES = 256L << 20;
 
   @Override
--- a/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
+++ b/src/test/java/leadferry/testbed/OverloadRecoveryTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The overload test by itself, before an upstream that is told when to fail: it must see a
- * collapse, and one that lasts.
+ * Runs the overload test against an upstream with scheduled faults: the test must detect a
+ * collapse, and tell a lasting collapse from one that ends with its trigger.
  */
 class OverloadRecoveryTest {
   private static OverloadPlan plan(FakeUpstream upstream, OverloadPlan.Crowd crowd, int size) {
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void whatEndsWithItsTriggerHasRecoveredAndTheGapIsSeen() throws Exception {
+  void overloadEndingWithTriggerIsReportedAsRecovered() throws Exception {
     try (FakeUpstream upstream =
             new FakeUpstream(FakeUpstream.Options.instant("a"), new ExecutionLog(100_000));
         OverloadTest test =
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void whatGoesOnAfterItsTriggerHasNotRecovered() throws Exception {
+  void overloadLastingAfterTriggerIsNotReportedAsRecovered() throws Exception {
     try (FakeUpstream upstream =
             new FakeUpstream(FakeUpstream.Options.instant("a"), new ExecutionLog(100_000));
         OverloadTest test =
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -24,116 +24,125 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Releases over three replicas and four daemons as processes, one of each kind allowed out, driven
- * by processes, with faults between them. What was done is told by the supervisor that did it, who
- * was out by probes.
+ * Runs releases over three replicas and four daemons as processes, with budgets of one proxy and
+ * one upstream, drivers as processes, and faults between them. Guards against commands that are
+ * executed twice or by a driver without the lease, and against more targets out of service than
+ * allowed. The supervisor's record shows what was executed; probes show which proxies were out of
+ * service.
  */
 class ReleaseProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final long PATIENCE_MS = 40_000;
+  private static final long TIMEOUT_MILLIS = 40_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
   @TempDir(factory = MemoryTempDirFactory.class)
   private static Path folder;
 
-  private static FaultTest rig;
+  private static FaultTest faultTest;
   private final List<ManagedProcess> drivers = new ArrayList<>();
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
-    rig.start();
+    faultTest = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
+    faultTest.start();
   }
 
   @AfterAll
   static void end() throws IOException {
-    rig.close();
+    faultTest.close();
   }
 
-  /** Whatever a test left is brought to its end, forward or not, and all serve. */
+  /**
+   * Ends the releases that a test left open, either way, and waits until all targets are available.
+   */
   @AfterEach
   void settle() throws Exception {
-    if (failed) {
-      return; // one find is enough: what it left would only hide others
+    if (earlierTestFailed) {
+      return; // further tests would only report what the first failure left behind
     }
-    failed = true;
-    rig.supervisor().setHook((before, deed) -> {});
-    rig.healLinks();
+    earlierTestFailed = true;
+    faultTest.supervisor().setHook((before, deed) -> {});
+    faultTest.healLinks();
     drivers.forEach(ManagedProcess::close);
-    for (JsonNode r : rig.releaseStatus("").path("releases")) {
-      if (!List.of("done", "returned", "ended").contains(r.path("state").asText())) {
-        String name = r.path("name").asText();
-        change("release_back", name);
+    for (JsonNode release : faultTest.releaseStatus("").path("releases")) {
+      if (!List.of("done", "returned", "ended").contains(release.path("state").asText())) {
+        String name = release.path("name").asText();
+        submit("release_back", name);
         drive(name);
         await("returned", () -> state(name).equals("returned"));
       }
     }
     drivers.forEach(ManagedProcess::close);
-    rig.healAndAwaitRecovery();
-    assertThat(rig.violations()).isEmpty();
-    assertThat(rig.maxProxiesOut()).as("out at once").isLessThanOrEqualTo(1);
-    failed = false;
+    faultTest.healAndAwaitRecovery();
+    assertThat(faultTest.violations()).isEmpty();
+    assertThat(faultTest.maxProxiesOut()).as("out at once").isLessThanOrEqualTo(1);
+    earlierTestFailed = false;
   }
 
   @org.junit.jupiter.api.BeforeEach
-  void sound() {
-    org.junit.jupiter.api.Assumptions.assumeFalse(failed, "a test before it left the rig unsound");
+  void skipAfterFailure() {
+    org.junit.jupiter.api.Assumptions.assumeFalse(
+        earlierTestFailed, "a test before it left the rig unsound");
   }
 
-  private static boolean failed;
+  private static boolean earlierTestFailed;
 
-  private static void await(String what, BooleanSupplier c) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (!c.getAsBoolean()) {
+  private static void await(String what, BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
+    while (!condition.getAsBoolean()) {
       assertThat(System.nanoTime())
-          .as("within " + PATIENCE_MS + " ms: " + what + "; " + said())
-          .isLessThan(until);
+          .as("within " + TIMEOUT_MILLIS + " ms: " + what + "; " + driverLogTails())
+          .isLessThan(deadlineNanos);
       Thread.sleep(20);
     }
   }
 
-  private static String said() {
+  private static String driverLogTails() {
     try (var logs = Files.list(folder)) {
-      StringBuilder s = new StringBuilder();
+      StringBuilder text = new StringBuilder();
       for (Path log :
           logs.filter(f -> f.getFileName().toString().matches("d[0-9]+\\.log")).sorted().toList()) {
         List<String> lines = Files.readAllLines(log);
-        s.append('\n')
+        text.append('\n')
             .append(log.getFileName())
             .append(": ")
             .append(lines.subList(Math.max(0, lines.size() - 8), lines.size()));
       }
-      return s.toString();
+      return text.toString();
     } catch (IOException e) {
       return e.toString();
     }
   }
 
-  private static JsonNode change(String op, String release) {
-    return rig.operator()
+  private static JsonNode submit(String operation, String release) {
+    return faultTest
+        .operator()
         .submit(
-            Operator.entry(op).put("release", release),
+            Operator.entry(operation).put("release", release),
             "r-call-" + IDS.incrementAndGet(),
             0,
             20_000);
   }
 
-  private static String word(JsonNode o) {
-    return o == null ? "nothing" : o.path("status").asText();
+  private static String statusOf(JsonNode outcome) {
+    return outcome == null ? "nothing" : outcome.path("status").asText();
   }
 
   private static String state(String release) {
-    return rig.releaseStatus(release).path("state").asText();
+    return faultTest.releaseStatus(release).path("state").asText();
   }
 
-  /** A release of these, which all must be of one version, to the next; its name. */
-  private static String begin(String of, String... targets) {
+  /**
+   * Begins a release of the targets, which must all have the same version, to a new version.
+   * Returns the name of the release.
+   */
+  private static String begin(String kind, String... targets) {
     String name = "r" + IDS.incrementAndGet();
     ObjectNode plan =
-        rig.releasePlan(
+        faultTest.releasePlan(
             name,
-            of,
-            rig.version(targets[0]),
+            kind,
+            faultTest.version(targets[0]),
             "v" + IDS.incrementAndGet(),
             List.of(List.of(targets)));
     begin(plan);
@@ -141,73 +150,81 @@
   }
 
   private static void begin(ObjectNode plan) {
-    JsonNode o =
-        rig.operator()
+    JsonNode outcome =
+        faultTest
+            .operator()
             .submit(
                 Operator.entry("release_start").set("plan", plan),
                 "r-call-" + IDS.incrementAndGet(),
                 0,
                 20_000);
-    assertThat(word(o)).as(String.valueOf(o)).isEqualTo("done");
+    assertThat(statusOf(outcome)).as(String.valueOf(outcome)).isEqualTo("done");
   }
 
   private ManagedProcess drive(String release) throws IOException {
-    ManagedProcess c = rig.startDriver("d" + IDS.incrementAndGet(), release);
-    drivers.add(c);
-    return c;
+    ManagedProcess driver = faultTest.startDriver("d" + IDS.incrementAndGet(), release);
+    drivers.add(driver);
+    return driver;
   }
 
-  /** That each action of these targets was carried out once, and how many there were. */
-  private static int onceEach(int from, String... targets) {
-    Set<String> seen = new HashSet<>();
-    int n = 0;
-    List<ProcessSupervisor.Invocation> deeds = rig.supervisor().invocations();
-    for (ProcessSupervisor.Invocation d : deeds.subList(from, deeds.size())) {
-      if (d.verb().equals("command") && !d.rejected() && List.of(targets).contains(d.target())) {
-        n++;
-        assertThat(seen.add(d.actionId() + "/" + d.version()))
-            .as("action " + d + " a second time, of " + deeds)
+  /**
+   * Asserts that each action on the targets was executed at most once. Returns the number of
+   * executed actions.
+   */
+  private static int assertExecutedOnce(int firstInvocation, String... targets) {
+    Set<String> executed = new HashSet<>();
+    int count = 0;
+    List<ProcessSupervisor.Invocation> invocations = faultTest.supervisor().invocations();
+    for (ProcessSupervisor.Invocation invocation :
+        invocations.subList(firstInvocation, invocations.size())) {
+      if (invocation.verb().equals("command")
+          && !invocation.rejected()
+          && List.of(targets).contains(invocation.target())) {
+        count++;
+        assertThat(executed.add(invocation.actionId() + "/" + invocation.version()))
+            .as("action " + invocation + " a second time, of " + invocations)
             .isTrue();
       }
     }
-    return n;
+    return count;
   }
 
-  private static int deeds() {
-    return rig.supervisor().invocations().size();
+  private static int invocationCount() {
+    return faultTest.supervisor().invocations().size();
   }
 
   private static Map<String, String> versions(String... targets) {
-    Map<String, String> out = new TreeMap<>();
-    for (String t : targets) {
-      out.put(t, rig.version(t));
+    Map<String, String> versions = new TreeMap<>();
+    for (String target : targets) {
+      versions.put(target, faultTest.version(target));
     }
-    return out;
+    return versions;
   }
 
   @Test
-  void eachProxyIsRestartedOnceAndNeverMoreAreOutThanAllowed() throws Exception {
-    int from = deeds();
+  void releaseRestartsEachProxyOnceWithinBudget() throws Exception {
+    int from = invocationCount();
     String r = begin("proxy", "p1", "p2", "p3", "p4");
-    String version = rig.releaseStatus(r).path("version").asText();
+    String version = faultTest.releaseStatus(r).path("version").asText();
     ManagedProcess d = drive(r);
     await("done", () -> state(r).equals("done"));
     await("the driver ends", () -> !d.isRunning());
     assertThat(versions("p1", "p2", "p3", "p4").values()).containsOnly(version);
-    assertThat(onceEach(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
+    assertThat(assertExecutedOnce(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
   }
 
   @Test
-  void aDriverKilledBeforeAndAfterEachCommandIsFollowedAndNothingIsDoneTwice() throws Exception {
-    int from = deeds();
+  void killedDriversAreReplacedWithoutRepeatingActions() throws Exception {
+    int from = invocationCount();
     String r = begin("host", "h1", "h2");
     AtomicInteger killed = new AtomicInteger();
     ManagedProcess[] now = {drive(r)};
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
             (before, deed) -> {
-              // Before the first command is carried out, and right after the second one, with no
-              // answer given.
+              // Kills the driver before its first command is executed, and after the second one is
+              // executed but before the response is sent.
               if (deed.verb().equals("command")
                   && ((before && killed.get() == 0)
                       || (!before && killed.get() == 1 && deed.target().equals("h2")))) {
@@ -225,22 +242,22 @@
             });
     await("done", () -> state(r).equals("done"));
     assertThat(killed.get()).isEqualTo(2);
-    assertThat(onceEach(from, "h1", "h2")).isBetween(2, 3);
-    assertThat(rig.version("h1")).isEqualTo(rig.version("h2"));
+    assertThat(assertExecutedOnce(from, "h1", "h2")).isBetween(2, 3);
+    assertThat(faultTest.version("h1")).isEqualTo(faultTest.version("h2"));
   }
 
   @Test
-  void aDriverStoppedInTheMiddleOfAnActionForLongerThanItsLeaseIsTurnedAwayByItsFence()
-      throws Exception {
+  void commandOfDriverWithExpiredLeaseIsRejectedByFence() throws Exception {
     String r = begin("host", "h3", "h4");
     ManagedProcess slow = drive(r);
     CompletableFuture<ProcessSupervisor.Invocation> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
             (before, deed) -> {
-              // Its command is on its way and is held up, and the driver stands still, until
-              // another one has the lead.
+              // Holds up the command on its way and suspends the driver until another driver has
+              // the lease.
               if (before && deed.verb().equals("command") && held.complete(deed)) {
                 slow.suspend();
                 go.join();
@@ -248,15 +265,15 @@
             });
     long fence = held.get().fence();
     drive(r);
-    await("another drives", () -> rig.releaseStatus(r).path("fence").asLong() > fence);
+    await("another drives", () -> faultTest.releaseStatus(r).path("fence").asLong() > fence);
     await(
         "and goes on",
-        () -> rig.supervisor().invocations().stream().anyMatch(d -> d.fence() > fence));
+        () -> faultTest.supervisor().invocations().stream().anyMatch(d -> d.fence() > fence));
     go.complete(null);
     slow.resume();
     await("done", () -> state(r).equals("done"));
     assertThat(
-            rig.supervisor().invocations().stream()
+            faultTest.supervisor().invocations().stream()
                 .filter(
                     d ->
                         d.fence() == fence
@@ -267,11 +284,12 @@
   }
 
   @Test
-  void afterAHaltNobodyNewGoesOutAndTheWayBackBringsAllBack() throws Exception {
-    String before = rig.version("p1");
+  void haltedReleaseTakesNoTargetOutAndRollsBack() throws Exception {
+    String before = faultTest.version("p1");
     String r = begin("proxy", "p1", "p2", "p3");
     CompletableFuture<Void> second = new CompletableFuture<>();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
             (b, deed) -> {
               if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
@@ -280,12 +298,12 @@
             });
     drive(r);
     second.join();
-    assertThat(word(change("release_halt", r))).isEqualTo("done");
-    int then = deeds();
+    assertThat(statusOf(submit("release_halt", r))).isEqualTo("done");
+    int then = invocationCount();
     await(
         "what was under way has ended",
         () -> {
-          for (JsonNode t : rig.releaseStatus(r).path("targets")) {
+          for (JsonNode t : faultTest.releaseStatus(r).path("targets")) {
             if (!t.path("phase").asText().equals("in")) {
               return false;
             }
@@ -294,64 +312,65 @@
         });
     Thread.sleep(1_000);
     assertThat(
-            rig.supervisor().invocations().subList(then, deeds()).stream()
+            faultTest.supervisor().invocations().subList(then, invocationCount()).stream()
                 .filter(d -> d.verb().equals("command"))
                 .map(ProcessSupervisor.Invocation::target))
         .doesNotContain("p3");
     assertThat(state(r)).isEqualTo("halted");
-    assertThat(word(change("release_back", r))).isEqualTo("done");
+    assertThat(statusOf(submit("release_back", r))).isEqualTo("done");
     await("returned", () -> state(r).equals("returned"));
     assertThat(versions("p1", "p2", "p3").values()).containsOnly(before);
   }
 
   @Test
-  void aVersionThatDoesNotComeUpHaltsTheReleaseAtTheFirstAndTheWayBackMendsIt() throws Exception {
-    String before = rig.version("p1");
+  void versionThatFailsToStartHaltsReleaseAndRollbackRecovers() throws Exception {
+    String before = faultTest.version("p1");
     String r = "r" + IDS.incrementAndGet();
     begin(
-        rig.releasePlan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+        faultTest
+            .releasePlan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
             .put("action_ms", 9_000));
     drive(r);
     await("halted", () -> state(r).equals("halted"));
-    assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("p1");
-    assertThat(rig.version("p2")).isEqualTo(before);
-    change("release_back", r);
+    assertThat(faultTest.releaseStatus(r).path("state_why").asText()).contains("p1");
+    assertThat(faultTest.version("p2")).isEqualTo(before);
+    submit("release_back", r);
     await("returned", () -> state(r).equals("returned"));
-    assertThat(rig.version("p1")).isEqualTo(before);
-    await("serves", () -> rig.isServing("p1"));
+    assertThat(faultTest.version("p1")).isEqualTo(before);
+    await("serves", () -> faultTest.isServing("p1"));
   }
 
   @Test
-  void theLeadersChangeInEveryStepAndAMajorityLostInTheMiddleLoseAndRepeatNothing()
-      throws Exception {
-    int from = deeds();
+  void leaderChangesAndLostMajorityRepeatNoAction() throws Exception {
+    int from = invocationCount();
     String r = begin("proxy", "p1", "p2", "p3", "p4");
     AtomicInteger commands = new AtomicInteger();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
             (before, deed) -> {
               if (before && deed.verb().equals("command")) {
-                CompletableFuture.runAsync(() -> disturb(commands.incrementAndGet()));
+                CompletableFuture.runAsync(() -> disturbReplicas(commands.incrementAndGet()));
               }
             });
     drive(r);
     await("done", () -> state(r).equals("done"));
     assertThat(commands.get()).isGreaterThanOrEqualTo(4);
-    onceEach(from, "p1", "p2", "p3", "p4");
+    assertExecutedOnce(from, "p1", "p2", "p3", "p4");
   }
 
-  private static void disturb(int n) {
+  private static void disturbReplicas(int commandNumber) {
     try {
-      String leader = rig.awaitLeader();
-      if (n == 2) {
-        List<String> two = List.of("k1", "k2");
-        two.forEach(k -> rig.replica(k).suspend());
+      String leader = faultTest.awaitLeader();
+      if (commandNumber == 2) {
+        List<String> majority = List.of("k1", "k2");
+        majority.forEach(k -> faultTest.replica(k).suspend());
         Thread.sleep(2L * FaultTest.LEASE_MILLIS);
-        two.forEach(k -> rig.replica(k).resume());
+        majority.forEach(k -> faultTest.replica(k).resume());
       } else {
-        rig.replica(leader).kill();
+        faultTest.replica(leader).kill();
         Thread.sleep(500);
-        rig.replica(leader).start();
+        faultTest.replica(leader).start();
       }
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
@@ -359,14 +378,14 @@
   }
 
   @Test
-  void hostsAreReplacedUnderLoadWithNoRequestLostAndNoneColdPushedOver() throws Exception {
+  void upstreamsAreReplacedUnderLoadWithoutLossOrCollapse() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
     Set<String> bad = java.util.concurrent.ConcurrentHashMap.newKeySet();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.proxyAddress("p" + i),
+                  faultTest.proxyAddress("p" + i),
                   30,
                   0,
                   15,
@@ -382,7 +401,7 @@
               }));
     }
     loads.forEach(LoadGenerator::start);
-    int from = deeds();
+    int from = invocationCount();
     String r = begin("host", "h1", "h2", "h3");
     drive(r);
     await("done", () -> state(r).equals("done"));
@@ -391,29 +410,30 @@
     }
     loads.forEach(LoadGenerator::close);
     assertThat(bad).isEmpty();
-    assertThat(onceEach(from, "h1", "h2", "h3")).isEqualTo(3);
+    assertThat(assertExecutedOnce(from, "h1", "h2", "h3")).isEqualTo(3);
     for (String h : List.of("h1", "h2", "h3")) {
-      assertThat(rig.upstream(h).hasCollapsed()).as(h).isFalse();
+      assertThat(faultTest.upstream(h).hasCollapsed()).as(h).isFalse();
     }
   }
 
   @Test
-  void ofTwoReleasesThatWantOneTargetOneBegins() throws Exception {
+  void onlyOneOfTwoReleasesOfSameTargetBegins() throws Exception {
     List<CompletableFuture<String>> asked = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       ObjectNode plan =
-          rig.releasePlan(
+          faultTest.releasePlan(
               "twin" + IDS.incrementAndGet(),
               "host",
-              rig.version("h1"),
+              faultTest.version("h1"),
               "v" + IDS.incrementAndGet(),
               List.of(List.of("h1", "h" + (2 + i))));
       int n = i;
       asked.add(
           CompletableFuture.supplyAsync(
               () ->
-                  word(
-                      rig.operator()
+                  statusOf(
+                      faultTest
+                          .operator()
                           .submit(
                               Operator.entry("release_start").set("plan", plan),
                               "r-call-" + IDS.incrementAndGet(),
@@ -425,14 +445,15 @@
   }
 
   @Test
-  void aMemberThatWasDownAndComesBackWithTheOldVersionIsChangedThen() throws Exception {
+  void skippedMemberIsReleasedAfterItsReturn() throws Exception {
     String r = "r" + IDS.incrementAndGet();
     String version = "v" + IDS.incrementAndGet();
-    rig.proxy("p4").kill();
+    faultTest.proxy("p4").kill();
     await(
         "p4 is lost",
         () ->
-            rig.operator()
+            faultTest
+                .operator()
                 .query(
                     MAPPER
                         .createObjectNode()
@@ -445,26 +466,27 @@
                 .asText()
                 .equals("lost"));
     begin(
-        rig.releasePlan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4")))
+        faultTest
+            .releasePlan(r, "proxy", faultTest.version("p1"), version, List.of(List.of("p1", "p4")))
             .put("halt_lost", 0)
             .put("on_missing", "skip"));
     drive(r);
     Thread.sleep(1_500);
     assertThat(state(r)).as("p4 uses the budget up").isEqualTo("running");
-    assertThat(rig.version("p1")).isNotEqualTo(version);
-    rig.proxy("p4").start();
+    assertThat(faultTest.version("p1")).isNotEqualTo(version);
+    faultTest.proxy("p4").start();
     await("done", () -> state(r).equals("done"));
     assertThat(versions("p1", "p4").values()).containsOnly(version);
   }
 
   @Test
-  void whatFailsUnderLoadOnlyIsHaltedAtTheFirstAndTakenBackByItself() throws Exception {
+  void versionFailingUnderLoadIsRolledBackAutomatically() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.proxyAddress("p" + i),
+                  faultTest.proxyAddress("p" + i),
                   40,
                   0,
                   40,
@@ -477,47 +499,52 @@
     loads.forEach(LoadGenerator::start);
     try {
       String r = "r" + IDS.incrementAndGet();
-      String before = rig.version("h1");
+      String before = faultTest.version("h1");
       ObjectNode plan =
-          rig.releasePlan(
+          faultTest
+              .releasePlan(
                   r,
                   "host",
                   before,
-                  FAILING + IDS.incrementAndGet(),
+                  FAILING_PREFIX + IDS.incrementAndGet(),
                   List.of(List.of("h1"), List.of("h2")))
               .put("on_verdict", "back")
               .put("halt_lost", 0);
       plan.putObject("guard").put("least_requests", 300).put("wait_ms", 20_000);
       begin(plan);
       drive(r);
-      // By the guard, which takes it back; or since so many proxies have ejected it that it counts
-      // as lost.
+      // Either the guard rolls the release back, or so many proxies have ejected the upstream that
+      // it counts as lost.
       await(
           "found",
           () ->
               List.of("halted", "returned").contains(state(r))
-                  || rig.releaseStatus(r).path("direction").asText().equals("back"));
-      assertThat(rig.releaseStatus(r).path("state_why").asText())
+                  || faultTest.releaseStatus(r).path("direction").asText().equals("back"));
+      assertThat(faultTest.releaseStatus(r).path("state_why").asText())
           .containsAnyOf("bad (", "h1 is new, and lost");
-      assertThat(rig.version("h2")).isEqualTo(before);
-      change("release_back", r);
+      assertThat(faultTest.version("h2")).isEqualTo(before);
+      submit("release_back", r);
       await("returned", () -> state(r).equals("returned"));
-      assertThat(rig.version("h1")).isEqualTo(before);
+      assertThat(faultTest.version("h1")).isEqualTo(before);
     } finally {
       loads.forEach(LoadGenerator::close);
     }
   }
 
-  private static final String FAILING = FaultTest.FAILING_VERSION;
+  private static final String FAILING_PREFIX = FaultTest.FAILING_VERSION;
 
   @Test
-  void commandsThatHangWriteWithoutEndOrDieAreTriedThreeTimesAndHaltIt() throws Exception {
+  void failingCommandsAreTriedThreeTimesAndHaltRelease() throws Exception {
     for (String command :
         List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
       String r = "r" + IDS.incrementAndGet();
       ObjectNode plan =
-          rig.releasePlan(
-              r, "host", rig.version("h4"), "v" + IDS.incrementAndGet(), List.of(List.of("h4")));
+          faultTest.releasePlan(
+              r,
+              "host",
+              faultTest.version("h4"),
+              "v" + IDS.incrementAndGet(),
+              List.of(List.of("h4")));
       ((ObjectNode) plan.path("carry"))
           .put("timeout_ms", 1_000)
           .putArray("command")
@@ -527,12 +554,21 @@
       begin(plan);
       drive(r);
       await("halted: " + command, () -> state(r).equals("halted"));
-      assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("h4 after 3 tries");
+      assertThat(faultTest.releaseStatus(r).path("state_why").asText())
+          .contains("h4 after 3 tries");
       await(
           "h4 was given back as it was",
-          () -> rig.releaseStatus(r).path("targets").path(0).path("phase").asText().equals("in"));
-      assertThat(rig.releaseStatus(r).path("targets").path(0).path("at").asText()).isEqualTo("old");
-      assertThat(word(change("release_end", r))).isEqualTo("done");
+          () ->
+              faultTest
+                  .releaseStatus(r)
+                  .path("targets")
+                  .path(0)
+                  .path("phase")
+                  .asText()
+                  .equals("in"));
+      assertThat(faultTest.releaseStatus(r).path("targets").path(0).path("at").asText())
+          .isEqualTo("old");
+      assertThat(statusOf(submit("release_end", r))).isEqualTo("done");
     }
   }
 }
