--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -71,7 +71,7 @@
     this.history = new History(plan.proxiesAllowed(), plan.upstreamsAllowed());
   }
 
-  // --- the processes and who asks them
+  // --- processes and operators
 
   /**
    * Starts all processes and waits until every proxy serves and is a member.
--- a/src/main/java/leadferry/testbed/History.java
+++ b/src/main/java/leadferry/testbed/History.java
@@ -53,7 +53,10 @@
   private final int upstreamsAllowed;
   private final List<Call> calls = new ArrayList<>();
 
-  /** Creates a history for budgets of {@code proxies} proxies and {@code hosts} upstreams. */
+  /**
+   * Creates a history for budgets of {@code proxiesAllowed} proxies and {@code upstreamsAllowed}
+   * upstreams.
+   */
   public History(int proxiesAllowed, int upstreamsAllowed) {
     this.proxiesAllowed = proxiesAllowed;
     this.upstreamsAllowed = upstreamsAllowed;
--- a/src/main/java/leadferry/testbed/OverloadPlan.java
+++ b/src/main/java/leadferry/testbed/OverloadPlan.java
@@ -49,7 +49,9 @@
     /** Sends requests as fast as possible and never reads responses. */
     DEAF;
 
-    /** Returns whether clients with this behaviour send whole requests and read the responses. */
+    /**
+     * Returns whether clients with this behaviour send complete requests and read the responses.
+     */
     boolean sendsRequests() {
       return this == USUAL || this == RETRYING;
     }
--- a/src/test/java/leadferry/testbed/FleetProcessesTest.java
+++ b/src/test/java/leadferry/testbed/FleetProcessesTest.java
@@ -89,7 +89,7 @@
     JsonNode[] outcome = new JsonNode[1];
     await(
         () -> statusOf(outcome[0] = drain(kind, name)).equals("granted"),
-        () -> "last answer " + outcome[0]);
+        () -> "last response " + outcome[0]);
     return outcome[0];
   }
 
@@ -165,20 +165,23 @@
 
   @Test
   void concurrentDrainsAtTwoReplicasGrantOnlyOne() throws Exception {
-    List<CompletableFuture<JsonNode>> asked = new ArrayList<>();
+    List<CompletableFuture<JsonNode>> responses = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      int n = i;
-      asked.add(
+      int number = i;
+      responses.add(
           CompletableFuture.supplyAsync(
               () ->
                   faultTest
                       .operator()
                       .submit(
-                          drainEntry("proxy", "p" + (n + 2)), nextCallId(), n, TIMEOUT_MILLIS)));
+                          drainEntry("proxy", "p" + (number + 2)),
+                          nextCallId(),
+                          number,
+                          TIMEOUT_MILLIS)));
     }
     List<String> words = new ArrayList<>();
-    for (CompletableFuture<JsonNode> f : asked) {
-      words.add(statusOf(f.get()));
+    for (CompletableFuture<JsonNode> response : responses) {
+      words.add(statusOf(response.get()));
     }
     assertThat(words).containsExactlyInAnyOrder("granted", "refused");
   }
@@ -196,7 +199,7 @@
     JsonNode other = faultTest.operator().submit(drainEntry("host", "h2"), id, 0, TIMEOUT_MILLIS);
     faultTest.replica(leader).start();
     assertThat(statusOf(again)).isEqualTo("granted");
-    assertThat(statusOf(other)).as("the id was used for something else").isEqualTo("conflict");
+    assertThat(statusOf(other)).as("the call id belongs to another drain").isEqualTo("conflict");
     assertThat(status().path("permits")).hasSize(1);
   }
 
@@ -223,28 +226,32 @@
   @Test
   void followerQueriedUnderIsolatedLeaderRespondsOnceItLeads() throws Exception {
     String cut = faultTest.awaitLeader();
-    List<String> others = List.of("k1", "k2", "k3").stream().filter(k -> !k.equals(cut)).toList();
+    List<String> others =
+        List.of("k1", "k2", "k3").stream().filter(replica -> !replica.equals(cut)).toList();
     faultTest.isolate(cut);
-    List<CompletableFuture<JsonNode>> asked = new ArrayList<>();
+    List<CompletableFuture<JsonNode>> responses = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      for (String k : others) {
-        asked.add(
+      for (String replica : others) {
+        responses.add(
             CompletableFuture.supplyAsync(
                 () ->
                     faultTest
-                        .operatorAt(k)
+                        .operatorAt(replica)
                         .query(MAPPER.createObjectNode().put("op", "status"), 0, 100),
                 CLIENT_POOL));
       }
       Thread.sleep(20);
     }
-    asked.forEach(CompletableFuture::join);
+    responses.forEach(CompletableFuture::join);
     String[] leads = new String[1];
     await(
         () -> {
-          for (String k : others) {
-            JsonNode h = health(k);
-            leads[0] = h != null && h.path("role").asText().equals("leader") ? k : leads[0];
+          for (String replica : others) {
+            JsonNode health = health(replica);
+            leads[0] =
+                health != null && health.path("role").asText().equals("leader")
+                    ? replica
+                    : leads[0];
           }
           return leads[0] != null;
         });
@@ -263,13 +270,15 @@
     String leader = faultTest.awaitLeader();
     ObjectNode renew =
         MAPPER.createObjectNode().put("op", "renew").put("name", "p1").put("session", 1);
-    for (String k : List.of("k1", "k2", "k3")) {
-      for (ObjectNode q : List.of(MAPPER.createObjectNode().put("op", "status"), renew)) {
-        JsonNode o =
+    for (String replica : List.of("k1", "k2", "k3")) {
+      for (ObjectNode request : List.of(MAPPER.createObjectNode().put("op", "status"), renew)) {
+        JsonNode outcome =
             Operator.queryOnce(
-                faultTest.replicaAddress(k), q.put("id", 1).put("fleet", faultTest.fleet()));
-        assertThat(o).as("%s, %s leads", k, leader).isNotNull();
-        assertThat(o.path("redirect").asText()).isEqualTo(k.equals(leader) ? "" : leader);
+                faultTest.replicaAddress(replica),
+                request.put("id", 1).put("fleet", faultTest.fleet()));
+        assertThat(outcome).as("%s, %s leads", replica, leader).isNotNull();
+        assertThat(outcome.path("redirect").asText())
+            .isEqualTo(replica.equals(leader) ? "" : leader);
       }
     }
   }
@@ -282,7 +291,7 @@
     undo(granted.path("permit").asText());
     await(() -> outReason("proxies", "p1").startsWith("lost"));
     assertThat(statusOf(drain("proxy", "p2")))
-        .as("who is lost uses the budget up")
+        .as("a lost proxy uses up the budget")
         .isEqualTo("refused");
     Set<Boolean> seen = new TreeSet<>();
     faultTest.proxy("p1").resume();
@@ -319,15 +328,15 @@
   void restartOfAllReplicasKeepsStateAndRequestsAreServedMeanwhile() throws Exception {
     JsonNode granted = drain("proxy", "p1");
     await(() -> faultTest.reportsNotServing("p1"));
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.replica(k).kill();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.replica(replica).kill();
     }
     for (int i = 0; i < 50; i++) {
       assertThat(request("p" + (2 + i % 3), "gone-" + i)).isEqualTo(200);
     }
     assertThat(faultTest.reportsNotServing("p1")).isTrue();
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.replica(k).start();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.replica(replica).start();
     }
     assertThat(statusOf(drain("proxy", "p2"))).isEqualTo("refused");
     assertThat(status().path("permits").path(0).path("id")).isEqualTo(granted.path("permit"));
@@ -357,40 +366,40 @@
     for (int i = 0; i < 100; i++) {
       assertThat(request("p" + (1 + i % 2), "beside-" + i)).isEqualTo(200);
     }
-    Set<String> at = new TreeSet<>();
+    Set<String> upstreams = new TreeSet<>();
     faultTest
         .executions()
         .forEach(
             (id, runs) -> {
               if (id.startsWith("after-") || id.startsWith("beside-")) {
-                runs.forEach(r -> at.add(r.upstream()));
+                runs.forEach(r -> upstreams.add(r.upstream()));
               }
             });
-    assertThat(at).doesNotContain("h1").hasSize(3);
+    assertThat(upstreams).doesNotContain("h1").hasSize(3);
   }
 
   @Test
   void concurrentDrainsGrantOnlyOne() throws Exception {
-    List<CompletableFuture<String>> asked = new ArrayList<>();
+    List<CompletableFuture<String>> responses = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      int n = i;
-      asked.add(
+      int number = i;
+      responses.add(
           CompletableFuture.supplyAsync(
               () ->
                   statusOf(
                       faultTest
                           .operator()
                           .submit(
-                              drainEntry("host", "h" + (1 + n % 4)),
+                              drainEntry("host", "h" + (1 + number % 4)),
                               nextCallId(),
-                              n,
+                              number,
                               TIMEOUT_MILLIS))));
     }
     int granted = 0;
-    for (CompletableFuture<String> f : asked) {
-      String w = f.get();
-      assertThat(w).isIn("granted", "refused");
-      granted += w.equals("granted") ? 1 : 0;
+    for (CompletableFuture<String> response : responses) {
+      String status = response.get();
+      assertThat(status).isIn("granted", "refused");
+      granted += status.equals("granted") ? 1 : 0;
     }
     assertThat(granted).isEqualTo(1);
   }
@@ -401,17 +410,19 @@
     for (int i = 0; i < 80; i++) {
       assertThat(statusOf(drain("host", "h2"))).isEqualTo("refused");
     }
-    for (String k : List.of("k1", "k2", "k3")) {
-      try (var all = Files.walk(folder.resolve(k))) {
+    for (String replica : List.of("k1", "k2", "k3")) {
+      try (var all = Files.walk(folder.resolve(replica))) {
         assertThat(
-                all.anyMatch(f -> f.getFileName().toString().matches("snapshot\\.[0-9]+_[0-9]+")))
-            .as(k)
+                all.anyMatch(
+                    response ->
+                        response.getFileName().toString().matches("snapshot\\.[0-9]+_[0-9]+")))
+            .as(replica)
             .isTrue();
       }
-      faultTest.replica(k).kill();
+      faultTest.replica(replica).kill();
     }
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.replica(k).start();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.replica(replica).start();
     }
     assertThat(status().path("permits").path(0).path("id").asText()).isEqualTo(permit);
     assertThat(statusOf(drain("host", "h2"))).isEqualTo("refused");
@@ -453,15 +464,15 @@
   @Test
   void replicasSuspendedForThreeLeasesExpireNoSession() throws Exception {
     long before = expiredSessions();
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.replica(k).suspend();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.replica(replica).suspend();
     }
     Thread.sleep(3 * FaultTest.LEASE_MILLIS);
     for (int i = 0; i < 20; i++) {
       assertThat(request("p" + (1 + i % 4), "stopped-" + i)).isEqualTo(200);
     }
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.replica(k).resume();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.replica(replica).resume();
     }
     faultTest.awaitLeader();
     Thread.sleep(FaultTest.LEASE_MILLIS);
@@ -476,9 +487,9 @@
     awaitGranted("proxy", "p1");
     Thread.sleep(3 * FaultTest.LEASE_MILLIS);
     faultTest.replica(leader).resume();
-    JsonNode o =
+    JsonNode outcome =
         faultTest.operatorAt(leader).submit(drainEntry("proxy", "p2"), nextCallId(), 0, 500);
-    assertThat(statusOf(o)).isIn("nothing", "refused");
+    assertThat(statusOf(outcome)).isIn("nothing", "refused");
     assertThat(status().path("permits")).hasSize(1);
   }
 
@@ -491,13 +502,15 @@
                 drainEntry("proxy", "p1").put("for_ms", 2_000), nextCallId(), 0, TIMEOUT_MILLIS);
     assertThat(statusOf(granted)).as("%s", granted).isEqualTo("granted");
     await(() -> faultTest.reportsNotServing("p1"));
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.link("p1", k).cut(true, true);
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.link("p1", replica).cut(true, true);
     }
     while (!faultTest.isServing("p1")) {
       assertThat(statusOf(drain("proxy", "p2"))).isEqualTo("refused");
     }
-    assertThat(statusOf(drain("proxy", "p2"))).as("lost now, and counted").isEqualTo("refused");
+    assertThat(statusOf(drain("proxy", "p2")))
+        .as("p1 is lost and uses up the budget")
+        .isEqualTo("refused");
     faultTest.healLinks();
     await(() -> statusOf(drain("proxy", "p2")).equals("granted"));
     assertThat(faultTest.isServing("p1")).isTrue();
@@ -514,8 +527,8 @@
                 "[listener.main]\naddress = \"127.0.0.1:0\""));
     Path log = folder.resolve("p1-second.log");
     List<String> command = ManagedProcess.commandLine(64, "daemon", "--config", second.toString());
-    try (ManagedProcess c = new ManagedProcess("p1-second", command, command, log)) {
-      c.start();
+    try (ManagedProcess process = new ManagedProcess("p1-second", command, command, log)) {
+      process.start();
       await(() -> read(log).contains("in use by a process whose lease is not over"));
       assertThat(read(log)).doesNotContain("ready");
       assertThat(faultTest.isServing("p1")).isTrue();
@@ -533,7 +546,7 @@
     Path log;
     try (var all = Files.walk(folder.resolve(torn))) {
       log =
-          all.filter(f -> f.getFileName().toString().startsWith("log_inprogress"))
+          all.filter(response -> response.getFileName().toString().startsWith("log_inprogress"))
               .findFirst()
               .orElseThrow();
     }
@@ -546,16 +559,16 @@
     faultTest.replica(torn).start();
     await(
         () -> {
-          JsonNode h =
+          JsonNode health =
               faultTest
                   .operatorAt(torn)
                   .query(MAPPER.createObjectNode().put("op", "health"), 0, 500);
-          JsonNode l =
+          JsonNode status =
               faultTest.operator().query(MAPPER.createObjectNode().put("op", "status"), 0, 500);
-          return h != null
-              && l != null
-              && h.path("applied").asLong() > 0
-              && !h.path("leader").asText().isEmpty();
+          return health != null
+              && status != null
+              && health.path("applied").asLong() > 0
+              && !health.path("leader").asText().isEmpty();
         });
     assertThat(status().path("permits")).hasSize(1);
   }
@@ -579,26 +592,26 @@
     for (int i = 0; i < 40; i++) {
       assertThat(request("p2", "woken-" + i)).isEqualTo(200);
     }
-    Set<String> at = new TreeSet<>();
+    Set<String> upstreams = new TreeSet<>();
     faultTest
         .executions()
         .forEach(
             (request, runs) -> {
               if (request.startsWith("woken-")) {
-                runs.forEach(r -> at.add(r.upstream()));
+                runs.forEach(r -> upstreams.add(r.upstream()));
               }
             });
-    assertThat(at).doesNotContain("h3").hasSize(3);
+    assertThat(upstreams).doesNotContain("h3").hasSize(3);
   }
 
   @Test
   void upstreamEjectedByHalfOfProxiesUsesBudget() throws Exception {
     List<String> half = List.of("p1", "p2");
-    half.forEach(p -> faultTest.link(p, "h4").setRefusing(true));
-    AtomicInteger n = new AtomicInteger();
+    half.forEach(proxy -> faultTest.link(proxy, "h4").setRefusing(true));
+    AtomicInteger number = new AtomicInteger();
     await(
         () -> {
-          sendConcurrently(half, "half-" + n.incrementAndGet());
+          sendConcurrently(half, "half-" + number.incrementAndGet());
           return outReason("hosts", "h4").startsWith("ejected by 2");
         });
     JsonNode no = drain("host", "h1");
@@ -607,7 +620,7 @@
     faultTest.healLinks();
     await(
         () -> {
-          sendConcurrently(half, "whole-" + n.incrementAndGet());
+          sendConcurrently(half, "whole-" + number.incrementAndGet());
           return outReason("hosts", "h4").equals("null") || outReason("hosts", "h4").isEmpty();
         });
     assertThat(statusOf(drain("host", "h1"))).isEqualTo("granted");
@@ -620,12 +633,12 @@
   private static void sendConcurrently(List<String> proxies, String id) {
     List<CompletableFuture<Integer>> responses = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      int n = i;
+      int number = i;
       proxies.forEach(
-          p ->
+          proxy ->
               responses.add(
                   CompletableFuture.supplyAsync(
-                      () -> request(p, id + "-" + p + "-" + n), CLIENT_POOL)));
+                      () -> request(proxy, id + "-" + proxy + "-" + number), CLIENT_POOL)));
     }
     responses.forEach(CompletableFuture::join);
   }
@@ -653,7 +666,7 @@
     await(() -> health(full) != null && health(full).path("applied").asLong() > 0);
     String much = "x".repeat(60_000);
     for (int i = 0; i < 12; i++) {
-      JsonNode o =
+      JsonNode outcome =
           faultTest
               .operator()
               .submit(
@@ -661,11 +674,11 @@
                   nextCallId(),
                   i,
                   TIMEOUT_MILLIS);
-      assertThat(statusOf(o)).isEqualTo("unknown");
+      assertThat(statusOf(outcome)).isEqualTo("unknown");
     }
     awaitGranted("host", "h1");
     assertThat(read(folder.resolve(full + ".log")))
-        .as("its log tells of it")
+        .as("error in the log of the replica")
         .contains("File too large");
     faultTest.replica(full).kill();
     faultTest.replica(full).start();
@@ -676,24 +689,24 @@
 
   @Test
   void truncatedAcknowledgementIsIgnored() throws Exception {
-    for (String k : List.of("k1", "k2", "k3")) {
-      faultTest.link("p2", k).truncateNextChunk();
+    for (String replica : List.of("k1", "k2", "k3")) {
+      faultTest.link("p2", replica).truncateNextChunk();
     }
     String permit = awaitGranted("host", "h1").path("permit").asText();
     await(() -> permit(permit).path("carried_out").asBoolean());
     for (int i = 0; i < 60; i++) {
       assertThat(request("p2", "middle-" + i)).isEqualTo(200);
     }
-    Set<String> at = new TreeSet<>();
+    Set<String> upstreams = new TreeSet<>();
     faultTest
         .executions()
         .forEach(
             (request, runs) -> {
               if (request.startsWith("middle-")) {
-                runs.forEach(r -> at.add(r.upstream()));
+                runs.forEach(r -> upstreams.add(r.upstream()));
               }
             });
-    assertThat(at).doesNotContain("h1").isNotEmpty();
+    assertThat(upstreams).doesNotContain("h1").isNotEmpty();
   }
 
   @Test
@@ -714,12 +727,12 @@
                   1,
                   List.of(new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000)),
                   "cold" + i + "-"),
-              d -> {}));
+              completed -> {}));
     }
     loads.forEach(LoadGenerator::start);
     undo(permit);
-    for (LoadGenerator l : loads) {
-      l.await();
+    for (LoadGenerator load : loads) {
+      load.await();
     }
     long served = faultTest.upstream("h1").served();
     loads.forEach(LoadGenerator::close);
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -61,7 +61,7 @@
       return; // further tests would only report what the first failure left behind
     }
     earlierTestFailed = true;
-    faultTest.supervisor().setHook((before, deed) -> {});
+    faultTest.supervisor().setHook((before, invocation) -> {});
     faultTest.healLinks();
     drivers.forEach(ManagedProcess::close);
     for (JsonNode release : faultTest.releaseStatus("").path("releases")) {
@@ -75,14 +75,16 @@
     drivers.forEach(ManagedProcess::close);
     faultTest.healAndAwaitRecovery();
     assertThat(faultTest.violations()).isEmpty();
-    assertThat(faultTest.maxProxiesOut()).as("out at once").isLessThanOrEqualTo(1);
+    assertThat(faultTest.maxProxiesOut())
+        .as("proxies out of service at once")
+        .isLessThanOrEqualTo(1);
     earlierTestFailed = false;
   }
 
   @org.junit.jupiter.api.BeforeEach
   void skipAfterFailure() {
     org.junit.jupiter.api.Assumptions.assumeFalse(
-        earlierTestFailed, "a test before it left the rig unsound");
+        earlierTestFailed, "an earlier test failed and left targets out of service");
   }
 
   private static boolean earlierTestFailed;
@@ -182,7 +184,7 @@
           && List.of(targets).contains(invocation.target())) {
         count++;
         assertThat(executed.add(invocation.actionId() + "/" + invocation.version()))
-            .as("action " + invocation + " a second time, of " + invocations)
+            .as("action " + invocation + " was executed twice; all invocations: " + invocations)
             .isTrue();
       }
     }
@@ -204,11 +206,11 @@
   @Test
   void releaseRestartsEachProxyOnceWithinBudget() throws Exception {
     int from = invocationCount();
-    String r = begin("proxy", "p1", "p2", "p3", "p4");
-    String version = faultTest.releaseStatus(r).path("version").asText();
-    ManagedProcess d = drive(r);
-    await("done", () -> state(r).equals("done"));
-    await("the driver ends", () -> !d.isRunning());
+    String release = begin("proxy", "p1", "p2", "p3", "p4");
+    String version = faultTest.releaseStatus(release).path("version").asText();
+    ManagedProcess invocation = drive(release);
+    await("done", () -> state(release).equals("done"));
+    await("the driver ends", () -> !invocation.isRunning());
     assertThat(versions("p1", "p2", "p3", "p4").values()).containsOnly(version);
     assertThat(assertExecutedOnce(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
   }
@@ -216,31 +218,31 @@
   @Test
   void killedDriversAreReplacedWithoutRepeatingActions() throws Exception {
     int from = invocationCount();
-    String r = begin("host", "h1", "h2");
+    String release = begin("host", "h1", "h2");
     AtomicInteger killed = new AtomicInteger();
-    ManagedProcess[] now = {drive(r)};
+    ManagedProcess[] now = {drive(release)};
     faultTest
         .supervisor()
         .setHook(
-            (before, deed) -> {
+            (before, invocation) -> {
               // Kills the driver before its first command is executed, and after the second one is
               // executed but before the response is sent.
-              if (deed.verb().equals("command")
+              if (invocation.verb().equals("command")
                   && ((before && killed.get() == 0)
-                      || (!before && killed.get() == 1 && deed.target().equals("h2")))) {
+                      || (!before && killed.get() == 1 && invocation.target().equals("h2")))) {
                 killed.incrementAndGet();
                 now[0].kill();
                 CompletableFuture.runAsync(
                     () -> {
                       try {
-                        now[0] = drive(r);
+                        now[0] = drive(release);
                       } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                       }
                     });
               }
             });
-    await("done", () -> state(r).equals("done"));
+    await("done", () -> state(release).equals("done"));
     assertThat(killed.get()).isEqualTo(2);
     assertThat(assertExecutedOnce(from, "h1", "h2")).isBetween(2, 3);
     assertThat(faultTest.version("h1")).isEqualTo(faultTest.version("h2"));
@@ -248,37 +250,39 @@
 
   @Test
   void commandOfDriverWithExpiredLeaseIsRejectedByFence() throws Exception {
-    String r = begin("host", "h3", "h4");
-    ManagedProcess slow = drive(r);
+    String release = begin("host", "h3", "h4");
+    ManagedProcess slow = drive(release);
     CompletableFuture<ProcessSupervisor.Invocation> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
     faultTest
         .supervisor()
         .setHook(
-            (before, deed) -> {
+            (before, invocation) -> {
               // Holds up the command on its way and suspends the driver until another driver has
               // the lease.
-              if (before && deed.verb().equals("command") && held.complete(deed)) {
+              if (before && invocation.verb().equals("command") && held.complete(invocation)) {
                 slow.suspend();
                 go.join();
               }
             });
     long fence = held.get().fence();
-    drive(r);
-    await("another drives", () -> faultTest.releaseStatus(r).path("fence").asLong() > fence);
+    drive(release);
+    await("another drives", () -> faultTest.releaseStatus(release).path("fence").asLong() > fence);
     await(
         "and goes on",
-        () -> faultTest.supervisor().invocations().stream().anyMatch(d -> d.fence() > fence));
+        () ->
+            faultTest.supervisor().invocations().stream()
+                .anyMatch(invocation -> invocation.fence() > fence));
     go.complete(null);
     slow.resume();
-    await("done", () -> state(r).equals("done"));
+    await("done", () -> state(release).equals("done"));
     assertThat(
             faultTest.supervisor().invocations().stream()
                 .filter(
-                    d ->
-                        d.fence() == fence
-                            && d.target().equals(held.join().target())
-                            && d.verb().equals("command")))
+                    invocation ->
+                        invocation.fence() == fence
+                            && invocation.target().equals(held.join().target())
+                            && invocation.verb().equals("command")))
         .isNotEmpty()
         .allMatch(ProcessSupervisor.Invocation::rejected);
   }
@@ -286,25 +290,27 @@
   @Test
   void haltedReleaseTakesNoTargetOutAndRollsBack() throws Exception {
     String before = faultTest.version("p1");
-    String r = begin("proxy", "p1", "p2", "p3");
+    String release = begin("proxy", "p1", "p2", "p3");
     CompletableFuture<Void> second = new CompletableFuture<>();
     faultTest
         .supervisor()
         .setHook(
-            (b, deed) -> {
-              if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
+            (beforeExecution, invocation) -> {
+              if (beforeExecution
+                  && invocation.verb().equals("command")
+                  && !invocation.target().equals("p1")) {
                 second.complete(null);
               }
             });
-    drive(r);
+    drive(release);
     second.join();
-    assertThat(statusOf(submit("release_halt", r))).isEqualTo("done");
+    assertThat(statusOf(submit("release_halt", release))).isEqualTo("done");
     int then = invocationCount();
     await(
         "what was under way has ended",
         () -> {
-          for (JsonNode t : faultTest.releaseStatus(r).path("targets")) {
-            if (!t.path("phase").asText().equals("in")) {
+          for (JsonNode target : faultTest.releaseStatus(release).path("targets")) {
+            if (!target.path("phase").asText().equals("in")) {
               return false;
             }
           }
@@ -313,29 +319,30 @@
     Thread.sleep(1_000);
     assertThat(
             faultTest.supervisor().invocations().subList(then, invocationCount()).stream()
-                .filter(d -> d.verb().equals("command"))
+                .filter(invocation -> invocation.verb().equals("command"))
                 .map(ProcessSupervisor.Invocation::target))
         .doesNotContain("p3");
-    assertThat(state(r)).isEqualTo("halted");
-    assertThat(statusOf(submit("release_back", r))).isEqualTo("done");
-    await("returned", () -> state(r).equals("returned"));
+    assertThat(state(release)).isEqualTo("halted");
+    assertThat(statusOf(submit("release_back", release))).isEqualTo("done");
+    await("returned", () -> state(release).equals("returned"));
     assertThat(versions("p1", "p2", "p3").values()).containsOnly(before);
   }
 
   @Test
   void versionThatFailsToStartHaltsReleaseAndRollbackRecovers() throws Exception {
     String before = faultTest.version("p1");
-    String r = "r" + IDS.incrementAndGet();
+    String release = "r" + IDS.incrementAndGet();
     begin(
         faultTest
-            .releasePlan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+            .releasePlan(
+                release, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
             .put("action_ms", 9_000));
-    drive(r);
-    await("halted", () -> state(r).equals("halted"));
-    assertThat(faultTest.releaseStatus(r).path("state_why").asText()).contains("p1");
+    drive(release);
+    await("halted", () -> state(release).equals("halted"));
+    assertThat(faultTest.releaseStatus(release).path("state_why").asText()).contains("p1");
     assertThat(faultTest.version("p2")).isEqualTo(before);
-    submit("release_back", r);
-    await("returned", () -> state(r).equals("returned"));
+    submit("release_back", release);
+    await("returned", () -> state(release).equals("returned"));
     assertThat(faultTest.version("p1")).isEqualTo(before);
     await("serves", () -> faultTest.isServing("p1"));
   }
@@ -343,18 +350,18 @@
   @Test
   void leaderChangesAndLostMajorityRepeatNoAction() throws Exception {
     int from = invocationCount();
-    String r = begin("proxy", "p1", "p2", "p3", "p4");
+    String release = begin("proxy", "p1", "p2", "p3", "p4");
     AtomicInteger commands = new AtomicInteger();
     faultTest
         .supervisor()
         .setHook(
-            (before, deed) -> {
-              if (before && deed.verb().equals("command")) {
+            (before, invocation) -> {
+              if (before && invocation.verb().equals("command")) {
                 CompletableFuture.runAsync(() -> disturbReplicas(commands.incrementAndGet()));
               }
             });
-    drive(r);
-    await("done", () -> state(r).equals("done"));
+    drive(release);
+    await("done", () -> state(release).equals("done"));
     assertThat(commands.get()).isGreaterThanOrEqualTo(4);
     assertExecutedOnce(from, "p1", "p2", "p3", "p4");
   }
@@ -364,9 +371,9 @@
       String leader = faultTest.awaitLeader();
       if (commandNumber == 2) {
         List<String> majority = List.of("k1", "k2");
-        majority.forEach(k -> faultTest.replica(k).suspend());
+        majority.forEach(replica -> faultTest.replica(replica).suspend());
         Thread.sleep(2L * FaultTest.LEASE_MILLIS);
-        majority.forEach(k -> faultTest.replica(k).resume());
+        majority.forEach(replica -> faultTest.replica(replica).resume());
       } else {
         faultTest.replica(leader).kill();
         Thread.sleep(500);
@@ -380,7 +387,7 @@
   @Test
   void upstreamsAreReplacedUnderLoadWithoutLossOrCollapse() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
-    Set<String> bad = java.util.concurrent.ConcurrentHashMap.newKeySet();
+    Set<String> failedRequests = java.util.concurrent.ConcurrentHashMap.newKeySet();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
@@ -393,32 +400,32 @@
                   1,
                   List.of(new LoadGenerator.RequestKind("all", 1, "POST", "/claim", "", 0, 3_000)),
                   "rel" + i + "-"),
-              d -> {
-                if (d.outcome() != LoadGenerator.Outcome.SERVED
-                    && d.outcome() != LoadGenerator.Outcome.REFUSED) {
-                  bad.add(d.id() + " " + d.outcome());
+              invocation -> {
+                if (invocation.outcome() != LoadGenerator.Outcome.SERVED
+                    && invocation.outcome() != LoadGenerator.Outcome.REFUSED) {
+                  failedRequests.add(invocation.id() + " " + invocation.outcome());
                 }
               }));
     }
     loads.forEach(LoadGenerator::start);
-    int from = invocationCount();
-    String r = begin("host", "h1", "h2", "h3");
-    drive(r);
-    await("done", () -> state(r).equals("done"));
-    for (LoadGenerator l : loads) {
-      l.await();
+    int firstInvocation = invocationCount();
+    String release = begin("host", "h1", "h2", "h3");
+    drive(release);
+    await("done", () -> state(release).equals("done"));
+    for (LoadGenerator load : loads) {
+      load.await();
     }
     loads.forEach(LoadGenerator::close);
-    assertThat(bad).isEmpty();
-    assertThat(assertExecutedOnce(from, "h1", "h2", "h3")).isEqualTo(3);
-    for (String h : List.of("h1", "h2", "h3")) {
-      assertThat(faultTest.upstream(h).hasCollapsed()).as(h).isFalse();
+    assertThat(failedRequests).isEmpty();
+    assertThat(assertExecutedOnce(firstInvocation, "h1", "h2", "h3")).isEqualTo(3);
+    for (String upstream : List.of("h1", "h2", "h3")) {
+      assertThat(faultTest.upstream(upstream).hasCollapsed()).as(upstream).isFalse();
     }
   }
 
   @Test
   void onlyOneOfTwoReleasesOfSameTargetBegins() throws Exception {
-    List<CompletableFuture<String>> asked = new ArrayList<>();
+    List<CompletableFuture<String>> responses = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       ObjectNode plan =
           faultTest.releasePlan(
@@ -427,8 +434,8 @@
               faultTest.version("h1"),
               "v" + IDS.incrementAndGet(),
               List.of(List.of("h1", "h" + (2 + i))));
-      int n = i;
-      asked.add(
+      int number = i;
+      responses.add(
           CompletableFuture.supplyAsync(
               () ->
                   statusOf(
@@ -437,16 +444,16 @@
                           .submit(
                               Operator.entry("release_start").set("plan", plan),
                               "r-call-" + IDS.incrementAndGet(),
-                              n,
+                              number,
                               20_000))));
     }
-    assertThat(List.of(asked.get(0).get(), asked.get(1).get()))
+    assertThat(List.of(responses.get(0).get(), responses.get(1).get()))
         .containsExactlyInAnyOrder("done", "refused");
   }
 
   @Test
   void skippedMemberIsReleasedAfterItsReturn() throws Exception {
-    String r = "r" + IDS.incrementAndGet();
+    String release = "r" + IDS.incrementAndGet();
     String version = "v" + IDS.incrementAndGet();
     faultTest.proxy("p4").kill();
     await(
@@ -467,15 +474,16 @@
                 .equals("lost"));
     begin(
         faultTest
-            .releasePlan(r, "proxy", faultTest.version("p1"), version, List.of(List.of("p1", "p4")))
+            .releasePlan(
+                release, "proxy", faultTest.version("p1"), version, List.of(List.of("p1", "p4")))
             .put("halt_lost", 0)
             .put("on_missing", "skip"));
-    drive(r);
+    drive(release);
     Thread.sleep(1_500);
-    assertThat(state(r)).as("p4 uses the budget up").isEqualTo("running");
+    assertThat(state(release)).as("p4 uses up the budget").isEqualTo("running");
     assertThat(faultTest.version("p1")).isNotEqualTo(version);
     faultTest.proxy("p4").start();
-    await("done", () -> state(r).equals("done"));
+    await("done", () -> state(release).equals("done"));
     assertThat(versions("p1", "p4").values()).containsOnly(version);
   }
 
@@ -494,16 +502,16 @@
                   1,
                   List.of(new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000)),
                   "bad" + IDS.incrementAndGet() + "-"),
-              d -> {}));
+              invocation -> {}));
     }
     loads.forEach(LoadGenerator::start);
     try {
-      String r = "r" + IDS.incrementAndGet();
+      String release = "r" + IDS.incrementAndGet();
       String before = faultTest.version("h1");
       ObjectNode plan =
           faultTest
               .releasePlan(
-                  r,
+                  release,
                   "host",
                   before,
                   FAILING_PREFIX + IDS.incrementAndGet(),
@@ -512,19 +520,19 @@
               .put("halt_lost", 0);
       plan.putObject("guard").put("least_requests", 300).put("wait_ms", 20_000);
       begin(plan);
-      drive(r);
+      drive(release);
       // Either the guard rolls the release back, or so many proxies have ejected the upstream that
       // it counts as lost.
       await(
           "found",
           () ->
-              List.of("halted", "returned").contains(state(r))
-                  || faultTest.releaseStatus(r).path("direction").asText().equals("back"));
-      assertThat(faultTest.releaseStatus(r).path("state_why").asText())
+              List.of("halted", "returned").contains(state(release))
+                  || faultTest.releaseStatus(release).path("direction").asText().equals("back"));
+      assertThat(faultTest.releaseStatus(release).path("state_why").asText())
           .containsAnyOf("bad (", "h1 is new, and lost");
       assertThat(faultTest.version("h2")).isEqualTo(before);
-      submit("release_back", r);
-      await("returned", () -> state(r).equals("returned"));
+      submit("release_back", release);
+      await("returned", () -> state(release).equals("returned"));
       assertThat(faultTest.version("h1")).isEqualTo(before);
     } finally {
       loads.forEach(LoadGenerator::close);
@@ -537,10 +545,10 @@
   void failingCommandsAreTriedThreeTimesAndHaltRelease() throws Exception {
     for (String command :
         List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
-      String r = "r" + IDS.incrementAndGet();
+      String release = "r" + IDS.incrementAndGet();
       ObjectNode plan =
           faultTest.releasePlan(
-              r,
+              release,
               "host",
               faultTest.version("h4"),
               "v" + IDS.incrementAndGet(),
@@ -552,23 +560,23 @@
           .add("-c")
           .add(command);
       begin(plan);
-      drive(r);
-      await("halted: " + command, () -> state(r).equals("halted"));
-      assertThat(faultTest.releaseStatus(r).path("state_why").asText())
+      drive(release);
+      await("halted: " + command, () -> state(release).equals("halted"));
+      assertThat(faultTest.releaseStatus(release).path("state_why").asText())
           .contains("h4 after 3 tries");
       await(
           "h4 was given back as it was",
           () ->
               faultTest
-                  .releaseStatus(r)
+                  .releaseStatus(release)
                   .path("targets")
                   .path(0)
                   .path("phase")
                   .asText()
                   .equals("in"));
-      assertThat(faultTest.releaseStatus(r).path("targets").path(0).path("at").asText())
+      assertThat(faultTest.releaseStatus(release).path("targets").path(0).path("at").asText())
           .isEqualTo("old");
-      assertThat(statusOf(submit("release_end", r))).isEqualTo("done");
+      assertThat(statusOf(submit("release_end", release))).isEqualTo("done");
     }
   }
 }
