--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -24,116 +24,127 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Releases over three replicas and four daemons as processes, one of each kind allowed out, driven
- * by processes, with faults between them. What was done is told by the supervisor that did it, who
- * was out by probes.
+ * Runs releases over three replicas and four daemons as processes, with budgets of one proxy and
+ * one upstream, drivers as processes, and faults between them. Guards against commands that are
+ * executed twice or by a driver without the lease, and against more targets out of service than
+ * allowed. The supervisor's record shows what was executed; probes show which proxies were out of
+ * service.
  */
 class ReleaseProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final long PATIENCE_MS = 40_000;
+  private static final long TIMEOUT_MILLIS = 40_000;
   private static final AtomicInteger IDS = new AtomicInteger();
 
   @TempDir(factory = MemoryTempDirFactory.class)
   private static Path folder;
 
-  private static FaultTest rig;
+  private static FaultTest faultTest;
   private final List<ManagedProcess> drivers = new ArrayList<>();
 
   @BeforeAll
   static void start() throws Exception {
-    rig = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
-    rig.start();
+    faultTest = new FaultTest(new FaultTestPlan(3, 4, 4, 60, 1, Sabotage.NONE, 40), folder);
+    faultTest.start();
   }
 
   @AfterAll
   static void end() throws IOException {
-    rig.close();
+    faultTest.close();
   }
 
-  /** Whatever a test left is brought to its end, forward or not, and all serve. */
+  /**
+   * Ends the releases that a test left open, either way, and waits until all targets are available.
+   */
   @AfterEach
   void settle() throws Exception {
-    if (failed) {
-      return; // one find is enough: what it left would only hide others
+    if (earlierTestFailed) {
+      return; // further tests would only report what the first failure left behind
     }
-    failed = true;
-    rig.supervisor().setHook((before, deed) -> {});
-    rig.healLinks();
+    earlierTestFailed = true;
+    faultTest.supervisor().setHook((before, invocation) -> {});
+    faultTest.healLinks();
     drivers.forEach(ManagedProcess::close);
-    for (JsonNode r : rig.releaseStatus("").path("releases")) {
-      if (!List.of("done", "returned", "ended").contains(r.path("state").asText())) {
-        String name = r.path("name").asText();
-        change("release_back", name);
+    for (JsonNode release : faultTest.releaseStatus("").path("releases")) {
+      if (!List.of("done", "returned", "ended").contains(release.path("state").asText())) {
+        String name = release.path("name").asText();
+        submit("release_back", name);
         drive(name);
         await("returned", () -> state(name).equals("returned"));
       }
     }
     drivers.forEach(ManagedProcess::close);
-    rig.healAndAwaitRecovery();
-    assertThat(rig.violations()).isEmpty();
-    assertThat(rig.maxProxiesOut()).as("out at once").isLessThanOrEqualTo(1);
-    failed = false;
+    faultTest.healAndAwaitRecovery();
+    assertThat(faultTest.violations()).isEmpty();
+    assertThat(faultTest.maxProxiesOut())
+        .as("proxies out of service at once")
+        .isLessThanOrEqualTo(1);
+    earlierTestFailed = false;
   }
 
   @org.junit.jupiter.api.BeforeEach
-  void sound() {
-    org.junit.jupiter.api.Assumptions.assumeFalse(failed, "a test before it left the rig unsound");
+  void skipAfterFailure() {
+    org.junit.jupiter.api.Assumptions.assumeFalse(
+        earlierTestFailed, "an earlier test failed and left targets out of service");
   }
 
-  private static boolean failed;
+  private static boolean earlierTestFailed;
 
-  private static void await(String what, BooleanSupplier c) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (!c.getAsBoolean()) {
+  private static void await(String what, BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
+    while (!condition.getAsBoolean()) {
       assertThat(System.nanoTime())
-          .as("within " + PATIENCE_MS + " ms: " + what + "; " + said())
-          .isLessThan(until);
+          .as("within " + TIMEOUT_MILLIS + " ms: " + what + "; " + driverLogTails())
+          .isLessThan(deadlineNanos);
       Thread.sleep(20);
     }
   }
 
-  private static String said() {
+  private static String driverLogTails() {
     try (var logs = Files.list(folder)) {
-      StringBuilder s = new StringBuilder();
+      StringBuilder text = new StringBuilder();
       for (Path log :
           logs.filter(f -> f.getFileName().toString().matches("d[0-9]+\\.log")).sorted().toList()) {
         List<String> lines = Files.readAllLines(log);
-        s.append('\n')
+        text.append('\n')
             .append(log.getFileName())
             .append(": ")
             .append(lines.subList(Math.max(0, lines.size() - 8), lines.size()));
       }
-      return s.toString();
+      return text.toString();
     } catch (IOException e) {
       return e.toString();
     }
   }
 
-  private static JsonNode change(String op, String release) {
-    return rig.operator()
+  private static JsonNode submit(String operation, String release) {
+    return faultTest
+        .operator()
         .submit(
-            Operator.entry(op).put("release", release),
+            Operator.entry(operation).put("release", release),
             "r-call-" + IDS.incrementAndGet(),
             0,
             20_000);
   }
 
-  private static String word(JsonNode o) {
-    return o == null ? "nothing" : o.path("status").asText();
+  private static String statusOf(JsonNode outcome) {
+    return outcome == null ? "nothing" : outcome.path("status").asText();
   }
 
   private static String state(String release) {
-    return rig.releaseStatus(release).path("state").asText();
+    return faultTest.releaseStatus(release).path("state").asText();
   }
 
-  /** A release of these, which all must be of one version, to the next; its name. */
-  private static String begin(String of, String... targets) {
+  /**
+   * Begins a release of the targets, which must all have the same version, to a new version.
+   * Returns the name of the release.
+   */
+  private static String begin(String kind, String... targets) {
     String name = "r" + IDS.incrementAndGet();
     ObjectNode plan =
-        rig.releasePlan(
+        faultTest.releasePlan(
             name,
-            of,
-            rig.version(targets[0]),
+            kind,
+            faultTest.version(targets[0]),
             "v" + IDS.incrementAndGet(),
             List.of(List.of(targets)));
     begin(plan);
@@ -141,152 +152,165 @@
   }
 
   private static void begin(ObjectNode plan) {
-    JsonNode o =
-        rig.operator()
+    JsonNode outcome =
+        faultTest
+            .operator()
             .submit(
                 Operator.entry("release_start").set("plan", plan),
                 "r-call-" + IDS.incrementAndGet(),
                 0,
                 20_000);
-    assertThat(word(o)).as(String.valueOf(o)).isEqualTo("done");
+    assertThat(statusOf(outcome)).as(String.valueOf(outcome)).isEqualTo("done");
   }
 
   private ManagedProcess drive(String release) throws IOException {
-    ManagedProcess c = rig.startDriver("d" + IDS.incrementAndGet(), release);
-    drivers.add(c);
-    return c;
+    ManagedProcess driver = faultTest.startDriver("d" + IDS.incrementAndGet(), release);
+    drivers.add(driver);
+    return driver;
   }
 
-  /** That each action of these targets was carried out once, and how many there were. */
-  private static int onceEach(int from, String... targets) {
-    Set<String> seen = new HashSet<>();
-    int n = 0;
-    List<ProcessSupervisor.Invocation> deeds = rig.supervisor().invocations();
-    for (ProcessSupervisor.Invocation d : deeds.subList(from, deeds.size())) {
-      if (d.verb().equals("command") && !d.rejected() && List.of(targets).contains(d.target())) {
-        n++;
-        assertThat(seen.add(d.actionId() + "/" + d.version()))
-            .as("action " + d + " a second time, of " + deeds)
+  /**
+   * Asserts that each action on the targets was executed at most once. Returns the number of
+   * executed actions.
+   */
+  private static int assertExecutedOnce(int firstInvocation, String... targets) {
+    Set<String> executed = new HashSet<>();
+    int count = 0;
+    List<ProcessSupervisor.Invocation> invocations = faultTest.supervisor().invocations();
+    for (ProcessSupervisor.Invocation invocation :
+        invocations.subList(firstInvocation, invocations.size())) {
+      if (invocation.verb().equals("command")
+          && !invocation.rejected()
+          && List.of(targets).contains(invocation.target())) {
+        count++;
+        assertThat(executed.add(invocation.actionId() + "/" + invocation.version()))
+            .as("action " + invocation + " was executed twice; all invocations: " + invocations)
             .isTrue();
       }
     }
-    return n;
+    return count;
   }
 
-  private static int deeds() {
-    return rig.supervisor().invocations().size();
+  private static int invocationCount() {
+    return faultTest.supervisor().invocations().size();
   }
 
   private static Map<String, String> versions(String... targets) {
-    Map<String, String> out = new TreeMap<>();
-    for (String t : targets) {
-      out.put(t, rig.version(t));
+    Map<String, String> versions = new TreeMap<>();
+    for (String target : targets) {
+      versions.put(target, faultTest.version(target));
     }
-    return out;
+    return versions;
   }
 
   @Test
-  void eachProxyIsRestartedOnceAndNeverMoreAreOutThanAllowed() throws Exception {
-    int from = deeds();
-    String r = begin("proxy", "p1", "p2", "p3", "p4");
-    String version = rig.releaseStatus(r).path("version").asText();
-    ManagedProcess d = drive(r);
-    await("done", () -> state(r).equals("done"));
-    await("the driver ends", () -> !d.isRunning());
+  void releaseRestartsEachProxyOnceWithinBudget() throws Exception {
+    int from = invocationCount();
+    String release = begin("proxy", "p1", "p2", "p3", "p4");
+    String version = faultTest.releaseStatus(release).path("version").asText();
+    ManagedProcess invocation = drive(release);
+    await("done", () -> state(release).equals("done"));
+    await("the driver ends", () -> !invocation.isRunning());
     assertThat(versions("p1", "p2", "p3", "p4").values()).containsOnly(version);
-    assertThat(onceEach(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
+    assertThat(assertExecutedOnce(from, "p1", "p2", "p3", "p4")).isEqualTo(4);
   }
 
   @Test
-  void aDriverKilledBeforeAndAfterEachCommandIsFollowedAndNothingIsDoneTwice() throws Exception {
-    int from = deeds();
-    String r = begin("host", "h1", "h2");
+  void killedDriversAreReplacedWithoutRepeatingActions() throws Exception {
+    int from = invocationCount();
+    String release = begin("host", "h1", "h2");
     AtomicInteger killed = new AtomicInteger();
-    ManagedProcess[] now = {drive(r)};
-    rig.supervisor()
+    ManagedProcess[] now = {drive(release)};
+    faultTest
+        .supervisor()
         .setHook(
-            (before, deed) -> {
-              // Before the first command is carried out, and right after the second one, with no
-              // answer given.
-              if (deed.verb().equals("command")
+            (before, invocation) -> {
+              // Kills the driver before its first command is executed, and after the second one is
+              // executed but before the response is sent.
+              if (invocation.verb().equals("command")
                   && ((before && killed.get() == 0)
-                      || (!before && killed.get() == 1 && deed.target().equals("h2")))) {
+                      || (!before && killed.get() == 1 && invocation.target().equals("h2")))) {
                 killed.incrementAndGet();
                 now[0].kill();
                 CompletableFuture.runAsync(
                     () -> {
                       try {
-                        now[0] = drive(r);
+                        now[0] = drive(release);
                       } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                       }
                     });
               }
             });
-    await("done", () -> state(r).equals("done"));
+    await("done", () -> state(release).equals("done"));
     assertThat(killed.get()).isEqualTo(2);
-    assertThat(onceEach(from, "h1", "h2")).isBetween(2, 3);
-    assertThat(rig.version("h1")).isEqualTo(rig.version("h2"));
+    assertThat(assertExecutedOnce(from, "h1", "h2")).isBetween(2, 3);
+    assertThat(faultTest.version("h1")).isEqualTo(faultTest.version("h2"));
   }
 
   @Test
-  void aDriverStoppedInTheMiddleOfAnActionForLongerThanItsLeaseIsTurnedAwayByItsFence()
-      throws Exception {
-    String r = begin("host", "h3", "h4");
-    ManagedProcess slow = drive(r);
+  void commandOfDriverWithExpiredLeaseIsRejectedByFence() throws Exception {
+    String release = begin("host", "h3", "h4");
+    ManagedProcess slow = drive(release);
     CompletableFuture<ProcessSupervisor.Invocation> held = new CompletableFuture<>();
     CompletableFuture<Void> go = new CompletableFuture<>();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
-            (before, deed) -> {
-              // Its command is on its way and is held up, and the driver stands still, until
-              // another one has the lead.
-              if (before && deed.verb().equals("command") && held.complete(deed)) {
+            (before, invocation) -> {
+              // Holds up the command on its way and suspends the driver until another driver has
+              // the lease.
+              if (before && invocation.verb().equals("command") && held.complete(invocation)) {
                 slow.suspend();
                 go.join();
               }
             });
     long fence = held.get().fence();
-    drive(r);
-    await("another drives", () -> rig.releaseStatus(r).path("fence").asLong() > fence);
+    drive(release);
+    await("another drives", () -> faultTest.releaseStatus(release).path("fence").asLong() > fence);
     await(
         "and goes on",
-        () -> rig.supervisor().invocations().stream().anyMatch(d -> d.fence() > fence));
+        () ->
+            faultTest.supervisor().invocations().stream()
+                .anyMatch(invocation -> invocation.fence() > fence));
     go.complete(null);
     slow.resume();
-    await("done", () -> state(r).equals("done"));
+    await("done", () -> state(release).equals("done"));
     assertThat(
-            rig.supervisor().invocations().stream()
+            faultTest.supervisor().invocations().stream()
                 .filter(
-                    d ->
-                        d.fence() == fence
-                            && d.target().equals(held.join().target())
-                            && d.verb().equals("command")))
+                    invocation ->
+                        invocation.fence() == fence
+                            && invocation.target().equals(held.join().target())
+                            && invocation.verb().equals("command")))
         .isNotEmpty()
         .allMatch(ProcessSupervisor.Invocation::rejected);
   }
 
   @Test
-  void afterAHaltNobodyNewGoesOutAndTheWayBackBringsAllBack() throws Exception {
-    String before = rig.version("p1");
-    String r = begin("proxy", "p1", "p2", "p3");
+  void haltedReleaseTakesNoTargetOutAndRollsBack() throws Exception {
+    String before = faultTest.version("p1");
+    String release = begin("proxy", "p1", "p2", "p3");
     CompletableFuture<Void> second = new CompletableFuture<>();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
-            (b, deed) -> {
-              if (b && deed.verb().equals("command") && !deed.target().equals("p1")) {
+            (beforeExecution, invocation) -> {
+              if (beforeExecution
+                  && invocation.verb().equals("command")
+                  && !invocation.target().equals("p1")) {
                 second.complete(null);
               }
             });
-    drive(r);
+    drive(release);
     second.join();
-    assertThat(word(change("release_halt", r))).isEqualTo("done");
-    int then = deeds();
+    assertThat(statusOf(submit("release_halt", release))).isEqualTo("done");
+    int then = invocationCount();
     await(
         "what was under way has ended",
         () -> {
-          for (JsonNode t : rig.releaseStatus(r).path("targets")) {
-            if (!t.path("phase").asText().equals("in")) {
+          for (JsonNode target : faultTest.releaseStatus(release).path("targets")) {
+            if (!target.path("phase").asText().equals("in")) {
               return false;
             }
           }
@@ -294,64 +318,66 @@
         });
     Thread.sleep(1_000);
     assertThat(
-            rig.supervisor().invocations().subList(then, deeds()).stream()
-                .filter(d -> d.verb().equals("command"))
+            faultTest.supervisor().invocations().subList(then, invocationCount()).stream()
+                .filter(invocation -> invocation.verb().equals("command"))
                 .map(ProcessSupervisor.Invocation::target))
         .doesNotContain("p3");
-    assertThat(state(r)).isEqualTo("halted");
-    assertThat(word(change("release_back", r))).isEqualTo("done");
-    await("returned", () -> state(r).equals("returned"));
+    assertThat(state(release)).isEqualTo("halted");
+    assertThat(statusOf(submit("release_back", release))).isEqualTo("done");
+    await("returned", () -> state(release).equals("returned"));
     assertThat(versions("p1", "p2", "p3").values()).containsOnly(before);
   }
 
   @Test
-  void aVersionThatDoesNotComeUpHaltsTheReleaseAtTheFirstAndTheWayBackMendsIt() throws Exception {
-    String before = rig.version("p1");
-    String r = "r" + IDS.incrementAndGet();
+  void versionThatFailsToStartHaltsReleaseAndRollbackRecovers() throws Exception {
+    String before = faultTest.version("p1");
+    String release = "r" + IDS.incrementAndGet();
     begin(
-        rig.releasePlan(r, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
+        faultTest
+            .releasePlan(
+                release, "proxy", before, FaultTest.BROKEN_VERSION, List.of(List.of("p1", "p2")))
             .put("action_ms", 9_000));
-    drive(r);
-    await("halted", () -> state(r).equals("halted"));
-    assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("p1");
-    assertThat(rig.version("p2")).isEqualTo(before);
-    change("release_back", r);
-    await("returned", () -> state(r).equals("returned"));
-    assertThat(rig.version("p1")).isEqualTo(before);
-    await("serves", () -> rig.isServing("p1"));
+    drive(release);
+    await("halted", () -> state(release).equals("halted"));
+    assertThat(faultTest.releaseStatus(release).path("state_why").asText()).contains("p1");
+    assertThat(faultTest.version("p2")).isEqualTo(before);
+    submit("release_back", release);
+    await("returned", () -> state(release).equals("returned"));
+    assertThat(faultTest.version("p1")).isEqualTo(before);
+    await("serves", () -> faultTest.isServing("p1"));
   }
 
   @Test
-  void theLeadersChangeInEveryStepAndAMajorityLostInTheMiddleLoseAndRepeatNothing()
-      throws Exception {
-    int from = deeds();
-    String r = begin("proxy", "p1", "p2", "p3", "p4");
+  void leaderChangesAndLostMajorityRepeatNoAction() throws Exception {
+    int from = invocationCount();
+    String release = begin("proxy", "p1", "p2", "p3", "p4");
     AtomicInteger commands = new AtomicInteger();
-    rig.supervisor()
+    faultTest
+        .supervisor()
         .setHook(
-            (before, deed) -> {
-              if (before && deed.verb().equals("command")) {
-                CompletableFuture.runAsync(() -> disturb(commands.incrementAndGet()));
+            (before, invocation) -> {
+              if (before && invocation.verb().equals("command")) {
+                CompletableFuture.runAsync(() -> disturbReplicas(commands.incrementAndGet()));
               }
             });
-    drive(r);
-    await("done", () -> state(r).equals("done"));
+    drive(release);
+    await("done", () -> state(release).equals("done"));
     assertThat(commands.get()).isGreaterThanOrEqualTo(4);
-    onceEach(from, "p1", "p2", "p3", "p4");
+    assertExecutedOnce(from, "p1", "p2", "p3", "p4");
   }
 
-  private static void disturb(int n) {
+  private static void disturbReplicas(int commandNumber) {
     try {
-      String leader = rig.awaitLeader();
-      if (n == 2) {
-        List<String> two = List.of("k1", "k2");
-        two.forEach(k -> rig.replica(k).suspend());
+      String leader = faultTest.awaitLeader();
+      if (commandNumber == 2) {
+        List<String> majority = List.of("k1", "k2");
+        majority.forEach(replica -> faultTest.replica(replica).suspend());
         Thread.sleep(2L * FaultTest.LEASE_MILLIS);
-        two.forEach(k -> rig.replica(k).resume());
+        majority.forEach(replica -> faultTest.replica(replica).resume());
       } else {
-        rig.replica(leader).kill();
+        faultTest.replica(leader).kill();
         Thread.sleep(500);
-        rig.replica(leader).start();
+        faultTest.replica(leader).start();
       }
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
@@ -359,14 +385,14 @@
   }
 
   @Test
-  void hostsAreReplacedUnderLoadWithNoRequestLostAndNoneColdPushedOver() throws Exception {
+  void upstreamsAreReplacedUnderLoadWithoutLossOrCollapse() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
-    Set<String> bad = java.util.concurrent.ConcurrentHashMap.newKeySet();
+    Set<String> failedRequests = java.util.concurrent.ConcurrentHashMap.newKeySet();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.proxyAddress("p" + i),
+                  faultTest.proxyAddress("p" + i),
                   30,
                   0,
                   15,
@@ -374,65 +400,67 @@
                   1,
                   List.of(new LoadGenerator.RequestKind("all", 1, "POST", "/claim", "", 0, 3_000)),
                   "rel" + i + "-"),
-              d -> {
-                if (d.outcome() != LoadGenerator.Outcome.SERVED
-                    && d.outcome() != LoadGenerator.Outcome.REFUSED) {
-                  bad.add(d.id() + " " + d.outcome());
+              invocation -> {
+                if (invocation.outcome() != LoadGenerator.Outcome.SERVED
+                    && invocation.outcome() != LoadGenerator.Outcome.REFUSED) {
+                  failedRequests.add(invocation.id() + " " + invocation.outcome());
                 }
               }));
     }
     loads.forEach(LoadGenerator::start);
-    int from = deeds();
-    String r = begin("host", "h1", "h2", "h3");
-    drive(r);
-    await("done", () -> state(r).equals("done"));
-    for (LoadGenerator l : loads) {
-      l.await();
+    int firstInvocation = invocationCount();
+    String release = begin("host", "h1", "h2", "h3");
+    drive(release);
+    await("done", () -> state(release).equals("done"));
+    for (LoadGenerator load : loads) {
+      load.await();
     }
     loads.forEach(LoadGenerator::close);
-    assertThat(bad).isEmpty();
-    assertThat(onceEach(from, "h1", "h2", "h3")).isEqualTo(3);
-    for (String h : List.of("h1", "h2", "h3")) {
-      assertThat(rig.upstream(h).hasCollapsed()).as(h).isFalse();
+    assertThat(failedRequests).isEmpty();
+    assertThat(assertExecutedOnce(firstInvocation, "h1", "h2", "h3")).isEqualTo(3);
+    for (String upstream : List.of("h1", "h2", "h3")) {
+      assertThat(faultTest.upstream(upstream).hasCollapsed()).as(upstream).isFalse();
     }
   }
 
   @Test
-  void ofTwoReleasesThatWantOneTargetOneBegins() throws Exception {
-    List<CompletableFuture<String>> asked = new ArrayList<>();
+  void onlyOneOfTwoReleasesOfSameTargetBegins() throws Exception {
+    List<CompletableFuture<String>> responses = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       ObjectNode plan =
-          rig.releasePlan(
+          faultTest.releasePlan(
               "twin" + IDS.incrementAndGet(),
               "host",
-              rig.version("h1"),
+              faultTest.version("h1"),
               "v" + IDS.incrementAndGet(),
               List.of(List.of("h1", "h" + (2 + i))));
-      int n = i;
-      asked.add(
+      int number = i;
+      responses.add(
           CompletableFuture.supplyAsync(
               () ->
-                  word(
-                      rig.operator()
+                  statusOf(
+                      faultTest
+                          .operator()
                           .submit(
                               Operator.entry("release_start").set("plan", plan),
                               "r-call-" + IDS.incrementAndGet(),
-                              n,
+                              number,
                               20_000))));
     }
-    assertThat(List.of(asked.get(0).get(), asked.get(1).get()))
+    assertThat(List.of(responses.get(0).get(), responses.get(1).get()))
         .containsExactlyInAnyOrder("done", "refused");
   }
 
   @Test
-  void aMemberThatWasDownAndComesBackWithTheOldVersionIsChangedThen() throws Exception {
-    String r = "r" + IDS.incrementAndGet();
+  void skippedMemberIsReleasedAfterItsReturn() throws Exception {
+    String release = "r" + IDS.incrementAndGet();
     String version = "v" + IDS.incrementAndGet();
-    rig.proxy("p4").kill();
+    faultTest.proxy("p4").kill();
     await(
         "p4 is lost",
         () ->
-            rig.operator()
+            faultTest
+                .operator()
                 .query(
                     MAPPER
                         .createObjectNode()
@@ -445,26 +473,28 @@
                 .asText()
                 .equals("lost"));
     begin(
-        rig.releasePlan(r, "proxy", rig.version("p1"), version, List.of(List.of("p1", "p4")))
+        faultTest
+            .releasePlan(
+                release, "proxy", faultTest.version("p1"), version, List.of(List.of("p1", "p4")))
             .put("halt_lost", 0)
             .put("on_missing", "skip"));
-    drive(r);
+    drive(release);
     Thread.sleep(1_500);
-    assertThat(state(r)).as("p4 uses the budget up").isEqualTo("running");
-    assertThat(rig.version("p1")).isNotEqualTo(version);
-    rig.proxy("p4").start();
-    await("done", () -> state(r).equals("done"));
+    assertThat(state(release)).as("p4 uses up the budget").isEqualTo("running");
+    assertThat(faultTest.version("p1")).isNotEqualTo(version);
+    faultTest.proxy("p4").start();
+    await("done", () -> state(release).equals("done"));
     assertThat(versions("p1", "p4").values()).containsOnly(version);
   }
 
   @Test
-  void whatFailsUnderLoadOnlyIsHaltedAtTheFirstAndTakenBackByItself() throws Exception {
+  void versionFailingUnderLoadIsRolledBackAutomatically() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       loads.add(
           new LoadGenerator(
               new LoadGenerator.Plan(
-                  rig.proxyAddress("p" + i),
+                  faultTest.proxyAddress("p" + i),
                   40,
                   0,
                   40,
@@ -472,52 +502,57 @@
                   1,
                   List.of(new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000)),
                   "bad" + IDS.incrementAndGet() + "-"),
-              d -> {}));
+              invocation -> {}));
     }
     loads.forEach(LoadGenerator::start);
     try {
-      String r = "r" + IDS.incrementAndGet();
-      String before = rig.version("h1");
+      String release = "r" + IDS.incrementAndGet();
+      String before = faultTest.version("h1");
       ObjectNode plan =
-          rig.releasePlan(
-                  r,
+          faultTest
+              .releasePlan(
+                  release,
                   "host",
                   before,
-                  FAILING + IDS.incrementAndGet(),
+                  FAILING_PREFIX + IDS.incrementAndGet(),
                   List.of(List.of("h1"), List.of("h2")))
               .put("on_verdict", "back")
               .put("halt_lost", 0);
       plan.putObject("guard").put("least_requests", 300).put("wait_ms", 20_000);
       begin(plan);
-      drive(r);
-      // By the guard, which takes it back; or since so many proxies have ejected it that it counts
-      // as lost.
+      drive(release);
+      // Either the guard rolls the release back, or so many proxies have ejected the upstream that
+      // it counts as lost.
       await(
           "found",
           () ->
-              List.of("halted", "returned").contains(state(r))
-                  || rig.releaseStatus(r).path("direction").asText().equals("back"));
-      assertThat(rig.releaseStatus(r).path("state_why").asText())
+              List.of("halted", "returned").contains(state(release))
+                  || faultTest.releaseStatus(release).path("direction").asText().equals("back"));
+      assertThat(faultTest.releaseStatus(release).path("state_why").asText())
           .containsAnyOf("bad (", "h1 is new, and lost");
-      assertThat(rig.version("h2")).isEqualTo(before);
-      change("release_back", r);
-      await("returned", () -> state(r).equals("returned"));
-      assertThat(rig.version("h1")).isEqualTo(before);
+      assertThat(faultTest.version("h2")).isEqualTo(before);
+      submit("release_back", release);
+      await("returned", () -> state(release).equals("returned"));
+      assertThat(faultTest.version("h1")).isEqualTo(before);
     } finally {
       loads.forEach(LoadGenerator::close);
     }
   }
 
-  private static final String FAILING = FaultTest.FAILING_VERSION;
+  private static final String FAILING_PREFIX = FaultTest.FAILING_VERSION;
 
   @Test
-  void commandsThatHangWriteWithoutEndOrDieAreTriedThreeTimesAndHaltIt() throws Exception {
+  void failingCommandsAreTriedThreeTimesAndHaltRelease() throws Exception {
     for (String command :
         List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
-      String r = "r" + IDS.incrementAndGet();
+      String release = "r" + IDS.incrementAndGet();
       ObjectNode plan =
-          rig.releasePlan(
-              r, "host", rig.version("h4"), "v" + IDS.incrementAndGet(), List.of(List.of("h4")));
+          faultTest.releasePlan(
+              release,
+              "host",
+              faultTest.version("h4"),
+              "v" + IDS.incrementAndGet(),
+              List.of(List.of("h4")));
       ((ObjectNode) plan.path("carry"))
           .put("timeout_ms", 1_000)
           .putArray("command")
@@ -525,14 +560,23 @@
           .add("-c")
           .add(command);
       begin(plan);
-      drive(r);
-      await("halted: " + command, () -> state(r).equals("halted"));
-      assertThat(rig.releaseStatus(r).path("state_why").asText()).contains("h4 after 3 tries");
+      drive(release);
+      await("halted: " + command, () -> state(release).equals("halted"));
+      assertThat(faultTest.releaseStatus(release).path("state_why").asText())
+          .contains("h4 after 3 tries");
       await(
           "h4 was given back as it was",
-          () -> rig.releaseStatus(r).path("targets").path(0).path("phase").asText().equals("in"));
-      assertThat(rig.releaseStatus(r).path("targets").path(0).path("at").asText()).isEqualTo("old");
-      assertThat(word(change("release_end", r))).isEqualTo("done");
+          () ->
+              faultTest
+                  .releaseStatus(release)
+                  .path("targets")
+                  .path(0)
+                  .path("phase")
+                  .asText()
+                  .equals("in"));
+      assertThat(faultTest.releaseStatus(release).path("targets").path(0).path("at").asText())
+          .isEqualTo("old");
+      assertThat(statusOf(submit("release_end", release))).isEqualTo("done");
     }
   }
 }
