--- a/src/test/java/leadferry/cli/CommandsTest.java
+++ b/src/test/java/leadferry/cli/CommandsTest.java
@@ -254,7 +254,7 @@
       awaitLine(log, "ready");
       Files.writeString(configFile, config.replace("pool = \"a\"", "pool = \"b\""));
       signal(daemon, "HUP");
-      awaitLine(log, "not taken");
+      awaitLine(log, "reload rejected");
       Files.writeString(configFile, config.replace("\"r\"", "\"s\""));
       signal(daemon, "HUP");
       awaitLine(log, "version 2 in force");
