--- a/src/main/java/leadferry/proxy/Config.java
+++ b/src/main/java/leadferry/proxy/Config.java
@@ -135,18 +135,20 @@
   PeerAddresses peerAddresses() {
     JsonNode peers = root.path("peers");
     InetSocketAddress listen = Addresses.parse(root.path("peer_listen").asText(""));
-    InetSocketAddress all = Addresses.parse(root.path("peers_all").asText(""));
-    if (!SettingsReader.canMessagePeers(root.path("settings")) || listen == null || all == null) {
+    InetSocketAddress broadcast = Addresses.parse(root.path("peers_all").asText(""));
+    if (!SettingsReader.canMessagePeers(root.path("settings"))
+        || listen == null
+        || broadcast == null) {
       return null;
     }
-    Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
     for (int i = 0; i < peers.size(); i++) {
       InetSocketAddress peer = Addresses.parse(peers.path(i).asText(""));
       if (peer != null && i != settings.proxyIndex()) {
-        numbers.put(peer, i);
+        indexByAddress.put(peer, i);
       }
     }
-    return new PeerAddresses(listen, all, numbers);
+    return new PeerAddresses(listen, broadcast, indexByAddress);
   }
 
   /**
--- a/src/main/java/leadferry/proxy/RequestClassResolver.java
+++ b/src/main/java/leadferry/proxy/RequestClassResolver.java
@@ -84,8 +84,9 @@
     if (current == null) {
       return previous;
     }
-    boolean oldForm = matchesForm(previous, method, keyed) && !matchesForm(current, method, keyed);
-    return oldForm ? previous : current;
+    boolean hasPreviousForm =
+        matchesForm(previous, method, keyed) && !matchesForm(current, method, keyed);
+    return hasPreviousForm ? previous : current;
   }
 
   /** Whether a request has the method of the class, and a key if the class needs one. */
--- a/src/test/java/leadferry/proxy/DiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/DiscoveryTest.java
@@ -465,11 +465,11 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void watchIsOpenedOnceADescriptorIsFree(boolean asked) throws Exception {
-    fixture.pollsDiscovery = asked;
-    ProxyFixture.DiscoveryServer there =
+  void watchIsOpenedOnceADescriptorIsFree(boolean polled) throws Exception {
+    fixture.pollsDiscovery = polled;
+    ProxyFixture.DiscoveryServer server =
         fixture.new DiscoveryServer(41, fixture.new UpstreamHost(h -> ok("done")));
-    Path file = fixture.writeConfig(there.address(), list(40));
+    Path file = fixture.writeConfig(server.address(), list(40));
     Config config = Config.load(Map.of("BALANCER_CONFIG", file.toString()));
     Log quiet = ProxyFixture.discardingLog();
     NioTransport transport = new NioTransport();
@@ -547,15 +547,15 @@
   void firstRequestOfANewProcessUsesTheCurrentList() throws Exception {
     ProxyFixture.UpstreamHost drained = fixture.new UpstreamHost(h -> ok("drained"));
     ProxyFixture.UpstreamHost up = fixture.new UpstreamHost(h -> ok("up"));
-    CountDownLatch answers = new CountDownLatch(1);
-    CountDownLatch asked = new CountDownLatch(1);
+    CountDownLatch responseGate = new CountDownLatch(1);
+    CountDownLatch requested = new CountDownLatch(1);
     ProxyFixture.Server discovery =
         fixture.new Server() {
           @Override
           void serve(Socket socket) throws IOException, InterruptedException {
             ProxyFixture.readMessage(socket.getInputStream());
-            asked.countDown();
-            answers.await();
+            requested.countDown();
+            responseGate.await();
             write(
                 socket,
                 chunk(
@@ -578,7 +578,7 @@
                 throw new IllegalStateException(e);
               }
             });
-    asked.await();
+    requested.await();
     ProxyFixture.await(
         new BooleanSupplier() {
           // a request that used the old list has been sent by then
@@ -589,7 +589,7 @@
             return first.isDone() || System.nanoTime() > until;
           }
         });
-    answers.countDown();
+    responseGate.countDown();
     started.get();
     assertThat(first.get()).endsWith("up");
     assertThat(drained.requests).isEmpty();
--- a/src/test/java/leadferry/proxy/OperationsTest.java
+++ b/src/test/java/leadferry/proxy/OperationsTest.java
@@ -157,8 +157,8 @@
     ProxyFixture.await(
         () -> {
           try {
-            String answer = fixture.sendRequest(HEALTH);
-            return answer.startsWith("HTTP/1.1 200") && !answer.contains("close");
+            String response = fixture.sendRequest(HEALTH);
+            return response.startsWith("HTTP/1.1 200") && !response.contains("close");
           } catch (IOException e) {
             throw new AssertionError(e);
           }
@@ -318,16 +318,16 @@
     fixture.listenPort = port;
     fixture.hotRestart = next;
     fixture.startWithDiscovery(discovery, host);
-    AtomicBoolean over = new AtomicBoolean();
-    List<String> wrong = new CopyOnWriteArrayList<>();
+    AtomicBoolean stopped = new AtomicBoolean();
+    List<String> unexpected = new CopyOnWriteArrayList<>();
     Thread clients =
         new Thread(
             () -> {
-              for (int i = 0; !over.get(); i++) {
+              for (int i = 0; !stopped.get(); i++) {
                 try {
-                  String answer = fixture.sendRequest(atMostOnceRequest("n" + i));
-                  if (answer != null && !answer.endsWith("served")) {
-                    wrong.add(answer);
+                  String response = fixture.sendRequest(atMostOnceRequest("n" + i));
+                  if (response != null && !response.endsWith("served")) {
+                    unexpected.add(response);
                   }
                 } catch (IOException e) {
                   // accepted between the last check and the close of the old socket: reset, and
@@ -340,10 +340,10 @@
     ProxyFixture.await(() -> !old.isListening());
     assertThat(ProxyFixture.isClosedByPeer(kept)).isTrue();
     old.awaitEnd(); // no client is connected to it any more
-    over.set(true);
+    stopped.set(true);
     clients.join();
     assertThat(fixture.sendRequest(atMostOnceRequest("last"))).endsWith("served");
-    assertThat(wrong).isEmpty();
+    assertThat(unexpected).isEmpty();
     next.close();
     old.stop();
   }
--- a/src/test/java/leadferry/proxy/ProxyTest.java
+++ b/src/test/java/leadferry/proxy/ProxyTest.java
@@ -137,12 +137,12 @@
 
   @Test
   void hangupHandlerRuns() throws Exception {
-    CountDownLatch told = new CountDownLatch(1);
-    assertThat(Signals.onHangup(told::countDown)).isTrue();
+    CountDownLatch handled = new CountDownLatch(1);
+    assertThat(Signals.onHangup(handled::countDown)).isTrue();
     new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
         .start()
         .waitFor();
-    assertThat(told.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(handled.await(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   /**
@@ -170,15 +170,15 @@
   void watchedConfigurationFileIsReloadedWithoutASignal() throws Exception {
     fixture.start(fixture.new UpstreamHost(h -> ProxyFixture.ok("before")));
     ProxyFixture.UpstreamHost other = fixture.new UpstreamHost(h -> ProxyFixture.ok("after"));
-    ProxyFixture.DiscoveryServer there = fixture.new DiscoveryServer(50, other);
+    ProxyFixture.DiscoveryServer otherDiscovery = fixture.new DiscoveryServer(50, other);
     Path file = fixture.writeConfig("127.0.0.1:1", "null");
     fixture.proxy.watch(file.toString());
-    fixture.writeConfig(there.address(), there.endpointList());
+    fixture.writeConfig(otherDiscovery.address(), otherDiscovery.endpointList());
     ProxyFixture.await(
         () -> {
           try {
-            String answer = fixture.sendRequest(atMostOnceRequest("now"));
-            return answer != null && answer.endsWith("after");
+            String response = fixture.sendRequest(atMostOnceRequest("now"));
+            return response != null && response.endsWith("after");
           } catch (IOException e) {
             return false;
           }
@@ -318,23 +318,23 @@
    */
   @Test
   void hostAtCapacityYieldsToAFasterOne() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch responseGate = new CountDownLatch(1);
     ProxyFixture.UpstreamHost[] hosts = new ProxyFixture.UpstreamHost[2];
-    for (int k = 0; k < 2; k++) {
-      int self = k;
-      hosts[k] =
+    for (int index = 0; index < 2; index++) {
+      int hostIndex = index;
+      hosts[index] =
           fixture
           .new UpstreamHost(
               h -> {
                 if (h.contains("learn")) {
-                  awaitRequests(hosts[self], 8);
-                  sleep(self == 0 ? 150 : 5); // about 20 ms or 1 ms per request held
+                  awaitRequests(hosts[hostIndex], 8);
+                  sleep(hostIndex == 0 ? 150 : 5); // about 20 ms or 1 ms per request held
                 } else {
-                  await(go);
+                  await(responseGate);
                 }
                 return ok("served");
               });
-      hosts[k].kind = "k" + k;
+      hosts[index].kind = "k" + index;
     }
     fixture.start(hosts);
     List<Socket> clients = new ArrayList<>();
@@ -343,14 +343,14 @@
       clients.add(socket);
       write(socket, atMostOnceRequest((i < 16 ? "learn" : "then") + i));
       if (i == 15) {
-        for (Socket c : clients) {
-          assertThat(ProxyFixture.readMessage(c.getInputStream())).endsWith("served");
+        for (Socket client : clients) {
+          assertThat(ProxyFixture.readMessage(client.getInputStream())).endsWith("served");
         }
       }
     }
     // Both hosts get equal counts up to 8 or 9, where the slow one is full; the fast one gets more.
     ProxyFixture.await(() -> hosts[0].requests.size() + hosts[1].requests.size() >= 16 + 22);
-    go.countDown();
+    responseGate.countDown();
   }
 
   private static void awaitRequests(ProxyFixture.UpstreamHost host, int count) {
@@ -488,12 +488,12 @@
   void silentConnectionsLeaveRoomForOthers() throws Exception {
     ProxyFixture.UpstreamHost host = fixture.new UpstreamHost(h -> ok("served"));
     fixture.start(host);
-    List<Socket> crowd = new ArrayList<>();
+    List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      crowd.add(fixture.connectClient());
+      silent.add(fixture.connectClient());
     }
     assertThat(fixture.sendRequest(atMostOnceRequest("a"))).endsWith("served");
-    for (Socket socket : crowd) {
+    for (Socket socket : silent) {
       assertThat(ProxyFixture.isClosedByPeer(socket)).isTrue();
       socket.close();
     }
@@ -541,20 +541,20 @@
         "HTTP/9.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
       })
-  void malformedResponseFailsWithoutARetry(String answer) throws Exception {
-    ProxyFixture.UpstreamHost a = fixture.new UpstreamHost(h -> answer);
-    ProxyFixture.UpstreamHost b = fixture.new UpstreamHost(h -> answer);
-    fixture.start(a, b);
+  void malformedResponseFailsWithoutARetry(String response) throws Exception {
+    ProxyFixture.UpstreamHost first = fixture.new UpstreamHost(h -> response);
+    ProxyFixture.UpstreamHost second = fixture.new UpstreamHost(h -> response);
+    fixture.start(first, second);
     assertThat(fixture.sendRequest(atMostOnceRequest("a"))).startsWith("HTTP/1.1 502");
-    assertThat(a.requests.size() + b.requests.size()).isEqualTo(1);
+    assertThat(first.requests.size() + second.requests.size()).isEqualTo(1);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"})
   void surplusBytesAfterAResponseReachNoClient(String surplus) throws Exception {
-    AtomicInteger n = new AtomicInteger();
+    AtomicInteger count = new AtomicInteger();
     ProxyFixture.UpstreamHost host =
-        fixture.new UpstreamHost(h -> ok("answer" + n.incrementAndGet()) + surplus);
+        fixture.new UpstreamHost(h -> ok("answer" + count.incrementAndGet()) + surplus);
     fixture.start(host);
     try (Socket socket = fixture.connectClient()) {
       for (int i = 1; i <= 5; i++) {
@@ -599,13 +599,13 @@
 
   @Test
   void clientErrorsOfAHostAreForwarded() throws Exception {
-    ProxyFixture.UpstreamHost a =
+    ProxyFixture.UpstreamHost host =
         fixture.new UpstreamHost(h -> "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
-    fixture.start(a);
+    fixture.start(host);
     for (int i = 0; i < 10; i++) {
       assertThat(fixture.sendRequest(atMostOnceRequest("a" + i))).startsWith("HTTP/1.1 400");
     }
-    assertThat(a.requests).hasSize(10);
+    assertThat(host.requests).hasSize(10);
   }
 
   /** Each client sends one request and stays connected, as if another request were to follow. */
@@ -613,16 +613,16 @@
   void responsesCloseConnectionsWhenClientsAreMany() throws Exception {
     fixture.start(fixture.new UpstreamHost(h -> ok("served")));
     List<Socket> staying = new ArrayList<>();
-    List<String> answers = new ArrayList<>();
+    List<String> responses = new ArrayList<>();
     for (int i = 0; i < 100; i++) { // there is room for 44, and for what hosts leave of as many
       Socket socket = fixture.connectClient();
       staying.add(socket);
       write(socket, atMostOnceRequest("a" + i));
-      answers.add(ProxyFixture.readMessage(socket.getInputStream()));
+      responses.add(ProxyFixture.readMessage(socket.getInputStream()));
     }
-    assertThat(answers).allSatisfy(a -> assertThat(a).endsWith("served"));
-    assertThat(answers.get(0)).doesNotContain("connection: close");
-    assertThat(answers).filteredOn(a -> !a.contains("connection: close")).hasSizeBetween(40, 78);
+    assertThat(responses).allSatisfy(a -> assertThat(a).endsWith("served"));
+    assertThat(responses.get(0)).doesNotContain("connection: close");
+    assertThat(responses).filteredOn(a -> !a.contains("connection: close")).hasSizeBetween(40, 78);
     for (Socket socket : staying) {
       socket.close();
     }
--- a/src/test/java/leadferry/proxy/RestartsTest.java
+++ b/src/test/java/leadferry/proxy/RestartsTest.java
@@ -39,7 +39,7 @@
   @TempDir Path folder;
   private ProxyFixture fixture;
   private final Queue<String> receivedIds = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger answered = new AtomicInteger();
+  private final AtomicInteger responses = new AtomicInteger();
   private final AtomicInteger served = new AtomicInteger();
   private final AtomicInteger resent = new AtomicInteger();
   private final AtomicInteger lost = new AtomicInteger();
@@ -85,7 +85,7 @@
         if (response == null) {
           lost.incrementAndGet();
         } else {
-          answered.incrementAndGet();
+          responses.incrementAndGet();
           served.addAndGet(response.startsWith("HTTP/1.1 200") ? 1 : 0);
         }
         LockSupport.parkNanos(5_000_000);
@@ -159,8 +159,8 @@
           fixture.writeConfig(discovery.address(), discovery.endpointList()),
           new LineLog(new PrintStream(OutputStream.nullOutputStream()), false));
       draining = false;
-      int enoughOfThis = (i + 1) * REQUESTS / (RESTARTS + 1);
-      ProxyFixture.await(() -> answered.get() + lost.get() >= enoughOfThis);
+      int target = (i + 1) * REQUESTS / (RESTARTS + 1);
+      ProxyFixture.await(() -> responses.get() + lost.get() >= target);
       if (i == RESTARTS) {
         stopped.set(true);
       }
@@ -176,8 +176,8 @@
     System.out.println(
         "restarts: "
             + RESTARTS
-            + ", answered: "
-            + answered
+            + ", responses: "
+            + responses
             + ", served: "
             + served
             + ", sent again by clients: "
--- a/src/test/java/leadferry/proxy/TerminationRaceTest.java
+++ b/src/test/java/leadferry/proxy/TerminationRaceTest.java
@@ -165,17 +165,17 @@
     fixture.allowsCancel = cancel;
     ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
     fixture.start(host);
-    int cases = 0;
+    int leaverCount = 0;
     int late = 0;
-    while (cases < 500) {
+    while (leaverCount < 500) {
       List<Socket> leavers = new ArrayList<>();
       for (int i = 0; i < 50; i++) {
         Socket socket = fixture.connectClient();
         leavers.add(socket);
-        write(socket, atMostOnceRequest("leaver" + cases + "-" + i));
+        write(socket, atMostOnceRequest("leaver" + leaverCount + "-" + i));
       }
       ProxyFixture.await(() -> fixture.upstreamConnections() == leavers.size());
-      cases += leavers.size();
+      leaverCount += leavers.size();
       for (int i = 0; i < leavers.size(); i++) {
         Socket socket = leavers.get(i);
         switch (i % 3) {
@@ -185,15 +185,15 @@
         }
         socket.close();
       }
-      long left = System.nanoTime();
+      long leftNanos = System.nanoTime();
       ProxyFixture.await(() -> fixture.openRequests() == 0);
-      late += System.nanoTime() - left > 300_000_000L ? leavers.size() : 0;
+      late += System.nanoTime() - leftNanos > 300_000_000L ? leavers.size() : 0;
     }
     host.startAccepting();
     assertThat(fixture.sendRequest(atMostOnceRequest("next"))).endsWith("late");
     long sent = host.requests.stream().filter(h -> h.contains("leaver")).count();
     System.out.println(
-        "leavers: " + cases + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
+        "leavers: " + leaverCount + ", sent on: " + sent + ", waiting still after 0.3 s: " + late);
     assertThat(sent).isZero();
     // the connection of the client that has stayed
     assertThat(fixture.upstreamConnections()).isEqualTo(1);
@@ -204,13 +204,13 @@
   @ValueSource(booleans = {true, false})
   void waitingParallelAttemptIsNotSentAfterTheOtherResponse(boolean cancel) throws Exception {
     fixture.allowsCancel = cancel;
-    CountDownLatch both = new CountDownLatch(1);
+    CountDownLatch responseGate = new CountDownLatch(1);
     ProxyFixture.UpstreamHost quick =
         fixture
         .new UpstreamHost(
             h -> {
               try {
-                both.await();
+                responseGate.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -221,7 +221,7 @@
     try (Socket socket = fixture.connectClient()) {
       write(socket, keyedRequest("copied"));
       ProxyFixture.await(() -> fixture.upstreamConnections() == 2);
-      both.countDown();
+      responseGate.countDown();
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("quick");
       ProxyFixture.await(() -> fixture.openRequests() == 0);
       ProxyFixture.await(() -> fixture.upstreamConnections() == 1);
@@ -265,23 +265,24 @@
     fixture.hotRestart = HotRestart.join(folder.toString());
     ProxyFixture.DelayedAcceptHost host = fixture.new DelayedAcceptHost(h -> ok("late"));
     fixture.start(host);
-    int most = 1 << 20; // a larger body is not held in memory
-    try (HotRestart beside = HotRestart.join(folder.toString());
+    int bufferLimit = 1 << 20; // a larger body is not held in memory
+    try (HotRestart otherProcess = HotRestart.join(folder.toString());
         Socket socket = fixture.connectClient()) {
       write(
           socket,
-          atMostOnceRequest("long", "Content-Length: " + (most + 2_000))
-              + "x".repeat(most - 1_000));
-      ProxyFixture.await(() -> beside.readOtherProcesses().bodyBytes() == most - 1_000);
+          atMostOnceRequest("long", "Content-Length: " + (bufferLimit + 2_000))
+              + "x".repeat(bufferLimit - 1_000));
+      ProxyFixture.await(
+          () -> otherProcess.readOtherProcesses().bodyBytes() == bufferLimit - 1_000);
       write(socket, "x".repeat(3_000)); // one read, which includes the last byte
       ProxyFixture.await(() -> fixture.openRequests() == 1);
-      long whole = System.nanoTime();
-      ProxyFixture.await(() -> System.nanoTime() - whole > 200_000_000L);
-      long waited = (System.nanoTime() - whole) / 1_000_000;
+      long completeNanos = System.nanoTime();
+      ProxyFixture.await(() -> System.nanoTime() - completeNanos > 200_000_000L);
+      long waitedMillis = (System.nanoTime() - completeNanos) / 1_000_000;
       host.startAccepting();
       assertThat(ProxyFixture.readMessage(socket.getInputStream())).endsWith("late");
       assertThat(Long.parseLong(ProxyFixture.headerValue(host.requests.get(0), "X-Timeout-Ms")))
-          .isBetween(1L, fixture.deadlineMillis - waited);
+          .isBetween(1L, fixture.deadlineMillis - waitedMillis);
     }
   }
 
@@ -485,12 +486,12 @@
       // requests that had room have been accepted, the others are unread in the kernel
       write(socket, "x".repeat(100));
     }
-    int taken = 0;
+    int accepted = 0;
     for (long since = System.nanoTime();
         System.nanoTime() - since < 300_000_000L;
         Thread.sleep(1)) {
-      since = taken == hangs.requests.size() ? since : System.nanoTime();
-      taken = hangs.requests.size(); // until no more requests arrive
+      since = accepted == hangs.requests.size() ? since : System.nanoTime();
+      accepted = hangs.requests.size(); // until no more requests arrive
     }
     // Clients whose requests wait leave first: an accepted request frees its memory when its client
     // leaves, and a request that still waits would be accepted then.
@@ -502,9 +503,10 @@
       socket.close();
     }
     ProxyFixture.await(() -> fixture.clientConnections() == 0 && fixture.openRequests() == 0);
-    System.out.println("waited for memory and left: " + (holders.size() + leavers.size() - taken));
-    assertThat(taken).isLessThan(holders.size() + leavers.size());
-    assertThat(hangs.requests).hasSize(taken);
+    System.out.println(
+        "waited for memory and left: " + (holders.size() + leavers.size() - accepted));
+    assertThat(accepted).isLessThan(holders.size() + leavers.size());
+    assertThat(hangs.requests).hasSize(accepted);
   }
 
   /**
@@ -675,15 +677,15 @@
   @Test
   void responseAndDeadlineInOneLoopTurnGiveOneResponse() throws Exception {
     fixture.deadlineMillis = 400;
-    CountDownLatch answers = new CountDownLatch(1);
-    CountDownLatch answered = new CountDownLatch(1);
+    CountDownLatch responseGate = new CountDownLatch(1);
+    CountDownLatch connectionEnded = new CountDownLatch(1);
     ProxyFixture.UpstreamHost host =
         fixture
         .new UpstreamHost(
             h -> {
               if (h.contains("both")) {
                 try {
-                  answers.await();
+                  responseGate.await();
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -693,7 +695,7 @@
           @Override
           void serve(Socket socket) throws IOException, InterruptedException {
             super.serve(socket);
-            answered.countDown();
+            connectionEnded.countDown();
           }
         };
     fixture.start(host);
@@ -701,7 +703,7 @@
       write(socket, atMostOnceRequest("both"));
       ProxyFixture.await(() -> host.requests.size() == 1);
       AutoCloseable paused = fixture.pauseLoop();
-      answers.countDown();
+      responseGate.countDown();
       long until = System.nanoTime() + 500_000_000L;
       ProxyFixture.await(() -> System.nanoTime() > until);
       paused.close();
@@ -799,28 +801,28 @@
    */
   @Test
   void clientOfTheLastClosedConnectionMayReconnect() throws Exception {
-    String answer = null;
-    long stood;
+    String response = null;
+    long pauseMillis;
     do {
       fixture.close();
       fixture = new ProxyFixture(folder, 128);
       fixture.start(fixture.new UpstreamHost(h -> ok("done")));
       CompletableFuture<Void> ended = fixture.drain();
-      try (Socket rests = fixture.connectClient();
-          PauseDetector stalls = new PauseDetector()) {
-        assertThat(ProxyFixture.isClosedByPeer(rests)).isTrue();
+      try (Socket idle = fixture.connectClient();
+          PauseDetector pauses = new PauseDetector()) {
+        assertThat(ProxyFixture.isClosedByPeer(idle)).isTrue();
         try {
-          answer = fixture.sendRequest(atMostOnceRequest("once more"));
+          response = fixture.sendRequest(atMostOnceRequest("once more"));
         } catch (java.net.ConnectException e) {
-          answer = "refused";
+          response = "refused";
         }
-        stood = stalls.longestMillis();
+        pauseMillis = pauses.longestMillis();
       }
       ended.get(ProxyFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       assertThat(fixture.clientConnections()).isZero();
-    } while (answer.equals("refused")
-        && stood > 20); // a pause of this process delayed the client by as much
-    assertThat(answer).endsWith("done");
+    } while (response.equals("refused")
+        && pauseMillis > 20); // a pause of this process delayed the client by as much
+    assertThat(response).endsWith("done");
   }
 
   /** Measures the longest pause of this process. */
