--- a/src/test/java/leadferry/ArchitectureTest.java
+++ b/src/test/java/leadferry/ArchitectureTest.java
@@ -31,19 +31,19 @@
           .importPackages("leadferry");
 
   private static String[] packages(List<String> names) {
-    return names.stream().map(n -> "leadferry." + n + "..").toArray(String[]::new);
+    return names.stream().map(name -> "leadferry." + name + "..").toArray(String[]::new);
   }
 
   @Test
-  void arrowsPointDown() {
-    for (int low = 1; low < LAYERS.size(); low++) {
-      for (int high = 0; high < low; high++) {
+  void packagesDependOnlyOnLowerLayers() {
+    for (int lower = 1; lower < LAYERS.size(); lower++) {
+      for (int upper = 0; upper < lower; upper++) {
         noClasses()
             .that()
-            .resideInAnyPackage(packages(LAYERS.get(low)))
+            .resideInAnyPackage(packages(LAYERS.get(lower)))
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(packages(LAYERS.get(high)))
+            .resideInAnyPackage(packages(LAYERS.get(upper)))
             .allowEmptyShould(true)
             .check(CLASSES);
       }
@@ -51,17 +51,17 @@
   }
 
   @Test
-  void packagesOfOneLayerDoNotKnowEachOther() {
+  void packagesOfOneLayerDoNotDependOnEachOther() {
     for (List<String> layer : LAYERS) {
-      for (String a : layer) {
-        for (String b : layer) {
-          if (!a.equals(b)) {
+      for (String first : layer) {
+        for (String second : layer) {
+          if (!first.equals(second)) {
             noClasses()
                 .that()
-                .resideInAPackage("leadferry." + a + "..")
+                .resideInAPackage("leadferry." + first + "..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("leadferry." + b + "..")
+                .resideInAPackage("leadferry." + second + "..")
                 .allowEmptyShould(true)
                 .check(CLASSES);
           }
@@ -72,7 +72,7 @@
 
   /** Spans go by the monotonic clock: the wall clock is stepped by time services and by hand. */
   @Test
-  void onlyStartsOfServersAndOperatorsOutputReadTheWallClock() {
+  void onlyServerStartAndOperatorOutputReadTheWallClock() {
     noClasses()
         .that()
         .resideOutsideOfPackage("leadferry.cli..")
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void theEngineKnowsNoProtocol() {
+  void engineDependsOnNoProtocol() {
     noClasses()
         .that()
         .resideInAPackage("leadferry.engine..")
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void whatDecidesDoesNoInputOrOutput() {
+  void decisionPackagesDoNoInputOrOutput() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -121,7 +121,7 @@
 
   /** The agreed ledger knows no requests, and what it is applied by does nothing but compute. */
   @Test
-  void theLedgerKnowsNoProxyAndDoesNoInputOrOutput() {
+  void controlStateDependsOnNoProxyCodeAndDoesNoInputOrOutput() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void productionUsesNoStandIn() {
+  void productionCodeDoesNotUseTheTestbed() {
     noClasses()
         .that()
         .resideOutsideOfPackages("leadferry.testbed..", "leadferry.cli..")
--- a/src/test/java/leadferry/LinterExceptionsTest.java
+++ b/src/test/java/leadferry/LinterExceptionsTest.java
@@ -37,20 +37,20 @@
 
   @Test
   void everyExceptionIsStillNeeded() throws Exception {
-    Set<String> listed = listed();
+    Set<String> listed = listedEntries();
 
-    Set<String> needed = violations();
+    Set<String> needed = violationsWithoutExceptions();
 
     assertThat(listed).as("entries of %s that can be taken out", EXCEPTIONS).isSubsetOf(needed);
   }
 
-  private static Set<String> listed() throws IOException {
+  private static Set<String> listedEntries() throws IOException {
     Set<String> entries = new TreeSet<>();
     for (String line : Files.readAllLines(EXCEPTIONS)) {
       if (line.contains("<suppress ")) {
-        Matcher entry = ENTRY.matcher(line.strip());
-        assertThat(entry.matches()).as("one check and one file: %s", line).isTrue();
-        assertThat(entries.add(entry.group(1) + " " + entry.group(2)))
+        Matcher matcher = ENTRY.matcher(line.strip());
+        assertThat(matcher.matches()).as("one check and one file: %s", line).isTrue();
+        assertThat(entries.add(matcher.group(1) + " " + matcher.group(2)))
             .as("twice: %s", line)
             .isTrue();
       }
@@ -59,7 +59,7 @@
   }
 
   /** What the linter says with no exceptions: "check file". */
-  private Set<String> violations() throws CheckstyleException, IOException {
+  private Set<String> violationsWithoutExceptions() throws CheckstyleException, IOException {
     Path none = folder.resolve("none.xml");
     Files.writeString(none, Files.readString(EXCEPTIONS).replaceAll("<suppress [^>]*>", ""));
     Properties properties = new Properties();
--- a/src/test/java/leadferry/RawMessage.java
+++ b/src/test/java/leadferry/RawMessage.java
@@ -8,54 +8,55 @@
 
 /** One HTTP/1.1 message as the bytes that came, its body framed by a length or by chunks. */
 public final class RawMessage {
-  private static final String LENGTH = "\ncontent-length:";
+  private static final String CONTENT_LENGTH = "\ncontent-length:";
 
   private RawMessage() {}
 
   /** The next message, or what came of it before the stream ended. */
   public static String read(InputStream input) throws IOException {
-    String head = until(input, "\r\n\r\n");
+    String head = readUntil(input, "\r\n\r\n");
     String lowerCase = head.toLowerCase(Locale.ROOT);
     if (lowerCase.contains("\ntransfer-encoding: chunked")) {
-      return head + chunks(input);
+      return head + readChunks(input);
     }
-    int length = lowerCase.indexOf(LENGTH);
-    if (length < 0) {
+    int lengthStart = lowerCase.indexOf(CONTENT_LENGTH);
+    if (lengthStart < 0) {
       return head;
     }
-    String value = lowerCase.substring(length + LENGTH.length(), head.indexOf('\r', length));
+    String value =
+        lowerCase.substring(lengthStart + CONTENT_LENGTH.length(), head.indexOf('\r', lengthStart));
     int bytes = Integer.parseInt(value.trim());
     return head + new String(input.readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
   /** Chunks are joined: how a body is cut into them is free, and differs from run to run. */
-  private static String chunks(InputStream input) throws IOException {
+  private static String readChunks(InputStream input) throws IOException {
     StringBuilder body = new StringBuilder("[chunked] ");
     while (true) {
-      String size = until(input, "\r\n");
+      String size = readUntil(input, "\r\n");
       if (size.isEmpty()) {
         return body + "[cut]";
       }
       int bytes = Integer.parseInt(size.trim(), 16);
       if (bytes == 0) {
-        return body + "[end]\r\n" + trailers(input);
+        return body + "[end]\r\n" + readTrailers(input);
       }
       body.append(new String(input.readNBytes(bytes), StandardCharsets.ISO_8859_1));
-      until(input, "\r\n");
+      readUntil(input, "\r\n");
     }
   }
 
-  private static String trailers(InputStream input) throws IOException {
+  private static String readTrailers(InputStream input) throws IOException {
     StringBuilder trailers = new StringBuilder();
     String line;
     do {
-      line = until(input, "\r\n");
+      line = readUntil(input, "\r\n");
       trailers.append(line);
     } while (!line.equals("\r\n") && !line.isEmpty());
     return trailers.toString();
   }
 
-  private static String until(InputStream input, String end) throws IOException {
+  private static String readUntil(InputStream input, String end) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     int next;
     while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith(end)
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -30,20 +30,20 @@
 public final class FleetModel {
   public static final String CLAIM = "claim";
   public static final String LOG = "log";
-  private static final double AIM = 500;
-  private static final double DEADLINE = 1_000;
+  private static final double OBJECTIVE_MILLIS = 500;
+  private static final double DEADLINE_MILLIS = 1_000;
 
   /** A client gives up, and asks again, after so much of its time. */
-  private static final double TRY_PART = 0.55;
+  private static final double ATTEMPT_TIMEOUT_SHARE = 0.55;
 
-  private static final int TRIES = 4;
-  private static final double WORK = 120;
-  private static final double HANDSHAKE_WORK = 4;
-  private static final double TRIP = 1;
-  private static final double COLD = 8_700;
-  private static final double COLD_FROM = 0.3;
-  private static final double FALL = 1_500;
-  private static final double FALL_MULTIPLE = 3;
+  private static final int MAX_CLIENT_ATTEMPTS = 4;
+  private static final double MEAN_WORK_MILLIS = 120;
+  private static final double HANDSHAKE_WORK_MILLIS = 4;
+  private static final double ONE_WAY_DELAY_MILLIS = 1;
+  private static final double WARM_UP_MILLIS = 8_700;
+  private static final double INITIAL_CAPACITY_SHARE = 0.3;
+  private static final double OVERLOAD_WINDOW_MILLIS = 1_500;
+  private static final double OVERLOAD_MULTIPLE = 3;
 
   /** What a run is to have. */
   public record Plan(
@@ -64,13 +64,13 @@
     }
   }
 
-  private record Event(double at, long order, Runnable what) {}
+  private record Event(double atMillis, long order, Runnable task) {}
 
   /** A host of the model. */
   public final class Host {
     final long id;
     final double startedAtMillis;
-    final ArrayDeque<Attempt> queue = new ArrayDeque<>();
+    final ArrayDeque<Attempt> queuedAttempts = new ArrayDeque<>();
     final List<Double> sendTimes = new ArrayList<>();
     int runningAttempts;
     int connections;
@@ -87,48 +87,51 @@
     /** The share of its answers that get lost on the way. */
     public double responseLossShare;
 
-    Host(long id, double since) {
+    Host(long id, double startedAtMillis) {
       this.id = id;
-      this.startedAtMillis = since;
+      this.startedAtMillis = startedAtMillis;
     }
 
-    double warmth() {
+    double capacityShare() {
       return startedAtMillis <= 0
           ? 1
-          : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - startedAtMillis) / COLD);
+          : Math.min(
+              1,
+              INITIAL_CAPACITY_SHARE
+                  + (1 - INITIAL_CAPACITY_SHARE) * (nowMillis - startedAtMillis) / WARM_UP_MILLIS);
     }
 
     double speed() {
-      return warmth()
+      return capacityShare()
           * (1 - plan.fullTableCost * Math.min(1, (double) connections / plan.connectionTableSize));
     }
 
-    void take(Attempt job) {
-      queue.add(job);
-      run();
+    void enqueue(Attempt attempt) {
+      queuedAttempts.add(attempt);
+      startAttempts();
     }
 
-    private void run() {
-      while (runningAttempts < 3 && !queue.isEmpty()) {
-        Attempt j = queue.poll();
-        if (j.over) {
+    private void startAttempts() {
+      while (runningAttempts < 3 && !queuedAttempts.isEmpty()) {
+        Attempt attempt = queuedAttempts.poll();
+        if (attempt.ended) {
           continue;
         }
         runningAttempts++;
         runAfter(
-            j.work / speed(),
+            attempt.workMillis / speed(),
             () -> {
               runningAttempts--;
-              j.done();
-              run();
+              attempt.onWorkDone();
+              startAttempts();
             });
       }
     }
 
-    private EndpointUpdate entry() {
-      EndpointUpdate.Condition c =
+    private EndpointUpdate endpointUpdate() {
+      EndpointUpdate.Condition condition =
           terminating ? EndpointUpdate.Condition.TERMINATING : EndpointUpdate.Condition.READY;
-      return new EndpointUpdate(id, "a", "k", id / 6, c, 1, startedAtMillis);
+      return new EndpointUpdate(id, "a", "k", id / 6, condition, 1, startedAtMillis);
     }
   }
 
@@ -136,28 +139,28 @@
   private final class Attempt {
     final Proxy proxy;
     final Host host;
-    final long request;
+    final long requestId;
     final int number;
-    final String type;
-    final double sentAt;
-    double work;
-    boolean over;
+    final String className;
+    final double sentAtMillis;
+    double workMillis;
+    boolean ended;
 
-    Attempt(Proxy proxy, Host host, long request, int number, String type) {
+    Attempt(Proxy proxy, Host host, long requestId, int number, String className) {
       this.proxy = proxy;
       this.host = host;
-      this.request = request;
+      this.requestId = requestId;
       this.number = number;
-      this.type = type;
-      this.sentAt = now;
-      this.work = WORK * (0.4 + 1.2 * random.nextDouble());
+      this.className = className;
+      this.sentAtMillis = nowMillis;
+      this.workMillis = MEAN_WORK_MILLIS * (0.4 + 1.2 * random.nextDouble());
     }
 
-    void done() {
+    void onWorkDone() {
       if (host.hanging) {
         return;
       }
-      if (!over && random.nextDouble() < host.responseLossShare) {
+      if (!ended && random.nextDouble() < host.responseLossShare) {
         lostResponses++;
         return;
       }
@@ -165,196 +168,215 @@
     }
 
     /** Ends the attempt; {@code keep} tells that its connection may carry another. */
-    void end(AttemptOutcome result, boolean served, boolean keep) {
-      if (over) {
+    void end(AttemptOutcome outcome, boolean isRequestOver, boolean keepsConnection) {
+      if (ended) {
         return;
       }
-      over = true;
-      proxy.release(host, keep);
-      LoadReport load =
-          result == AttemptOutcome.OK || result == AttemptOutcome.FULL
+      ended = true;
+      proxy.releaseConnection(host, keepsConnection);
+      LoadReport report =
+          outcome == AttemptOutcome.OK || outcome == AttemptOutcome.FULL
               ? new LoadReport(
-                  host.runningAttempts + host.queue.size(),
+                  host.runningAttempts + host.queuedAttempts.size(),
                   Double.NaN,
                   Double.NaN,
                   Double.NaN,
                   Double.NaN,
                   Double.NaN)
               : null;
-      proxy.outcome(this, result, served, load);
+      proxy.onAttemptEnd(this, outcome, isRequestOver, report);
     }
   }
 
   private final class Proxy implements LoadBalancerActions, SuspicionProtocol.Actions {
-    final LoadBalancer module;
-    final Map<Long, Integer> attempts = new HashMap<>();
-    final Map<Long, Attempt> open = new HashMap<>();
-    final Map<Long, ClientRequest> asks = new HashMap<>();
-    final Map<Host, ArrayDeque<Double>> idle = new HashMap<>();
-    final SuspicionProtocol suspicions;
-    final int position;
-    long next;
-
-    Proxy(int position) {
-      this.position = position;
-      module = new LoadBalancer(settings(plan.proxies, position), plan.seed * 31 + position, this);
-      suspicions = new SuspicionProtocol(null, plan.proxies, AIM, plan.seed * 37 + position, this);
-    }
-
-    void ask(ClientRequest a) {
-      long id = next++;
-      asks.put(id, a);
-      a.tries++;
-      module.onRequest(
-          now, new RequestArrival(id, a.type, null, TRY_PART * DEADLINE, Double.NaN, false));
-      runAfter(TRY_PART * DEADLINE, () -> giveUp(id));
+    final LoadBalancer loadBalancer;
+    final Map<Long, Integer> attemptCounts = new HashMap<>();
+    final Map<Long, Attempt> openAttempts = new HashMap<>();
+    final Map<Long, ClientRequest> openRequests = new HashMap<>();
+    final Map<Host, ArrayDeque<Double>> idleSinceByHost = new HashMap<>();
+    final SuspicionProtocol suspicionProtocol;
+    final int index;
+    long nextRequestId;
+
+    Proxy(int index) {
+      this.index = index;
+      loadBalancer = new LoadBalancer(settings(plan.proxies, index), plan.seed * 31 + index, this);
+      suspicionProtocol =
+          new SuspicionProtocol(null, plan.proxies, OBJECTIVE_MILLIS, plan.seed * 37 + index, this);
+    }
+
+    void submit(ClientRequest request) {
+      long id = nextRequestId++;
+      openRequests.put(id, request);
+      request.attempts++;
+      loadBalancer.onRequest(
+          nowMillis,
+          new RequestArrival(
+              id,
+              request.className,
+              null,
+              ATTEMPT_TIMEOUT_SHARE * DEADLINE_MILLIS,
+              Double.NaN,
+              false));
+      runAfter(ATTEMPT_TIMEOUT_SHARE * DEADLINE_MILLIS, () -> giveUp(id));
     }
 
     private void giveUp(long id) {
-      if (asks.containsKey(id)) {
-        Attempt j = open.get(id);
-        if (j != null) {
-          j.end(AttemptOutcome.TIMEOUT, true, false);
+      if (openRequests.containsKey(id)) {
+        Attempt attempt = openAttempts.get(id);
+        if (attempt != null) {
+          attempt.end(AttemptOutcome.TIMEOUT, true, false);
         } else {
-          module.onClientDisconnect(now, id);
-          answered(id, false);
+          loadBalancer.onClientDisconnect(nowMillis, id);
+          onRequestEnd(id, false);
         }
       }
     }
 
-    private void answered(long id, boolean served) {
-      ClientRequest a = asks.remove(id);
-      if (a == null) {
+    private void onRequestEnd(long id, boolean served) {
+      ClientRequest request = openRequests.remove(id);
+      if (request == null) {
         return;
       }
       if (served) {
-        servedInTime += now - a.at <= AIM ? 1 : 0;
-      } else if (a.tries < TRIES) {
-        runAfter(20, () -> ask(a));
+        servedInTime += nowMillis - request.arrivedAtMillis <= OBJECTIVE_MILLIS ? 1 : 0;
+      } else if (request.attempts < MAX_CLIENT_ATTEMPTS) {
+        runAfter(20, () -> submit(request));
       }
     }
 
-    void outcome(Attempt j, AttemptOutcome result, boolean over, LoadReport load) {
-      open.remove(j.request, j);
-      if (gossipEnabled && result.hasResponse()) {
-        suspicions.onResponse(now, j.host.id);
+    void onAttemptEnd(
+        Attempt attempt, AttemptOutcome outcome, boolean isRequestOver, LoadReport report) {
+      openAttempts.remove(attempt.requestId, attempt);
+      if (gossipEnabled && outcome.hasResponse()) {
+        suspicionProtocol.onResponse(nowMillis, attempt.host.id);
       }
-      module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
-      if (over) {
-        answered(j.request, result == AttemptOutcome.OK);
+      loadBalancer.onOutcome(
+          nowMillis,
+          attempt.requestId,
+          attempt.number,
+          outcome,
+          nowMillis - attempt.sentAtMillis,
+          isRequestOver,
+          report);
+      if (isRequestOver) {
+        onRequestEnd(attempt.requestId, outcome == AttemptOutcome.OK);
       }
     }
 
-    void release(Host host, boolean keep) {
-      if (!keep) {
+    void releaseConnection(Host host, boolean keepsConnection) {
+      if (!keepsConnection) {
         host.connections--;
         return;
       }
-      ArrayDeque<Double> rests = idle.computeIfAbsent(host, x -> new ArrayDeque<>());
-      rests.addLast(now);
+      ArrayDeque<Double> idleSince =
+          idleSinceByHost.computeIfAbsent(host, key -> new ArrayDeque<>());
+      idleSince.addLast(nowMillis);
       runAfter(
           plan.idleTimeoutMillis,
           () -> {
-            if (!rests.isEmpty() && rests.peekFirst() <= now - plan.idleTimeoutMillis) {
-              rests.pollFirst();
+            if (!idleSince.isEmpty()
+                && idleSince.peekFirst() <= nowMillis - plan.idleTimeoutMillis) {
+              idleSince.pollFirst();
               host.connections--;
             }
           });
     }
 
     @Override
-    public void send(long request, long id, double apart) {
-      Host host = byId.get(id);
-      Attempt j =
+    public void send(long request, long endpoint, double windowMillis) {
+      Host host = hostsById.get(endpoint);
+      Attempt attempt =
           new Attempt(
               this,
               host,
               request,
-              attempts.merge(request, 1, Integer::sum) - 1,
-              asks.get(request).type);
-      open.put(request, j);
+              attemptCounts.merge(request, 1, Integer::sum) - 1,
+              openRequests.get(request).className);
+      openAttempts.put(request, attempt);
       attemptsSent++;
-      suspicions.onAttempt();
+      suspicionProtocol.onAttempt();
       attemptsToHangingHosts += host.hanging ? 1 : 0;
       host.attemptsSent++;
-      host.sendTimes.add(now);
-      ArrayDeque<Double> rests = idle.get(host);
-      boolean connects = rests == null || rests.pollLast() == null;
+      host.sendTimes.add(nowMillis);
+      ArrayDeque<Double> idleSince = idleSinceByHost.get(host);
+      boolean connects = idleSince == null || idleSince.pollLast() == null;
       if (connects) {
         handshakes++;
         if (host.connections >= plan.connectionTableSize) {
           connectionsRejected++;
           host.connections++; // for as long as it takes to be turned away
-          runAfter(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, false));
+          runAfter(2 * ONE_WAY_DELAY_MILLIS, () -> attempt.end(AttemptOutcome.FULL, false, false));
           return;
         }
         host.connections++;
         host.peakConnections = Math.max(host.peakConnections, host.connections);
-        j.work += HANDSHAKE_WORK;
+        attempt.workMillis += HANDSHAKE_WORK_MILLIS;
       }
-      if (j.type.equals(host.rejectedClass)) {
+      if (attempt.className.equals(host.rejectedClass)) {
         rejectedByHosts++;
-        runAfter(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, true));
+        runAfter(2 * ONE_WAY_DELAY_MILLIS, () -> attempt.end(AttemptOutcome.FULL, false, true));
       } else {
-        runAfter(TRIP, () -> host.take(j));
+        runAfter(ONE_WAY_DELAY_MILLIS, () -> host.enqueue(attempt));
       }
     }
 
     @Override
     public void reject(long request, double retryAfterMillis) {
       rejectedByProxies++;
-      runAfter(0, () -> answered(request, false));
+      runAfter(0, () -> onRequestEnd(request, false));
     }
 
     @Override
     public void fail(long request) {
-      runAfter(0, () -> answered(request, false));
+      runAfter(0, () -> onRequestEnd(request, false));
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-      Attempt j = open.get(request);
-      if (j != null && j.number == attempt) {
-        runAfter(0, () -> j.end(AttemptOutcome.CANCELLED, false, false));
+    public void cancel(long request, int attemptNumber) {
+      Attempt attempt = openAttempts.get(request);
+      if (attempt != null && attempt.number == attemptNumber) {
+        runAfter(0, () -> attempt.end(AttemptOutcome.CANCELLED, false, false));
       }
     }
 
     @Override
-    public void schedule(double delay, long token) {
-      runAfter(delay, () -> module.onTimer(now, token));
+    public void schedule(double delayMillis, long token) {
+      runAfter(delayMillis, () -> loadBalancer.onTimer(nowMillis, token));
     }
 
     @Override
-    public void onNoResponse(long host, double at, double sentAt) {
+    public void onNoResponse(long endpoint, double atMillis, double sentAtMillis) {
       if (gossipEnabled) {
-        suspicions.onNoResponse(at, host, sentAt);
+        suspicionProtocol.onNoResponse(atMillis, endpoint, sentAtMillis);
       }
     }
 
     @Override
     public void broadcast(byte[] message) {
       gossipBytes += message.length * (long) (proxies.size() - 1);
-      for (Proxy p : proxies) {
-        if (p != this && random.nextDouble() > 0.02) {
+      for (Proxy proxy : proxies) {
+        if (proxy != this && random.nextDouble() > 0.02) {
           FleetModel.this.runAfter(
-              3 + 25 * random.nextDouble(), () -> p.suspicions.onMessage(now, position, message));
+              3 + 25 * random.nextDouble(),
+              () -> proxy.suspicionProtocol.onMessage(nowMillis, index, message));
         }
       }
     }
 
     @Override
-    public void eject(long host, double lengthMillis, boolean again) {
-      FleetModel.this.runAfter(0, () -> module.onGossip(now, host, lengthMillis));
+    public void eject(long endpoint, double lengthMillis, boolean isRepeated) {
+      FleetModel.this.runAfter(0, () -> loadBalancer.onGossip(nowMillis, endpoint, lengthMillis));
     }
 
     @Override
-    public void readmit(long host) {
-      FleetModel.this.runAfter(0, () -> module.onGossip(now, host, 0));
+    public void readmit(long endpoint) {
+      FleetModel.this.runAfter(0, () -> loadBalancer.onGossip(nowMillis, endpoint, 0));
     }
 
     @Override
     public void scheduleTimer(double delayMillis) {
-      FleetModel.this.runAfter(delayMillis, () -> suspicions.onTimer(now));
+      FleetModel.this.runAfter(delayMillis, () -> suspicionProtocol.onTimer(nowMillis));
     }
 
     @Override
@@ -366,13 +388,13 @@
 
   /** What a client wants, over all of its tries. */
   private static final class ClientRequest {
-    final String type;
-    final double at;
-    int tries;
+    final String className;
+    final double arrivedAtMillis;
+    int attempts;
 
-    ClientRequest(String type, double at) {
-      this.type = type;
-      this.at = at;
+    ClientRequest(String className, double arrivedAtMillis) {
+      this.className = className;
+      this.arrivedAtMillis = arrivedAtMillis;
     }
   }
 
@@ -380,13 +402,16 @@
   private final Random random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.atMillis != b.atMillis
+                  ? Double.compare(a.atMillis, b.atMillis)
+                  : Long.compare(a.order, b.order));
   private final List<Proxy> proxies = new ArrayList<>();
-  private final Map<Long, Host> byId = new HashMap<>();
+  private final Map<Long, Host> hostsById = new HashMap<>();
   public final List<Host> hosts = new ArrayList<>();
-  private double now = 1_000;
-  private long order;
-  private long nextHost;
+  private double nowMillis = 1_000;
+  private long eventCount;
+  private long hostCount;
   public long requests;
   public long servedInTime;
   public long attemptsSent;
@@ -412,17 +437,17 @@
     this.plan = plan;
     this.random = new Random(plan.seed);
     for (int i = 0; i < plan.hosts; i++) {
-      add(0);
+      addHost(0);
     }
-    List<EndpointUpdate> entries = hosts.stream().map(Host::entry).toList();
+    List<EndpointUpdate> entries = hosts.stream().map(Host::endpointUpdate).toList();
     for (int i = 0; i < plan.proxies; i++) {
-      Proxy p = new Proxy(i);
-      proxies.add(p);
-      p.module.onStart(now);
-      p.module.onEndpointList(now, EndpointListEvent.CACHED, entries);
-      p.suspicions.onEndpointList(EndpointListEvent.CACHED, entries);
+      Proxy proxy = new Proxy(i);
+      proxies.add(proxy);
+      proxy.loadBalancer.onStart(nowMillis);
+      proxy.loadBalancer.onEndpointList(nowMillis, EndpointListEvent.CACHED, entries);
+      proxy.suspicionProtocol.onEndpointList(EndpointListEvent.CACHED, entries);
     }
-    arrive();
+    scheduleNextArrival();
   }
 
   private static Settings settings(int proxies, int position) {
@@ -430,8 +455,8 @@
         List.of(
             new Settings.RequestClass(
                 CLAIM,
-                AIM,
-                DEADLINE,
+                OBJECTIVE_MILLIS,
+                DEADLINE_MILLIS,
                 Settings.Semantics.AT_MOST_ONCE,
                 Settings.KeyScope.ALL,
                 0,
@@ -439,8 +464,8 @@
                 0),
             new Settings.RequestClass(
                 LOG,
-                AIM,
-                DEADLINE,
+                OBJECTIVE_MILLIS,
+                DEADLINE_MILLIS,
                 Settings.Semantics.DEDUPLICATED,
                 Settings.KeyScope.CELL,
                 750,
@@ -448,7 +473,12 @@
                 0)),
         List.of(),
         new Settings.Limits(true, true, true, 6, 1_200, 1),
-        new Settings.WarmUpRules(COLD, COLD_FROM, FALL, FALL_MULTIPLE, 6_000),
+        new Settings.WarmUpRules(
+            WARM_UP_MILLIS,
+            INITIAL_CAPACITY_SHARE,
+            OVERLOAD_WINDOW_MILLIS,
+            OVERLOAD_MULTIPLE,
+            6_000),
         false,
         null,
         position,
@@ -457,44 +487,46 @@
         false);
   }
 
-  private Host add(double since) {
-    long id = ++nextHost * 0x9E3779B97F4AL;
-    Host h = new Host(id, since);
-    hosts.add(h);
-    byId.put(h.id, h);
-    return h;
+  private Host addHost(double startedAtMillis) {
+    long id = ++hostCount * 0x9E3779B97F4AL;
+    Host host = new Host(id, startedAtMillis);
+    hosts.add(host);
+    hostsById.put(host.id, host);
+    return host;
   }
 
   /** Does something after so long, within {@link #advance}. */
-  public void runAfter(double delay, Runnable what) {
-    events.add(new Event(now + delay, order++, what));
+  public void runAfter(double delayMillis, Runnable task) {
+    events.add(new Event(nowMillis + delayMillis, eventCount++, task));
   }
 
   /**
    * Requests arrive by chance, at one rate for the fleet; a proxy's part is between a third and
    * three times the mean.
    */
-  private void arrive() {
-    double perMs = plan.load * plan.hosts * 3 / WORK;
+  private void scheduleNextArrival() {
+    double requestsPerMilli = plan.load * plan.hosts * 3 / MEAN_WORK_MILLIS;
     runAfter(
-        -Math.log(1 - random.nextDouble()) / perMs,
+        -Math.log(1 - random.nextDouble()) / requestsPerMilli,
         () -> {
-          int p = (int) (proxies.size() * Math.pow(random.nextDouble(), 1.6));
+          int proxyIndex = (int) (proxies.size() * Math.pow(random.nextDouble(), 1.6));
           requests++;
-          proxies.get(p).ask(new ClientRequest(random.nextInt(10) < 7 ? CLAIM : LOG, now));
-          arrive();
+          proxies
+              .get(proxyIndex)
+              .submit(new ClientRequest(random.nextInt(10) < 7 ? CLAIM : LOG, nowMillis));
+          scheduleNextArrival();
         });
   }
 
   /** Lets so much time pass. */
-  public void advance(double time) {
-    double until = now + time;
-    while (!events.isEmpty() && events.peek().at <= until) {
-      Event e = events.poll();
-      now = e.at;
-      e.what.run();
-    }
-    now = until;
+  public void advance(double durationMillis) {
+    double untilMillis = nowMillis + durationMillis;
+    while (!events.isEmpty() && events.peek().atMillis <= untilMillis) {
+      Event event = events.poll();
+      nowMillis = event.atMillis;
+      event.task.run();
+    }
+    nowMillis = untilMillis;
   }
 
   /** Forgets what was counted so far. */
@@ -507,42 +539,42 @@
                         rejectedByHosts =
                             lostResponses =
                                 connectionsRejected = attemptsToHangingHosts = gossipBytes = 0;
-    for (Host h : hosts) {
-      h.peakConnections = h.connections;
-      h.attemptsSent = 0;
+    for (Host host : hosts) {
+      host.peakConnections = host.connections;
+      host.attemptsSent = 0;
     }
   }
 
   /** Puts a new, cold host in the place of one; each proxy hears of both within {@code late} ms. */
-  public void replace(Host old, double late) {
-    Host h = add(now);
+  public void replace(Host old, double maxDelayMillis) {
+    Host replacement = addHost(nowMillis);
     old.terminating = true;
     hosts.remove(old);
-    List<EndpointUpdate> news = List.of(old.entry(), h.entry());
-    for (Proxy p : proxies) {
+    List<EndpointUpdate> updates = List.of(old.endpointUpdate(), replacement.endpointUpdate());
+    for (Proxy proxy : proxies) {
       runAfter(
-          late * random.nextDouble(),
+          maxDelayMillis * random.nextDouble(),
           () -> {
-            p.suspicions.onEndpointList(EndpointListEvent.DELTA, news);
-            p.module.onEndpointList(now, EndpointListEvent.DELTA, news);
+            proxy.suspicionProtocol.onEndpointList(EndpointListEvent.DELTA, updates);
+            proxy.loadBalancer.onEndpointList(nowMillis, EndpointListEvent.DELTA, updates);
           });
     }
   }
 
   /** The share of the proxies that leave the host out on the word of several. */
-  public double ejectedShare(Host h) {
-    return proxies.stream().filter(p -> p.suspicions.isEjected(h.id)).count()
+  public double ejectedShare(Host host) {
+    return proxies.stream().filter(proxy -> proxy.suspicionProtocol.isEjected(host.id)).count()
         / (double) proxies.size();
   }
 
   /** Connections that are open now at a host, on the mean. */
   public double meanConnections() {
-    return hosts.stream().mapToInt(h -> h.connections).average().orElse(0);
+    return hosts.stream().mapToInt(host -> host.connections).average().orElse(0);
   }
 
   /** The most connections that a host has had since it was last counted. */
   public int peakConnections() {
-    return hosts.stream().mapToInt(h -> h.peakConnections).max().orElse(0);
+    return hosts.stream().mapToInt(host -> host.peakConnections).max().orElse(0);
   }
 
   /** Requests in time, over those asked. */
@@ -556,15 +588,23 @@
    */
   public double coldBudgetUsed() {
     double worst = 0;
-    for (Host h : hosts) {
-      for (int i = 0, from = 0; h.startedAtMillis > 0 && i < h.sendTimes.size(); i++) {
-        while (h.sendTimes.get(i) - h.sendTimes.get(from) > FALL) {
-          from++;
+    for (Host host : hosts) {
+      for (int i = 0, windowStart = 0; host.startedAtMillis > 0 && i < host.sendTimes.size(); i++) {
+        while (host.sendTimes.get(i) - host.sendTimes.get(windowStart) > OVERLOAD_WINDOW_MILLIS) {
+          windowStart++;
         }
-        double warmth =
-            COLD_FROM
-                + (1 - COLD_FROM) * Math.min(1, (h.sendTimes.get(from) - h.startedAtMillis) / COLD);
-        worst = Math.max(worst, (i - from + 1) * WORK / (FALL_MULTIPLE * 3 * FALL * warmth));
+        double capacityShare =
+            INITIAL_CAPACITY_SHARE
+                + (1 - INITIAL_CAPACITY_SHARE)
+                    * Math.min(
+                        1,
+                        (host.sendTimes.get(windowStart) - host.startedAtMillis) / WARM_UP_MILLIS);
+        worst =
+            Math.max(
+                worst,
+                (i - windowStart + 1)
+                    * MEAN_WORK_MILLIS
+                    / (OVERLOAD_MULTIPLE * 3 * OVERLOAD_WINDOW_MILLIS * capacityShare));
       }
     }
     return worst;
@@ -575,7 +615,7 @@
     System.out.println(
         "proxies hosts idle_ms calm_served mean_conns most_conns handshakes/req | 6 of 10 replaced in 7 s: served mean most handshakes/req cold | half limit a class: served turned_away/req");
     for (int[] size : new int[][] {{15, 60}, {300, 240}, {2_000, 240}}) {
-      for (double idle :
+      for (double idleTimeoutMillis :
           new double[] {42_000, Plan.of(size[0], size[1], 0.6, 1).idleTimeoutMillis()}) {
         Plan plan = Plan.of(size[0], size[1], 0.6, 1);
         plan =
@@ -585,52 +625,54 @@
                 plan.load,
                 plan.connectionTableSize,
                 plan.fullTableCost,
-                idle,
+                idleTimeoutMillis,
                 plan.seed);
-        FleetModel m = new FleetModel(plan);
-        m.advance(10_000);
-        m.resetCounters();
-        m.advance(10_000);
-        StringBuilder s = new StringBuilder(String.format("%7d %5d %7.0f", size[0], size[1], idle));
-        s.append(
+        FleetModel calm = new FleetModel(plan);
+        calm.advance(10_000);
+        calm.resetCounters();
+        calm.advance(10_000);
+        StringBuilder line =
+            new StringBuilder(String.format("%7d %5d %7.0f", size[0], size[1], idleTimeoutMillis));
+        line.append(
             String.format(
                 "  %.3f %.1f %d %.3f",
-                m.servedShare(),
-                m.meanConnections(),
-                m.peakConnections(),
-                (double) m.handshakes / m.requests));
-        m.resetCounters();
-        m.replaceSixtyPercent(7_000);
-        m.advance(15_000);
-        s.append(
+                calm.servedShare(),
+                calm.meanConnections(),
+                calm.peakConnections(),
+                (double) calm.handshakes / calm.requests));
+        calm.resetCounters();
+        calm.replaceSixtyPercent(7_000);
+        calm.advance(15_000);
+        line.append(
             String.format(
                 " | %.3f %.1f %d %.3f %.2f",
-                m.servedShare(),
-                m.meanConnections(),
-                m.peakConnections(),
-                (double) m.handshakes / m.requests,
-                m.coldBudgetUsed()));
-        FleetModel l = new FleetModel(plan);
-        l.advance(10_000);
-        for (int i = 0; i < l.hosts.size(); i += 2) {
-          l.hosts.get(i).rejectedClass = CLAIM;
+                calm.servedShare(),
+                calm.meanConnections(),
+                calm.peakConnections(),
+                (double) calm.handshakes / calm.requests,
+                calm.coldBudgetUsed()));
+        FleetModel limited = new FleetModel(plan);
+        limited.advance(10_000);
+        for (int i = 0; i < limited.hosts.size(); i += 2) {
+          limited.hosts.get(i).rejectedClass = CLAIM;
         }
-        l.resetCounters();
-        l.advance(10_000);
-        s.append(
+        limited.resetCounters();
+        limited.advance(10_000);
+        line.append(
             String.format(
-                " | %.3f %.3f", l.servedShare(), (double) l.rejectedByHosts / l.requests));
-        System.out.println(s);
+                " | %.3f %.3f",
+                limited.servedShare(), (double) limited.rejectedByHosts / limited.requests));
+        System.out.println(line);
       }
     }
   }
 
   /** Replaces six hosts of ten by cold ones, evenly over so long. */
-  public void replaceSixtyPercent(double within) {
+  public void replaceSixtyPercent(double withinMillis) {
     List<Host> old = new ArrayList<>(hosts.subList(0, hosts.size() * 6 / 10));
     for (int i = 0; i < old.size(); i++) {
-      Host h = old.get(i);
-      runAfter(within * i / old.size(), () -> replace(h, 500));
+      Host host = old.get(i);
+      runAfter(withinMillis * i / old.size(), () -> replace(host, 500));
     }
   }
 }
--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -32,34 +32,35 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class HandOffBenchmark {
-  private static final int HOSTS = 30;
+  private static final int ENDPOINTS = 30;
   private static final int BATCH = 8;
 
-  private static LoadBalancer balancer() {
-    LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.NoOpActions());
-    b.onStart(1e6);
-    b.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
-    return b;
+  private static LoadBalancer newLoadBalancer() {
+    LoadBalancer loadBalancer =
+        new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.NoOpActions());
+    loadBalancer.onStart(1e6);
+    loadBalancer.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.endpoints(ENDPOINTS));
+    return loadBalancer;
   }
 
-  private static void decide(LoadBalancer b, long id, double now) {
-    b.onRequest(now, new RequestArrival(id, "c", null, 800, Double.NaN, false));
-    b.onOutcome(now, id, 0, AttemptOutcome.OK, 8, true, null);
+  private static void decide(LoadBalancer loadBalancer, long id, double nowMillis) {
+    loadBalancer.onRequest(nowMillis, new RequestArrival(id, "c", null, 800, Double.NaN, false));
+    loadBalancer.onOutcome(nowMillis, id, 0, AttemptOutcome.OK, 8, true, null);
   }
 
   /** A module a thread. */
   @State(Scope.Thread)
-  public static class Own {
-    final LoadBalancer balancer = balancer();
+  public static class PerWorker {
+    final LoadBalancer loadBalancer = newLoadBalancer();
     long id;
-    double now = 1e6;
+    double nowMillis = 1e6;
   }
 
   /** One module on a thread of its own. */
   @State(Scope.Benchmark)
   public static class Shared {
-    final ConcurrentLinkedQueue<AtomicInteger> asked = new ConcurrentLinkedQueue<>();
-    private volatile boolean over;
+    final ConcurrentLinkedQueue<AtomicInteger> pending = new ConcurrentLinkedQueue<>();
+    private volatile boolean stopped;
     private Thread decider;
 
     @Setup(Level.Trial)
@@ -67,18 +68,18 @@
       decider =
           new Thread(
               () -> {
-                LoadBalancer b = balancer();
+                LoadBalancer loadBalancer = newLoadBalancer();
                 long id = 0;
-                double now = 1e6;
-                while (!over) {
-                  AtomicInteger a = asked.poll();
-                  if (a == null) {
+                double nowMillis = 1e6;
+                while (!stopped) {
+                  AtomicInteger remaining = pending.poll();
+                  if (remaining == null) {
                     Thread.onSpinWait();
                     continue;
                   }
-                  now += 0.001;
-                  decide(b, id++, now);
-                  a.decrementAndGet();
+                  nowMillis += 0.001;
+                  decide(loadBalancer, id++, nowMillis);
+                  remaining.decrementAndGet();
                 }
               });
       decider.start();
@@ -86,27 +87,27 @@
 
     @TearDown(Level.Trial)
     public void stop() throws InterruptedException {
-      over = true;
+      stopped = true;
       decider.join();
     }
   }
 
   @Benchmark
   @Threads(4)
-  public void loadBalancerPerWorker(Own o) {
-    o.now += 0.001;
-    decide(o.balancer, o.id++, o.now);
+  public void loadBalancerPerWorker(PerWorker state) {
+    state.nowMillis += 0.001;
+    decide(state.loadBalancer, state.id++, state.nowMillis);
   }
 
   @Benchmark
   @Threads(4)
   @org.openjdk.jmh.annotations.OperationsPerInvocation(BATCH)
-  public void oneDecisionThread(Shared s) {
-    AtomicInteger left = new AtomicInteger(BATCH);
+  public void oneDecisionThread(Shared state) {
+    AtomicInteger remaining = new AtomicInteger(BATCH);
     for (int i = 0; i < BATCH; i++) {
-      s.asked.add(left);
+      state.pending.add(remaining);
     }
-    while (left.get() > 0) {
+    while (remaining.get() > 0) {
       Thread.onSpinWait();
     }
   }
--- a/src/test/java/leadferry/bench/IdleClients.java
+++ b/src/test/java/leadferry/bench/IdleClients.java
@@ -17,29 +17,29 @@
 
   /** {@code IP:PORT COUNT SECONDS}. */
   public static void main(String[] args) throws Exception {
-    InetSocketAddress to = Addresses.parse(args[0]);
+    InetSocketAddress address = Addresses.parse(args[0]);
     int count = Integer.parseInt(args[1]);
     List<SocketChannel> open = new ArrayList<>();
-    ByteBuffer in = ByteBuffer.allocate(4_096);
+    ByteBuffer buffer = ByteBuffer.allocate(4_096);
     for (int i = 0; i < count; i++) {
-      SocketChannel c = SocketChannel.open(to);
-      c.write(
+      SocketChannel channel = SocketChannel.open(address);
+      channel.write(
           ByteBuffer.wrap(
               ("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-ID: idle" + i + "\r\n\r\n")
                   .getBytes(StandardCharsets.US_ASCII)));
-      in.clear();
-      c.read(in);
-      open.add(c);
+      buffer.clear();
+      channel.read(buffer);
+      open.add(channel);
     }
     System.out.println(open.size() + " clients connected and were answered");
     Thread.sleep(Long.parseLong(args[2]) * 1_000);
-    int stayed = 0;
-    for (SocketChannel c : open) {
-      c.configureBlocking(false);
-      in.clear();
-      stayed += c.read(in) == 0 ? 1 : 0;
-      c.close();
+    int stillOpen = 0;
+    for (SocketChannel channel : open) {
+      channel.configureBlocking(false);
+      buffer.clear();
+      stillOpen += channel.read(buffer) == 0 ? 1 : 0;
+      channel.close();
     }
-    System.out.println(stayed + " stayed");
+    System.out.println(stillOpen + " stayed");
   }
 }
--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -28,23 +28,25 @@
     int seconds = Integer.parseInt(args[0]);
     Random random = new Random(Long.parseLong(args[1]));
     Path folder = Files.createTempDirectory("hunt");
-    try (FaultTest rig =
+    try (FaultTest faultTest =
         new FaultTest(new FaultTestPlan(3, 1, 2, 60, 1, Sabotage.NONE, 1), folder)) {
-      rig.start();
+      faultTest.start();
       ConcurrentLinkedQueue<String> answered = new ConcurrentLinkedQueue<>();
-      AtomicBoolean over = new AtomicBoolean();
+      AtomicBoolean stopped = new AtomicBoolean();
       List<Thread> writers = new ArrayList<>();
-      for (int w = 0; w < 4; w++) {
-        int n = w;
-        Thread t =
+      for (int index = 0; index < 4; index++) {
+        int writer = index;
+        Thread thread =
             new Thread(
                 () -> {
-                  for (int i = 0; !over.get() && i < 480; i++) {
-                    JsonNode o =
-                        rig.operator()
-                            .submit(Operator.entry("resume"), "w" + n + "-" + i, n, 15_000);
-                    if (o != null && o.path("status").asText().equals("done")) {
-                      answered.add("w" + n + "-" + i);
+                  for (int i = 0; !stopped.get() && i < 480; i++) {
+                    JsonNode response =
+                        faultTest
+                            .operator()
+                            .submit(
+                                Operator.entry("resume"), "w" + writer + "-" + i, writer, 15_000);
+                    if (response != null && response.path("status").asText().equals("done")) {
+                      answered.add("w" + writer + "-" + i);
                     }
                     try {
                       Thread.sleep(40);
@@ -53,43 +55,45 @@
                     }
                   }
                 });
-        t.start();
-        writers.add(t);
+        thread.start();
+        writers.add(thread);
       }
       int faults = 0;
-      long end = System.nanoTime() + seconds * 1_000_000_000L;
-      while (System.nanoTime() < end) {
-        String leader = rig.awaitLeader();
+      long endNanos = System.nanoTime() + seconds * 1_000_000_000L;
+      while (System.nanoTime() < endNanos) {
+        String leader = faultTest.awaitLeader();
         List<String> others = new ArrayList<>(List.of("k1", "k2", "k3"));
         others.remove(leader);
         java.util.Collections.shuffle(others, random);
         // One is behind; what the leader and the other one have answered must outlive the crash of
         // both.
-        rig.replica(others.get(0)).suspend();
+        faultTest.replica(others.get(0)).suspend();
         Thread.sleep(200 + random.nextInt(400));
-        rig.replica(others.get(1)).kill();
+        faultTest.replica(others.get(1)).kill();
         if (random.nextBoolean()) {
-          rig.replica(others.get(1)).start();
+          faultTest.replica(others.get(1)).start();
           Thread.sleep(1_200 + random.nextInt(600));
-          rig.replica(others.get(1)).kill();
+          faultTest.replica(others.get(1)).kill();
         }
-        rig.replica(leader).kill();
-        rig.replica(others.get(1)).start();
-        rig.replica(others.get(0)).resume();
+        faultTest.replica(leader).kill();
+        faultTest.replica(others.get(1)).start();
+        faultTest.replica(others.get(0)).resume();
         Thread.sleep(2_500);
-        rig.replica(leader).start();
+        faultTest.replica(leader).start();
         Thread.sleep(1_500);
         faults++;
       }
-      over.set(true);
-      for (Thread t : writers) {
-        t.join();
+      stopped.set(true);
+      for (Thread thread : writers) {
+        thread.join();
       }
-      JsonNode s =
-          rig.operator().query(Json.object().put("op", "status").put("history", true), 0, 30_000);
+      JsonNode status =
+          faultTest
+              .operator()
+              .query(Json.object().put("op", "status").put("history", true), 0, 30_000);
       Set<String> known = new HashSet<>();
-      s.path("history").forEach(h -> known.add(h.path("call").asText()));
-      List<String> lost = answered.stream().filter(a -> !known.contains(a)).toList();
+      status.path("history").forEach(entry -> known.add(entry.path("call").asText()));
+      List<String> lost = answered.stream().filter(call -> !known.contains(call)).toList();
       System.out.printf(
           "%d faults, %d answered, %d in the ledger's audit, lost: %s, files: %s%n",
           faults, answered.size(), known.size(), lost, folder);
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -30,14 +30,14 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class PickBenchmark {
-  private static final int OPEN = 16;
+  private static final int OPEN_REQUESTS = 16;
 
   @Param({"30", "3000"})
   public int hosts;
 
-  private LoadBalancer balancer;
-  private double now = 1e6;
-  private long id;
+  private LoadBalancer loadBalancer;
+  private double nowMillis = 1e6;
+  private long nextId;
 
   static Settings settings() {
     return new Settings(
@@ -55,18 +55,19 @@
         false);
   }
 
-  static List<EndpointUpdate> entries(int n) {
-    List<EndpointUpdate> out = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      out.add(new EndpointUpdate(i + 1, "z", "k", i / 8, EndpointUpdate.Condition.READY, 1, 0));
+  static List<EndpointUpdate> endpoints(int count) {
+    List<EndpointUpdate> endpoints = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      endpoints.add(
+          new EndpointUpdate(i + 1, "z", "k", i / 8, EndpointUpdate.Condition.READY, 1, 0));
     }
-    return out;
+    return endpoints;
   }
 
   /** Does nothing: what is measured is the decision. */
   static class NoOpActions implements LoadBalancerActions {
     @Override
-    public void send(long request, long host, double apart) {}
+    public void send(long request, long endpoint, double windowMillis) {}
 
     @Override
     public void reject(long request, double retryAfterMillis) {}
@@ -78,7 +79,7 @@
     public void cancel(long request, int attempt) {}
 
     @Override
-    public void schedule(double delay, long token) {}
+    public void schedule(double delayMillis, long token) {}
 
     @Override
     public void watchEndpoints() {}
@@ -89,18 +90,20 @@
 
   @Setup
   public void build() {
-    balancer = new LoadBalancer(settings(), 1, new NoOpActions());
-    balancer.onStart(now);
-    balancer.onEndpointList(now, EndpointListEvent.FULL, entries(hosts));
-    for (int i = 0; i < OPEN; i++) {
-      balancer.onRequest(now, new RequestArrival(id++, "c", null, 800, Double.NaN, false));
+    loadBalancer = new LoadBalancer(settings(), 1, new NoOpActions());
+    loadBalancer.onStart(nowMillis);
+    loadBalancer.onEndpointList(nowMillis, EndpointListEvent.FULL, endpoints(hosts));
+    for (int i = 0; i < OPEN_REQUESTS; i++) {
+      loadBalancer.onRequest(
+          nowMillis, new RequestArrival(nextId++, "c", null, 800, Double.NaN, false));
     }
   }
 
   @Benchmark
   public void requestAndOutcome() {
-    now += 0.5;
-    balancer.onOutcome(now, id - OPEN, 0, AttemptOutcome.OK, 8, true, null);
-    balancer.onRequest(now, new RequestArrival(id++, "c", null, 800, Double.NaN, false));
+    nowMillis += 0.5;
+    loadBalancer.onOutcome(nowMillis, nextId - OPEN_REQUESTS, 0, AttemptOutcome.OK, 8, true, null);
+    loadBalancer.onRequest(
+        nowMillis, new RequestArrival(nextId++, "c", null, 800, Double.NaN, false));
   }
 }
--- a/src/test/java/leadferry/bench/ReplicaBenchmark.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -40,35 +40,35 @@
   private ReplicaBenchmark() {}
 
   public static void main(String[] args) throws Exception {
-    boolean deathsAlone = args.length > 0 && args[0].equals("deaths");
-    int members = args.length > 0 && !deathsAlone ? Integer.parseInt(args[0]) : 2_000;
+    boolean crashesOnly = args.length > 0 && args[0].equals("deaths");
+    int sessionCount = args.length > 0 && !crashesOnly ? Integer.parseInt(args[0]) : 2_000;
     Path folder = Files.createTempDirectory("keepers");
-    try (FaultTest rig =
+    try (FaultTest faultTest =
         new FaultTest(new FaultTestPlan(3, 2, 12, 60, 1, Sabotage.NONE, 1), folder)) {
-      rig.start();
-      if (deathsAlone) {
-        deaths(rig, 15);
+      faultTest.start();
+      if (crashesOnly) {
+        leaderCrashes(faultTest, 15);
         return;
       }
-      String leader = rig.awaitLeader();
+      String leader = faultTest.awaitLeader();
       System.out.printf(
-          "a keeper's resident memory, idle: %d MB%n", residentMb(rig.replica(leader).pid()));
-      rest(rig, 10);
-      membership(rig, folder);
-      grants(rig, 300, 1);
-      grants(rig, 1_200, 16);
-      herd(rig, members);
+          "a keeper's resident memory, idle: %d MB%n", residentMb(faultTest.replica(leader).pid()));
+      idleEntries(faultTest, 10);
+      membershipCost(faultTest, folder);
+      decisionRate(faultTest, 300, 1);
+      decisionRate(faultTest, 1_200, 16);
+      sessionLoad(faultTest, sessionCount);
       System.out.printf(
           "the leader's resident memory with %d sessions: %d MB%n",
-          members, residentMb(rig.replica(rig.awaitLeader()).pid()));
-      deaths(rig, 15);
+          sessionCount, residentMb(faultTest.replica(faultTest.awaitLeader()).pid()));
+      leaderCrashes(faultTest, 15);
     }
   }
 
   private static long residentMb(long pid) throws IOException {
-    for (String l : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
-      if (l.startsWith("VmRSS:")) {
-        return Long.parseLong(l.replaceAll("[^0-9]", "")) / 1024;
+    for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
+      if (line.startsWith("VmRSS:")) {
+        return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
       }
     }
     return -1;
@@ -78,47 +78,47 @@
    * What membership costs a daemon: the same file with [fleet] and without, in turn, at the same
    * open-loop rate.
    */
-  private static void membership(FaultTest rig, Path folder) throws Exception {
+  private static void membershipCost(FaultTest faultTest, Path folder) throws Exception {
     int port = ProxyFixture.freePort();
-    String member = Files.readString(folder.resolve("p1.toml"));
-    String alone =
-        member
+    String withFleet = Files.readString(folder.resolve("p1.toml"));
+    String withoutFleet =
+        withFleet
             .replaceFirst("(?s)\\[fleet\\].*?\\[listener", "[listener")
             .replaceFirst(
                 "(?s)\\[listener.main]\naddress = \"[^\"]*\"",
                 "[listener.main]\naddress = \"127.0.0.1:" + port + "\"");
-    Path file = Files.writeString(folder.resolve("alone.toml"), alone);
+    Path file = Files.writeString(folder.resolve("alone.toml"), withoutFleet);
     List<String> command = ManagedProcess.commandLine(64, "daemon", "--config", file.toString());
-    try (ManagedProcess child =
+    try (ManagedProcess daemon =
         new ManagedProcess("alone", command, command, folder.resolve("alone.log"))) {
-      child.start();
+      daemon.start();
       Round[] with = new Round[ROUNDS];
       Round[] without = new Round[ROUNDS];
-      InetSocketAddress there = new InetSocketAddress("127.0.0.1", port);
+      InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
       Thread.sleep(3_000);
-      Round.of(rig.proxyAddress("p1"), rig.proxy("p1").pid(), "warm-a");
-      Round.of(there, child.pid(), "warm-b");
+      Round.of(faultTest.proxyAddress("p1"), faultTest.proxy("p1").pid(), "warm-a");
+      Round.of(address, daemon.pid(), "warm-b");
       for (int i = 0; i < ROUNDS; i++) {
-        with[i] = Round.of(rig.proxyAddress("p1"), rig.proxy("p1").pid(), "with" + i);
-        without[i] = Round.of(there, child.pid(), "without" + i);
+        with[i] = Round.of(faultTest.proxyAddress("p1"), faultTest.proxy("p1").pid(), "with" + i);
+        without[i] = Round.of(address, daemon.pid(), "without" + i);
       }
-      for (Round[] r : List.of(with, without)) {
+      for (Round[] rounds : List.of(with, without)) {
         System.out.printf(
             "a daemon %s [fleet], %d rounds of %d/s: served %.5f, p99 %.2f ms, %.1f ms of processor time for 1,000 requests (medians), resident %d MB%n",
-            r == with ? "with" : "without",
+            rounds == with ? "with" : "without",
             ROUNDS,
             RATE,
-            median(r, Round::served),
-            median(r, Round::p99Ms),
-            median(r, Round::cpuMs),
-            residentMb(r == with ? rig.proxy("p1").pid() : child.pid()));
+            median(rounds, Round::servedShare),
+            median(rounds, Round::p99Ms),
+            median(rounds, Round::cpuMs),
+            residentMb(rounds == with ? faultTest.proxy("p1").pid() : daemon.pid()));
       }
     }
   }
 
-  private static double median(Round[] rounds, ToDoubleFunction<Round> what) {
+  private static double median(Round[] rounds, ToDoubleFunction<Round> figure) {
     return Arrays.stream(rounds)
-        .mapToDouble(what)
+        .mapToDouble(figure)
         .sorted()
         .skip(ROUNDS / 2)
         .findFirst()
@@ -129,21 +129,22 @@
    * One load on one daemon: the part served, its p99, and the daemon's processor time for 1,000
    * requests.
    */
-  private record Round(double served, double p99Ms, double cpuMs) {
-    static Round of(InetSocketAddress to, long pid, String prefix) throws Exception {
+  private record Round(double servedShare, double p99Ms, double cpuMs) {
+    static Round of(InetSocketAddress address, long pid, String idPrefix) throws Exception {
       LoadGenerator.RequestKind kind =
           new LoadGenerator.RequestKind("all", 1, "GET", "/list", "", 0, 3_000);
-      long before = cpuMs(pid);
-      try (LoadGenerator l =
+      long cpuBeforeMs = cpuMs(pid);
+      try (LoadGenerator generator =
           new LoadGenerator(
-              new LoadGenerator.Plan(to, RATE, 0, ROUND_SECONDS, 64, 1, List.of(kind), prefix),
+              new LoadGenerator.Plan(
+                  address, RATE, 0, ROUND_SECONDS, 64, 1, List.of(kind), idPrefix),
               null)) {
-        l.start().await();
-        double sent = Math.max(1, l.sent());
+        generator.start().await();
+        double sent = Math.max(1, generator.sent());
         return new Round(
-            l.count(LoadGenerator.Outcome.SERVED) / sent,
-            l.served(0).getValueAtPercentile(99) / 1e6,
-            (cpuMs(pid) - before) * 1_000.0 / sent);
+            generator.count(LoadGenerator.Outcome.SERVED) / sent,
+            generator.served(0).getValueAtPercentile(99) / 1e6,
+            (cpuMs(pid) - cpuBeforeMs) * 1_000.0 / sent);
       }
     }
 
@@ -153,110 +154,118 @@
      */
     private static long cpuMs(long pid) throws IOException {
       String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-      String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-      return (Long.parseLong(f[11]) + Long.parseLong(f[12])) * 10;
+      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+      return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 10;
     }
   }
 
-  private static long applied(FaultTest rig) throws Exception {
-    return rig.operatorAt(rig.awaitLeader())
+  private static long appliedEntries(FaultTest faultTest) throws Exception {
+    return faultTest
+        .operatorAt(faultTest.awaitLeader())
         .query(Json.object().put("op", "health"), 0, 2_000)
         .path("applied")
         .asLong();
   }
 
-  private static void rest(FaultTest rig, int seconds) throws Exception {
-    long before = applied(rig);
+  private static void idleEntries(FaultTest faultTest, int seconds) throws Exception {
+    long before = appliedEntries(faultTest);
     Thread.sleep(seconds * 1_000L);
     System.out.printf(
-        "entries a minute at rest, two daemons: %d%n", (applied(rig) - before) * 60 / seconds);
+        "entries a minute at rest, two daemons: %d%n",
+        (appliedEntries(faultTest) - before) * 60 / seconds);
   }
 
   /** Pairs of a drain and its undo, by so many operators at once. */
-  private static void grants(FaultTest rig, int calls, int operators) throws InterruptedException {
+  private static void decisionRate(FaultTest faultTest, int calls, int operators)
+      throws InterruptedException {
     AtomicLong done = new AtomicLong();
-    CountDownLatch over = new CountDownLatch(operators);
-    long start = System.nanoTime();
+    CountDownLatch finished = new CountDownLatch(operators);
+    long startNanos = System.nanoTime();
     for (int i = 0; i < operators; i++) {
-      int n = i;
+      int operator = i;
       new Thread(
               () -> {
-                for (int c = 0; c < calls / operators; c++) {
-                  JsonNode o =
-                      rig.operator()
+                for (int call = 0; call < calls / operators; call++) {
+                  JsonNode response =
+                      faultTest
+                          .operator()
                           .submit(
                               Operator.entry("drain")
                                   .put("kind", "host")
-                                  .put("name", "h" + (1 + (n + c) % 12)),
-                              "b" + operators + "-" + n + "-" + c,
-                              n,
+                                  .put("name", "h" + (1 + (operator + call) % 12)),
+                              "b" + operators + "-" + operator + "-" + call,
+                              operator,
                               10_000);
-                  if (o != null) {
+                  if (response != null) {
                     done.incrementAndGet();
-                    if (o.has("permit") && o.path("status").asText().equals("granted")) {
-                      rig.operator()
+                    if (response.has("permit")
+                        && response.path("status").asText().equals("granted")) {
+                      faultTest
+                          .operator()
                           .submit(
-                              Operator.entry("undo").put("permit", o.path("permit").asText()),
-                              "u" + operators + "-" + n + "-" + c,
-                              n,
+                              Operator.entry("undo")
+                                  .put("permit", response.path("permit").asText()),
+                              "u" + operators + "-" + operator + "-" + call,
+                              operator,
                               10_000);
                       done.incrementAndGet();
                     }
                   }
                 }
-                over.countDown();
+                finished.countDown();
               })
           .start();
     }
-    over.await();
+    finished.await();
     System.out.printf(
         "decisions a second, %d operators, a connection a call: %.0f%n",
-        operators, done.get() / ((System.nanoTime() - start) / 1e9));
+        operators, done.get() / ((System.nanoTime() - startNanos) / 1e9));
   }
 
   /** So many real sessions, joined at once and kept for a while. */
-  private static void herd(FaultTest rig, int members) throws Exception {
+  private static void sessionLoad(FaultTest faultTest, int sessionCount) throws Exception {
     int threads = 32;
-    Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
-    int k = 0;
-    for (InetSocketAddress a : rig.replicaAddresses()) {
-      keepers.put("k" + ++k, a);
+    Map<String, InetSocketAddress> replicas = new LinkedHashMap<>();
+    int replicaCount = 0;
+    for (InetSocketAddress address : faultTest.replicaAddresses()) {
+      replicas.put("k" + ++replicaCount, address);
     }
     AtomicLong joined = new AtomicLong();
     AtomicLong renewed = new AtomicLong();
     AtomicLong lost = new AtomicLong();
-    CountDownLatch over = new CountDownLatch(threads);
-    long start = System.nanoTime();
-    AtomicLong allIn = new AtomicLong();
-    long end = start + 30_000_000_000L;
-    for (int t = 0; t < threads; t++) {
-      int first = t;
+    CountDownLatch finished = new CountDownLatch(threads);
+    long startNanos = System.nanoTime();
+    AtomicLong allJoinedNanos = new AtomicLong();
+    long endNanos = startNanos + 30_000_000_000L;
+    for (int index = 0; index < threads; index++) {
+      int first = index;
       new Thread(
               () -> {
                 List<ReplicaClient> clients = new ArrayList<>();
                 List<Long> sessions = new ArrayList<>();
                 try {
-                  for (int m = first; m < members; m += threads) {
-                    ReplicaClient c = new ReplicaClient(rig.fleet(), keepers, x -> {});
-                    ObjectNode e =
+                  for (int member = first; member < sessionCount; member += threads) {
+                    ReplicaClient client =
+                        new ReplicaClient(faultTest.fleet(), replicas, message -> {});
+                    ObjectNode entry =
                         Json.object()
                             .put("op", "join")
-                            .put("name", "m" + m)
+                            .put("name", "m" + member)
                             .put("incarnation", "i")
                             .put("lease_ms", 12_000);
-                    JsonNode o =
-                        c.call(
-                            Json.object().put("op", "submit").set("entry", e),
+                    JsonNode response =
+                        client.call(
+                            Json.object().put("op", "submit").set("entry", entry),
                             System.nanoTime() + 20_000_000_000L);
-                    clients.add(c);
-                    sessions.add(o.path("session").asLong());
-                    if (joined.incrementAndGet() == members) {
-                      allIn.set(System.nanoTime() - start);
+                    clients.add(client);
+                    sessions.add(response.path("session").asLong());
+                    if (joined.incrementAndGet() == sessionCount) {
+                      allJoinedNanos.set(System.nanoTime() - startNanos);
                     }
                   }
-                  while (System.nanoTime() < end) {
-                    for (int i = 0; i < clients.size() && System.nanoTime() < end; i++) {
-                      JsonNode o =
+                  while (System.nanoTime() < endNanos) {
+                    for (int i = 0; i < clients.size() && System.nanoTime() < endNanos; i++) {
+                      JsonNode response =
                           clients
                               .get(i)
                               .call(
@@ -265,71 +274,79 @@
                                       .put("name", "m" + (first + i * threads))
                                       .put("session", sessions.get(i)),
                                   System.nanoTime() + 10_000_000_000L);
-                      (o.path("status").asText().equals("done") ? renewed : lost).incrementAndGet();
+                      (response.path("status").asText().equals("done") ? renewed : lost)
+                          .incrementAndGet();
                     }
                   }
-                } catch (ReplicaClient.UnreachableException e) {
+                } catch (ReplicaClient.UnreachableException entry) {
                   lost.incrementAndGet();
                 } finally {
                   clients.forEach(ReplicaClient::close);
-                  over.countDown();
+                  finished.countDown();
                 }
               })
           .start();
     }
-    over.await();
+    finished.await();
     System.out.printf(
         "%d sessions joined in %.1f s; then %.0f renewals a second, %d lost%n",
-        joined.get(), allIn.get() / 1e9, renewed.get() / ((30e9 - allIn.get()) / 1e9), lost.get());
+        joined.get(),
+        allJoinedNanos.get() / 1e9,
+        renewed.get() / ((30e9 - allJoinedNanos.get()) / 1e9),
+        lost.get());
   }
 
   /**
    * From the kill of the leader to the next grant, beside the time of a grant where nobody dies.
    */
-  private static void deaths(FaultTest rig, int times) throws Exception {
-    List<Long> usual = new ArrayList<>();
-    List<Long> dead = new ArrayList<>();
-    for (int i = 0; i < times; i++) {
-      usual.add(granted(rig, "usual-" + i, i));
-      String leader = rig.awaitLeader();
-      rig.replica(leader).kill();
-      dead.add(granted(rig, "death-" + i, i));
-      rig.replica(leader).start();
+  private static void leaderCrashes(FaultTest faultTest, int crashes) throws Exception {
+    List<Long> withoutCrashMs = new ArrayList<>();
+    List<Long> afterCrashMs = new ArrayList<>();
+    for (int i = 0; i < crashes; i++) {
+      withoutCrashMs.add(millisUntilGranted(faultTest, "usual-" + i, i));
+      String leader = faultTest.awaitLeader();
+      faultTest.replica(leader).kill();
+      afterCrashMs.add(millisUntilGranted(faultTest, "death-" + i, i));
+      faultTest.replica(leader).start();
       Thread.sleep(3_000);
     }
-    Collections.sort(usual);
-    Collections.sort(dead);
+    Collections.sort(withoutCrashMs);
+    Collections.sort(afterCrashMs);
     System.out.printf(
         "from a leader's death to the next grant, %d deaths: median %d ms, most %d ms; a grant without one: median %d ms, most %d ms%n",
-        times,
-        dead.get(times / 2),
-        dead.get(times - 1),
-        usual.get(times / 2),
-        usual.get(times - 1));
+        crashes,
+        afterCrashMs.get(crashes / 2),
+        afterCrashMs.get(crashes - 1),
+        withoutCrashMs.get(crashes / 2),
+        withoutCrashMs.get(crashes - 1));
   }
 
   /**
    * How long (ms) until a drain is granted, asked for again while it is refused; it is given back.
    */
-  private static long granted(FaultTest rig, String id, int first) {
-    long start = System.nanoTime();
-    for (int n = 0; System.nanoTime() - start < 30_000_000_000L; n++) {
-      JsonNode o =
-          rig.operator()
+  private static long millisUntilGranted(FaultTest faultTest, String idPrefix, int operator) {
+    long startNanos = System.nanoTime();
+    for (int call = 0; System.nanoTime() - startNanos < 30_000_000_000L; call++) {
+      JsonNode response =
+          faultTest
+              .operator()
               .submit(
-                  Operator.entry("drain").put("kind", "host").put("name", "h" + (1 + first % 12)),
-                  id + "-" + n,
-                  first,
+                  Operator.entry("drain")
+                      .put("kind", "host")
+                      .put("name", "h" + (1 + operator % 12)),
+                  idPrefix + "-" + call,
+                  operator,
                   30_000);
-      if (o != null && o.path("status").asText().equals("granted")) {
-        long ms = (System.nanoTime() - start) / 1_000_000;
-        rig.operator()
+      if (response != null && response.path("status").asText().equals("granted")) {
+        long tookMs = (System.nanoTime() - startNanos) / 1_000_000;
+        faultTest
+            .operator()
             .submit(
-                Operator.entry("undo").put("permit", o.path("permit").asText()),
-                id + "-undo",
-                first,
+                Operator.entry("undo").put("permit", response.path("permit").asText()),
+                idPrefix + "-undo",
+                operator,
                 30_000);
-        return ms;
+        return tookMs;
       }
     }
     throw new IllegalStateException("no grant within 30 s");
--- a/src/test/java/leadferry/bench/RouteBenchmark.java
+++ b/src/test/java/leadferry/bench/RouteBenchmark.java
@@ -39,7 +39,7 @@
   private final Request[] exact = new Request[REQUESTS];
   private final Request[] prefix = new Request[REQUESTS];
   private final Map<String, Integer> map = new java.util.HashMap<>();
-  private int at;
+  private int cursor;
 
   private record Request(String host, String path) implements RequestAttributes {
     @Override
@@ -58,16 +58,16 @@
     }
   }
 
-  private static String path(int i) {
-    return "/office" + i % 97 + "/team" + i % 1_009 + "/visits" + i;
+  private static String path(int route) {
+    return "/office" + route % 97 + "/team" + route % 1_009 + "/visits" + route;
   }
 
   /** Prefixes stand at three depths. */
-  private static String prefixPath(int i) {
-    return switch (i % 6) {
-      case 1 -> "/office" + i + "/x";
-      case 3 -> "/office" + i % 97 + "/team" + i;
-      default -> path(i) + "/deep";
+  private static String prefixPath(int route) {
+    return switch (route % 6) {
+      case 1 -> "/office" + route + "/x";
+      case 3 -> "/office" + route % 97 + "/team" + route;
+      default -> path(route) + "/deep";
     };
   }
 
@@ -91,26 +91,26 @@
     table = new RouteTable<>(rules);
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < REQUESTS; i++) {
-      int r = 2 * random.nextInt(routes / 2);
+      int route = 2 * random.nextInt(routes / 2);
       // Paths come from the wire: no string of the table's is asked for, nor one whose hash is
       // known.
-      exact[i] = new Request("api.test", new String(path(r).toCharArray()));
-      prefix[i] = new Request("api.test", prefixPath(r + 1) + "/7f3a/log");
+      exact[i] = new Request("api.test", new String(path(route).toCharArray()));
+      prefix[i] = new Request("api.test", prefixPath(route + 1) + "/7f3a/log");
     }
   }
 
   @Benchmark
   public Object exact() {
-    return table.find(exact[at++ & REQUESTS - 1]);
+    return table.find(exact[cursor++ & REQUESTS - 1]);
   }
 
   @Benchmark
   public Object prefix() {
-    return table.find(prefix[at++ & REQUESTS - 1]);
+    return table.find(prefix[cursor++ & REQUESTS - 1]);
   }
 
   @Benchmark
   public Object baselineHashMap() {
-    return map.get(exact[at++ & REQUESTS - 1].path());
+    return map.get(exact[cursor++ & REQUESTS - 1].path());
   }
 }
--- a/src/test/java/leadferry/bench/Streams.java
+++ b/src/test/java/leadferry/bench/Streams.java
@@ -25,41 +25,42 @@
     int hostPort = Integer.parseInt(args[0]);
     int targetPort = Integer.parseInt(args[1]);
     long bytes = Long.parseLong(args[2]) << 20;
-    int atOnce = Integer.parseInt(args[3]);
+    int clientCount = Integer.parseInt(args[3]);
     ServerSocket host = new ServerSocket(hostPort, 64, InetAddress.getLoopbackAddress());
-    daemon(
+    startDaemonThread(
         () -> {
           while (true) {
-            Socket s = host.accept();
-            daemon(() -> serve(s));
+            Socket socket = host.accept();
+            startDaemonThread(() -> serve(socket));
           }
         });
-    for (boolean up : new boolean[] {true, false}) {
-      long from = System.nanoTime();
+    for (boolean isUpload : new boolean[] {true, false}) {
+      long startNanos = System.nanoTime();
       List<Thread> clients = new ArrayList<>();
-      int[] whole = {0};
-      for (int i = 0; i < atOnce; i++) {
-        int n = i;
+      int[] completed = {0};
+      for (int i = 0; i < clientCount; i++) {
+        int client = i;
         clients.add(
-            daemon(
+            startDaemonThread(
                 () -> {
-                  boolean ok = up ? send(targetPort, bytes, n) : fetch(targetPort, bytes, n);
-                  synchronized (whole) {
-                    whole[0] += ok ? 1 : 0;
+                  boolean isComplete =
+                      isUpload ? send(targetPort, bytes, client) : fetch(targetPort, bytes, client);
+                  synchronized (completed) {
+                    completed[0] += isComplete ? 1 : 0;
                   }
                 }));
       }
-      for (Thread t : clients) {
-        t.join();
+      for (Thread thread : clients) {
+        thread.join();
       }
-      double seconds = (System.nanoTime() - from) / 1e9;
+      double seconds = (System.nanoTime() - startNanos) / 1e9;
       System.out.printf(
           Locale.ROOT,
           "%s: %d of %d whole, %.0f MiB/s%n",
-          up ? "up" : "down",
-          whole[0],
-          atOnce,
-          atOnce * (bytes >> 20) / seconds);
+          isUpload ? "up" : "down",
+          completed[0],
+          clientCount,
+          clientCount * (bytes >> 20) / seconds);
     }
     System.exit(0);
   }
@@ -68,103 +69,108 @@
     void run() throws Exception;
   }
 
-  private static Thread daemon(Task what) {
-    Thread t =
+  private static Thread startDaemonThread(Task task) {
+    Thread thread =
         new Thread(
             () -> {
               try {
-                what.run();
+                task.run();
               } catch (Exception e) {
                 System.err.println(e);
               }
             });
-    t.setDaemon(true);
-    t.start();
-    return t;
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
   }
 
-  private static String head(InputStream in) throws IOException {
-    StringBuilder s = new StringBuilder();
-    while (s.length() < 4 || !s.substring(s.length() - 4).equals("\r\n\r\n")) {
-      int b = in.read();
-      if (b < 0) {
+  private static String readHead(InputStream in) throws IOException {
+    StringBuilder head = new StringBuilder();
+    while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
+      int next = in.read();
+      if (next < 0) {
         return null;
       }
-      s.append((char) b);
+      head.append((char) next);
     }
-    return s.toString();
+    return head.toString();
   }
 
-  private static long length(String head) {
-    for (String l : head.split("\r\n")) {
-      if (l.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
-        return Long.parseLong(l.substring(15).trim());
+  private static long contentLength(String head) {
+    for (String line : head.split("\r\n")) {
+      if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
+        return Long.parseLong(line.substring(15).trim());
       }
     }
     return 0;
   }
 
-  private static boolean take(InputStream in, long n) throws IOException {
+  private static boolean readBody(InputStream in, long bytes) throws IOException {
     byte[] block = new byte[BLOCK];
-    long left = n;
-    while (left > 0) {
-      int got = in.read(block, 0, (int) Math.min(block.length, left));
-      if (got < 0) {
+    long remaining = bytes;
+    while (remaining > 0) {
+      int count = in.read(block, 0, (int) Math.min(block.length, remaining));
+      if (count < 0) {
         return false;
       }
-      left -= got;
+      remaining -= count;
     }
     return true;
   }
 
-  private static void give(OutputStream out, long n) throws IOException {
+  private static void writeBody(OutputStream out, long bytes) throws IOException {
     byte[] block = new byte[BLOCK];
-    for (long left = n; left > 0; left -= Math.min(block.length, left)) {
-      out.write(block, 0, (int) Math.min(block.length, left));
+    for (long remaining = bytes; remaining > 0; remaining -= Math.min(block.length, remaining)) {
+      out.write(block, 0, (int) Math.min(block.length, remaining));
     }
   }
 
-  private static void serve(Socket s) throws IOException {
-    try (s) {
-      InputStream in = new BufferedInputStream(s.getInputStream());
+  private static void serve(Socket socket) throws IOException {
+    try (socket) {
+      InputStream in = new BufferedInputStream(socket.getInputStream());
       String head;
-      while ((head = head(in)) != null) {
-        take(in, length(head));
-        long n =
+      while ((head = readHead(in)) != null) {
+        readBody(in, contentLength(head));
+        long bytes =
             head.startsWith("GET /") ? Long.parseLong(head.substring(5, head.indexOf(' ', 5))) : 0;
-        s.getOutputStream().write(text("HTTP/1.1 200 OK\r\nContent-Length: " + n + "\r\n\r\n"));
-        give(s.getOutputStream(), n);
+        socket
+            .getOutputStream()
+            .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n"));
+        writeBody(socket.getOutputStream(), bytes);
       }
     }
   }
 
-  private static byte[] text(String s) {
-    return s.getBytes(StandardCharsets.US_ASCII);
+  private static byte[] ascii(String text) {
+    return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static boolean send(int port, long n, int id) throws IOException {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      s.getOutputStream()
+  private static boolean send(int port, long bytes, int id) throws IOException {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      socket
+          .getOutputStream()
           .write(
-              text(
+              ascii(
                   "POST /up HTTP/1.1\r\nHost: a\r\nX-Request-ID: u"
                       + id
                       + "\r\nContent-Length: "
-                      + n
+                      + bytes
                       + "\r\n\r\n"));
-      give(s.getOutputStream(), n);
-      String head = head(s.getInputStream());
+      writeBody(socket.getOutputStream(), bytes);
+      String head = readHead(socket.getInputStream());
       return head != null && head.startsWith("HTTP/1.1 200");
     }
   }
 
-  private static boolean fetch(int port, long n, int id) throws IOException {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      s.getOutputStream()
-          .write(text("GET /" + n + " HTTP/1.1\r\nHost: a\r\nX-Request-ID: d" + id + "\r\n\r\n"));
-      InputStream in = new BufferedInputStream(s.getInputStream());
-      String head = head(in);
-      return head != null && length(head) == n && take(in, n);
+  private static boolean fetch(int port, long bytes, int id) throws IOException {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      socket
+          .getOutputStream()
+          .write(
+              ascii("GET /" + bytes + " HTTP/1.1\r\nHost: a\r\nX-Request-ID: d" + id + "\r\n\r\n"));
+      InputStream in = new BufferedInputStream(socket.getInputStream());
+      String head = readHead(in);
+      return head != null && contentLength(head) == bytes && readBody(in, bytes);
     }
   }
 }
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -18,10 +18,10 @@
 public final class WorkerSpread {
   private static final int HOSTS = 30;
   private static final int CORES = 3;
-  private static final double SERVICE = 10;
+  private static final double MEAN_SERVICE_MILLIS = 10;
   private static final int REQUESTS = 400_000;
 
-  private record Event(double at, int worker, long id, int host) {}
+  private record Event(double atMillis, int worker, long request, int host) {}
 
   private WorkerSpread() {}
 
@@ -37,79 +37,88 @@
 
   private static void run(int workers, double load) {
     SplittableRandom random = new SplittableRandom(5);
-    PriorityQueue<Event> ends = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
+    PriorityQueue<Event> completions =
+        new PriorityQueue<>((a, b) -> Double.compare(a.atMillis(), b.atMillis()));
     int[][] open = new int[workers][HOSTS + 1];
-    int[][] most = new int[workers][HOSTS + 1];
+    int[][] peakOpen = new int[workers][HOSTS + 1];
     int[] running = new int[HOSTS + 1];
     @SuppressWarnings({"unchecked", "rawtypes"})
     ArrayDeque<Event>[] queues = new ArrayDeque[HOSTS + 1];
     Arrays.setAll(queues, i -> new ArrayDeque<Event>());
-    double[] now = {1e6};
-    long[] refused = {0};
-    int[] worst = {0};
+    double[] nowMillis = {1e6};
+    long[] rejected = {0};
+    int[] longestQueue = {0};
     java.util.Map<Long, Double> startedAt = new java.util.HashMap<>();
-    LoadBalancer[] modules = new LoadBalancer[workers];
-    for (int w = 0; w < workers; w++) {
-      int worker = w;
-      modules[w] =
+    LoadBalancer[] loadBalancers = new LoadBalancer[workers];
+    for (int index = 0; index < workers; index++) {
+      int worker = index;
+      loadBalancers[index] =
           new LoadBalancer(
               PickBenchmark.settings().withProxyIndex(0),
-              w + 1,
+              index + 1,
               new PickBenchmark.NoOpActions() {
                 @Override
                 public void send(long request, long host, double apart) {
                   int h = (int) host;
-                  most[worker][h] = Math.max(most[worker][h], ++open[worker][h]);
-                  Event e = new Event(now[0], worker, request, h);
+                  peakOpen[worker][h] = Math.max(peakOpen[worker][h], ++open[worker][h]);
+                  Event e = new Event(nowMillis[0], worker, request, h);
                   if (running[h] < CORES) {
                     running[h]++;
-                    ends.add(new Event(now[0] + service(random), worker, request, h));
+                    completions.add(
+                        new Event(nowMillis[0] + drawServiceMillis(random), worker, request, h));
                   } else {
                     queues[h].add(e);
-                    worst[0] = Math.max(worst[0], queues[h].size());
+                    longestQueue[0] = Math.max(longestQueue[0], queues[h].size());
                   }
                 }
 
                 @Override
                 public void reject(long request, double retryAfterMillis) {
-                  refused[0]++;
+                  rejected[0]++;
                 }
               });
-      modules[w].onStart(now[0]);
-      modules[w].onEndpointList(now[0], EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
+      loadBalancers[index].onStart(nowMillis[0]);
+      loadBalancers[index].onEndpointList(
+          nowMillis[0], EndpointListEvent.FULL, PickBenchmark.endpoints(HOSTS));
     }
-    double rate = load * HOSTS * CORES / SERVICE;
-    double[] times = new double[REQUESTS];
-    int done = 0;
-    double next = now[0];
+    double requestsPerMilli = load * HOSTS * CORES / MEAN_SERVICE_MILLIS;
+    double[] responseMillis = new double[REQUESTS];
+    int completed = 0;
+    double nextArrivalMillis = nowMillis[0];
     for (long id = 0; id < REQUESTS; ) {
-      if (!ends.isEmpty() && ends.peek().at() <= next) {
-        Event e = ends.poll();
-        now[0] = e.at();
-        running[e.host()]--;
-        Event waiting = queues[e.host()].poll();
+      if (!completions.isEmpty() && completions.peek().atMillis() <= nextArrivalMillis) {
+        Event event = completions.poll();
+        nowMillis[0] = event.atMillis();
+        running[event.host()]--;
+        Event waiting = queues[event.host()].poll();
         if (waiting != null) {
-          running[e.host()]++;
-          ends.add(new Event(now[0] + service(random), waiting.worker(), waiting.id(), e.host()));
+          running[event.host()]++;
+          completions.add(
+              new Event(
+                  nowMillis[0] + drawServiceMillis(random),
+                  waiting.worker(),
+                  waiting.request(),
+                  event.host()));
         }
-        open[e.worker()][e.host()]--;
-        double spent = now[0] - startedAt.remove(e.id());
-        times[done++] = spent;
-        modules[e.worker()].onOutcome(now[0], e.id(), 0, AttemptOutcome.OK, spent, true, null);
+        open[event.worker()][event.host()]--;
+        double spentMillis = nowMillis[0] - startedAt.remove(event.request());
+        responseMillis[completed++] = spentMillis;
+        loadBalancers[event.worker()].onOutcome(
+            nowMillis[0], event.request(), 0, AttemptOutcome.OK, spentMillis, true, null);
       } else {
-        now[0] = next;
-        startedAt.put(id, next);
-        modules[random.nextInt(workers)].onRequest(
-            next, new RequestArrival(id, "c", null, 800, Double.NaN, false));
+        nowMillis[0] = nextArrivalMillis;
+        startedAt.put(id, nextArrivalMillis);
+        loadBalancers[random.nextInt(workers)].onRequest(
+            nextArrivalMillis, new RequestArrival(id, "c", null, 800, Double.NaN, false));
         id++;
-        next += -Math.log(1 - random.nextDouble()) / rate;
+        nextArrivalMillis += -Math.log(1 - random.nextDouble()) / requestsPerMilli;
       }
     }
-    double[] sorted = Arrays.copyOf(times, done);
+    double[] sorted = Arrays.copyOf(responseMillis, completed);
     Arrays.sort(sorted);
     long connections = 0;
-    for (int[] w : most) {
-      for (int h : w) {
+    for (int[] index : peakOpen) {
+      for (int h : index) {
         connections += h;
       }
     }
@@ -118,14 +127,14 @@
         "%7d  %.2f  %7.1f  %7.1f  %11d  %11d  %7d%n",
         workers,
         load,
-        sorted[done / 2],
-        sorted[(int) (done * 0.99)],
-        worst[0],
+        sorted[completed / 2],
+        sorted[(int) (completed * 0.99)],
+        longestQueue[0],
         connections,
-        refused[0]);
+        rejected[0]);
   }
 
-  private static double service(SplittableRandom random) {
-    return -Math.log(1 - random.nextDouble()) * SERVICE;
+  private static double drawServiceMillis(SplittableRandom random) {
+    return -Math.log(1 - random.nextDouble()) * MEAN_SERVICE_MILLIS;
   }
 }
--- a/src/test/java/leadferry/soak/AttemptRecord.java
+++ b/src/test/java/leadferry/soak/AttemptRecord.java
@@ -1,15 +1,15 @@
 package leadferry.soak;
 
 /**
- * What one server saw of one attempt.
+ * What an upstream host recorded of one attempt.
  *
- * @param id of the request
- * @param upstream name of the server
- * @param startedAtNanos when (ns) its first byte was read
- * @param completedAtNanos when (ns) its last byte was read, 0 if it never was
- * @param timeoutMs how long the proxy said that it waits
- * @param mayHaveRun whether the server may have carried out the request: not where it turned it
- *     away
+ * @param id the ID of the request
+ * @param upstream the name of the upstream host
+ * @param startedAtNanos when the first byte of the request was read, by {@link System#nanoTime}
+ * @param completedAtNanos when the last byte of the request was read, or 0 if it never was
+ * @param timeoutMs the time in milliseconds for which the proxy states that it waits
+ * @param mayHaveRun whether the upstream may have executed the request; false if it rejected the
+ *     request unprocessed
  */
 record AttemptRecord(
     String id,
--- a/src/test/java/leadferry/soak/DaemonAcceptTest.java
+++ b/src/test/java/leadferry/soak/DaemonAcceptTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A daemon, on each kind of sockets, one in ten of whose accepts fail as Linux documents: every
- * request is answered in time.
+ * Guards against requests that a daemon loses when accept(2) fails. One in ten accepts fails with
+ * an error that Linux documents, with the epoll transport and with NIO; every request must get its
+ * response in time.
  */
 class DaemonAcceptTest {
   private static final long LENGTH_MS = 4_000;
 
-  /** The page's slack, and what the threads of this process may be late on a busy machine. */
+  /**
+   * The slack of the protocol page plus the delay of the threads of this process on a busy machine.
+   */
   private static final long SLACK_MS = 250;
 
   private static final int CLIENTS = 12;
@@ -88,9 +91,9 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"epoll", "nio"})
-  void failuresOfAcceptLoseNoRequest(String transport) throws Exception {
+  void acceptFailuresLoseNoRequest(String transport) throws Exception {
     Optional<Path> library = PreloadLibrary.build(folder);
-    Assumptions.assumeTrue(library.isPresent(), "a C compiler");
+    Assumptions.assumeTrue(library.isPresent(), "requires a C compiler");
     List<RecordingUpstream> upstreams = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       upstreams.add(new RecordingUpstream("s" + i, 0, 10, history, threads, i));
@@ -117,7 +120,7 @@
             + history.requests().size()
             + ", faults injected "
             + daemon.injectedFaults()
-            + ", broken "
+            + ", violations "
             + violations.size());
     assertThat(violations).isEmpty();
     assertThat(daemon.injectedFaults()).isGreaterThan(LEAST_REQUESTS / (2L * ONE_IN));
--- a/src/test/java/leadferry/soak/FakeDiscovery.java
+++ b/src/test/java/leadferry/soak/FakeDiscovery.java
@@ -14,25 +14,28 @@
 import java.util.concurrent.ExecutorService;
 
 /**
- * The agent of one proxy: tells the list and its changes by watches, and can be silent, closed or
- * down for a while.
+ * Stand-in for the discovery agent of one proxy. It serves the endpoint list and sends changes over
+ * watches; it can stop sending and can close its watches.
  */
 final class FakeDiscovery implements AutoCloseable {
-  private static final long BLANK_MS = 2_000;
+  private static final long HEARTBEAT_MS = 2_000;
   private static final long POLL_MS = 5;
 
-  /** From a change on a proxy counts as notified after so long (ms), whether or not it heard. */
-  private static final long TOLD_MS = 6_000;
+  /**
+   * Time in milliseconds after a change at which the proxy counts as notified even if it received
+   * nothing.
+   */
+  private static final long MAX_NOTICE_DELAY_MS = 6_000;
 
   private final int proxy;
   private final ServerSocket listener;
   private final SoakHistory history;
   private final ExecutorService threads;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
   private final Map<String, String> entries = new LinkedHashMap<>();
   private final TreeMap<Long, String> changes = new TreeMap<>();
   private final Map<String, Long> lastChange = new HashMap<>();
-  private final Map<String, Long> draining = new ConcurrentHashMap<>();
+  private final Map<String, Long> drainVersions = new ConcurrentHashMap<>();
   private long version = 40;
   private volatile boolean silent;
 
@@ -48,13 +51,16 @@
     return listener.getLocalPort();
   }
 
-  /** Puts a server into a state and tells it; {@code removed} takes it out of the list. */
+  /**
+   * Sets the state of an upstream and sends it to the watches; {@code removed} takes the upstream
+   * out of the list.
+   */
   synchronized void setState(RecordingUpstream upstream, String state) {
     version++;
     String entry = upstream.endpointJson(state);
-    Long before = lastChange.put(upstream.name(), version);
-    if (before != null) {
-      changes.remove(before); // a list names each server once
+    Long previousVersion = lastChange.put(upstream.name(), version);
+    if (previousVersion != null) {
+      changes.remove(previousVersion); // a list names each upstream once
     }
     changes.put(version, entry);
     if (state.equals("removed")) {
@@ -63,19 +69,20 @@
       entries.put(upstream.name(), entry);
     }
     if (!state.equals("up")) {
-      draining.put(upstream.name(), version);
-      history.addDrainNotice(proxy, upstream.name(), System.nanoTime() + TOLD_MS * 1_000_000);
+      drainVersions.put(upstream.name(), version);
+      history.addDrainNotice(
+          proxy, upstream.name(), System.nanoTime() + MAX_NOTICE_DELAY_MS * 1_000_000);
     }
   }
 
-  /** From now on it accepts and reads, and tells nothing. */
-  void setSilent(boolean on) {
-    silent = on;
+  /** While silent, discovery still accepts connections and reads requests, but sends nothing. */
+  void setSilent(boolean isSilent) {
+    silent = isSilent;
   }
 
-  /** Ends every open watch. */
+  /** Closes all connections, and with them every open watch. */
   void closeWatches() throws IOException {
-    for (Socket socket : open) {
+    for (Socket socket : connections) {
       socket.close();
     }
   }
@@ -92,70 +99,72 @@
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
-        open.add(socket);
+        connections.add(socket);
         threads.execute(() -> serve(socket));
       } catch (IOException e) {
-        return; // closed
+        return; // the listener was closed
       }
     }
   }
 
   private void serve(Socket socket) {
     try (socket) {
-      HttpMessage call;
-      while ((call = HttpMessage.read(socket.getInputStream(), () -> {})) != null) {
+      HttpMessage request;
+      while ((request = HttpMessage.read(socket.getInputStream(), () -> {})) != null) {
         while (silent) {
           Thread.sleep(POLL_MS);
         }
-        String path = call.head().split(" ")[1];
+        String path = request.head().split(" ")[1];
         if (path.contains("follow")) {
           watch(socket, Long.parseLong(path.replaceAll(".*since=", "")));
           return;
         }
         String list = endpointListJson();
         write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-        noteTold();
+        recordDrainNotices();
       }
     } catch (IOException e) {
-      // the proxy, or the run, has closed it
+      // the proxy or the end of the run closed the connection
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      open.remove(socket);
+      connections.remove(socket);
     }
   }
 
   private void watch(Socket socket, long since) throws IOException, InterruptedException {
     write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    long told = since;
-    long saidAt = 0;
+    long sentVersion = since;
+    long lastWriteNanos = 0;
     while (true) {
       String line = null;
       synchronized (this) {
-        if (!silent && told < version) {
+        if (!silent && sentVersion < version) {
           line =
               "{\"version\":"
                   + version
                   + ",\"full\":false,\"servers\":["
-                  + String.join(",", changes.tailMap(told, false).values())
+                  + String.join(",", changes.tailMap(sentVersion, false).values())
                   + "]}\n";
-          told = version;
+          sentVersion = version;
         }
       }
-      if (line == null && !silent && System.nanoTime() - saidAt > BLANK_MS * 1_000_000) {
+      if (line == null
+          && !silent
+          && System.nanoTime() - lastWriteNanos > HEARTBEAT_MS * 1_000_000) {
         line = "\n";
       }
       if (line != null) {
         write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-        saidAt = System.nanoTime();
-        noteTold();
+        lastWriteNanos = System.nanoTime();
+        recordDrainNotices();
       }
       Thread.sleep(POLL_MS);
     }
   }
 
-  private void noteTold() {
-    draining.keySet().forEach(name -> history.addDrainNotice(proxy, name, System.nanoTime()));
+  private void recordDrainNotices() {
+    drainVersions.keySet().forEach(name -> history.addDrainNotice(proxy, name, System.nanoTime()));
   }
 
   private static void write(Socket socket, String text) throws IOException {
--- a/src/test/java/leadferry/soak/FaultMatrix.java
+++ b/src/test/java/leadferry/soak/FaultMatrix.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * By hand: one run for each documented failure of each call, and one with none; {@code FaultMatrix
- * ONE_IN SECONDS}.
+ * Plays one run for each documented failure of each system call, and one run without faults.
+ * Started by {@code bench/soak matrix ONE_IN SECONDS}, where one in ONE_IN calls fails.
  */
 public final class FaultMatrix {
   private static final long SLACK_MS = 100;
@@ -20,10 +20,10 @@
     faults.forEach(fault -> cases.add(SystemCallFault.always(call, role, fault, oneIn)));
   }
 
-  /** Prints a line for each run. */
+  /** Plays all runs and prints one line for each. */
   public static void main(String[] args) throws Exception {
     int oneIn = Integer.parseInt(args[0]);
-    long lengthMs = 1_000 * Long.parseLong(args[1]);
+    long durationMs = 1_000 * Long.parseLong(args[1]);
     List<SystemCallFault> cases = new ArrayList<>();
     add(cases, "accept", "listener", SoakPlan.ACCEPT_FAULTS, oneIn);
     add(cases, "read", "client", SoakPlan.TRANSIENT_READ_FAULTS, oneIn);
@@ -38,17 +38,18 @@
     add(cases, "epoll_wait", "any", List.of("EINTR"), oneIn);
     Path folder = Files.createTempDirectory("matrix");
     Path library = PreloadLibrary.build(folder).orElseThrow();
-    play("none", SoakPlan.steady(SEED, lengthMs, List.of()), folder, library);
+    runCase("none", SoakPlan.steady(SEED, durationMs, List.of()), folder, library);
     for (SystemCallFault each : cases) {
-      play(
+      runCase(
           each.call() + " " + each.role() + " " + each.fault(),
-          SoakPlan.steady(SEED, lengthMs, List.of(each)),
+          SoakPlan.steady(SEED, durationMs, List.of(each)),
           folder,
           library);
     }
   }
 
-  private static void play(String name, SoakPlan plan, Path folder, Path library) throws Exception {
+  private static void runCase(String name, SoakPlan plan, Path folder, Path library)
+      throws Exception {
     Path own = Files.createDirectories(folder.resolve(name.replace(' ', '-')));
     try (SoakRun run = new SoakRun(plan, own, library)) {
       SoakHistory history = run.run();
@@ -56,10 +57,10 @@
           new SoakJudge(history, plan.drainGraceMs(), SLACK_MS).violations();
       long served =
           history.requests().stream()
-              .filter(r -> r.outcome() == RequestRecord.Outcome.SERVED)
+              .filter(request -> request.outcome() == RequestRecord.Outcome.SERVED)
               .count();
       System.out.printf(
-          "%-32s requests %5d served %5d injected %5d broken %4d %s%n",
+          "%-32s requests %5d served %5d injected %5d violations %4d %s%n",
           name,
           history.requests().size(),
           served,
--- a/src/test/java/leadferry/soak/HttpMessage.java
+++ b/src/test/java/leadferry/soak/HttpMessage.java
@@ -5,7 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** An HTTP/1.1 message with a body of a stated length, read byte by byte as far as it comes. */
+/**
+ * An HTTP/1.1 message with a body of a stated length. It is read byte by byte, so that a truncated
+ * message is detected wherever it ends.
+ */
 final class HttpMessage {
   private static final int MAX_HEAD = 64 * 1024;
 
@@ -17,7 +20,7 @@
     this.body = body;
   }
 
-  /** Thrown where the stream ends within a message. */
+  /** Thrown if the stream ends within a message. */
   static final class TruncatedException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -27,14 +30,14 @@
   }
 
   /**
-   * The next message, or null where the stream ended before its first byte.
+   * Reads the next message; returns null if the stream ended before its first byte.
    *
-   * @param onFirstByte is run when that byte has been read
+   * @param onFirstByte runs when the first byte has been read
    * @throws TruncatedException if the stream ended, was reset or timed out after the first byte
    */
-  static HttpMessage read(InputStream in, Runnable onFirstByte) throws IOException {
+  static HttpMessage read(InputStream input, Runnable onFirstByte) throws IOException {
     StringBuilder head = new StringBuilder();
-    int first = in.read();
+    int first = input.read();
     if (first < 0) {
       return null;
     }
@@ -42,18 +45,20 @@
     head.append((char) first);
     try {
       while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
-        int next = in.read();
+        int next = input.read();
         if (next < 0 || head.length() > MAX_HEAD) {
-          throw new TruncatedException("the head does not end");
+          throw new TruncatedException(
+              "message head: incomplete (expected: a blank line within " + MAX_HEAD + " bytes)");
         }
         head.append((char) next);
       }
       String text = head.toString();
       String length = header(text, "content-length");
       int expected = length == null ? 0 : Integer.parseInt(length);
-      byte[] body = in.readNBytes(expected);
+      byte[] body = input.readNBytes(expected);
       if (body.length < expected) {
-        throw new TruncatedException("the body does not end");
+        throw new TruncatedException(
+            "message body: incomplete (expected: as long as its Content-Length)");
       }
       return new HttpMessage(text, new String(body, StandardCharsets.ISO_8859_1));
     } catch (TruncatedException e) {
@@ -75,7 +80,7 @@
     return Integer.parseInt(head.split(" ", 3)[1].trim());
   }
 
-  /** The header's value, or null. */
+  /** Returns the value of the header, or null; {@code name} is in lower case. */
   String header(String name) {
     return header(head, name);
   }
--- a/src/test/java/leadferry/soak/PreloadLibrary.java
+++ b/src/test/java/leadferry/soak/PreloadLibrary.java
@@ -5,15 +5,15 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** Builds {@code src/test/native/syscall_faults.c} with the machine's C compiler. */
+/** Builds {@code src/test/native/syscall_faults.c} with the C compiler of the machine. */
 final class PreloadLibrary {
   private static final Path SOURCE = Path.of("src/test/native/syscall_faults.c");
 
   private PreloadLibrary() {}
 
   /**
-   * The built library in the folder, or empty where the machine has no C compiler; the reason is
-   * printed then.
+   * Builds the library in the folder and returns its path. Without a C compiler, prints the reason
+   * and returns empty.
    */
   static Optional<Path> build(Path folder) throws IOException, InterruptedException {
     Path library = folder.resolve("libsyscall_faults.so");
@@ -35,11 +35,11 @@
               .start();
     } catch (IOException e) {
       System.out.println(
-          "no faults of system calls: this machine has no C compiler (" + e.getMessage() + ")");
+          "system call faults disabled: no C compiler on this machine (" + e.getMessage() + ")");
       return Optional.empty();
     }
     if (compiler.waitFor() != 0 || !Files.exists(library)) {
-      throw new IOException("cc could not build " + SOURCE);
+      throw new IOException("cc failed to build " + SOURCE);
     }
     return Optional.of(library);
   }
--- a/src/test/java/leadferry/soak/ProxyProcess.java
+++ b/src/test/java/leadferry/soak/ProxyProcess.java
@@ -14,16 +14,22 @@
 import java.util.stream.Collectors;
 
 /**
- * The platform's process as the deploy file runs it, or a daemon, from the classes under test;
- * ended by its id.
+ * A process under test, run from the compiled classes: the platform's proxy with the options of the
+ * deploy folder, or a daemon. Signals go to the ID of the process.
  */
 final class ProxyProcess {
   private static final long START_MS = 30_000;
   private static final int CONNECT_MS = 500;
 
   /**
-   * What faults a process is started with; {@code library} is null for none, {@code descriptors} 0
-   * for no limit.
+   * Faults that a process is started with.
+   *
+   * @param library the preload library, or null for a process without system call faults
+   * @param rules the system calls that fail
+   * @param seed the seed for the choice of failing calls
+   * @param clockStep "from_ms step_ms" of the wall clock, or null
+   * @param descriptorLimit the number of file descriptors that the process may open, or 0 for no
+   *     limit
    */
   record Faults(
       Path library,
@@ -33,10 +39,14 @@
       int descriptorLimit) {}
 
   /**
-   * How a kind of process is started, and which answer to {@code GET /_health} tells that it can
-   * serve.
+   * Command line of a kind of process.
+   *
+   * @param options the options of the JVM
+   * @param arguments the arguments of the program
+   * @param healthyPrefix the start of the response to {@code GET /_health} once the process can
+   *     serve
    */
-  private record Kind(List<String> options, List<String> arguments, String healthy) {}
+  private record Kind(List<String> options, List<String> arguments, String healthyPrefix) {}
 
   private final Kind kind;
   private final Path configuration;
@@ -54,8 +64,8 @@
   }
 
   /**
-   * The platform's process, with the options of the deploy folder: the limits of memory are the
-   * platform's.
+   * Returns the platform's proxy, with the JVM options of the deploy folder, and thus with the
+   * memory limits of the platform.
    */
   static ProxyProcess platform(Path configuration, Path folder, int port, int discoveryPort)
       throws IOException {
@@ -71,7 +81,10 @@
         discoveryPort);
   }
 
-  /** A daemon with this operator's file, which answers whatever it has no route for. */
+  /**
+   * Returns a daemon with this operator's file. It has no health path; any response, also one for a
+   * missing route, shows that it serves.
+   */
   static ProxyProcess daemon(Path operatorFile, Path folder, int port) {
     List<String> arguments = List.of("daemon", "--config", operatorFile.toString());
     return new ProxyProcess(
@@ -90,9 +103,9 @@
     return folder.resolve("proxy.log");
   }
 
-  /** Starts it and waits until it says that it can serve. */
+  /** Starts the process and waits until it serves requests. */
   void start(Faults faults) throws IOException, InterruptedException {
-    List<String> command = new ArrayList<>(limited(faults.descriptorLimit()));
+    List<String> command = new ArrayList<>(descriptorLimitPrefix(faults.descriptorLimit()));
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(kind.options());
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "leadferry.Main"));
@@ -101,10 +114,12 @@
     builder
         .redirectErrorStream(true)
         .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
-    Path own = Files.createDirectories(folder.resolve("tmp"));
+    Path temporaryFolder = Files.createDirectories(folder.resolve("tmp"));
     builder
         .environment()
-        .putAll(Map.of("BALANCER_CONFIG", configuration.toString(), "TMPDIR", own.toString()));
+        .putAll(
+            Map.of(
+                "BALANCER_CONFIG", configuration.toString(), "TMPDIR", temporaryFolder.toString()));
     if (faults.library() != null) {
       String rules =
           faults.rules().stream().map(SystemCallFault::rule).collect(Collectors.joining(";"));
@@ -118,17 +133,17 @@
       }
     }
     process = builder.start();
-    // Guards other tests on the machine: a proxy that outlives its run goes on asking for its
-    // discovery at a port that is theirs by then.
+    // Guards against interference with other tests: a proxy that outlives its run keeps connecting
+    // to the port of its discovery, which may belong to another test by then.
     Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
     awaitReady();
   }
 
   /**
-   * What goes ahead of a command that may hold so many descriptors; each entry of the class path
-   * takes one more here.
+   * Returns the words before a command that set its limit of open file descriptors. The limit is
+   * raised by one for each entry of the class path, which the JVM keeps open.
    */
-  private static List<String> limited(int descriptors) {
+  private static List<String> descriptorLimitPrefix(int descriptors) {
     if (descriptors == 0) {
       return List.of();
     }
@@ -138,16 +153,20 @@
   }
 
   private void awaitReady() throws InterruptedException, IOException {
-    long until = System.nanoTime() + START_MS * 1_000_000;
-    while (!ready()) {
-      if (System.nanoTime() > until || !process.isAlive()) {
-        throw new IOException("the proxy did not become ready: " + Files.readString(logFile()));
+    long deadlineNanos = System.nanoTime() + START_MS * 1_000_000;
+    while (!isReady()) {
+      if (System.nanoTime() > deadlineNanos || !process.isAlive()) {
+        throw new IOException(
+            "process did not become ready within "
+                + START_MS
+                + " ms, or exited: "
+                + Files.readString(logFile()));
       }
       Thread.sleep(10);
     }
   }
 
-  private boolean ready() {
+  private boolean isReady() {
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
       socket.setSoTimeout(CONNECT_MS);
@@ -157,13 +176,13 @@
               "GET /_health HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n"
                   .getBytes(StandardCharsets.UTF_8));
       return new String(socket.getInputStream().readNBytes(12), StandardCharsets.UTF_8)
-          .startsWith(kind.healthy());
+          .startsWith(kind.healthyPrefix());
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** Sends a signal by name. */
+  /** Sends the signal with this name, such as TERM. */
   void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
@@ -172,9 +191,9 @@
     return process.isAlive();
   }
 
-  /** Its status, if it ends within so many ms. */
-  boolean awaitExit(long ms) throws InterruptedException {
-    return process.waitFor(Math.max(0, ms), TimeUnit.MILLISECONDS);
+  /** Waits up to {@code timeoutMs} milliseconds and returns whether the process has exited. */
+  boolean awaitExit(long timeoutMs) throws InterruptedException {
+    return process.waitFor(Math.max(0, timeoutMs), TimeUnit.MILLISECONDS);
   }
 
   int exitStatus() {
@@ -187,7 +206,7 @@
     }
   }
 
-  /** Faults that reached the process so far. */
+  /** Returns the number of system call faults injected into the process so far. */
   long injectedFaults() throws IOException {
     return Files.exists(faultLogFile()) ? Files.lines(faultLogFile()).count() : 0;
   }
--- a/src/test/java/leadferry/soak/RecordingUpstream.java
+++ b/src/test/java/leadferry/soak/RecordingUpstream.java
@@ -10,26 +10,26 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 
-/** An upstream host that records each attempt, and misbehaves as it is told. */
+/** An upstream host that records each attempt and can be switched to a faulty behaviour. */
 final class RecordingUpstream implements AutoCloseable {
-  /** What it does with the requests that come. */
+  /** What an upstream does with the requests that it receives. */
   enum Behaviour {
     HEALTHY,
-    /** Reads and never answers. */
+    /** Reads requests and never responds. */
     HANG,
-    /** Answers 500. */
+    /** Responds with status 500. */
     FAIL,
-    /** Turns away unseen. */
+    /** Rejects requests as not processed, without running them. */
     REJECT,
-    /** Resets the connection once the request has come whole. */
+    /** Resets the connection after it received the complete request. */
     RESET,
-    /** Closes each connection right behind an answer. */
+    /** Closes the connection after each response. */
     CLOSE_AFTER_RESPONSE,
-    /** Sends half of an answer and closes. */
+    /** Sends a response without its last two bytes and closes the connection. */
     TRUNCATE_RESPONSE,
     /**
-     * Runs the request and says that it did not: never drawn, it shows that the judge finds
-     * duplicates.
+     * Records the request as run and rejects it as not processed. No seed selects this behaviour;
+     * it shows that the judge finds duplicates.
      */
     REJECT_AFTER_RUN
   }
@@ -41,7 +41,7 @@
   private final SoakHistory history;
   private final ExecutorService threads;
   private final Random random;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
   private volatile Behaviour behaviour = Behaviour.HEALTHY;
 
   RecordingUpstream(
@@ -70,11 +70,11 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  void setBehaviour(Behaviour next) {
-    behaviour = next;
+  void setBehaviour(Behaviour newBehaviour) {
+    behaviour = newBehaviour;
   }
 
-  /** Its entry in a list of the discovery's, in this state. */
+  /** Returns the entry of this upstream in an endpoint list, with this state. */
   String endpointJson(String state) {
     return "{\"id\":\""
         + name
@@ -91,10 +91,10 @@
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
-        open.add(socket);
+        connections.add(socket);
         threads.execute(() -> serve(socket));
       } catch (IOException e) {
-        return; // closed
+        return; // the listener was closed
       }
     }
   }
@@ -103,67 +103,68 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       while (true) {
-        long[] begun = new long[1];
+        long[] startedAtNanos = new long[1];
         HttpMessage request =
-            HttpMessage.read(socket.getInputStream(), () -> begun[0] = System.nanoTime());
-        if (request == null || !answer(socket, request, begun[0])) {
+            HttpMessage.read(socket.getInputStream(), () -> startedAtNanos[0] = System.nanoTime());
+        if (request == null || !respond(socket, request, startedAtNanos[0])) {
           return;
         }
       }
     } catch (IOException e) {
-      // the proxy, or the end of the run, has closed it
+      // the proxy or the end of the run closed the connection
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      open.remove(socket);
+      connections.remove(socket);
     }
   }
 
-  /** Whether the connection goes on. */
-  private boolean answer(Socket socket, HttpMessage request, long begunAt)
+  /** Responds to a request; returns whether the connection stays open. */
+  private boolean respond(Socket socket, HttpMessage request, long startedAtNanos)
       throws IOException, InterruptedException {
     String id = request.header("x-request-id");
-    Behaviour now = behaviour;
+    Behaviour current = behaviour;
     if (id == null) {
       write(socket, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
       return true;
     }
-    String told = request.header("x-timeout-ms");
-    long toldMs = told == null ? 0 : Long.parseLong(told);
+    String timeout = request.header("x-timeout-ms");
+    long timeoutMs = timeout == null ? 0 : Long.parseLong(timeout);
     history.add(
-        new AttemptRecord(id, name, begunAt, System.nanoTime(), toldMs, now != Behaviour.REJECT));
-    if (now == Behaviour.HANG) {
+        new AttemptRecord(
+            id, name, startedAtNanos, System.nanoTime(), timeoutMs, current != Behaviour.REJECT));
+    if (current == Behaviour.HANG) {
       return true;
     }
-    if (now == Behaviour.REJECT || now == Behaviour.REJECT_AFTER_RUN) {
+    if (current == Behaviour.REJECT || current == Behaviour.REJECT_AFTER_RUN) {
       write(socket, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
       return true;
     }
     Thread.sleep((long) Math.max(1, serviceMs * (0.5 + random.nextDouble())));
-    return finish(socket, id, now);
+    return writeResponse(socket, id, current);
   }
 
-  private boolean finish(Socket socket, String id, Behaviour now) throws IOException {
-    String whole = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
-    switch (now) {
+  private boolean writeResponse(Socket socket, String id, Behaviour current) throws IOException {
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
+    switch (current) {
       case FAIL -> write(socket, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
       case RESET -> socket.setSoLinger(true, 0);
-      case TRUNCATE_RESPONSE -> write(socket, whole.substring(0, whole.length() - 2));
-      default -> write(socket, whole);
+      case TRUNCATE_RESPONSE -> write(socket, response.substring(0, response.length() - 2));
+      default -> write(socket, response);
     }
-    return now == Behaviour.HEALTHY || now == Behaviour.FAIL;
+    return current == Behaviour.HEALTHY || current == Behaviour.FAIL;
   }
 
   private static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** The process is gone: connections are reset and new ones refused. */
+  /** Ends the upstream: closes its connections and refuses new ones. */
   @Override
   public void close() {
     try {
       listener.close();
-      for (Socket socket : open) {
+      for (Socket socket : connections) {
         socket.close();
       }
     } catch (IOException e) {
--- a/src/test/java/leadferry/soak/RequestRecord.java
+++ b/src/test/java/leadferry/soak/RequestRecord.java
@@ -1,20 +1,20 @@
 package leadferry.soak;
 
 /**
- * What one client saw of one request. Times are nanoseconds of {@link System#nanoTime}, 0 where it
- * did not happen.
+ * What a client recorded of one request. Times are readings of {@link System#nanoTime}, 0 where the
+ * event did not happen.
  *
- * @param id of the request, unique in a run
- * @param proxy index of the proxy that it was sent to
- * @param unsafe whether it must never run twice
- * @param deadlineMs how long its client waits
- * @param sentAtNanos when its last byte had been written
- * @param endedAtNanos when the last byte of its response, or the end of the connection, was read
- * @param disconnectedAtNanos when its client closed the connection without waiting for the response
- * @param outcome how it ended for the client
- * @param resentAtNanos when it was sent once more because the close of an idle connection crossed
- *     it
- * @param detail of the outcome, for people
+ * @param id the ID of the request, unique in a run
+ * @param proxy the index of the proxy to which the request was sent
+ * @param unsafe whether the request must never run twice
+ * @param deadlineMs how many milliseconds the client waits for the response
+ * @param sentAtNanos when the last byte of the request was written
+ * @param endedAtNanos when the last byte of the response, or the end of the connection, was read
+ * @param disconnectedAtNanos when the client closed the connection without waiting for the response
+ * @param outcome how the request ended for the client
+ * @param resentAtNanos when the client sent the request again, because the proxy closed the idle
+ *     connection while the request was on its way
+ * @param detail a description of the outcome for people
  */
 record RequestRecord(
     String id,
@@ -29,17 +29,19 @@
     String detail) {
   /** How a request ended for its client. */
   enum Outcome {
-    /** 200 with a whole body. */
+    /** A response with status 200 and a complete body. */
     SERVED,
-    /** 429 or 503: the proxy promises that it did not run. */
+    /**
+     * A response with status 429 or 503, by which the proxy states that the request did not run.
+     */
     REFUSED,
     /** Any other complete response. */
     FAILED,
-    /** A response that began and is not whole: the client can tell. */
+    /** An incomplete response, which the client recognizes as such. */
     TRUNCATED,
-    /** The connection ended, or nothing came, with no byte of a response. */
+    /** No byte of a response before the connection ended or the client timed out. */
     NO_RESPONSE,
-    /** The client closed the connection first. */
+    /** The client closed the connection before the response. */
     CLIENT_DISCONNECTED
   }
 }
--- a/src/test/java/leadferry/soak/SoakClient.java
+++ b/src/test/java/leadferry/soak/SoakClient.java
@@ -10,15 +10,24 @@
 import leadferry.soak.RequestRecord.Outcome;
 
 /**
- * A client of the protocol page: one request at a time, connections kept while they stay open, a
- * request that crosses the close of an idle connection sent once more on a new one.
+ * A client that follows the protocol page. It sends one request at a time and keeps its connection
+ * open between requests. If the proxy closes the idle connection while a request is on its way, the
+ * client sends the request once more on a new connection.
  */
 final class SoakClient implements Runnable {
   private static final int CONNECT_MS = 3_000;
-  private static final int PAST_DEADLINE_MS = 1_000;
-  private static final double LEAVES_SHARE = 0.5;
+  private static final int READ_MARGIN_MS = 1_000;
+  private static final double MAX_DISCONNECT_SHARE = 0.5;
 
-  /** How clients act. */
+  /**
+   * How clients act.
+   *
+   * @param thinkMs the mean time in milliseconds before a request
+   * @param newConnectionShare the share of requests before which the client closes its connection
+   * @param disconnectShare the share of requests whose client disconnects before the response
+   * @param unsafeDeadlineMs the deadline in milliseconds of requests that must not run twice
+   * @param keyedDeadlineMs the deadline in milliseconds of requests with an idempotency key
+   */
   record Profile(
       double thinkMs,
       double newConnectionShare,
@@ -27,13 +36,14 @@
       int keyedDeadlineMs) {}
 
   /**
-   * What a client must know of the proxy's process: the platform starts and stops the two together.
+   * What a client knows about its proxy process, because the platform starts and stops both
+   * together.
    */
   interface Target {
-    /** Whether a client may open a connection now. */
+    /** Returns whether a client may open a connection now. */
     boolean canConnect();
 
-    /** Whether the run goes on. */
+    /** Returns whether the run still goes on. */
     boolean isRunning();
 
     int port();
@@ -41,17 +51,17 @@
 
   private final String name;
   private final int proxy;
-  private final Profile habits;
+  private final Profile profile;
   private final Target target;
   private final SoakHistory history;
   private final Random random;
   private Socket socket;
 
   SoakClient(
-      String name, int proxy, Profile habits, Target target, SoakHistory history, long seed) {
+      String name, int proxy, Profile profile, Target target, SoakHistory history, long seed) {
     this.name = name;
     this.proxy = proxy;
-    this.habits = habits;
+    this.profile = profile;
     this.target = target;
     this.history = history;
     this.random = new Random(seed);
@@ -61,44 +71,47 @@
   public void run() {
     try {
       for (int number = 0; target.isRunning(); number++) {
-        Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * habits.thinkMs()));
-        if (random.nextDouble() < habits.newConnectionShare()) {
-          hangUp();
+        Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * profile.thinkMs()));
+        if (random.nextDouble() < profile.newConnectionShare()) {
+          closeConnection();
         }
         if (socket == null && !target.canConnect()) {
           continue;
         }
-        ask(name + "-" + number);
+        sendRequest(name + "-" + number);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      hangUp();
+      closeConnection();
     }
   }
 
-  private void ask(String id) throws InterruptedException {
+  private void sendRequest(String id) throws InterruptedException {
     boolean unsafe = random.nextBoolean();
-    int deadlineMs = unsafe ? habits.unsafeDeadlineMs() : habits.keyedDeadlineMs();
-    boolean leaves = random.nextDouble() < habits.disconnectShare();
-    long leaveAfterMs = (long) (random.nextDouble() * LEAVES_SHARE * deadlineMs);
-    boolean kept = socket != null;
-    RequestRecord seen = attempt(id, unsafe, deadlineMs, leaves ? leaveAfterMs : -1, 0);
-    if (kept
-        && seen != null
-        && seen.outcome() == Outcome.NO_RESPONSE
-        && seen.detail().startsWith("closed")) {
-      long resentAt = System.nanoTime();
-      seen = attempt(id, unsafe, deadlineMs, -1, resentAt);
+    int deadlineMs = unsafe ? profile.unsafeDeadlineMs() : profile.keyedDeadlineMs();
+    boolean disconnects = random.nextDouble() < profile.disconnectShare();
+    long disconnectAfterMs = (long) (random.nextDouble() * MAX_DISCONNECT_SHARE * deadlineMs);
+    boolean isReused = socket != null;
+    RequestRecord result = attempt(id, unsafe, deadlineMs, disconnects ? disconnectAfterMs : -1, 0);
+    if (isReused
+        && result != null
+        && result.outcome() == Outcome.NO_RESPONSE
+        && result.detail().startsWith("closed")) {
+      long resentAtNanos = System.nanoTime();
+      result = attempt(id, unsafe, deadlineMs, -1, resentAtNanos);
     }
-    if (seen != null) {
-      history.add(seen);
+    if (result != null) {
+      history.add(result);
     }
   }
 
-  /** One exchange; null if no connection came up, so that nothing was taken. */
+  /**
+   * Sends a request and reads its response; returns null if no connection could be established, in
+   * which case nothing was sent.
+   */
   private RequestRecord attempt(
-      String id, boolean unsafe, int deadlineMs, long leaveAfterMs, long resentAt)
+      String id, boolean unsafe, int deadlineMs, long disconnectAfterMs, long resentAtNanos)
       throws InterruptedException {
     try {
       if (socket == null) {
@@ -108,89 +121,120 @@
       socket = null;
       return null;
     }
-    long sentAt = 0;
+    long sentAtNanos = 0;
     try {
       socket
           .getOutputStream()
           .write(request(id, unsafe, deadlineMs).getBytes(StandardCharsets.ISO_8859_1));
-      sentAt = System.nanoTime();
-      if (leaveAfterMs >= 0) {
-        Thread.sleep(leaveAfterMs);
-        long leftAt = System.nanoTime();
-        hangUp();
+      sentAtNanos = System.nanoTime();
+      if (disconnectAfterMs >= 0) {
+        Thread.sleep(disconnectAfterMs);
+        long disconnectedAtNanos = System.nanoTime();
+        closeConnection();
         return new RequestRecord(
             id,
             proxy,
             unsafe,
             deadlineMs,
-            sentAt,
+            sentAtNanos,
             0,
-            leftAt,
+            disconnectedAtNanos,
             Outcome.CLIENT_DISCONNECTED,
-            resentAt,
-            "left");
+            resentAtNanos,
+            "client disconnected");
       }
-      socket.setSoTimeout(deadlineMs + PAST_DEADLINE_MS);
+      socket.setSoTimeout(deadlineMs + READ_MARGIN_MS);
       HttpMessage response = HttpMessage.read(socket.getInputStream(), () -> {});
-      long endedAt = System.nanoTime();
+      long endedAtNanos = System.nanoTime();
       if (response == null) {
-        return ended(id, unsafe, deadlineMs, sentAt, Outcome.NO_RESPONSE, resentAt, "closed");
+        return incomplete(
+            id, unsafe, deadlineMs, sentAtNanos, Outcome.NO_RESPONSE, resentAtNanos, "closed");
       }
       if (response.hasConnectionClose()) {
-        hangUp();
+        closeConnection();
       }
-      return judged(id, unsafe, deadlineMs, sentAt, endedAt, response, resentAt);
+      return completed(id, unsafe, deadlineMs, sentAtNanos, endedAtNanos, response, resentAtNanos);
     } catch (HttpMessage.TruncatedException e) {
-      return ended(
-          id, unsafe, deadlineMs, sentAt, Outcome.TRUNCATED, resentAt, "cut: " + e.getMessage());
+      return incomplete(
+          id,
+          unsafe,
+          deadlineMs,
+          sentAtNanos,
+          Outcome.TRUNCATED,
+          resentAtNanos,
+          "truncated: " + e.getMessage());
     } catch (SocketTimeoutException e) {
-      return ended(
-          id, unsafe, deadlineMs, sentAt, Outcome.NO_RESPONSE, resentAt, "silent past its time");
+      return incomplete(
+          id,
+          unsafe,
+          deadlineMs,
+          sentAtNanos,
+          Outcome.NO_RESPONSE,
+          resentAtNanos,
+          "timed out: no response");
     } catch (IOException e) {
-      return ended(
+      return incomplete(
           id,
           unsafe,
           deadlineMs,
-          sentAt,
+          sentAtNanos,
           Outcome.NO_RESPONSE,
-          resentAt,
+          resentAtNanos,
           "closed: " + e.getMessage());
     }
   }
 
-  private RequestRecord judged(
+  private RequestRecord completed(
       String id,
       boolean unsafe,
       int deadlineMs,
-      long sentAt,
-      long endedAt,
+      long sentAtNanos,
+      long endedAtNanos,
       HttpMessage response,
-      long resentAt) {
+      long resentAtNanos) {
     Outcome outcome =
         switch (response.status()) {
           case 200 -> Outcome.SERVED;
           case 429, 503 -> Outcome.REFUSED;
           default -> Outcome.FAILED;
         };
-    boolean foreign = outcome == Outcome.SERVED && !response.body().equals(id);
+    boolean isForeign = outcome == Outcome.SERVED && !response.body().equals(id);
     String detail =
-        foreign ? "foreign answer: " + response.body() : Integer.toString(response.status());
+        isForeign ? "foreign response: " + response.body() : Integer.toString(response.status());
     return new RequestRecord(
-        id, proxy, unsafe, deadlineMs, sentAt, endedAt, 0, outcome, resentAt, detail);
+        id,
+        proxy,
+        unsafe,
+        deadlineMs,
+        sentAtNanos,
+        endedAtNanos,
+        0,
+        outcome,
+        resentAtNanos,
+        detail);
   }
 
-  private RequestRecord ended(
+  private RequestRecord incomplete(
       String id,
       boolean unsafe,
       int deadlineMs,
-      long sentAt,
+      long sentAtNanos,
       Outcome outcome,
-      long resentAt,
+      long resentAtNanos,
       String detail) {
-    long now = System.nanoTime();
-    hangUp();
+    long endedAtNanos = System.nanoTime();
+    closeConnection();
     return new RequestRecord(
-        id, proxy, unsafe, deadlineMs, sentAt, now, 0, outcome, resentAt, detail);
+        id,
+        proxy,
+        unsafe,
+        deadlineMs,
+        sentAtNanos,
+        endedAtNanos,
+        0,
+        outcome,
+        resentAtNanos,
+        detail);
   }
 
   private static String request(String id, boolean unsafe, int deadlineMs) {
@@ -209,24 +253,24 @@
   }
 
   private Socket connect() throws IOException {
-    Socket fresh = new Socket();
-    fresh.setTcpNoDelay(true);
+    Socket newSocket = new Socket();
+    newSocket.setTcpNoDelay(true);
     try {
-      fresh.connect(
+      newSocket.connect(
           new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
     } catch (IOException e) {
-      fresh.close();
+      newSocket.close();
       throw e;
     }
-    return fresh;
+    return newSocket;
   }
 
-  private void hangUp() {
+  private void closeConnection() {
     if (socket != null) {
       try {
         socket.close();
       } catch (IOException e) {
-        // gone already
+        // already closed
       }
       socket = null;
     }
--- a/src/test/java/leadferry/soak/SoakHistory.java
+++ b/src/test/java/leadferry/soak/SoakHistory.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** All that was recorded outside the program in one run; safe for use by many threads. */
+/** Everything recorded outside the proxy processes during one run. Thread-safe. */
 final class SoakHistory {
-  /** A proxy was notified that a server drains or has gone, at this time (ns). */
-  private record Notified(int proxy, String server) {}
+  /** Key of a notice to a proxy that an upstream drains or was removed. */
+  private record DrainNotice(int proxy, String upstream) {}
 
   private final Queue<RequestRecord> requests = new ConcurrentLinkedQueue<>();
   private final Queue<AttemptRecord> attempts = new ConcurrentLinkedQueue<>();
   private final Queue<String> crashes = new ConcurrentLinkedQueue<>();
-  private final Map<Notified, Long> drains = new ConcurrentHashMap<>();
+  private final Map<DrainNotice, Long> drainNoticeNanos = new ConcurrentHashMap<>();
 
   void add(RequestRecord request) {
     requests.add(request);
@@ -24,14 +24,16 @@
     attempts.add(attempt);
   }
 
-  /** A proxy process ended, or did not end, against its terms. */
-  void addCrash(String what) {
-    crashes.add(what);
+  /**
+   * Records that a proxy process exited unexpectedly, with a wrong status, or failed to restart.
+   */
+  void addCrash(String detail) {
+    crashes.add(detail);
   }
 
-  /** The earliest notice counts. */
-  void addDrainNotice(int proxy, String server, long at) {
-    drains.merge(new Notified(proxy, server), at, Math::min);
+  /** Records that the proxy was notified of a drain; the earliest notice counts. */
+  void addDrainNotice(int proxy, String upstream, long atNanos) {
+    drainNoticeNanos.merge(new DrainNotice(proxy, upstream), atNanos, Math::min);
   }
 
   List<RequestRecord> requests() {
@@ -46,8 +48,11 @@
     return List.copyOf(crashes);
   }
 
-  /** When (ns) the proxy was notified that the server drains, or {@link Long#MAX_VALUE}. */
-  long drainNotice(int proxy, String server) {
-    return drains.getOrDefault(new Notified(proxy, server), Long.MAX_VALUE);
+  /**
+   * Returns when, by {@link System#nanoTime}, the proxy was notified that the upstream drains, or
+   * {@link Long#MAX_VALUE} if it was not.
+   */
+  long drainNotice(int proxy, String upstream) {
+    return drainNoticeNanos.getOrDefault(new DrainNotice(proxy, upstream), Long.MAX_VALUE);
   }
 }
--- a/src/test/java/leadferry/soak/SoakJudge.java
+++ b/src/test/java/leadferry/soak/SoakJudge.java
@@ -7,50 +7,57 @@
 import leadferry.soak.RequestRecord.Outcome;
 
 /**
- * Judges a run by the rules of the protocol page, from records that clients, servers and discovery
- * made. It knows nothing of the program.
+ * Checks a run against the rules of the protocol page. It uses only what clients, upstreams and
+ * discovery recorded, and no state of the program under test.
  */
 final class SoakJudge {
-  /** The rules by which a run is judged. */
+  /** Rules that a run may break. */
   enum Rule {
     LOST,
     DUPLICATE,
     DRAIN,
-    /** A server was told of more time than its client had left. */
+    /** An upstream was sent a longer timeout than its client had left. */
     DEADLINE,
     CRASH
   }
 
-  /** One broken rule: which request or process, and what was seen. */
+  /** A broken rule, with the request or process that broke it and what was recorded. */
   record Violation(Rule rule, String subject, String detail) {}
 
-  /** An answer may be so late (ms) and only earns nothing. */
-  private static final long LATE_MS = 500;
+  /** Time in milliseconds past the deadline within which a response is late, but not lost. */
+  private static final long MAX_LATE_RESPONSE_MS = 500;
 
-  /** An attempt may begin so long (ms) after its client has closed the connection. */
-  private static final long LEAVER_MS = 100;
+  /**
+   * Time in milliseconds after the disconnect of a client within which an attempt may still start.
+   */
+  private static final long MAX_ATTEMPT_AFTER_DISCONNECT_MS = 100;
 
-  /** A server may be told so much more time (ms) than its client has left. */
-  private static final long TOLD_MS = 150;
+  /**
+   * Milliseconds by which the timeout sent to an upstream may exceed the time that its client has
+   * left.
+   */
+  private static final long MAX_EXCESS_TIMEOUT_MS = 150;
 
   private final SoakHistory history;
-  private final long graceMs;
+  private final long drainGraceMs;
   private final long slackMs;
-  private final Map<String, List<AttemptRecord>> attempts;
+  private final Map<String, List<AttemptRecord>> attemptsById;
 
   /**
-   * @param graceMs what the settings allow after a notice of a drain
-   * @param slackMs by which each limit is longer: the protocol's 50 ms and what the recording
-   *     threads may be late
+   * @param drainGraceMs the time in milliseconds after a drain notice within which the settings
+   *     still allow attempts
+   * @param slackMs the milliseconds added to each limit: the 50 ms of the protocol plus the delay
+   *     of the recording threads
    */
-  SoakJudge(SoakHistory history, long graceMs, long slackMs) {
+  SoakJudge(SoakHistory history, long drainGraceMs, long slackMs) {
     this.history = history;
-    this.graceMs = graceMs;
+    this.drainGraceMs = drainGraceMs;
     this.slackMs = slackMs;
-    this.attempts = history.attempts().stream().collect(Collectors.groupingBy(AttemptRecord::id));
+    this.attemptsById =
+        history.attempts().stream().collect(Collectors.groupingBy(AttemptRecord::id));
   }
 
-  /** Every broken rule of the run. */
+  /** Returns every violation of a rule in the run. */
   List<Violation> violations() {
     List<Violation> found = new ArrayList<>();
     for (RequestRecord request : history.requests()) {
@@ -62,30 +69,33 @@
   }
 
   private List<AttemptRecord> attemptsOf(RequestRecord request) {
-    return attempts.getOrDefault(request.id(), List.of());
+    return attemptsById.getOrDefault(request.id(), List.of());
   }
 
   private void judgeResponse(RequestRecord request, List<Violation> found) {
     long tookMs = (request.endedAtNanos() - request.sentAtNanos()) / 1_000_000;
     switch (request.outcome()) {
       case NO_RESPONSE ->
-          found.add(new Violation(Rule.LOST, request.id(), "no answer: " + request.detail()));
+          found.add(new Violation(Rule.LOST, request.id(), "no response: " + request.detail()));
       case SERVED, REFUSED, FAILED -> {
-        if (tookMs > request.deadlineMs() + LATE_MS + slackMs) {
+        if (tookMs > request.deadlineMs() + MAX_LATE_RESPONSE_MS + slackMs) {
           found.add(
               new Violation(
                   Rule.LOST,
                   request.id(),
-                  "answered after " + tookMs + " of " + request.deadlineMs() + " ms"));
+                  "response after " + tookMs + " ms (deadline: " + request.deadlineMs() + " ms)"));
         }
       }
       case TRUNCATED, CLIENT_DISCONNECTED -> {
-        // cut short through a server's fault, as the client can tell; or nobody waits
+        // a client recognizes a truncated response, which an upstream fault may cause; no client
+        // waits after a disconnect
       }
     }
     if (request.outcome() == Outcome.SERVED
         && attemptsOf(request).stream().noneMatch(AttemptRecord::mayHaveRun)) {
-      found.add(new Violation(Rule.LOST, request.id(), "served, and no server ran it"));
+      found.add(
+          new Violation(
+              Rule.LOST, request.id(), "served without an attempt that ran on an upstream"));
     }
     if (request.detail().startsWith("foreign")) {
       found.add(new Violation(Rule.LOST, request.id(), request.detail()));
@@ -93,63 +103,70 @@
   }
 
   private void judgeAttempts(RequestRecord request, List<Violation> found) {
-    int ran = 0;
+    int runs = 0;
     for (AttemptRecord attempt : attemptsOf(request)) {
-      ran += attempt.mayHaveRun() && attempt.completedAtNanos() != 0 ? 1 : 0;
-      judgeBegin(request, attempt, found);
-      long leftMs =
+      runs += attempt.mayHaveRun() && attempt.completedAtNanos() != 0 ? 1 : 0;
+      judgeAttemptStart(request, attempt, found);
+      long remainingMs =
           request.deadlineMs() - (attempt.startedAtNanos() - request.sentAtNanos()) / 1_000_000;
       if (request.resentAtNanos() == 0
-          && attempt.timeoutMs() > Math.max(0, leftMs) + TOLD_MS + slackMs) {
+          && attempt.timeoutMs() > Math.max(0, remainingMs) + MAX_EXCESS_TIMEOUT_MS + slackMs) {
         found.add(
             new Violation(
                 Rule.DEADLINE,
                 request.id(),
-                "told " + attempt.timeoutMs() + " ms, and " + leftMs + " were left"));
+                "timeout sent: "
+                    + attempt.timeoutMs()
+                    + " ms (remaining for the client: "
+                    + remainingMs
+                    + " ms)"));
       }
-      long drain = history.drainNotice(request.proxy(), attempt.upstream());
-      if (attempt.startedAtNanos() - drain > (graceMs + slackMs) * 1_000_000) {
+      long drainNoticeNanos = history.drainNotice(request.proxy(), attempt.upstream());
+      if (attempt.startedAtNanos() - drainNoticeNanos > (drainGraceMs + slackMs) * 1_000_000) {
         found.add(
             new Violation(
                 Rule.DRAIN,
                 request.id(),
-                "sent to "
+                "attempt sent to "
                     + attempt.upstream()
                     + " "
-                    + (attempt.startedAtNanos() - drain) / 1_000_000
-                    + " ms after the notice"));
+                    + (attempt.startedAtNanos() - drainNoticeNanos) / 1_000_000
+                    + " ms after the drain notice"));
       }
     }
-    if (request.unsafe() && ran > 1) {
-      found.add(new Violation(Rule.DUPLICATE, request.id(), "ran " + ran + " times"));
+    if (request.unsafe() && runs > 1) {
+      found.add(new Violation(Rule.DUPLICATE, request.id(), "ran " + runs + " times"));
     }
-    if (request.outcome() == Outcome.REFUSED && ran > 0) {
-      found.add(new Violation(Rule.DUPLICATE, request.id(), "refused, and ran"));
+    if (request.outcome() == Outcome.REFUSED && runs > 0) {
+      found.add(new Violation(Rule.DUPLICATE, request.id(), "refused although it may have run"));
     }
   }
 
-  private void judgeBegin(RequestRecord request, AttemptRecord attempt, List<Violation> found) {
+  private void judgeAttemptStart(
+      RequestRecord request, AttemptRecord attempt, List<Violation> found) {
     if (request.disconnectedAtNanos() != 0) {
-      long after = (attempt.startedAtNanos() - request.disconnectedAtNanos()) / 1_000_000;
-      if (after > LEAVER_MS + slackMs) {
+      long delayMs = (attempt.startedAtNanos() - request.disconnectedAtNanos()) / 1_000_000;
+      if (delayMs > MAX_ATTEMPT_AFTER_DISCONNECT_MS + slackMs) {
         found.add(
             new Violation(
                 Rule.LOST,
                 request.id(),
-                "attempt begun " + after + " ms after its client had left"));
+                "attempt started " + delayMs + " ms after its client disconnected"));
       }
     } else if (request.endedAtNanos() != 0 && request.outcome() != Outcome.NO_RESPONSE) {
-      long after = (attempt.startedAtNanos() - request.endedAtNanos()) / 1_000_000;
-      if (after > slackMs) {
+      long delayMs = (attempt.startedAtNanos() - request.endedAtNanos()) / 1_000_000;
+      if (delayMs > slackMs) {
         found.add(
             new Violation(
-                Rule.LOST, request.id(), "attempt begun " + after + " ms after its answer"));
+                Rule.LOST, request.id(), "attempt started " + delayMs + " ms after its response"));
       }
     }
     if (request.resentAtNanos() != 0 && attempt.startedAtNanos() < request.resentAtNanos()) {
       found.add(
           new Violation(
-              Rule.LOST, request.id(), "forwarded, and its connection closed without an answer"));
+              Rule.LOST,
+              request.id(),
+              "forwarded, but the client connection closed without a response"));
     }
   }
 }
--- a/src/test/java/leadferry/soak/SoakJudgeTest.java
+++ b/src/test/java/leadferry/soak/SoakJudgeTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The judge finds each broken rule: in records that are made up, and in runs where something is
- * wrong on purpose.
+ * Guards against a judge that accepts everything. Each rule is broken once, in constructed records
+ * or in a run with a deliberate fault, and the judge must report it.
  */
 class SoakJudgeTest {
   private static final long SECOND = 1_000_000_000L;
@@ -22,7 +22,7 @@
   private static final int GRACE_MS = 500;
   private static final long SLACK_MS = 100;
 
-  /** The same, and what the threads of this process may be late on a busy machine. */
+  /** {@link #SLACK_MS} plus the delay of the threads of this process on a busy machine. */
   private static final long BUSY_SLACK_MS = 250;
 
   private static final long LENGTH_MS = 3_000;
@@ -30,13 +30,17 @@
   @TempDir Path folder;
   private final SoakHistory history = new SoakHistory();
 
-  private List<Rule> broken() {
+  private List<Rule> brokenRules() {
     return new SoakJudge(history, GRACE_MS, SLACK_MS)
         .violations().stream().map(Violation::rule).distinct().toList();
   }
 
   private void request(
-      Outcome outcome, double endedAfter, double leftAfter, double resentAfter, String detail) {
+      Outcome outcome,
+      double endedAfterSeconds,
+      double disconnectedAfterSeconds,
+      double resentAfterSeconds,
+      String detail) {
     history.add(
         new RequestRecord(
             "r",
@@ -44,10 +48,10 @@
             true,
             DEADLINE_MS,
             SECOND,
-            SECOND + nanos(endedAfter),
-            leftAfter == 0 ? 0 : SECOND + nanos(leftAfter),
+            SECOND + nanos(endedAfterSeconds),
+            disconnectedAfterSeconds == 0 ? 0 : SECOND + nanos(disconnectedAfterSeconds),
             outcome,
-            resentAfter == 0 ? 0 : SECOND + nanos(resentAfter),
+            resentAfterSeconds == 0 ? 0 : SECOND + nanos(resentAfterSeconds),
             detail));
   }
 
@@ -55,105 +59,110 @@
     return (long) (seconds * SECOND);
   }
 
-  private void attempt(double begunAfter, boolean ran) {
-    attempt(begunAfter, 1, ran);
+  private void attempt(double startedAfterSeconds, boolean mayHaveRun) {
+    attempt(startedAfterSeconds, 1, mayHaveRun);
   }
 
-  private void attempt(double begunAfter, long toldMs, boolean ran) {
+  private void attempt(double startedAfterSeconds, long timeoutMs, boolean mayHaveRun) {
     history.add(
         new AttemptRecord(
-            "r", "s0", SECOND + nanos(begunAfter), SECOND + nanos(begunAfter), toldMs, ran));
+            "r",
+            "s0",
+            SECOND + nanos(startedAfterSeconds),
+            SECOND + nanos(startedAfterSeconds),
+            timeoutMs,
+            mayHaveRun));
   }
 
   @Test
-  void aRunInOrderBreaksNothing() {
+  void correctRunBreaksNoRule() {
     request(Outcome.SERVED, 0.1, 0, 0, "200");
     attempt(0.05, true);
-    assertThat(broken()).isEmpty();
+    assertThat(brokenRules()).isEmpty();
   }
 
   @Test
-  void aRequestWithoutAnAnswerIsLost() {
+  void requestWithoutResponseIsLost() {
     request(Outcome.NO_RESPONSE, 0.1, 0, 0, "closed");
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anAnswerPastTheTimeAndHalfASecondIsLost() {
+  void responseMoreThanHalfASecondPastTheDeadlineIsLost() {
     request(Outcome.FAILED, 1.5, 0, 0, "502");
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anAnswerThatNoServerMadeIsLost() {
+  void responseWithoutAnAttemptIsLost() {
     request(Outcome.SERVED, 0.1, 0, 0, "200");
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anAnswerToAnotherRequestIsLost() {
-    request(Outcome.SERVED, 0.1, 0, 0, "foreign answer: other");
+  void responseToAnotherRequestIsLost() {
+    request(Outcome.SERVED, 0.1, 0, 0, "foreign response: other");
     attempt(0.05, true);
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anAttemptAfterItsClientHasLeftIsLost() {
-    request(Outcome.CLIENT_DISCONNECTED, 0, 0.1, 0, "left");
+  void attemptAfterClientDisconnectIsLost() {
+    request(Outcome.CLIENT_DISCONNECTED, 0, 0.1, 0, "client disconnected");
     attempt(0.4, true);
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anAttemptAfterTheAnswerIsLost() {
+  void attemptAfterTheResponseIsLost() {
     request(Outcome.FAILED, 0.1, 0, 0, "502");
     attempt(0.4, true);
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void aRequestThatWasForwardedAndClosedOnIsLostThoughItsClientSendsItOnceMore() {
+  void forwardedRequestWhoseConnectionClosedIsLostEvenIfResent() {
     request(Outcome.FAILED, 0.3, 0, 0.2, "502");
     attempt(0.1, true);
-    assertThat(broken()).containsExactly(Rule.LOST);
+    assertThat(brokenRules()).containsExactly(Rule.LOST);
   }
 
   @Test
-  void anUnsafeRequestThatRanTwiceIsADuplicate() {
+  void unsafeRequestThatRanTwiceIsADuplicate() {
     request(Outcome.SERVED, 0.3, 0, 0, "200");
     attempt(0.1, true);
     attempt(0.2, true);
-    assertThat(broken()).containsExactly(Rule.DUPLICATE);
+    assertThat(brokenRules()).containsExactly(Rule.DUPLICATE);
   }
 
   @Test
-  void aRefusalOfWhatRanIsADuplicate() {
+  void refusedRequestThatRanIsADuplicate() {
     request(Outcome.REFUSED, 0.3, 0, 0, "503");
     attempt(0.1, true);
-    assertThat(broken()).containsExactly(Rule.DUPLICATE);
+    assertThat(brokenRules()).containsExactly(Rule.DUPLICATE);
   }
 
   @Test
-  void anAttemptPastTheGraceOfADrainBreaksIt() {
+  void attemptAfterTheDrainGraceBreaksTheDrainRule() {
     request(Outcome.SERVED, 0.3, 0, 0, "200");
     attempt(0.1, true);
     history.addDrainNotice(0, "s0", SECOND - SECOND);
-    assertThat(broken()).containsExactly(Rule.DRAIN);
+    assertThat(brokenRules()).containsExactly(Rule.DRAIN);
   }
 
   @Test
-  void aServerThatIsToldMoreTimeThanIsLeftBreaksTheDeadline() {
+  void timeoutLongerThanTheRemainingTimeBreaksTheDeadlineRule() {
     request(Outcome.SERVED, 0.7, 0, 0, "200");
     attempt(0.6, DEADLINE_MS, true);
-    assertThat(broken()).containsExactly(Rule.DEADLINE);
+    assertThat(brokenRules()).containsExactly(Rule.DEADLINE);
   }
 
-  /** Plays a run of the real process; the broken rules. */
-  private List<Rule> played(SoakPlan plan, boolean needsLibrary) throws Exception {
+  /** Plays a run against a real process and returns the broken rules. */
+  private List<Rule> brokenRulesOfRun(SoakPlan plan, boolean needsLibrary) throws Exception {
     Path library = null;
     if (needsLibrary) {
       Optional<Path> built = PreloadLibrary.build(folder);
-      Assumptions.assumeTrue(built.isPresent(), "a C compiler");
+      Assumptions.assumeTrue(built.isPresent(), "requires a C compiler");
       library = built.get();
     }
     try (SoakRun run = new SoakRun(plan, folder, library)) {
@@ -163,13 +172,14 @@
   }
 
   @Test
-  void aProcessWhoseResponsesAreResetLosesRequests() throws Exception {
+  void resetClientConnectionsLoseRequests() throws Exception {
     SystemCallFault fatal = SystemCallFault.always("write", "client", "ECONNRESET", 10);
-    assertThat(played(SoakPlan.steady(31, LENGTH_MS, List.of(fatal)), true)).contains(Rule.LOST);
+    assertThat(brokenRulesOfRun(SoakPlan.steady(31, LENGTH_MS, List.of(fatal)), true))
+        .contains(Rule.LOST);
   }
 
   @Test
-  void aRequestThatAServerRanAndDeniedIsFoundToHaveRunTwice() throws Exception {
+  void requestRejectedAfterItRanIsADuplicate() throws Exception {
     SoakPlan.Event deny =
         new SoakPlan.Event(
             100,
@@ -178,23 +188,23 @@
             RecordingUpstream.Behaviour.REJECT_AFTER_RUN.ordinal());
     SoakPlan plan =
         SoakPlan.steady(32, LENGTH_MS, List.of()).withSabotage(SoakPlan.Sabotage.NONE, deny);
-    assertThat(played(plan, false)).containsExactly(Rule.DUPLICATE);
+    assertThat(brokenRulesOfRun(plan, false)).containsExactly(Rule.DUPLICATE);
   }
 
   @Test
-  void aProcessThatIsNotToldOfADrainBreaksIt() throws Exception {
+  void proxyWithoutDrainNoticesBreaksTheDrainRule() throws Exception {
     SoakPlan.Event drain = new SoakPlan.Event(100, SoakPlan.EventKind.DRAIN, 0, 0);
     SoakPlan plan =
         SoakPlan.steady(33, LENGTH_MS, List.of())
             .withSabotage(SoakPlan.Sabotage.DRAIN_NOTICES_DROPPED, drain);
-    assertThat(played(plan, false)).containsExactly(Rule.DRAIN);
+    assertThat(brokenRulesOfRun(plan, false)).containsExactly(Rule.DRAIN);
   }
 
   @Test
-  void aProcessThatDiesHasCrashed() throws Exception {
+  void killedProcessIsACrash() throws Exception {
     SoakPlan.Event crash = new SoakPlan.Event(LENGTH_MS / 2, SoakPlan.EventKind.CRASH, 0, 0);
     SoakPlan plan =
         SoakPlan.steady(34, LENGTH_MS, List.of()).withSabotage(SoakPlan.Sabotage.NONE, crash);
-    assertThat(played(plan, false)).contains(Rule.CRASH);
+    assertThat(brokenRulesOfRun(plan, false)).contains(Rule.CRASH);
   }
 }
--- a/src/test/java/leadferry/soak/SoakPlan.java
+++ b/src/test/java/leadferry/soak/SoakPlan.java
@@ -6,13 +6,25 @@
 import java.util.Random;
 
 /**
- * What a run consists of: sizes, settings, faults and events, all of it drawn from a seed or stated
- * by a test.
+ * Sizes, settings, faults and events of a run, derived from a seed or set by a test.
  *
- * @param systemCallFaults of each proxy's process
+ * @param seed the seed of all random choices of the run
+ * @param durationMs the duration of the run in milliseconds
+ * @param proxies the number of proxy processes
+ * @param upstreams the number of upstream hosts
+ * @param clientsPerProxy the number of clients of each proxy that send complete requests
+ * @param stalledClientsPerProxy the number of clients of each proxy that send half of a request, or
+ *     nothing, and stay connected
+ * @param descriptorLimit the number of file descriptors that a proxy may open
+ * @param serviceMs the mean service time of an upstream in milliseconds
+ * @param drainGraceMs the time in milliseconds after a drain notice within which attempts may start
+ * @param maxAttempts the largest number of attempts for one request
+ * @param cancel whether proxies cancel attempts
+ * @param clientProfile how clients act
+ * @param systemCallFaults the faults injected into the process of each proxy
  * @param clockStep "from_ms step_ms" of the wall clock, or null
- * @param stalledClientsPerProxy clients of each proxy that send half of a request, or nothing, and
- *     stay
+ * @param events the events of the run, in the order of their times
+ * @param sabotage the deliberate fault of the run
  */
 record SoakPlan(
     long seed,
@@ -31,42 +43,52 @@
     String clockStep,
     List<Event> events,
     Sabotage sabotage) {
-  /** What is wrong on purpose, to show that the judge finds it. */
+  /** Deliberate fault, which shows that the judge finds it. */
   enum Sabotage {
     NONE,
-    /** Drains count as notified and are not told. */
+    /** Drains are recorded as notified, but discovery does not send them. */
     DRAIN_NOTICES_DROPPED
   }
 
-  /** What happens during a run. */
+  /** Kind of an event during a run. */
   enum EventKind {
     /**
-     * SIGTERM, a further signal behind it by {@code value}, SIGKILL at the earliest, and a new
-     * process.
+     * Sends SIGTERM to a proxy, then the signal selected by {@code argument}, and SIGKILL as early
+     * as the protocol page allows; starts a new process. The argument is 0 for no second signal, 1
+     * for SIGTERM, 2 for SIGHUP, 3 for SIGSTOP and SIGCONT.
      */
     RESTART,
-    /** SIGHUP. */
+    /** Sends SIGHUP to a proxy. */
     RELOAD,
-    /** SIGSTOP, and SIGCONT after {@code value} ms. */
+    /** Sends SIGSTOP to a proxy, and SIGCONT after {@code argument} milliseconds. */
     PAUSE,
-    /** A server goes over to the behaviour of ordinal {@code value}. */
+    /**
+     * Switches an upstream to the {@link RecordingUpstream.Behaviour} with the ordinal {@code
+     * argument}.
+     */
     SET_BEHAVIOUR,
-    /** A server drains. */
+    /** Drains an upstream. */
     DRAIN,
-    /** SIGKILL with no cause: a crash. */
+    /** Kills a proxy by SIGKILL, as in a crash. */
     CRASH,
-    /** Discovery falls silent (1) or speaks again (0). */
+    /**
+     * Makes the discovery of a proxy silent if {@code argument} is 1, and ends the silence if it is
+     * 0.
+     */
     SILENCE_DISCOVERY,
-    /** Discovery ends its watches. */
+    /** Closes the watches of the discovery of a proxy. */
     CLOSE_WATCHES
   }
 
-  /** Something that happens at a time (ms) to a proxy or a server. */
+  /**
+   * Event at a time in milliseconds after the start of the run; {@code target} selects the proxy or
+   * the upstream.
+   */
   record Event(long atMs, EventKind kind, int target, long argument) {}
 
   /**
-   * Failures of accept(2) by its manual page: those of the connection that is passed over, and
-   * shortages.
+   * Failures of accept(2) according to its manual page: errors of the pending connection, which the
+   * error skips, and shortages of resources.
    */
   static final List<String> ACCEPT_FAULTS =
       List.of(
@@ -82,34 +104,34 @@
           "EHOSTUNREACH",
           "ENETUNREACH");
 
-  /** Failures of connect(2) that are no death of a server. */
+  /** Failures of connect(2) that do not mean that the upstream crashed. */
   static final List<String> CONNECT_FAULTS =
       List.of(
           "EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ENOBUFS", "ECONNREFUSED");
 
-  /** Failures of read(2) and recv(2) after which the connection is as it was. */
+  /** Failures of read(2) and recv(2) that leave the connection usable. */
   static final List<String> TRANSIENT_READ_FAULTS = List.of("SHORT", "EINTR", "ENOMEM", "ENOBUFS");
 
-  /** Failures of write(2) and send(2) after which the connection is as it was. */
+  /** Failures of write(2) and send(2) that leave the connection usable. */
   static final List<String> TRANSIENT_WRITE_FAULTS = List.of("SHORT", "EINTR", "ENOBUFS", "ENOMEM");
 
-  /** Failures that end a connection to a server. */
+  /** Failures that end a connection to an upstream. */
   static final List<String> FATAL_FAULTS =
       List.of("ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "EPIPE");
 
   private static final int MAX_FAULTS = 4;
   private static final int MAX_EVENTS = 8;
-  private static final long QUIET_START_MS = 500;
+  private static final long FIRST_EVENT_MS = 500;
 
   /**
-   * A calm run of one proxy with these faults of system calls; half of all requests come on new
-   * connections.
+   * Returns a run of one proxy with these system call faults and no events; half of the requests
+   * use a new connection.
    */
-  static SoakPlan steady(long seed, long lengthMs, List<SystemCallFault> faults) {
+  static SoakPlan steady(long seed, long durationMs, List<SystemCallFault> faults) {
     SoakClient.Profile habits = new SoakClient.Profile(60, 0.5, 0, 800, 1_200);
     return new SoakPlan(
         seed,
-        lengthMs,
+        durationMs,
         1,
         4,
         12,
@@ -126,8 +148,8 @@
         Sabotage.NONE);
   }
 
-  /** The same run with these events and something wrong on purpose. */
-  SoakPlan withSabotage(Sabotage wrong, Event... more) {
+  /** Returns this run with these events and this deliberate fault. */
+  SoakPlan withSabotage(Sabotage newSabotage, Event... newEvents) {
     return new SoakPlan(
         seed,
         durationMs,
@@ -143,42 +165,44 @@
         clientProfile,
         systemCallFaults,
         clockStep,
-        List.of(more),
-        wrong);
+        List.of(newEvents),
+        newSabotage);
   }
 
-  /** A run drawn from the seed. */
-  static SoakPlan fromSeed(long seed, long lengthMs, int proxies) {
+  /** Returns a random run that is determined by the seed. */
+  static SoakPlan fromSeed(long seed, long durationMs, int proxies) {
     Random random = new Random(seed);
-    boolean crowd = random.nextInt(4) == 0;
-    int clients = crowd ? 30 : 6 + random.nextInt(12);
-    int unsafe = 200 + random.nextInt(1_400);
+    boolean isCrowded = random.nextInt(4) == 0;
+    int clients = isCrowded ? 30 : 6 + random.nextInt(12);
+    int unsafeDeadlineMs = 200 + random.nextInt(1_400);
     SoakClient.Profile habits =
         new SoakClient.Profile(
             30 + random.nextInt(60),
             random.nextDouble(),
             random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0,
-            unsafe,
-            unsafe + random.nextInt(1_400));
+            unsafeDeadlineMs,
+            unsafeDeadlineMs + random.nextInt(1_400));
     List<SystemCallFault> faults = new ArrayList<>();
     for (int i = random.nextInt(MAX_FAULTS + 1); i > 0; i--) {
-      faults.add(fault(random));
+      faults.add(randomFault(random));
     }
     String clock =
-        random.nextInt(4) == 0 ? random.nextInt((int) lengthMs) + " " + clockStepMs(random) : null;
+        random.nextInt(4) == 0
+            ? random.nextInt((int) durationMs) + " " + randomClockStepMs(random)
+            : null;
     List<Event> events = new ArrayList<>();
     for (int i = random.nextInt(MAX_EVENTS + 1); i > 0; i--) {
-      events(random, lengthMs, events);
+      addRandomEvents(random, durationMs, events);
     }
     events.sort(Comparator.comparingLong(Event::atMs));
     return new SoakPlan(
         seed,
-        lengthMs,
+        durationMs,
         proxies,
         4 + random.nextInt(5),
         clients,
-        crowd ? 40 + random.nextInt(120) : random.nextInt(4),
-        crowd ? 160 : 512,
+        isCrowded ? 40 + random.nextInt(120) : random.nextInt(4),
+        isCrowded ? 160 : 512,
         5 + random.nextInt(60),
         300 + random.nextInt(500),
         1 + random.nextInt(4),
@@ -190,65 +214,72 @@
         Sabotage.NONE);
   }
 
-  private static long clockStepMs(Random random) {
+  private static long randomClockStepMs(Random random) {
     long[] steps = {500, 5_000, 60_000, 3_600_000};
     return steps[random.nextInt(steps.length)] * (random.nextBoolean() ? 1 : -1);
   }
 
-  private static String any(Random random, List<String> names) {
+  private static String pick(Random random, List<String> names) {
     return names.get(random.nextInt(names.size()));
   }
 
-  private static SystemCallFault fault(Random random) {
+  private static SystemCallFault randomFault(Random random) {
     int oneIn = 3 + random.nextInt(60);
     return switch (random.nextInt(10)) {
       case 8 -> SystemCallFault.always("poll", "upstream", "EINTR", oneIn);
       case 9 ->
           SystemCallFault.always(
-              "read", "discovery", any(random, both(TRANSIENT_READ_FAULTS)), oneIn);
-      case 0, 1 -> SystemCallFault.always("accept", "listener", any(random, ACCEPT_FAULTS), oneIn);
-      case 2 -> SystemCallFault.always("connect", "upstream", any(random, CONNECT_FAULTS), oneIn);
-      case 3 -> SystemCallFault.always("read", "client", any(random, TRANSIENT_READ_FAULTS), oneIn);
+              "read", "discovery", pick(random, withFatalFaults(TRANSIENT_READ_FAULTS)), oneIn);
+      case 0, 1 -> SystemCallFault.always("accept", "listener", pick(random, ACCEPT_FAULTS), oneIn);
+      case 2 -> SystemCallFault.always("connect", "upstream", pick(random, CONNECT_FAULTS), oneIn);
+      case 3 ->
+          SystemCallFault.always("read", "client", pick(random, TRANSIENT_READ_FAULTS), oneIn);
       case 4 ->
-          SystemCallFault.always("write", "client", any(random, TRANSIENT_WRITE_FAULTS), oneIn);
+          SystemCallFault.always("write", "client", pick(random, TRANSIENT_WRITE_FAULTS), oneIn);
       case 5 ->
           SystemCallFault.always(
-              "read", "upstream", any(random, both(TRANSIENT_READ_FAULTS)), 10 * oneIn);
+              "read", "upstream", pick(random, withFatalFaults(TRANSIENT_READ_FAULTS)), 10 * oneIn);
       case 6 ->
           SystemCallFault.always(
-              "write", "upstream", any(random, both(TRANSIENT_WRITE_FAULTS)), 10 * oneIn);
+              "write",
+              "upstream",
+              pick(random, withFatalFaults(TRANSIENT_WRITE_FAULTS)),
+              10 * oneIn);
       default -> SystemCallFault.always("epoll_wait", "any", "EINTR", oneIn);
     };
   }
 
-  private static List<String> both(List<String> more) {
-    List<String> all = new ArrayList<>(more);
+  private static List<String> withFatalFaults(List<String> transientFaults) {
+    List<String> all = new ArrayList<>(transientFaults);
     all.addAll(FATAL_FAULTS);
     return all;
   }
 
-  private static void events(Random random, long lengthMs, List<Event> events) {
-    long at = QUIET_START_MS + random.nextInt((int) (lengthMs - QUIET_START_MS));
+  private static void addRandomEvents(Random random, long durationMs, List<Event> events) {
+    long atMs = FIRST_EVENT_MS + random.nextInt((int) (durationMs - FIRST_EVENT_MS));
     int target = random.nextInt(100);
     switch (random.nextInt(8)) {
       case 0, 1 ->
           events.add(
-              new Event(Math.min(at, lengthMs / 3), EventKind.RESTART, target, random.nextInt(4)));
-      case 2 -> events.add(new Event(at, EventKind.RELOAD, target, 0));
-      case 3 -> events.add(new Event(at, EventKind.PAUSE, target, 10 + random.nextInt(140)));
+              new Event(
+                  Math.min(atMs, durationMs / 3), EventKind.RESTART, target, random.nextInt(4)));
+      case 2 -> events.add(new Event(atMs, EventKind.RELOAD, target, 0));
+      case 3 -> events.add(new Event(atMs, EventKind.PAUSE, target, 10 + random.nextInt(140)));
       case 4, 5 -> {
         int behaviour =
             1 + random.nextInt(RecordingUpstream.Behaviour.REJECT_AFTER_RUN.ordinal() - 1);
-        events.add(new Event(at, EventKind.SET_BEHAVIOUR, target, behaviour));
-        events.add(new Event(at + 500 + random.nextInt(2_000), EventKind.SET_BEHAVIOUR, target, 0));
+        events.add(new Event(atMs, EventKind.SET_BEHAVIOUR, target, behaviour));
+        events.add(
+            new Event(atMs + 500 + random.nextInt(2_000), EventKind.SET_BEHAVIOUR, target, 0));
       }
-      case 6 -> events.add(new Event(at, EventKind.DRAIN, target % 3, 0));
+      case 6 -> events.add(new Event(atMs, EventKind.DRAIN, target % 3, 0));
       default -> {
         if (random.nextBoolean()) {
-          events.add(new Event(at, EventKind.CLOSE_WATCHES, target, 0));
+          events.add(new Event(atMs, EventKind.CLOSE_WATCHES, target, 0));
         } else {
-          events.add(new Event(at, EventKind.SILENCE_DISCOVERY, target, 1));
-          events.add(new Event(at + random.nextInt(2_000), EventKind.SILENCE_DISCOVERY, target, 0));
+          events.add(new Event(atMs, EventKind.SILENCE_DISCOVERY, target, 1));
+          events.add(
+              new Event(atMs + random.nextInt(2_000), EventKind.SILENCE_DISCOVERY, target, 0));
         }
       }
     }
--- a/src/test/java/leadferry/soak/SoakRun.java
+++ b/src/test/java/leadferry/soak/SoakRun.java
@@ -15,35 +15,39 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * One run: proxies as processes, servers and discovery, clients, and what goes wrong by a {@link
- * SoakPlan}.
+ * Plays one {@link SoakPlan}: starts proxy processes, upstreams, discovery and clients, and
+ * performs the events of the plan.
  *
  * <pre>
- *   start | faults, disruptions and signals by their times -----------------------| clients stop | judge
- *   0                                                                    plan.lengthMs()
+ *   start | faults, disruptions and signals at their times ------------| clients stop | judge
+ *   0                                                      plan.durationMs()
  * </pre>
  */
 final class SoakRun implements AutoCloseable {
-  /** New connections go on coming for so long (ms) after SIGTERM, by the protocol page. */
-  private static final long NEW_CONNECTIONS_MS = 400;
+  /**
+   * Time in milliseconds after SIGTERM for which clients still open new connections, as the
+   * protocol page allows.
+   */
+  private static final long ACCEPT_AFTER_TERM_MS = 400;
 
   /**
-   * SIGKILL comes so long (ms) after the longest deadline, of which no more than {@link
-   * #LONGEST_MS} counts.
+   * Time in milliseconds from the longest deadline to SIGKILL; a deadline counts up to {@link
+   * #MAX_DRAIN_MS}.
    */
-  private static final long KILL_MARGIN_MS = 700;
+  private static final long KILL_DELAY_MS = 700;
 
-  private static final long LONGEST_MS = 3_000;
-  private static final long TAIL_MS = 1_500;
+  private static final long MAX_DRAIN_MS = 3_000;
+  private static final long CLIENT_JOIN_MARGIN_MS = 1_500;
 
-  private static final int LEAST_PORT = 15_000;
-  private static final int PORTS = 15_000;
+  private static final int FIRST_PORT = 15_000;
+  private static final int PORT_COUNT = 15_000;
   private static final int PORT_TRIES = 100;
 
-  /** Signals in series follow each other so soon (ms), and a stop among them lasts so long. */
-  private static final long SERIES_MS = 30;
+  /** Interval in milliseconds between two signals of a restart. */
+  private static final long SIGNAL_INTERVAL_MS = 30;
 
-  private static final long STOP_MS = 100;
+  /** Duration in milliseconds of a pause among the signals of a restart. */
+  private static final long PAUSE_MS = 100;
 
   private final SoakPlan plan;
   private final Path folder;
@@ -57,29 +61,29 @@
             return thread;
           });
   private final List<RecordingUpstream> upstreams = new ArrayList<>();
-  private final List<Node> nodes = new ArrayList<>();
+  private final List<ProxyNode> nodes = new ArrayList<>();
   private volatile boolean running = true;
 
-  /** A proxy with its discovery; clients ask it whether they may connect. */
-  private final class Node implements SoakClient.Target {
+  /** A proxy process with its discovery, and its state for clients. */
+  private final class ProxyNode implements SoakClient.Target {
     final int index;
     final FakeDiscovery discovery;
     final ProxyProcess process;
-    final ReentrantLock restarts = new ReentrantLock(true);
-    volatile boolean accepts;
+    final ReentrantLock restartLock = new ReentrantLock(true);
+    volatile boolean acceptsConnections;
 
-    /** From when it serves until its process ends. */
+    /** Whether the proxy serves: from its readiness until its process exits. */
     volatile boolean ready;
 
-    Node(int index) throws IOException {
+    ProxyNode(int index) throws IOException {
       this.index = index;
       this.discovery = new FakeDiscovery(index, history, threads);
       upstreams.forEach(upstream -> discovery.setState(upstream, "up"));
-      Path own = Files.createDirectories(folder.resolve("proxy" + index));
+      Path proxyFolder = Files.createDirectories(folder.resolve("proxy" + index));
       int port = freePort();
       Path configuration =
-          Files.writeString(own.resolve("config.json"), configuration(port, discovery));
-      this.process = ProxyProcess.platform(configuration, own, port, discovery.port());
+          Files.writeString(proxyFolder.resolve("config.json"), configuration(port, discovery));
+      this.process = ProxyProcess.platform(configuration, proxyFolder, port, discovery.port());
     }
 
     void start() throws IOException, InterruptedException {
@@ -87,13 +91,13 @@
       process.start(
           new ProxyProcess.Faults(
               library, plan.systemCallFaults(), seed, plan.clockStep(), plan.descriptorLimit()));
-      accepts = true;
+      acceptsConnections = true;
       ready = true;
     }
 
     @Override
     public boolean canConnect() {
-      return accepts;
+      return acceptsConnections;
     }
 
     @Override
@@ -107,7 +111,10 @@
     }
   }
 
-  /** {@code library} is the preload library, or null for none. */
+  /**
+   * Creates the upstreams and proxies of the plan without starting the processes. {@code library}
+   * is the preload library, or null for no system call faults.
+   */
   SoakRun(SoakPlan plan, Path folder, Path library) throws IOException {
     this.plan = plan;
     this.folder = folder;
@@ -117,29 +124,30 @@
           new RecordingUpstream("s" + i, 0, plan.serviceMs(), history, threads, plan.seed() + i));
     }
     for (int i = 0; i < plan.proxies(); i++) {
-      nodes.add(new Node(i));
+      nodes.add(new ProxyNode(i));
     }
   }
 
   /**
-   * A port for a process that listens later. It lies below those that the kernel gives out by
-   * itself: one of these could be another socket's by then, and with SO_REUSEPORT both would get
-   * connections.
+   * Returns a port for a process that listens later. The port is below the range of ephemeral
+   * ports: the kernel may assign an ephemeral port to another socket in the meantime, and with
+   * SO_REUSEPORT both sockets would then get connections.
    */
   static int freePort() throws IOException {
     for (int i = 0; i < PORT_TRIES; i++) {
-      int port = LEAST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+      int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return socket.getLocalPort();
       } catch (BindException e) {
-        // somebody has it
+        // the port is in use
       }
     }
-    throw new IOException("no free port from " + LEAST_PORT + " on");
+    throw new IOException(
+        "no free port among " + PORT_TRIES + " random ports from " + FIRST_PORT + " on");
   }
 
   private String configuration(int port, FakeDiscovery discovery) {
-    SoakClient.Profile habits = plan.clientProfile();
+    SoakClient.Profile profile = plan.clientProfile();
     return "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
         + port
         + "\",\"discovery\":\"127.0.0.1:"
@@ -152,10 +160,10 @@
         + discovery.endpointListJson()
         + ",\"settings\":{\"classes\":["
         + "{\"name\":\"claim\",\"aim\":200,\"deadline\":"
-        + habits.unsafeDeadlineMs()
+        + profile.unsafeDeadlineMs()
         + ",\"semantics\":\"at_most_once\"},"
         + "{\"name\":\"log\",\"aim\":200,\"deadline\":"
-        + habits.keyedDeadlineMs()
+        + profile.keyedDeadlineMs()
         + ",\"semantics\":\"deduplicated\","
         + "\"keyScope\":\"cell\",\"repeatWindow\":500}],"
         + "\"limits\":{\"cancel\":"
@@ -170,48 +178,48 @@
         + "}}";
   }
 
-  /** Plays the plan to its end; what was recorded. */
+  /** Plays the plan to its end and returns what was recorded. */
   SoakHistory run() throws Exception {
-    for (Node node : nodes) {
+    for (ProxyNode node : nodes) {
       node.start();
     }
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     List<Thread> clients = startClients();
     for (SoakPlan.Event event : plan.events()) {
-      sleepUntil(begun + event.atMs() * 1_000_000);
+      sleepUntil(startNanos + event.atMs() * 1_000_000);
       perform(event);
     }
-    sleepUntil(begun + plan.durationMs() * 1_000_000);
+    sleepUntil(startNanos + plan.durationMs() * 1_000_000);
     running = false;
     for (Thread client : clients) {
-      client.join(LONGEST_MS + TAIL_MS);
+      client.join(MAX_DRAIN_MS + CLIENT_JOIN_MARGIN_MS);
     }
-    for (Node node : nodes) {
-      node.restarts.lock(); // one that has begun goes on to its end
-      node.restarts.unlock();
+    for (ProxyNode node : nodes) {
+      node.restartLock.lock(); // waits for a restart in progress
+      node.restartLock.unlock();
       if (!node.process.isAlive()) {
         history.addCrash(
             "proxy "
                 + node.index
-                + " ended by itself: "
+                + " exited unexpectedly: "
                 + Files.readString(node.process.logFile()));
       }
     }
     return history;
   }
 
-  /** Faults of system calls that reached the processes. */
+  /** Returns the number of system call faults injected into all proxy processes. */
   long injectedFaults() throws IOException {
-    long all = 0;
-    for (Node node : nodes) {
-      all += node.process.injectedFaults();
+    long total = 0;
+    for (ProxyNode node : nodes) {
+      total += node.process.injectedFaults();
     }
-    return all;
+    return total;
   }
 
   private List<Thread> startClients() {
     List<Thread> clients = new ArrayList<>();
-    for (Node node : nodes) {
+    for (ProxyNode node : nodes) {
       for (int i = 0; i < plan.clientsPerProxy(); i++) {
         String name = "p" + node.index + "c" + i;
         Thread client =
@@ -243,12 +251,13 @@
   }
 
   private void perform(SoakPlan.Event event) throws Exception {
-    Node node = nodes.get(event.target() % nodes.size());
+    ProxyNode node = nodes.get(event.target() % nodes.size());
     switch (event.kind()) {
       case RESTART -> threads.execute(() -> restart(node, event.argument()));
       case RELOAD -> {
         if (node.ready) {
-          node.process.signal("HUP"); // never before it is ready, by the protocol page
+          node.process.signal(
+              "HUP"); // the protocol page allows SIGHUP only once the proxy is ready
         }
       }
       case PAUSE -> pause(node, event.argument());
@@ -257,8 +266,8 @@
               .get(event.target() % upstreams.size())
               .setBehaviour(RecordingUpstream.Behaviour.values()[(int) event.argument()]);
       case DRAIN -> {
-        RecordingUpstream leaving = upstreams.get(event.target() % upstreams.size());
-        nodes.forEach(each -> drain(each, leaving));
+        RecordingUpstream upstream = upstreams.get(event.target() % upstreams.size());
+        nodes.forEach(each -> drain(each, upstream));
       }
       case CRASH -> node.process.kill();
       case SILENCE_DISCOVERY -> node.discovery.setSilent(event.argument() != 0);
@@ -266,69 +275,70 @@
     }
   }
 
-  private void drain(Node node, RecordingUpstream leaving) {
+  private void drain(ProxyNode node, RecordingUpstream upstream) {
     if (plan.sabotage() == SoakPlan.Sabotage.DRAIN_NOTICES_DROPPED) {
-      history.addDrainNotice(node.index, leaving.name(), System.nanoTime());
+      history.addDrainNotice(node.index, upstream.name(), System.nanoTime());
     } else {
-      node.discovery.setState(leaving, "draining");
+      node.discovery.setState(upstream, "draining");
     }
   }
 
-  private static void pause(Node node, long ms) throws Exception {
+  private static void pause(ProxyNode node, long durationMs) throws Exception {
     node.process.signal("STOP");
-    Thread.sleep(ms);
+    Thread.sleep(durationMs);
     node.process.signal("CONT");
   }
 
   /**
-   * SIGTERM, SIGKILL at the earliest that the page allows, and the next process at the same
-   * address. One restart of a proxy follows the other. {@code further} is a signal behind the
-   * first: 1 SIGTERM again, 2 SIGHUP, 3 a stop of 0.1 s.
+   * Sends SIGTERM to a proxy, sends SIGKILL as early as the protocol page allows, and starts the
+   * next process at the same address. Restarts of the same proxy run one after the other. {@code
+   * secondSignal} is 0 for none, 1 for another SIGTERM, 2 for SIGHUP, and 3 for a pause of 0.1 s.
    */
-  private void restart(Node node, long further) {
-    node.restarts.lock();
+  private void restart(ProxyNode node, long secondSignal) {
+    node.restartLock.lock();
     try {
       if (!running) {
         return;
       }
-      SoakClient.Profile habits = plan.clientProfile();
-      long longest =
-          Math.min(LONGEST_MS, Math.max(habits.unsafeDeadlineMs(), habits.keyedDeadlineMs()));
-      long killAt = System.nanoTime() + (longest + KILL_MARGIN_MS) * 1_000_000;
-      long newUntil = System.nanoTime() + NEW_CONNECTIONS_MS * 1_000_000;
+      SoakClient.Profile profile = plan.clientProfile();
+      long maxDrainMs =
+          Math.min(MAX_DRAIN_MS, Math.max(profile.unsafeDeadlineMs(), profile.keyedDeadlineMs()));
+      long killAtNanos = System.nanoTime() + (maxDrainMs + KILL_DELAY_MS) * 1_000_000;
+      long acceptUntilNanos = System.nanoTime() + ACCEPT_AFTER_TERM_MS * 1_000_000;
       node.process.signal("TERM");
-      Thread.sleep(SERIES_MS);
-      switch ((int) further) {
+      Thread.sleep(SIGNAL_INTERVAL_MS);
+      switch ((int) secondSignal) {
         case 1 -> node.process.signal("TERM");
         case 2 -> node.process.signal("HUP");
-        case 3 -> pause(node, STOP_MS);
+        case 3 -> pause(node, PAUSE_MS);
         default -> {
-          // no further one
+          // no second signal
         }
       }
-      sleepUntil(newUntil);
-      node.accepts = false;
-      boolean ended = node.process.awaitExit((killAt - System.nanoTime()) / 1_000_000);
+      sleepUntil(acceptUntilNanos);
+      node.acceptsConnections = false;
+      boolean hasExited = node.process.awaitExit((killAtNanos - System.nanoTime()) / 1_000_000);
       node.ready = false;
-      if (ended && node.process.exitStatus() != 0) {
-        history.addCrash("proxy " + node.index + " ended with status " + node.process.exitStatus());
+      if (hasExited && node.process.exitStatus() != 0) {
+        history.addCrash(
+            "proxy " + node.index + " exited with status " + node.process.exitStatus());
       }
       node.process.kill();
-      node.process.awaitExit(LONGEST_MS);
+      node.process.awaitExit(MAX_DRAIN_MS);
       node.start();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (Exception e) {
-      history.addCrash("restart of proxy " + node.index + ": " + e.getMessage());
+      history.addCrash("restart of proxy " + node.index + " failed: " + e.getMessage());
     } finally {
-      node.restarts.unlock();
+      node.restartLock.unlock();
     }
   }
 
   @Override
   public void close() throws IOException {
     running = false;
-    for (Node node : nodes) {
+    for (ProxyNode node : nodes) {
       node.process.kill();
       node.discovery.close();
     }
--- a/src/test/java/leadferry/soak/SoakTest.java
+++ b/src/test/java/leadferry/soak/SoakTest.java
@@ -9,20 +9,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A short soak with fixed seeds; {@code bench/soak} plays long ones. Without a C compiler its
- * system calls do not fail.
+ * Guards against violations of the protocol page under random faults: a short soak run for each of
+ * four fixed seeds. {@code bench/soak} plays longer runs. Without a C compiler the runs have no
+ * system call faults.
  */
 class SoakTest {
   private static final long LENGTH_MS = 7_000;
   private static final int PROXIES = 2;
 
   /**
-   * A run that judged fewer shows nothing; how many there are goes by the machine, 255 to 1,900 so
-   * far.
+   * A run with fewer requests shows too little. The number depends on the machine: 255 to 1,900
+   * were measured.
    */
   private static final int LEAST_REQUESTS = 100;
 
-  /** The page's slack, and what the threads of this process may be late on a busy machine. */
+  /**
+   * The slack of the protocol page plus the delay of the threads of this process on a busy machine.
+   */
   private static final long SLACK_MS = 250;
 
   @TempDir Path folder;
@@ -42,7 +45,7 @@
               + history.requests().size()
               + ", faults injected "
               + run.injectedFaults()
-              + ", broken "
+              + ", violations "
               + violations.size());
       assertThat(violations).as(plan.toString()).isEmpty();
       assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
--- a/src/test/java/leadferry/soak/StalledClient.java
+++ b/src/test/java/leadferry/soak/StalledClient.java
@@ -8,12 +8,12 @@
 import java.util.Random;
 
 /**
- * A client that connects, sends nothing or half of a request, and stays until it is ended; one
- * connection after the other.
+ * A client that connects, sends nothing or half of a request, and stays until the proxy closes the
+ * connection or 4 seconds pass. It opens one connection after the other.
  */
 final class StalledClient implements Runnable {
   private static final int CONNECT_MS = 1_000;
-  private static final int STAYS_MS = 4_000;
+  private static final int READ_TIMEOUT_MS = 4_000;
   private static final int PAUSE_MS = 100;
 
   private final SoakClient.Target target;
@@ -42,7 +42,7 @@
     try (Socket socket = new Socket()) {
       socket.connect(
           new InetSocketAddress(InetAddress.getLoopbackAddress(), target.port()), CONNECT_MS);
-      socket.setSoTimeout(STAYS_MS);
+      socket.setSoTimeout(READ_TIMEOUT_MS);
       if (random.nextBoolean()) {
         socket
             .getOutputStream()
@@ -52,7 +52,7 @@
       }
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      // ended by the proxy, or not let in: both are in order
+      // the proxy closed or refused the connection, or the read timed out: all are expected
     }
   }
 }
--- a/src/test/java/leadferry/soak/SystemCallFaultsTest.java
+++ b/src/test/java/leadferry/soak/SystemCallFaultsTest.java
@@ -11,21 +11,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's process under system calls that fail as Linux documents, one kind at a time. */
+/**
+ * Guards against requests that the platform's proxy loses when a system call fails as Linux
+ * documents. Each test injects the failures of one call.
+ */
 class SystemCallFaultsTest {
   private static final long LENGTH_MS = 4_000;
 
-  /** The page's slack, and what the threads of this process may be late on a busy machine. */
+  /**
+   * The slack of the protocol page plus the delay of the threads of this process on a busy machine.
+   */
   private static final long SLACK_MS = 250;
 
   private static final int LEAST_REQUESTS = 200;
 
   @TempDir Path folder;
 
-  private void everyRequestIsAnswered(String call, String role, List<String> faults, int oneIn)
-      throws Exception {
+  private void assertEveryRequestGetsAResponse(
+      String call, String role, List<String> faults, int oneIn) throws Exception {
     Optional<Path> library = PreloadLibrary.build(folder);
-    Assumptions.assumeTrue(library.isPresent(), "a C compiler");
+    Assumptions.assumeTrue(library.isPresent(), "requires a C compiler");
     List<SystemCallFault> rules =
         faults.stream()
             .map(fault -> SystemCallFault.always(call, role, fault, oneIn * faults.size()))
@@ -47,51 +52,51 @@
               + history.requests().size()
               + ", faults injected "
               + run.injectedFaults()
-              + ", broken "
+              + ", violations "
               + violations.size());
       assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
-      assertThat(reached(run)).containsAll(faults);
+      assertThat(injectedFaultNames(run)).containsAll(faults);
       assertThat(violations).isEmpty();
     }
   }
 
-  /** The kinds of fault that reached the process. */
-  private List<String> reached(SoakRun run) throws Exception {
-    List<String> kinds = new ArrayList<>();
+  /** Returns the names of the faults injected into the process. */
+  private List<String> injectedFaultNames(SoakRun run) throws Exception {
+    List<String> names = new ArrayList<>();
     for (String line : Files.readAllLines(folder.resolve("proxy0/faults.log"))) {
-      kinds.add(line.split(" ")[3]);
+      names.add(line.split(" ")[3]);
     }
-    return kinds;
+    return names;
   }
 
   @Test
-  void failuresOfAcceptLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("accept", "listener", SoakPlan.ACCEPT_FAULTS, 10);
+  void acceptFailuresLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("accept", "listener", SoakPlan.ACCEPT_FAULTS, 10);
   }
 
   @Test
-  void transientFailuresOfReadOnClientConnectionsLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("read", "client", SoakPlan.TRANSIENT_READ_FAULTS, 10);
+  void transientClientReadFailuresLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("read", "client", SoakPlan.TRANSIENT_READ_FAULTS, 10);
   }
 
   @Test
-  void transientFailuresOfWriteOnClientConnectionsLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("write", "client", SoakPlan.TRANSIENT_WRITE_FAULTS, 10);
+  void transientClientWriteFailuresLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("write", "client", SoakPlan.TRANSIENT_WRITE_FAULTS, 10);
   }
 
   @Test
-  void failuresOfConnectLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("connect", "upstream", SoakPlan.CONNECT_FAULTS, 2);
+  void connectFailuresLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("connect", "upstream", SoakPlan.CONNECT_FAULTS, 2);
   }
 
   @Test
-  void interruptedPollsOfConnectionsThatComeUpLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("poll", "upstream", List.of("EINTR"), 2);
+  void interruptedPollsDuringConnectLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("poll", "upstream", List.of("EINTR"), 2);
   }
 
   @Test
-  void failuresOfReadOnConnectionsToServersLoseNoRequest() throws Exception {
-    everyRequestIsAnswered("read", "upstream", allReadFaults(), 10);
+  void upstreamReadFailuresLoseNoRequest() throws Exception {
+    assertEveryRequestGetsAResponse("read", "upstream", allReadFaults(), 10);
   }
 
   private static List<String> allReadFaults() {
--- a/src/test/java/leadferry/soak/package-info.java
+++ b/src/test/java/leadferry/soak/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Real proxy processes over loopback under faults of the operating system, of servers, of discovery
- * and of signals.
+ * Soak tests: real proxy processes over loopback under faults of the operating system, the
+ * upstreams, discovery and signals.
  *
- * <p>Start reading at {@link leadferry.soak.SoakRun}. {@link leadferry.soak.SoakJudge} decides from
- * what clients, servers and discovery recorded; nothing here reads state of the program under test.
+ * <p>{@link leadferry.soak.SoakRun} is the place to start. {@link leadferry.soak.SoakJudge} checks
+ * what clients, upstreams and discovery recorded; nothing here reads state of the program under
+ * test.
  */
 package leadferry.soak;
