--- a/src/test/java/leadferry/ArchitectureTest.java
+++ b/src/test/java/leadferry/ArchitectureTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The arrows between packages: each may use those that stand after it, never those before. */
+/** Guards the dependencies between packages: a package uses only packages of lower layers. */
 class ArchitectureTest {
-  /** From the top down; packages of one line may not use each other. */
+  /** Layers from top to bottom; packages of the same layer must not use each other. */
   private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
@@ -70,7 +70,10 @@
     }
   }
 
-  /** Spans go by the monotonic clock: the wall clock is stepped by time services and by hand. */
+  /**
+   * Durations must be measured by the monotonic clock, because time services and people step the
+   * wall clock.
+   */
   @Test
   void onlyServerStartAndOperatorOutputReadTheWallClock() {
     noClasses()
@@ -119,7 +122,10 @@
         .check(CLASSES);
   }
 
-  /** The agreed ledger knows no requests, and what it is applied by does nothing but compute. */
+  /**
+   * The control state is independent of requests, and the code that applies log entries to it only
+   * computes, so that it has the same result on every replica.
+   */
   @Test
   void controlStateDependsOnNoProxyCodeAndDoesNoInputOrOutput() {
     noClasses()
--- a/src/test/java/leadferry/LinterExceptionsTest.java
+++ b/src/test/java/leadferry/LinterExceptionsTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The linter's list of exceptions only shrinks: each entry names one check and one file, and an
- * entry whose file meets the check by now must go.
+ * Guards against obsolete entries in the list of linter exceptions, which must only shrink. Each
+ * entry names one check and one file; an entry whose file passes the check must be removed.
  */
 class LinterExceptionsTest {
   private static final Path RULES = Path.of("config", "checkstyle", "checkstyle.xml");
@@ -41,7 +41,7 @@
 
     Set<String> needed = violationsWithoutExceptions();
 
-    assertThat(listed).as("entries of %s that can be taken out", EXCEPTIONS).isSubsetOf(needed);
+    assertThat(listed).as("obsolete entries of %s", EXCEPTIONS).isSubsetOf(needed);
   }
 
   private static Set<String> listedEntries() throws IOException {
@@ -49,16 +49,18 @@
     for (String line : Files.readAllLines(EXCEPTIONS)) {
       if (line.contains("<suppress ")) {
         Matcher matcher = ENTRY.matcher(line.strip());
-        assertThat(matcher.matches()).as("one check and one file: %s", line).isTrue();
+        assertThat(matcher.matches())
+            .as("entry (expected: one check and one file): %s", line)
+            .isTrue();
         assertThat(entries.add(matcher.group(1) + " " + matcher.group(2)))
-            .as("twice: %s", line)
+            .as("duplicate entry: %s", line)
             .isTrue();
       }
     }
     return entries;
   }
 
-  /** What the linter says with no exceptions: "check file". */
+  /** Returns the violations that the linter finds without exceptions, each as "check file". */
   private Set<String> violationsWithoutExceptions() throws CheckstyleException, IOException {
     Path none = folder.resolve("none.xml");
     Files.writeString(none, Files.readString(EXCEPTIONS).replaceAll("<suppress [^>]*>", ""));
@@ -86,7 +88,7 @@
     return files;
   }
 
-  /** Collects violations as "check file". */
+  /** Listener that collects violations as "check file". */
   private record Collector(Set<String> found) implements AuditListener {
     @Override
     public void addError(AuditEvent event) {
--- a/src/test/java/leadferry/RawMessage.java
+++ b/src/test/java/leadferry/RawMessage.java
@@ -6,13 +6,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One HTTP/1.1 message as the bytes that came, its body framed by a length or by chunks. */
+/** Reads one HTTP/1.1 message as raw bytes, with a body framed by a length or by chunks. */
 public final class RawMessage {
   private static final String CONTENT_LENGTH = "\ncontent-length:";
 
   private RawMessage() {}
 
-  /** The next message, or what came of it before the stream ended. */
+  /** Returns the next message, or the part that was received before the stream ended. */
   public static String read(InputStream input) throws IOException {
     String head = readUntil(input, "\r\n\r\n");
     String lowerCase = head.toLowerCase(Locale.ROOT);
@@ -29,7 +29,10 @@
     return head + new String(input.readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
-  /** Chunks are joined: how a body is cut into them is free, and differs from run to run. */
+  /**
+   * Returns the chunks joined, because the division of a body into chunks is arbitrary and differs
+   * from run to run.
+   */
   private static String readChunks(InputStream input) throws IOException {
     StringBuilder body = new StringBuilder("[chunked] ");
     while (true) {
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -18,13 +18,14 @@
 import leadferry.loadbalancer.Settings;
 
 /**
- * Many real modules before modelled hosts, in one thread and in virtual time: what each does alone,
- * added up over the fleet. A host has three cores, a queue, a table of connections that takes of
- * its capacity as it fills, and warms up after its start. A proxy keeps an idle connection as long
- * as the platform's does. Times are ms.
+ * Simulation of a fleet: many real load balancers and modelled upstream hosts, in one thread and in
+ * virtual time. It shows what independent decisions of the proxies add up to. A host has three
+ * cores, a queue, and a connection table that takes a share of its capacity as it fills; it warms
+ * up after its start. A proxy keeps an idle connection as long as the platform's proxy does. Times
+ * are milliseconds.
  *
  * <pre>
- *   arrival -> module -> (connect) -> host: queue, work -> answer with report -> module
+ *   arrival -> load balancer -> (connect) -> host: queue, work -> response with report -> load balancer
  * </pre>
  */
 public final class FleetModel {
@@ -33,7 +34,7 @@
   private static final double OBJECTIVE_MILLIS = 500;
   private static final double DEADLINE_MILLIS = 1_000;
 
-  /** A client gives up, and asks again, after so much of its time. */
+  /** Share of the deadline after which a client gives up an attempt and sends the request again. */
   private static final double ATTEMPT_TIMEOUT_SHARE = 0.55;
 
   private static final int MAX_CLIENT_ATTEMPTS = 4;
@@ -45,7 +46,17 @@
   private static final double OVERLOAD_WINDOW_MILLIS = 1_500;
   private static final double OVERLOAD_MULTIPLE = 3;
 
-  /** What a run is to have. */
+  /**
+   * Parameters of a run.
+   *
+   * @param proxies the number of proxies
+   * @param hosts the number of upstream hosts
+   * @param load the offered load relative to the capacity of all hosts
+   * @param connectionTableSize the number of connections that a host accepts
+   * @param fullTableCost the share of the capacity of a host that a full connection table takes
+   * @param idleTimeoutMillis how long a proxy keeps an idle connection
+   * @param seed the seed of all random choices
+   */
   public record Plan(
       int proxies,
       int hosts,
@@ -55,8 +66,8 @@
       double idleTimeoutMillis,
       long seed) {
     /**
-     * With tables of 20 connections that take 0.4 of a host when full, and the idle time of the
-     * platform's proxy.
+     * Returns a plan with connection tables of 20 entries, which take 0.4 of the capacity of a host
+     * when full, and the idle timeout of the platform's proxy.
      */
     public static Plan of(int proxies, int hosts, double load, long seed) {
       return new Plan(
@@ -66,7 +77,7 @@
 
   private record Event(double atMillis, long order, Runnable task) {}
 
-  /** A host of the model. */
+  /** Modelled upstream host. */
   public final class Host {
     final long id;
     final double startedAtMillis;
@@ -78,13 +89,13 @@
     public int attemptsSent;
     boolean terminating;
 
-    /** The class that it turns away, or null. */
+    /** The request class that the host rejects, or null. */
     public String rejectedClass;
 
-    /** Whether it takes work and answers nothing. */
+    /** Whether the host accepts requests and never responds. */
     public boolean hanging;
 
-    /** The share of its answers that get lost on the way. */
+    /** The share of the responses of the host that are lost. */
     public double responseLossShare;
 
     Host(long id, double startedAtMillis) {
@@ -135,7 +146,7 @@
     }
   }
 
-  /** One attempt at a host. */
+  /** Attempt sent to a host. */
   private final class Attempt {
     final Proxy proxy;
     final Host host;
@@ -167,7 +178,7 @@
       end(AttemptOutcome.OK, true, true);
     }
 
-    /** Ends the attempt; {@code keep} tells that its connection may carry another. */
+    /** Ends the attempt; {@code keepsConnection} states whether its connection stays open. */
     void end(AttemptOutcome outcome, boolean isRequestOver, boolean keepsConnection) {
       if (ended) {
         return;
@@ -305,7 +316,7 @@
         handshakes++;
         if (host.connections >= plan.connectionTableSize) {
           connectionsRejected++;
-          host.connections++; // for as long as it takes to be turned away
+          host.connections++; // counts until the host has rejected it
           runAfter(2 * ONE_WAY_DELAY_MILLIS, () -> attempt.end(AttemptOutcome.FULL, false, false));
           return;
         }
@@ -386,7 +397,7 @@
     public void log(String line) {}
   }
 
-  /** What a client wants, over all of its tries. */
+  /** Request of a client, over all of its attempts. */
   private static final class ClientRequest {
     final String className;
     final double arrivedAtMillis;
@@ -420,19 +431,19 @@
   public long rejectedByHosts;
   public long lostResponses;
 
-  /** Requests sent to hosts that answer nothing. */
+  /** Number of attempts sent to hosts that never respond. */
   public long attemptsToHangingHosts;
 
-  /** Bytes that proxies got from each other. */
+  /** Bytes of gossip that proxies received from each other. */
   public long gossipBytes;
 
-  /** Whether proxies tell each other what they lost. */
+  /** Whether proxies exchange gossip about endpoints that did not respond. */
   public boolean gossipEnabled = true;
 
-  /** New connections that hosts turned away, as their tables were full. */
+  /** Number of new connections that hosts rejected because their connection tables were full. */
   public long connectionsRejected;
 
-  /** All proxies at once, before hosts that are warm. */
+  /** Creates a fleet whose proxies start at the same moment, with warm hosts. */
   public FleetModel(Plan plan) {
     this.plan = plan;
     this.random = new Random(plan.seed);
@@ -495,14 +506,14 @@
     return host;
   }
 
-  /** Does something after so long, within {@link #advance}. */
+  /** Runs a task within {@link #advance}, {@code delayMillis} of virtual time from now. */
   public void runAfter(double delayMillis, Runnable task) {
     events.add(new Event(nowMillis + delayMillis, eventCount++, task));
   }
 
   /**
-   * Requests arrive by chance, at one rate for the fleet; a proxy's part is between a third and
-   * three times the mean.
+   * Schedules the next request. Requests arrive at random, at one rate for the fleet; the share of
+   * a proxy is between a third and three times the mean.
    */
   private void scheduleNextArrival() {
     double requestsPerMilli = plan.load * plan.hosts * 3 / MEAN_WORK_MILLIS;
@@ -518,7 +529,7 @@
         });
   }
 
-  /** Lets so much time pass. */
+  /** Runs the events of the next {@code durationMillis} of virtual time. */
   public void advance(double durationMillis) {
     double untilMillis = nowMillis + durationMillis;
     while (!events.isEmpty() && events.peek().atMillis <= untilMillis) {
@@ -529,7 +540,7 @@
     nowMillis = untilMillis;
   }
 
-  /** Forgets what was counted so far. */
+  /** Resets all counters. */
   public void resetCounters() {
     requests =
         servedInTime =
@@ -545,7 +556,10 @@
     }
   }
 
-  /** Puts a new, cold host in the place of one; each proxy hears of both within {@code late} ms. */
+  /**
+   * Replaces a host by a new, cold one. Each proxy receives the update after a random delay of up
+   * to {@code maxDelayMillis}.
+   */
   public void replace(Host old, double maxDelayMillis) {
     Host replacement = addHost(nowMillis);
     old.terminating = true;
@@ -561,30 +575,36 @@
     }
   }
 
-  /** The share of the proxies that leave the host out on the word of several. */
+  /**
+   * Returns the share of the proxies that have ejected the host because of gossip from several
+   * proxies.
+   */
   public double ejectedShare(Host host) {
     return proxies.stream().filter(proxy -> proxy.suspicionProtocol.isEjected(host.id)).count()
         / (double) proxies.size();
   }
 
-  /** Connections that are open now at a host, on the mean. */
+  /** Returns the mean number of open connections per host. */
   public double meanConnections() {
     return hosts.stream().mapToInt(host -> host.connections).average().orElse(0);
   }
 
-  /** The most connections that a host has had since it was last counted. */
+  /**
+   * Returns the largest number of connections that any host had since the last {@link
+   * #resetCounters}.
+   */
   public int peakConnections() {
     return hosts.stream().mapToInt(host -> host.peakConnections).max().orElse(0);
   }
 
-  /** Requests in time, over those asked. */
+  /** Returns the share of the requests that were served within the latency objective. */
   public double servedShare() {
     return (double) servedInTime / requests;
   }
 
   /**
-   * The worst of all cold hosts and windows: work sent, over the multiple of capacity that the rule
-   * allows.
+   * Returns the largest share of the overload limit that any cold host reached in any window: the
+   * work sent to the host over the multiple of its capacity that the limit allows.
    */
   public double coldBudgetUsed() {
     double worst = 0;
@@ -610,7 +630,7 @@
     return worst;
   }
 
-  /** Figures of fleets of 15, 300 and 2,000 proxies: {@code bench/fleet}. */
+  /** Prints figures of fleets of 15, 300 and 2,000 proxies; started by {@code bench/fleet}. */
   public static void main(String[] args) {
     System.out.println(
         "proxies hosts idle_ms calm_served mean_conns most_conns handshakes/req | 6 of 10 replaced in 7 s: served mean most handshakes/req cold | half limit a class: served turned_away/req");
@@ -667,7 +687,7 @@
     }
   }
 
-  /** Replaces six hosts of ten by cold ones, evenly over so long. */
+  /** Replaces 60% of the hosts by cold ones, at even intervals over {@code withinMillis}. */
   public void replaceSixtyPercent(double withinMillis) {
     List<Host> old = new ArrayList<>(hosts.subList(0, hosts.size() * 6 / 10));
     for (int i = 0; i < old.size(); i++) {
--- a/src/test/java/leadferry/bench/FleetTest.java
+++ b/src/test/java/leadferry/bench/FleetTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What many proxies do together, asserted on the fleet: real modules, modelled hosts, virtual time.
+ * Guards against decisions that are right for one proxy and harm the fleet: real load balancers,
+ * modelled hosts, virtual time.
  */
 class FleetTest {
   private static FleetModel fleetOfFifteen(double load, long seed) {
@@ -31,7 +32,8 @@
   }
 
   /**
-   * They know nothing of each other, and together stay within what the rule allows in every window.
+   * The proxies know nothing of each other; together, they must stay below the overload limit of a
+   * cold host in every window.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -40,14 +42,15 @@
     fleet.advance(5_000);
     fleet.replaceSixtyPercent(7_000);
     fleet.advance(12_000);
-    // Half of the rule's budget is lent; requests are whole, and each proxy's first comes at
-    // chance.
+    // Half of the limit is lent to the proxies. The used share differs from 0.5 because requests
+    // are indivisible and the first request of each proxy arrives at random.
     assertThat(fleet.coldBudgetUsed()).isBetween(0.1, 0.6);
   }
 
   /**
-   * A hundred proxies draw from a tenth of the hosts each, so that few of them can send to a cold
-   * one: these few owe it what all would give. The warm ones can't carry the fleet alone.
+   * Each of a hundred proxies sends to a tenth of the hosts, so only few proxies can send to a
+   * given cold host. These few must send it as much as all proxies would together, because the warm
+   * hosts alone cannot carry the load.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
@@ -61,7 +64,10 @@
     assertThat(fleet.coldBudgetUsed()).isBetween(0.4, 0.7);
   }
 
-  /** A fifth of the hosts hang: what one proxy has lost there, the others need not lose. */
+  /**
+   * A fifth of the hosts hang. Gossip spares the other proxies the requests that one proxy has
+   * already lost there.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void fewProxiesLoseRequestsToHangingHosts(long seed) {
@@ -73,7 +79,7 @@
     fleet.advance(1_000);
     fleet.resetCounters();
     fleet.advance(5_000);
-    // 5 to 6 a second to each where every proxy finds out alone
+    // 5 to 6 attempts per second to each host if every proxy finds out on its own
     assertThat(fleet.attemptsToHangingHosts / 12.0 / 5).isLessThan(1.6);
     hanging.forEach(host -> host.hanging = false);
     fleet.advance(2_000);
@@ -86,8 +92,8 @@
   }
 
   /**
-   * A third of the hosts says nothing for six seconds, as a zone that is cut off, and comes back
-   * warm.
+   * A third of the hosts stop responding for six seconds, like a zone that is partitioned off, and
+   * come back warm.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
@@ -96,7 +102,7 @@
     fleet.advance(6_000);
     List<FleetModel.Host> zone = fleet.hosts.subList(0, 66);
     zone.forEach(host -> host.hanging = true);
-    fleet.advance(550 + 3 * 500); // clients wait for 550 ms; an aim is 500
+    fleet.advance(550 + 3 * 500); // clients wait for 550 ms; the latency objective is 500 ms
     assertThat(zone.stream().mapToDouble(fleet::ejectedShare).average().orElse(0))
         .isGreaterThan(0.9);
     assertThat(
@@ -109,7 +115,7 @@
     zone.forEach(host -> host.hanging = false);
     fleet.advance(1_500);
     assertThat(zone.stream().mapToDouble(fleet::ejectedShare).average().orElse(1))
-        .isLessThan(0.4); // 0.6 of all with a fixed time
+        .isLessThan(0.4); // 0.6 of all proxies with a fixed ejection time
   }
 
   @Test
@@ -123,7 +129,8 @@
   }
 
   /**
-   * Half the hosts limit one class: each proxy finds out, and the other class goes there instead.
+   * Half of the hosts reject one class. Each proxy finds out on its own and sends the other class
+   * to these hosts instead.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -141,8 +148,8 @@
   }
 
   /**
-   * A fifth of the answers of most hosts gets lost: that is no jam, and what can be served is not
-   * refused.
+   * A fifth of the responses of most hosts get lost. This is no overload, so proxies must not
+   * reject requests that can be served.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -22,9 +22,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Two ways to use cores: four workers that each decide for themselves, and four that hand each
- * decision to one thread and wait for its word. Only the decisions, no sockets. A worker of the
- * second kind hands over eight at a time, as an event loop that reads several requests would.
+ * Compares two ways to use several cores: four workers with a load balancer each, and four workers
+ * that hand each decision to one thread and wait for its result. Only decisions are measured, no
+ * sockets. A worker of the second kind hands over eight decisions at a time, like an event loop
+ * that has read several requests.
  */
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -48,7 +49,7 @@
     loadBalancer.onOutcome(nowMillis, id, 0, AttemptOutcome.OK, 8, true, null);
   }
 
-  /** A module a thread. */
+  /** One load balancer per thread. */
   @State(Scope.Thread)
   public static class PerWorker {
     final LoadBalancer loadBalancer = newLoadBalancer();
@@ -56,7 +57,7 @@
     double nowMillis = 1e6;
   }
 
-  /** One module on a thread of its own. */
+  /** One load balancer on a dedicated thread. */
   @State(Scope.Benchmark)
   public static class Shared {
     final ConcurrentLinkedQueue<AtomicInteger> pending = new ConcurrentLinkedQueue<>();
--- a/src/test/java/leadferry/bench/IdleClients.java
+++ b/src/test/java/leadferry/bench/IdleClients.java
@@ -9,13 +9,13 @@
 import leadferry.engine.Addresses;
 
 /**
- * Opens so many connections, asks once on each, keeps them for some seconds and tells how many
- * stayed.
+ * Opens connections, sends one request on each, keeps all of them open for some seconds, and prints
+ * how many are still open after that. Started by {@code bench/daemon memory}.
  */
 public final class IdleClients {
   private IdleClients() {}
 
-  /** {@code IP:PORT COUNT SECONDS}. */
+  /** Takes the arguments {@code IP:PORT COUNT SECONDS}. */
   public static void main(String[] args) throws Exception {
     InetSocketAddress address = Addresses.parse(args[0]);
     int count = Integer.parseInt(args[1]);
@@ -40,6 +40,6 @@
       stillOpen += channel.read(buffer) == 0 ? 1 : 0;
       channel.close();
     }
-    System.out.println(stillOpen + " stayed");
+    System.out.println(stillOpen + " stayed connected");
   }
 }
--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -17,8 +17,9 @@
 import leadferry.testbed.Sabotage;
 
 /**
- * Crashes the leader and the one follower that was with it, while the other is behind, and looks
- * for an answered call that the agreed state does not know: {@code java -cp "$(bench/classpath)"
+ * Searches for calls that are lost after the replicas confirmed them. It crashes the leader and the
+ * only follower that is up to date while the other follower is behind, then looks for a confirmed
+ * call that is missing from the replicated history. Started by {@code java -cp "$(bench/classpath)"
  * leadferry.bench.LostGrantSearch SECONDS SEED}.
  */
 public final class LostGrantSearch {
@@ -65,8 +66,8 @@
         List<String> others = new ArrayList<>(List.of("k1", "k2", "k3"));
         others.remove(leader);
         java.util.Collections.shuffle(others, random);
-        // One is behind; what the leader and the other one have answered must outlive the crash of
-        // both.
+        // One follower is behind. Calls that the leader and the other follower confirmed must
+        // survive the crash of both.
         faultTest.replica(others.get(0)).suspend();
         Thread.sleep(200 + random.nextInt(400));
         faultTest.replica(others.get(1)).kill();
@@ -95,7 +96,7 @@
       status.path("history").forEach(entry -> known.add(entry.path("call").asText()));
       List<String> lost = answered.stream().filter(call -> !known.contains(call)).toList();
       System.out.printf(
-          "%d faults, %d answered, %d in the ledger's audit, lost: %s, files: %s%n",
+          "%d faults, %d calls confirmed, %d calls in the history, lost: %s, files: %s%n",
           faults, answered.size(), known.size(), lost, folder);
     }
   }
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -22,7 +22,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the module costs a request: its arrival, the pick, its outcome, with 16 open at a time. */
+/**
+ * Cost of the load balancer per request: its arrival, the choice of an endpoint and its outcome,
+ * with 16 requests open at a time.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -64,7 +67,7 @@
     return endpoints;
   }
 
-  /** Does nothing: what is measured is the decision. */
+  /** Actions that do nothing, so that only the decision is measured. */
   static class NoOpActions implements LoadBalancerActions {
     @Override
     public void send(long request, long endpoint, double windowMillis) {}
--- a/src/test/java/leadferry/bench/ReplicaBenchmark.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -26,12 +26,15 @@
 import leadferry.testbed.Sabotage;
 
 /**
- * What replicas cost and how soon they are whole again, on one machine: {@code bench/replicas}.
- * Prints a line a figure; each is a count or a time of this run, with its baseline beside it where
- * it has one.
+ * Measures the cost of the replicas and the time they need to recover, on one machine; started by
+ * {@code bench/keepers}. Prints one line per figure. Each figure is a count or a time of this run,
+ * with its baseline beside it where it has one.
  */
 public final class ReplicaBenchmark {
-  /** Of each kind of daemon: loads, requests a second, and seconds. */
+  /**
+   * Number of rounds for each kind of daemon; each lasts {@link #ROUND_SECONDS} at {@link #RATE}
+   * requests per second.
+   */
   private static final int ROUNDS = 7;
 
   private static final int RATE = 600;
@@ -52,14 +55,14 @@
       }
       String leader = faultTest.awaitLeader();
       System.out.printf(
-          "a keeper's resident memory, idle: %d MB%n", residentMb(faultTest.replica(leader).pid()));
+          "replica resident memory, idle: %d MB%n", residentMb(faultTest.replica(leader).pid()));
       idleEntries(faultTest, 10);
       membershipCost(faultTest, folder);
       decisionRate(faultTest, 300, 1);
       decisionRate(faultTest, 1_200, 16);
       sessionLoad(faultTest, sessionCount);
       System.out.printf(
-          "the leader's resident memory with %d sessions: %d MB%n",
+          "leader resident memory with %d sessions: %d MB%n",
           sessionCount, residentMb(faultTest.replica(faultTest.awaitLeader()).pid()));
       leaderCrashes(faultTest, 15);
     }
@@ -75,8 +78,8 @@
   }
 
   /**
-   * What membership costs a daemon: the same file with [fleet] and without, in turn, at the same
-   * open-loop rate.
+   * Measures the cost of fleet membership for a daemon: alternating rounds with and without the
+   * section [fleet] in the same file, at the same open-loop rate.
    */
   private static void membershipCost(FaultTest faultTest, Path folder) throws Exception {
     int port = ProxyFixture.freePort();
@@ -104,7 +107,7 @@
       }
       for (Round[] rounds : List.of(with, without)) {
         System.out.printf(
-            "a daemon %s [fleet], %d rounds of %d/s: served %.5f, p99 %.2f ms, %.1f ms of processor time for 1,000 requests (medians), resident %d MB%n",
+            "daemon %s [fleet], %d rounds at %d requests/s: served share %.5f, p99 %.2f ms, CPU time %.1f ms per 1,000 requests (medians), resident memory %d MB%n",
             rounds == with ? "with" : "without",
             ROUNDS,
             RATE,
@@ -126,8 +129,8 @@
   }
 
   /**
-   * One load on one daemon: the part served, its p99, and the daemon's processor time for 1,000
-   * requests.
+   * Result of one round of load on a daemon: the share of requests served, their 99th percentile,
+   * and the CPU time of the daemon per 1,000 requests.
    */
   private record Round(double servedShare, double p99Ms, double cpuMs) {
     static Round of(InetSocketAddress address, long pid, String idPrefix) throws Exception {
@@ -149,8 +152,8 @@
     }
 
     /**
-     * User and system time of a process so far, by proc(5): fields 14 and 15, in hundredths of a
-     * second.
+     * Returns the user and system time of a process so far in milliseconds: fields 14 and 15 of
+     * /proc/PID/stat, in hundredths of a second (proc(5)).
      */
     private static long cpuMs(long pid) throws IOException {
       String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
@@ -171,11 +174,14 @@
     long before = appliedEntries(faultTest);
     Thread.sleep(seconds * 1_000L);
     System.out.printf(
-        "entries a minute at rest, two daemons: %d%n",
+        "log entries per minute without calls, two daemons: %d%n",
         (appliedEntries(faultTest) - before) * 60 / seconds);
   }
 
-  /** Pairs of a drain and its undo, by so many operators at once. */
+  /**
+   * Measures decisions per second: pairs of a drain and its undo, by {@code operators} operators at
+   * once.
+   */
   private static void decisionRate(FaultTest faultTest, int calls, int operators)
       throws InterruptedException {
     AtomicLong done = new AtomicLong();
@@ -218,11 +224,13 @@
     }
     finished.await();
     System.out.printf(
-        "decisions a second, %d operators, a connection a call: %.0f%n",
+        "decisions per second, %d operators, one connection per call: %.0f%n",
         operators, done.get() / ((System.nanoTime() - startNanos) / 1e9));
   }
 
-  /** So many real sessions, joined at once and kept for a while. */
+  /**
+   * Opens {@code sessionCount} real sessions at once and renews them for 30 seconds from the start.
+   */
   private static void sessionLoad(FaultTest faultTest, int sessionCount) throws Exception {
     int threads = 32;
     Map<String, InetSocketAddress> replicas = new LinkedHashMap<>();
@@ -289,7 +297,7 @@
     }
     finished.await();
     System.out.printf(
-        "%d sessions joined in %.1f s; then %.0f renewals a second, %d lost%n",
+        "%d sessions joined in %.1f s; then %.0f renewals per second, %d failed%n",
         joined.get(),
         allJoinedNanos.get() / 1e9,
         renewed.get() / ((30e9 - allJoinedNanos.get()) / 1e9),
@@ -297,7 +305,8 @@
   }
 
   /**
-   * From the kill of the leader to the next grant, beside the time of a grant where nobody dies.
+   * Measures the time from the kill of the leader to the next grant, and as baseline the time of a
+   * grant without a crash.
    */
   private static void leaderCrashes(FaultTest faultTest, int crashes) throws Exception {
     List<Long> withoutCrashMs = new ArrayList<>();
@@ -313,7 +322,7 @@
     Collections.sort(withoutCrashMs);
     Collections.sort(afterCrashMs);
     System.out.printf(
-        "from a leader's death to the next grant, %d deaths: median %d ms, most %d ms; a grant without one: median %d ms, most %d ms%n",
+        "time from a leader crash to the next grant, %d crashes: median %d ms, maximum %d ms; grant without a crash: median %d ms, maximum %d ms%n",
         crashes,
         afterCrashMs.get(crashes / 2),
         afterCrashMs.get(crashes - 1),
@@ -322,7 +331,8 @@
   }
 
   /**
-   * How long (ms) until a drain is granted, asked for again while it is refused; it is given back.
+   * Requests a drain until it is granted and returns the time this took in milliseconds; undoes the
+   * drain afterwards.
    */
   private static long millisUntilGranted(FaultTest faultTest, String idPrefix, int operator) {
     long startNanos = System.nanoTime();
--- a/src/test/java/leadferry/bench/RouteBenchmark.java
+++ b/src/test/java/leadferry/bench/RouteBenchmark.java
@@ -21,7 +21,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The look-up of a route among few and many; the baseline is a look-up in a {@code HashMap}. */
+/**
+ * Cost of a route lookup in small and large tables; the baseline is a lookup in a {@code HashMap}.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -29,7 +31,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class RouteBenchmark {
-  /** Requests to go through, so that the table does not stay in the first cache. */
+  /** Number of different requests; enough that the table does not stay in the L1 cache. */
   private static final int REQUESTS = 4_096;
 
   @Param({"10", "1000", "100000"})
@@ -62,7 +64,7 @@
     return "/office" + route % 97 + "/team" + route % 1_009 + "/visits" + route;
   }
 
-  /** Prefixes stand at three depths. */
+  /** Returns a prefix of one of three depths. */
   private static String prefixPath(int route) {
     return switch (route % 6) {
       case 1 -> "/office" + route + "/x";
@@ -92,8 +94,8 @@
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < REQUESTS; i++) {
       int route = 2 * random.nextInt(routes / 2);
-      // Paths come from the wire: no string of the table's is asked for, nor one whose hash is
-      // known.
+      // Paths are copied, like paths read from the wire: a lookup never gets a string object of the
+      // table, nor one with a cached hash.
       exact[i] = new Request("api.test", new String(path(route).toCharArray()));
       prefix[i] = new Request("api.test", prefixPath(route + 1) + "/7f3a/log");
     }
--- a/src/test/java/leadferry/bench/Streams.java
+++ b/src/test/java/leadferry/bench/Streams.java
@@ -13,8 +13,10 @@
 import java.util.Locale;
 
 /**
- * A host of long bodies and clients that send and fetch them through what stands between: {@code
- * Streams HOST_PORT TARGET_PORT MIB AT_ONCE}. With TARGET_PORT the host's own it is the baseline.
+ * Measures the throughput of long bodies: an upstream host, and clients that upload and download
+ * bodies through the proxy in between. Started by {@code bench/daemon stream} with the arguments
+ * {@code HOST_PORT TARGET_PORT MIB CLIENTS}; if both ports are the same, the result is the baseline
+ * without a proxy.
  */
 final class Streams {
   private static final int BLOCK = 64 * 1024;
@@ -56,7 +58,7 @@
       double seconds = (System.nanoTime() - startNanos) / 1e9;
       System.out.printf(
           Locale.ROOT,
-          "%s: %d of %d whole, %.0f MiB/s%n",
+          "%s: %d of %d complete, %.0f MiB/s%n",
           isUpload ? "up" : "down",
           completed[0],
           clientCount,
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -11,9 +11,10 @@
 import leadferry.loadbalancer.RequestArrival;
 
 /**
- * What it costs the spread over hosts and the connections to them that workers count for
- * themselves: the same arrivals to one module, and dealt out to several, in simulated time. Hosts
- * have three cores each and a queue; requests take 10 ms of a core on average.
+ * Measures, in simulated time, what the spread over hosts and the number of connections lose if
+ * each worker counts only its own requests: the same arrivals go to one load balancer, and are
+ * distributed over several. Hosts have three cores each and a queue; a request takes 10 ms of a
+ * core on average.
  */
 public final class WorkerSpread {
   private static final int HOSTS = 30;
@@ -25,7 +26,7 @@
 
   private WorkerSpread() {}
 
-  /** Prints a line for each number of workers and each load. */
+  /** Prints one line for each number of workers and each load. */
   public static void main(String[] args) {
     System.out.println("workers  load   p50 ms   p99 ms  worst queue  connections  refused");
     for (double load : new double[] {0.33, 0.67, 0.85}) {
--- a/src/test/java/leadferry/bench/package-info.java
+++ b/src/test/java/leadferry/bench/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements, run by hand through {@code bench/}; nothing here is part of the tests. Results
- * stand in {@code docs/BENCHMARKS.md}.
+ * Benchmarks and simulations, started by hand through the scripts in {@code bench/}; {@link
+ * leadferry.bench.FleetTest} runs with the tests. Results are in {@code docs/BENCHMARKS.md}.
  */
 package leadferry.bench;
