--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -606,7 +606,7 @@
    * Returns the largest share of the overload limit that any cold host reached in any window: the
    * work sent to the host over the multiple of its capacity that the limit allows.
    */
-  public double coldBudgetUsed() {
+  public double maxOverloadLimitShare() {
     double worst = 0;
     for (Host host : hosts) {
       for (int i = 0, windowStart = 0; host.startedAtMillis > 0 && i < host.sendTimes.size(); i++) {
@@ -670,7 +670,7 @@
                 calm.meanConnections(),
                 calm.peakConnections(),
                 (double) calm.handshakes / calm.requests,
-                calm.coldBudgetUsed()));
+                calm.maxOverloadLimitShare()));
         FleetModel limited = new FleetModel(plan);
         limited.advance(10_000);
         for (int i = 0; i < limited.hosts.size(); i += 2) {
--- a/src/test/java/leadferry/bench/FleetTest.java
+++ b/src/test/java/leadferry/bench/FleetTest.java
@@ -44,7 +44,7 @@
     fleet.advance(12_000);
     // Half of the limit is lent to the proxies. The used share differs from 0.5 because requests
     // are indivisible and the first request of each proxy arrives at random.
-    assertThat(fleet.coldBudgetUsed()).isBetween(0.1, 0.6);
+    assertThat(fleet.maxOverloadLimitShare()).isBetween(0.1, 0.6);
   }
 
   /**
@@ -61,7 +61,7 @@
     fleet.replaceSixtyPercent(7_000);
     fleet.advance(15_000);
     assertThat(fleet.servedShare()).isGreaterThan(0.88);
-    assertThat(fleet.coldBudgetUsed()).isBetween(0.4, 0.7);
+    assertThat(fleet.maxOverloadLimitShare()).isBetween(0.4, 0.7);
   }
 
   /**
--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -64,6 +64,7 @@
     private volatile boolean stopped;
     private Thread decider;
 
+    /** Starts the thread that decides. */
     @Setup(Level.Trial)
     public void start() {
       decider =
@@ -86,6 +87,7 @@
       decider.start();
     }
 
+    /** Stops the thread that decides. */
     @TearDown(Level.Trial)
     public void stop() throws InterruptedException {
       stopped = true;
@@ -93,6 +95,7 @@
     }
   }
 
+  /** Each of four workers decides with its own load balancer. */
   @Benchmark
   @Threads(4)
   public void loadBalancerPerWorker(PerWorker state) {
@@ -100,6 +103,7 @@
     decide(state.loadBalancer, state.id++, state.nowMillis);
   }
 
+  /** Each of four workers hands a batch of decisions to one thread and waits for all of them. */
   @Benchmark
   @Threads(4)
   @org.openjdk.jmh.annotations.OperationsPerInvocation(BATCH)
--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -25,6 +25,7 @@
 public final class LostGrantSearch {
   private LostGrantSearch() {}
 
+  /** Runs the search for {@code SECONDS} and prints the lost calls. */
   public static void main(String[] args) throws Exception {
     int seconds = Integer.parseInt(args[0]);
     Random random = new Random(Long.parseLong(args[1]));
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -91,6 +91,7 @@
     public void log(String line) {}
   }
 
+  /** Creates a load balancer with {@link #OPEN_REQUESTS} open requests. */
   @Setup
   public void build() {
     loadBalancer = new LoadBalancer(settings(), 1, new NoOpActions());
@@ -102,6 +103,7 @@
     }
   }
 
+  /** Ends the oldest open request and starts another one. */
   @Benchmark
   public void requestAndOutcome() {
     nowMillis += 0.5;
--- a/src/test/java/leadferry/bench/ReplicaBenchmark.java
+++ b/src/test/java/leadferry/bench/ReplicaBenchmark.java
@@ -42,6 +42,10 @@
 
   private ReplicaBenchmark() {}
 
+  /**
+   * Prints all figures for the number of sessions in the first argument, 2,000 by default; with the
+   * argument {@code deaths}, prints only the recovery time after crashes of the leader.
+   */
   public static void main(String[] args) throws Exception {
     boolean crashesOnly = args.length > 0 && args[0].equals("deaths");
     int sessionCount = args.length > 0 && !crashesOnly ? Integer.parseInt(args[0]) : 2_000;
--- a/src/test/java/leadferry/bench/RouteBenchmark.java
+++ b/src/test/java/leadferry/bench/RouteBenchmark.java
@@ -73,6 +73,7 @@
     };
   }
 
+  /** Fills the route table and draws the requests. */
   @Setup
   public void build() {
     List<RouteRule<Integer>> rules = new ArrayList<>();
@@ -101,16 +102,19 @@
     }
   }
 
+  /** Looks up a route by its exact path. */
   @Benchmark
   public Object exact() {
     return table.find(exact[cursor++ & REQUESTS - 1]);
   }
 
+  /** Looks up a route by the prefix of a path. */
   @Benchmark
   public Object prefix() {
     return table.find(prefix[cursor++ & REQUESTS - 1]);
   }
 
+  /** Looks up a path in a {@code HashMap}, as baseline. */
   @Benchmark
   public Object baselineHashMap() {
     return map.get(exact[cursor++ & REQUESTS - 1].path());
--- a/src/test/java/leadferry/bench/Streams.java
+++ b/src/test/java/leadferry/bench/Streams.java
@@ -23,6 +23,7 @@
 
   private Streams() {}
 
+  /** Prints the throughput of uploads, then that of downloads. */
   public static void main(String[] args) throws Exception {
     int hostPort = Integer.parseInt(args[0]);
     int targetPort = Integer.parseInt(args[1]);
@@ -86,10 +87,10 @@
     return thread;
   }
 
-  private static String readHead(InputStream in) throws IOException {
+  private static String readHead(InputStream input) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
-      int next = in.read();
+      int next = input.read();
       if (next < 0) {
         return null;
       }
@@ -107,11 +108,11 @@
     return 0;
   }
 
-  private static boolean readBody(InputStream in, long bytes) throws IOException {
+  private static boolean readBody(InputStream input, long bytes) throws IOException {
     byte[] block = new byte[BLOCK];
     long remaining = bytes;
     while (remaining > 0) {
-      int count = in.read(block, 0, (int) Math.min(block.length, remaining));
+      int count = input.read(block, 0, (int) Math.min(block.length, remaining));
       if (count < 0) {
         return false;
       }
@@ -129,10 +130,10 @@
 
   private static void serve(Socket socket) throws IOException {
     try (socket) {
-      InputStream in = new BufferedInputStream(socket.getInputStream());
+      InputStream input = new BufferedInputStream(socket.getInputStream());
       String head;
-      while ((head = readHead(in)) != null) {
-        readBody(in, contentLength(head));
+      while ((head = readHead(input)) != null) {
+        readBody(input, contentLength(head));
         long bytes =
             head.startsWith("GET /") ? Long.parseLong(head.substring(5, head.indexOf(' ', 5))) : 0;
         socket
@@ -170,9 +171,9 @@
           .getOutputStream()
           .write(
               ascii("GET /" + bytes + " HTTP/1.1\r\nHost: a\r\nX-Request-ID: d" + id + "\r\n\r\n"));
-      InputStream in = new BufferedInputStream(socket.getInputStream());
-      String head = readHead(in);
-      return head != null && contentLength(head) == bytes && readBody(in, bytes);
+      InputStream input = new BufferedInputStream(socket.getInputStream());
+      String head = readHead(input);
+      return head != null && contentLength(head) == bytes && readBody(input, bytes);
     }
   }
 }
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -59,17 +59,19 @@
               index + 1,
               new PickBenchmark.NoOpActions() {
                 @Override
-                public void send(long request, long host, double apart) {
-                  int h = (int) host;
-                  peakOpen[worker][h] = Math.max(peakOpen[worker][h], ++open[worker][h]);
-                  Event e = new Event(nowMillis[0], worker, request, h);
-                  if (running[h] < CORES) {
-                    running[h]++;
+                public void send(long request, long endpoint, double windowMillis) {
+                  int hostIndex = (int) endpoint;
+                  peakOpen[worker][hostIndex] =
+                      Math.max(peakOpen[worker][hostIndex], ++open[worker][hostIndex]);
+                  Event event = new Event(nowMillis[0], worker, request, hostIndex);
+                  if (running[hostIndex] < CORES) {
+                    running[hostIndex]++;
                     completions.add(
-                        new Event(nowMillis[0] + drawServiceMillis(random), worker, request, h));
+                        new Event(
+                            nowMillis[0] + drawServiceMillis(random), worker, request, hostIndex));
                   } else {
-                    queues[h].add(e);
-                    longestQueue[0] = Math.max(longestQueue[0], queues[h].size());
+                    queues[hostIndex].add(event);
+                    longestQueue[0] = Math.max(longestQueue[0], queues[hostIndex].size());
                   }
                 }
 
--- a/src/test/java/leadferry/soak/DaemonAcceptTest.java
+++ b/src/test/java/leadferry/soak/DaemonAcceptTest.java
@@ -32,7 +32,7 @@
   private static final int CLIENTS = 12;
   private static final int DEADLINE_MS = 1_000;
   private static final int ONE_IN = 10;
-  private static final int LEAST_REQUESTS = 300;
+  private static final int MIN_REQUESTS = 300;
 
   @TempDir Path folder;
   private final SoakHistory history = new SoakHistory();
@@ -123,8 +123,8 @@
             + ", violations "
             + violations.size());
     assertThat(violations).isEmpty();
-    assertThat(daemon.injectedFaults()).isGreaterThan(LEAST_REQUESTS / (2L * ONE_IN));
-    assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
+    assertThat(daemon.injectedFaults()).isGreaterThan(MIN_REQUESTS / (2L * ONE_IN));
+    assertThat(history.requests()).hasSizeGreaterThan(MIN_REQUESTS);
   }
 
   private void start(String transport, List<RecordingUpstream> upstreams, Path library)
--- a/src/test/java/leadferry/soak/ProxyProcess.java
+++ b/src/test/java/leadferry/soak/ProxyProcess.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Returns a daemon with this operator's file. It has no health path; any response, also one for a
-   * missing route, shows that it serves.
+   * Returns a daemon with this operator's file. It counts as ready with any response, because it
+   * also responds to requests without a route.
    */
   static ProxyProcess daemon(Path operatorFile, Path folder, int port) {
     List<String> arguments = List.of("daemon", "--config", operatorFile.toString());
@@ -140,16 +140,16 @@
   }
 
   /**
-   * Returns the words before a command that set its limit of open file descriptors. The limit is
-   * raised by one for each entry of the class path, which the JVM keeps open.
+   * Returns the words that precede a command to limit its open file descriptors. The limit is
+   * raised by one for each entry of the class path, because each entry takes one descriptor here.
    */
-  private static List<String> descriptorLimitPrefix(int descriptors) {
-    if (descriptors == 0) {
+  private static List<String> descriptorLimitPrefix(int descriptorLimit) {
+    if (descriptorLimit == 0) {
       return List.of();
     }
     int entries = System.getProperty("java.class.path").split(java.io.File.pathSeparator).length;
     return List.of(
-        "sh", "-c", "ulimit -n $0 && exec \"$@\"", Integer.toString(descriptors + entries));
+        "sh", "-c", "ulimit -n $0 && exec \"$@\"", Integer.toString(descriptorLimit + entries));
   }
 
   private void awaitReady() throws InterruptedException, IOException {
--- a/src/test/java/leadferry/soak/SoakJudgeTest.java
+++ b/src/test/java/leadferry/soak/SoakJudgeTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against a judge that accepts everything. Each rule is broken once, in constructed records
- * or in a run with a deliberate fault, and the judge must report it.
+ * Guards against a judge that misses a broken rule or reports a correct run. Rules are broken in
+ * constructed records, and in runs of real processes with a deliberate fault.
  */
 class SoakJudgeTest {
   private static final long SECOND = 1_000_000_000L;
--- a/src/test/java/leadferry/soak/SoakPlan.java
+++ b/src/test/java/leadferry/soak/SoakPlan.java
@@ -8,7 +8,7 @@
 /**
  * Sizes, settings, faults and events of a run, derived from a seed or set by a test.
  *
- * @param seed the seed of all random choices of the run
+ * @param seed the seed of the random choices of the clients, upstreams, proxies and faults
  * @param durationMs the duration of the run in milliseconds
  * @param proxies the number of proxy processes
  * @param upstreams the number of upstream hosts
@@ -43,7 +43,7 @@
     String clockStep,
     List<Event> events,
     Sabotage sabotage) {
-  /** Deliberate fault, which shows that the judge finds it. */
+  /** Deliberate fault of a run, used to show that the judge finds it. */
   enum Sabotage {
     NONE,
     /** Drains are recorded as notified, but discovery does not send them. */
@@ -87,8 +87,8 @@
   record Event(long atMs, EventKind kind, int target, long argument) {}
 
   /**
-   * Failures of accept(2) according to its manual page: errors of the pending connection, which the
-   * error skips, and shortages of resources.
+   * Failures of accept(2) according to its manual page: errors of a pending connection, which
+   * accept then skips, and shortages of resources.
    */
   static final List<String> ACCEPT_FAULTS =
       List.of(
--- a/src/test/java/leadferry/soak/SoakRun.java
+++ b/src/test/java/leadferry/soak/SoakRun.java
@@ -25,18 +25,23 @@
  */
 final class SoakRun implements AutoCloseable {
   /**
-   * Time in milliseconds after SIGTERM for which clients still open new connections, as the
-   * protocol page allows.
+   * Time in milliseconds after SIGTERM during which clients still open new connections, as the
+   * protocol page states.
    */
   private static final long ACCEPT_AFTER_TERM_MS = 400;
 
   /**
-   * Time in milliseconds from the longest deadline to SIGKILL; a deadline counts up to {@link
-   * #MAX_DRAIN_MS}.
+   * Time in milliseconds between SIGTERM and SIGKILL beyond the longest deadline, of which at most
+   * {@link #MAX_WAIT_MS} counts.
    */
-  private static final long KILL_DELAY_MS = 700;
+  private static final long KILL_MARGIN_MS = 700;
+
+  /**
+   * Upper limit in milliseconds of the deadline that delays SIGKILL, and of the wait for a killed
+   * process to exit.
+   */
+  private static final long MAX_WAIT_MS = 3_000;
 
-  private static final long MAX_DRAIN_MS = 3_000;
   private static final long CLIENT_JOIN_MARGIN_MS = 1_500;
 
   private static final int FIRST_PORT = 15_000;
@@ -192,7 +197,7 @@
     sleepUntil(startNanos + plan.durationMs() * 1_000_000);
     running = false;
     for (Thread client : clients) {
-      client.join(MAX_DRAIN_MS + CLIENT_JOIN_MARGIN_MS);
+      client.join(MAX_WAIT_MS + CLIENT_JOIN_MARGIN_MS);
     }
     for (ProxyNode node : nodes) {
       node.restartLock.lock(); // waits for a restart in progress
@@ -256,8 +261,8 @@
       case RESTART -> threads.execute(() -> restart(node, event.argument()));
       case RELOAD -> {
         if (node.ready) {
-          node.process.signal(
-              "HUP"); // the protocol page allows SIGHUP only once the proxy is ready
+          // the protocol page allows SIGHUP only once the proxy is ready
+          node.process.signal("HUP");
         }
       }
       case PAUSE -> pause(node, event.argument());
@@ -301,9 +306,9 @@
         return;
       }
       SoakClient.Profile profile = plan.clientProfile();
-      long maxDrainMs =
-          Math.min(MAX_DRAIN_MS, Math.max(profile.unsafeDeadlineMs(), profile.keyedDeadlineMs()));
-      long killAtNanos = System.nanoTime() + (maxDrainMs + KILL_DELAY_MS) * 1_000_000;
+      long longestDeadlineMs =
+          Math.min(MAX_WAIT_MS, Math.max(profile.unsafeDeadlineMs(), profile.keyedDeadlineMs()));
+      long killAtNanos = System.nanoTime() + (longestDeadlineMs + KILL_MARGIN_MS) * 1_000_000;
       long acceptUntilNanos = System.nanoTime() + ACCEPT_AFTER_TERM_MS * 1_000_000;
       node.process.signal("TERM");
       Thread.sleep(SIGNAL_INTERVAL_MS);
@@ -324,7 +329,7 @@
             "proxy " + node.index + " exited with status " + node.process.exitStatus());
       }
       node.process.kill();
-      node.process.awaitExit(MAX_DRAIN_MS);
+      node.process.awaitExit(MAX_WAIT_MS);
       node.start();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/leadferry/soak/SoakTest.java
+++ b/src/test/java/leadferry/soak/SoakTest.java
@@ -21,7 +21,7 @@
    * A run with fewer requests shows too little. The number depends on the machine: 255 to 1,900
    * were measured.
    */
-  private static final int LEAST_REQUESTS = 100;
+  private static final int MIN_REQUESTS = 100;
 
   /**
    * The slack of the protocol page plus the delay of the threads of this process on a busy machine.
@@ -48,7 +48,7 @@
               + ", violations "
               + violations.size());
       assertThat(violations).as(plan.toString()).isEmpty();
-      assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
+      assertThat(history.requests()).hasSizeGreaterThan(MIN_REQUESTS);
     }
   }
 }
--- a/src/test/java/leadferry/soak/SystemCallFaultsTest.java
+++ b/src/test/java/leadferry/soak/SystemCallFaultsTest.java
@@ -23,7 +23,7 @@
    */
   private static final long SLACK_MS = 250;
 
-  private static final int LEAST_REQUESTS = 200;
+  private static final int MIN_REQUESTS = 200;
 
   @TempDir Path folder;
 
@@ -54,7 +54,7 @@
               + run.injectedFaults()
               + ", violations "
               + violations.size());
-      assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
+      assertThat(history.requests()).hasSizeGreaterThan(MIN_REQUESTS);
       assertThat(injectedFaultNames(run)).containsAll(faults);
       assertThat(violations).isEmpty();
     }
