--- a/src/test/java/leadferry/bench/LostGrantSearch.java
+++ b/src/test/java/leadferry/bench/LostGrantSearch.java
@@ -33,7 +33,7 @@
     try (FaultTest faultTest =
         new FaultTest(new FaultTestPlan(3, 1, 2, 60, 1, Sabotage.NONE, 1), folder)) {
       faultTest.start();
-      ConcurrentLinkedQueue<String> answered = new ConcurrentLinkedQueue<>();
+      ConcurrentLinkedQueue<String> confirmed = new ConcurrentLinkedQueue<>();
       AtomicBoolean stopped = new AtomicBoolean();
       List<Thread> writers = new ArrayList<>();
       for (int index = 0; index < 4; index++) {
@@ -48,7 +48,7 @@
                             .submit(
                                 Operator.entry("resume"), "w" + writer + "-" + i, writer, 15_000);
                     if (response != null && response.path("status").asText().equals("done")) {
-                      answered.add("w" + writer + "-" + i);
+                      confirmed.add("w" + writer + "-" + i);
                     }
                     try {
                       Thread.sleep(40);
@@ -95,10 +95,10 @@
               .query(Json.object().put("op", "status").put("history", true), 0, 30_000);
       Set<String> known = new HashSet<>();
       status.path("history").forEach(entry -> known.add(entry.path("call").asText()));
-      List<String> lost = answered.stream().filter(call -> !known.contains(call)).toList();
+      List<String> lost = confirmed.stream().filter(call -> !known.contains(call)).toList();
       System.out.printf(
           "%d faults, %d calls confirmed, %d calls in the history, lost: %s, files: %s%n",
-          faults, answered.size(), known.size(), lost, folder);
+          faults, confirmed.size(), known.size(), lost, folder);
     }
   }
 }
