--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -22,9 +22,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Two ways to use cores: four workers that each decide for themselves, and four that hand each
- * decision to one thread and wait for its word. Only the decisions, no sockets. A worker of the
- * second kind hands over eight at a time, as an event loop that reads several requests would.
+ * Compares two ways to use several cores: four workers with a load balancer each, and four workers
+ * that hand each decision to one thread and wait for its result. Only decisions are measured, no
+ * sockets. A worker of the second kind hands over eight decisions at a time, like an event loop
+ * that has read several requests.
  */
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -32,81 +33,86 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class HandOffBenchmark {
-  private static final int HOSTS = 30;
+  private static final int ENDPOINTS = 30;
   private static final int BATCH = 8;
 
-  private static LoadBalancer balancer() {
-    LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.NoOpActions());
-    b.onStart(1e6);
-    b.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
-    return b;
+  private static LoadBalancer newLoadBalancer() {
+    LoadBalancer loadBalancer =
+        new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.NoOpActions());
+    loadBalancer.onStart(1e6);
+    loadBalancer.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.endpoints(ENDPOINTS));
+    return loadBalancer;
   }
 
-  private static void decide(LoadBalancer b, long id, double now) {
-    b.onRequest(now, new RequestArrival(id, "c", null, 800, Double.NaN, false));
-    b.onOutcome(now, id, 0, AttemptOutcome.OK, 8, true, null);
+  private static void decide(LoadBalancer loadBalancer, long id, double nowMillis) {
+    loadBalancer.onRequest(nowMillis, new RequestArrival(id, "c", null, 800, Double.NaN, false));
+    loadBalancer.onOutcome(nowMillis, id, 0, AttemptOutcome.OK, 8, true, null);
   }
 
-  /** A module a thread. */
+  /** One load balancer per thread. */
   @State(Scope.Thread)
-  public static class Own {
-    final LoadBalancer balancer = balancer();
+  public static class PerWorker {
+    final LoadBalancer loadBalancer = newLoadBalancer();
     long id;
-    double now = 1e6;
+    double nowMillis = 1e6;
   }
 
-  /** One module on a thread of its own. */
+  /** One load balancer on a dedicated thread. */
   @State(Scope.Benchmark)
   public static class Shared {
-    final ConcurrentLinkedQueue<AtomicInteger> asked = new ConcurrentLinkedQueue<>();
-    private volatile boolean over;
+    final ConcurrentLinkedQueue<AtomicInteger> pending = new ConcurrentLinkedQueue<>();
+    private volatile boolean stopped;
     private Thread decider;
 
+    /** Starts the thread that decides. */
     @Setup(Level.Trial)
     public void start() {
       decider =
           new Thread(
               () -> {
-                LoadBalancer b = balancer();
+                LoadBalancer loadBalancer = newLoadBalancer();
                 long id = 0;
-                double now = 1e6;
-                while (!over) {
-                  AtomicInteger a = asked.poll();
-                  if (a == null) {
+                double nowMillis = 1e6;
+                while (!stopped) {
+                  AtomicInteger remaining = pending.poll();
+                  if (remaining == null) {
                     Thread.onSpinWait();
                     continue;
                   }
-                  now += 0.001;
-                  decide(b, id++, now);
-                  a.decrementAndGet();
+                  nowMillis += 0.001;
+                  decide(loadBalancer, id++, nowMillis);
+                  remaining.decrementAndGet();
                 }
               });
       decider.start();
     }
 
+    /** Stops the thread that decides. */
     @TearDown(Level.Trial)
     public void stop() throws InterruptedException {
-      over = true;
+      stopped = true;
       decider.join();
     }
   }
 
+  /** Each of four workers decides with its own load balancer. */
   @Benchmark
   @Threads(4)
-  public void loadBalancerPerWorker(Own o) {
-    o.now += 0.001;
-    decide(o.balancer, o.id++, o.now);
+  public void loadBalancerPerWorker(PerWorker state) {
+    state.nowMillis += 0.001;
+    decide(state.loadBalancer, state.id++, state.nowMillis);
   }
 
+  /** Each of four workers hands a batch of decisions to one thread and waits for all of them. */
   @Benchmark
   @Threads(4)
   @org.openjdk.jmh.annotations.OperationsPerInvocation(BATCH)
-  public void oneDecisionThread(Shared s) {
-    AtomicInteger left = new AtomicInteger(BATCH);
+  public void oneDecisionThread(Shared state) {
+    AtomicInteger remaining = new AtomicInteger(BATCH);
     for (int i = 0; i < BATCH; i++) {
-      s.asked.add(left);
+      state.pending.add(remaining);
     }
-    while (left.get() > 0) {
+    while (remaining.get() > 0) {
       Thread.onSpinWait();
     }
   }
--- a/src/test/java/leadferry/bench/RouteBenchmark.java
+++ b/src/test/java/leadferry/bench/RouteBenchmark.java
@@ -21,7 +21,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The look-up of a route among few and many; the baseline is a look-up in a {@code HashMap}. */
+/**
+ * Cost of a route lookup in small and large tables; the baseline is a lookup in a {@code HashMap}.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -29,7 +31,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class RouteBenchmark {
-  /** Requests to go through, so that the table does not stay in the first cache. */
+  /** Number of different requests; enough that the table does not stay in the L1 cache. */
   private static final int REQUESTS = 4_096;
 
   @Param({"10", "1000", "100000"})
@@ -39,7 +41,7 @@
   private final Request[] exact = new Request[REQUESTS];
   private final Request[] prefix = new Request[REQUESTS];
   private final Map<String, Integer> map = new java.util.HashMap<>();
-  private int at;
+  private int cursor;
 
   private record Request(String host, String path) implements RequestAttributes {
     @Override
@@ -58,19 +60,20 @@
     }
   }
 
-  private static String path(int i) {
-    return "/office" + i % 97 + "/team" + i % 1_009 + "/visits" + i;
+  private static String path(int route) {
+    return "/office" + route % 97 + "/team" + route % 1_009 + "/visits" + route;
   }
 
-  /** Prefixes stand at three depths. */
-  private static String prefixPath(int i) {
-    return switch (i % 6) {
-      case 1 -> "/office" + i + "/x";
-      case 3 -> "/office" + i % 97 + "/team" + i;
-      default -> path(i) + "/deep";
+  /** Returns a prefix of one of three depths. */
+  private static String prefixPath(int route) {
+    return switch (route % 6) {
+      case 1 -> "/office" + route + "/x";
+      case 3 -> "/office" + route % 97 + "/team" + route;
+      default -> path(route) + "/deep";
     };
   }
 
+  /** Fills the route table and draws the requests. */
   @Setup
   public void build() {
     List<RouteRule<Integer>> rules = new ArrayList<>();
@@ -91,26 +94,29 @@
     table = new RouteTable<>(rules);
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < REQUESTS; i++) {
-      int r = 2 * random.nextInt(routes / 2);
-      // Paths come from the wire: no string of the table's is asked for, nor one whose hash is
-      // known.
-      exact[i] = new Request("api.test", new String(path(r).toCharArray()));
-      prefix[i] = new Request("api.test", prefixPath(r + 1) + "/7f3a/log");
+      int route = 2 * random.nextInt(routes / 2);
+      // Paths are copied, like paths read from the wire: a lookup never gets a string object of the
+      // table, nor one with a cached hash.
+      exact[i] = new Request("api.test", new String(path(route).toCharArray()));
+      prefix[i] = new Request("api.test", prefixPath(route + 1) + "/7f3a/log");
     }
   }
 
+  /** Looks up a route by its exact path. */
   @Benchmark
   public Object exact() {
-    return table.find(exact[at++ & REQUESTS - 1]);
+    return table.find(exact[cursor++ & REQUESTS - 1]);
   }
 
+  /** Looks up a route by the prefix of a path. */
   @Benchmark
   public Object prefix() {
-    return table.find(prefix[at++ & REQUESTS - 1]);
+    return table.find(prefix[cursor++ & REQUESTS - 1]);
   }
 
+  /** Looks up a path in a {@code HashMap}, as baseline. */
   @Benchmark
   public Object baselineHashMap() {
-    return map.get(exact[at++ & REQUESTS - 1].path());
+    return map.get(exact[cursor++ & REQUESTS - 1].path());
   }
 }
