--- a/src/main/java/leadferry/cli/FleetOptions.java
+++ b/src/main/java/leadferry/cli/FleetOptions.java
@@ -130,7 +130,7 @@
     }
     System.out.println("-- " + Instant.now());
     if (response.path("status").asText().equals("unreachable")) {
-      System.out.println("no replica is reachable: " + response.path("why").asText());
+      System.out.println("no replica can be reached: " + response.path("why").asText());
     } else {
       printer.accept(response);
     }
@@ -168,7 +168,7 @@
       System.out.println(
           "undecided (" + cause.getMessage() + "): repeat the command with --id " + callId);
     } else {
-      System.out.println("no replica is reachable: " + cause.getMessage());
+      System.out.println("no replica can be reached: " + cause.getMessage());
     }
     return undecided ? FleetExitStatus.UNDECIDED : FleetExitStatus.UNREACHABLE;
   }
--- a/src/main/java/leadferry/cli/ReleasePlanReader.java
+++ b/src/main/java/leadferry/cli/ReleasePlanReader.java
@@ -38,7 +38,7 @@
 
   /** Prints that no replica is reachable and returns the exit status for this error. */
   static int printUnreachable(UnreachableException cause) {
-    System.err.println("no replica is reachable: " + cause.getMessage());
+    System.err.println("no replica can be reached: " + cause.getMessage());
     return FleetExitStatus.UNREACHABLE;
   }
 }
