--- a/src/test/java/leadferry/RecordedText.java
+++ b/src/test/java/leadferry/RecordedText.java
@@ -31,7 +31,7 @@
   }
 
   /** Carriage returns made visible, so that a recording is a plain text file. */
-  public static String visible(String message) {
+  public static String escapeCarriageReturns(String message) {
     return message.replace("\r", "\\r");
   }
 
--- a/src/test/java/leadferry/bench/FleetModel.java
+++ b/src/test/java/leadferry/bench/FleetModel.java
@@ -50,9 +50,9 @@
       int proxies,
       int hosts,
       double load,
-      int connections,
-      double tax,
-      double keepIdle,
+      int connectionTableSize,
+      double fullTableCost,
+      double idleTimeoutMillis,
       long seed) {
     /**
      * With tables of 20 connections that take 0.4 of a host when full, and the idle time of the
@@ -69,53 +69,56 @@
   /** A host of the model. */
   public final class Host {
     final long id;
-    final double since;
-    final ArrayDeque<Job> queue = new ArrayDeque<>();
-    final List<Double> sent = new ArrayList<>();
-    int running;
+    final double startedAtMillis;
+    final ArrayDeque<Attempt> queue = new ArrayDeque<>();
+    final List<Double> sendTimes = new ArrayList<>();
+    int runningAttempts;
     int connections;
-    public int mostConnections;
-    public int sends;
-    boolean gone;
+    public int peakConnections;
+    public int attemptsSent;
+    boolean terminating;
 
     /** The class that it turns away, or null. */
-    public String limits;
+    public String rejectedClass;
 
     /** Whether it takes work and answers nothing. */
-    public boolean hangs;
+    public boolean hanging;
 
     /** The share of its answers that get lost on the way. */
-    public double loses;
+    public double responseLossShare;
 
     Host(long id, double since) {
       this.id = id;
-      this.since = since;
+      this.startedAtMillis = since;
     }
 
     double warmth() {
-      return since <= 0 ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - since) / COLD);
+      return startedAtMillis <= 0
+          ? 1
+          : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - startedAtMillis) / COLD);
     }
 
     double speed() {
-      return warmth() * (1 - plan.tax * Math.min(1, (double) connections / plan.connections));
+      return warmth()
+          * (1 - plan.fullTableCost * Math.min(1, (double) connections / plan.connectionTableSize));
     }
 
-    void take(Job job) {
+    void take(Attempt job) {
       queue.add(job);
       run();
     }
 
     private void run() {
-      while (running < 3 && !queue.isEmpty()) {
-        Job j = queue.poll();
+      while (runningAttempts < 3 && !queue.isEmpty()) {
+        Attempt j = queue.poll();
         if (j.over) {
           continue;
         }
-        running++;
-        at(
+        runningAttempts++;
+        runAfter(
             j.work / speed(),
             () -> {
-              running--;
+              runningAttempts--;
               j.done();
               run();
             });
@@ -124,13 +127,13 @@
 
     private EndpointUpdate entry() {
       EndpointUpdate.Condition c =
-          gone ? EndpointUpdate.Condition.TERMINATING : EndpointUpdate.Condition.READY;
-      return new EndpointUpdate(id, "a", "k", id / 6, c, 1, since);
+          terminating ? EndpointUpdate.Condition.TERMINATING : EndpointUpdate.Condition.READY;
+      return new EndpointUpdate(id, "a", "k", id / 6, c, 1, startedAtMillis);
     }
   }
 
   /** One attempt at a host. */
-  private final class Job {
+  private final class Attempt {
     final Proxy proxy;
     final Host host;
     final long request;
@@ -140,7 +143,7 @@
     double work;
     boolean over;
 
-    Job(Proxy proxy, Host host, long request, int number, String type) {
+    Attempt(Proxy proxy, Host host, long request, int number, String type) {
       this.proxy = proxy;
       this.host = host;
       this.request = request;
@@ -151,11 +154,11 @@
     }
 
     void done() {
-      if (host.hangs) {
+      if (host.hanging) {
         return;
       }
-      if (!over && random.nextDouble() < host.loses) {
-        lost++;
+      if (!over && random.nextDouble() < host.responseLossShare) {
+        lostResponses++;
         return;
       }
       end(AttemptOutcome.OK, true, true);
@@ -171,7 +174,7 @@
       LoadReport load =
           result == AttemptOutcome.OK || result == AttemptOutcome.FULL
               ? new LoadReport(
-                  host.running + host.queue.size(),
+                  host.runningAttempts + host.queue.size(),
                   Double.NaN,
                   Double.NaN,
                   Double.NaN,
@@ -185,8 +188,8 @@
   private final class Proxy implements LoadBalancerActions, SuspicionProtocol.Actions {
     final LoadBalancer module;
     final Map<Long, Integer> attempts = new HashMap<>();
-    final Map<Long, Job> open = new HashMap<>();
-    final Map<Long, Ask> asks = new HashMap<>();
+    final Map<Long, Attempt> open = new HashMap<>();
+    final Map<Long, ClientRequest> asks = new HashMap<>();
     final Map<Host, ArrayDeque<Double>> idle = new HashMap<>();
     final SuspicionProtocol suspicions;
     final int position;
@@ -198,18 +201,18 @@
       suspicions = new SuspicionProtocol(null, plan.proxies, AIM, plan.seed * 37 + position, this);
     }
 
-    void ask(Ask a) {
+    void ask(ClientRequest a) {
       long id = next++;
       asks.put(id, a);
       a.tries++;
       module.onRequest(
           now, new RequestArrival(id, a.type, null, TRY_PART * DEADLINE, Double.NaN, false));
-      at(TRY_PART * DEADLINE, () -> giveUp(id));
+      runAfter(TRY_PART * DEADLINE, () -> giveUp(id));
     }
 
     private void giveUp(long id) {
       if (asks.containsKey(id)) {
-        Job j = open.get(id);
+        Attempt j = open.get(id);
         if (j != null) {
           j.end(AttemptOutcome.TIMEOUT, true, false);
         } else {
@@ -220,20 +223,20 @@
     }
 
     private void answered(long id, boolean served) {
-      Ask a = asks.remove(id);
+      ClientRequest a = asks.remove(id);
       if (a == null) {
         return;
       }
       if (served) {
-        inTime += now - a.at <= AIM ? 1 : 0;
+        servedInTime += now - a.at <= AIM ? 1 : 0;
       } else if (a.tries < TRIES) {
-        at(20, () -> ask(a));
+        runAfter(20, () -> ask(a));
       }
     }
 
-    void outcome(Job j, AttemptOutcome result, boolean over, LoadReport load) {
+    void outcome(Attempt j, AttemptOutcome result, boolean over, LoadReport load) {
       open.remove(j.request, j);
-      if (talk && result.hasResponse()) {
+      if (gossipEnabled && result.hasResponse()) {
         suspicions.onResponse(now, j.host.id);
       }
       module.onOutcome(now, j.request, j.number, result, now - j.sentAt, over, load);
@@ -249,10 +252,10 @@
       }
       ArrayDeque<Double> rests = idle.computeIfAbsent(host, x -> new ArrayDeque<>());
       rests.addLast(now);
-      at(
-          plan.keepIdle,
+      runAfter(
+          plan.idleTimeoutMillis,
           () -> {
-            if (!rests.isEmpty() && rests.peekFirst() <= now - plan.keepIdle) {
+            if (!rests.isEmpty() && rests.peekFirst() <= now - plan.idleTimeoutMillis) {
               rests.pollFirst();
               host.connections--;
             }
@@ -262,78 +265,78 @@
     @Override
     public void send(long request, long id, double apart) {
       Host host = byId.get(id);
-      Job j =
-          new Job(
+      Attempt j =
+          new Attempt(
               this,
               host,
               request,
               attempts.merge(request, 1, Integer::sum) - 1,
               asks.get(request).type);
       open.put(request, j);
-      sends++;
+      attemptsSent++;
       suspicions.onAttempt();
-      hung += host.hangs ? 1 : 0;
-      host.sends++;
-      host.sent.add(now);
+      attemptsToHangingHosts += host.hanging ? 1 : 0;
+      host.attemptsSent++;
+      host.sendTimes.add(now);
       ArrayDeque<Double> rests = idle.get(host);
       boolean connects = rests == null || rests.pollLast() == null;
       if (connects) {
         handshakes++;
-        if (host.connections >= plan.connections) {
-          tableFull++;
+        if (host.connections >= plan.connectionTableSize) {
+          connectionsRejected++;
           host.connections++; // for as long as it takes to be turned away
-          at(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, false));
+          runAfter(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, false));
           return;
         }
         host.connections++;
-        host.mostConnections = Math.max(host.mostConnections, host.connections);
+        host.peakConnections = Math.max(host.peakConnections, host.connections);
         j.work += HANDSHAKE_WORK;
       }
-      if (j.type.equals(host.limits)) {
-        turnedAway++;
-        at(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, true));
+      if (j.type.equals(host.rejectedClass)) {
+        rejectedByHosts++;
+        runAfter(2 * TRIP, () -> j.end(AttemptOutcome.FULL, false, true));
       } else {
-        at(TRIP, () -> host.take(j));
+        runAfter(TRIP, () -> host.take(j));
       }
     }
 
     @Override
     public void reject(long request, double retryAfterMillis) {
-      refused++;
-      at(0, () -> answered(request, false));
+      rejectedByProxies++;
+      runAfter(0, () -> answered(request, false));
     }
 
     @Override
     public void fail(long request) {
-      at(0, () -> answered(request, false));
+      runAfter(0, () -> answered(request, false));
     }
 
     @Override
     public void cancel(long request, int attempt) {
-      Job j = open.get(request);
+      Attempt j = open.get(request);
       if (j != null && j.number == attempt) {
-        at(0, () -> j.end(AttemptOutcome.CANCELLED, false, false));
+        runAfter(0, () -> j.end(AttemptOutcome.CANCELLED, false, false));
       }
     }
 
     @Override
     public void schedule(double delay, long token) {
-      at(delay, () -> module.onTimer(now, token));
+      runAfter(delay, () -> module.onTimer(now, token));
     }
 
     @Override
     public void onNoResponse(long host, double at, double sentAt) {
-      if (talk) {
+      if (gossipEnabled) {
         suspicions.onNoResponse(at, host, sentAt);
       }
     }
 
     @Override
     public void broadcast(byte[] message) {
-      told += message.length * (long) (proxies.size() - 1);
+      gossipBytes += message.length * (long) (proxies.size() - 1);
       for (Proxy p : proxies) {
         if (p != this && random.nextDouble() > 0.02) {
-          FleetModel.this.at(
+          FleetModel.this.runAfter(
               3 + 25 * random.nextDouble(), () -> p.suspicions.onMessage(now, position, message));
         }
       }
@@ -341,17 +344,17 @@
 
     @Override
     public void eject(long host, double lengthMillis, boolean again) {
-      FleetModel.this.at(0, () -> module.onGossip(now, host, lengthMillis));
+      FleetModel.this.runAfter(0, () -> module.onGossip(now, host, lengthMillis));
     }
 
     @Override
     public void readmit(long host) {
-      FleetModel.this.at(0, () -> module.onGossip(now, host, 0));
+      FleetModel.this.runAfter(0, () -> module.onGossip(now, host, 0));
     }
 
     @Override
     public void scheduleTimer(double delayMillis) {
-      FleetModel.this.at(delayMillis, () -> suspicions.onTimer(now));
+      FleetModel.this.runAfter(delayMillis, () -> suspicions.onTimer(now));
     }
 
     @Override
@@ -362,12 +365,12 @@
   }
 
   /** What a client wants, over all of its tries. */
-  private static final class Ask {
+  private static final class ClientRequest {
     final String type;
     final double at;
     int tries;
 
-    Ask(String type, double at) {
+    ClientRequest(String type, double at) {
       this.type = type;
       this.at = at;
     }
@@ -384,25 +387,25 @@
   private double now = 1_000;
   private long order;
   private long nextHost;
-  public long asked;
-  public long inTime;
-  public long sends;
+  public long requests;
+  public long servedInTime;
+  public long attemptsSent;
   public long handshakes;
-  public long refused;
-  public long turnedAway;
-  public long lost;
+  public long rejectedByProxies;
+  public long rejectedByHosts;
+  public long lostResponses;
 
   /** Requests sent to hosts that answer nothing. */
-  public long hung;
+  public long attemptsToHangingHosts;
 
   /** Bytes that proxies got from each other. */
-  public long told;
+  public long gossipBytes;
 
   /** Whether proxies tell each other what they lost. */
-  public boolean talk = true;
+  public boolean gossipEnabled = true;
 
   /** New connections that hosts turned away, as their tables were full. */
-  public long tableFull;
+  public long connectionsRejected;
 
   /** All proxies at once, before hosts that are warm. */
   public FleetModel(Plan plan) {
@@ -462,8 +465,8 @@
     return h;
   }
 
-  /** Does something after so long, within {@link #run}. */
-  public void at(double delay, Runnable what) {
+  /** Does something after so long, within {@link #advance}. */
+  public void runAfter(double delay, Runnable what) {
     events.add(new Event(now + delay, order++, what));
   }
 
@@ -473,18 +476,18 @@
    */
   private void arrive() {
     double perMs = plan.load * plan.hosts * 3 / WORK;
-    at(
+    runAfter(
         -Math.log(1 - random.nextDouble()) / perMs,
         () -> {
           int p = (int) (proxies.size() * Math.pow(random.nextDouble(), 1.6));
-          asked++;
-          proxies.get(p).ask(new Ask(random.nextInt(10) < 7 ? CLAIM : LOG, now));
+          requests++;
+          proxies.get(p).ask(new ClientRequest(random.nextInt(10) < 7 ? CLAIM : LOG, now));
           arrive();
         });
   }
 
   /** Lets so much time pass. */
-  public void run(double time) {
+  public void advance(double time) {
     double until = now + time;
     while (!events.isEmpty() && events.peek().at <= until) {
       Event e = events.poll();
@@ -495,22 +498,29 @@
   }
 
   /** Forgets what was counted so far. */
-  public void count() {
-    asked = inTime = sends = handshakes = refused = turnedAway = lost = tableFull = hung = told = 0;
+  public void resetCounters() {
+    requests =
+        servedInTime =
+            attemptsSent =
+                handshakes =
+                    rejectedByProxies =
+                        rejectedByHosts =
+                            lostResponses =
+                                connectionsRejected = attemptsToHangingHosts = gossipBytes = 0;
     for (Host h : hosts) {
-      h.mostConnections = h.connections;
-      h.sends = 0;
+      h.peakConnections = h.connections;
+      h.attemptsSent = 0;
     }
   }
 
   /** Puts a new, cold host in the place of one; each proxy hears of both within {@code late} ms. */
   public void replace(Host old, double late) {
     Host h = add(now);
-    old.gone = true;
+    old.terminating = true;
     hosts.remove(old);
     List<EndpointUpdate> news = List.of(old.entry(), h.entry());
     for (Proxy p : proxies) {
-      at(
+      runAfter(
           late * random.nextDouble(),
           () -> {
             p.suspicions.onEndpointList(EndpointListEvent.DELTA, news);
@@ -520,7 +530,7 @@
   }
 
   /** The share of the proxies that leave the host out on the word of several. */
-  public double leftOutBy(Host h) {
+  public double ejectedShare(Host h) {
     return proxies.stream().filter(p -> p.suspicions.isEjected(h.id)).count()
         / (double) proxies.size();
   }
@@ -531,13 +541,13 @@
   }
 
   /** The most connections that a host has had since it was last counted. */
-  public int mostConnections() {
-    return hosts.stream().mapToInt(h -> h.mostConnections).max().orElse(0);
+  public int peakConnections() {
+    return hosts.stream().mapToInt(h -> h.peakConnections).max().orElse(0);
   }
 
   /** Requests in time, over those asked. */
-  public double served() {
-    return (double) inTime / asked;
+  public double servedShare() {
+    return (double) servedInTime / requests;
   }
 
   /**
@@ -547,12 +557,13 @@
   public double coldBudgetUsed() {
     double worst = 0;
     for (Host h : hosts) {
-      for (int i = 0, from = 0; h.since > 0 && i < h.sent.size(); i++) {
-        while (h.sent.get(i) - h.sent.get(from) > FALL) {
+      for (int i = 0, from = 0; h.startedAtMillis > 0 && i < h.sendTimes.size(); i++) {
+        while (h.sendTimes.get(i) - h.sendTimes.get(from) > FALL) {
           from++;
         }
         double warmth =
-            COLD_FROM + (1 - COLD_FROM) * Math.min(1, (h.sent.get(from) - h.since) / COLD);
+            COLD_FROM
+                + (1 - COLD_FROM) * Math.min(1, (h.sendTimes.get(from) - h.startedAtMillis) / COLD);
         worst = Math.max(worst, (i - from + 1) * WORK / (FALL_MULTIPLE * 3 * FALL * warmth));
       }
     }
@@ -564,53 +575,62 @@
     System.out.println(
         "proxies hosts idle_ms calm_served mean_conns most_conns handshakes/req | 6 of 10 replaced in 7 s: served mean most handshakes/req cold | half limit a class: served turned_away/req");
     for (int[] size : new int[][] {{15, 60}, {300, 240}, {2_000, 240}}) {
-      for (double idle : new double[] {42_000, Plan.of(size[0], size[1], 0.6, 1).keepIdle()}) {
+      for (double idle :
+          new double[] {42_000, Plan.of(size[0], size[1], 0.6, 1).idleTimeoutMillis()}) {
         Plan plan = Plan.of(size[0], size[1], 0.6, 1);
         plan =
             new Plan(
-                plan.proxies, plan.hosts, plan.load, plan.connections, plan.tax, idle, plan.seed);
+                plan.proxies,
+                plan.hosts,
+                plan.load,
+                plan.connectionTableSize,
+                plan.fullTableCost,
+                idle,
+                plan.seed);
         FleetModel m = new FleetModel(plan);
-        m.run(10_000);
-        m.count();
-        m.run(10_000);
+        m.advance(10_000);
+        m.resetCounters();
+        m.advance(10_000);
         StringBuilder s = new StringBuilder(String.format("%7d %5d %7.0f", size[0], size[1], idle));
         s.append(
             String.format(
                 "  %.3f %.1f %d %.3f",
-                m.served(),
+                m.servedShare(),
                 m.meanConnections(),
-                m.mostConnections(),
-                (double) m.handshakes / m.asked));
-        m.count();
-        m.replaceSixInTen(7_000);
-        m.run(15_000);
+                m.peakConnections(),
+                (double) m.handshakes / m.requests));
+        m.resetCounters();
+        m.replaceSixtyPercent(7_000);
+        m.advance(15_000);
         s.append(
             String.format(
                 " | %.3f %.1f %d %.3f %.2f",
-                m.served(),
+                m.servedShare(),
                 m.meanConnections(),
-                m.mostConnections(),
-                (double) m.handshakes / m.asked,
+                m.peakConnections(),
+                (double) m.handshakes / m.requests,
                 m.coldBudgetUsed()));
         FleetModel l = new FleetModel(plan);
-        l.run(10_000);
+        l.advance(10_000);
         for (int i = 0; i < l.hosts.size(); i += 2) {
-          l.hosts.get(i).limits = CLAIM;
+          l.hosts.get(i).rejectedClass = CLAIM;
         }
-        l.count();
-        l.run(10_000);
-        s.append(String.format(" | %.3f %.3f", l.served(), (double) l.turnedAway / l.asked));
+        l.resetCounters();
+        l.advance(10_000);
+        s.append(
+            String.format(
+                " | %.3f %.3f", l.servedShare(), (double) l.rejectedByHosts / l.requests));
         System.out.println(s);
       }
     }
   }
 
   /** Replaces six hosts of ten by cold ones, evenly over so long. */
-  public void replaceSixInTen(double within) {
+  public void replaceSixtyPercent(double within) {
     List<Host> old = new ArrayList<>(hosts.subList(0, hosts.size() * 6 / 10));
     for (int i = 0; i < old.size(); i++) {
       Host h = old.get(i);
-      at(within * i / old.size(), () -> replace(h, 500));
+      runAfter(within * i / old.size(), () -> replace(h, 500));
     }
   }
 }
--- a/src/test/java/leadferry/bench/HandOffBenchmark.java
+++ b/src/test/java/leadferry/bench/HandOffBenchmark.java
@@ -36,7 +36,7 @@
   private static final int BATCH = 8;
 
   private static LoadBalancer balancer() {
-    LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.Nothing());
+    LoadBalancer b = new LoadBalancer(PickBenchmark.settings(), 1, new PickBenchmark.NoOpActions());
     b.onStart(1e6);
     b.onEndpointList(1e6, EndpointListEvent.FULL, PickBenchmark.entries(HOSTS));
     return b;
@@ -93,7 +93,7 @@
 
   @Benchmark
   @Threads(4)
-  public void ownModules(Own o) {
+  public void loadBalancerPerWorker(Own o) {
     o.now += 0.001;
     decide(o.balancer, o.id++, o.now);
   }
--- a/src/test/java/leadferry/bench/PickBenchmark.java
+++ b/src/test/java/leadferry/bench/PickBenchmark.java
@@ -64,7 +64,7 @@
   }
 
   /** Does nothing: what is measured is the decision. */
-  static class Nothing implements LoadBalancerActions {
+  static class NoOpActions implements LoadBalancerActions {
     @Override
     public void send(long request, long host, double apart) {}
 
@@ -89,7 +89,7 @@
 
   @Setup
   public void build() {
-    balancer = new LoadBalancer(settings(), 1, new Nothing());
+    balancer = new LoadBalancer(settings(), 1, new NoOpActions());
     balancer.onStart(now);
     balancer.onEndpointList(now, EndpointListEvent.FULL, entries(hosts));
     for (int i = 0; i < OPEN; i++) {
--- a/src/test/java/leadferry/bench/WorkerSpread.java
+++ b/src/test/java/leadferry/bench/WorkerSpread.java
@@ -55,7 +55,7 @@
           new LoadBalancer(
               PickBenchmark.settings().withProxyIndex(0),
               w + 1,
-              new PickBenchmark.Nothing() {
+              new PickBenchmark.NoOpActions() {
                 @Override
                 public void send(long request, long host, double apart) {
                   int h = (int) host;
--- a/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
+++ b/src/test/java/leadferry/daemon/RecordedDaemonHeadsTest.java
@@ -229,6 +229,8 @@
   private void append(String what, String message) {
     String masked = message.replaceAll("(?i)(x-timeout-ms: )\\d+", "$1MS");
     transcript.append("--- ").append(what).append('\n');
-    transcript.append(RecordedText.visible(RecordedText.maskPorts(masked))).append('\n');
+    transcript
+        .append(RecordedText.escapeCarriageReturns(RecordedText.maskPorts(masked)))
+        .append('\n');
   }
 }
--- a/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
+++ b/src/test/java/leadferry/proxy/RecordedDiscoveryTest.java
@@ -167,7 +167,10 @@
       throws IOException {
     StringBuilder description = new StringBuilder();
     for (String request : discovery.requests.subList(0, REQUESTS_SHOWN)) {
-      description.append("discovery gets: ").append(RecordedText.visible(request)).append('\n');
+      description
+          .append("discovery gets: ")
+          .append(RecordedText.escapeCarriageReturns(request))
+          .append('\n');
     }
     log.toString(StandardCharsets.UTF_8)
         .lines()
--- a/src/test/java/leadferry/proxy/RecordedHeadsTest.java
+++ b/src/test/java/leadferry/proxy/RecordedHeadsTest.java
@@ -142,7 +142,9 @@
     String shown = message.replaceAll("(?i)(x-timeout-ms: )\\d+", "$1MS");
     String shortened = shown.replaceAll("x{100,}|y{100,}", "...");
     transcript.append("--- ").append(title).append('\n');
-    transcript.append(RecordedText.visible(RecordedText.maskPorts(shortened))).append('\n');
+    transcript
+        .append(RecordedText.escapeCarriageReturns(RecordedText.maskPorts(shortened)))
+        .append('\n');
   }
 
   /** Keeps what it gets, and answers always the same; an empty answer ends the connection. */
--- a/src/test/java/leadferry/proxy/RecordedManagementTest.java
+++ b/src/test/java/leadferry/proxy/RecordedManagementTest.java
@@ -105,8 +105,12 @@
               ? new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1)
               : ProxyFixture.readMessage(socket.getInputStream());
       String shown = call.length() > 200 ? call.substring(0, 40) + "...\n" : call;
-      transcript.append("--- ").append(when).append('\n').append(RecordedText.visible(shown));
-      transcript.append("\n=>\n").append(RecordedText.visible(response)).append('\n');
+      transcript
+          .append("--- ")
+          .append(when)
+          .append('\n')
+          .append(RecordedText.escapeCarriageReturns(shown));
+      transcript.append("\n=>\n").append(RecordedText.escapeCarriageReturns(response)).append('\n');
     }
   }
 
--- a/src/test/java/leadferry/soak/DaemonAcceptTest.java
+++ b/src/test/java/leadferry/soak/DaemonAcceptTest.java
@@ -71,12 +71,12 @@
   private final SoakClient.Target target =
       new SoakClient.Target() {
         @Override
-        public boolean acceptsConnections() {
+        public boolean canConnect() {
           return true;
         }
 
         @Override
-        public boolean running() {
+        public boolean isRunning() {
           return running;
         }
 
@@ -96,7 +96,7 @@
       upstreams.add(new RecordingUpstream("s" + i, 0, 10, history, threads, i));
     }
     start(transport, upstreams, library.get());
-    SoakClient.Habits habits = new SoakClient.Habits(50, 1, 0, DEADLINE_MS, DEADLINE_MS);
+    SoakClient.Profile habits = new SoakClient.Profile(50, 1, 0, DEADLINE_MS, DEADLINE_MS);
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       Thread client = new Thread(new SoakClient("c" + i, 0, habits, target, history, i));
@@ -116,11 +116,11 @@
             + ": requests "
             + history.requests().size()
             + ", faults injected "
-            + daemon.injected()
+            + daemon.injectedFaults()
             + ", broken "
             + violations.size());
     assertThat(violations).isEmpty();
-    assertThat(daemon.injected()).isGreaterThan(LEAST_REQUESTS / (2L * ONE_IN));
+    assertThat(daemon.injectedFaults()).isGreaterThan(LEAST_REQUESTS / (2L * ONE_IN));
     assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
   }
 
--- a/src/test/java/leadferry/soak/FakeDiscovery.java
+++ b/src/test/java/leadferry/soak/FakeDiscovery.java
@@ -49,9 +49,9 @@
   }
 
   /** Puts a server into a state and tells it; {@code removed} takes it out of the list. */
-  synchronized void set(RecordingUpstream upstream, String state) {
+  synchronized void setState(RecordingUpstream upstream, String state) {
     version++;
-    String entry = upstream.entry(state);
+    String entry = upstream.endpointJson(state);
     Long before = lastChange.put(upstream.name(), version);
     if (before != null) {
       changes.remove(before); // a list names each server once
@@ -64,23 +64,23 @@
     }
     if (!state.equals("up")) {
       draining.put(upstream.name(), version);
-      history.notifiedOfDrain(proxy, upstream.name(), System.nanoTime() + TOLD_MS * 1_000_000);
+      history.addDrainNotice(proxy, upstream.name(), System.nanoTime() + TOLD_MS * 1_000_000);
     }
   }
 
   /** From now on it accepts and reads, and tells nothing. */
-  void silent(boolean on) {
+  void setSilent(boolean on) {
     silent = on;
   }
 
   /** Ends every open watch. */
-  void dropWatches() throws IOException {
+  void closeWatches() throws IOException {
     for (Socket socket : open) {
       socket.close();
     }
   }
 
-  synchronized String list() {
+  synchronized String endpointListJson() {
     return "{\"version\":"
         + version
         + ",\"full\":true,\"servers\":["
@@ -112,7 +112,7 @@
           watch(socket, Long.parseLong(path.replaceAll(".*since=", "")));
           return;
         }
-        String list = list();
+        String list = endpointListJson();
         write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         noteTold();
       }
@@ -155,7 +155,7 @@
   }
 
   private void noteTold() {
-    draining.keySet().forEach(name -> history.notifiedOfDrain(proxy, name, System.nanoTime()));
+    draining.keySet().forEach(name -> history.addDrainNotice(proxy, name, System.nanoTime()));
   }
 
   private static void write(Socket socket, String text) throws IOException {
@@ -165,6 +165,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    dropWatches();
+    closeWatches();
   }
 }
--- a/src/test/java/leadferry/soak/FaultMatrix.java
+++ b/src/test/java/leadferry/soak/FaultMatrix.java
@@ -51,9 +51,9 @@
   private static void play(String name, SoakPlan plan, Path folder, Path library) throws Exception {
     Path own = Files.createDirectories(folder.resolve(name.replace(' ', '-')));
     try (SoakRun run = new SoakRun(plan, own, library)) {
-      SoakHistory history = run.play();
+      SoakHistory history = run.run();
       List<SoakJudge.Violation> violations =
-          new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+          new SoakJudge(history, plan.drainGraceMs(), SLACK_MS).violations();
       long served =
           history.requests().stream()
               .filter(r -> r.outcome() == RequestRecord.Outcome.SERVED)
@@ -63,9 +63,9 @@
           name,
           history.requests().size(),
           served,
-          run.injected(),
+          run.injectedFaults(),
           violations.size(),
-          violations.isEmpty() ? "" : violations.get(0).rule() + ": " + violations.get(0).what());
+          violations.isEmpty() ? "" : violations.get(0).rule() + ": " + violations.get(0).detail());
     } catch (java.io.IOException e) {
       System.out.printf(
           "%-32s not started: %s%n", name, e.getMessage().lines().findFirst().orElse(""));
--- a/src/test/java/leadferry/soak/HttpMessage.java
+++ b/src/test/java/leadferry/soak/HttpMessage.java
@@ -18,10 +18,10 @@
   }
 
   /** Thrown where the stream ends within a message. */
-  static final class CutException extends IOException {
+  static final class TruncatedException extends IOException {
     private static final long serialVersionUID = 1;
 
-    CutException(String what) {
+    TruncatedException(String what) {
       super(what);
     }
   }
@@ -30,7 +30,7 @@
    * The next message, or null where the stream ended before its first byte.
    *
    * @param onFirstByte is run when that byte has been read
-   * @throws CutException if the stream ended, was reset or timed out after the first byte
+   * @throws TruncatedException if the stream ended, was reset or timed out after the first byte
    */
   static HttpMessage read(InputStream in, Runnable onFirstByte) throws IOException {
     StringBuilder head = new StringBuilder();
@@ -44,7 +44,7 @@
       while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
         int next = in.read();
         if (next < 0 || head.length() > MAX_HEAD) {
-          throw new CutException("the head does not end");
+          throw new TruncatedException("the head does not end");
         }
         head.append((char) next);
       }
@@ -53,13 +53,13 @@
       int expected = length == null ? 0 : Integer.parseInt(length);
       byte[] body = in.readNBytes(expected);
       if (body.length < expected) {
-        throw new CutException("the body does not end");
+        throw new TruncatedException("the body does not end");
       }
       return new HttpMessage(text, new String(body, StandardCharsets.ISO_8859_1));
-    } catch (CutException e) {
+    } catch (TruncatedException e) {
       throw e;
     } catch (IOException e) {
-      throw new CutException(e.getMessage());
+      throw new TruncatedException(e.getMessage());
     }
   }
 
@@ -80,7 +80,7 @@
     return header(head, name);
   }
 
-  boolean lastOfConnection() {
+  boolean hasConnectionClose() {
     return "close".equalsIgnoreCase(header("connection"));
   }
 
--- a/src/test/java/leadferry/soak/ProxyProcess.java
+++ b/src/test/java/leadferry/soak/ProxyProcess.java
@@ -26,7 +26,11 @@
    * for no limit.
    */
   record Faults(
-      Path library, List<SystemCallFault> rules, long seed, String clock, int descriptors) {}
+      Path library,
+      List<SystemCallFault> rules,
+      long seed,
+      String clockStep,
+      int descriptorLimit) {}
 
   /**
    * How a kind of process is started, and which answer to {@code GET /_health} tells that it can
@@ -78,17 +82,17 @@
     return port;
   }
 
-  Path faultLog() {
+  Path faultLogFile() {
     return folder.resolve("faults.log");
   }
 
-  Path log() {
+  Path logFile() {
     return folder.resolve("proxy.log");
   }
 
   /** Starts it and waits until it says that it can serve. */
   void start(Faults faults) throws IOException, InterruptedException {
-    List<String> command = new ArrayList<>(limited(faults.descriptors()));
+    List<String> command = new ArrayList<>(limited(faults.descriptorLimit()));
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(kind.options());
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "leadferry.Main"));
@@ -96,7 +100,7 @@
     ProcessBuilder builder = new ProcessBuilder(command);
     builder
         .redirectErrorStream(true)
-        .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
     Path own = Files.createDirectories(folder.resolve("tmp"));
     builder
         .environment()
@@ -107,10 +111,10 @@
       builder.environment().put("LD_PRELOAD", faults.library().toString());
       builder.environment().put("SYSCALL_FAULTS", rules);
       builder.environment().put("SYSCALL_FAULTS_SEED", Long.toString(faults.seed()));
-      builder.environment().put("SYSCALL_FAULTS_LOG", faultLog().toString());
+      builder.environment().put("SYSCALL_FAULTS_LOG", faultLogFile().toString());
       builder.environment().put("SYSCALL_FAULTS_DISCOVERY", Integer.toString(discoveryPort));
-      if (faults.clock() != null) {
-        builder.environment().put("SYSCALL_FAULTS_CLOCK", faults.clock());
+      if (faults.clockStep() != null) {
+        builder.environment().put("SYSCALL_FAULTS_CLOCK", faults.clockStep());
       }
     }
     process = builder.start();
@@ -137,7 +141,7 @@
     long until = System.nanoTime() + START_MS * 1_000_000;
     while (!ready()) {
       if (System.nanoTime() > until || !process.isAlive()) {
-        throw new IOException("the proxy did not become ready: " + Files.readString(log()));
+        throw new IOException("the proxy did not become ready: " + Files.readString(logFile()));
       }
       Thread.sleep(10);
     }
@@ -164,16 +168,16 @@
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 
   /** Its status, if it ends within so many ms. */
-  boolean endsWithin(long ms) throws InterruptedException {
+  boolean awaitExit(long ms) throws InterruptedException {
     return process.waitFor(Math.max(0, ms), TimeUnit.MILLISECONDS);
   }
 
-  int status() {
+  int exitStatus() {
     return process.exitValue();
   }
 
@@ -184,7 +188,7 @@
   }
 
   /** Faults that reached the process so far. */
-  long injected() throws IOException {
-    return Files.exists(faultLog()) ? Files.lines(faultLog()).count() : 0;
+  long injectedFaults() throws IOException {
+    return Files.exists(faultLogFile()) ? Files.lines(faultLogFile()).count() : 0;
   }
 }
--- a/src/test/java/leadferry/soak/RecordingUpstream.java
+++ b/src/test/java/leadferry/soak/RecordingUpstream.java
@@ -20,18 +20,18 @@
     /** Answers 500. */
     FAIL,
     /** Turns away unseen. */
-    TURN_AWAY,
+    REJECT,
     /** Resets the connection once the request has come whole. */
     RESET,
     /** Closes each connection right behind an answer. */
-    CLOSE_AFTER,
+    CLOSE_AFTER_RESPONSE,
     /** Sends half of an answer and closes. */
-    CUT,
+    TRUNCATE_RESPONSE,
     /**
      * Runs the request and says that it did not: never drawn, it shows that the judge finds
      * duplicates.
      */
-    DENY
+    REJECT_AFTER_RUN
   }
 
   private final String name;
@@ -70,12 +70,12 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  void behave(Behaviour next) {
+  void setBehaviour(Behaviour next) {
     behaviour = next;
   }
 
   /** Its entry in a list of the discovery's, in this state. */
-  String entry(String state) {
+  String endpointJson(String state) {
     return "{\"id\":\""
         + name
         + "\",\"addr\":\""
@@ -131,12 +131,11 @@
     String told = request.header("x-timeout-ms");
     long toldMs = told == null ? 0 : Long.parseLong(told);
     history.add(
-        new AttemptRecord(
-            id, name, begunAt, System.nanoTime(), toldMs, now != Behaviour.TURN_AWAY));
+        new AttemptRecord(id, name, begunAt, System.nanoTime(), toldMs, now != Behaviour.REJECT));
     if (now == Behaviour.HANG) {
       return true;
     }
-    if (now == Behaviour.TURN_AWAY || now == Behaviour.DENY) {
+    if (now == Behaviour.REJECT || now == Behaviour.REJECT_AFTER_RUN) {
       write(socket, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
       return true;
     }
@@ -149,7 +148,7 @@
     switch (now) {
       case FAIL -> write(socket, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
       case RESET -> socket.setSoLinger(true, 0);
-      case CUT -> write(socket, whole.substring(0, whole.length() - 2));
+      case TRUNCATE_RESPONSE -> write(socket, whole.substring(0, whole.length() - 2));
       default -> write(socket, whole);
     }
     return now == Behaviour.HEALTHY || now == Behaviour.FAIL;
--- a/src/test/java/leadferry/soak/RequestRecord.java
+++ b/src/test/java/leadferry/soak/RequestRecord.java
@@ -8,11 +8,12 @@
  * @param proxy index of the proxy that it was sent to
  * @param unsafe whether it must never run twice
  * @param deadlineMs how long its client waits
- * @param sentAt when its last byte had been written
- * @param endedAt when the last byte of its response, or the end of the connection, was read
- * @param leftAt when its client closed the connection without waiting for the response
+ * @param sentAtNanos when its last byte had been written
+ * @param endedAtNanos when the last byte of its response, or the end of the connection, was read
+ * @param disconnectedAtNanos when its client closed the connection without waiting for the response
  * @param outcome how it ended for the client
- * @param resentAt when it was sent once more because the close of an idle connection crossed it
+ * @param resentAtNanos when it was sent once more because the close of an idle connection crossed
+ *     it
  * @param detail of the outcome, for people
  */
 record RequestRecord(
@@ -20,11 +21,11 @@
     int proxy,
     boolean unsafe,
     int deadlineMs,
-    long sentAt,
-    long endedAt,
-    long leftAt,
+    long sentAtNanos,
+    long endedAtNanos,
+    long disconnectedAtNanos,
     Outcome outcome,
-    long resentAt,
+    long resentAtNanos,
     String detail) {
   /** How a request ended for its client. */
   enum Outcome {
@@ -35,10 +36,10 @@
     /** Any other complete response. */
     FAILED,
     /** A response that began and is not whole: the client can tell. */
-    CUT,
+    TRUNCATED,
     /** The connection ended, or nothing came, with no byte of a response. */
-    UNANSWERED,
+    NO_RESPONSE,
     /** The client closed the connection first. */
-    LEFT
+    CLIENT_DISCONNECTED
   }
 }
--- a/src/test/java/leadferry/soak/SoakClient.java
+++ b/src/test/java/leadferry/soak/SoakClient.java
@@ -19,10 +19,10 @@
   private static final double LEAVES_SHARE = 0.5;
 
   /** How clients act. */
-  record Habits(
+  record Profile(
       double thinkMs,
       double newConnectionShare,
-      double leaveShare,
+      double disconnectShare,
       int unsafeDeadlineMs,
       int keyedDeadlineMs) {}
 
@@ -31,23 +31,24 @@
    */
   interface Target {
     /** Whether a client may open a connection now. */
-    boolean acceptsConnections();
+    boolean canConnect();
 
     /** Whether the run goes on. */
-    boolean running();
+    boolean isRunning();
 
     int port();
   }
 
   private final String name;
   private final int proxy;
-  private final Habits habits;
+  private final Profile habits;
   private final Target target;
   private final SoakHistory history;
   private final Random random;
   private Socket socket;
 
-  SoakClient(String name, int proxy, Habits habits, Target target, SoakHistory history, long seed) {
+  SoakClient(
+      String name, int proxy, Profile habits, Target target, SoakHistory history, long seed) {
     this.name = name;
     this.proxy = proxy;
     this.habits = habits;
@@ -59,12 +60,12 @@
   @Override
   public void run() {
     try {
-      for (int number = 0; target.running(); number++) {
+      for (int number = 0; target.isRunning(); number++) {
         Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * habits.thinkMs()));
         if (random.nextDouble() < habits.newConnectionShare()) {
           hangUp();
         }
-        if (socket == null && !target.acceptsConnections()) {
+        if (socket == null && !target.canConnect()) {
           continue;
         }
         ask(name + "-" + number);
@@ -79,13 +80,13 @@
   private void ask(String id) throws InterruptedException {
     boolean unsafe = random.nextBoolean();
     int deadlineMs = unsafe ? habits.unsafeDeadlineMs() : habits.keyedDeadlineMs();
-    boolean leaves = random.nextDouble() < habits.leaveShare();
+    boolean leaves = random.nextDouble() < habits.disconnectShare();
     long leaveAfterMs = (long) (random.nextDouble() * LEAVES_SHARE * deadlineMs);
     boolean kept = socket != null;
     RequestRecord seen = attempt(id, unsafe, deadlineMs, leaves ? leaveAfterMs : -1, 0);
     if (kept
         && seen != null
-        && seen.outcome() == Outcome.UNANSWERED
+        && seen.outcome() == Outcome.NO_RESPONSE
         && seen.detail().startsWith("closed")) {
       long resentAt = System.nanoTime();
       seen = attempt(id, unsafe, deadlineMs, -1, resentAt);
@@ -118,30 +119,40 @@
         long leftAt = System.nanoTime();
         hangUp();
         return new RequestRecord(
-            id, proxy, unsafe, deadlineMs, sentAt, 0, leftAt, Outcome.LEFT, resentAt, "left");
+            id,
+            proxy,
+            unsafe,
+            deadlineMs,
+            sentAt,
+            0,
+            leftAt,
+            Outcome.CLIENT_DISCONNECTED,
+            resentAt,
+            "left");
       }
       socket.setSoTimeout(deadlineMs + PAST_DEADLINE_MS);
       HttpMessage response = HttpMessage.read(socket.getInputStream(), () -> {});
       long endedAt = System.nanoTime();
       if (response == null) {
-        return ended(id, unsafe, deadlineMs, sentAt, Outcome.UNANSWERED, resentAt, "closed");
+        return ended(id, unsafe, deadlineMs, sentAt, Outcome.NO_RESPONSE, resentAt, "closed");
       }
-      if (response.lastOfConnection()) {
+      if (response.hasConnectionClose()) {
         hangUp();
       }
       return judged(id, unsafe, deadlineMs, sentAt, endedAt, response, resentAt);
-    } catch (HttpMessage.CutException e) {
-      return ended(id, unsafe, deadlineMs, sentAt, Outcome.CUT, resentAt, "cut: " + e.getMessage());
+    } catch (HttpMessage.TruncatedException e) {
+      return ended(
+          id, unsafe, deadlineMs, sentAt, Outcome.TRUNCATED, resentAt, "cut: " + e.getMessage());
     } catch (SocketTimeoutException e) {
       return ended(
-          id, unsafe, deadlineMs, sentAt, Outcome.UNANSWERED, resentAt, "silent past its time");
+          id, unsafe, deadlineMs, sentAt, Outcome.NO_RESPONSE, resentAt, "silent past its time");
     } catch (IOException e) {
       return ended(
           id,
           unsafe,
           deadlineMs,
           sentAt,
-          Outcome.UNANSWERED,
+          Outcome.NO_RESPONSE,
           resentAt,
           "closed: " + e.getMessage());
     }
--- a/src/test/java/leadferry/soak/SoakHistory.java
+++ b/src/test/java/leadferry/soak/SoakHistory.java
@@ -25,12 +25,12 @@
   }
 
   /** A proxy process ended, or did not end, against its terms. */
-  void crashed(String what) {
+  void addCrash(String what) {
     crashes.add(what);
   }
 
   /** The earliest notice counts. */
-  void notifiedOfDrain(int proxy, String server, long at) {
+  void addDrainNotice(int proxy, String server, long at) {
     drains.merge(new Notified(proxy, server), at, Math::min);
   }
 
--- a/src/test/java/leadferry/soak/SoakJudge.java
+++ b/src/test/java/leadferry/soak/SoakJudge.java
@@ -22,7 +22,7 @@
   }
 
   /** One broken rule: which request or process, and what was seen. */
-  record Violation(Rule rule, String subject, String what) {}
+  record Violation(Rule rule, String subject, String detail) {}
 
   /** An answer may be so late (ms) and only earns nothing. */
   private static final long LATE_MS = 500;
@@ -66,9 +66,9 @@
   }
 
   private void judgeResponse(RequestRecord request, List<Violation> found) {
-    long tookMs = (request.endedAt() - request.sentAt()) / 1_000_000;
+    long tookMs = (request.endedAtNanos() - request.sentAtNanos()) / 1_000_000;
     switch (request.outcome()) {
-      case UNANSWERED ->
+      case NO_RESPONSE ->
           found.add(new Violation(Rule.LOST, request.id(), "no answer: " + request.detail()));
       case SERVED, REFUSED, FAILED -> {
         if (tookMs > request.deadlineMs() + LATE_MS + slackMs) {
@@ -79,12 +79,12 @@
                   "answered after " + tookMs + " of " + request.deadlineMs() + " ms"));
         }
       }
-      case CUT, LEFT -> {
+      case TRUNCATED, CLIENT_DISCONNECTED -> {
         // cut short through a server's fault, as the client can tell; or nobody waits
       }
     }
     if (request.outcome() == Outcome.SERVED
-        && attemptsOf(request).stream().noneMatch(AttemptRecord::ran)) {
+        && attemptsOf(request).stream().noneMatch(AttemptRecord::mayHaveRun)) {
       found.add(new Violation(Rule.LOST, request.id(), "served, and no server ran it"));
     }
     if (request.detail().startsWith("foreign")) {
@@ -95,26 +95,28 @@
   private void judgeAttempts(RequestRecord request, List<Violation> found) {
     int ran = 0;
     for (AttemptRecord attempt : attemptsOf(request)) {
-      ran += attempt.ran() && attempt.completeAt() != 0 ? 1 : 0;
+      ran += attempt.mayHaveRun() && attempt.completedAtNanos() != 0 ? 1 : 0;
       judgeBegin(request, attempt, found);
-      long leftMs = request.deadlineMs() - (attempt.begunAt() - request.sentAt()) / 1_000_000;
-      if (request.resentAt() == 0 && attempt.toldMs() > Math.max(0, leftMs) + TOLD_MS + slackMs) {
+      long leftMs =
+          request.deadlineMs() - (attempt.startedAtNanos() - request.sentAtNanos()) / 1_000_000;
+      if (request.resentAtNanos() == 0
+          && attempt.timeoutMs() > Math.max(0, leftMs) + TOLD_MS + slackMs) {
         found.add(
             new Violation(
                 Rule.DEADLINE,
                 request.id(),
-                "told " + attempt.toldMs() + " ms, and " + leftMs + " were left"));
+                "told " + attempt.timeoutMs() + " ms, and " + leftMs + " were left"));
       }
-      long drain = history.drainNotice(request.proxy(), attempt.server());
-      if (attempt.begunAt() - drain > (graceMs + slackMs) * 1_000_000) {
+      long drain = history.drainNotice(request.proxy(), attempt.upstream());
+      if (attempt.startedAtNanos() - drain > (graceMs + slackMs) * 1_000_000) {
         found.add(
             new Violation(
                 Rule.DRAIN,
                 request.id(),
                 "sent to "
-                    + attempt.server()
+                    + attempt.upstream()
                     + " "
-                    + (attempt.begunAt() - drain) / 1_000_000
+                    + (attempt.startedAtNanos() - drain) / 1_000_000
                     + " ms after the notice"));
       }
     }
@@ -127,8 +129,8 @@
   }
 
   private void judgeBegin(RequestRecord request, AttemptRecord attempt, List<Violation> found) {
-    if (request.leftAt() != 0) {
-      long after = (attempt.begunAt() - request.leftAt()) / 1_000_000;
+    if (request.disconnectedAtNanos() != 0) {
+      long after = (attempt.startedAtNanos() - request.disconnectedAtNanos()) / 1_000_000;
       if (after > LEAVER_MS + slackMs) {
         found.add(
             new Violation(
@@ -136,15 +138,15 @@
                 request.id(),
                 "attempt begun " + after + " ms after its client had left"));
       }
-    } else if (request.endedAt() != 0 && request.outcome() != Outcome.UNANSWERED) {
-      long after = (attempt.begunAt() - request.endedAt()) / 1_000_000;
+    } else if (request.endedAtNanos() != 0 && request.outcome() != Outcome.NO_RESPONSE) {
+      long after = (attempt.startedAtNanos() - request.endedAtNanos()) / 1_000_000;
       if (after > slackMs) {
         found.add(
             new Violation(
                 Rule.LOST, request.id(), "attempt begun " + after + " ms after its answer"));
       }
     }
-    if (request.resentAt() != 0 && attempt.begunAt() < request.resentAt()) {
+    if (request.resentAtNanos() != 0 && attempt.startedAtNanos() < request.resentAtNanos()) {
       found.add(
           new Violation(
               Rule.LOST, request.id(), "forwarded, and its connection closed without an answer"));
--- a/src/test/java/leadferry/soak/SoakJudgeTest.java
+++ b/src/test/java/leadferry/soak/SoakJudgeTest.java
@@ -74,7 +74,7 @@
 
   @Test
   void aRequestWithoutAnAnswerIsLost() {
-    request(Outcome.UNANSWERED, 0.1, 0, 0, "closed");
+    request(Outcome.NO_RESPONSE, 0.1, 0, 0, "closed");
     assertThat(broken()).containsExactly(Rule.LOST);
   }
 
@@ -99,7 +99,7 @@
 
   @Test
   void anAttemptAfterItsClientHasLeftIsLost() {
-    request(Outcome.LEFT, 0, 0.1, 0, "left");
+    request(Outcome.CLIENT_DISCONNECTED, 0, 0.1, 0, "left");
     attempt(0.4, true);
     assertThat(broken()).containsExactly(Rule.LOST);
   }
@@ -137,7 +137,7 @@
   void anAttemptPastTheGraceOfADrainBreaksIt() {
     request(Outcome.SERVED, 0.3, 0, 0, "200");
     attempt(0.1, true);
-    history.notifiedOfDrain(0, "s0", SECOND - SECOND);
+    history.addDrainNotice(0, "s0", SECOND - SECOND);
     assertThat(broken()).containsExactly(Rule.DRAIN);
   }
 
@@ -157,7 +157,7 @@
       library = built.get();
     }
     try (SoakRun run = new SoakRun(plan, folder, library)) {
-      return new SoakJudge(run.play(), plan.graceMs(), BUSY_SLACK_MS)
+      return new SoakJudge(run.run(), plan.drainGraceMs(), BUSY_SLACK_MS)
           .violations().stream().map(Violation::rule).distinct().toList();
     }
   }
@@ -172,26 +172,29 @@
   void aRequestThatAServerRanAndDeniedIsFoundToHaveRunTwice() throws Exception {
     SoakPlan.Event deny =
         new SoakPlan.Event(
-            100, SoakPlan.Kind.BEHAVE, 0, RecordingUpstream.Behaviour.DENY.ordinal());
+            100,
+            SoakPlan.EventKind.SET_BEHAVIOUR,
+            0,
+            RecordingUpstream.Behaviour.REJECT_AFTER_RUN.ordinal());
     SoakPlan plan =
-        SoakPlan.steady(32, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, deny);
+        SoakPlan.steady(32, LENGTH_MS, List.of()).withSabotage(SoakPlan.Sabotage.NONE, deny);
     assertThat(played(plan, false)).containsExactly(Rule.DUPLICATE);
   }
 
   @Test
   void aProcessThatIsNotToldOfADrainBreaksIt() throws Exception {
-    SoakPlan.Event drain = new SoakPlan.Event(100, SoakPlan.Kind.DRAIN, 0, 0);
+    SoakPlan.Event drain = new SoakPlan.Event(100, SoakPlan.EventKind.DRAIN, 0, 0);
     SoakPlan plan =
         SoakPlan.steady(33, LENGTH_MS, List.of())
-            .sabotaged(SoakPlan.Sabotage.DRAINS_NOT_TOLD, drain);
+            .withSabotage(SoakPlan.Sabotage.DRAIN_NOTICES_DROPPED, drain);
     assertThat(played(plan, false)).containsExactly(Rule.DRAIN);
   }
 
   @Test
   void aProcessThatDiesHasCrashed() throws Exception {
-    SoakPlan.Event crash = new SoakPlan.Event(LENGTH_MS / 2, SoakPlan.Kind.CRASH, 0, 0);
+    SoakPlan.Event crash = new SoakPlan.Event(LENGTH_MS / 2, SoakPlan.EventKind.CRASH, 0, 0);
     SoakPlan plan =
-        SoakPlan.steady(34, LENGTH_MS, List.of()).sabotaged(SoakPlan.Sabotage.NONE, crash);
+        SoakPlan.steady(34, LENGTH_MS, List.of()).withSabotage(SoakPlan.Sabotage.NONE, crash);
     assertThat(played(plan, false)).contains(Rule.CRASH);
   }
 }
--- a/src/test/java/leadferry/soak/SoakMain.java
+++ b/src/test/java/leadferry/soak/SoakMain.java
@@ -24,12 +24,12 @@
     long requests = 0;
     int broken = 0;
     for (long seed = first; seed < first + seeds; seed++) {
-      SoakPlan plan = SoakPlan.drawn(seed, lengthMs, proxies);
+      SoakPlan plan = SoakPlan.fromSeed(seed, lengthMs, proxies);
       Path own = Files.createDirectories(folder.resolve("seed" + seed));
       try (SoakRun run = new SoakRun(plan, own, library)) {
-        SoakHistory history = run.play();
+        SoakHistory history = run.run();
         List<SoakJudge.Violation> violations =
-            new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+            new SoakJudge(history, plan.drainGraceMs(), SLACK_MS).violations();
         requests += history.requests().size();
         broken += violations.isEmpty() ? 0 : 1;
         System.out.println(
@@ -38,7 +38,7 @@
                 + ": requests "
                 + history.requests().size()
                 + ", faults injected "
-                + run.injected()
+                + run.injectedFaults()
                 + ", broken "
                 + violations.size()
                 + (violations.isEmpty() ? "" : " " + plan));
--- a/src/test/java/leadferry/soak/SoakPlan.java
+++ b/src/test/java/leadferry/soak/SoakPlan.java
@@ -11,21 +11,22 @@
  *
  * @param systemCallFaults of each proxy's process
  * @param clockStep "from_ms step_ms" of the wall clock, or null
- * @param stalledClients clients of each proxy that send half of a request, or nothing, and stay
+ * @param stalledClientsPerProxy clients of each proxy that send half of a request, or nothing, and
+ *     stay
  */
 record SoakPlan(
     long seed,
-    long lengthMs,
+    long durationMs,
     int proxies,
     int upstreams,
-    int clients,
-    int stalledClients,
-    int descriptors,
+    int clientsPerProxy,
+    int stalledClientsPerProxy,
+    int descriptorLimit,
     double serviceMs,
-    int graceMs,
-    int attempts,
+    int drainGraceMs,
+    int maxAttempts,
     boolean cancel,
-    SoakClient.Habits habits,
+    SoakClient.Profile clientProfile,
     List<SystemCallFault> systemCallFaults,
     String clockStep,
     List<Event> events,
@@ -34,11 +35,11 @@
   enum Sabotage {
     NONE,
     /** Drains count as notified and are not told. */
-    DRAINS_NOT_TOLD
+    DRAIN_NOTICES_DROPPED
   }
 
   /** What happens during a run. */
-  enum Kind {
+  enum EventKind {
     /**
      * SIGTERM, a further signal behind it by {@code value}, SIGKILL at the earliest, and a new
      * process.
@@ -47,21 +48,21 @@
     /** SIGHUP. */
     RELOAD,
     /** SIGSTOP, and SIGCONT after {@code value} ms. */
-    STOP,
+    PAUSE,
     /** A server goes over to the behaviour of ordinal {@code value}. */
-    BEHAVE,
+    SET_BEHAVIOUR,
     /** A server drains. */
     DRAIN,
     /** SIGKILL with no cause: a crash. */
     CRASH,
     /** Discovery falls silent (1) or speaks again (0). */
-    SILENCE,
+    SILENCE_DISCOVERY,
     /** Discovery ends its watches. */
-    DROP_WATCHES
+    CLOSE_WATCHES
   }
 
   /** Something that happens at a time (ms) to a proxy or a server. */
-  record Event(long atMs, Kind kind, int target, long value) {}
+  record Event(long atMs, EventKind kind, int target, long argument) {}
 
   /**
    * Failures of accept(2) by its manual page: those of the connection that is passed over, and
@@ -105,7 +106,7 @@
    * connections.
    */
   static SoakPlan steady(long seed, long lengthMs, List<SystemCallFault> faults) {
-    SoakClient.Habits habits = new SoakClient.Habits(60, 0.5, 0, 800, 1_200);
+    SoakClient.Profile habits = new SoakClient.Profile(60, 0.5, 0, 800, 1_200);
     return new SoakPlan(
         seed,
         lengthMs,
@@ -126,20 +127,20 @@
   }
 
   /** The same run with these events and something wrong on purpose. */
-  SoakPlan sabotaged(Sabotage wrong, Event... more) {
+  SoakPlan withSabotage(Sabotage wrong, Event... more) {
     return new SoakPlan(
         seed,
-        lengthMs,
+        durationMs,
         proxies,
         upstreams,
-        clients,
-        stalledClients,
-        descriptors,
+        clientsPerProxy,
+        stalledClientsPerProxy,
+        descriptorLimit,
         serviceMs,
-        graceMs,
-        attempts,
+        drainGraceMs,
+        maxAttempts,
         cancel,
-        habits,
+        clientProfile,
         systemCallFaults,
         clockStep,
         List.of(more),
@@ -147,13 +148,13 @@
   }
 
   /** A run drawn from the seed. */
-  static SoakPlan drawn(long seed, long lengthMs, int proxies) {
+  static SoakPlan fromSeed(long seed, long lengthMs, int proxies) {
     Random random = new Random(seed);
     boolean crowd = random.nextInt(4) == 0;
     int clients = crowd ? 30 : 6 + random.nextInt(12);
     int unsafe = 200 + random.nextInt(1_400);
-    SoakClient.Habits habits =
-        new SoakClient.Habits(
+    SoakClient.Profile habits =
+        new SoakClient.Profile(
             30 + random.nextInt(60),
             random.nextDouble(),
             random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0,
@@ -232,21 +233,22 @@
     switch (random.nextInt(8)) {
       case 0, 1 ->
           events.add(
-              new Event(Math.min(at, lengthMs / 3), Kind.RESTART, target, random.nextInt(4)));
-      case 2 -> events.add(new Event(at, Kind.RELOAD, target, 0));
-      case 3 -> events.add(new Event(at, Kind.STOP, target, 10 + random.nextInt(140)));
+              new Event(Math.min(at, lengthMs / 3), EventKind.RESTART, target, random.nextInt(4)));
+      case 2 -> events.add(new Event(at, EventKind.RELOAD, target, 0));
+      case 3 -> events.add(new Event(at, EventKind.PAUSE, target, 10 + random.nextInt(140)));
       case 4, 5 -> {
-        int behaviour = 1 + random.nextInt(RecordingUpstream.Behaviour.DENY.ordinal() - 1);
-        events.add(new Event(at, Kind.BEHAVE, target, behaviour));
-        events.add(new Event(at + 500 + random.nextInt(2_000), Kind.BEHAVE, target, 0));
+        int behaviour =
+            1 + random.nextInt(RecordingUpstream.Behaviour.REJECT_AFTER_RUN.ordinal() - 1);
+        events.add(new Event(at, EventKind.SET_BEHAVIOUR, target, behaviour));
+        events.add(new Event(at + 500 + random.nextInt(2_000), EventKind.SET_BEHAVIOUR, target, 0));
       }
-      case 6 -> events.add(new Event(at, Kind.DRAIN, target % 3, 0));
+      case 6 -> events.add(new Event(at, EventKind.DRAIN, target % 3, 0));
       default -> {
         if (random.nextBoolean()) {
-          events.add(new Event(at, Kind.DROP_WATCHES, target, 0));
+          events.add(new Event(at, EventKind.CLOSE_WATCHES, target, 0));
         } else {
-          events.add(new Event(at, Kind.SILENCE, target, 1));
-          events.add(new Event(at + random.nextInt(2_000), Kind.SILENCE, target, 0));
+          events.add(new Event(at, EventKind.SILENCE_DISCOVERY, target, 1));
+          events.add(new Event(at + random.nextInt(2_000), EventKind.SILENCE_DISCOVERY, target, 0));
         }
       }
     }
--- a/src/test/java/leadferry/soak/SoakRun.java
+++ b/src/test/java/leadferry/soak/SoakRun.java
@@ -74,7 +74,7 @@
     Node(int index) throws IOException {
       this.index = index;
       this.discovery = new FakeDiscovery(index, history, threads);
-      upstreams.forEach(upstream -> discovery.set(upstream, "up"));
+      upstreams.forEach(upstream -> discovery.setState(upstream, "up"));
       Path own = Files.createDirectories(folder.resolve("proxy" + index));
       int port = freePort();
       Path configuration =
@@ -86,18 +86,18 @@
       long seed = plan.seed() * 31 + index;
       process.start(
           new ProxyProcess.Faults(
-              library, plan.systemCallFaults(), seed, plan.clockStep(), plan.descriptors()));
+              library, plan.systemCallFaults(), seed, plan.clockStep(), plan.descriptorLimit()));
       accepts = true;
       ready = true;
     }
 
     @Override
-    public boolean acceptsConnections() {
+    public boolean canConnect() {
       return accepts;
     }
 
     @Override
-    public boolean running() {
+    public boolean isRunning() {
       return running;
     }
 
@@ -139,7 +139,7 @@
   }
 
   private String configuration(int port, FakeDiscovery discovery) {
-    SoakClient.Habits habits = plan.habits();
+    SoakClient.Profile habits = plan.clientProfile();
     return "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
         + port
         + "\",\"discovery\":\"127.0.0.1:"
@@ -147,9 +147,9 @@
         + "\",\"seed\":\""
         + Long.toHexString(plan.seed())
         + "\",\"limits\":{\"memory_mb\":128,\"sockets\":"
-        + plan.descriptors()
+        + plan.descriptorLimit()
         + "},\"known\":"
-        + discovery.list()
+        + discovery.endpointListJson()
         + ",\"settings\":{\"classes\":["
         + "{\"name\":\"claim\",\"aim\":200,\"deadline\":"
         + habits.unsafeDeadlineMs()
@@ -161,17 +161,17 @@
         + "\"limits\":{\"cancel\":"
         + plan.cancel()
         + ",\"retryAfter\":true,\"parallelTries\":true,\"maxAttempts\":"
-        + plan.attempts()
+        + plan.maxAttempts()
         + ",\"peers\":false,\"connIdle\":5000,\"connectTimeout\":200},"
         + "\"rules\":{\"cold\":1000,\"startCapacity\":0.5,\"fall\":1000,\"fallMultiple\":3,\"askWithin\":6000,\"drainGrace\":"
-        + plan.graceMs()
+        + plan.drainGraceMs()
         + "},\"report\":{\"how\":\"answers\"},\"balancers\":"
         + plan.proxies()
         + "}}";
   }
 
   /** Plays the plan to its end; what was recorded. */
-  SoakHistory play() throws Exception {
+  SoakHistory run() throws Exception {
     for (Node node : nodes) {
       node.start();
     }
@@ -181,7 +181,7 @@
       sleepUntil(begun + event.atMs() * 1_000_000);
       perform(event);
     }
-    sleepUntil(begun + plan.lengthMs() * 1_000_000);
+    sleepUntil(begun + plan.durationMs() * 1_000_000);
     running = false;
     for (Thread client : clients) {
       client.join(LONGEST_MS + TAIL_MS);
@@ -189,19 +189,22 @@
     for (Node node : nodes) {
       node.restarts.lock(); // one that has begun goes on to its end
       node.restarts.unlock();
-      if (!node.process.alive()) {
-        history.crashed(
-            "proxy " + node.index + " ended by itself: " + Files.readString(node.process.log()));
+      if (!node.process.isAlive()) {
+        history.addCrash(
+            "proxy "
+                + node.index
+                + " ended by itself: "
+                + Files.readString(node.process.logFile()));
       }
     }
     return history;
   }
 
   /** Faults of system calls that reached the processes. */
-  long injected() throws IOException {
+  long injectedFaults() throws IOException {
     long all = 0;
     for (Node node : nodes) {
-      all += node.process.injected();
+      all += node.process.injectedFaults();
     }
     return all;
   }
@@ -209,14 +212,14 @@
   private List<Thread> startClients() {
     List<Thread> clients = new ArrayList<>();
     for (Node node : nodes) {
-      for (int i = 0; i < plan.clients(); i++) {
+      for (int i = 0; i < plan.clientsPerProxy(); i++) {
         String name = "p" + node.index + "c" + i;
         Thread client =
             new Thread(
                 new SoakClient(
                     name,
                     node.index,
-                    plan.habits(),
+                    plan.clientProfile(),
                     node,
                     history,
                     plan.seed() * 1_000 + node.index * 100L + i),
@@ -225,7 +228,7 @@
         client.start();
         clients.add(client);
       }
-      for (int i = 0; i < plan.stalledClients(); i++) {
+      for (int i = 0; i < plan.stalledClientsPerProxy(); i++) {
         threads.execute(new StalledClient(node, plan.seed() * 1_000 + i));
       }
     }
@@ -242,32 +245,32 @@
   private void perform(SoakPlan.Event event) throws Exception {
     Node node = nodes.get(event.target() % nodes.size());
     switch (event.kind()) {
-      case RESTART -> threads.execute(() -> restart(node, event.value()));
+      case RESTART -> threads.execute(() -> restart(node, event.argument()));
       case RELOAD -> {
         if (node.ready) {
           node.process.signal("HUP"); // never before it is ready, by the protocol page
         }
       }
-      case STOP -> pause(node, event.value());
-      case BEHAVE ->
+      case PAUSE -> pause(node, event.argument());
+      case SET_BEHAVIOUR ->
           upstreams
               .get(event.target() % upstreams.size())
-              .behave(RecordingUpstream.Behaviour.values()[(int) event.value()]);
+              .setBehaviour(RecordingUpstream.Behaviour.values()[(int) event.argument()]);
       case DRAIN -> {
         RecordingUpstream leaving = upstreams.get(event.target() % upstreams.size());
         nodes.forEach(each -> drain(each, leaving));
       }
       case CRASH -> node.process.kill();
-      case SILENCE -> node.discovery.silent(event.value() != 0);
-      case DROP_WATCHES -> node.discovery.dropWatches();
+      case SILENCE_DISCOVERY -> node.discovery.setSilent(event.argument() != 0);
+      case CLOSE_WATCHES -> node.discovery.closeWatches();
     }
   }
 
   private void drain(Node node, RecordingUpstream leaving) {
-    if (plan.sabotage() == SoakPlan.Sabotage.DRAINS_NOT_TOLD) {
-      history.notifiedOfDrain(node.index, leaving.name(), System.nanoTime());
+    if (plan.sabotage() == SoakPlan.Sabotage.DRAIN_NOTICES_DROPPED) {
+      history.addDrainNotice(node.index, leaving.name(), System.nanoTime());
     } else {
-      node.discovery.set(leaving, "draining");
+      node.discovery.setState(leaving, "draining");
     }
   }
 
@@ -288,7 +291,7 @@
       if (!running) {
         return;
       }
-      SoakClient.Habits habits = plan.habits();
+      SoakClient.Profile habits = plan.clientProfile();
       long longest =
           Math.min(LONGEST_MS, Math.max(habits.unsafeDeadlineMs(), habits.keyedDeadlineMs()));
       long killAt = System.nanoTime() + (longest + KILL_MARGIN_MS) * 1_000_000;
@@ -305,18 +308,18 @@
       }
       sleepUntil(newUntil);
       node.accepts = false;
-      boolean ended = node.process.endsWithin((killAt - System.nanoTime()) / 1_000_000);
+      boolean ended = node.process.awaitExit((killAt - System.nanoTime()) / 1_000_000);
       node.ready = false;
-      if (ended && node.process.status() != 0) {
-        history.crashed("proxy " + node.index + " ended with status " + node.process.status());
+      if (ended && node.process.exitStatus() != 0) {
+        history.addCrash("proxy " + node.index + " ended with status " + node.process.exitStatus());
       }
       node.process.kill();
-      node.process.endsWithin(LONGEST_MS);
+      node.process.awaitExit(LONGEST_MS);
       node.start();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (Exception e) {
-      history.crashed("restart of proxy " + node.index + ": " + e.getMessage());
+      history.addCrash("restart of proxy " + node.index + ": " + e.getMessage());
     } finally {
       node.restarts.unlock();
     }
--- a/src/test/java/leadferry/soak/SoakTest.java
+++ b/src/test/java/leadferry/soak/SoakTest.java
@@ -30,18 +30,18 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 5, 10})
   void noRuleIsBrokenUnderDrawnFaults(long seed) throws Exception {
-    SoakPlan plan = SoakPlan.drawn(seed, LENGTH_MS, PROXIES);
+    SoakPlan plan = SoakPlan.fromSeed(seed, LENGTH_MS, PROXIES);
     try (SoakRun run = new SoakRun(plan, folder, PreloadLibrary.build(folder).orElse(null))) {
-      SoakHistory history = run.play();
+      SoakHistory history = run.run();
       List<SoakJudge.Violation> violations =
-          new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+          new SoakJudge(history, plan.drainGraceMs(), SLACK_MS).violations();
       System.out.println(
           "soak, seed "
               + seed
               + ": requests "
               + history.requests().size()
               + ", faults injected "
-              + run.injected()
+              + run.injectedFaults()
               + ", broken "
               + violations.size());
       assertThat(violations).as(plan.toString()).isEmpty();
--- a/src/test/java/leadferry/soak/StalledClient.java
+++ b/src/test/java/leadferry/soak/StalledClient.java
@@ -27,8 +27,8 @@
   @Override
   public void run() {
     try {
-      while (target.running()) {
-        if (target.acceptsConnections()) {
+      while (target.isRunning()) {
+        if (target.canConnect()) {
           stall();
         }
         Thread.sleep(random.nextInt(PAUSE_MS));
--- a/src/test/java/leadferry/soak/SystemCallFaultsTest.java
+++ b/src/test/java/leadferry/soak/SystemCallFaultsTest.java
@@ -32,9 +32,9 @@
             .toList();
     SoakPlan plan = SoakPlan.steady(11, LENGTH_MS, rules);
     try (SoakRun run = new SoakRun(plan, folder, library.get())) {
-      SoakHistory history = run.play();
+      SoakHistory history = run.run();
       List<SoakJudge.Violation> violations =
-          new SoakJudge(history, plan.graceMs(), SLACK_MS).violations();
+          new SoakJudge(history, plan.drainGraceMs(), SLACK_MS).violations();
       System.out.println(
           call
               + " "
@@ -46,7 +46,7 @@
               + ": requests "
               + history.requests().size()
               + ", faults injected "
-              + run.injected()
+              + run.injectedFaults()
               + ", broken "
               + violations.size());
       assertThat(history.requests()).hasSizeGreaterThan(LEAST_REQUESTS);
