--- a/src/main/java/leadferry/testbed/ExecutionLog.java
+++ b/src/main/java/leadferry/testbed/ExecutionLog.java
@@ -49,6 +49,7 @@
     }
   }
 
+  /** Returns the number of all executions, recorded or not. */
   public long executionCount() {
     return executionCount.get();
   }
@@ -70,14 +71,14 @@
     return repeated;
   }
 
-  /** Passes every recorded id with its executions to {@code each}. */
+  /** Passes every recorded id with its executions to {@code action}. */
   public void forEach(java.util.function.BiConsumer<String, List<Execution>> action) {
     byId.keySet().forEach(id -> action.accept(id, executionsOf(id)));
   }
 
   /**
    * Returns whether every repeated execution of a keyed request ran in the pod of the first one and
-   * within {@code windowMs} after it.
+   * within {@code windowMillis} after it.
    */
   public boolean repeatsStayedInPod(String id, long windowMillis) {
     List<Execution> executions = executionsOf(id);
--- a/src/main/java/leadferry/testbed/FakeUpstream.java
+++ b/src/main/java/leadferry/testbed/FakeUpstream.java
@@ -94,6 +94,7 @@
       return new Options(name, "p1", 0, 0, 1, 1_000, 0, 1, 100_000, false, 64, 1);
     }
 
+    /** Returns these options with {@code coreCount} cores and that mean service time on each. */
     public Options withServiceTime(double meanMillis, int coreCount) {
       return new Options(
           name,
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Returns these options with a warm-up of {@code ms} that starts at the fraction {@code from}
-     * of the full speed.
+     * Returns these options with a warm-up of {@code millis} that starts at the fraction {@code
+     * initialCapacity} of the full speed.
      */
     public Options withWarmUp(double millis, double initialCapacity) {
       return new Options(
@@ -130,6 +131,7 @@
           seed);
     }
 
+    /** Returns these options with another pod. */
     public Options withPod(String podName) {
       return new Options(
           name,
@@ -246,10 +248,12 @@
     fault = newFault;
   }
 
+  /** Returns the number of requests that got status 200. */
   public long served() {
     return served;
   }
 
+  /** Returns the number of open connections. */
   public int connections() {
     return connections;
   }
@@ -382,8 +386,8 @@
   }
 
   /**
-   * Returns whether the upstream has collapsed. Simulates the failure that rule 4 is about: a cold
-   * upstream that is overwhelmed during its warm-up.
+   * Counts an arrival and returns whether the upstream has collapsed. Simulates the failure that
+   * rule 4, the ramp-up of cold upstreams, is about: one that is overwhelmed during its warm-up.
    */
   private boolean updateCollapsed(long nowNanos) {
     if (collapsed || options.warmUpMillis() <= 0 || speedFraction(nowNanos) >= 1) {
--- a/src/main/java/leadferry/testbed/FaultyLink.java
+++ b/src/main/java/leadferry/testbed/FaultyLink.java
@@ -42,18 +42,22 @@
       backCut = back;
     }
 
+    /** Sets whether connections are refused. */
     public void setRefusing(boolean isRefusing) {
       refusing = isRefusing;
     }
 
+    /** Delays each chunk by {@code millis}; 0 for no delay. */
     public void setDelayMillis(int millis) {
       delayMillis = millis;
     }
 
+    /** Sends only the first half of the next chunk, then closes its connection. */
     public void truncateNextChunk() {
       truncatesNextChunk = true;
     }
 
+    /** Removes all faults. */
     public void heal() {
       forthCut = false;
       backCut = false;
@@ -70,8 +74,8 @@
   private volatile boolean closed;
 
   /**
-   * Creates a relay to {@code to}. {@code links} returns the link of the source that connects from
-   * a given port.
+   * Creates a relay to {@code destination}. {@code linkOfSourcePort} returns the link of the source
+   * that connects from a given port.
    */
   public FaultyLink(InetSocketAddress destination, IntFunction<Link> linkOfSourcePort)
       throws IOException {
@@ -81,6 +85,7 @@
     startDaemon("relay-accept", this::accept);
   }
 
+  /** Returns the address at which the source reaches the relay. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
--- a/src/main/java/leadferry/testbed/History.java
+++ b/src/main/java/leadferry/testbed/History.java
@@ -62,10 +62,12 @@
     this.upstreamsAllowed = upstreamsAllowed;
   }
 
+  /** Adds a completed or undecided call. */
   public synchronized void record(Call call) {
     calls.add(call);
   }
 
+  /** Returns all calls in the order in which they were recorded. */
   public synchronized List<Call> calls() {
     return List.copyOf(calls);
   }
@@ -120,8 +122,8 @@
   }
 
   /**
-   * Returns the state after {@code c}, or null if its outcome is impossible in state {@code s}. An
-   * undecided call takes effect if it can.
+   * Returns the state after {@code call}, or null if its outcome is impossible in state {@code
+   * state}. An undecided call takes effect if it can.
    */
   private State apply(State state, Call call) {
     String target = call.targetKind() + " " + call.targetName();
--- a/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
+++ b/src/main/java/leadferry/testbed/MinimalFakeUpstream.java
@@ -85,6 +85,7 @@
     return "127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
+  /** Returns the number of responses written so far. */
   public long responsesSent() {
     return responsesSent;
   }
@@ -127,7 +128,7 @@
     }
 
     /**
-     * Writes the response to the request whose head ends at {@code end}. Returns false if the
+     * Writes the response to the request whose head ends at {@code headEnd}. Returns false if the
      * request has a transfer encoding, which this upstream does not support.
      */
     private boolean respond(ByteBuf out, int headEnd) {
--- a/src/main/java/leadferry/testbed/ProcessSupervisor.java
+++ b/src/main/java/leadferry/testbed/ProcessSupervisor.java
@@ -57,6 +57,7 @@
   private final List<Invocation> invocations = new ArrayList<>();
   private volatile Hook hook = (before, invocation) -> {};
 
+  /** Starts a supervisor that listens on any loopback port. */
   public ProcessSupervisor(Targets targets) throws IOException {
     this.targets = targets;
     Thread thread = new Thread(this::accept, "supervisor");
@@ -80,6 +81,7 @@
     return file;
   }
 
+  /** Replaces the hook, which is called on the thread of the invocation. */
   public void setHook(Hook newHook) {
     hook = newHook;
   }
