--- a/src/main/java/leadferry/testbed/FaultTest.java
+++ b/src/main/java/leadferry/testbed/FaultTest.java
@@ -302,7 +302,7 @@
    * time.
    */
   public JsonNode releaseStatus(String name) {
-    return releases.release(name);
+    return releases.releaseStatus(name);
   }
 
   // --- complete run
--- a/src/main/java/leadferry/testbed/FaultTestReport.java
+++ b/src/main/java/leadferry/testbed/FaultTestReport.java
@@ -75,14 +75,16 @@
   }
 
   void addRequests(
-      FaultTestLoad load, InvariantChecker checker, InvariantChecker.UpstreamViolations found) {
+      FaultTestLoad load,
+      InvariantChecker checker,
+      InvariantChecker.UpstreamViolations upstreamViolations) {
     report
         .putObject("requests")
         .put("sent", load.sent())
         .put("served", load.served())
         .put("lost", checker.lostRequests())
-        .put("twice", found.executedTwice())
-        .put("to_drained", found.sentToDrained());
+        .put("twice", upstreamViolations.executedTwice())
+        .put("to_drained", upstreamViolations.sentToDrained());
   }
 
   void addRecovery(RecoveryTracker recovery) {
@@ -102,8 +104,8 @@
     for (ReleaseWorkload.Event event : ReleaseWorkload.Event.values()) {
       releases.put(event.key(), workload.countOf(event));
     }
-    int done = 0;
-    int again = 0;
+    int executed = 0;
+    int repeated = 0;
     int sameFenceTwice = 0;
     int rejected = 0;
     Set<Long> actions = new HashSet<>();
@@ -116,16 +118,16 @@
         rejected++;
         continue;
       }
-      done++;
-      again += actions.add(invocation.actionId()) ? 0 : 1;
+      executed++;
+      repeated += actions.add(invocation.actionId()) ? 0 : 1;
       String command =
           invocation.actionId() + "/" + invocation.fence() + "/" + invocation.version();
       sameFenceTwice += commands.add(command) ? 0 : 1;
     }
     report
         .putObject("actions")
-        .put("done", done)
-        .put("again", again)
+        .put("done", executed)
+        .put("again", repeated)
         .put("same_fence_twice", sameFenceTwice)
         .put("turned_away", rejected);
   }
--- a/src/main/java/leadferry/testbed/HeadBuffer.java
+++ b/src/main/java/leadferry/testbed/HeadBuffer.java
@@ -13,7 +13,11 @@
   private static final int MAX_HEAD_BYTES = 64 * 1024;
 
   byte[] bytes = new byte[1_024];
+
+  /** Index of the first byte that is not consumed yet. */
   int start;
+
+  /** Index after the last received byte. */
   int end;
 
   /**
@@ -54,9 +58,9 @@
     return -1;
   }
 
-  /** Returns the start of the line after the one that contains index {@code at}. */
-  int nextLineStart(int at) {
-    int index = at;
+  /** Returns the start of the line after the one that contains index {@code position}. */
+  int nextLineStart(int position) {
+    int index = position;
     while (bytes[index] != '\n') {
       index++;
     }
@@ -83,26 +87,27 @@
     return valueStart;
   }
 
-  /** Returns the end of the line that contains index {@code at}, without its CR LF. */
-  int lineEnd(int at) {
-    int index = at;
+  /** Returns the end of the line that contains index {@code position}, without its CR LF. */
+  int lineEnd(int position) {
+    int index = position;
     while (bytes[index] != '\r') {
       index++;
     }
     return index;
   }
 
-  /** Parses the digits at index {@code at}. Returns 0 if there are none. */
-  long parseNumber(int at, int radix) {
+  /** Parses the digits at index {@code position}. Returns 0 if there are none. */
+  long parseNumber(int position, int radix) {
     long number = 0;
     int digit;
-    for (int i = at; i < end && (digit = Character.digit(bytes[i], radix)) >= 0; i++) {
+    for (int i = position; i < end && (digit = Character.digit(bytes[i], radix)) >= 0; i++) {
       number = number * radix + digit;
     }
     return number;
   }
 
-  boolean matches(int at, int end, byte[] text) {
-    return Arrays.equals(bytes, at, end, text, 0, text.length);
+  /** Returns whether the bytes from {@code from} to {@code to} (exclusive) equal {@code text}. */
+  boolean matches(int from, int to, byte[] text) {
+    return Arrays.equals(bytes, from, to, text, 0, text.length);
   }
 }
--- a/src/main/java/leadferry/testbed/LoadGenerator.java
+++ b/src/main/java/leadferry/testbed/LoadGenerator.java
@@ -67,7 +67,7 @@
   private static final long START_DELAY_NANOS = 10_000_000L;
 
   private final Plan plan;
-  private final Consumer<CompletedRequest> sink;
+  private final Consumer<CompletedRequest> completedSink;
   private final MultiThreadIoEventLoopGroup group;
   private final List<LoadLane> lanes = new ArrayList<>();
   private final CountDownLatch lanesDone;
@@ -84,7 +84,7 @@
    */
   public LoadGenerator(Plan plan, Consumer<CompletedRequest> sink) {
     this.plan = plan;
-    this.sink = sink;
+    this.completedSink = sink;
     this.counts = new LoadCounts(plan.kinds().size());
     this.lanesDone = new CountDownLatch(plan.threads());
     Transport transport = MinimalFakeUpstream.transport();
@@ -169,8 +169,8 @@
 
     @Override
     public void onCounted(LoadRequest request, Outcome outcome, long nanos) {
-      if (sink != null) {
-        sink.accept(
+      if (completedSink != null) {
+        completedSink.accept(
             new CompletedRequest(request.id(), plan.kinds().get(request.kind()), outcome, nanos));
       }
     }
--- a/src/main/java/leadferry/testbed/OverloadTest.java
+++ b/src/main/java/leadferry/testbed/OverloadTest.java
@@ -17,7 +17,7 @@
  * <pre>
  *   calm            trigger          after
  *   |---------------|xxxxxxxxxxxxxxx|------------------------------|
- *    share served    begin()  end()  ^ recovered: a second at 95% of calm's share
+ *    share served    begin    end    ^ recovered: a second at 95% of calm's share
  * </pre>
  *
  * <p>Usual clients form a closed loop. Each one sends a request, waits for the response, pauses and
@@ -28,30 +28,31 @@
  */
 public final class OverloadTest implements AutoCloseable {
   private final OverloadPlan plan;
-  private final Runnable begin;
-  private final Runnable end;
+  private final Runnable beginTrigger;
+  private final Runnable endTrigger;
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
           1, new DefaultThreadFactory("overload-test", true), NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final OverloadTimeline timeline;
   private final Context context;
-  private final List<OverloadClient> crowd = new ArrayList<>();
-  private final List<OverloadClient> usual = new ArrayList<>();
+  private final List<OverloadClient> crowdClients = new ArrayList<>();
+  private final List<OverloadClient> usualClients = new ArrayList<>();
   private long startNanos;
-  private boolean crowding;
+  private boolean crowdActive;
   private boolean over;
 
   /**
    * Creates a test that is not started yet.
    *
-   * @param begin starts the trigger, in addition to the crowd; called on the thread of {@link #run}
-   * @param end ends the trigger; called on the same thread
+   * @param beginTrigger starts the trigger, in addition to the crowd; called on the thread of
+   *     {@link #run}
+   * @param endTrigger ends the trigger; called on the same thread
    */
-  public OverloadTest(OverloadPlan plan, Runnable begin, Runnable end) {
+  public OverloadTest(OverloadPlan plan, Runnable beginTrigger, Runnable endTrigger) {
     this.plan = plan;
-    this.begin = begin;
-    this.end = end;
+    this.beginTrigger = beginTrigger;
+    this.endTrigger = endTrigger;
     this.timeline = new OverloadTimeline(plan);
     this.context = new Context(new SplittableRandom(plan.seed()));
   }
@@ -63,9 +64,9 @@
     loop.submit(this::startUsualClients).syncUninterruptibly();
     sleepUntil(plan.calmSeconds());
     loop.execute(this::beginCrowd);
-    begin.run();
+    beginTrigger.run();
     sleepUntil(plan.calmSeconds() + plan.triggerSeconds());
-    end.run();
+    endTrigger.run();
     loop.execute(this::endCrowd);
     sleepUntil(plan.seconds());
     loop.submit(this::finish).syncUninterruptibly();
@@ -91,34 +92,34 @@
     for (int i = 0; i < plan.clients(); i++) {
       OverloadClient client =
           new OverloadClient(context, OverloadPlan.Crowd.USUAL, target(i), true);
-      usual.add(client);
+      usualClients.add(client);
       long delayMillis = (long) (context.random().nextDouble() * plan.thinkMillis());
       loop.schedule(client::connect, delayMillis, TimeUnit.MILLISECONDS);
     }
   }
 
   private void beginCrowd() {
-    crowding = true;
+    crowdActive = true;
     timeline.resetLongestGap();
     if (plan.reconnects()) {
-      usual.forEach(OverloadClient::reconnect);
+      usualClients.forEach(OverloadClient::reconnect);
     }
     for (int i = 0; i < plan.crowdSize(); i++) {
       OverloadClient client = new OverloadClient(context, plan.crowd(), target(i), false);
-      crowd.add(client);
+      crowdClients.add(client);
       client.connect();
     }
   }
 
   private void endCrowd() {
-    crowding = false;
-    crowd.forEach(OverloadClient::close);
+    crowdActive = false;
+    crowdClients.forEach(OverloadClient::close);
   }
 
   private void finish() {
     over = true;
     timeline.endGap();
-    usual.forEach(OverloadClient::close);
+    usualClients.forEach(OverloadClient::close);
   }
 
   @Override
@@ -163,7 +164,7 @@
 
     @Override
     public boolean isOver(boolean counted) {
-      return over || (!counted && !crowding);
+      return over || (!counted && !crowdActive);
     }
   }
 }
--- a/src/main/java/leadferry/testbed/OverloadTimeline.java
+++ b/src/main/java/leadferry/testbed/OverloadTimeline.java
@@ -56,7 +56,7 @@
   public static final int BUCKETS_PER_SECOND = 10;
 
   /** Service counts as recovered when it serves this fraction of the calm phase's share. */
-  private static final double RECOVERED = 0.95;
+  private static final double RECOVERED_FRACTION = 0.95;
 
   private final OverloadPlan plan;
   private final Bucket[] buckets;
@@ -72,6 +72,7 @@
     }
   }
 
+  /** Starts the timeline: the first bucket begins at {@code nowNanos}. */
   void start(long nowNanos) {
     startNanos = nowNanos;
   }
@@ -144,7 +145,7 @@
     double lastSecond = triggerEndSeconds + plan.afterSeconds() - 1 - plan.timeoutMillis() / 1e3;
     for (int i = 0; triggerEndSeconds + i / (double) BUCKETS_PER_SECOND <= lastSecond; i++) {
       double second = triggerEndSeconds + i / (double) BUCKETS_PER_SECOND;
-      if (servedShare(second, second + 1) >= RECOVERED * calmShare()) {
+      if (servedShare(second, second + 1) >= RECOVERED_FRACTION * calmShare()) {
         return i / (double) BUCKETS_PER_SECOND;
       }
     }
--- a/src/main/java/leadferry/testbed/RandomFaultSchedule.java
+++ b/src/main/java/leadferry/testbed/RandomFaultSchedule.java
@@ -15,8 +15,8 @@
   private static final int FAULT_SPREAD_MILLIS = 3 * FaultTest.LEASE_MILLIS;
   private static final int MIN_DELAY_MILLIS = 50;
   private static final int DELAY_SPREAD_MILLIS = 200;
-  private static final int KINDS = 9;
-  private static final int KINDS_WITH_DRIVERS = 12;
+  private static final int FAULT_KINDS = 9;
+  private static final int FAULT_KINDS_WITH_DRIVERS = 12;
 
   private final FaultTestPlan plan;
   private final FaultTestTopology topology;
@@ -49,11 +49,11 @@
     long millis = MIN_FAULT_MILLIS + random.nextInt(FAULT_SPREAD_MILLIS);
     String replica = randomName(topology.replicaNames());
     String proxy = randomName(topology.proxyNames());
-    switch (random.nextInt(plan.releases() ? KINDS_WITH_DRIVERS : KINDS)) {
+    switch (random.nextInt(plan.releases() ? FAULT_KINDS_WITH_DRIVERS : FAULT_KINDS)) {
       case 0 -> cutReplica(replica, millis);
       case 1 -> cutProxyFromReplicas(proxy, millis);
       case 2 -> delayProxy(proxy, millis);
-      case 3 -> cutInTheMiddle(proxy, replica);
+      case 3 -> truncateNextChunks(proxy, replica);
       case 4 -> refuseAtUpstream(proxy, millis);
       case 5 -> faults.stall(topology.replica(replica), millis, () -> {});
       case 6 -> stallProxy(proxy, 2 * millis);
@@ -111,7 +111,7 @@
     tasks.runLater(millis, () -> linksToReplicas(source).forEach(FaultyLink.Link::heal));
   }
 
-  private void cutInTheMiddle(String proxy, String replica) {
+  private void truncateNextChunks(String proxy, String replica) {
     faults.count(Kind.CUT);
     topology.link(proxy, replica).truncateNextChunk();
     topology.link(proxy, randomUpstream().name()).truncateNextChunk();
--- a/src/main/java/leadferry/testbed/ReleaseWorkload.java
+++ b/src/main/java/leadferry/testbed/ReleaseWorkload.java
@@ -124,7 +124,7 @@
     List<List<String>> groups = groups();
     for (int number = 0; !stopped; number++) {
       List<String> group = groups.get(number % groups.size());
-      if (!release(number, group, random)) {
+      if (!runRelease(number, group, random)) {
         return;
       }
     }
@@ -146,7 +146,7 @@
   }
 
   /** Runs one release from start to end. Returns false if it could not begin. */
-  private boolean release(int number, List<String> group, Random random) {
+  private boolean runRelease(int number, List<String> group, Random random) {
     String name = "rel" + number;
     String first = group.get(0);
     ObjectNode document =
@@ -196,7 +196,7 @@
     boolean rolledBack = false;
     long deadlineNanos = Long.MAX_VALUE;
     for (int polls = 0; ; polls++) {
-      JsonNode release = release(name);
+      JsonNode release = releaseStatus(name);
       String state = release == null ? "" : release.path("state").asText();
       if (isOver(state)) {
         count(state.equals(Event.DONE.key()) ? Event.DONE : Event.RETURNED);
@@ -252,7 +252,7 @@
    * Returns the status of a release as the replicas report it, or null if no replica responded in
    * time.
    */
-  JsonNode release(String name) {
+  JsonNode releaseStatus(String name) {
     ObjectNode question = MAPPER.createObjectNode().put("op", "release").put("release", name);
     return operator.query(question, 0, FaultTest.START_MILLIS);
   }
