--- a/src/main/java/leadferry/loadbalancer/AdmissionController.java
+++ b/src/main/java/leadferry/loadbalancer/AdmissionController.java
@@ -6,22 +6,23 @@
  * Decides whether a new request is admitted or shed.
  *
  * <p>Requests that cannot be served in time are shed. As pressure rises, requests are shed at
- * random, those with the lowest priority weight first. A request is always shed if even the
- * endpoint chosen for it has a queue that takes longer than the request is useful: late work would
- * take the place of work that can still be in time.
+ * random, those with the lowest priority weight first. A request is always shed if the queue at the
+ * endpoint chosen for it would delay it too long to be useful: late work would take the place of
+ * work that can still be in time.
  *
  * <p>The decision has two steps because the random draw precedes the choice of the endpoint: {@link
  * #onArrival}, then {@link #shouldAdmit} with the endpoint.
  */
 final class AdmissionController {
   /**
-   * Largest probability with which pressure sheds a request. The remaining requests detect the end
+   * Maximum probability with which pressure sheds a request. The remaining requests detect the end
    * of the overload.
    */
   private static final double MAX_SHED_SHARE = 0.9;
 
   /**
-   * Least priority weight relative to the mean. Keeps requests of low value from all being shed at
+   * Lower bound of the weighted value of a request (priority weight times value of its class),
+   * relative to the mean value of all requests. Keeps requests of low value from all being shed at
    * once.
    */
   private static final double MIN_RELATIVE_WEIGHT = 0.2;
@@ -39,8 +40,8 @@
   private double meanValue;
 
   /**
-   * Whether the start of the current overload has been logged. It is logged at pressure 0.7, and
-   * its end below 0.2. Pressure from 0.4 to 0.7 sheds some load without a log line.
+   * Whether the start of the current overload has been logged. The start is logged at pressure 0.7,
+   * the end below 0.2. Pressure from 0.4 to 0.7 sheds some load without a log line.
    */
   private boolean isOverloadLogged;
 
--- a/src/main/java/leadferry/loadbalancer/ArrivalRate.java
+++ b/src/main/java/leadferry/loadbalancer/ArrivalRate.java
@@ -10,8 +10,8 @@
   private static final double MEMORY_MILLIS = 3_000;
 
   /**
-   * Lower bound of the served share. Without it, a warming fleet that fails once would never be
-   * tried again.
+   * Lower bound of the served share. Without the bound, warming endpoints that all failed once
+   * would never get a request again.
    */
   private static final double MIN_SERVED_SHARE = 0.05;
 
--- a/src/main/java/leadferry/loadbalancer/ClassEjections.java
+++ b/src/main/java/leadferry/loadbalancer/ClassEjections.java
@@ -4,8 +4,8 @@
 
 /**
  * Tracks which endpoints do not serve a request class. An endpoint that rejects a class as full, or
- * never responds to it, while it reports room is ejected for that class only. The length of the
- * ejection grows.
+ * never responds to it, while it reports room is ejected for that class only. Each consecutive
+ * ejection is longer.
  *
  * <p>Guards against endpoints that limit or lose one class. Ejecting the whole endpoint would
  * withdraw it from the classes that it serves well, and would overload the other endpoints.
@@ -33,7 +33,7 @@
     return ejection == null || nowMillis >= ejection.ejectedUntilMillis;
   }
 
-  /** Ejects the class from the endpoint, which refuses it. */
+  /** Ejects the endpoint for the class, which the endpoint refuses. */
   void eject(Endpoint endpoint, Settings.RequestClass requestClass, double nowMillis) {
     EjectionBackoff ejection =
         endpoint.classEjections.computeIfAbsent(requestClass.name(), name -> new EjectionBackoff());
--- a/src/main/java/leadferry/loadbalancer/EjectionBackoff.java
+++ b/src/main/java/leadferry/loadbalancer/EjectionBackoff.java
@@ -14,7 +14,7 @@
   /** Time without an ejection after which the next one counts as the first again. */
   private static final double RESET_OBJECTIVES = 75;
 
-  /** Least random factor of the length of an ejection. */
+  /** Minimum random factor of the length of an ejection. */
   private static final double MIN_JITTER = 0.75;
 
   /**
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -30,18 +30,18 @@
    */
   private static final int EXPLORE_INTERVAL = 4;
 
-  /** Request counts that differ by no more than this are equal. */
+  /** Request counts that differ by no more than this number count as equal. */
   private static final double COUNT_TIE_MARGIN = 0.5;
 
   /**
-   * Expected waits that differ by no more than this share are equal and decided at random, which
-   * avoids herding.
+   * Expected waits that differ by no more than this share count as equal. The endpoint is then
+   * chosen at random, which avoids herding.
    */
   private static final double WAIT_TIE_SHARE = 0.1;
 
   /**
-   * Number of requests that an endpoint is assumed to hold without queueing when expected waits are
-   * compared.
+   * Number of requests that an endpoint is assumed to serve without a queue. It is added to the
+   * held requests of each endpoint when expected waits are compared.
    */
   private static final double BASE_HELD_REQUESTS = 4;
 
@@ -177,8 +177,9 @@
   }
 
   /**
-   * Returns the expected wait as a multiple of the mean response time; only the slowness of the
-   * endpoint if no endpoint reports load.
+   * Returns the expected wait at the endpoint as a relative figure for comparisons: the slowness of
+   * the endpoint times the number of requests that it holds. If no endpoint reports load, the
+   * figure is the slowness alone.
    */
   private double expectedRelativeWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
--- a/src/main/java/leadferry/loadbalancer/EndpointSubset.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointSubset.java
@@ -4,11 +4,12 @@
 import java.util.function.Predicate;
 
 /**
- * Selects the endpoints that this proxy sends to (subsetting): a window of the ring of endpoints
- * that is as large as the load of the proxy requires. A small subset keeps the request counts
- * meaningful and the connections few. The windows of the proxies start evenly spaced on the ring,
- * so the subsets are balanced, and a window moves little when endpoints come and go. There is one
- * window for the proxy's own zone and one for the other zones.
+ * Selects the endpoints that this proxy sends to (subsetting): a window of the ring of endpoints,
+ * whose size grows with the load of the proxy. The ring orders the endpoints by a hash of their
+ * ids, in the same way for every proxy. A small subset keeps the request counts meaningful and the
+ * connections few. The windows of the proxies start evenly spaced on the ring, so the subsets are
+ * balanced, and a window moves little when endpoints come and go. There is one window for the
+ * proxy's own zone and one for the other zones.
  */
 final class EndpointSubset {
   /**
@@ -20,7 +21,10 @@
   /** Endpoints added for each of this proxy's attempts in flight at the recent peak. */
   private static final double ENDPOINTS_PER_IN_FLIGHT = 1.5;
 
-  /** Target for the most proxies that share an endpoint, unless the subset would get too small. */
+  /**
+   * Target for the maximum number of proxies that share an endpoint. It is exceeded where the
+   * subset would otherwise be smaller than {@link EndpointPicker#CHOICES}.
+   */
   private static final double MAX_PROXIES_PER_ENDPOINT = 60;
 
   private final LiveSettings settings;
--- a/src/main/java/leadferry/loadbalancer/FailurePenalty.java
+++ b/src/main/java/leadferry/loadbalancer/FailurePenalty.java
@@ -1,9 +1,9 @@
 package leadferry.loadbalancer;
 
 /**
- * Computes a number of requests that is added to the in-flight count of an endpoint because of its
- * recent failures. An endpoint that fails fast holds few requests and must not attract more for
- * that reason.
+ * Computes the penalty of an endpoint for its recent failures: a number of requests that is added
+ * to its in-flight count when endpoints are compared. An endpoint that fails fast holds few
+ * requests and must not attract more for that reason.
  */
 final class FailurePenalty {
   /** Penalty of one failure, in requests. */
@@ -12,7 +12,10 @@
   /** Time constant of the decay of the penalty, in shortest latency objectives. */
   private static final double DECAY_OBJECTIVES = 5;
 
-  /** A recorded penalty that is below this before its decay counts as 0. */
+  /**
+   * A penalty recorded below this number of requests counts as 0. The decay since the record is not
+   * considered.
+   */
   private static final double MIN_REQUESTS = 0.05;
 
   private final LiveSettings settings;
--- a/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/HedgingPolicy.java
@@ -20,7 +20,8 @@
   private static final int MAX_ATTEMPTS = 3;
 
   /**
-   * Share of the allowed time from which an endpoint counts as silent. Timers fire a little early.
+   * Share of the overdue time for which an endpoint must have sent no response to count as silent.
+   * It is below 1 because timers fire a little early.
    */
   private static final double SILENCE_SHARE = 0.99;
 
--- a/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
+++ b/src/main/java/leadferry/loadbalancer/IdempotencyPolicy.java
@@ -16,8 +16,8 @@
  */
 final class IdempotencyPolicy {
   /**
-   * Safety margin subtracted from a deduplication window for clock differences and queues on the
-   * way.
+   * Safety margin subtracted from a deduplication window. Covers clock differences and the time for
+   * which an attempt queues on its way to the endpoint.
    */
   private static final double WINDOW_MARGIN_MILLIS = 20;
 
@@ -35,14 +35,18 @@
         && isSafe(request, endpoint, nowMillis);
   }
 
-  /** Returns whether the client may be told that a retry is safe through any proxy or endpoint. */
+  /**
+   * Returns whether the request may be rejected as safe to retry. The client may then retry through
+   * any proxy, and the retry may reach any endpoint.
+   */
   boolean canReject(RequestState request, double nowMillis) {
     return isAwaitingResponse(request) && isSafe(request, null, nowMillis);
   }
 
   /**
-   * Returns the time in milliseconds after an attempt that may have been executed within which
-   * another attempt of the class may leave this process; 0 or less if never.
+   * Returns the repeat window of the class in milliseconds, less a safety margin. After an attempt
+   * that may have been executed, another attempt may leave this process only within this window,
+   * which starts when the earlier attempt was sent; 0 or less means never.
    */
   static double windowMillis(Settings.RequestClass requestClass) {
     return requestClass.repeatWindowMillis() - WINDOW_MARGIN_MILLIS;
@@ -60,8 +64,8 @@
   }
 
   /**
-   * Returns whether every earlier attempt permits another one at {@code endpoint}, or at every
-   * endpoint if it is null.
+   * Returns whether another attempt at {@code endpoint} is safe after all earlier attempts. If
+   * {@code endpoint} is null, the attempt must be safe at every endpoint.
    */
   private static boolean isSafe(RequestState request, Endpoint endpoint, double nowMillis) {
     Settings.RequestClass requestClass = request.requestClass();
--- a/src/main/java/leadferry/loadbalancer/InFlightPeak.java
+++ b/src/main/java/leadferry/loadbalancer/InFlightPeak.java
@@ -3,8 +3,8 @@
 /** Tracks the recent peak of this proxy's attempts in flight over all endpoints. */
 final class InFlightPeak {
   /**
-   * Time constant of the decay of the peak. A subset that shrinks and grows again costs
-   * connections.
+   * Time constant of the decay of the peak. It is long because an {@link EndpointSubset} that
+   * shrinks and grows again costs connections.
    */
   private static final double MEMORY_MILLIS = 15_000;
 
--- a/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LatencyEstimate.java
@@ -5,10 +5,10 @@
   /** Initial mean response time as a share of the latency objective. */
   private static final double INITIAL_OBJECTIVE_SHARE = 0.25;
 
-  /** Least weight of a response: the mean covers about the last 20 responses. */
+  /** Minimum weight of a response: the mean covers about the last 20 responses. */
   private static final double MIN_WEIGHT = 0.05;
 
-  /** Number of assumed earlier responses, which limit the weight of the first ones. */
+  /** Number of assumed earlier responses. It limits the weight of the first responses. */
   private static final int PRIOR_SAMPLES = 4;
 
   /**
--- a/src/main/java/leadferry/loadbalancer/LoadBalancer.java
+++ b/src/main/java/leadferry/loadbalancer/LoadBalancer.java
@@ -17,7 +17,7 @@
  *   choose an endpoint                    EndpointPicker
  *   permit a send or a repeated send      IdempotencyPolicy
  *   retry or hedge                        RetryPolicy, HedgingPolicy
- *   final response without a result       TerminationPolicy
+ *   reject or fail a request              TerminationPolicy
  *   update estimates after an outcome     OutcomeObserver
  * </pre>
  */
@@ -117,8 +117,9 @@
   }
 
   /**
-   * Records that all bytes received until {@code untilMillis} have been processed. Later bytes may
-   * still be unread in this process, so no endpoint counts as silent for the time after it.
+   * Records that all bytes received until {@code untilMillis} have been processed. Bytes received
+   * later may still be unread in this process, so no endpoint is blamed for silence after that
+   * time.
    */
   public void onReadUntil(double untilMillis) {
     pendingResponses.onReadUntil(untilMillis);
--- a/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/LoadReportEstimate.java
@@ -2,8 +2,8 @@
 
 /**
  * Estimates how many requests an endpoint holds: those of this proxy in flight, and those of other
- * proxies as last reported by the endpoint. A report decays towards the mean of all endpoints as it
- * ages.
+ * proxies as last reported by the endpoint. As a report ages, the estimate decays towards the mean
+ * of all endpoints, which is the mean number of other proxies' requests in recent reports.
  */
 final class LoadReportEstimate {
   /** Held requests from which an endpoint is assumed to have a queue, regardless of its cores. */
@@ -15,13 +15,16 @@
    */
   private static final double DECAY_OBJECTIVES = 7.5;
 
-  /** Time constant of the mean of all endpoints, in shortest latency objectives. */
+  /**
+   * Time constant, in shortest latency objectives, of the moving average that yields the mean of
+   * all endpoints.
+   */
   private static final double MEAN_MEMORY_OBJECTIVES = 2;
 
-  /** Least weight of a report in the mean. */
+  /** Minimum weight of a report in the mean. */
   private static final double MIN_WEIGHT = 0.02;
 
-  /** Largest weight of a report in the mean. */
+  /** Maximum weight of a report in the mean. */
   private static final double MAX_WEIGHT = 0.3;
 
   /**
@@ -31,8 +34,8 @@
   private static final double FRESH_OBJECTIVES = 0.5;
 
   /**
-   * Upper bound of a report, as a multiple of the mean of all endpoints plus {@link
-   * #QUEUE_THRESHOLD}.
+   * Upper bound of the other proxies' requests taken from one report, as a multiple of the sum of
+   * the mean of all endpoints and {@link #QUEUE_THRESHOLD}.
    */
   private static final double MAX_PLAUSIBLE_MULTIPLE = 4;
 
@@ -59,8 +62,8 @@
     double maxOthers = MAX_PLAUSIBLE_MULTIPLE * (meanOthersInFlight + QUEUE_THRESHOLD);
     endpoint.othersInFlight =
         Math.min(maxOthers, Math.max(0, report.heldRequests() - ownPeak(endpoint, nowMillis)));
-    // A proxy with few responses gives each report more weight. Otherwise its mean would be older
-    // than the reports that the mean replaces.
+    // A proxy with few responses gives each report more weight. Otherwise, the mean would be older
+    // than the reports that it replaces.
     double meanMemoryMillis = MEAN_MEMORY_OBJECTIVES * settings.shortestObjectiveMillis();
     double weight =
         Math.min(
--- a/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
+++ b/src/main/java/leadferry/loadbalancer/OutcomeObserver.java
@@ -7,8 +7,8 @@
  */
 final class OutcomeObserver {
   /**
-   * A rejection by a full endpoint counts as a response after this many latency objectives of the
-   * request class.
+   * Response time, in latency objectives of the request class, that a rejection by a full endpoint
+   * contributes to the pressure.
    */
   private static final double FULL_PRESSURE_OBJECTIVES = 2;
 
--- a/src/main/java/leadferry/loadbalancer/OutlierDetector.java
+++ b/src/main/java/leadferry/loadbalancer/OutlierDetector.java
@@ -5,8 +5,8 @@
 
 /**
  * Detects failing endpoints and ejects them. An endpoint is ejected when its failure rate is too
- * high. After an ejection, which grows with each consecutive one, the endpoint is half-open: it
- * gets one request at a time until it responds to one.
+ * high. Each consecutive ejection is longer. After an ejection, the endpoint is half-open: it gets
+ * one request at a time until it responds to one.
  */
 final class OutlierDetector {
   /**
@@ -19,7 +19,7 @@
   private static final double FAILURE_SMOOTHING = 0.2;
 
   /**
-   * Largest share of the endpoints that may be ejected at the same time: about as many as usually
+   * Maximum share of the endpoints that may be ejected at the same time: about as many as usually
    * fail together.
    */
   private static final double MAX_EJECTED_SHARE = 0.4;
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -1,8 +1,10 @@
 package leadferry.loadbalancer;
 
 /**
- * Detects silent endpoints. An endpoint is silent if it has sent no response for too long since the
- * first request sent to it after its last response, however that request ended.
+ * Detects silent endpoints: those that owe this proxy a response and have sent none for too long.
+ * The time starts with the last response if other requests of this proxy are then open at the
+ * endpoint, otherwise with the next request sent to it. Only a response ends it, however the
+ * requests end.
  *
  * <p>Guards against endpoints that accept requests and send no responses, because they hang or
  * because their queue is full of requests that no client waits for any more. Timeouts detect them
@@ -10,7 +12,7 @@
  * objective.
  */
 final class PendingResponseTracker {
-  /** Shorter silence never counts, which tolerates pauses and jitter. */
+  /** Minimum time without a response that counts as silence. Tolerates pauses and jitter. */
   private static final double MIN_SILENCE_MILLIS = 40;
 
   /**
--- a/src/main/java/leadferry/loadbalancer/PressureEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/PressureEstimate.java
@@ -1,8 +1,9 @@
 package leadferry.loadbalancer;
 
 /**
- * Estimates how close the upstream is to overload: the recent response time as a share of the
- * latency objective, from 0 to {@value #MAX_PRESSURE}. Pressure decays while no responses arrive.
+ * Estimates the pressure: how close the upstream is to overload. Pressure is a moving average of
+ * the ratio of response time to latency objective, from 0 to {@value #MAX_PRESSURE}. It decays
+ * while no responses arrive.
  *
  * <pre>
  *   0 ....... 0.4 ................ 0.7 ............. 1.0
@@ -15,11 +16,15 @@
   private static final double SHED_THRESHOLD = 0.4;
 
   /**
-   * Pressure above {@link #SHED_THRESHOLD} at which every request of mean priority would be shed.
+   * Width of the pressure range from {@link #SHED_THRESHOLD}, where shedding begins, to the
+   * pressure at which every request of mean priority would be shed.
    */
   private static final double SHED_SPAN = 0.6;
 
-  /** Share of {@link #SHED_SPAN} above which the upstream is overloaded. */
+  /**
+   * Point in the shedding range, as a share of {@link #SHED_SPAN}. The upstream counts as
+   * overloaded while pressure is above it.
+   */
   private static final double OVERLOADED_SPAN_SHARE = 0.5;
 
   /** Pressure above which a retry would only add to the overload. */
@@ -32,19 +37,22 @@
   /** Pressure above which endpoints of other zones are candidates too. */
   private static final double SPILL_THRESHOLD = 0.35;
 
-  /** Upper bound of the pressure from one response. */
+  /**
+   * Upper bound of the ratio of response time to latency objective that one response contributes.
+   */
   private static final double MAX_PRESSURE = 2;
 
-  /** Least weight of a response: the pressure covers about the last ten responses. */
+  /** Minimum weight of a response: the pressure covers about the last ten responses. */
   private static final double MIN_WEIGHT = 0.1;
 
-  /** Largest weight of a response. A single response does not prove an overload. */
+  /** Maximum weight of a response. A single response does not prove an overload. */
   private static final double MAX_WEIGHT = 0.3;
 
   /**
-   * Time constant, in shortest latency objectives, that sets the weight of a response by the time
-   * since the previous one. Responses more than a tenth of it apart get a larger weight, because an
-   * overload would be detected late otherwise.
+   * Time constant of the average, in shortest latency objectives. The weight of a response is the
+   * time since the previous response divided by this constant, from {@link #MIN_WEIGHT} to {@link
+   * #MAX_WEIGHT}. Responses more than a tenth of the constant apart thus weigh more than the
+   * minimum; otherwise, an overload would be detected late.
    */
   private static final double MEMORY_OBJECTIVES = 7.5;
 
@@ -62,7 +70,10 @@
     this.settings = settings;
   }
 
-  /** Records a response after {@code elapsedMillis}, or that none arrived by then. */
+  /**
+   * Records an attempt that got a response after {@code elapsedMillis}, or that had none by then.
+   * {@code objectiveMillis} is the latency objective of its request class.
+   */
   void onResponse(double elapsedMillis, double objectiveMillis, double nowMillis) {
     double gapMillis = nowMillis - updatedAtMillis;
     pressure = pressure(nowMillis);
--- a/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/QueueDelayEstimate.java
@@ -4,23 +4,31 @@
 import java.util.Map;
 
 /**
- * Estimates how long the queue at an endpoint takes, and whether that is too long for a request to
- * be useful. The time per held request is learned for each kind of machine.
+ * Estimates how long the queue at an endpoint would delay a request, and whether the response would
+ * still be useful. The delay is the number of requests that the endpoint holds, including the new
+ * one, times the time per held request, which is learned for each kind of machine. The useful time
+ * of a request is its latency objective times its priority weight.
  */
 final class QueueDelayEstimate {
-  /** Longest queue that a request may join, as a share of the request's useful time. */
+  /** Maximum delay of a queue that a request may join, as a share of the request's useful time. */
   private static final double MAX_QUEUE_SHARE = 0.7;
 
   /**
-   * Longest queue of only this proxy's requests, as a share of the request's useful time. The
-   * length of this queue is known exactly.
+   * Maximum delay by only this proxy's own requests, as a share of the request's useful time. The
+   * number of these requests is known exactly.
    */
   private static final double MAX_OWN_QUEUE_SHARE = 0.45;
 
-  /** Least share of the allowed queue for requests of a tenant far over its quota. */
+  /**
+   * Lower bound of the priority weight in the useful time. Requests of a tenant far over its quota
+   * may thus join a queue of this share of the usual length.
+   */
   private static final double MIN_PRIORITY_WEIGHT = 0.4;
 
-  /** Least share by which a response moves the median time per held request. */
+  /**
+   * Minimum step by which a response moves the median time per held request, as a share of the
+   * median.
+   */
   private static final double MIN_STEP_SHARE = 0.01;
 
   /**
@@ -42,8 +50,8 @@
   }
 
   /**
-   * Records a response after {@code spentMillis}, with {@code ownInFlightAtSend} requests of this
-   * proxy in flight at the endpoint before the attempt.
+   * Records a response that took {@code spentMillis}. Just before its attempt was sent, {@code
+   * ownInFlightAtSend} requests of this proxy were in flight at the endpoint.
    */
   void onResponse(Endpoint endpoint, int ownInFlightAtSend, double spentMillis) {
     double heldRequests = ownInFlightAtSend + endpoint.othersInFlight;
@@ -64,13 +72,19 @@
     }
   }
 
-  /** Returns whether the queue at the endpoint takes longer than the request is useful. */
+  /**
+   * Returns whether the queue at the endpoint would delay the request too long for its response to
+   * be useful.
+   */
   boolean isQueueTooLong(RequestState request, Endpoint endpoint, double nowMillis) {
     return isOwnQueueTooLong(request, endpoint)
         || queueDelayMillis(endpoint, nowMillis) > MAX_QUEUE_SHARE * usefulTimeMillis(request);
   }
 
-  /** Returns whether the queue of only this proxy's requests at the endpoint takes too long. */
+  /**
+   * Returns whether this proxy's own requests at the endpoint would alone delay the request too
+   * long.
+   */
   boolean isOwnQueueTooLong(RequestState request, Endpoint endpoint) {
     return ownQueueDelayMillis(endpoint) > MAX_OWN_QUEUE_SHARE * usefulTimeMillis(request);
   }
@@ -81,7 +95,8 @@
   }
 
   /**
-   * Returns the expected time of the queue at the endpoint in milliseconds; 0 if no queue is known.
+   * Returns the expected delay by the queue at the endpoint in milliseconds; 0 if no queue is
+   * known.
    */
   private double queueDelayMillis(Endpoint endpoint, double nowMillis) {
     MachineKind machineKind = machineKinds.get(endpoint.machineKind);
@@ -92,8 +107,8 @@
   }
 
   /**
-   * Returns the expected time of this proxy's own requests at the endpoint in milliseconds; 0 if
-   * there are few or nothing has been learned.
+   * Returns the expected delay by this proxy's own requests at the endpoint in milliseconds; 0 if
+   * there are few such requests or no time per held request has been learned.
    */
   private double ownQueueDelayMillis(Endpoint endpoint) {
     MachineKind machineKind = machineKinds.get(endpoint.machineKind);
--- a/src/main/java/leadferry/loadbalancer/RequestState.java
+++ b/src/main/java/leadferry/loadbalancer/RequestState.java
@@ -5,7 +5,7 @@
 
 /** State of a client's request until it has its final response and no open attempts. */
 final class RequestState {
-  /** Least time before the client's deadline at which an attempt may still start. */
+  /** Minimum time that must be left before the client's deadline for an attempt to start. */
   private static final double MIN_ATTEMPT_MILLIS = 5;
 
   final long id;
@@ -25,7 +25,10 @@
   /** See {@link TenantQuotas#priorityWeight}. */
   double priorityWeight = 1;
 
-  /** Whether pressure sheds the request, unless the endpoint chosen for it is idle. */
+  /**
+   * Whether the random draw by pressure selected the request for shedding. If the endpoint chosen
+   * for the request is idle, the request is admitted nevertheless.
+   */
   boolean isDrawnForShedding;
 
   /** Number of attempts without an outcome. */
--- a/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
+++ b/src/main/java/leadferry/loadbalancer/ResponseTimeEstimate.java
@@ -4,18 +4,19 @@
 import java.util.Map;
 
 /**
- * Estimates the slowness of an endpoint: its response times as a multiple of the mean of their
- * class. The estimate of an endpoint decays towards that of its kind of machine. Otherwise, a proxy
- * with little traffic would never again choose an endpoint that was slow once.
+ * Estimates the slowness of each endpoint: the ratio of its response time to the mean response time
+ * of the request class over all endpoints. A slowness of 1 is average. The estimate of an endpoint
+ * decays towards that of its kind of machine. Otherwise, a proxy with little traffic would never
+ * again choose an endpoint that was slow once.
  */
 final class ResponseTimeEstimate {
   /**
-   * Least weight of a response: the estimate covers about the last ten responses of the endpoint.
+   * Minimum weight of a response: the estimate covers about the last ten responses of the endpoint.
    */
   private static final double MIN_WEIGHT = 0.1;
 
   /**
-   * Least weight of a response in the estimate of the kind of machine: covers about the last 20.
+   * Minimum weight of a response in the estimate of the kind of machine: covers about the last 20.
    */
   private static final double MIN_MACHINE_KIND_WEIGHT = 0.05;
 
@@ -34,10 +35,10 @@
    */
   private static final double DECAY_MILLIS = 10_000;
 
-  /** Upper bound of the multiple from a single response. */
+  /** Upper bound of the ratio of one response time to the mean of its request class. */
   private static final double MAX_MULTIPLE = 8;
 
-  /** Lower bound of the mean response time of a class. */
+  /** Lower bound of the mean response time by which a response time is divided. */
   private static final double MIN_MEAN_MILLIS = 0.1;
 
   /** Slowness of a kind of machine: the prior for endpoints with few responses. */
@@ -48,7 +49,10 @@
 
   private final Map<String, MachineKind> machineKinds = new HashMap<>();
 
-  /** Records a response after {@code spentMillis} of a class whose mean is {@code meanMillis}. */
+  /**
+   * Records a response that took {@code spentMillis}. {@code meanMillis} is the mean response time
+   * of its request class.
+   */
   void onResponse(Endpoint endpoint, double spentMillis, double meanMillis, double nowMillis) {
     double multiple = spentMillis / Math.max(MIN_MEAN_MILLIS, meanMillis);
     double cappedMultiple = Math.min(multiple, MAX_MULTIPLE);
@@ -66,7 +70,10 @@
     machineKind.slowness += kindWeight * (cappedMultiple - machineKind.slowness);
   }
 
-  /** Returns the expected multiple of the mean response time at the endpoint. */
+  /**
+   * Returns the slowness of the endpoint; 1 if neither the endpoint nor its kind of machine has
+   * been measured.
+   */
   double slowness(Endpoint endpoint, double nowMillis) {
     MachineKind machineKind = machineKinds.get(endpoint.machineKind);
     double prior = machineKind == null ? 1 : machineKind.slowness;
--- a/src/main/java/leadferry/loadbalancer/Settings.java
+++ b/src/main/java/leadferry/loadbalancer/Settings.java
@@ -13,7 +13,8 @@
  * @param zone the zone of this proxy, or null
  * @param proxyIndex the index of this proxy in its tier, starting at 0
  * @param proxyCount the number of proxies in the tier, at least 1
- * @param minPriorityWeight the least priority weight of a request of a tenant over its quota
+ * @param minPriorityWeight the lower bound of the priority weight of requests whose tenant is over
+ *     its quota
  * @param isValueByWork whether a request's value counts per unit of work instead of per request;
  *     not used in decisions
  */
@@ -69,8 +70,8 @@
   }
 
   /**
-   * Idle timeout of a connection, in shortest latency objectives. Later, the connection is not
-   * worth its slot at the endpoint.
+   * Idle timeout of a connection, in shortest latency objectives. A connection that is idle for
+   * longer is not worth its slot at the endpoint.
    */
   private static final double IDLE_TIMEOUT_OBJECTIVES = 2;
 
@@ -140,8 +141,8 @@
       double value,
       double lateValue) {
     /**
-     * Returns the time in milliseconds after an attempt that may have been executed within which
-     * another attempt is safe: unlimited for idempotent classes, the deduplication window for
+     * Returns for how long, in milliseconds, a request may be repeated after an attempt that may
+     * have been executed: unlimited for idempotent classes, the deduplication window for
      * deduplicated ones, and 0 for at-most-once ones.
      */
     public double repeatWindowMillis() {
@@ -207,9 +208,9 @@
    * @param canCancel whether attempts may be cancelled
    * @param canSendRetryAfter whether rejections may carry a Retry-After hint
    * @param canRunParallelAttempts whether two attempts of a request may be open at the same time
-   * @param maxAttempts the most attempts per request
+   * @param maxAttempts the maximum number of attempts per request
    * @param maxRetryAfterMillis the largest Retry-After hint
-   * @param streamsPerConnection the requests that one connection carries at the same time
+   * @param streamsPerConnection the number of requests that one connection carries at the same time
    */
   public record Limits(
       boolean canCancel,
@@ -225,7 +226,8 @@
    * @param warmUpMillis how long an endpoint warms up after its process started
    * @param initialCapacityShare the share of its full capacity that an endpoint has when it starts
    * @param overloadWindowMillis the window over which the load of a warming endpoint is counted
-   * @param overloadMultiple the multiple of its capacity that overloads a warming endpoint
+   * @param overloadMultiple the load that overloads a warming endpoint, as a multiple of its
+   *     current capacity
    * @param maxWatchDelayMillis the time within which discovery must be asked again after a failed
    *     watch
    */
--- a/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
+++ b/src/main/java/leadferry/loadbalancer/SlowStartBudget.java
@@ -2,17 +2,18 @@
 
 /**
  * Limits the requests to an endpoint that is warming up. Such an endpoint gets requests only while
- * this proxy has credit for it. Credit is counted in requests. Each proxy earns credit at a share
- * of its own mean rate per endpoint. The share is limited by the capacity of the endpoint while
- * warming up and by the permitted multiple of that capacity, so the sum over all proxies stays
- * within the limit without coordination.
+ * this proxy has credit for it. Credit is counted in requests. Each proxy earns credit for an
+ * endpoint at this rate: its own mean rate per endpoint, times the share of its capacity that the
+ * endpoint has reached, times the overload multiple of the settings, times {@link #USED_SHARE}. The
+ * sum over all proxies thus stays within the limit without coordination.
  *
- * <p>An endpoint in this proxy's subset is shared with few proxies and gets the load that those
- * would have sent to all other endpoints. The rate counts requests that endpoints serve rather than
- * requests that clients send, because client retries multiply in an overload.
+ * <p>An endpoint in this proxy's subset is shared with few proxies. It gets the load that those
+ * proxies would otherwise have spread over all endpoints. The mean rate counts requests that
+ * endpoints serve rather than requests that clients send, because client retries multiply in an
+ * overload.
  */
 final class SlowStartBudget {
-  /** Share of the permitted multiple that all proxies together use on a warming endpoint. */
+  /** Share of the overload multiple up to which all proxies together load a warming endpoint. */
   private static final double USED_SHARE = 0.5;
 
   private final LiveSettings settings;
@@ -56,7 +57,10 @@
     return endpoint.credit >= 1;
   }
 
-  /** Returns the least share of its full capacity that the endpoint has now; 1 if it is warm. */
+  /**
+   * Returns the capacity that the endpoint has at least now, as a share of its full capacity; 1 if
+   * it is warm.
+   */
   private double capacityShare(Endpoint endpoint, double nowMillis) {
     double ageMillis = nowMillis - endpoint.onlineSinceMillis;
     double warmUpMillis = settings.current().warmUpRules().warmUpMillis();
--- a/src/main/java/leadferry/loadbalancer/TenantQuotas.java
+++ b/src/main/java/leadferry/loadbalancer/TenantQuotas.java
@@ -14,7 +14,10 @@
   /** Time constant of a tenant's share of the recent requests. */
   private static final double MEMORY_MILLIS = 10_000;
 
-  /** Number of assumed earlier requests that match the quotas. A few arrivals prove nothing. */
+  /**
+   * Number of assumed earlier requests that match the quotas. Keeps the first few arrivals of a
+   * tenant from counting as an excess.
+   */
   private static final double PRIOR_REQUESTS = 8;
 
   /** Recent requests of one tenant. */
--- a/src/main/java/leadferry/loadbalancer/WatchBackoff.java
+++ b/src/main/java/leadferry/loadbalancer/WatchBackoff.java
@@ -10,7 +10,7 @@
   /** Length of the first wait, before jitter. Each further wait is twice as long. */
   private static final double FIRST_WAIT_MILLIS = 500;
 
-  /** Least random factor of a wait. The largest is 1 more. */
+  /** Minimum random factor of a wait. The maximum is larger by 1. */
   private static final double MIN_JITTER = 0.5;
 
   private final LiveSettings settings;
