--- a/src/main/java/leadferry/adapter/EventReader.java
+++ b/src/main/java/leadferry/adapter/EventReader.java
@@ -62,7 +62,10 @@
     return line.number("who");
   }
 
-  /** Returns the instance, or 0 if the line has none. For use in error messages. */
+  /**
+   * Returns the number of the instance, or 0 if the current line has none. For use in error
+   * messages.
+   */
   long instanceOrZero() {
     return line.number("who", 0);
   }
@@ -122,7 +125,10 @@
     return line.decimal("budget");
   }
 
-  /** Returns the arrival, with the fields already read and the optional fields of the line. */
+  /**
+   * Returns the arrival: the given values, which have been read already, and the optional fields of
+   * the current line.
+   */
   RequestArrival arrival(long request, String className, double budgetMillis) {
     return new RequestArrival(
         request,
@@ -133,7 +139,10 @@
         line.isSet("resent"));
   }
 
-  /** Returns the outcome, or null if the reason is unknown. */
+  /**
+   * Returns the outcome that the code in the field {@code reason} states, or null if the code is
+   * unknown.
+   */
   AttemptOutcome outcome() {
     return switch ((int) line.number("reason")) {
       case 1 -> AttemptOutcome.OK;
@@ -148,7 +157,7 @@
     };
   }
 
-  /** Returns the load report, or null if the line has none. */
+  /** Returns the load report of the current line, or null if there is none. */
   LoadReport loadReport() {
     double[] figures = line.figures("load", LOAD_FIGURES);
     return figures == null
@@ -156,7 +165,7 @@
         : new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
   }
 
-  /** Returns the kind of the endpoint list, or null if it is unknown. */
+  /** Returns the kind of the endpoint list event, or null if the kind is unknown. */
   EndpointListEvent endpointListEvent() {
     return switch (line.string("how")) {
       case "delta" -> EndpointListEvent.DELTA;
@@ -167,7 +176,10 @@
     };
   }
 
-  /** Returns the entries of the endpoint buffer that the line names. */
+  /**
+   * Returns the endpoint entries stored under the number in the field {@code buffer} of the current
+   * line.
+   */
   List<EndpointUpdate> endpointUpdates() {
     List<EndpointUpdate> updates = endpointBuffers.get(line.number("buffer"));
     if (updates == null) {
@@ -177,7 +189,10 @@
     return updates;
   }
 
-  /** Reads the entries that follow the line and stores them under the buffer's number. */
+  /**
+   * Reads the {@code host} lines that follow the current {@code ledger} line. Stores them as
+   * endpoint entries under the number in the field {@code buffer} of the {@code ledger} line.
+   */
   void readEndpointBuffer() throws IOException {
     long buffer = line.number("buffer");
     long records = line.number("records");
--- a/src/main/java/leadferry/adapter/Instance.java
+++ b/src/main/java/leadferry/adapter/Instance.java
@@ -18,8 +18,8 @@
   private static final long GOSSIP_TIMER = -2;
 
   /**
-   * A hint from gossip to eject an endpoint for {@code ejectionMillis}, or to readmit it if that is
-   * 0.
+   * A hint from gossip: eject the endpoint for {@code ejectionMillis}, or readmit it if this value
+   * is 0.
    */
   private record Hint(long endpoint, double ejectionMillis) {}
 
@@ -29,7 +29,10 @@
   /** Null if the deployment permits no messages between proxies. */
   private final SuspicionProtocol gossip;
 
-  /** Hints produced while the load balancer processes an event; delivered after the event. */
+  /**
+   * Hints that gossip produces while the load balancer processes an event. The load balancer gets
+   * them after the event.
+   */
   private final List<Hint> pendingHints = new ArrayList<>();
 
   Instance(Settings settings, boolean hasGossip, long seed, CommandWriter commands) {
--- a/src/main/java/leadferry/adapter/LineReader.java
+++ b/src/main/java/leadferry/adapter/LineReader.java
@@ -4,7 +4,10 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Splits a stream into lines without copying them. A line is valid until the next call. */
+/**
+ * Splits a stream into lines without copying them. A line is valid until the next call of {@link
+ * #next}.
+ */
 final class LineReader {
   private final InputStream input;
   private byte[] buffer = new byte[1 << 16];
--- a/src/main/java/leadferry/adapter/SettingsReader.java
+++ b/src/main/java/leadferry/adapter/SettingsReader.java
@@ -9,8 +9,8 @@
 
 /**
  * Reads the settings of an instance from {@code conf}, the JSON configuration of the wire format.
- * This is the only class that maps its keys to {@link Settings}. Unknown keys are skipped, and
- * missing keys get harmless defaults.
+ * This is the only class that maps the keys of {@code conf} to {@link Settings}. Unknown keys are
+ * skipped, and missing keys get harmless defaults.
  */
 public final class SettingsReader {
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/leadferry/adapter/WireEvent.java
+++ b/src/main/java/leadferry/adapter/WireEvent.java
@@ -7,7 +7,10 @@
   ATTEMPT_OUTCOME("outcome"),
   REQUEST_ARRIVAL("inbound"),
   TIMER("wake"),
-  /** The entries of an endpoint list, stored under a number until an endpoint list refers to it. */
+  /**
+   * The entries of an endpoint list, stored under a number to which {@link #ENDPOINT_LIST} events
+   * refer.
+   */
   ENDPOINT_BUFFER("ledger"),
   /** One entry of an endpoint buffer. */
   ENDPOINT_ENTRY("host"),
--- a/src/main/java/leadferry/adapter/WireLine.java
+++ b/src/main/java/leadferry/adapter/WireLine.java
@@ -5,13 +5,15 @@
 
 /** One line of the wire format, parsed in place: a name and name=value fields. */
 final class WireLine {
-  /** Most bytes of a malformed line that an error message quotes. */
+  /** Maximum number of bytes of a malformed line that an error message quotes. */
   private static final int MAX_SHOWN_BYTES = 60;
 
-  /** Most digits of an integer. */
+  /** Maximum number of digits of an integer. */
   private static final int MAX_INTEGER_DIGITS = 18;
 
-  /** Most characters of a decimal that is parsed without {@link Double#parseDouble}. */
+  /**
+   * Maximum number of characters of a decimal that is parsed without {@link Double#parseDouble}.
+   */
   private static final int MAX_DECIMAL_DIGITS = 16;
 
   private byte[] buffer = {};
@@ -42,7 +44,10 @@
     }
   }
 
-  /** Finds the field that begins at {@code key}. Returns the index of its end. */
+  /**
+   * Finds the field whose key begins at index {@code key}. Returns the index of the end of the
+   * field.
+   */
   private int parseField(int key) {
     int equals = key;
     while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
@@ -70,8 +75,8 @@
   }
 
   /**
-   * Returns the first index of the byte in the range, or {@code limit} if the range does not
-   * contain it.
+   * Returns the index of the first byte {@code wanted} in the range, or {@code limit} if the range
+   * contains none.
    */
   private int indexOf(char wanted, int from, int limit) {
     int index = from;
@@ -213,8 +218,8 @@
   }
 
   /**
-   * Returns the figures of a report field in the order of {@code names}, NaN for missing ones; null
-   * if there is no such field.
+   * Returns the figures of the load report in the field {@code key}, in the order of {@code names}.
+   * A figure that the report lacks is NaN. Returns null if there is no such field.
    */
   double[] figures(String key, String... names) {
     int field = indexOfField(key);
@@ -233,7 +238,7 @@
     return figures;
   }
 
-  /** Reads one name:value pair of a report. Unknown names and "-" are skipped. */
+  /** Reads one name:value pair of a load report. Unknown names and "-" are skipped. */
   private void readFigure(int from, int limit, String key, String[] names, double[] figures) {
     int colon = indexOf(':', from, limit);
     if (colon < limit) {
--- a/src/main/java/leadferry/engine/AcceptBackoffHandler.java
+++ b/src/main/java/leadferry/engine/AcceptBackoffHandler.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a listener accepting while accept(2) fails. Precedes Netty's acceptor in the pipeline,
- * which pauses for a whole second at each failure, longer than the deadline of many requests.
- * {@link AcceptRetryPolicy} determines the pause.
+ * Keeps a listener accepting while accept(2) fails. Precedes Netty's acceptor in the pipeline. That
+ * acceptor would pause for a whole second at each failure, which is longer than the deadline of
+ * many requests. {@link AcceptRetryPolicy} determines the pause.
  */
 public final class AcceptBackoffHandler extends ChannelInboundHandlerAdapter {
   /** Failures per log line: one in this many is logged. */
--- a/src/main/java/leadferry/engine/AcceptRetryPolicy.java
+++ b/src/main/java/leadferry/engine/AcceptRetryPolicy.java
@@ -3,7 +3,7 @@
 /**
  * Defines all bounds on retries of a failed accept(2). On Linux, accept(2) reports errors of the
  * next connection in the backlog (ECONNABORTED, EPROTO, ENETDOWN ...) and shortages of the system
- * (EMFILE, ENFILE, ENOBUFS, ENOMEM). Neither kind concerns the connections behind it.
+ * (EMFILE, ENFILE, ENOBUFS, ENOMEM). Neither kind concerns the later connections in the backlog.
  *
  * <pre>
  *   immediate      4 attempts in a row, then the failure is reported
@@ -17,7 +17,7 @@
   /** Time (ms) between two accept calls on a listener that is to be closed. */
   public static final long CLOSE_RETRY_MILLIS = 5;
 
-  /** Consecutive accept calls before a failure is reported. */
+  /** Number of consecutive failed accept calls after which a failure is reported. */
   static final int IMMEDIATE_ATTEMPTS = 4;
 
   private static final long FIRST_BACKOFF_MILLIS = 5;
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Returns the pause (ms) of the listener after a reported failure, and doubles the next one up to
-   * its limit.
+   * Returns the pause (ms) of the listener after a reported failure. Doubles the pause after the
+   * next failure, up to 100 ms.
    */
   long nextBackoffMillis() {
     long current = nextBackoffMillis;
--- a/src/main/java/leadferry/engine/Attempt.java
+++ b/src/main/java/leadferry/engine/Attempt.java
@@ -12,8 +12,8 @@
  */
 public abstract class Attempt {
   /**
-   * Longest pause (ms) of a streamed response after the request's deadline, where the response is
-   * not known to be long: the request must end within 500 ms of its deadline.
+   * Maximum pause (ms) of a streamed response after the request's deadline, where the response is
+   * not known to be long. The request must end within 500 ms of its deadline.
    */
   protected static final long STREAM_STALL_MILLIS = 400;
 
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Whether the host may have run the attempt, or may still do so: a started write may continue
-   * until the attempt is over.
+   * Whether the host may have run the attempt, or may still do so, because a started write may
+   * continue until the attempt is over.
    */
   final boolean mayHaveRun() {
     return phase.mayHaveRun();
@@ -173,9 +173,10 @@
   }
 
   /**
-   * Claims the final response for streaming to the client. Returns true once for a request: the
-   * response is then this attempt's, and a break in the response must be visible to the client as a
-   * break. The caller must call {@link #onResponseStarted} once the response can start.
+   * Claims the final response for streaming to the client. Returns true for the first claim of a
+   * request only. The response of this attempt is then the final one, and if it breaks off, the
+   * client must be able to see that. The caller must call {@link #onResponseStarted} once the
+   * response can start.
    */
   protected final boolean claimResponse() {
     isResponding = exchange.claim();
@@ -196,8 +197,8 @@
   }
 
   /**
-   * Restarts the time that is charged to the host when the last byte of a slowly received request
-   * has been sent.
+   * Restarts the time that is charged to the host. Called when the last byte of a request that the
+   * client sent slowly has been sent to the host.
    */
   protected final void onLastByteSent() {
     sentAt = dispatcher.now();
--- a/src/main/java/leadferry/engine/AttemptPhase.java
+++ b/src/main/java/leadferry/engine/AttemptPhase.java
@@ -29,7 +29,10 @@
     return this == NEVER_RAN || this == MAY_HAVE_RUN;
   }
 
-  /** Whether the attempt waits until a connection is established or becomes free. */
+  /**
+   * Whether the attempt waits until a connection is established or becomes free; false once a
+   * connection carries it.
+   */
   boolean hasWaited() {
     return this == PENDING || this == CONNECTING;
   }
--- a/src/main/java/leadferry/engine/BackgroundWriter.java
+++ b/src/main/java/leadferry/engine/BackgroundWriter.java
@@ -6,9 +6,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes text to a stream on a separate thread, so that a reader of the stream that has stopped
- * blocks no caller. The queue in between is bounded: text that arrives while it is full is dropped,
- * and the next text states the number dropped.
+ * Writes text to a stream on a separate thread, so that no caller is blocked when the reader at the
+ * other end of the stream stops reading. The queue in between is bounded: text that arrives while
+ * the queue is full is dropped, and a line after the next text written states the number of dropped
+ * texts.
  */
 public final class BackgroundWriter {
   private static final int QUEUED_TEXTS = 256;
--- a/src/main/java/leadferry/engine/Body.java
+++ b/src/main/java/leadferry/engine/Body.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Buffers a body in its own memory blocks. Slices of the read buffers would retain a whole read
- * buffer for a few bytes each where a body arrives slowly.
+ * Buffers a body in memory blocks of its own. Slices of the read buffers would cost more where a
+ * body arrives slowly: each slice of a few bytes would retain a whole read buffer.
  */
 public final class Body {
   /** Largest capacity (bytes) of a block. */
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Marks the request as received in full: from now on its bytes are freed at its deadline at the
-   * latest.
+   * Marks the request as received in full. From now on, the bytes of this body are freed at the
+   * request's deadline at the latest.
    */
   public void onRequestComplete() {
     if (partial) {
--- a/src/main/java/leadferry/engine/BodyBudget.java
+++ b/src/main/java/leadferry/engine/BodyBudget.java
@@ -17,8 +17,8 @@
   private static final double LARGE_SHARE = 0.85;
 
   /**
-   * Largest body size (bytes) that is buffered although it could be streamed, and the share of the
-   * budget above which such a body is streamed as well.
+   * Maximum size (bytes) of a body that is buffered although it could be streamed. Where more than
+   * {@link #AMPLE_SHARE} of the budget is used, such a body is streamed as well.
    */
   private static final int AMPLE_BYTES = 1 << 20;
 
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Records that the request of these bytes has been received in full: they are freed at its
-   * deadline at the latest.
+   * Records that a request whose body holds {@code bytes} bytes has been received in full. These
+   * bytes are freed at the request's deadline at the latest.
    */
   void onRequestComplete(long bytes) {
     incompleteBytes -= bytes;
--- a/src/main/java/leadferry/engine/ConnectFailure.java
+++ b/src/main/java/leadferry/engine/ConnectFailure.java
@@ -18,8 +18,8 @@
   /**
    * Whether this machine lacked a resource (ports, buffers, a network). The JDK reports
    * EADDRNOTAVAIL as {@link BindException}, and ENETUNREACH and ENOBUFS as plain {@link
-   * SocketException}. Guards against counting a local shortage against a server; a server that
-   * refuses, resets or can't be reached is counted.
+   * SocketException}. Guards against a local shortage that is charged to a server. A server that
+   * refuses or resets the connection, or can't be reached, is charged.
    */
   static boolean isLocal(Throwable cause) {
     boolean aboutServer =
--- a/src/main/java/leadferry/engine/ConnectionLimits.java
+++ b/src/main/java/leadferry/engine/ConnectionLimits.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Limits the connections that all workers of a process together hold to one host of a pool. Guards
- * hosts, which accept a limited number of connections from all of their clients, against a process
- * that opens one for each request in flight.
+ * Limits the connections that all workers of a process together hold to one host of a pool. A host
+ * accepts a limited number of connections from all of its clients together. Guards against a
+ * process that opens one connection for each request in flight.
  *
  * <p>A slot is acquired before a connection is opened and released after it has closed, so the
- * limit holds at every moment. At the limit, an attempt waits in its worker ({@link
- * UpstreamConnectionPool}). The other workers are asked to close an idle connection, and a released
- * slot is offered to the waiting workers in order of arrival. Lock-free and thread-safe.
+ * limit holds at every moment. At the limit, an attempt waits in the {@link UpstreamConnectionPool}
+ * of its worker, which is one event loop of the process. The other workers are asked to close an
+ * idle connection. A released slot is offered to the waiting workers in order of arrival. Lock-free
+ * and thread-safe.
  *
  * <pre>
  *   worker A   acquire ... carry ... idle -- asked: close, release --+
--- a/src/main/java/leadferry/engine/ConnectionReusePolicy.java
+++ b/src/main/java/leadferry/engine/ConnectionReusePolicy.java
@@ -11,25 +11,31 @@
  */
 final class ConnectionReusePolicy {
   /**
-   * Share of the host's idle time after which a connection is closed, well before the host closes
-   * it.
+   * Share of the idle time in the settings after which the proxy closes an idle connection, well
+   * before the host does.
    */
   private static final double IDLE_SHARE = 0.7;
 
-  /** Rest (ns) of connections to a host that has sent surplus bytes. */
+  /**
+   * Rest (ns) of connections to a host that has sent surplus bytes: bytes that belong to no
+   * response.
+   */
   private static final long SURPLUS_REST_NANOS = 5_000_000L;
 
-  /** Time (ns) for which surplus bytes of a host, and of the pool, are taken into account. */
+  /** Time (ns) for which surplus bytes are remembered, for their host and for the pool. */
   private static final long SURPLUS_MEMORY_NANOS = 600_000_000_000L;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
   private PoolBounds bounds;
 
-  /** Rest (ns) that late surplus bytes of any host require. */
+  /**
+   * Rest (ns) of all connections of the pool, learned from surplus bytes that arrived on an idle
+   * connection.
+   */
   private long lateSurplusRestNanos;
 
-  /** Time (ns) at which late surplus bytes were last received. */
+  /** Time (ns) at which such bytes were last received. */
   private long lateSurplusAtNanos;
 
   ConnectionReusePolicy(PoolBounds bounds) {
@@ -43,8 +49,9 @@
 
   /**
    * Returns the time (ns) for which a connection may be idle and still be used, according to the
-   * settings and the observed behaviour. Housekeeping closes an older connection, but a request may
-   * come first, and the host's own close would then reset a request that may have run.
+   * settings and the observed behaviour. Housekeeping closes connections that have been idle for
+   * longer. This limit covers a request that comes before housekeeping: where the host closes the
+   * connection at the same time, it would reset a request that may have run.
    */
   long maxIdleNanos(UpstreamHost host, long now) {
     return Math.min(
@@ -64,7 +71,8 @@
    * Records bytes that belong to no response and arrived {@code afterNanos} after one. Guards
    * against a second response that arrives after the rest: on a connection in use it would be read
    * as the response to the next request, and nothing in it identifies its request. All connections
-   * then rest for twice that delay, but at most {@link SocketSlack}.
+   * of the pool then rest for twice the delay {@code afterNanos}, but at most {@link
+   * SocketSlack#NANOS}.
    */
   void onSurplusBytes(long afterNanos) {
     long now = System.nanoTime();
--- a/src/main/java/leadferry/engine/Dispatcher.java
+++ b/src/main/java/leadferry/engine/Dispatcher.java
@@ -28,8 +28,8 @@
  */
 public final class Dispatcher implements LoadBalancerActions {
   /**
-   * Start (ms) of the load balancer's clock. A positive start gives a host that started before this
-   * process a valid time.
+   * Time (ms) at which the load balancer's clock starts. It is large, so that the start of a host
+   * that started before this process is a positive time too.
    */
   private static final double CLOCK_START = 1e9;
 
@@ -57,8 +57,8 @@
   private SharedSuspicions suspicions;
 
   /**
-   * Creates a pool of hosts on {@code loop} with its own load balancer, whose random choices derive
-   * from {@code seed}; {@code name} may be null.
+   * Creates a pool of hosts on {@code loop} with its own load balancer. The load balancer derives
+   * its random choices from {@code seed}; {@code name} may be null.
    */
   public Dispatcher(
       String name,
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Shares suspicions of silent hosts with the other proxies of the tier; {@code broadcast}
-   * receives each message that is for all of them. Must be called before {@link #start}.
+   * Shares suspicions of silent hosts with the other proxies of the tier; {@code broadcast} sends
+   * each message that it receives to all of them. Must be called before {@link #start}.
    */
   public void shareSuspicions(long seed, Consumer<byte[]> broadcast) {
     suspicions = new SharedSuspicions(this, settings, seed, broadcast);
@@ -135,7 +135,7 @@
     return hosts.busyNames();
   }
 
-  /** Whether the host of that name is listed and may receive requests. */
+  /** Whether the host of this name is listed and may receive requests. */
   public boolean isSendable(String host) {
     return hosts.isSendable(host);
   }
@@ -164,7 +164,8 @@
   }
 
   /**
-   * Sets the check that can deny each further attempt of a request that the load balancer asks for.
+   * Sets a check that is asked before each attempt of a request after the first; false denies the
+   * attempt that the load balancer has requested.
    */
   public void setRetryGate(BooleanSupplier gate) {
     this.retryGate = gate;
@@ -197,7 +198,7 @@
 
   /**
    * Starts the load balancer with the list {@code cached}; {@code watchOpener} opens the watch on
-   * the list source.
+   * discovery.
    */
   public void start(UpstreamHosts.ListUpdate cached, Runnable watchOpener) {
     this.watchOpener = watchOpener;
@@ -245,7 +246,7 @@
     deliver(null, () -> balancer.onSettings(next));
   }
 
-  /** Records that the list source has reported no newer list. */
+  /** Records that discovery has just reported that the current list is still the newest. */
   public void onUpToDate() {
     hosts.onUpToDate(now());
   }
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -11,8 +11,9 @@
  * Tracks one client request in one pool from its last byte on: its deadline, its attempts and its
  * state. Nothing else gives a final response, and an exchange gives exactly one.
  *
- * <p>Where the load balancer of this pool rejects the request, the exchange moves it to the pool
- * that {@link FallbackPools} names, if nothing that was sent may have run.
+ * <p>Where the load balancer of this pool rejects the request, the exchange moves the request to
+ * the next pool that {@link FallbackPools} returns. After an attempt that may have run, the request
+ * moves only if its class is safe to repeat.
  */
 public final class Exchange {
   private static final double NANOS_PER_MILLI = 1e6;
@@ -28,7 +29,7 @@
   private final List<Future<?>> timers = new ArrayList<>(2);
   private ExchangeState state = ExchangeState.WAITING;
 
-  /** Whether an attempt has ended that the host may have run. */
+  /** Whether the host may have run any of the attempts that have ended. */
   private boolean mayHaveRun;
 
   /** Creates an exchange; {@code deadlineAt} is a time (ms) on the dispatcher's clock. */
@@ -55,8 +56,8 @@
   }
 
   /**
-   * Restarts the deadline at {@code budgetMillis} from now, because the request has now arrived in
-   * full. The deadline until then must have been later.
+   * Sets the deadline to {@code budgetMillis} from now, because the request has now arrived in
+   * full. The deadline that applied until now must be later than the new one.
    */
   public void restartDeadline(double budgetMillis) {
     deadlineAt = dispatcher.now() + budgetMillis;
@@ -142,7 +143,8 @@
       // The client received this attempt's response, or part of it.
       countResult(outcome == AttemptOutcome.OK);
     }
-    // Guards a response that is being sent to the client against the end of another attempt.
+    // Guards a response that is being sent to the client: the end of another attempt must not
+    // cancel it.
     boolean isRequestOver = state.isResolved() && !attempts.isAnyResponding();
     dispatcher.onAttemptOutcome(this, attempt, outcome, spentMillis, isRequestOver, report);
     removeIfDone();
@@ -199,9 +201,9 @@
 
   /**
    * Moves the request to the next pool; returns false where there is none or the deadline has
-   * passed. Guards against an effect that happens twice (rule 2): a request that may have run in
-   * this pool may be repeated in another pool only if its class is safe, because no state shared by
-   * the two pools drops the repeat.
+   * passed. Guards against an effect that happens twice (rule 2 of this package): the two pools
+   * share no deduplication memory that would drop a repeated request. A request that may have run
+   * in this pool may therefore be repeated in another pool only if its class is safe to repeat.
    */
   private boolean moveToNextPool() {
     FallbackPools.NextPool next = fallback == null ? null : fallback.next(mayHaveRun);
@@ -225,10 +227,10 @@
     boolean hadResponded = state.isResolved();
     state = state.clientDisconnected();
     dispatcher.onClientDisconnect(this);
-    // Attempts without a response are cancelled by the load balancer, where the deployment permits
-    // cancelling. This loop cancels the others: a streamed response or a request that failed on the
-    // client's side has no recipient any more, and the host would wait for the rest of an
-    // incomplete request.
+    // The load balancer cancels attempts without a response, where the deployment permits it. This
+    // loop cancels the other attempts. The response of a streaming attempt, or of a request that
+    // failed on the client's side, has no recipient any more. The host of an incomplete request
+    // would wait for the rest of it.
     for (int i = 0; (hadResponded || call.isIncomplete()) && i < attempts.size(); i++) {
       if (attempts.get(i).isOpen()) {
         attempts.get(i).cancel();
@@ -274,7 +276,7 @@
 
   /**
    * Whether bytes of the attempt may be sent now. Checked again when the connection is ready,
-   * because the conditions of the decision may have changed since.
+   * because the conditions may have changed since the load balancer decided.
    */
   boolean canSend(Attempt attempt) {
     double now = dispatcher.now();
@@ -294,10 +296,10 @@
   }
 
   /**
-   * Bounds the writes of partially written attempts when a further attempt has started to be
-   * written. Guards against an effect that happens twice (rule 2): a host counts an attempt from
-   * the arrival of its last byte. That byte, too, must be sent while the class permits a repeat
-   * after each other attempt that may run.
+   * Bounds the time for which partially written attempts may go on, once the write of a further
+   * attempt has started. Guards against an effect that happens twice (rule 2 of this package): for
+   * the host, an attempt begins when its last byte arrives. That byte, too, must therefore be sent
+   * within the repeat window after each other attempt that may have run.
    */
   void onWriteStarted() {
     for (int i = 0; attempts.size() > 1 && i < attempts.size(); i++) {
--- a/src/main/java/leadferry/engine/ExchangeAttempts.java
+++ b/src/main/java/leadferry/engine/ExchangeAttempts.java
@@ -51,9 +51,9 @@
 
   /**
    * Whether another attempt that may have run was sent too long ago (ms, load balancer clock) for
-   * {@code attempt} to be sent at {@code now}. Guards against an effect that happens twice (rule
-   * 2): the load balancer checked the repeat window when the wait for a connection began, and did
-   * not check the attempts that were sent during the wait.
+   * {@code attempt} to be sent at {@code now}. Guards against an effect that happens twice (rule 2
+   * of this package): the load balancer checked the repeat window before {@code attempt} waited for
+   * a connection, and could not check the attempts that were sent during the wait.
    */
   boolean isOutsideRepeatWindow(Attempt attempt, double now) {
     for (int i = 0; i < size; i++) {
@@ -68,9 +68,10 @@
   }
 
   /**
-   * Returns the time (ms, load balancer clock) by which the last byte of the attempt must be sent:
-   * {@code deadlineAt}, or the earlier end of its repeat window after another attempt that may have
-   * run.
+   * Returns the time (ms, load balancer clock) by which the last byte of the attempt must be sent.
+   * It is the earliest of {@code deadlineAt} and the ends of the repeat windows that the request's
+   * other attempts that may have run have opened; each window starts with the first byte of such an
+   * attempt.
    */
   double lastByteDeadline(Attempt attempt, double deadlineAt) {
     double deadline = deadlineAt;
@@ -84,9 +85,10 @@
   }
 
   /**
-   * Ends open attempts whose last byte has not been sent; these never ran. Guards against a request
-   * that is sent after its final response (rule 1): where the load balancer may not cancel, a
-   * connection that is established late would still carry the attempt.
+   * Ends the open attempts whose last byte has not been sent. Such an attempt never ran. Guards
+   * against a request that is sent after its final response (rule 1 of this package): where the
+   * load balancer may not cancel, a connection that is established late would still carry the
+   * attempt.
    */
   void endUnsent() {
     for (int i = 0; i < size; i++) {
--- a/src/main/java/leadferry/engine/FallbackPools.java
+++ b/src/main/java/leadferry/engine/FallbackPools.java
@@ -2,12 +2,12 @@
 
 import leadferry.loadbalancer.RequestArrival;
 
-/** Ordered pools that may take over a request that the earlier pools have rejected unsent. */
+/** Ordered pools that may take over a request that the earlier pools have rejected. */
 @FunctionalInterface
 public interface FallbackPools {
   /**
-   * The next pool, the request's arrival there, and the pools after it, or null where there are
-   * none.
+   * The next pool, the request as it arrives there, and the pools after it; {@code fallback} is
+   * null where there are none.
    */
   record NextPool(Dispatcher dispatcher, RequestArrival arrival, FallbackPools fallback) {}
 
--- a/src/main/java/leadferry/engine/IdleConnections.java
+++ b/src/main/java/leadferry/engine/IdleConnections.java
@@ -28,7 +28,10 @@
     }
   }
 
-  /** Makes connections reusable that have rested for {@code restNanos} at {@code now} (ns). */
+  /**
+   * Makes each connection reusable that has rested for {@code restNanos} or longer at {@code now}
+   * (ns).
+   */
   void endRests(long now, long restNanos) {
     UpstreamConnection first;
     while ((first = resting.peekFirst()) != null && now - first.idleSinceNanos() >= restNanos) {
@@ -41,8 +44,8 @@
   }
 
   /**
-   * Takes the most recently used connection, or returns null where there is none or it has been
-   * idle for {@code maxIdleNanos} or longer.
+   * Takes the most recently used reusable connection. Returns null where there is none, or where
+   * even this connection has been idle for {@code maxIdleNanos} or longer.
    */
   UpstreamConnection pollNewest(long now, long maxIdleNanos) {
     UpstreamConnection newest = reusable.peekLast();
--- a/src/main/java/leadferry/engine/LineLog.java
+++ b/src/main/java/leadferry/engine/LineLog.java
@@ -6,7 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Writes a bounded number of text lines a second; the log of the platform's process and of tests.
+ * Writes a bounded number of text lines a second. Used by the proxy as the {@code platform} starts
+ * it, and by tests.
  */
 public final class LineLog implements Log {
   private static final int MAX_PER_SECOND = 50;
--- a/src/main/java/leadferry/engine/NioTransport.java
+++ b/src/main/java/leadferry/engine/NioTransport.java
@@ -15,8 +15,8 @@
     private static final int DISCARD_CHUNK_BYTES = 16 * 1024;
 
     /**
-     * Most bytes that are read in search of the end of the stream; a peer that sends without end
-     * must not occupy the loop.
+     * Maximum number of bytes that are read in search of the end of the stream. Guards against a
+     * peer that sends without end and occupies the loop.
      */
     private static final int MAX_DISCARD_BYTES = 2 * DISCARD_CHUNK_BYTES;
 
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Whether nothing has arrived or ended on the socket. Guards against a write to a pooled
-     * connection that the host has closed while the end of the stream waits in the kernel for the
-     * loop's next iteration: the request would count as one that may have run.
+     * Whether neither bytes nor the end of the stream have arrived on the socket. Guards against a
+     * write to a pooled connection that the host has already closed, where the end of the stream is
+     * still unread in the kernel: the request would count as one that may have run.
      */
     boolean isQuiet() {
       try {
--- a/src/main/java/leadferry/engine/OutcomeCounter.java
+++ b/src/main/java/leadferry/engine/OutcomeCounter.java
@@ -3,8 +3,8 @@
 /**
  * Counts the results of attempts and requests by class; called on the pool's loop. A result is bad
  * if the attempt or request failed, was rejected, or took longer than its class's latency
- * objective. Requests that the client gave up and cancelled attempts are counted as neither good
- * nor bad.
+ * objective. A request whose client disconnected before the final response, and a cancelled
+ * attempt, count as neither good nor bad.
  */
 public interface OutcomeCounter {
   /** Counts an attempt that has ended at the server. */
--- a/src/main/java/leadferry/engine/OutcomeReporter.java
+++ b/src/main/java/leadferry/engine/OutcomeReporter.java
@@ -8,7 +8,7 @@
 
 /**
  * Reports the results of one pool's attempts and requests: logs each failed attempt, and passes all
- * of them to the {@link OutcomeCounter} if one is set. Makes no decisions. Confined to the pool's
+ * results to the {@link OutcomeCounter} if one is set. Makes no decisions. Confined to the pool's
  * loop.
  */
 final class OutcomeReporter {
@@ -24,7 +24,7 @@
   private final Log log;
   private Settings settings;
 
-  /** Null where results are not counted, as in the platform's process. */
+  /** Null where results are not counted, as in the proxy that the {@code platform} starts. */
   private OutcomeCounter counter;
 
   OutcomeReporter(Log log, Settings settings) {
--- a/src/main/java/leadferry/engine/ReadLagTracker.java
+++ b/src/main/java/leadferry/engine/ReadLagTracker.java
@@ -10,8 +10,8 @@
 
 /**
  * Tracks the time up to which an event loop has read everything that arrived on its sockets.
- * Separates a delay of this process, whose loop was busy, cold or stopped, from the time of a
- * server or client.
+ * Separates a delay of this process (its loop was busy, was stopped, or ran code that was not yet
+ * compiled) from a delay of a server or client.
  *
  * <pre>
  *   iteration k-1   poll |--- reads ---|--- tasks ---|
@@ -19,22 +19,26 @@
  *   until                                (poll k-1)  . . . . (poll k-1)  (poll k)
  * </pre>
  *
- * <p>Data that iteration k reads arrived after the poll of iteration k-1 at the earliest, so that
- * poll is the guaranteed time while iteration k reads. Once iteration k has read everything, its
- * own poll is the guaranteed time. A poll that waited was ended by data that had just arrived,
- * unless it returned later than requested: the process then had no core, and the requested time
- * counts. Known error: where a poll is stopped in the middle and ends before the requested time,
- * the stop is attributed to the peers. Cost: two clock readings per iteration.
+ * <p>While iteration k reads, its data may have arrived at any time since the poll of iteration
+ * k-1; everything that arrived before that poll has been read, so the tracked time is that of poll
+ * k-1. Once iteration k has read everything, the tracked time is that of its own poll. A poll that
+ * waited was ended by data that had just arrived, so its end counts. If it returned later than
+ * requested, the process had no core, and the requested time counts instead. Known error: where a
+ * poll is stopped in the middle and ends before the requested time, the stop is attributed to the
+ * peers. Cost: two clock readings per iteration.
  */
 public final class ReadLagTracker implements IoHandler, IoHandlerContext {
   /**
-   * A poll that returned within this time (ns), or within half of the time of the preceding work,
-   * is taken to have found data that had already arrived. Cold code and a lost core would otherwise
-   * make it look as if it had waited.
+   * A poll that returned within this time (ns), or within half of the duration of the preceding
+   * work, is taken to have found data that had already arrived. Without this tolerance, a poll
+   * slowed by code not yet compiled, or by the loss of a core, would look as if it had waited.
    */
   private static final long IMMEDIATE_POLL_NANOS = 1_000_000;
 
-  /** A poll that returned later than requested by more than this time (ns) was kept from a core. */
+  /**
+   * Lateness (ns) of a poll, compared with the requested time, above which the process is taken to
+   * have had no core.
+   */
   private static final long LATE_POLL_NANOS = 2_000_000;
 
   private static final FastThreadLocal<ReadLagTracker> CURRENT = new FastThreadLocal<>();
--- a/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingServerSocketChannel.java
@@ -49,7 +49,7 @@
       return 1;
     } catch (RuntimeException e) {
       next.close();
-      // Guards the listener: Netty closes it for any other exception.
+      // Guards the listener: for an exception that is no IOException, Netty would close it.
       throw new IOException("accepted connection is unusable: " + e.getMessage(), e);
     }
   }
--- a/src/main/java/leadferry/engine/RetryingSocketChannel.java
+++ b/src/main/java/leadferry/engine/RetryingSocketChannel.java
@@ -25,7 +25,8 @@
  */
 public class RetryingSocketChannel extends NioSocketChannel {
   /**
-   * Result of a JDK channel at the end of the stream; a value below it means an interrupted call.
+   * Count that a JDK channel returns at the end of the stream; a lower count means an interrupted
+   * call.
    */
   private static final int END_OF_STREAM = -1;
 
--- a/src/main/java/leadferry/engine/ServerStartClock.java
+++ b/src/main/java/leadferry/engine/ServerStartClock.java
@@ -4,12 +4,12 @@
 
 /**
  * Converts the Unix time at which a server started to an instant of the monotonic clock, once for
- * each start. Slow start is then independent of later steps of the wall clock.
+ * each start. Later steps of the wall clock then have no effect on slow start.
  *
- * <p>The two clocks differ by {@code offset = Unix time - monotonic time}. Each notified start
- * bounds the offset of discovery's clock. The server had started when it was notified. It had not
- * started longer before the notification than discovery's last report of nothing newer, plus the
- * delay that a notice may have.
+ * <p>The two clocks differ by {@code offset = Unix time - monotonic time}. Each start that
+ * discovery notifies bounds the offset of discovery's clock in two ways. The server had started by
+ * the time of the notice. It had not yet started when discovery last reported that nothing was
+ * newer, apart from the delay that a notice may have.
  *
  * <pre>
  *   discovery says nothing newer      server starts      first notified at t
@@ -17,9 +17,10 @@
  *        started - t  &lt;=  offset  &lt;=  started - t + gap + MAX_NOTICE_DELAY_MS
  * </pre>
  *
- * <p>Of the offsets observed on this machine's clock, the smallest is used. It makes servers look
- * younger, so an error in it costs a little service and never overloads a server that is warming
- * up. With correct clocks, the bounds change nothing.
+ * <p>The offset used is the smallest that was observed on this machine's clock, moved into the
+ * bounds where necessary. The smallest offset makes servers look younger. An error in it therefore
+ * costs a little service, and never overloads a server that is warming up. With correct clocks, the
+ * bounds change nothing.
  */
 final class ServerStartClock {
   /** Longest delay (ms) of a notice from discovery, according to the protocol documentation. */
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -23,7 +23,10 @@
   private final Consumer<byte[]> peers;
   private final SuspicionProtocol protocol;
 
-  /** Creates the exchange; {@code peers} receives each message that is for all other proxies. */
+  /**
+   * Creates the exchange of suspicions; {@code peers} sends each message that it receives to all
+   * other proxies.
+   */
   SharedSuspicions(Dispatcher dispatcher, Settings settings, long seed, Consumer<byte[]> peers) {
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
--- a/src/main/java/leadferry/engine/Signals.java
+++ b/src/main/java/leadferry/engine/Signals.java
@@ -5,18 +5,18 @@
 
 /**
  * Handles operating system signals. {@code sun.misc.Signal} is the JDK's only access to them. A
- * reference to it in the source gives a warning that can't be suppressed; the class uses reflection
- * instead, so that the build can treat all warnings as errors.
+ * direct reference to that class gives a compiler warning that can't be suppressed. This class uses
+ * reflection instead, so that the build can treat all warnings as errors.
  */
 public final class Signals {
   private Signals() {}
 
   /**
    * Runs {@code action} on a JVM thread whenever SIGHUP is received. Guards against the default
-   * action, which ends the JVM. Returns false where the platform has no SIGHUP, or where the parent
-   * process had it ignored, as {@code nohup} does. In the latter case the JVM keeps ignoring the
-   * signal and accepts the handler without an error; only the previous handler that it returns
-   * reveals this.
+   * action, which ends the JVM. Returns false where the operating system has no SIGHUP, or where
+   * the parent process, for example {@code nohup}, set the signal to be ignored. In the latter case
+   * the JVM accepts the handler without an error but keeps ignoring the signal; only the previous
+   * handler that the JVM returns reveals this.
    */
   public static boolean onHangup(Runnable action) {
     try {
--- a/src/main/java/leadferry/engine/SocketBudget.java
+++ b/src/main/java/leadferry/engine/SocketBudget.java
@@ -6,9 +6,10 @@
 
 /**
  * Limits all file descriptors of the process. Connections to hosts have a claim to half of them at
- * any time. Clients have the other half, and can borrow what hosts leave unused of theirs. Borrowed
- * descriptors are returned when a connection to a host is to be opened: idle connections to hosts
- * close first, oldest first, then the client connection that can be closed most readily.
+ * any time. Client connections have the other half, and can borrow the part of the first half that
+ * connections to hosts leave unused. Borrowed descriptors are returned when a connection to a host
+ * is to be opened: idle connections to hosts close first, in the order in which they became idle,
+ * then client connections, in the order in which the protocol's server evicts them.
  *
  * <pre>
  *   |&lt;------- clients, at least -------&gt;|&lt;- lent -&gt;|&lt;- margin -&gt;|&lt;- open to hosts -&gt;|
@@ -27,7 +28,10 @@
    */
   private static final int RESERVED = 40;
 
-  /** Descriptors that each side keeps at least, even where another process uses the rest. */
+  /**
+   * Minimum number of descriptors of each side (client connections, connections to hosts), even
+   * where another process uses the rest.
+   */
   private static final int MIN_PER_SIDE = 8;
 
   private final int descriptors;
@@ -67,16 +71,16 @@
   }
 
   /**
-   * Sets the action that closes the client connection that can be closed most readily; the action
-   * returns false where there is none.
+   * Sets the action that evicts one client connection, which the protocol's server chooses. The
+   * action returns false where no client connection can be evicted.
    */
   public void setClientCloser(BooleanSupplier closer) {
     clientCloser = closer;
   }
 
   /**
-   * Returns the client connections permitted now: half of all, plus what hosts leave unused of
-   * their half except for a margin.
+   * Returns the number of client connections permitted now: half of all descriptors, plus the part
+   * of the other half that connections to hosts leave unused, less a margin.
    */
   private int clientLimit() {
     int hosts = upstreamCount + otherUpstreams;
@@ -101,8 +105,8 @@
   }
 
   /**
-   * Whether so few descriptors are left for clients that client connections should close after
-   * their response.
+   * Whether so few descriptors are left for client connections that each should close after its
+   * current response.
    */
   public boolean isNearClientLimit() {
     int max = clientLimit();
@@ -110,8 +114,8 @@
   }
 
   /**
-   * Closes idle connections and borrowed client connections until one more connection to a host
-   * fits; returns whether it may be opened.
+   * Closes idle connections to hosts, and client connections on borrowed descriptors, until one
+   * more connection to a host fits. Returns whether that connection may be opened.
    */
   public boolean makeRoomForUpstream() {
     int max = Math.max(MIN_PER_SIDE, limitPerSide - otherUpstreams);
@@ -120,14 +124,16 @@
       idleUpstreams.remove(oldest);
       oldest.closeIdle();
     }
-    // Clients return borrowed descriptors when hosts need them.
+    // Client connections close to return borrowed descriptors.
     while (upstreamCount < max && isLackingRoom() && clientCloser.getAsBoolean()) {
       // repeat until there is room or no client connection can be closed
     }
     return upstreamCount < max && !isLackingRoom();
   }
 
-  /** Whether client connections hold descriptors that hosts need. */
+  /**
+   * Whether client connections hold borrowed descriptors that the next connection to a host needs.
+   */
   private boolean isLackingRoom() {
     int openClients = clientCount + otherClients;
     return openClients > limitPerSide
--- a/src/main/java/leadferry/engine/SocketSlack.java
+++ b/src/main/java/leadferry/engine/SocketSlack.java
@@ -5,10 +5,10 @@
  * protocol documentation. Covers the delay of messages in transit.
  */
 public final class SocketSlack {
-  /** Margin in milliseconds. */
+  /** The margin in milliseconds. */
   public static final long MS = 50;
 
-  /** Margin in nanoseconds. */
+  /** The same margin in nanoseconds. */
   public static final long NANOS = MS * 1_000_000;
 
   private SocketSlack() {}
--- a/src/main/java/leadferry/engine/Transport.java
+++ b/src/main/java/leadferry/engine/Transport.java
@@ -21,8 +21,8 @@
   /**
    * Checks whether a client has ended its side of a connection, even if the loop has not read the
    * end yet; checks the socket directly, on its loop. May be called only after a request has been
-   * received in full: where the socket can't tell otherwise, a byte that follows the request is
-   * lost, and the result is {@link ClientEnd#LOST_BYTE}.
+   * received in full. Some sockets can only be checked by a read: a byte that follows the request
+   * is then lost, and the result is {@link ClientEnd#LOST_BYTE}.
    */
   ClientEnd checkClientEnd(Channel client);
 
@@ -52,7 +52,7 @@
   /**
    * Whether neither bytes nor the end of the stream have arrived on a connection to a host; checks
    * the socket directly and may be called on the channel's loop only. A byte that the check reads
-   * is lost: after false the connection is unusable.
+   * is lost, so the connection is unusable after a result of false.
    */
   boolean isQuiet(Channel connection);
 }
--- a/src/main/java/leadferry/engine/UpstreamConnection.java
+++ b/src/main/java/leadferry/engine/UpstreamConnection.java
@@ -82,10 +82,10 @@
   }
 
   /**
-   * Handles bytes that belong to no response, and closes the connection. The delay of such bytes is
-   * recorded only where the connection carried no attempt: bytes that follow a malformed response
-   * in the same read, or that the decoder produces when the connection ends within a response, are
-   * not evidence of the delay.
+   * Handles bytes that belong to no response, and closes the connection. The delay between the last
+   * response and such bytes is recorded only where the connection carried no attempt. Two other
+   * cases say nothing about the delay: bytes that follow a malformed response in the same read, and
+   * bytes that the decoder produces when the connection ends within a response.
    */
   protected final void onSurplusBytes() {
     if (!channel.isOpen()) {
@@ -98,7 +98,7 @@
     channel.close();
   }
 
-  /** Writes the attempt; from this call on it cannot be held back. */
+  /** Writes the attempt. From this call on, the attempt cannot be held back. */
   final void send(Attempt next) {
     writtenAtNanos = System.nanoTime();
     idleNanos = idleSinceNanos == 0 ? 0 : writtenAtNanos - idleSinceNanos;
@@ -150,8 +150,9 @@
   }
 
   /**
-   * Detaches the attempt, which needs no more of its response. {@code readOn} keeps the connection
-   * open to read and discard the rest; otherwise the connection closes.
+   * Detaches the attempt, which needs no more bytes of its response. With {@code readOn}, the
+   * connection stays open to read and discard the rest of the response; otherwise the connection
+   * closes.
    */
   protected final void detach(boolean readOn) {
     attempt = null;
--- a/src/main/java/leadferry/engine/UpstreamConnectionPool.java
+++ b/src/main/java/leadferry/engine/UpstreamConnectionPool.java
@@ -22,7 +22,10 @@
  * </pre>
  */
 public final class UpstreamConnectionPool {
-  /** Allocator of read buffers. Small reads limit the memory (bytes) that one connection holds. */
+  /**
+   * Allocator of read buffers. Sizes are in bytes. Small reads limit the memory that one connection
+   * holds.
+   */
   public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
       new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
@@ -37,7 +40,8 @@
   private static final long DISCARD_NANOS = 500_000_000L;
 
   /**
-   * Requests that a connection carries before its slot passes to another worker that waits for one.
+   * Number of requests after which a connection is closed for another worker that waits for a slot,
+   * even if attempts of this worker wait too.
    */
   private static final int REQUESTS_BEFORE_HANDOVER = 16;
 
@@ -112,8 +116,8 @@
 
   /**
    * Whether the attempt may be sent now; otherwise ends it as one that never ran. Checked when the
-   * attempt starts and again when its wait is over. Guards against changes in the meantime to its
-   * request, its deadline, its host and the request's other attempts.
+   * attempt starts and again when its wait is over. Guards against changes during the wait: to the
+   * request, its deadline, the host, or the request's other attempts.
    */
   static boolean endUnlessSendable(Attempt attempt) {
     boolean sendable = attempt.canSend();
@@ -220,8 +224,8 @@
   /**
    * Takes a reusable connection, or returns null. Prefers the most recently used of the connections
    * that have rested long enough. Guards against bytes that follow a response in a separate packet,
-   * for example a second copy of the response: on a connection in use they would be read as the
-   * response to another request.
+   * for example a second copy of the response. On a connection in use, such bytes would be read as
+   * the response to another request.
    */
   private UpstreamConnection pollReusable(UpstreamHost host) {
     UpstreamConnection newest;
@@ -301,8 +305,8 @@
   // --- housekeeping
 
   /**
-   * Closes connections that have been idle for too long, that are over the limit, or whose unwanted
-   * response takes too long.
+   * Closes three kinds of connections: those idle for too long, idle ones over the limit, and those
+   * on which an unwanted response is still being read after its time limit.
    */
   void sweep(Iterable<UpstreamHost> hosts) {
     long now = System.nanoTime();
--- a/src/main/java/leadferry/engine/UpstreamConnector.java
+++ b/src/main/java/leadferry/engine/UpstreamConnector.java
@@ -9,12 +9,15 @@
 
 /**
  * Opens connections to hosts within the process's limit on sockets. An attempt for which this
- * machine lacks a socket, port or network ends as one that never ran and is not counted against the
- * host; an attempt whose host can't be reached ends as a failed connect. Confined to the pool's
+ * machine lacks a socket, port or network ends as one that never ran, and is not charged to the
+ * host. An attempt whose host can't be reached ends as a failed connect. Confined to the pool's
  * loop.
  */
 final class UpstreamConnector {
-  /** Attempts that failed on this machine per log line: one in this many is logged. */
+  /**
+   * Number of attempts that failed for lack of a local resource per log line: one in this many is
+   * logged.
+   */
   private static final int LOCAL_FAILURES_PER_LINE = 100;
 
   private final UpstreamConnectionPool pool;
--- a/src/main/java/leadferry/engine/UpstreamHost.java
+++ b/src/main/java/leadferry/engine/UpstreamHost.java
@@ -8,8 +8,8 @@
 /** Tracks one host's address, eligibility and connections. */
 public final class UpstreamHost {
   /**
-   * Share of the idle time after which a connection was found dead that is used as the new idle
-   * limit, and the least such limit (ns).
+   * New idle limit after a connection was found dead, as a share of the time for which that
+   * connection had been idle. The limit is at least {@link #MIN_IDLE_LIMIT_NANOS}.
    */
   private static final double IDLE_LIMIT_SHARE = 0.7;
 
@@ -25,8 +25,9 @@
   boolean listed;
 
   /**
-   * Zone of the host, and below it the cell. A request that was judged against one group of hosts
-   * must not be sent to the host once it belongs to another group.
+   * Zone of the host, and below it the cell. The load balancer decides on a send by the zone and
+   * cell of the host. Once the host belongs to another zone or cell, an attempt decided before must
+   * not be sent to it.
    */
   String zone = "";
 
@@ -39,8 +40,8 @@
   double startedAt;
 
   /**
-   * Start of the host's process in Unix time (ms) on discovery's clock; distinguishes one start of
-   * the process from another.
+   * Start of the host's process in Unix time (ms), as stated by discovery. A different value means
+   * that the process was restarted.
    */
   double startedUnixMs;
 
@@ -57,8 +58,8 @@
   HostConnectionSlots connectionSlots;
 
   /**
-   * Whether the host has sent bytes that belong to no response, and the time (ns) at which the last
-   * ones arrived.
+   * Whether the host has sent bytes that belong to no response. {@link #surplusAtNanos} is the time
+   * (ns) at which such bytes last arrived.
    */
   boolean hasSentSurplus;
 
@@ -93,11 +94,12 @@
   }
 
   /**
-   * Lowers the idle limit after a connection that was idle for {@code idleNanos} failed at once
-   * under the next request. Guards against hosts or middleboxes that drop idle connections earlier
-   * than the settings state: a request that was written to such a connection may not be repeated.
-   * The lowered limit doubles over time, which tests the longer idle time again. Where connections
-   * end for reasons unrelated to their age, the cost is extra new connections.
+   * Lowers the idle limit after a connection that had been idle for {@code idleNanos} failed as
+   * soon as the next request was written. Guards against hosts or middleboxes that drop idle
+   * connections earlier than the settings state: a request that was written to such a connection
+   * may not be safe to repeat. The lowered limit doubles every {@link #IDLE_LIMIT_DOUBLING_NANOS},
+   * so longer idle times are tried again. Where connections end for reasons unrelated to their age,
+   * the cost is extra new connections.
    */
   void onIdleConnectionDead(long idleNanos, long now) {
     long loweredNanos = Math.max(MIN_IDLE_LIMIT_NANOS, (long) (IDLE_LIMIT_SHARE * idleNanos));
--- a/src/main/java/leadferry/engine/UpstreamHosts.java
+++ b/src/main/java/leadferry/engine/UpstreamHosts.java
@@ -17,8 +17,8 @@
  */
 public final class UpstreamHosts {
   /**
-   * Entry of a host in a list. A {@code startedUnixMs} of 0 means long ago; {@code address} may be
-   * null where the host receives no requests.
+   * Entry of a host in a list. A {@code startedUnixMs} of 0 means that the host started long ago.
+   * The {@code address} may be null if the host receives no requests.
    */
   public record Member(
       String name,
@@ -34,8 +34,9 @@
   public record ListUpdate(long version, boolean full, List<Member> members) {}
 
   /**
-   * Result of a list: the entries for the load balancer, and the hosts whose former address,
-   * location or process receives no new requests.
+   * Result of applying a list: the entries for the load balancer, and the hosts that changed so
+   * that an attempt decided before must not be sent to them (another address, location or process,
+   * or no new requests).
    */
   record Change(List<EndpointUpdate> entries, Set<UpstreamHost> invalidated) {}
 
@@ -129,8 +130,8 @@
   }
 
   /**
-   * Copies a list entry to its host. Returns whether the host's former address, location or process
-   * may receive no new requests.
+   * Copies a list entry to its host. Returns whether the host may receive no new requests, or has
+   * another address, location or process than before.
    */
   private static boolean applyMember(UpstreamHost host, Member member, double started) {
     host.listed = member.condition() != EndpointUpdate.Condition.GONE;
@@ -174,7 +175,10 @@
         : clock.startedAt(startedUnixMs, now);
   }
 
-  /** Records that discovery has reported no newer list. */
+  /**
+   * Records that discovery reported at {@code now} (ms, load balancer clock) that the current list
+   * is still the newest.
+   */
   void onUpToDate(double now) {
     clock.onUpToDate(now);
   }
--- a/src/main/java/leadferry/gossip/SuspicionMessage.java
+++ b/src/main/java/leadferry/gossip/SuspicionMessage.java
@@ -5,24 +5,24 @@
 /**
  * A message between proxies. It is a suspicion (the endpoint has not responded to the sender for
  * {@code ageMillis}) or a refutation (the endpoint responded {@code ageMillis} ago). The size is
- * fixed, because every byte costs every receiver.
+ * fixed and small, because every proxy of the tier receives each message.
  *
  * <pre>
  *   0      1      2                  10        12
  *   | 0xA7 | zone | endpoint, 8 bytes | age, ms |      top bit of the age: the endpoint is alive
  * </pre>
  *
- * @param zone a byte shared by the senders of one zone; 0 if there are no zones
+ * @param zone the {@link #zoneByte} of the sender's zone; 0 if the sender has no zone
  * @param endpoint the endpoint id, the same for all proxies of the tier
- * @param ageMillis the time since the unanswered request was sent or the response arrived, at most
- *     {@link #MAX_AGE_MILLIS}
+ * @param ageMillis the time since the request without a response was sent (suspicion) or since the
+ *     response arrived (refutation), at most {@link #MAX_AGE_MILLIS}
  * @param isAlive whether the message is a refutation
  */
 public record SuspicionMessage(byte zone, long endpoint, int ageMillis, boolean isAlive) {
   /** Size of a message in bytes. */
   public static final int SIZE_BYTES = 12;
 
-  /** Largest age in milliseconds that a message can carry; a larger age is sent as this. */
+  /** Largest age in milliseconds that a message can carry; a larger age is sent as this maximum. */
   public static final int MAX_AGE_MILLIS = 0x7fff;
 
   private static final byte MAGIC = (byte) 0xA7;
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -27,15 +27,20 @@
  *   A successful trial is broadcast: all proxies readmit the endpoint.
  * </pre>
  *
- * <p>A response refutes a silence that began before the response. Thus, a lost response of an
- * endpoint that serves others is refuted within a quarter of a latency objective, and an endpoint
- * that hangs is not refuted. A proxy that can refute waits for a random part of that time and sends
- * nothing if another proxy was faster. Which endpoints are reachable can differ between zones, so
- * messages of other zones are ignored.
+ * <p>Silence of an endpoint: it has sent a proxy no response since the proxy sent it a request that
+ * got none. Witness: a proxy, possibly this one, that lost such a request. The start of the silence
+ * that it witnesses is the time at which it sent the request.
+ *
+ * <p>A response refutes each silence that began before the response. If an endpoint serves other
+ * proxies and only one response was lost, the suspicion is thus refuted within a quarter of a
+ * latency objective. If an endpoint hangs, no proxy can refute the suspicion. A proxy that can
+ * refute waits for a random part of that quarter, and sends nothing if another proxy was faster.
+ * Which endpoints are reachable can differ between zones, so messages of other zones are ignored.
  *
  * <p>Bounds: one record per endpoint in the list; at most {@link #MAX_WITNESSES} witnesses per
- * record; one message per attempt, saved up to {@link #MAX_MESSAGE_TOKENS}. Not thread-safe. Times
- * are milliseconds. "Latency objective" means the shortest one of all request classes.
+ * record; one message sent per attempt of this proxy, of which {@link #MAX_MESSAGE_TOKENS} can be
+ * saved up. Not thread-safe. Times are milliseconds. "Latency objective" means the shortest one of
+ * all request classes.
  */
 public final class SuspicionProtocol {
   /**
@@ -65,18 +70,19 @@
    */
   private static final int MIN_WITNESSES = 2;
 
-  /** Bounds the memory of a record. */
+  /** Maximum number of witnesses in the record of one endpoint. Bounds its memory. */
   private static final int MAX_WITNESSES = 8;
 
-  /** Largest number of messages that can be sent without further attempts. */
+  /** Maximum number of messages that can be saved up. Each attempt earns one message. */
   private static final int MAX_MESSAGE_TOKENS = 20;
 
-  /** Age of a silence after which its witness expires, in latency objectives. */
-  private static final double WITNESS_MEMORY_OBJECTIVES = 4;
-
   /**
-   * Time over which the proxies that can refute spread their refutations, in latency objectives.
+   * Time, in latency objectives, after which a witness is removed. It counts from the start of the
+   * silence that the proxy witnessed.
    */
+  private static final double WITNESS_MEMORY_OBJECTIVES = 4;
+
+  /** Maximum random wait of a proxy before it broadcasts a refutation, in latency objectives. */
   private static final double REFUTE_WITHIN_OBJECTIVES = 0.25;
 
   /**
@@ -86,14 +92,17 @@
   private static final double DECIDE_AFTER_OBJECTIVES = 0.35;
 
   /**
-   * Least share of own losses that is broadcast. If responses get lost at random, most suspicions
-   * are refuted but still cost messages, so a proxy broadcasts fewer and fewer of them, down to
-   * this share. If an endpoint hangs, many proxies lose requests and a part of their suspicions
-   * suffices.
+   * Minimum share of this proxy's lost requests that it broadcasts as suspicions. If responses get
+   * lost at random, most suspicions are refuted but still cost messages, so a proxy broadcasts
+   * fewer and fewer of them, down to this share. If an endpoint hangs, many proxies lose requests
+   * and a part of their suspicions suffices.
    */
   private static final double MIN_BROADCAST_SHARE = 0.2;
 
-  /** Step by which the broadcast share rises or falls; a fall is relative to the current share. */
+  /**
+   * Step of the broadcast share. A rise adds the step; a fall subtracts this part of the current
+   * share.
+   */
   private static final double BROADCAST_SHARE_STEP = 0.2;
 
   /** Key of this proxy as a witness. */
@@ -132,8 +141,9 @@
   }
 
   /**
-   * Processes an endpoint list or changes to it, as received by the load balancer. State about an
-   * endpoint ends with its process.
+   * Processes an endpoint list or changes to it, as received by the load balancer. The record of an
+   * endpoint is removed when the endpoint is no longer ready, and starts afresh when its process
+   * has been restarted.
    */
   public void onEndpointList(EndpointListEvent event, List<EndpointUpdate> updates) {
     if (event == EndpointListEvent.FAILED) {
--- a/src/main/java/leadferry/gossip/TrialSpread.java
+++ b/src/main/java/leadferry/gossip/TrialSpread.java
@@ -2,25 +2,32 @@
 
 /**
  * Computes the time over which the proxies spread their trial requests to an ejected endpoint. No
- * proxy knows how many proxies send to the endpoint, so the spread adapts: if lost trials follow
- * each other closely, there are too many, and all proxies, which received the same messages, wait
- * longer. If lost trials are far apart, they wait for a shorter time. Measured in shortest latency
- * objectives.
+ * proxy knows how many proxies send to the endpoint, so the spread adapts. If lost trials follow
+ * each other closely, there are too many trials, and all proxies wait longer. If lost trials are
+ * far apart, all proxies wait for a shorter time. The proxies agree because they receive the same
+ * messages. The unit of all times is the shortest latency objective.
  */
 final class TrialSpread {
   /** Longest spread, equal to the longest ejection of the load balancer. */
   private static final double MAX_OBJECTIVES = 20; // see OutlierDetector.MAX_EJECTION_OBJECTIVES
 
   /**
-   * Initial spread as a number of proxies per latency objective: one trial per two objectives if
-   * one in this many proxies sends to the endpoint.
+   * Number of proxies in the tier per latency objective of the initial spread. If one in this many
+   * proxies sends to the endpoint, trials are about two objectives apart: the minimum ejection of
+   * one objective, and one objective until the first of the spread trials.
    */
   private static final double PROXIES_PER_OBJECTIVE = 10;
 
-  /** Lost trials closer than this are too frequent. */
+  /**
+   * Minimum time between an ejection and the lost trial after it. A shorter time means that trials
+   * are too frequent.
+   */
   private static final double MIN_GAP_OBJECTIVES = 2;
 
-  /** Lost trials further apart than this are too rare. */
+  /**
+   * Maximum time between an ejection and the lost trial after it. A longer time means that trials
+   * are too rare.
+   */
   private static final double MAX_GAP_OBJECTIVES = 4;
 
   /** Factor by which the spread grows or shrinks after a lost trial. */
