--- a/src/main/java/leadferry/engine/AcceptRetryPolicy.java
+++ b/src/main/java/leadferry/engine/AcceptRetryPolicy.java
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Returns the pause (ms) of the listener after a reported failure. Doubles the pause after the
-   * next failure, up to 100 ms.
+   * Returns the pause (ms) of the listener after a reported failure. The pause after the next
+   * failure is twice as long, at most 100 ms.
    */
   long nextBackoffMillis() {
     long current = nextBackoffMillis;
--- a/src/main/java/leadferry/engine/ConnectionReusePolicy.java
+++ b/src/main/java/leadferry/engine/ConnectionReusePolicy.java
@@ -50,8 +50,8 @@
   /**
    * Returns the time (ns) for which a connection may be idle and still be used, according to the
    * settings and the observed behaviour. Housekeeping closes connections that have been idle for
-   * longer. This limit covers a request that comes before housekeeping: where the host closes the
-   * connection at the same time, it would reset a request that may have run.
+   * longer. This limit covers a request that comes before housekeeping: if it were written to such
+   * a connection, the host's close could reset it, and it may have run.
    */
   long maxIdleNanos(UpstreamHost host, long now) {
     return Math.min(
--- a/src/main/java/leadferry/engine/Exchange.java
+++ b/src/main/java/leadferry/engine/Exchange.java
@@ -29,7 +29,7 @@
   private final List<Future<?>> timers = new ArrayList<>(2);
   private ExchangeState state = ExchangeState.WAITING;
 
-  /** Whether the host may have run any of the attempts that have ended. */
+  /** Whether a host may have run any of the attempts that have ended. */
   private boolean mayHaveRun;
 
   /** Creates an exchange; {@code deadlineAt} is a time (ms) on the dispatcher's clock. */
--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -53,7 +53,10 @@
     protocol.onNoResponse(nowMillis, host, sentAtMillis);
   }
 
-  /** Processes a list of hosts; suspicions of the hosts in {@code cut} are dropped. */
+  /**
+   * Processes a list of hosts; suspicions of the hosts in {@code cut}, which the list has
+   * invalidated, are dropped.
+   */
   void onEndpointList(
       EndpointListEvent kind, List<EndpointUpdate> entries, Collection<UpstreamHost> cut) {
     cut.forEach(host -> protocol.forget(host.id));
--- a/src/main/java/leadferry/gossip/SuspicionProtocol.java
+++ b/src/main/java/leadferry/gossip/SuspicionProtocol.java
@@ -142,8 +142,8 @@
 
   /**
    * Processes an endpoint list or changes to it, as received by the load balancer. The record of an
-   * endpoint is removed when the endpoint is no longer ready, and starts afresh when its process
-   * has been restarted.
+   * endpoint is removed when the endpoint is no longer listed as ready, and starts afresh when its
+   * process has been restarted.
    */
   public void onEndpointList(EndpointListEvent event, List<EndpointUpdate> updates) {
     if (event == EndpointListEvent.FAILED) {
--- a/src/main/java/leadferry/loadbalancer/ClassEjections.java
+++ b/src/main/java/leadferry/loadbalancer/ClassEjections.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Tracks which endpoints do not serve a request class. An endpoint that rejects a class as full, or
- * never responds to it, while it reports room is ejected for that class only. Each consecutive
- * ejection is longer.
+ * Tracks which endpoints do not serve a request class. An endpoint is ejected for one class only,
+ * if it rejects a request of that class as full or never responds to it although its load reports
+ * show free capacity. Each consecutive ejection is longer.
  *
  * <p>Guards against endpoints that limit or lose one class. Ejecting the whole endpoint would
  * withdraw it from the classes that it serves well, and would overload the other endpoints.
--- a/src/main/java/leadferry/loadbalancer/EndpointPicker.java
+++ b/src/main/java/leadferry/loadbalancer/EndpointPicker.java
@@ -178,8 +178,9 @@
 
   /**
    * Returns the expected wait at the endpoint as a relative figure for comparisons: the slowness of
-   * the endpoint times the number of requests that it holds. If no endpoint reports load, the
-   * figure is the slowness alone.
+   * the endpoint times the number of requests that it holds, to which {@link #BASE_HELD_REQUESTS}
+   * and one for a new connection are added. If no endpoint reports load, the figure is the slowness
+   * alone.
    */
   private double expectedRelativeWait(Endpoint endpoint, double nowMillis) {
     double slowness = responseTimes.slowness(endpoint, nowMillis);
--- a/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
+++ b/src/main/java/leadferry/loadbalancer/PendingResponseTracker.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns whether the endpoint has sent no response since a request was sent to it for longer
-   * than {@code allowedSilenceMillis}, which applies to an endpoint of mean speed.
+   * Returns whether the endpoint has owed a response for too long. {@code allowedSilenceMillis} is
+   * the time allowed to an endpoint of mean speed; a slower endpoint is allowed more in proportion.
    */
   boolean isUnresponsive(Endpoint endpoint, double allowedSilenceMillis, double nowMillis) {
     return Math.min(nowMillis, readUntilMillis) - endpoint.pendingSinceMillis
