--- a/src/main/java/leadferry/engine/SharedSuspicions.java
+++ b/src/main/java/leadferry/engine/SharedSuspicions.java
@@ -23,7 +23,10 @@
   private final Consumer<byte[]> peers;
   private final SuspicionProtocol protocol;
 
-  /** Creates the exchange; {@code peers} receives each message that is for all other proxies. */
+  /**
+   * Creates the exchange of suspicions; {@code peers} sends each message that it receives to all
+   * other proxies.
+   */
   SharedSuspicions(Dispatcher dispatcher, Settings settings, long seed, Consumer<byte[]> peers) {
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
@@ -50,7 +53,10 @@
     protocol.onNoResponse(nowMillis, host, sentAtMillis);
   }
 
-  /** Processes a list of hosts; suspicions of the hosts in {@code cut} are dropped. */
+  /**
+   * Processes a list of hosts; suspicions of the hosts in {@code cut}, which the list has
+   * invalidated, are dropped.
+   */
   void onEndpointList(
       EndpointListEvent kind, List<EndpointUpdate> entries, Collection<UpstreamHost> cut) {
     cut.forEach(host -> protocol.forget(host.id));
