--- a/src/main/java/leadferry/disruption/Budget.java
+++ b/src/main/java/leadferry/disruption/Budget.java
@@ -15,10 +15,11 @@
  * @param targetType type of the targets that the budget counts
  * @param selector required value by label; empty selects all targets
  * @param groupBy label whose values are counted separately, or {@link #ALL}
- * @param maxUnavailable maximum number of unavailable targets; negative for no such bound
+ * @param maxUnavailable maximum number of unavailable targets; negative if the number is not
+ *     bounded
  * @param maxUnavailableShare maximum share of the group (0 to 1) that may be unavailable, rounded
- *     down to whole targets; above 1 for no such bound
- * @param minAvailable minimum number of available targets; 0 for no such bound
+ *     down to whole targets; above 1 if the share is not bounded
+ * @param minAvailable minimum number of available targets; 0 if the number is not bounded
  */
 public record Budget(
     String name,
@@ -40,7 +41,10 @@
   /** Value of {@code maxUnavailableShare} that sets no bound. */
   static final double NO_SHARE_BOUND = 2;
 
-  /** Guards against rounding 0.29 of 100 down to 28: the product of the doubles lies below 29. */
+  /**
+   * Amount added to a share of a group before it is rounded down to whole targets. Guards against
+   * an allowance of 28 for 0.29 of 100: the product of the doubles lies below 29.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /** Copies the selector, which must not contain null keys or values. */
--- a/src/main/java/leadferry/disruption/BudgetEvaluator.java
+++ b/src/main/java/leadferry/disruption/BudgetEvaluator.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Evaluates whether the budgets allow the eviction of a target, and which bounds forbid it. Every
- * bound must allow it. The last available proxy and the last available endpoint of a pool are never
- * evicted, whatever the budgets allow.
+ * Evaluates whether a target may be evicted, and which bounds forbid the eviction. Every bound must
+ * allow it. The last available proxy and the last available endpoint of a pool are never evicted,
+ * whatever the budgets allow.
  */
 final class BudgetEvaluator {
   /** Maximum number of unavailable targets of a type without a budget. */
--- a/src/main/java/leadferry/disruption/BudgetTable.java
+++ b/src/main/java/leadferry/disruption/BudgetTable.java
@@ -16,7 +16,10 @@
     return Collections.unmodifiableList(budgets);
   }
 
-  /** Returns the number of replacements so far. A replacement names the version that it expects. */
+  /**
+   * Returns the version of the budgets: the number of replacements so far. A replacement names the
+   * version that it expects.
+   */
   long version() {
     return version;
   }
--- a/src/main/java/leadferry/disruption/DisruptionCommand.java
+++ b/src/main/java/leadferry/disruption/DisruptionCommand.java
@@ -32,13 +32,13 @@
   /** Allows granting again after {@link Halt}. */
   record Resume() implements DisruptionCommand {}
 
-  /** Declares the process of a proxy dead, by an operator. */
+  /** Records an operator's declaration that the process of a proxy is dead. */
   record Fence(String name) implements DisruptionCommand {}
 
   /** Removes a proxy that will not return. */
   record Forget(String name) implements DisruptionCommand {}
 
-  /** Replaces all budgets if their version is {@code expectedVersion}; otherwise none. */
+  /** Replaces all budgets if their version is {@code expectedVersion}, otherwise none of them. */
   record ReplaceBudgets(List<Budget> budgets, long expectedVersion) implements DisruptionCommand {
     /** Keeps a copy of the budgets. */
     public ReplaceBudgets {
--- a/src/main/java/leadferry/disruption/DisruptionState.java
+++ b/src/main/java/leadferry/disruption/DisruptionState.java
@@ -11,9 +11,9 @@
 import leadferry.disruption.Outcome.Status;
 
 /**
- * Part of the replicated state that knows which targets are unavailable and decides which may be
- * taken out of service. Entries of the replicated log on members, evictions and budgets are applied
- * to it. It is deterministic, and one thread applies the entries in log order.
+ * Part of the replicated state that records which targets are unavailable and decides which may be
+ * taken out of service. One thread applies the entries of the replicated log on members, evictions
+ * and budgets in log order. The result depends on the entries alone.
  *
  * <p>An eviction is granted only if no budget would then have more unavailable targets than it
  * allows. {@link UnavailabilityEvaluator} defines when a target is unavailable.
@@ -41,8 +41,8 @@
    * @param stabilizationMillis time (ms) for which a returned proxy counts as unavailable after it
    *     serves again
    * @param warmUpMillis time (ms) for which a returned endpoint counts as unavailable
-   * @param fenceMillis time (ms) by which a grant with a duration expires later here than at its
-   *     holder
+   * @param fenceMillis time (ms) by which a grant with a duration expires later in the replicated
+   *     state than at the proxy that holds it
    */
   public record Times(long stabilizationMillis, long warmUpMillis, long fenceMillis) {}
 
@@ -65,10 +65,7 @@
     this.times = times;
   }
 
-  /**
-   * Returns the version of the state that members apply; it grows with each change that concerns
-   * them.
-   */
+  /** Returns the version of the state, which grows with each change that members must apply. */
   public long version() {
     return tables.revision.version();
   }
@@ -87,7 +84,8 @@
    * Returns the software version that a proxy runs.
    *
    * @param afterChange change number after which the session of the proxy must have begun
-   * @return the version, or "" if the proxy has no such session or has not reported in it
+   * @return the software version, or "" if the proxy has no live session that began later, or has
+   *     not reported in that session
    */
   public String runningVersion(String proxy, long afterChange) {
     return tables
@@ -127,7 +125,8 @@
    *
    * @param sequenceNumber number of the report in its session, from 1
    * @param acknowledgedVersion version of the replicated state that the proxy applies
-   * @param busyEndpoints endpoints out of service to which the proxy has requests in flight
+   * @param busyEndpoints endpoints that are out of service and to which the proxy still has
+   *     requests in flight
    * @param ejectedEndpoints endpoints that the outlier detection of the proxy has ejected
    */
   public void onMemberReport(
@@ -150,8 +149,8 @@
   /**
    * Applies the end of a proxy's session.
    *
-   * @param clean whether the proxy closed the session itself, without requests in flight; otherwise
-   *     the session expired
+   * @param clean true if the proxy closed the session itself and had no requests in flight; false
+   *     if the session expired
    */
   public void onSessionEnded(String name, boolean clean) {
     memberLifecycle.onSessionEnded(name, clean);
@@ -250,8 +249,8 @@
   }
 
   /**
-   * Returns the running timers with their durations (ms), each counted from when the timer was
-   * first listed.
+   * Returns the durations (ms) of the running timers by name. A duration counts from the first
+   * result that lists the timer.
    */
   public Map<String, Long> timerDurationsMillis() {
     return timers.durationsMillis(times);
@@ -290,8 +289,8 @@
   }
 
   /**
-   * Returns the proxies that may still send requests to the endpoint of a grant, each name with the
-   * reason.
+   * Returns the proxies that may still send requests to the endpoint of a grant: the reason by name
+   * of the proxy.
    */
   public Map<String, String> pendingProxies(String grantId) {
     return progress.pendingProxies(grantId);
@@ -315,8 +314,8 @@
   }
 
   /**
-   * Writes the whole state. {@link #restore} of the result gives the same state and the same later
-   * outcomes.
+   * Writes the whole state. A state restored from the result is equal to this one and gives the
+   * same outcomes of later commands.
    */
   public void writeSnapshot(ObjectNode json) {
     DisruptionSnapshotCodec.encode(tables, times, json);
--- a/src/main/java/leadferry/disruption/DisruptionTables.java
+++ b/src/main/java/leadferry/disruption/DisruptionTables.java
@@ -2,8 +2,8 @@
 
 /**
  * Tables of the replicated state on which targets are out of service. {@link DisruptionState} owns
- * the tables, the classes with the rules share them, and {@link DisruptionSnapshotCodec} stores
- * them. Not thread-safe.
+ * the tables, the classes that hold the rules share them, and {@link DisruptionSnapshotCodec}
+ * stores them. Not thread-safe.
  */
 final class DisruptionTables {
   final StateRevision revision = new StateRevision();
--- a/src/main/java/leadferry/disruption/DisruptionTimers.java
+++ b/src/main/java/leadferry/disruption/DisruptionTimers.java
@@ -14,7 +14,8 @@
   }
 
   /**
-   * Returns the durations (ms) of the running timers by stored name, each counted from its start.
+   * Returns the durations (ms) of the running timers by stored name. A duration counts from the
+   * first result that lists the timer.
    */
   Map<String, Long> durationsMillis(DisruptionState.Times times) {
     Map<String, Long> durationsMillis = new LinkedHashMap<>();
--- a/src/main/java/leadferry/disruption/EjectionCounter.java
+++ b/src/main/java/leadferry/disruption/EjectionCounter.java
@@ -17,8 +17,9 @@
   }
 
   /**
-   * Returns how many live proxies have ejected an endpoint; at least {@link
-   * #MIN_EJECTIONS_FOR_LOST} if all of them have.
+   * Returns how many live proxies have ejected an endpoint. If all live proxies have ejected it,
+   * the result is raised to at least {@link #MIN_EJECTIONS_FOR_LOST}, so that the ejection by the
+   * only live proxy suffices for the endpoint to count as lost.
    */
   int countEjections(String endpoint) {
     int ejections = 0;
--- a/src/main/java/leadferry/disruption/EndpointWarmUpTracker.java
+++ b/src/main/java/leadferry/disruption/EndpointWarmUpTracker.java
@@ -5,8 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * The endpoints that have returned to service and are warming up. Each may have been restarted and
- * counts as unavailable until its warm-up time has passed.
+ * The endpoints that have returned to service and are warming up. An endpoint may have been
+ * restarted while it was out of service, so it counts as unavailable until its warm-up time has
+ * passed.
  */
 final class EndpointWarmUpTracker {
   private final Map<String, Long> startChangeByEndpoint = new TreeMap<>();
--- a/src/main/java/leadferry/disruption/EvictionGrant.java
+++ b/src/main/java/leadferry/disruption/EvictionGrant.java
@@ -7,15 +7,16 @@
  *   GRANTED --(undo, expiry)--> RESTORING --(proxy: serves again; endpoint: all acknowledged)--> released
  * </pre>
  *
- * <p>A released grant is no longer in the {@link EvictionGrantTable}. A restoring grant still
- * counts against budgets. Guards against a holder that learns of its grant late, when another
- * target has been granted its eviction meanwhile.
+ * <p>A released grant is no longer in the {@link EvictionGrantTable}. The target of a restoring
+ * grant still counts as unavailable. Guards against a holder that learns of its grant late and goes
+ * out of service when another target has been granted its eviction meanwhile.
  *
  * @param id decimal number, never given to another grant
  * @param request request that was granted
  * @param grantedVersion version of the replicated state in which the grant was given
  * @param restoringVersion version of the replicated state in which the restoration began; 0 before
- * @param restoringReason human-readable reason for the restoration; "" before
+ *     the restoration
+ * @param restoringReason human-readable reason for the restoration; "" before the restoration
  */
 record EvictionGrant(
     String id,
--- a/src/main/java/leadferry/disruption/EvictionGrantTable.java
+++ b/src/main/java/leadferry/disruption/EvictionGrantTable.java
@@ -53,7 +53,7 @@
     grants.put(grant.id(), grant.beginRestoring(version, reason));
   }
 
-  /** Removes a grant, which no longer counts against budgets. */
+  /** Removes a grant. Its target no longer counts as unavailable because of the grant. */
   void release(EvictionGrant grant) {
     grants.remove(grant.id());
   }
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * Part of the replicated state that each proxy applies: the targets that are out of service by a
- * grant. {@link FleetViewCodec} maps the view to and from its form on the wire and in a proxy's
- * state file.
+ * Part of the replicated state that each proxy applies: the targets that are out of service under
+ * an eviction grant. {@link FleetViewCodec} maps the view to and from its form on the wire and in a
+ * proxy's state file.
  *
- * @param version version of the replicated state, {@link #NO_VERSION} if unknown
+ * @param version version of the replicated state, {@link #NO_VERSION} before the first view
  * @param halted whether granting is stopped
  * @param drainedEndpoints endpoints that get no requests, in the order of their grants
  * @param proxyEvictions evictions by name of the proxy, in the order of their grants
@@ -21,7 +21,7 @@
     boolean halted,
     Set<String> drainedEndpoints,
     Map<String, ProxyEviction> proxyEvictions) {
-  /** Version before the first view. */
+  /** Value of {@code version} before the first view. */
   static final long NO_VERSION = -1;
 
   FleetView {
--- a/src/main/java/leadferry/disruption/FleetViewCodec.java
+++ b/src/main/java/leadferry/disruption/FleetViewCodec.java
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Adds the keys that a proxy stores on disk for a start without replicas. They leave out the halt
-   * and the durations of grants, so that the proxy reads its own eviction as one without expiry.
+   * Adds the keys that a proxy stores on disk for a start during which no replica can be reached.
+   * The halt and the durations of grants are left out, so the proxy reads its own eviction as one
+   * without expiry.
    */
   static void encodeForRestart(FleetView view, ObjectNode json) {
     json.put("version", view.version());
@@ -48,7 +49,7 @@
         .forEach((proxy, eviction) -> proxies.putObject(proxy).put("permit", eviction.grantId()));
   }
 
-  /** Reads a view. Missing keys read as no evictions. */
+  /** Reads a view. A missing key stands for no evictions. */
   static FleetView decode(JsonNode json) {
     Set<String> drainedEndpoints = new LinkedHashSet<>();
     json.path("hosts_out").forEach(endpoint -> drainedEndpoints.add(endpoint.asText()));
--- a/src/main/java/leadferry/disruption/MemberLifecycle.java
+++ b/src/main/java/leadferry/disruption/MemberLifecycle.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Applies a report. A report that is older than the last one or outside a live session is
-   * ignored.
+   * Applies a report. A report is ignored if it is older than the last one or if the session of the
+   * proxy is not live.
    */
   void onReport(String name, ProxyReport report, boolean serving) {
     ProxyMember member = tables.members.find(name).orElse(null);
@@ -94,8 +94,10 @@
   }
 
   /**
-   * Applies the end of a session: closed by the proxy without requests in flight ({@code clean}),
-   * or expired.
+   * Applies the end of a session.
+   *
+   * @param clean true if the proxy closed the session itself and had no requests in flight; false
+   *     if the session expired
    */
   void onSessionEnded(String name, boolean clean) {
     ProxyMember member = tables.members.find(name).orElse(null);
--- a/src/main/java/leadferry/disruption/Outcome.java
+++ b/src/main/java/leadferry/disruption/Outcome.java
@@ -8,8 +8,8 @@
  *
  * @param status kind of the result
  * @param grantId id of the eviction grant that the command concerns, or ""
- * @param reasons human-readable reasons, in a refusal with the names of the unavailable targets;
- *     stored and sent to callers
+ * @param reasons human-readable reasons, stored and sent to callers; a refusal by a budget names
+ *     the unavailable targets
  * @param number fencing token or action number that the command issued; 0 for none
  */
 public record Outcome(Status status, String grantId, List<String> reasons, long number) {
@@ -35,7 +35,10 @@
     HALTED,
     /** The command names something that is not known, or no longer known. */
     UNKNOWN,
-    /** The command was made against another version, or its id belongs to another command. */
+    /**
+     * The command was made against another state than the current one, such as an older version or
+     * fencing token, or its id or name is already used by another call or session.
+     */
     CONFLICT,
     /** The command is not well-formed. */
     MALFORMED;
--- a/src/main/java/leadferry/disruption/ProxyMember.java
+++ b/src/main/java/leadferry/disruption/ProxyMember.java
@@ -5,13 +5,13 @@
  * {@link MemberTable}.
  *
  * @param name name of the proxy, unique in the fleet
- * @param session data of the newest session, given when the session began
+ * @param session data of the newest session, reported when the session began
  * @param state state of the newest session and of the process
  * @param lastReport newest report of the session
  * @param stabilizingSinceChange change number at which the returned proxy began to stabilize; 0 if
  *     it is not stabilizing
  * @param catalogDigest digest of the {@link EndpointCatalogTable list of endpoints} that the proxy
- *     balances over; "" before the first
+ *     balances over; "" before the proxy has reported a list
  */
 record ProxyMember(
     String name,
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Returns this known proxy with a new session. It was unavailable meanwhile and must stabilize
-   * first.
+   * Returns this proxy with a new session that follows an earlier one. The proxy was unavailable in
+   * between and must stabilize before it counts as available.
    */
   ProxyMember withNewSession(Session newSession) {
     return new ProxyMember(
--- a/src/main/java/leadferry/disruption/ProxyMemberView.java
+++ b/src/main/java/leadferry/disruption/ProxyMemberView.java
@@ -12,9 +12,9 @@
  *
  * <p>A view from any replica applies at once, because it only restricts the use of endpoints. The
  * proxy goes out of service itself only while its lease is valid. Guards against a process that was
- * suspended, resumes with an old grant in its socket buffer, and goes out of service after the
- * grant was released and another target evicted. Returning to service needs no lease, because the
- * proxy counted as unavailable meanwhile.
+ * suspended, resumes with an old grant in its socket buffer, and goes out of service although the
+ * grant was released and another target evicted meanwhile. Returning to service needs no lease,
+ * because the proxy counts as unavailable until then.
  */
 public final class ProxyMemberView {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -33,7 +33,7 @@
 
   private boolean outOfService;
 
-  /** View with a grant that waits for a valid lease, or null. */
+  /** Received view that applies once the proxy's lease is valid, or null if none waits. */
   private FleetView pendingView;
 
   /** Creates the initial view of the proxy of the given name. */
@@ -111,7 +111,7 @@
     return version;
   }
 
-  /** Prepares for a new session, in which the next view applies whatever its version. */
+  /** Prepares for a new session. The next view applies whatever its version is. */
   public void onSessionStarted() {
     version = FleetView.NO_VERSION;
     pendingView = null;
@@ -127,7 +127,7 @@
     return outOfService;
   }
 
-  /** Writes the view that the proxy stores on disk for a start without replicas. */
+  /** Writes the view that the proxy stores on disk for a start without a reachable replica. */
   public void write(ObjectNode json) {
     Map<String, ProxyEviction> proxyEvictions =
         outOfService ? Map.of(name, new ProxyEviction(grantId, 0)) : Map.of();
--- a/src/main/java/leadferry/disruption/ProxyReport.java
+++ b/src/main/java/leadferry/disruption/ProxyReport.java
@@ -9,7 +9,8 @@
  *
  * @param sequenceNumber number of the report in its session, from 1; 0 before the first
  * @param acknowledgedVersion version of the replicated state that the proxy applies
- * @param busyEndpoints endpoints out of service to which the proxy has requests in flight
+ * @param busyEndpoints endpoints that are out of service and to which the proxy still has requests
+ *     in flight
  * @param ejectedEndpoints endpoints that the outlier detection of the proxy has ejected
  */
 record ProxyReport(
@@ -17,7 +18,7 @@
     long acknowledgedVersion,
     Set<String> busyEndpoints,
     Set<String> ejectedEndpoints) {
-  /** State before the first report of a session. */
+  /** Placeholder before the first report of a session. */
   static final ProxyReport NONE = new ProxyReport(0, 0, Set.of(), Set.of());
 
   ProxyReport {
--- a/src/main/java/leadferry/disruption/Target.java
+++ b/src/main/java/leadferry/disruption/Target.java
@@ -5,7 +5,7 @@
  *
  * @param type type of the target
  * @param name name of the target, unique among targets of its type
- * @param zone label {@code zone}; as each label, {@link #NONE} if the target lacks it
+ * @param zone label {@code zone}; like the other labels, {@link #NONE} if the target lacks it
  * @param pod label {@code pod}
  * @param pool label {@code pool}
  * @param kind label {@code kind}
--- a/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
+++ b/src/main/java/leadferry/disruption/UnavailabilityEvaluator.java
@@ -6,8 +6,8 @@
 /**
  * Determines whether a target is unavailable, and why. A target is unavailable if it holds an
  * eviction grant, if it is lost or does not serve, or if it has returned and is still warming up or
- * stabilizing. Losses thus use up budgets, and a target wrongly seen as lost leads to fewer
- * evictions rather than more.
+ * stabilizing. Lost targets thus use up budgets, and a target wrongly seen as lost leads to fewer
+ * evictions, never to more.
  */
 final class UnavailabilityEvaluator {
   private final DisruptionTables tables;
