--- a/src/main/java/leadferry/consensus/AuditLog.java
+++ b/src/main/java/leadferry/consensus/AuditLog.java
@@ -9,8 +9,8 @@
 
 /**
  * Records who submitted which entry, when and why, and with what outcome. Keeps the newest {@link
- * #MAX_RECORDS} records. Each record is copied from the stored form of its entry, which makes every
- * version write the same record.
+ * #MAX_RECORDS} records. Each record is copied from the stored form of its entry, so that every
+ * version of this software writes the same record.
  */
 final class AuditLog {
   static final int MAX_RECORDS = 2_000;
--- a/src/main/java/leadferry/consensus/CallHistory.java
+++ b/src/main/java/leadferry/consensus/CallHistory.java
@@ -13,7 +13,7 @@
 /**
  * Stores the outcomes of the newest {@link #MAX_CALLS} calls by call id. A repeated call is not
  * applied again and gets its first outcome. A call that is repeated after {@link #MAX_CALLS} other
- * calls is applied as a new one.
+ * calls is unknown by then and is applied as a new one.
  */
 final class CallHistory {
   static final int MAX_CALLS = 4_096;
@@ -48,7 +48,9 @@
     }
   }
 
-  /** Returns the digest of a call's request without its id and its time. */
+  /**
+   * Returns the digest of a call's request. The digest leaves out the id and the time of the call.
+   */
   private static String digest(ObjectNode stored) {
     ObjectNode request = stored.deepCopy();
     request.remove(List.of("call", "at"));
--- a/src/main/java/leadferry/consensus/FleetStateMachine.java
+++ b/src/main/java/leadferry/consensus/FleetStateMachine.java
@@ -15,8 +15,8 @@
 /**
  * Holds the replicated state that results from applying the log's entries in order. Deterministic,
  * without I/O and without a clock: the same entries give the same outcomes and the same bytes of
- * {@link #snapshot} on every replica. Not thread-safe; callers guard an instance with its own
- * monitor or use it from one thread.
+ * {@link #snapshot} on every replica. Not thread-safe; callers synchronize on the instance or use
+ * it from one thread.
  *
  * <pre>
  *   bytes -- LogEntryCodec --> call id known? -- CallHistory --> the recorded outcome
@@ -229,7 +229,7 @@
   }
 
   /**
-   * Returns the running timers with their durations in milliseconds. The leader counts them with
+   * Returns the durations (ms) of the running timers by name. The leader runs the timers with
    * {@link LeaseTimers} and submits an entry for each one that expires.
    */
   public Map<String, Long> timers() {
@@ -265,12 +265,12 @@
     return status;
   }
 
-  /** Returns whether a driver holds the lease of a release under this fence. */
+  /** Returns whether a driver holds the lease of a release with this fencing token. */
   public boolean isDriverLeaseHeld(String release, long fence) {
     return releases.isLeaseHeld(release, fence);
   }
 
-  /** Returns whether a drain requested now would be granted, with the reasons. */
+  /** Returns the outcome that a drain would have now, with the reasons. */
   public ObjectNode explainDrain(String kind, String name) {
     ObjectNode explanation = Json.object();
     disruption.writeExplanation(TargetType.fromStoredName(kind), name, explanation);
--- a/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaderLeaseTimers.java
@@ -5,8 +5,8 @@
 
 /**
  * Runs the leader's {@link LeaseTimers} on the timers of the state machine. The monitor of the
- * state machine guards both, which keeps entries from being applied between the check of a session
- * and the renewal of its lease.
+ * state machine guards the timers too, so that no entry is applied between the check of a session
+ * and the renewal of the lease of that session.
  */
 final class LeaderLeaseTimers {
   private static final long NO_TERM = -1;
@@ -20,7 +20,8 @@
   }
 
   /**
-   * Returns the timers that have expired while this replica led in {@code currentTerm}, each once.
+   * Returns the timers that have expired while this replica led in {@code currentTerm}. An expired
+   * timer is returned once.
    */
   List<String> pollExpired(long currentTerm, long nowNanos) {
     synchronized (stateMachine) {
--- a/src/main/java/leadferry/consensus/LeadershipConfirmation.java
+++ b/src/main/java/leadferry/consensus/LeadershipConfirmation.java
@@ -9,16 +9,16 @@
 import org.apache.ratis.protocol.RaftClientReply;
 
 /**
- * Confirms with a majority that this replica leads. One round serves all requests that wait when it
- * begins. Invariant: a request is confirmed only if it was made before the round began and this
- * replica led in one term throughout the round. Thread-safe; listeners run on threads of the Raft
- * library.
+ * Confirms with a majority that this replica leads. One round of messages to the other replicas
+ * serves all requests that wait when the round begins. Invariant: a request is confirmed only if it
+ * was made before the round began and this replica led in one term throughout the round.
+ * Thread-safe; listeners run on threads of the Raft library.
  */
 final class LeadershipConfirmation {
   /**
    * The result of a round.
    *
-   * @param reason why leadership was not confirmed, as text for operators; "" if it was
+   * @param reason why leadership was not confirmed, as text for operators; "" if it was confirmed
    */
   record Result(boolean confirmed, String reason) {
     static final Result CONFIRMED = new Result(true, "");
@@ -34,8 +34,8 @@
   private boolean roundInProgress;
 
   /**
-   * Creates a confirmation for {@code server}; every round that follows another one without a pause
-   * starts on {@code executor}.
+   * Creates a confirmation for {@code server}. A round that starts at the end of another one runs
+   * on {@code executor}.
    */
   LeadershipConfirmation(RatisServer server, Executor executor) {
     this.server = server;
--- a/src/main/java/leadferry/consensus/Lease.java
+++ b/src/main/java/leadferry/consensus/Lease.java
@@ -9,9 +9,9 @@
  *   leader:        request received -------------- whole lease ---------------| may expire the lease
  * </pre>
  *
- * <p>The member counts from before it sent the request, the leader from after it received the
- * request. The member therefore sees its lease end first, provided that the speeds of the two
- * clocks differ by less than a tenth.
+ * <p>The member counts the lease from a time before it sent the request, the leader from a time
+ * after it received the request. The lease therefore ends first at the member, provided that the
+ * speeds of the two clocks differ by less than a tenth.
  */
 public final class Lease {
   private static final double NANOS_PER_MILLI = 1e6;
@@ -26,7 +26,8 @@
   /**
    * Creates a lease that is not yet confirmed.
    *
-   * @param leaseMillis the length of the lease that the leader counts
+   * @param leaseMillis duration (ms) after which the leader may expire a lease without renewal; the
+   *     member relies on {@link #MEMBER_FRACTION} of it
    */
   public Lease(long leaseMillis) {
     this.usableNanos = (long) (leaseMillis * NANOS_PER_MILLI * MEMBER_FRACTION);
--- a/src/main/java/leadferry/consensus/LeaseTimers.java
+++ b/src/main/java/leadferry/consensus/LeaseTimers.java
@@ -43,11 +43,11 @@
   /**
    * Returns the timers that have expired and were not returned before.
    *
-   * @param durationsMillis all running timers by name, with their durations
+   * @param durationsMillis durations (ms) of all running timers by name
    */
   public List<String> pollExpired(Map<String, Long> durationsMillis, long nowNanos) {
     if (lastPollNanos != Long.MIN_VALUE && nowNanos - lastPollNanos > STALL_THRESHOLD_NANOS) {
-      startedAtNanos.clear(); // timers already submitted to the log stay submitted
+      startedAtNanos.clear(); // expiries already submitted to the log stay submitted
     }
     lastPollNanos = nowNanos;
     startedAtNanos.keySet().retainAll(durationsMillis.keySet());
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Restarts a timer. Returns false if its expiry has been submitted to the log: a caller must not
-   * receive a renewal of a lease that is about to end.
+   * Restarts a timer. Returns false if the expiry of the timer has been submitted to the log: a
+   * lease that is about to end must not be renewed.
    */
   public boolean renew(String timer, long nowNanos) {
     if (submitted.contains(timer)) {
--- a/src/main/java/leadferry/consensus/LogEntry.java
+++ b/src/main/java/leadferry/consensus/LogEntry.java
@@ -14,7 +14,8 @@
   /**
    * The endpoints between which a member balances load.
    *
-   * @param digest identifies the catalog; the first catalog stored under a digest is kept
+   * @param digest identifies the catalog; another catalog is ignored while one with the same digest
+   *     is stored
    */
   record EndpointCatalog(String digest, List<Target> endpoints) {
     public EndpointCatalog {
@@ -26,7 +27,7 @@
    * Requests a session for a member.
    *
    * @param incarnation distinguishes successive processes with the same name
-   * @param leaseMillis how long the session lasts without a renewal
+   * @param leaseMillis time (ms) for which the session lasts without a renewal
    * @param runningVersion the software version that the member runs
    */
   record Join(
@@ -45,7 +46,7 @@
    * @param acknowledgedVersion the version of the fleet view that the member follows
    * @param busyEndpoints draining endpoints to which the member has requests in flight
    * @param ejectedEndpoints endpoints that the member has ejected
-   * @param catalog the new catalog, if the catalog has changed
+   * @param catalog the new catalog; empty if it has not changed
    */
   record MemberReport(
       String name,
@@ -73,7 +74,7 @@
   /**
    * Carries a command for a release.
    *
-   * @param fromDriver whether a driver submitted the command, not an operator
+   * @param fromDriver whether a driver submitted the command; otherwise an operator did
    */
   record Release(ReleaseCommand command, boolean fromDriver) implements LogEntry {}
 
--- a/src/main/java/leadferry/consensus/LogEntryCodec.java
+++ b/src/main/java/leadferry/consensus/LogEntryCodec.java
@@ -23,13 +23,13 @@
  * Maps {@link LogEntry}s to and from their stored form: a JSON object with {@code schema} and
  * {@code op}. Entries of operators also have {@code call}, {@code who}, {@code why} and {@code at}.
  * A repeated entry with the same {@code call} id gets the outcome of the first one. {@code at} is
- * the caller's wall clock, which no decision depends on.
+ * the time by the caller's wall clock; no decision depends on it.
  *
  * <p>The stored words never change and are mapped only here: {@code tell} is {@link
  * LogEntry.MemberReport}, {@code expire} {@link LogEntry.SessionExpired}, {@code timeout} {@link
  * LogEntry.TimerExpired}, {@code budgets} {@link DisruptionCommand.ReplaceBudgets}, and so on.
- * {@link ReleaseCommandCodec} maps those of releases. The command line writes the entries of
- * operators; only those of members and replicas are encoded here.
+ * {@link ReleaseCommandCodec} maps the words of releases. The command line encodes the entries of
+ * operators; this class encodes only the entries of members and replicas.
  */
 public final class LogEntryCodec {
   /** Version of the format of entries and snapshots that this version reads and writes. */
--- a/src/main/java/leadferry/consensus/MemberReportTable.java
+++ b/src/main/java/leadferry/consensus/MemberReportTable.java
@@ -7,8 +7,8 @@
 
 /**
  * Holds the newest load report of each member, which arrives with a renewal. Reports are neither
- * replicated nor stored, and do not carry over to the next leader. A release driver that finds a
- * report missing waits for the next one. Thread-safe.
+ * replicated nor stored on disk, and the next leader starts without them. A release driver waits if
+ * the report of a member is missing. Thread-safe.
  */
 final class MemberReportTable {
   /** Maximum encoded size of a report; a larger report is discarded. */
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Returns the newest report of each session with its age, and the names of the members without
-   * one.
+   * Returns the newest report of each session with its age, and the names of the members without a
+   * report.
    */
   ObjectNode describe(Map<String, Long> liveSessions, long nowNanos) {
     reports.keySet().retainAll(liveSessions.keySet());
--- a/src/main/java/leadferry/consensus/NewerSchemaException.java
+++ b/src/main/java/leadferry/consensus/NewerSchemaException.java
@@ -1,9 +1,9 @@
 package leadferry.consensus;
 
 /**
- * Thrown for an entry or snapshot whose schema only a newer version can read. Not to be retried:
- * the replica stops, because skipping the entry would make its state differ from that of the
- * others.
+ * Thrown for an entry or snapshot whose schema only a newer version can read. A retry does not
+ * help. The replica stops, because skipping the entry would make its state differ from the state of
+ * the other replicas.
  */
 public final class NewerSchemaException extends RuntimeException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/leadferry/consensus/RatisProperties.java
+++ b/src/main/java/leadferry/consensus/RatisProperties.java
@@ -20,8 +20,8 @@
   private static final SizeInBytes APPEND_BATCH = SizeInBytes.valueOf("4MB");
 
   /**
-   * Margin by which the write buffer exceeds a batch; the library requires the buffer to be larger
-   * than a batch.
+   * Number of bytes by which the write buffer is larger than a batch. The Raft library requires a
+   * larger buffer.
    */
   private static final long WRITE_BUFFER_MARGIN_BYTES = 64;
 
@@ -74,8 +74,8 @@
   }
 
   private static void setLog(RaftProperties properties) {
-    // Entries that a stopped replica lacks stay in the log. A snapshot is sent only to a replica
-    // that lost its folder.
+    // The log keeps the entries that a stopped replica lacks. A snapshot is sent only to a replica
+    // that has lost its folder.
     RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, false);
     RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf("4MB"));
     RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("256KB"));
--- a/src/main/java/leadferry/consensus/RatisServer.java
+++ b/src/main/java/leadferry/consensus/RatisServer.java
@@ -28,7 +28,7 @@
 
 /** Wraps the Raft library's server of one replica: its log, term and role. Thread-safe. */
 final class RatisServer implements Closeable {
-  /** Stands for the term of a replica that does not lead. */
+  /** Value of {@link #leadershipTerm} for a replica that does not lead. */
   static final long NOT_LEADING = -1;
 
   private final RaftServer server;
@@ -62,7 +62,7 @@
     server.start();
   }
 
-  /** Returns the library's id of the log of a fleet. */
+  /** Returns the id under which the Raft library keeps the log of a fleet. */
   static RaftGroupId groupIdOf(String fleet) {
     return RaftGroupId.valueOf(
         UUID.nameUUIDFromBytes(("leadferry " + fleet).getBytes(StandardCharsets.UTF_8)));
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Returns the name of the leader if it is known and another replica, else "". */
+  /** Returns the name of the leader, or "" if it is unknown or is this replica. */
   String otherLeaderName() {
     try {
       RaftPeerId id = info().getLeaderId();
--- a/src/main/java/leadferry/consensus/RatisStateMachine.java
+++ b/src/main/java/leadferry/consensus/RatisStateMachine.java
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Pauses before another replica's snapshot replaces the state. Guards against a replica that the
-   * library gives up because it was not paused.
+   * Pauses before another replica's snapshot replaces the state. Guards against a failure of the
+   * replica: the Raft library gives up a state machine that does not pause.
    */
   @Override
   public void pause() {
@@ -123,7 +123,7 @@
 
   @Override
   public CompletableFuture<Message> query(Message request) {
-    // LeadershipConfirmation sends empty reads, which only confirm the leader.
+    // The only reads are the empty ones of LeadershipConfirmation, which need no content.
     return CompletableFuture.completedFuture(Message.EMPTY);
   }
 
--- a/src/main/java/leadferry/consensus/Replica.java
+++ b/src/main/java/leadferry/consensus/Replica.java
@@ -16,8 +16,8 @@
  * leads, the lease timers.
  *
  * <p>The response to a submitted entry is sent once a majority has the entry on disk and this
- * replica has applied it. Renewals and reads get their responses only after {@link
- * LeadershipConfirmation}.
+ * replica has applied it. The responses to renewals and reads are sent only after {@link
+ * LeadershipConfirmation} has confirmed that this replica leads.
  */
 public final class Replica implements AutoCloseable {
   private static final int TICK_MILLIS = 50;
@@ -41,7 +41,7 @@
   /**
    * Starts a replica.
    *
-   * @param allowEmptyFolder whether an empty folder may be claimed for a new replica
+   * @param allowEmptyFolder whether this replica may start with an empty folder, as a new one does
    * @param fatalErrorListener receives an error after which this replica can't continue
    * @throws IOException if the folder or an address can't be used; the message says what was
    *     expected
@@ -97,7 +97,8 @@
 
   /**
    * Passes the result of {@code bodySupplier} to {@code listener} once a majority has confirmed
-   * that this replica leads. Without a confirmation the response is a redirect or undecided.
+   * that this replica leads. Without a confirmation the response is {@link
+   * ReplicaResponse.Redirect} or {@link ReplicaResponse.Undecided}.
    */
   void respondAsLeader(
       Function<Replica, ObjectNode> bodySupplier, Consumer<ReplicaResponse> listener) {
@@ -163,7 +164,7 @@
 
   // --- operations of any replica
 
-  /** Returns the state machine, which is guarded by its own monitor. */
+  /** Returns the state machine. Callers synchronize on it. */
   FleetStateMachine stateMachine() {
     return stateMachine;
   }
--- a/src/main/java/leadferry/consensus/ReplicaClient.java
+++ b/src/main/java/leadferry/consensus/ReplicaClient.java
@@ -13,8 +13,8 @@
  * Sends requests to the leading replica. Follows redirects, and tries the next replica if one does
  * not respond. For use by one thread.
  *
- * <p>Every request may be sent again. Entries carry a call id, an incarnation, or a session with a
- * report number, by which a repeated entry takes effect once.
+ * <p>Every request may be sent more than once. Each entry carries a call id, an incarnation, or a
+ * session with a report number, so that a repeated entry takes effect only once.
  */
 public final class ReplicaClient implements AutoCloseable {
   /** Time limit for connecting to one replica before the next one is tried. */
@@ -68,8 +68,8 @@
   /**
    * Sends a request until a response arrives.
    *
-   * @param deadlineNanos when to give up, in terms of {@link System#nanoTime}
-   * @return the response message; that of a rejected request has {@code error}
+   * @param deadlineNanos time at which to give up, as a value of {@link System#nanoTime}
+   * @return the response message, which has key {@code error} if the request was rejected
    * @throws UnreachableException if there is no response before the deadline
    */
   public ObjectNode call(ObjectNode request, long deadlineNanos) throws UnreachableException {
@@ -119,7 +119,7 @@
     return null;
   }
 
-  /** Receives pushed messages until {@code deadlineNanos}, in terms of {@link System#nanoTime}. */
+  /** Receives pushed messages until {@code deadlineNanos}, a value of {@link System#nanoTime}. */
   public void receivePushes(long deadlineNanos) {
     try {
       while (connection != null) {
--- a/src/main/java/leadferry/consensus/ReplicaClientConnection.java
+++ b/src/main/java/leadferry/consensus/ReplicaClientConnection.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the next message, or null if none has arrived completely by {@code deadlineNanos}, in
-   * terms of {@link System#nanoTime}.
+   * Returns the next message, or null if none has arrived completely by {@code deadlineNanos}, a
+   * value of {@link System#nanoTime}.
    *
    * @throws IOException if the connection ends, or a line is too long or not an object
    */
@@ -66,7 +66,7 @@
     return -1;
   }
 
-  /** Removes the line before {@code delimiter} from the buffer and parses it. */
+  /** Removes the line that ends at index {@code delimiter} from the buffer and parses it. */
   private ObjectNode takeMessage(int delimiter) throws IOException {
     ObjectNode message = Json.parse(Arrays.copyOf(buffer, delimiter));
     System.arraycopy(buffer, delimiter + 1, buffer, 0, bufferedBytes - delimiter - 1);
--- a/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
+++ b/src/main/java/leadferry/consensus/ReplicaConnectionHandler.java
@@ -27,8 +27,8 @@
   private volatile long pushedVersion = NO_VERSION;
 
   /**
-   * Creates the handler of {@code channel}, which is in {@code connections} while the channel is
-   * active.
+   * Creates the handler of {@code channel}. The handler is in {@code connections} while the channel
+   * is active.
    */
   ReplicaConnectionHandler(
       Channel channel, String fleet, Replica replica, Set<ReplicaConnectionHandler> connections) {
@@ -39,17 +39,18 @@
   }
 
   /**
-   * Returns whether the caller watches the view, has not received {@code version}, and its channel
-   * is writable.
+   * Returns whether a fleet view of this version has to be pushed to the caller: the caller watches
+   * the view and has not been sent this version or a later one, and the channel is writable.
    */
   boolean shouldPush(long version) {
     return watchesView && pushedVersion < version && channel.isWritable();
   }
 
   /**
-   * Pushes a view.
+   * Pushes the fleet view to the caller.
    *
    * @param line the view as a line of {@link LineProtocol}
+   * @param version version of the view
    */
   void push(ByteBuf line, long version) {
     pushedVersion = version;
--- a/src/main/java/leadferry/consensus/ReplicaFolder.java
+++ b/src/main/java/leadferry/consensus/ReplicaFolder.java
@@ -9,16 +9,16 @@
 
 /**
  * The folder of a replica, with the log and a marker file that names the fleet and the replica.
- * Invariant: a replica that lost its log never starts with an empty one. It would vote without
- * regard to the votes that it had cast before.
+ * Invariant: a replica that lost its log never starts with an empty one. Such a replica would not
+ * know the votes that it had cast and could vote twice in one term.
  */
 final class ReplicaFolder {
-  /** File name of the marker, which is a stored name and stays the same in every version. */
+  /** File name of the marker. Every version uses the same name. */
   private static final String MARKER_FILE = "keeper";
 
   private ReplicaFolder() {}
 
-  /** Returns the folder of the library's log, votes and snapshots. */
+  /** Returns the folder in which the Raft library keeps the log, the votes and the snapshots. */
   static Path logFolder(ReplicaConfig config) {
     return config.folder().resolve("log");
   }
@@ -27,7 +27,7 @@
    * Checks that the folder belongs to this replica, or claims an empty folder.
    *
    * @param allowEmptyFolder whether an empty folder may be claimed
-   * @return how the library opens its storage
+   * @return how the Raft library opens its storage
    * @throws IOException if the folder belongs to another replica or can't be used; the message says
    *     what was expected
    */
@@ -51,8 +51,8 @@
               + owner.strip()
               + ")");
     }
-    // The marker is written before the library formats its storage. A crash in between leaves only
-    // the marker.
+    // The marker is written before the Raft library formats its storage. A crash between the two
+    // leaves only the marker.
     Path current = logFolder(config).resolve(groupId.getUuid().toString()).resolve("current");
     return Files.isDirectory(current) ? StartupOption.RECOVER : StartupOption.FORMAT;
   }
--- a/src/main/java/leadferry/consensus/ReplicaResponse.java
+++ b/src/main/java/leadferry/consensus/ReplicaResponse.java
@@ -14,10 +14,13 @@
    */
   record Redirect(String leader) implements ReplicaResponse {}
 
-  /** It is unknown whether the request was carried out. A repeated request gets its one outcome. */
+  /**
+   * It is unknown whether the request was carried out. An entry that is submitted again takes
+   * effect only once and gets the outcome of the first submission.
+   */
   record Undecided(String reason) implements ReplicaResponse {}
 
-  /** This replica does not carry out such a request. Not to be retried. */
+  /** The request is invalid or meant for another fleet. A retry does not help. */
   record Rejected(String reason) implements ReplicaResponse {}
 
   /** Returns the wire form without the request id. */
--- a/src/main/java/leadferry/consensus/SessionClient.java
+++ b/src/main/java/leadferry/consensus/SessionClient.java
@@ -11,7 +11,7 @@
 
 /**
  * Typed calls of a member about its session, sent with a {@link ReplicaClient}. For use by one
- * thread. Deadlines are in terms of {@link System#nanoTime}.
+ * thread. Deadlines are values of {@link System#nanoTime}.
  */
 public final class SessionClient implements AutoCloseable {
   /** The result of an entry that a member submitted. */
@@ -34,7 +34,7 @@
    */
   public record Refused(JsonNode reasons) implements Result {}
 
-  /** The replica does not accept the entry into the log. Not to be retried. */
+  /** The replica does not accept the entry into the log. A retry does not help. */
   public record Rejected(String reason) implements Result {}
 
   /**
@@ -71,7 +71,7 @@
     return resultOf(submit(report, deadlineNanos));
   }
 
-  /** Ends the session; gives up at {@code deadlineNanos}. */
+  /** Requests the end of the session; gives up at {@code deadlineNanos}. */
   public Result leave(LogEntry.Leave leave, long deadlineNanos) throws UnreachableException {
     return resultOf(submit(leave, deadlineNanos));
   }
--- a/src/main/java/leadferry/consensus/SessionTable.java
+++ b/src/main/java/leadferry/consensus/SessionTable.java
@@ -8,9 +8,9 @@
 import leadferry.disruption.DisruptionState;
 
 /**
- * Holds the sessions of members by name. Invariant: a name has at most one session, and no other
- * incarnation gets a session while it is live. Deterministic: a session expires only by a log
- * entry.
+ * Holds the sessions of members by name. Invariant: a name has at most one session. While that
+ * session is live, no other process (incarnation) of the name gets a session. Deterministic: a
+ * session expires only by a log entry.
  */
 final class SessionTable {
   /** Bounds of a session's lease (ms). */
@@ -23,7 +23,7 @@
   /**
    * A member's session.
    *
-   * @param leaseMillis how long the session lasts without a renewal
+   * @param leaseMillis time (ms) for which the session lasts without a renewal
    */
   record Session(String name, String incarnation, long id, long leaseMillis) {}
 
@@ -65,7 +65,7 @@
     return ids;
   }
 
-  /** Adds the timer of each session with the lease in milliseconds. */
+  /** Adds the duration (ms) of the lease of each session by the name of its timer. */
   void addTimers(Map<String, Long> timers) {
     sessions
         .values()
--- a/src/main/java/leadferry/consensus/SnapshotCodec.java
+++ b/src/main/java/leadferry/consensus/SnapshotCodec.java
@@ -6,7 +6,8 @@
 
 /**
  * Encodes and decodes the whole replicated state in the schema {@link LogEntryCodec#SCHEMA}. Each
- * part writes its own form. Replicas that have applied the same entries write the same bytes.
+ * part of the state writes its own form. Replicas that have applied the same entries write the same
+ * bytes.
  */
 final class SnapshotCodec {
   /** The parts of the replicated state. */
--- a/src/main/java/leadferry/consensus/ViewPublisher.java
+++ b/src/main/java/leadferry/consensus/ViewPublisher.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Pushes the fleet view to each connection that watches it and has not received its version. */
+/** Pushes the fleet view to each connection that watches it and was not sent its version yet. */
 final class ViewPublisher {
   private final FleetStateMachine stateMachine;
   private final Set<ReplicaConnectionHandler> connections;
--- a/src/main/java/leadferry/release/ActionAttempt.java
+++ b/src/main/java/leadferry/release/ActionAttempt.java
@@ -1,4 +1,10 @@
 package leadferry.release;
 
-/** One attempt of an action; the key under which a driver keeps the command and its result. */
+/**
+ * One attempt of an action on a target. A driver stores the command of the attempt and the result
+ * of the command under this key.
+ *
+ * @param action number of the action, unique in the fleet
+ * @param attempt number of the attempt, from 1
+ */
 record ActionAttempt(long action, int attempt) {}
--- a/src/main/java/leadferry/release/CanaryAnalysis.java
+++ b/src/main/java/leadferry/release/CanaryAnalysis.java
@@ -7,10 +7,10 @@
 
 /**
  * Compares the new version with the previous one by the requests that both served in the same time
- * and zones. For each request class, and for all classes together, it compares their shares of bad
- * outcomes (failed, rejected or late). It uses the pooled test of two proportions (Fleiss, Levin
- * and Paik, Statistical Methods for Rates and Proportions, chapter 3) for a difference above {@code
- * maxBadShareIncrease}.
+ * and zones. For each request class, and for all classes together, it compares the share of bad
+ * outcomes (failed, rejected or late) of the two versions. It uses the pooled test of two
+ * proportions (Fleiss, Levin and Paik, Statistical Methods for Rates and Proportions, chapter 3)
+ * for a difference above {@code maxBadShareIncrease}.
  *
  * <pre>
  *   halt, if share(new) - (share(previous) + maxBadShareIncrease)  &gt;  standardErrors * error
@@ -18,18 +18,19 @@
  *   p     = (bad(new) + bad(previous) + 1) / (total(new) + total(previous) + 2)
  * </pre>
  *
- * <p>If the previous version served too few requests to compare with, {@code maxBadShare} replaces
- * {@code share(previous) + maxBadShareIncrease}, and the terms of the previous version are left
- * out.
+ * <p>If the previous version served too few requests for a comparison, {@code maxBadShare} replaces
+ * {@code share(previous) + maxBadShareIncrease}, and the terms of the previous version are left out
+ * of the error.
  *
  * <p>The analysis gives no verdict from too few requests, and passes no step while a report is
- * missing. It waits and names what it waits for. {@code CanaryAnalysisTest} measures its rates of
- * false alarms and misses, and {@code docs/design/release.md} lists them.
+ * missing. It waits and names what it waits for. {@code CanaryAnalysisTest} measures how often the
+ * analysis halts a good version or passes a bad one; {@code docs/design/release.md} lists the
+ * rates.
  */
 public final class CanaryAnalysis {
   /**
-   * Divisor of {@link Bounds#minRequests}: a verdict against the new version needs only this
-   * fraction of the requests, so that a clearly bad version halts before its baking time ends.
+   * Divisor of {@link Bounds#minRequests}: a verdict against the new version needs only one tenth
+   * of these requests, so that a clearly bad version halts before its baking time ends.
    */
   private static final int EARLY_VERDICT_DIVISOR = 10;
 
@@ -40,8 +41,8 @@
    *     pass; the previous version is exempt if it has no counts. 0 disables the analysis.
    * @param maxBadShareIncrease accepted increase of the share of bad outcomes over the previous
    *     version, 0 to 1
-   * @param maxBadShare accepted share of bad outcomes without a previous version to compare with, 0
-   *     to 1
+   * @param maxBadShare accepted share of bad outcomes, 0 to 1, if there is no previous version to
+   *     compare with
    * @param standardErrors number of standard errors beyond the accepted share at which the analysis
    *     halts the release
    * @param waitMillis time (ms) for which a step waits for enough requests after its baking time
@@ -53,7 +54,7 @@
       double standardErrors,
       long waitMillis) {}
 
-  /** Decision of a verdict. */
+  /** What the analysis decides about a step of the release. */
   public enum Decision {
     /** The step has passed. */
     PROCEED,
@@ -79,8 +80,8 @@
    * @param canary outcomes of requests to the new version, by request class
    * @param baseline outcomes of requests to the previous version in the same time, by request
    *     class; empty if no target runs it
-   * @param unreportedMembers members without a recent report; while there are any, the step does
-   *     not pass
+   * @param unreportedMembers members without a recent report; the step does not pass while the list
+   *     is not empty
    */
   public Verdict evaluate(
       Map<String, OutcomeCount> canary,
--- a/src/main/java/leadferry/release/CanaryCounts.java
+++ b/src/main/java/leadferry/release/CanaryCounts.java
@@ -11,8 +11,8 @@
 /**
  * Request outcomes that members have counted since their start, assigned to the versions under
  * comparison. Targets that are out of service, warming up or stabilizing count for neither version.
- * A version counts only in zones where an available target runs the new version, so that both are
- * measured under the same conditions.
+ * Both versions are counted only in zones where an available target runs the new version, so that
+ * they are measured under the same conditions.
  */
 final class CanaryCounts {
   /** Empty counts. */
@@ -26,7 +26,8 @@
   }
 
   /**
-   * Source of a count: the session of a member, and for endpoints also the endpoint (otherwise "").
+   * Source of a count: the member and session that counted the requests, and the endpoint that
+   * served them. The endpoint is "" in a release of proxies.
    */
   private record Source(Group group, String member, String session, String endpoint) {}
 
@@ -95,8 +96,8 @@
   }
 
   /**
-   * Returns the outcomes counted in the given groups since an earlier reading, by request class. A
-   * source that the earlier reading lacks is ignored, unless the earlier reading is empty.
+   * Returns the outcomes counted in the given groups since an earlier reading, by request class. If
+   * the earlier reading is not empty, a {@link Source} that it lacks is ignored.
    */
   Map<String, OutcomeCount> since(CanaryCounts earlier, Set<Group> groups) {
     Map<String, OutcomeCount> difference = new TreeMap<>();
--- a/src/main/java/leadferry/release/CanaryEvaluator.java
+++ b/src/main/java/leadferry/release/CanaryEvaluator.java
@@ -7,13 +7,14 @@
 
 /**
  * Evaluates the baking step by the outcomes that members have counted since the baking began. It
- * keeps the reading from the beginning; a new driver starts with a new reading.
+ * keeps the counts that it read first in the baking as the reference; a new driver starts with a
+ * new reference.
  */
 final class CanaryEvaluator {
   private static final EnumSet<CanaryCounts.Group> NEW =
       EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP, CanaryCounts.Group.NEW_IN_EARLIER_STEPS);
 
-  /** Maximum age (ms) of a report that the analysis accepts. */
+  /** Maximum age (ms) of an accepted report of a member. */
   private final long maxReportAgeMillis;
 
   private long bakingSinceChange;
@@ -25,7 +26,7 @@
   }
 
   /**
-   * Returns the verdict on the baking step; empty without a baking step or a decision.
+   * Returns the verdict on the baking step; empty if no step is baking or there is no decision yet.
    *
    * @param reports reports of the members; empty if they were not fetched
    * @param nowNanos time of a monotonic clock
@@ -59,7 +60,8 @@
     Map<String, OutcomeCount> comparison =
         counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.PREVIOUS));
     if (comparison.isEmpty()) {
-      // No target runs the previous version there: compare this step with the earlier steps.
+      // The previous version has no counts in these zones: compare this step with the earlier
+      // steps.
       canary = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_THIS_STEP));
       comparison = counts.since(initialCounts, EnumSet.of(CanaryCounts.Group.NEW_IN_EARLIER_STEPS));
     }
--- a/src/main/java/leadferry/release/DriverCommands.java
+++ b/src/main/java/leadferry/release/DriverCommands.java
@@ -11,8 +11,8 @@
  * Applies the commands of drivers and agents to one release: draining and changing targets,
  * observations of targets, and verdicts on steps.
  *
- * <p>Invariant: a command takes effect only with the fencing token of the lease that is held.
- * Reports of agents need no token.
+ * <p>Invariant: a driver's command takes effect only if it carries the fencing token of the lease
+ * that is held now. Reports of agents need no token.
  */
 final class DriverCommands {
   private static final String NOTHING_FOUND = "nothing that tells its version";
@@ -79,7 +79,7 @@
     return Optional.of(Outcome.of(status, release.describe() + reason));
   }
 
-  /** Returns why the target must not be drained now; empty if it may be. */
+  /** Returns why the target must not be drained now; empty if it may be drained. */
   private Optional<Outcome> rejectionOfTurn(ReleaseTarget target) {
     boolean isRestoringInRollback =
         target.phase == TargetPhase.RESTORING && !release.progress.isForward();
@@ -153,8 +153,8 @@
     if (release.progress.hasDesiredVersion(target)) {
       return Optional.of(Outcome.of(Status.REFUSED, target.name + " is what it is to be"));
     }
-    // After the loss of a driver the next driver may begin the change again. That raises the
-    // fencing token, by which commands of the lost driver are rejected.
+    // After the loss of a driver the next driver may begin the change again, under its own, higher
+    // fencing token. Commands of the lost driver are then rejected by their lower token.
     boolean isUnobserved =
         target.phase == TargetPhase.CHANGING
             && target.observation.isEmpty()
--- a/src/main/java/leadferry/release/DriverLease.java
+++ b/src/main/java/leadferry/release/DriverLease.java
@@ -8,8 +8,8 @@
  * Lease that allows one driver at a time to carry out a release, with its fencing token (Burrows,
  * The Chubby lock service, section 2.4: sequencers).
  *
- * <p>Invariant: fencing tokens only grow, and a command of a driver takes effect only with the
- * token of the lease that is held.
+ * <p>Invariant: fencing tokens only grow, and a driver's command takes effect only if it carries
+ * the token of the lease that is held now.
  */
 final class DriverLease {
   /** Name of the driver that holds the lease, or "". */
--- a/src/main/java/leadferry/release/FleetChangeObserver.java
+++ b/src/main/java/leadferry/release/FleetChangeObserver.java
@@ -32,8 +32,8 @@
   /**
    * Applies the changes of the last entry.
    *
-   * @param isNewest whether no later release has any of the targets; a completed release is watched
-   *     only if so
+   * @param isNewest whether no later release has any of the targets; if one has, changes to a
+   *     completed release are ignored
    */
   void onFleetChange(boolean isNewest) {
     boolean isClosed =
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Detects a proxy in service that reports another version than the release knows. It was down
-   * during its change, or something else changed it.
+   * Detects a proxy in service that reports another version than the release has recorded. The
+   * proxy was down while the release changed it, or something other than the release changed it.
    */
   private void detectVersionChange(ReleaseTarget target) {
     if (plan.targetType() != TargetType.PROXY || !target.isInService()) {
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Returns whether every target of the goal's steps, and in a rollback every target, is available
-   * with its desired version.
+   * Returns whether all targets concerned are available with their desired versions: going forward
+   * the targets of the steps that are to run the new version, in a rollback all targets.
    */
   private boolean isCurrentGoalReached() {
     Set<String> lost = disruption.lostTargets();
--- a/src/main/java/leadferry/release/HaltPolicy.java
+++ b/src/main/java/leadferry/release/HaltPolicy.java
@@ -13,12 +13,15 @@
  * reasons are stored and shown to operators, so their wording must not change.
  */
 final class HaltPolicy {
-  /** Number of attempts of one action before the release halts. */
+  /** Maximum number of attempts of one action; the release halts instead of another attempt. */
   static final int MAX_ATTEMPTS = 3;
 
   private final ReleasePlan plan;
 
-  /** Lost members that an operator has acknowledged. They count again after they have recovered. */
+  /**
+   * Lost targets that an operator has acknowledged, which do not halt the release. A target that
+   * recovers is removed, so that its next loss counts again.
+   */
   private final Set<String> acknowledgedLost = new TreeSet<>();
 
   HaltPolicy(ReleasePlan plan) {
@@ -37,7 +40,8 @@
       return Optional.of("lost meanwhile: " + String.join(", ", lost));
     }
     if (progress.isForward() && !plan.policies().skipLostTargets()) {
-      // A target lost after its change is evidence against the new version, whatever the limit is.
+      // A target lost after its change is evidence against the new version, whatever the limit of
+      // lost targets is.
       return targets.stream()
           .filter(target -> target.isInService() && target.version == TargetVersion.NEW)
           .filter(target -> lost.contains(target.name))
@@ -48,7 +52,8 @@
   }
 
   /**
-   * Returns the lost members that this release has not drained and no operator has acknowledged.
+   * Returns the lost targets of the fleet that this release has not drained and no operator has
+   * acknowledged.
    */
   private Set<String> unexpectedlyLost(
       Collection<ReleaseTarget> targets, DisruptionState disruption) {
@@ -60,12 +65,12 @@
     return lost;
   }
 
-  /** Acknowledges all members that are lost now, which then no longer halt the release. */
+  /** Acknowledges all targets that are lost now. They then no longer halt the release. */
   void acknowledgeLost(Collection<ReleaseTarget> targets, DisruptionState disruption) {
     acknowledgedLost.addAll(unexpectedlyLost(targets, disruption));
   }
 
-  /** Drops the acknowledgement of members that are no longer lost. */
+  /** Drops the acknowledgement of targets that are no longer lost. */
   void forgetRecovered(DisruptionState disruption) {
     acknowledgedLost.retainAll(disruption.lostTargets());
   }
--- a/src/main/java/leadferry/release/MemberReports.java
+++ b/src/main/java/leadferry/release/MemberReports.java
@@ -15,7 +15,7 @@
  */
 public record MemberReports(List<String> unreportedMembers, Map<String, MemberReport> byMember) {
   /**
-   * Counts of one member since its start.
+   * Request outcomes that one member has counted since its start.
    *
    * @param session session of the member; counts of different sessions are not compared
    * @param ageMillis time since the arrival of the report (ms)
@@ -54,7 +54,7 @@
         countsByEndpoint);
   }
 
-  /** Reads counts by request class, each an array of the total and the bad outcomes. */
+  /** Reads counts by request class. Each count is an array of the total and of the bad outcomes. */
   private static Map<String, OutcomeCount> readCounts(JsonNode json) {
     Map<String, OutcomeCount> byClass = new TreeMap<>();
     json.properties()
--- a/src/main/java/leadferry/release/NextTargetSelector.java
+++ b/src/main/java/leadferry/release/NextTargetSelector.java
@@ -6,8 +6,8 @@
 
 /**
  * Selects the target that a driver drains next: going forward the first in the order of the plan,
- * in a rollback the one that returned to service last. It selects none while as many targets are in
- * progress as the step of that target allows.
+ * in a rollback the one that returned to service last. It selects no target while the release
+ * changes as many targets at the same time as the step of the next target allows.
  */
 final class NextTargetSelector {
   private NextTargetSelector() {}
--- a/src/main/java/leadferry/release/OperatorCommands.java
+++ b/src/main/java/leadferry/release/OperatorCommands.java
@@ -59,7 +59,10 @@
     return Outcome.of(Status.DONE);
   }
 
-  /** Lets the baked step pass, or acknowledges the lost targets. */
+  /**
+   * Overrides the check that the command names: "verdict" lets the step that has baked pass, "lost"
+   * acknowledges the lost targets.
+   */
   Outcome override(ReleaseCommand.OverrideCheck command) {
     switch (command.check()) {
       case CHECK_VERDICT -> {
--- a/src/main/java/leadferry/release/OutcomeCount.java
+++ b/src/main/java/leadferry/release/OutcomeCount.java
@@ -16,8 +16,8 @@
   }
 
   /**
-   * Returns the requests counted since an earlier reading. A count below the earlier one has
-   * restarted from 0 and is returned whole.
+   * Returns the requests counted since an earlier reading. A count that is below the earlier one
+   * has restarted from 0 and is returned unchanged.
    */
   public OutcomeCount since(OutcomeCount earlier) {
     return total < earlier.total || bad < earlier.bad
--- a/src/main/java/leadferry/release/Release.java
+++ b/src/main/java/leadferry/release/Release.java
@@ -21,13 +21,13 @@
  * be unavailable: it drains each target by a grant of {@link DisruptionState}, under all budgets,
  * both forward and in a rollback.
  *
- * <p>The log records an action before it starts and its result after an observation. The next
- * driver checks the result of an action whose driver was lost, instead of assuming it.
+ * <p>The log records an action before it starts and its result after an observation. If a driver is
+ * lost, the next one checks the result of its action instead of assuming a result.
  */
 final class Release {
   final ReleasePlan plan;
 
-  /** Number of the release in the order of all releases of the fleet. */
+  /** Position of the release among all releases of the fleet, in the order of their starts. */
   final long number;
 
   /** Human-readable name of the requester. */
@@ -127,7 +127,7 @@
     allowRetries();
   }
 
-  /** Ends a rollback whose targets all run their desired versions. */
+  /** Ends a rollback after all targets run their desired versions. */
   void finishRollback() {
     if (progress.goalStepCount == 0) {
       transitionTo(ReleaseState.ROLLED_BACK, stateReason);
--- a/src/main/java/leadferry/release/ReleaseCommand.java
+++ b/src/main/java/leadferry/release/ReleaseCommand.java
@@ -22,7 +22,7 @@
    */
   record AcquireLease(String release, String driver, long leaseMillis) implements ReleaseCommand {}
 
-  /** Gives the lease of a driver back, by the fencing token of the lease. */
+  /** Gives back the driver's lease that has the given fencing token. */
   record YieldLease(String release, long fence) implements ReleaseCommand {}
 
   /** Drains a target, so that the driver can change it. */
--- a/src/main/java/leadferry/release/ReleaseController.java
+++ b/src/main/java/leadferry/release/ReleaseController.java
@@ -12,10 +12,10 @@
  * <p>{@link TargetReconciler} handles the targets in progress, {@link NextTargetSelector} selects
  * the next target, and {@link CanaryEvaluator} gives the verdicts on steps.
  *
- * <p>Two drivers never both believe that they may run a command, because only the holder of the
- * current fencing token can write the entry that allows it. A driver that does not know yet that
- * its lease is over is rejected by the fencing token: the program that carries out the action
- * checks it.
+ * <p>Two drivers are never both allowed to run a command, because only the holder of the current
+ * fencing token can write the entry that allows the command. A driver may not know yet that its
+ * lease has ended. The program that carries out the action therefore checks the fencing token and
+ * rejects an old one.
  */
 public final class ReleaseController {
   private final String driver;
--- a/src/main/java/leadferry/release/ReleasePlan.java
+++ b/src/main/java/leadferry/release/ReleasePlan.java
@@ -30,8 +30,8 @@
     CanaryAnalysis.Bounds canaryBounds,
     JsonNode changeCommands) {
   /**
-   * Regular expression of the names of releases and steps. It is that of members without the colon,
-   * which separates the parts of a timer's name.
+   * Regular expression of the names of releases and steps. It equals the expression of the names of
+   * members, except that it excludes the colon, which separates the parts of a timer's name.
    */
   public static final String NAME_PATTERN = "[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}";
 
@@ -55,8 +55,8 @@
    *
    * @param actionTimeoutMillis time for one target (ms), from its grant until its return to service
    * @param releaseTimeoutMillis time for the whole release (ms); restarts after a pause
-   * @param lostTargetsToHalt number of targets lost by other causes at which the release halts; 0
-   *     for never
+   * @param lostTargetsToHalt number of lost targets, not counting those that the release has
+   *     drained, at which the release halts; 0 for never
    */
   public record Limits(
       long actionTimeoutMillis, long releaseTimeoutMillis, int lostTargetsToHalt) {}
@@ -66,8 +66,8 @@
    *
    * @param haltOnTakeover whether the release halts when its driver is lost; otherwise the next
    *     driver continues
-   * @param skipLostTargets whether steps continue without lost targets; otherwise they wait for
-   *     them
+   * @param skipLostTargets whether steps continue without lost targets; otherwise a step waits
+   *     until its lost targets return
    * @param keepWrongVersionsOut whether a target that returns with another version is kept out of
    *     service; otherwise it is changed again
    * @param rollBackOnVerdict whether a verdict against the new version begins a rollback; otherwise
--- a/src/main/java/leadferry/release/ReleasePlanCodec.java
+++ b/src/main/java/leadferry/release/ReleasePlanCodec.java
@@ -192,7 +192,7 @@
     return value.asLong();
   }
 
-  /** Returns whether the value of a key is the second of two choices; the first is the default. */
+  /** Returns whether a key has the second of its two values; a missing key stands for the first. */
   private boolean isSecondChoice(JsonNode json, String key, String first, String second) {
     String text = json.path(key).asText(first).toLowerCase(Locale.ROOT);
     if (!text.equals(first) && !text.equals(second)) {
--- a/src/main/java/leadferry/release/ReleaseProgress.java
+++ b/src/main/java/leadferry/release/ReleaseProgress.java
@@ -2,7 +2,7 @@
 
 /**
  * Progress of a release: its direction, the steps that are to run the new version, and whether the
- * last of them has baked.
+ * last of these steps has baked.
  *
  * <p>Invariant: a step has baked only if its baking has begun, and both are reset together.
  */
@@ -13,12 +13,12 @@
   int goalStepCount = 1;
 
   /**
-   * Change number of the fleet state from which on all targets of these steps have served with
-   * their desired versions; 0 while some do not.
+   * Change number of the fleet state since which all targets of the first {@code goalStepCount}
+   * steps have served with their desired versions; 0 while a target does not.
    */
   long bakingSinceChange;
 
-  /** Whether the baking time of the step has passed. */
+  /** Whether the baking time of the current step has passed. */
   boolean baked;
 
   boolean isForward() {
--- a/src/main/java/leadferry/release/ReleaseRegistry.java
+++ b/src/main/java/leadferry/release/ReleaseRegistry.java
@@ -142,7 +142,7 @@
     return errors;
   }
 
-  /** Returns whether any release is active, that is not closed. */
+  /** Returns whether any release is active, which means that it is not closed. */
   public boolean hasActive() {
     return activeCount() > 0;
   }
@@ -185,7 +185,7 @@
     return operator.rollBack(command);
   }
 
-  /** Applies the changes of the fleet by the last entry. Callers invoke it after each entry. */
+  /** Applies the changes that the last entry made to the fleet; called after each entry. */
   public void onFleetChange(DisruptionState disruption) {
     for (Release release : releases.values()) {
       boolean newest = release.state != ReleaseState.COMPLETED || isNewest(release);
--- a/src/main/java/leadferry/release/ReleaseTarget.java
+++ b/src/main/java/leadferry/release/ReleaseTarget.java
@@ -20,7 +20,7 @@
 final class ReleaseTarget {
   final String name;
 
-  /** Index of the step of the target in the plan. */
+  /** Index (from 0) in the plan of the step that the target belongs to. */
   final int step;
 
   TargetPhase phase = TargetPhase.IN_SERVICE;
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Keeps a target out of service that returned with an unexpected version. No driver works on it
-   * yet.
+   * Keeps this target out of service because it returned with an unexpected version. No driver
+   * works on the target yet.
    */
   void keepOutOfService(String newGrantId, long newAction, String foundVersion) {
     beginDraining(newGrantId, newAction, 0);
@@ -89,7 +89,7 @@
     keptOutOfService = true;
   }
 
-  /** Begins an attempt. From here on the command that changes the target may have run. */
+  /** Begins an attempt. The command that changes the target may have run from then on. */
   void beginChange(long driverFence, long newStartChange) {
     phase = TargetPhase.CHANGING;
     version = TargetVersion.UNKNOWN;
--- a/src/main/java/leadferry/release/ReleaseTargetView.java
+++ b/src/main/java/leadferry/release/ReleaseTargetView.java
@@ -7,7 +7,7 @@
  * Target of a release as reported by the replicas.
  *
  * @param name name of the proxy or endpoint
- * @param step index of the step of the target in the plan
+ * @param step index (from 0) in the plan of the step that the target belongs to
  * @param phase phase of the target in the release
  * @param version version that the target runs, as last observed
  * @param desiredVersion version that the target is to run
@@ -52,8 +52,8 @@
    * @param zone zone of the target
    * @param drained whether the eviction is complete; false in phases other than {@link
    *     TargetPhase#DRAINING}
-   * @param pendingProxies proxies that may still send requests to the endpoint, each name with the
-   *     reason
+   * @param pendingProxies proxies that may still send requests to the endpoint: the reason by name
+   *     of the proxy
    */
   public record Availability(
       boolean lost,
@@ -62,7 +62,10 @@
       boolean drained,
       Map<String, String> pendingProxies) {}
 
-  /** Prefix of the reasons of {@code disruption} for a proxy that is lost or has left. */
+  /**
+   * First letter of the texts with which {@code disruption} states that a proxy is lost or has
+   * left.
+   */
   private static final String MISSING_PREFIX = "l";
 
   private static final String NOT_SERVING = "does not serve";
--- a/src/main/java/leadferry/release/ReleaseView.java
+++ b/src/main/java/leadferry/release/ReleaseView.java
@@ -28,9 +28,10 @@
    *
    * @param direction direction of the release
    * @param goalStepCount number of steps, from the first one on, that are to run the new version
-   * @param bakingSinceChange change number from which on all targets of these steps have served
-   *     with their desired versions; 0 while some do not
-   * @param baked whether the baking time of the step has passed
+   * @param bakingSinceChange change number of the fleet state at which the last target of the first
+   *     {@code goalStepCount} steps began to serve with its desired version; 0 while a target does
+   *     not
+   * @param baked whether the baking time of the current step has passed
    */
   public record Progress(
       ReleaseDirection direction, int goalStepCount, long bakingSinceChange, boolean baked) {
--- a/src/main/java/leadferry/release/TargetReconciler.java
+++ b/src/main/java/leadferry/release/TargetReconciler.java
@@ -18,7 +18,8 @@
  * </pre>
  *
  * <p>Invariant: a command runs only while the log has the target in {@link TargetPhase#CHANGING}
- * under this driver's fencing token without an observation since, and once for each such entry.
+ * under this driver's fencing token and holds no later observation of the target. It runs once for
+ * each entry that brought the target into this phase.
  */
 final class TargetReconciler {
   private final VersionObserver observer;
@@ -76,7 +77,8 @@
       // The target may still start.
       observer.observe(context, target, result, observation, actions);
     } else if (observedHere && !release.isRunning()) {
-      // Halted meanwhile: a target known to run one of the versions returns to service.
+      // The release was halted meanwhile: a target that is known to run one of the two versions
+      // returns to service.
       actions.add(recordObservation(release, target, observation, "halted"));
     } else {
       observer.observe(context, target, result, "", actions);
@@ -103,8 +105,8 @@
   /**
    * Returns whether the change of a target may be tried again, because the target was observed
    * without its desired version: the action did not take place or had no effect. An observed
-   * version that is neither of the plan's halts the release; if the release runs nevertheless, an
-   * operator has resumed it to try again.
+   * version that is neither of the plan's two versions halts the release. If the release is running
+   * nevertheless, an operator has resumed it to try again.
    */
   private static boolean canRetryChange(ReleaseView release, ReleaseTargetView target) {
     String reported = target.action().reportedVersion();
--- a/src/main/java/leadferry/release/VersionObserver.java
+++ b/src/main/java/leadferry/release/VersionObserver.java
@@ -44,8 +44,8 @@
    * Observes a target after its action.
    *
    * @param result result of the command that changed the target; empty if another driver began it
-   * @param recordedObservation observation recorded already, or "" to record the new one in any
-   *     case
+   * @param recordedObservation observation that the log holds already; an equal one is not recorded
+   *     again. "" records the new observation in any case
    */
   void observe(
       DriverContext context,
@@ -56,7 +56,8 @@
     String reported = target.action().reportedVersion();
     Optional<String> version;
     if (!reported.isEmpty()) {
-      // Newer than any check, because the target reported it after the action.
+      // The target reported this version after the action, so it is newer than the result of any
+      // check.
       version = Optional.of(reported);
     } else if (context.release().changeCommands().checkCommand().isPresent()) {
       version = versionByCheck(context, target, !recordedObservation.isEmpty(), actions);
@@ -106,7 +107,7 @@
 
   /**
    * Returns the version "" if the command failed. Otherwise waits, up to the time limit of the
-   * action, for the target to report its version, as a proxy does after its return.
+   * action, until the target reports its version; a proxy does so after its return.
    */
   private Optional<String> versionByResult(
       DriverContext context,
@@ -122,8 +123,8 @@
     if (begunByLostDriver
         && now - observedSinceNanos.computeIfAbsent(target.attempt(), attempt -> now)
             >= leaseNanos) {
-      // No version was observed for the duration of a lease: begin again, which raises the fencing
-      // token.
+      // No version was observed for the duration of a lease: begin the change again, under the
+      // fencing token of this driver, which is higher.
       actions.add(TargetReconciler.beginChange(release, target));
     }
     return Optional.empty();
