--- a/src/main/java/leadferry/http/ClientConnection.java
+++ b/src/main/java/leadferry/http/ClientConnection.java
@@ -138,7 +138,9 @@
     return timeouts.markRequestSeen();
   }
 
-  /** Closes the connection if the client of a complete request has disconnected; true if so. */
+  /**
+   * Closes the connection if the client of a complete request has disconnected; returns true then.
+   */
   boolean closeIfDisconnected() {
     return disconnectDetector.closeIfDisconnected();
   }
@@ -256,8 +258,8 @@
 
   /**
    * Closes the connection after a response. Guards against a TCP reset that overtakes the response:
-   * a close with unread input sends one. The output is shut down first, and remaining input is
-   * discarded for a while.
+   * a close of a socket with unread input sends a reset. The output is shut down first, and
+   * remaining input is discarded for {@link #LINGER_MILLIS}.
    */
   private void linger() {
     if (!channel.isActive()) {
--- a/src/main/java/leadferry/http/ClientConnections.java
+++ b/src/main/java/leadferry/http/ClientConnections.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Evicts the most evictable of the {@code maxCandidates} oldest connections; returns false if
-   * none is evictable.
+   * Evicts the connection that is first in {@link EvictionOrder} among the {@code maxCandidates}
+   * oldest connections; returns false if none of them may be evicted.
    */
   boolean evictOne(int maxCandidates) {
     ClientConnection connection = findMostEvictable(maxCandidates);
--- a/src/main/java/leadferry/http/ConnectionTimeouts.java
+++ b/src/main/java/leadferry/http/ConnectionTimeouts.java
@@ -68,11 +68,11 @@
 
   /**
    * Returns the earliest time at which the input that is read now can have arrived, plus {@link
-   * SocketSlack#NANOS}, but not a time in the future. Guards against a late loop: the time budget
-   * of a request counts from its last byte. A request that waited in the kernel's buffer for longer
-   * than its client waits is not forwarded; after twice that time it gets no response at all.
-   * Drawback: if the loop was late for a shorter time than this bound assumes, the request is
-   * rejected without need.
+   * SocketSlack#NANOS}, but not a time in the future. Guards against a late event loop: the time
+   * budget of a request counts from its last byte. A request that waited in the kernel's buffer for
+   * longer than its client waits is not forwarded; after twice that time it gets no response at
+   * all. Drawback: if the event loop was late for a shorter time than this bound assumes, the
+   * request may be rejected without need.
    */
   long earliestReceiptNanos() {
     long earliest =
@@ -117,7 +117,11 @@
     return nowNanos - idleSinceNanos > receiveTimeoutNanos;
   }
 
-  /** Whether a request arrives too slowly of whose body {@code bodyBytes} bytes are held. */
+  /**
+   * Whether the current request arrives too slowly.
+   *
+   * @param bodyBytes number of bytes of the request's body that are held
+   */
   boolean isRequestTooSlow(long nowNanos, long bodyBytes) {
     return nowNanos - receivingSinceNanos() > receiveTimeoutNanos + bodyAllowanceNanos(bodyBytes);
   }
@@ -137,8 +141,8 @@
 
   /**
    * Whether clients are shed and this one had time to use the connection once more. The daemon
-   * closes no connection for this reason: its next response carries {@code Connection: close}, and
-   * a request that crosses a close would be lost.
+   * closes no connection for this reason: a request that crosses the close would be lost. Instead,
+   * the next response on the connection carries {@code Connection: close}.
    */
   private boolean hasDepartureTimeElapsed(long nowNanos) {
     long sheddingSinceNanos = server.settings().daemon() ? 0 : server.sheddingSinceNanos();
--- a/src/main/java/leadferry/http/DiscardedInput.java
+++ b/src/main/java/leadferry/http/DiscardedInput.java
@@ -9,7 +9,8 @@
 /** Discards input of a request that already has its response. */
 final class DiscardedInput {
   /**
-   * Maximum input (bytes) that is read after a response, so that the client can read the response.
+   * Maximum input (bytes) that is read and discarded after a response, so that the client can read
+   * the response.
    */
   private static final int MAX_LINGER_BYTES = 1 << 20;
 
@@ -29,7 +30,8 @@
   }
 
   /**
-   * Whether the remaining input of a request is discarded, after which the connection stays usable.
+   * Whether the remaining input of a request is discarded and the connection stays usable
+   * afterwards.
    */
   boolean isSkipping() {
     return skipping;
--- a/src/main/java/leadferry/http/Framing.java
+++ b/src/main/java/leadferry/http/Framing.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Checks that every request head must pass. Guards upstream hosts, and other clients that share
- * their connections, against heads that can be interpreted in two ways (RFC 9112, request
- * smuggling).
+ * Checks of the framing that every request head must pass. Guards upstream hosts, and other clients
+ * that share their connections, against heads that can be interpreted in two ways (RFC 9112,
+ * request smuggling).
  */
 public final class Framing {
   private static final int MAX_DIGITS = 9;
--- a/src/main/java/leadferry/http/HeadScanner.java
+++ b/src/main/java/leadferry/http/HeadScanner.java
@@ -7,8 +7,8 @@
  * byte that RFC 9112 does not allow. It checks section 3 (single spaces between the three parts of
  * the request line, exact protocol name), 5.1 (a field name is a token, directly followed by the
  * colon), 5.2 (no line folding), 2.2 (lines end with CR LF; one empty line may precede the request
- * line) and 6.3 (one {@code Content-Length}, of digits only: of several, netty uses the first one
- * that an HTTP/1.0 client sends).
+ * line) and 6.3 (one {@code Content-Length}, of digits only: if an HTTP/1.0 client sends several,
+ * netty uses the first one).
  *
  * <p>Guards upstream hosts against heads that they and the load balancer would interpret
  * differently: netty's decoder accepts tabs, repeated spaces and other spellings of the protocol
--- a/src/main/java/leadferry/http/Headers.java
+++ b/src/main/java/leadferry/http/Headers.java
@@ -12,10 +12,11 @@
  * Classification of headers: those that the load balancer reads, sets or bases decisions on, and
  * those that are limited to one connection.
  *
- * <p>Guards the rule that no effect happens twice (rule 2) against a client that names a header in
- * {@code Connection} (RFC 9110, 7.6.1). A header named there must not be forwarded. If it were the
- * idempotency key, the load balancer would treat the request as repeatable but forward it without
- * the key, and no upstream host could recognize a repeat.
+ * <p>Guards the rule that no effect of a request happens twice (rule 2 of package {@code engine})
+ * against a client that names such a header in {@code Connection} (RFC 9110, 7.6.1). A header named
+ * there must not be forwarded. If it were the idempotency key, the load balancer would treat the
+ * request as repeatable but forward it without the key, and no upstream host could recognize a
+ * repeat.
  */
 public final class Headers {
   static final HttpHeaders EMPTY = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
--- a/src/main/java/leadferry/http/HttpAttempt.java
+++ b/src/main/java/leadferry/http/HttpAttempt.java
@@ -55,8 +55,8 @@
     if (call.upload() == null) {
       return writeFuture;
     }
-    // The body follows the head. The attempt may have run from the first byte of the body on,
-    // therefore the write of the head counts as the write of the request.
+    // The body follows the head. The upstream host may process the request as soon as the first
+    // byte of the body arrives, so the write of the head counts as the write of the request.
     call.upload().attach(this);
     return writeFuture;
   }
@@ -124,9 +124,8 @@
     boolean notProcessed =
         (status == 503 || status == 504) && "1".equals(response.headers().get("X-Not-Processed"));
     if (status >= 500 && !notProcessed && shouldForwardError(response)) {
-      // The body may be forwarded to the client. The load balancer records the outcome at the end
-      // of
-      // the response.
+      // The body may be forwarded to the client. The load balancer records the outcome when the
+      // response ends.
       serverError = true;
       head = response;
       lengthBytes = HttpUtil.getContentLength(response, -1L);
@@ -163,8 +162,8 @@
   }
 
   /**
-   * Forwards the status of a client error (4xx). Guards against counting a client's mistake against
-   * the upstream host, or repeating it on the next one.
+   * Forwards the status of a client error (4xx). Guards against an attempt that counts a client's
+   * mistake as a failure of the upstream host or repeats the request at another one.
    */
   private void forwardClientError(int status) {
     if (exchange.claim()) {
--- a/src/main/java/leadferry/http/HttpCall.java
+++ b/src/main/java/leadferry/http/HttpCall.java
@@ -49,8 +49,8 @@
    * @param body complete body, or null
    * @param upload streamed body, or null
    * @param streaming whether the response may be streamed
-   * @param announcedMillis time (ms) that upstream hosts are given in {@code X-Timeout-Ms} while
-   *     the body is still arriving; 0 for the remaining time
+   * @param announcedMillis time budget (ms) that upstream hosts are given in {@code X-Timeout-Ms}
+   *     while the body is still arriving; 0 to give them the time that remains of the request
    */
   HttpCall(
       ResponseWriter client,
@@ -137,7 +137,10 @@
     return upload;
   }
 
-  /** Starts the announced time budget when the body is complete. */
+  /**
+   * Restarts the deadline of the request when its body is complete, with the time budget that
+   * upstream hosts were given in {@code X-Timeout-Ms}. Without such a budget the deadline stays.
+   */
   void onUploadComplete() {
     if (announcedMillis > 0) {
       exchange.restartDeadline(announcedMillis);
@@ -146,7 +149,7 @@
 
   ChannelFuture writeTo(Channel channel, long remainingMillis) {
     HttpHeaders headers = head.headers();
-    // An upstream host counts the announced time from the last byte of the request.
+    // An upstream host counts the time in X-Timeout-Ms from the last byte of the request.
     headers.set(
         TIMEOUT_HEADER,
         announcedMillis > 0 && isIncomplete() ? (long) announcedMillis : remainingMillis);
@@ -197,8 +200,8 @@
   // --- streamed response
 
   /**
-   * Whether a response of this length (-1 if unknown) is streamed, given that more than {@code
-   * maxHeldBytes} can't be held in memory.
+   * Whether a response of this length (-1 if unknown) is streamed. At most {@code maxHeldBytes} of
+   * it can be held in memory.
    */
   boolean shouldStream(long lengthBytes, int maxHeldBytes) {
     return client.canStream(lengthBytes)
@@ -254,9 +257,10 @@
   }
 
   /**
-   * Forwards the error response. Guards the rule that no effect happens twice (rule 2) against a
-   * 503 of an upstream host: to a client a 503 says that a retry is harmless, which holds only if
-   * the class may be repeated or nothing has run. Otherwise the 503 becomes a 502.
+   * Forwards the error response. Guards the rule that no effect of a request happens twice (rule 2
+   * of package {@code engine}) against a 503 of an upstream host: a 503 tells the client that a
+   * retry is harmless. That holds only if requests of the class may be repeated or if no attempt
+   * has run. Otherwise the 503 becomes a 502.
    */
   private void forwardErrorResponse(boolean isRefused) {
     HttpResponse response = errorResponse;
--- a/src/main/java/leadferry/http/HttpProtocol.java
+++ b/src/main/java/leadferry/http/HttpProtocol.java
@@ -13,13 +13,14 @@
  *
  * @param maxHeldResponseBytes bytes of a response body that are held in memory; a longer response
  *     that can't be streamed counts as broken
- * @param maxStreamedResponseBytes maximum size in bytes of a streamed response body; a longer one
- *     is treated as endless
+ * @param maxStreamedResponseBytes maximum size in bytes of a streamed response body; a longer
+ *     response is treated as endless
  * @param allowsCloseDelimited whether the close of the connection may delimit a response whose head
  *     announces it. A crashed process resets its connections, so an orderly end proves that the
  *     response is complete.
  * @param forwardsAllBelow500 whether every response with a status below 500 is forwarded with its
- *     body. Otherwise only a 200 is, and of a 4xx only the status reaches the client.
+ *     body. Otherwise only a 200 is forwarded with its body, and of a 4xx only the status reaches
+ *     the client.
  * @param forwardsServerErrors whether a 5xx of an upstream host that ends its request is forwarded
  *     with its body
  */
@@ -30,7 +31,10 @@
     boolean forwardsAllBelow500,
     boolean forwardsServerErrors)
     implements UpstreamProtocol {
-  /** Protocol settings for the platform's upstream hosts. */
+  /**
+   * Settings for the upstream hosts of the platform: the close of the connection may delimit a
+   * response, only a 200 is forwarded with its body, and no 5xx is forwarded with its body.
+   */
   public static final HttpProtocol PLATFORM =
       new HttpProtocol(64 * 1024, HttpServerSettings.MAX_PLATFORM_BODY_BYTES, true, false, false);
 
--- a/src/main/java/leadferry/http/HttpServer.java
+++ b/src/main/java/leadferry/http/HttpServer.java
@@ -23,15 +23,16 @@
 /** Accepts client connections on one event loop and owns all of them. */
 public final class HttpServer {
   /**
-   * Connections accepted in one read of the listener. A larger number could exceed the client limit
-   * before {@link #ensureClientCapacity} checks it.
+   * Maximum number of connections accepted in one read of the listener. A larger number could
+   * exceed the limit of clients before {@link #ensureClientCapacity} checks it.
    */
   private static final int ACCEPTS_PER_READ = 4;
 
   /**
-   * Connections examined per accepted connection when another component owns the listening socket.
-   * Guards against a burst of thousands of connections: examining all of them for each accepted one
-   * would keep the loop from reading that their clients have disconnected.
+   * Maximum number of connections that are examined for eviction per accepted connection if another
+   * component owns the listening socket. Guards against a burst of thousands of connections: an
+   * examination of all connections for each accepted one would keep the event loop from detecting
+   * that clients have disconnected.
    */
   private static final int MAX_EVICTION_CANDIDATES = 32;
 
@@ -151,8 +152,8 @@
     if (listener != null) {
       ensureClientCapacity();
     } else if (!sockets.hasRoomForClient() && !connections.evictOne(MAX_EVICTION_CANDIDATES)) {
-      // Another component accepts for several servers. A new connection for which this server can
-      // evict no other is closed.
+      // Another component accepts for several servers. A new connection is closed if this server
+      // is full and can evict no other connection.
       channel.close();
     }
   }
@@ -200,8 +201,8 @@
   }
 
   /**
-   * Called when the listener accepts again after a failed accept. The new connection may be
-   * accepted before this server counts it.
+   * Called when the listener accepts again after a failed accept. Evicts connections if clients are
+   * at their limit, because the next connection may be accepted before this server has counted it.
    */
   private void onAcceptResumed() {
     if (listener != null) {
@@ -217,9 +218,9 @@
   }
 
   /**
-   * Returns the {@link System#nanoTime} up to which the loop has read all input of clients. Guards
-   * against closing a client whose request is in the kernel's buffer while the loop is late:
-   * without this bound the client looks silent.
+   * Returns the {@link System#nanoTime} up to which the event loop has read all input of clients.
+   * Guards against a close of the connection of a client whose request is in the kernel's buffer
+   * while the event loop is late: without this bound the client looks silent.
    */
   static long readUntilNanos() {
     return System.nanoTime() - ReadLagTracker.lagNanos();
--- a/src/main/java/leadferry/http/HttpServerSettings.java
+++ b/src/main/java/leadferry/http/HttpServerSettings.java
@@ -3,12 +3,12 @@
 /**
  * Limits of one listener.
  *
- * @param maxHeldBodyBytes bytes of a request body that are held in memory; a longer body is
+ * @param maxHeldBodyBytes maximum bytes of a request body that are held in memory; a longer body is
  *     streamed or rejected
  * @param maxStreamedBodyBytes maximum size in bytes of a streamed request body
- * @param receiveTimeoutMillis time in which a request must arrive, counted from the opening of the
- *     connection for its first request; guards against clients that send nothing or never complete
- *     a request
+ * @param receiveTimeoutMillis time in which a request must arrive; for the first request of a
+ *     connection it counts from the opening of the connection; guards against clients that send
+ *     nothing or never complete a request
  * @param minBodyBytesPerSecond minimum rate of a held body; the body's size at this rate is added
  *     to {@code receiveTimeoutMillis}; 0 adds nothing
  * @param minIdleMillis time for which an idle connection can't be evicted
--- a/src/main/java/leadferry/http/Listener.java
+++ b/src/main/java/leadferry/http/Listener.java
@@ -28,10 +28,10 @@
 
   /**
    * Returns the earliest {@link System#nanoTime} at which the kernel can have queued the connection
-   * that is accepted now, for a loop that is late. This is the time at which the accept queue was
-   * last known to be empty, or at which a full pass over the queue began. Pauses that the server
-   * chose because sockets were scarce are excluded: the length of the queue during a pause is
-   * unknown, and a burst of connections would look older with every pause.
+   * that is accepted now, even if the event loop is late. This is the time at which the accept
+   * queue was last known to be empty, or at which a full pass over the queue began. Pauses that the
+   * server chose because sockets were scarce are excluded: the length of the queue during a pause
+   * is unknown, and a burst of connections would look older with every pause.
    *
    * <pre>
    *   poll: none     poll: clients   poll: clients   poll: clients
--- a/src/main/java/leadferry/http/PipelineQueue.java
+++ b/src/main/java/leadferry/http/PipelineQueue.java
@@ -8,8 +8,8 @@
 
 /**
  * Queue of pipelined requests (RFC 9112, 9.3.2). The requests are processed one at a time, which
- * keeps their responses in order. The queue is bounded by the number of requests, and in bytes by
- * one read, because nothing is read until the queue is empty.
+ * keeps their responses in order. The queue is bounded in requests by a limit, and in bytes by the
+ * size of one read, because nothing is read from the client until the queue is empty.
  *
  * <p>Used only on the connection's event loop.
  */
--- a/src/main/java/leadferry/http/RequestAdmission.java
+++ b/src/main/java/leadferry/http/RequestAdmission.java
@@ -10,7 +10,7 @@
     ADMITTED,
     /** The client has disconnected; its connection is closed. */
     CLIENT_GONE,
-    /** Another open request has the same id, so that their responses could be confused. */
+    /** Another open request has the same id, so that the two responses could be confused. */
     DUPLICATE_ID,
     /** The pool or the process has reached its limit of open requests. */
     POOL_FULL
--- a/src/main/java/leadferry/http/RequestBodyBuffer.java
+++ b/src/main/java/leadferry/http/RequestBodyBuffer.java
@@ -18,7 +18,7 @@
     TOO_LARGE,
     /** The part is not held; the body has to be streamed. */
     MUST_STREAM,
-    /** The memory budget is exhausted, and waiting would not free any. */
+    /** The memory budget is exhausted, and waiting would not free memory. */
     OUT_OF_MEMORY
   }
 
--- a/src/main/java/leadferry/http/RequestHead.java
+++ b/src/main/java/leadferry/http/RequestHead.java
@@ -93,7 +93,7 @@
     return HttpUtil.getContentLength(request, -1L);
   }
 
-  /** Returns the request; the engine owns it once it accepts the call. */
+  /** Returns the request. It belongs to the engine once the engine has accepted the call. */
   HttpRequest request() {
     return request;
   }
--- a/src/main/java/leadferry/http/RequestIntake.java
+++ b/src/main/java/leadferry/http/RequestIntake.java
@@ -92,7 +92,7 @@
     return head.receivedAtNanos();
   }
 
-  /** Returns the part that discards input after a response. */
+  /** Returns the component that discards input after a response. */
   DiscardedInput discardedInput() {
     return discarded;
   }
--- a/src/main/java/leadferry/http/ResponseWriter.java
+++ b/src/main/java/leadferry/http/ResponseWriter.java
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Closes the connection if the client has disconnected although its end of stream was not read
-   * yet; returns true if the connection was closed.
+   * Closes the connection if the client has disconnected, even if the end of its stream has not
+   * been read yet; returns true if the connection was closed.
    */
   boolean closeIfDisconnected() {
     return client.closeIfDisconnectedBetweenRequests();
--- a/src/main/java/leadferry/limits/ClientIdentity.java
+++ b/src/main/java/leadferry/limits/ClientIdentity.java
@@ -1,8 +1,8 @@
 package leadferry.limits;
 
 /**
- * The attributes of a request by which limits count it. {@code tenant} is "" if the request names
- * none.
+ * The attributes of a request by which limits assign it to a bucket. {@code tenant} is "" if the
+ * request names no tenant.
  */
 public record ClientIdentity(
     String listener, String route, String tenant, String className, String address) {
--- a/src/main/java/leadferry/limits/GcraBucket.java
+++ b/src/main/java/leadferry/limits/GcraBucket.java
@@ -17,14 +17,14 @@
   /** Slot count of a bucket that has been removed from its table and accepts no more requests. */
   private static final int RETIRED = Integer.MIN_VALUE / 2;
 
-  /** Time for which a child counts among those that share the rate of its parent. */
+  /** Length (ns) of the windows in which children with a request are counted. */
   private static final long WINDOW_NANOS = 1_000_000_000L;
 
   final long key;
 
   /**
    * The bucket of the outer limit. It does not change while a slot of this bucket is in use,
-   * because that slot holds one of the parent.
+   * because a used slot of this bucket also holds a slot of the parent.
    */
   private volatile GcraBucket parent;
 
@@ -75,7 +75,10 @@
     return Math.max(1, busyChildren.get());
   }
 
-  /** Consumes one request of the rate; returns 0, or the wait in nanoseconds until one conforms. */
+  /**
+   * Consumes one request of the rate. Returns 0, or the time (ns) after which a request conforms to
+   * the rate.
+   */
   long tryConsume(long nowNanos, double requestsPerSecond, double burst) {
     return tryConsume(arrivalNanos, nowNanos, requestsPerSecond, burst, false);
   }
@@ -84,7 +87,7 @@
    * Consumes one request of this bucket's share of the parent's rate.
    *
    * @param always whether to consume even if the share is exceeded
-   * @return 0, or the wait in nanoseconds until one conforms
+   * @return 0, or the time (ns) after which a request conforms to the share
    */
   long tryConsumeFairShare(long nowNanos, double requestsPerSecond, double burst, boolean always) {
     return tryConsume(fairShareArrivalNanos, nowNanos, requestsPerSecond, burst, always);
@@ -117,7 +120,7 @@
     }
   }
 
-  /** Counts a child that sent a request, once per window, among those that share the rate. */
+  /** Counts a child that sent a request as one that shares the rate; once per window. */
   void recordChildRequest(GcraBucket child, long nowNanos) {
     long window = nowNanos / WINDOW_NANOS;
     if (child.lastRequestWindow == window) {
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Returns the number of active children, which is the larger count of this and the previous
-   * window.
+   * Returns the number of active children: the maximum of the counts of this and the previous
+   * window, at least 1.
    */
   int activeChildren() {
     return Math.max(1, Math.max(previousChildCount, (int) (windowAndChildCount.get() & 0xffffff)));
--- a/src/main/java/leadferry/limits/GcraBucketTable.java
+++ b/src/main/java/leadferry/limits/GcraBucketTable.java
@@ -8,11 +8,11 @@
  * <p>The table is 8-way set-associative: a key belongs to one set, and its new bucket replaces an
  * idle one of that set. An idle bucket is equivalent to a new one, and replacing it loses no state.
  * If all eight buckets of a set are in use, the keys without a bucket share one overflow bucket as
- * if they were one client. A flood of invented tenants therefore throttles itself, and no state
- * that matters is lost.
+ * if they were one client. Invented tenants in great numbers therefore limit each other, and no
+ * bucket that is in use is lost.
  *
- * <p>Keys are 64-bit hashes. A client shares a bucket with one of n others by accident with a
- * probability of about n/2^64. Look-ups take no lock; only the creation of a bucket does.
+ * <p>Keys are 64-bit hashes. The probability that a client has the same key as one of n other
+ * clients is about n/2^64. Only the creation of a bucket takes a lock, look-ups do not.
  */
 final class GcraBucketTable {
   private static final int SET_SIZE = 8;
--- a/src/main/java/leadferry/limits/Limit.java
+++ b/src/main/java/leadferry/limits/Limit.java
@@ -5,15 +5,15 @@
 /**
  * A limit that the operator has configured.
  *
- * @param name the name, by which the state is kept over a reload
+ * @param name the name; a limit keeps its state over a reload if it keeps its name
  * @param scope which requests share a bucket
  * @param parentName the name of the outer limit, or null
  * @param listeners the listeners to which it applies, or none for all
  * @param routes the routes to which it applies, or none for all
  * @param classes the classes to which it applies, or none for all
  * @param requestsPerSecond requests per second, or 0 for no limit
- * @param burst requests that may arrive at once within the rate, 1 or more
- * @param maxConcurrent requests that may be open at once, or 0 for no limit
+ * @param burst maximum number of requests that may arrive at once within the rate, 1 or more
+ * @param maxConcurrent maximum number of requests that may be open at once, or 0 for no limit
  */
 public record Limit(
     String name,
--- a/src/main/java/leadferry/limits/LimitDecision.java
+++ b/src/main/java/leadferry/limits/LimitDecision.java
@@ -32,7 +32,7 @@
     return refusedBy;
   }
 
-  /** Returns the time after which to retry a refused request, in milliseconds. */
+  /** Returns the time (ms) after which the client may retry a refused request. */
   public double retryAfterMillis() {
     return retryAfterMillis;
   }
--- a/src/main/java/leadferry/limits/Limiter.java
+++ b/src/main/java/leadferry/limits/Limiter.java
@@ -30,8 +30,8 @@
   private static final double FAIR_SHARE_THRESHOLD = 0.8;
 
   /**
-   * Retry delay for requests refused for concurrency, as the end of an open request can't be
-   * predicted.
+   * Retry delay (ms) for a request that is refused because too many are open. It is fixed, because
+   * the end of an open request can't be predicted.
    */
   private static final double CONCURRENCY_RETRY_AFTER_MILLIS = 1_000;
 
@@ -132,7 +132,8 @@
         return LimitDecision.refused(limit.name(), waitMillis);
       }
     }
-    // Consumption of a rate can't be undone. It happens last, once no other limit refuses.
+    // A consumed request of a rate can't be returned. The rates therefore come last, once no check
+    // of concurrency or of an equal share refuses the request.
     for (int i = 0; i < tables.length; i++) {
       Limit limit = limits.get(i);
       if (bucketByLimit[i] != null && limit.requestsPerSecond() > 0) {
--- a/src/main/java/leadferry/limits/RetryBudget.java
+++ b/src/main/java/leadferry/limits/RetryBudget.java
@@ -34,7 +34,8 @@
       savedUnits.compareAndSet(
           current,
           Math.min(
-              maxUnits, current + unitsPerRequest)); // a request that loses a race earns nothing
+              maxUnits,
+              current + unitsPerRequest)); // a request earns nothing if the value changed meanwhile
     }
   }
 
--- a/src/main/java/leadferry/release/ReleaseView.java
+++ b/src/main/java/leadferry/release/ReleaseView.java
@@ -28,8 +28,8 @@
    *
    * @param direction direction of the release
    * @param goalStepCount number of steps, from the first one on, that are to run the new version
-   * @param bakingSinceChange change number of the fleet state at which the last target of the first
-   *     {@code goalStepCount} steps began to serve with its desired version; 0 while a target does
+   * @param bakingSinceChange change number of the fleet state since which all targets of the first
+   *     {@code goalStepCount} steps have served with their desired versions; 0 while a target does
    *     not
    * @param baked whether the baking time of the current step has passed
    */
--- a/src/main/java/leadferry/routing/NormalizedPath.java
+++ b/src/main/java/leadferry/routing/NormalizedPath.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request path in the single form that routes match and that the upstream host reads the same
- * way.
+ * A request path in a single form, which the routes match and which the upstream host interprets in
+ * the same way.
  *
  * <p>A path that the proxy and the upstream host interpret differently can bypass the route that
  * applies to it. A path without a single interpretation is therefore rejected. Encoded reserved
@@ -24,7 +24,7 @@
   public enum Mode {
     /** Rejects the path. */
     STRICT,
-    /** Resolves them; the upstream host receives the resolved path. */
+    /** Resolves the segments; the upstream host receives the resolved path. */
     RESOLVE
   }
 
@@ -103,7 +103,7 @@
     return containsEscape(decoded) ? null : decoded.toString();
   }
 
-  /** Returns the octet that the escape at {@code i} encodes, or -1 if it is not a valid escape. */
+  /** Returns the octet that the escape at {@code escapeStart} encodes, or -1 if it is invalid. */
   private static int decodeEscape(String text, int escapeStart) {
     if (escapeStart + 2 >= text.length()) {
       return -1;
--- a/src/main/java/leadferry/routing/RouteRule.java
+++ b/src/main/java/leadferry/routing/RouteRule.java
@@ -14,9 +14,9 @@
  * @param kind how {@code path} is matched
  * @param path the path, prefix or regular expression, in the form of {@link
  *     NormalizedPath#toOctetChars}
- * @param methods the methods, or none for any
+ * @param methods the methods; empty for any method
  * @param headers required values of headers; {@code *} requires only that the header is present
- * @param classes the classes, or none for any
+ * @param classes the classes; empty for any class
  * @param target the target of the route
  */
 public record RouteRule<T>(
--- a/src/main/java/leadferry/routing/RouteTable.java
+++ b/src/main/java/leadferry/routing/RouteTable.java
@@ -18,8 +18,9 @@
  *   <li>The path: the exact path, else regular expressions in the order of the file, else the
  *       longest prefix.
  *   <li>The conditions (methods, headers, classes): among the routes with the same host and path
- *       the one with the most conditions that are met, else the first in the file. If no route
- *       meets its conditions, the search continues with the next path of point 2.
+ *       whose conditions are all met, the one with the largest number of conditions; of several,
+ *       the first in the file. If the request meets the conditions of no route, the search
+ *       continues with the next path of point 2.
  * </ol>
  *
  * <p>Exact and prefix routes cost one hash step per char and one probe per depth that has prefixes,
@@ -61,7 +62,8 @@
       for (int i = 0; i <= length; i++) {
         char character = i < length ? path.charAt(i) : '/';
         if (character == '/') {
-          // With many routes each probe is a cache miss. Probes only depths that have prefixes.
+          // With many routes each probe is a cache miss, so only depths that have prefixes are
+          // probed.
           if ((prefixDepths >>> Math.min(depth, 63) & 1) != 0) {
             RouteRule<T> rule = firstMatching(prefixRules.get(path, 0, i, hash), request);
             best = rule == null ? best : rule;
--- a/src/main/java/leadferry/routing/ShadowedRouteFinder.java
+++ b/src/main/java/leadferry/routing/ShadowedRouteFinder.java
@@ -7,7 +7,7 @@
 
 /** Finds routes that no request can select under the order of precedence of {@link RouteTable}. */
 public final class ShadowedRouteFinder {
-  /** A route that another route always precedes; both are indexes in the list of routes. */
+  /** A route and the route that always precedes it, each as its index in the list of routes. */
   public record ShadowedRoute(int routeIndex, int winnerIndex) {}
 
   private ShadowedRouteFinder() {}
--- a/src/main/java/leadferry/routing/SubstringMap.java
+++ b/src/main/java/leadferry/routing/SubstringMap.java
@@ -9,7 +9,8 @@
   private String[] keys = new String[16];
 
   /**
-   * The hashes of the keys, in an array of their own: most look-ups that miss need not read a key.
+   * The hashes of the keys. They have an array of their own, so that a look-up without a result
+   * rarely reads a key.
    */
   private int[] hashes = new int[16];
 
--- a/src/main/java/leadferry/routing/WeightedSplit.java
+++ b/src/main/java/leadferry/routing/WeightedSplit.java
@@ -7,9 +7,9 @@
  * "Weighted Distributed Hash Tables", SPAA 2005).
  *
  * <p>For each key, each pool draws an exponential variable whose rate is the weight of the pool;
- * the pool with the least value is chosen. Pools receive keys in proportion to their weights. When
- * weights change, a key moves only to a pool whose weight rose or from a pool whose weight fell. A
- * choice costs one logarithm per pool and does not depend on the order of the pools.
+ * the pool with the minimum value is chosen. Pools receive keys in proportion to their weights.
+ * When weights change, a key moves only to a pool whose weight rose or from a pool whose weight
+ * fell. A choice costs one logarithm per pool and does not depend on the order of the pools.
  */
 public final class WeightedSplit<T> {
   /**
