--- a/src/main/java/leadferry/disruption/BudgetBound.java
+++ b/src/main/java/leadferry/disruption/BudgetBound.java
@@ -16,7 +16,7 @@
     unavailableOthers = List.copyOf(unavailableOthers);
   }
 
-  /** Returns whether the eviction of one more target would exceed the bound. */
+  /** Returns whether the eviction of the target would exceed the bound. */
   boolean isExhausted() {
     return unavailableOthers.size() + 1 > allowed;
   }
--- a/src/main/java/leadferry/disruption/FleetView.java
+++ b/src/main/java/leadferry/disruption/FleetView.java
@@ -11,7 +11,7 @@
  * an eviction grant. {@link FleetViewCodec} maps the view to and from its form on the wire and in a
  * proxy's state file.
  *
- * @param version version of the replicated state, {@link #NO_VERSION} before the first view
+ * @param version version of the replicated state, {@link #NO_VERSION} if unknown
  * @param halted whether granting is stopped
  * @param drainedEndpoints endpoints that get no requests, in the order of their grants
  * @param proxyEvictions evictions by name of the proxy, in the order of their grants
@@ -21,7 +21,7 @@
     boolean halted,
     Set<String> drainedEndpoints,
     Map<String, ProxyEviction> proxyEvictions) {
-  /** Value of {@code version} before the first view. */
+  /** Version before the first view of a session, and of a view that names no version. */
   static final long NO_VERSION = -1;
 
   FleetView {
