--- a/src/test/java/leadferry/testbed/FleetProcessesTest.java
+++ b/src/test/java/leadferry/testbed/FleetProcessesTest.java
@@ -21,14 +21,20 @@
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.MethodOrderer;
+import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestMethodOrder;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Runs three replicas and four daemons as processes, with budgets of one proxy and one upstream,
  * and faults between them. Guards against grants beyond a budget and against requests to drained
  * upstreams when links are cut or processes are killed, suspended or restarted.
+ *
+ * <p>The tests share these processes, so their order is fixed.
  */
+@TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class FleetProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long TIMEOUT_MILLIS = 20_000;
@@ -148,6 +154,7 @@
   }
 
   @Test
+  @Order(8)
   void secondProxyDrainIsRefusedWhenLeaderLinkIsCut() throws Exception {
     String leader = faultTest.awaitLeader();
     String other = leader.equals("k1") ? "k2" : "k1";
@@ -164,6 +171,7 @@
   }
 
   @Test
+  @Order(16)
   void concurrentDrainsAtTwoReplicasGrantOnlyOne() throws Exception {
     List<CompletableFuture<JsonNode>> responses = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
@@ -187,6 +195,7 @@
   }
 
   @Test
+  @Order(2)
   void repeatedDrainHasOneOutcomeAfterLeaderIsKilled() throws Exception {
     String leader = faultTest.awaitLeader();
     String id = nextCallId();
@@ -204,6 +213,7 @@
   }
 
   @Test
+  @Order(21)
   void isolatedLeaderGrantsNothing() throws Exception {
     String leader = faultTest.awaitLeader();
     faultTest.isolate(leader);
@@ -224,6 +234,7 @@
    * that leader, sent on behalf of these queries, must not delay the responses of the next leader.
    */
   @Test
+  @Order(18)
   void followerQueriedUnderIsolatedLeaderRespondsOnceItLeads() throws Exception {
     String cut = faultTest.awaitLeader();
     List<String> others =
@@ -266,6 +277,7 @@
 
   /** Guards against leases that a follower confirms: no leader would track such a lease. */
   @Test
+  @Order(4)
   void onlyLeaderConfirmsStatusAndLeases() throws Exception {
     String leader = faultTest.awaitLeader();
     ObjectNode renew =
@@ -284,6 +296,7 @@
   }
 
   @Test
+  @Order(11)
   void proxySuspendedForThreeLeasesIgnoresEndedGrant() throws Exception {
     faultTest.proxy("p1").suspend();
     JsonNode granted = drain("proxy", "p1");
@@ -305,6 +318,7 @@
   }
 
   @Test
+  @Order(10)
   void killedProxyUsesBudgetUntilItReturns() throws Exception {
     faultTest.proxy("p2").kill();
     await(() -> outReason("proxies", "p2").equals("lost"));
@@ -316,6 +330,7 @@
   }
 
   @Test
+  @Order(15)
   void terminatedProxyCountsAsOut() throws Exception {
     assertThat(faultTest.proxy("p4").terminate(TIMEOUT_MILLIS)).isZero();
     await(() -> outReason("proxies", "p4").equals("left"));
@@ -325,6 +340,7 @@
   }
 
   @Test
+  @Order(14)
   void restartOfAllReplicasKeepsStateAndRequestsAreServedMeanwhile() throws Exception {
     JsonNode granted = drain("proxy", "p1");
     await(() -> faultTest.reportsNotServing("p1"));
@@ -345,6 +361,7 @@
   }
 
   @Test
+  @Order(12)
   void drainedUpstreamGetsNoRequestsFromRestartedProxy() throws Exception {
     JsonNode granted = drain("host", "h1");
     String permit = granted.path("permit").asText();
@@ -379,6 +396,7 @@
   }
 
   @Test
+  @Order(23)
   void concurrentDrainsGrantOnlyOne() throws Exception {
     List<CompletableFuture<String>> responses = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
@@ -405,6 +423,7 @@
   }
 
   @Test
+  @Order(19)
   void restartFromSnapshotRestoresAllDecisions() throws Exception {
     String permit = drain("host", "h1").path("permit").asText();
     for (int i = 0; i < 80; i++) {
@@ -429,6 +448,7 @@
   }
 
   @Test
+  @Order(9)
   void haltStopsGrantsUntilResumed() {
     assertThat(
             statusOf(
@@ -462,6 +482,7 @@
   }
 
   @Test
+  @Order(17)
   void replicasSuspendedForThreeLeasesExpireNoSession() throws Exception {
     long before = expiredSessions();
     for (String replica : List.of("k1", "k2", "k3")) {
@@ -481,6 +502,7 @@
   }
 
   @Test
+  @Order(24)
   void leaderSuspendedForThreeLeasesGrantsNothingAlone() throws Exception {
     String leader = faultTest.awaitLeader();
     faultTest.replica(leader).suspend();
@@ -494,6 +516,7 @@
   }
 
   @Test
+  @Order(22)
   void expiredPermitOfIsolatedProxyKeepsBudgetUntilProxyServes() throws Exception {
     JsonNode granted =
         faultTest
@@ -517,6 +540,7 @@
   }
 
   @Test
+  @Order(20)
   void secondProcessWithSameNameWaitsForFirst() throws Exception {
     String file = Files.readString(folder.resolve("p1.toml"));
     Path second =
@@ -539,6 +563,7 @@
   }
 
   @Test
+  @Order(5)
   void replicaWithTruncatedLogRecordRejoins() throws Exception {
     assertThat(statusOf(drain("host", "h2"))).isEqualTo("granted");
     String torn = faultTest.awaitLeader().equals("k3") ? "k2" : "k3";
@@ -580,6 +605,7 @@
   }
 
   @Test
+  @Order(13)
   void suspendedProxyIsReportedUntilItAcknowledgesDrain() throws Exception {
     faultTest.proxy("p2").suspend();
     String id = drain("host", "h3").path("permit").asText();
@@ -605,6 +631,7 @@
   }
 
   @Test
+  @Order(3)
   void upstreamEjectedByHalfOfProxiesUsesBudget() throws Exception {
     List<String> half = List.of("p1", "p2");
     half.forEach(proxy -> faultTest.link(proxy, "h4").setRefusing(true));
@@ -659,6 +686,7 @@
   }
 
   @Test
+  @Order(1)
   void replicaWithFullDiskBlocksNothingAndRecoversWithSpace() throws Exception {
     String full = faultTest.awaitLeader().equals("k3") ? "k2" : "k3";
     faultTest.replica(full).kill();
@@ -688,6 +716,7 @@
   }
 
   @Test
+  @Order(7)
   void truncatedAcknowledgementIsIgnored() throws Exception {
     for (String replica : List.of("k1", "k2", "k3")) {
       faultTest.link("p2", replica).truncateNextChunk();
@@ -710,6 +739,7 @@
   }
 
   @Test
+  @Order(6)
   void upstreamRestartedWhileDrainedDoesNotCollapseOnReturn() throws Exception {
     String permit = awaitGranted("host", "h1").path("permit").asText();
     await(() -> permit(permit).path("carried_out").asBoolean());
--- a/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
+++ b/src/test/java/leadferry/testbed/ReleaseProcessesTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.MethodOrderer;
+import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestMethodOrder;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
@@ -29,7 +32,10 @@
  * executed twice or by a driver without the lease, and against more targets out of service than
  * allowed. The supervisor's record shows what was executed; probes show which proxies were out of
  * service.
+ *
+ * <p>The tests share these processes, so their order is fixed.
  */
+@TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class ReleaseProcessesTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long TIMEOUT_MILLIS = 40_000;
@@ -204,6 +210,7 @@
   }
 
   @Test
+  @Order(11)
   void releaseRestartsEachProxyOnceWithinBudget() throws Exception {
     int from = invocationCount();
     String release = begin("proxy", "p1", "p2", "p3", "p4");
@@ -216,6 +223,7 @@
   }
 
   @Test
+  @Order(2)
   void killedDriversAreReplacedWithoutRepeatingActions() throws Exception {
     int from = invocationCount();
     String release = begin("host", "h1", "h2");
@@ -249,6 +257,7 @@
   }
 
   @Test
+  @Order(4)
   void commandOfDriverWithExpiredLeaseIsRejectedByFence() throws Exception {
     String release = begin("host", "h3", "h4");
     ManagedProcess slow = drive(release);
@@ -288,6 +297,7 @@
   }
 
   @Test
+  @Order(7)
   void haltedReleaseTakesNoTargetOutAndRollsBack() throws Exception {
     String before = faultTest.version("p1");
     String release = begin("proxy", "p1", "p2", "p3");
@@ -329,6 +339,7 @@
   }
 
   @Test
+  @Order(3)
   void versionThatFailsToStartHaltsReleaseAndRollbackRecovers() throws Exception {
     String before = faultTest.version("p1");
     String release = "r" + IDS.incrementAndGet();
@@ -348,6 +359,7 @@
   }
 
   @Test
+  @Order(9)
   void leaderChangesAndLostMajorityRepeatNoAction() throws Exception {
     int from = invocationCount();
     String release = begin("proxy", "p1", "p2", "p3", "p4");
@@ -385,6 +397,7 @@
   }
 
   @Test
+  @Order(1)
   void upstreamsAreReplacedUnderLoadWithoutLossOrCollapse() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
     Set<String> failedRequests = java.util.concurrent.ConcurrentHashMap.newKeySet();
@@ -424,6 +437,7 @@
   }
 
   @Test
+  @Order(8)
   void onlyOneOfTwoReleasesOfSameTargetBegins() throws Exception {
     List<CompletableFuture<String>> responses = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
@@ -452,6 +466,7 @@
   }
 
   @Test
+  @Order(10)
   void skippedMemberIsReleasedAfterItsReturn() throws Exception {
     String release = "r" + IDS.incrementAndGet();
     String version = "v" + IDS.incrementAndGet();
@@ -488,6 +503,7 @@
   }
 
   @Test
+  @Order(5)
   void versionFailingUnderLoadIsRolledBackAutomatically() throws Exception {
     List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
@@ -542,6 +558,7 @@
   private static final String FAILING_PREFIX = FaultTest.FAILING_VERSION;
 
   @Test
+  @Order(6)
   void failingCommandsAreTriedThreeTimesAndHaltRelease() throws Exception {
     for (String command :
         List.of("sleep 1000", "while :; do echo without end; done", "kill -9 $$")) {
